--- a/rules/api.go
+++ b/rules/api.go
@@ -76,13 +76,13 @@
 
 // Server is one entry of the server list.
 type Server struct {
-	ID       ServerID
-	Zone     string
-	Cell     int
-	State    ServerState
-	Capacity float64       // for comparison with other servers; 0 is taken as 1
-	Started  time.Duration // latest start on the event clock; 0: long ago
-	Clear    bool          // where it drains: its connections are to leave before it does
+	ID       ServerID      `json:"ID"`
+	Zone     string        `json:"Zone"`
+	Cell     int           `json:"Cell"`
+	State    ServerState   `json:"State"`
+	Capacity float64       `json:"Capacity"` // for comparison with other servers; 0 is taken as 1
+	Started  time.Duration `json:"Started"`  // latest start on the event clock; 0: long ago
+	Clear    bool          `json:"Clear"`    // where it drains: its connections are to leave before it does
 }
 
 // ListMode says how a List is to be read.
--- a/rules/learned.go
+++ b/rules/learned.go
@@ -7,28 +7,31 @@
 // Learned is what a Balancer knows beyond the list and its requests. Times are on the event clock, which both
 // processes share.
 type Learned struct {
-	Servers []LearnedServer
-	Classes []Figure // mean loads by class, in the settings' order
-	Load    Figure   // and of all together
-	Bears   Figure   // connections that a warm server of weight 1 bears
+	Servers []LearnedServer `json:"Servers"`
+	Classes []Figure        `json:"Classes"` // mean loads by class, in the settings' order
+	Load    Figure          `json:"Load"`    // and of all together
+	Bears   Figure          `json:"Bears"`   // connections that a warm server of weight 1 bears
 }
 
 const limitMost = 1e15
 
 // Figure is a mean and its weight.
-type Figure struct{ Value, Weight float64 }
+type Figure struct {
+	Value  float64 `json:"Value"`
+	Weight float64 `json:"Weight"`
+}
 
 // LearnedServer is what is known of one server's process.
 type LearnedServer struct {
-	ID          ServerID
-	Started     time.Duration // of the process that this is known of
-	Limit       float64       // 0: none
-	CutAt       time.Duration
-	PausedUntil time.Duration
-	Ejected     time.Duration // until then; 0: not ejected
-	Ejections   int
-	Strikes     float64
-	StrikesAt   time.Duration
+	ID          ServerID      `json:"ID"`
+	Started     time.Duration `json:"Started"` // of the process that this is known of
+	Limit       float64       `json:"Limit"`   // 0: none
+	CutAt       time.Duration `json:"CutAt"`
+	PausedUntil time.Duration `json:"PausedUntil"`
+	Ejected     time.Duration `json:"Ejected"` // until then; 0: not ejected
+	Ejections   int           `json:"Ejections"`
+	Strikes     float64       `json:"Strikes"`
+	StrikesAt   time.Duration `json:"StrikesAt"`
 }
 
 func (m mean) figure() Figure { return Figure{m.value, m.weight} }
