--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -9,9 +9,9 @@
 
 // State is what an engine passes to the one of the process that follows.
 type State struct {
-	Version int64    // of the list
-	Servers []Server // as listed
-	Learned rules.Learned
+	Version int64         // of the list
+	Servers []Server      // as listed
+	Learned rules.Learned `json:"Learned"`
 	Flows   []Flow
 }
 
