--- /dev/null
+++ b/internal/cluster/tiers/digest_test.go
@@ -0,0 +1,320 @@
+package tiers_test
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"example.org/milletvane/internal/cluster/tiers"
+)
+
+var updateDigests = flag.Bool("update", false, "write the digests of the drawn event streams anew")
+
+const (
+	fleetSeeds = 240 // some instances for less than half a minute
+	longSeeds  = 20  // one to three instances for five minutes: what is admitted again comes back in steps that grow
+	shortTicks = 120
+	longTicks  = 1500
+
+	epoch = 1_700_000_000 * time.Second
+)
+
+// What each instance tells the others and the level of what is shed, over drawn loads of fleets, are those that the digests
+// in testdata record, to the last bit of each figure.
+func TestLevelsOfDrawnFleetsMatchTheirDigests(t *testing.T) {
+	checkDigests(t, "fleets.txt", fleetSeeds, func(seed uint64, out *transcript) {
+		newFleet(seed, 1, 1+int(seed%7)).run(shortTicks, out)
+	})
+}
+
+// The same over minutes.
+func TestLevelsOverMinutesMatchTheirDigests(t *testing.T) {
+	checkDigests(t, "minutes.txt", longSeeds, func(seed uint64, out *transcript) {
+		f := newFleet(seed, 2, 1+int(seed%3))
+		if seed%2 == 0 {
+			f.steady = true
+			f.bears = f.sum() / 2
+		}
+		f.run(longTicks, out)
+	})
+}
+
+// checkDigests compares the digest of each seed's output with the line of a file in testdata.
+func checkDigests(t *testing.T, file string, seeds uint64, draw func(seed uint64, out *transcript)) {
+	t.Helper()
+	var lines []string
+	shedding := 0
+	for seed := range seeds {
+		out := &transcript{sum: sha256.New()}
+		draw(seed, out)
+		shedding += out.shedding
+		lines = append(lines, fmt.Sprintf("%d %s", seed, out.digest()))
+	}
+	if shedding < 100*int(seeds) {
+		t.Errorf("%d levels above 0 in %d seeds: the loads are too small to tell anything", shedding, seeds)
+	}
+	name := filepath.Join("testdata", file)
+	if *updateDigests {
+		if err := os.MkdirAll("testdata", 0o777); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(name, []byte(strings.Join(lines, "\n")+"\n"), 0o666); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSpace(string(text)), "\n")
+	if len(want) != len(lines) {
+		t.Fatalf("%s has %d lines for %d seeds", name, len(want), len(lines))
+	}
+	differ := 0
+	for i := range lines {
+		if lines[i] != want[i] {
+			if differ++; differ <= 5 {
+				t.Errorf("%s: got %q, want %q", name, lines[i], want[i])
+			}
+		}
+	}
+	if differ > 0 {
+		t.Errorf("%s: %d of %d seeds differ", name, differ, len(lines))
+	}
+}
+
+// transcript takes the output of one seed in a binary form of its own, which no rename of a type or field changes.
+type transcript struct {
+	sum      hash.Hash
+	buf      []byte
+	shedding int // levels above 0
+}
+
+func (o *transcript) digest() string { return fmt.Sprintf("%x", o.sum.Sum(nil)[:8]) }
+
+func (o *transcript) level(now time.Duration, instance int, told tiers.Digest, level float64) {
+	b := binary.BigEndian.AppendUint64(o.buf[:0], uint64(now))
+	b = binary.BigEndian.AppendUint64(b, uint64(instance))
+	b = binary.BigEndian.AppendUint64(b, math.Float64bits(level))
+	b = binary.BigEndian.AppendUint64(b, math.Float64bits(told.Share))
+	b = binary.BigEndian.AppendUint64(b, uint64(len(told.Asked)))
+	for _, a := range told.Asked {
+		b = binary.BigEndian.AppendUint64(b, math.Float64bits(a))
+	}
+	o.sum.Write(b)
+	o.buf = b
+	if level > 0 {
+		o.shedding++
+	}
+}
+
+// message is a digest on its way.
+type message struct {
+	at   time.Duration
+	to   int
+	told tiers.Told
+}
+
+// fleet is some instances in front of servers that bear so many requests a second.
+type fleet struct {
+	*rand.Rand
+	set    tiers.Settings
+	all    []*tiers.Tiers
+	levels []float64
+	lives  []uint64
+	number uint64
+	now    time.Duration
+	load   []float64 // requests a second of each rank, at each instance
+	bears  float64   // requests a second, all instances together
+	queue  []message
+	steady bool // the load stays as it is, and no instance starts anew
+	exact  bool // ticks and delays are whole multiples of a tick: bounds on time are met to the nanosecond
+	claims bool // the first instance tells others what it likes
+}
+
+func newFleet(seed, stream uint64, n int) *fleet {
+	f := &fleet{Rand: rand.New(rand.NewPCG(seed, stream)), now: epoch}
+	f.set = tiers.Settings{Ranks: 1 + f.IntN(5)}
+	if f.IntN(2) == 0 {
+		f.set.Floor = f.Float64() / 4
+	}
+	f.exact, f.claims = f.IntN(2) == 0, n > 2 && f.IntN(3) == 0
+	for range n {
+		f.all, f.levels, f.lives = append(f.all, tiers.New(f.set)), append(f.levels, 0), append(f.lives, 1)
+	}
+	f.drawLoad()
+	return f
+}
+
+// drawLoad draws what instances are asked for from now on: less than servers bear, or up to four times as much.
+func (f *fleet) drawLoad() {
+	f.load = make([]float64, f.set.Ranks)
+	for k := range f.load {
+		if f.IntN(6) > 0 {
+			f.load[k] = f.Float64() * 100
+		}
+	}
+	f.bears = f.sum() * []float64{4, 1.2, 1.04, 1, 0.95, 0.7, 0.5, 0.25, 0.01}[f.IntN(9)]
+}
+
+// sum is what all instances together are asked for, in requests a second.
+func (f *fleet) sum() (sum float64) {
+	for _, load := range f.load {
+		sum += load * float64(len(f.all))
+	}
+	return sum
+}
+
+func (f *fleet) run(ticks int, out *transcript) {
+	for tick := range ticks {
+		if f.IntN(60) == 0 && !f.steady {
+			f.drawLoad()
+		}
+		if f.IntN(200) == 0 && !f.steady {
+			f.restart(f.IntN(len(f.all)))
+		}
+		f.now += tiers.Tick
+		if !f.exact {
+			f.now += time.Duration(f.IntN(40)-20) * time.Millisecond
+		}
+		f.deliver()
+		refused := f.refused()
+		for i := range f.all {
+			if f.IntN(150) == 0 {
+				continue // it is late by a tick
+			}
+			f.tick(i, refused, out)
+		}
+		if tick%50 == 49 {
+			f.inject()
+		}
+	}
+}
+
+// restart begins another life of an instance.
+func (f *fleet) restart(i int) {
+	f.all[i], f.levels[i] = tiers.New(f.set), 0
+	f.lives[i]++
+}
+
+// refused is the part of what all instances admit that servers can't take.
+func (f *fleet) refused() float64 {
+	admitted := 0.0
+	for i := range f.all {
+		for k, load := range f.load {
+			admitted += load * (1 - f.cut(i, k))
+		}
+	}
+	return max(1-f.bears/max(admitted, 1e-9), 0)
+}
+
+// cut is the part of a rank that an instance sheds.
+func (f *fleet) cut(i, k int) float64 { return min(max(f.levels[i]-float64(k), 0), 1) }
+
+func (f *fleet) tick(i int, refused float64, out *transcript) {
+	var own tiers.Own
+	for k, load := range f.load {
+		asked := load * tiers.Tick.Seconds() * (0.8 + 0.4*f.Float64())
+		own.Asked = append(own.Asked, uint64(math.Round(asked)))
+		own.Cut = append(own.Cut, uint64(asked*f.cut(i, k)))
+		own.Refused = append(own.Refused, uint64(asked*(1-f.cut(i, k))*refused))
+	}
+	told, level := f.all[i].Handle(f.now, own)
+	out.level(f.now, i, told, level)
+	f.levels[i] = level
+	if f.claims && i == 0 {
+		told = f.claim()
+	}
+	f.number++
+	for to := range f.all {
+		if to != i && f.IntN(20) > 0 {
+			f.send(to, tiers.Told{Peer: peerName(i), Incarnation: f.lives[i], Number: f.number, Digest: told})
+		}
+	}
+}
+
+func peerName(i int) string { return "p" + strconv.Itoa(i) }
+
+// send queues a message; some come late, twice, or after a later one.
+func (f *fleet) send(to int, told tiers.Told) {
+	copies := 1
+	if f.IntN(30) == 0 {
+		copies = 2
+	}
+	for range copies {
+		delay := time.Duration(f.IntN(7)) * tiers.Tick
+		if !f.exact {
+			delay = time.Duration(f.IntN(300)) * time.Millisecond
+		}
+		f.queue = append(f.queue, message{f.now + delay, to, told})
+	}
+}
+
+func (f *fleet) deliver() {
+	var later []message
+	for _, m := range f.queue {
+		if m.at > f.now {
+			later = append(later, m)
+			continue
+		}
+		f.all[m.to].Handle(f.now, m.told)
+	}
+	f.queue = later
+}
+
+// claim is a digest that nothing bears out, or none at all.
+func (f *fleet) claim() tiers.Digest {
+	d := tiers.Digest{Share: f.Float64()}
+	for range f.set.Ranks {
+		d.Asked = append(d.Asked, f.Float64()*1e6)
+	}
+	switch f.IntN(12) {
+	case 0:
+		d.Share = math.NaN()
+	case 1:
+		d.Share = -1e-9
+	case 2:
+		d.Share = math.Nextafter(1, 2)
+	case 3:
+		d.Share = 1
+	case 4:
+		d.Share = 0
+	case 5:
+		d.Asked[0] = math.NaN()
+	case 6:
+		d.Asked[0] = math.Inf(1)
+	case 7:
+		d.Asked[0] = -1
+	case 8:
+		d.Asked = append(d.Asked, 1)
+	case 9:
+		d.Asked = nil
+	}
+	return d
+}
+
+// inject has an instance receive what is older than the rest: an earlier life of a peer, or an earlier number.
+func (f *fleet) inject() {
+	to, from := f.IntN(len(f.all)), f.IntN(len(f.all))
+	life, number := f.lives[from], f.number
+	switch f.IntN(4) {
+	case 0:
+		life--
+	case 1:
+		number = uint64(f.IntN(int(f.number) + 1))
+	case 2:
+		number -= min(number, uint64(len(f.all)))
+	}
+	f.send(to, tiers.Told{Peer: peerName(from), Incarnation: life, Number: number, Digest: f.claim()})
+}
