--- /dev/null
+++ b/internal/handover/format_test.go
@@ -0,0 +1,347 @@
+package handover
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"example.org/milletvane/internal/engine"
+	"example.org/milletvane/rules"
+)
+
+var update = flag.Bool("update", false, "write the expected files in testdata anew")
+
+// The processes and times of the files in testdata. Process 1 runs on every machine.
+const (
+	writerBorn = 1790000000000000010
+	writerPID  = 1
+)
+
+var writtenAt = time.Date(2026, 9, 21, 14, 13, 20, 10, time.UTC)
+
+// checkGolden compares an output with its file in testdata.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// fullRecord has a value of its own in every field.
+func fullRecord() Record {
+	return Record{
+		Written: writtenAt,
+		Ready:   true,
+		Known:   []string{"s-1", "gone/%2F", "ümlaut <&>\u2028", ""},
+		State: engine.State{
+			Version: 41,
+			Servers: []engine.Server{
+				{Name: "s-1", Addr: "127.0.0.1:1", Server: rules.Server{
+					ID: 1, Zone: "bilbao", Cell: 3, State: rules.Draining, Capacity: 1.5, Started: time.Hour, Clear: true,
+				}},
+				{Name: "s-2", Addr: "[::1]:2", Server: rules.Server{ID: 4294967295}},
+			},
+			Learned: rules.Learned{
+				Servers: []rules.LearnedServer{{
+					ID: 1, Started: 2 * time.Hour, Limit: 5.25, CutAt: 3 * time.Second, PausedUntil: 4 * time.Second,
+					Ejected: 5 * time.Second, Ejections: 6, Strikes: 0.1, StrikesAt: 7 * time.Second,
+				}, {ID: 2}},
+				Classes: []rules.Figure{{Value: 1e21, Weight: 1e-7}, {Value: 3, Weight: 4}},
+				Load:    rules.Figure{Value: 20000, Weight: 3},
+				Bears:   rules.Figure{Value: 12.5, Weight: 0.5},
+			},
+			Flows: []engine.Flow{
+				{ID: "9b", Class: "c", Key: "k", Group: "g", Server: "s-1", Load: 12.75},
+				{ID: "9c"},
+			},
+		},
+	}
+}
+
+// appendRecord prints a record field by field.
+func appendRecord(b *bytes.Buffer, r Record) {
+	fmt.Fprintf(b, "process born=%d pid=%d\n", r.Process.Born, r.Process.PID)
+	fmt.Fprintf(b, "written=%s ready=%t\n", r.Written.Format(time.RFC3339Nano), r.Ready)
+	fmt.Fprintf(b, "known absent=%t %q\n", r.Known == nil, r.Known)
+	fmt.Fprintf(b, "version=%d\n", r.State.Version)
+	for _, s := range r.State.Servers {
+		fmt.Fprintf(b, "server name=%q addr=%q id=%d zone=%q cell=%d state=%d capacity=%g started=%d clear=%t\n",
+			s.Name, s.Addr, uint64(s.ID), s.Zone, s.Cell, int(s.State), s.Capacity, int64(s.Started), s.Clear)
+	}
+	for _, s := range r.State.Learned.Servers {
+		fmt.Fprintf(b, "learned id=%d started=%d limit=%g cut_at=%d paused_until=%d ejected=%d ejections=%d strikes=%g strikes_at=%d\n",
+			uint64(s.ID), int64(s.Started), s.Limit, int64(s.CutAt), int64(s.PausedUntil), int64(s.Ejected), s.Ejections,
+			s.Strikes, int64(s.StrikesAt))
+	}
+	for i, c := range r.State.Learned.Classes {
+		fmt.Fprintf(b, "class %d value=%g weight=%g\n", i, c.Value, c.Weight)
+	}
+	load, bears := r.State.Learned.Load, r.State.Learned.Bears
+	fmt.Fprintf(b, "load value=%g weight=%g bears value=%g weight=%g\n", load.Value, load.Weight, bears.Value, bears.Weight)
+	for _, f := range r.State.Flows {
+		fmt.Fprintf(b, "flow id=%q class=%q key=%q group=%q server=%q load=%g\n", f.ID, f.Class, f.Key, f.Group, f.Server, f.Load)
+	}
+}
+
+func fileOf(bornAt int64) string { return "state-" + strconv.FormatInt(bornAt, 10) }
+
+func mustRead(t *testing.T, path string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// put lays a file into a folder, as changed at a time.
+func put(t *testing.T, dir, name string, text []byte, changed time.Time) {
+	t.Helper()
+	path := filepath.Join(dir, name)
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Chtimes(path, changed, changed); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// listing names the files of a folder.
+func listing(t *testing.T, dir string) []string {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := []string{}
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	return names
+}
+
+// framed puts the first line before a body, as the format states it: a word, the version, a checksum and the size.
+func framed(word string, version int, body string) []byte {
+	sum := crc32.Checksum([]byte(body), crc32.MakeTable(crc32.Castagnoli))
+	return fmt.Appendf(nil, "%s %d %08x %d\n%s", word, version, sum, len(body), body)
+}
+
+// What is written is, byte for byte, what earlier builds wrote, in a file and a folder that nobody else may read.
+func TestFormatWritten(t *testing.T) {
+	for name, r := range map[string]Record{"full.state": fullRecord(), "zero.state": {}} {
+		t.Run(name, func(t *testing.T) {
+			dir := filepath.Join(t.TempDir(), "a", "state")
+			NewDesk(dir, Process{Born: writerBorn, PID: writerPID}, quiet).Write(r)
+			path := filepath.Join(dir, fileOf(writerBorn))
+			checkGolden(t, name, mustRead(t, path))
+			for at, want := range map[string]os.FileMode{path: 0o600, dir: 0o700} {
+				info, err := os.Stat(at)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if got := info.Mode().Perm(); got != want {
+					t.Errorf("%s has mode %o, want %o", filepath.Base(at), got, want)
+				}
+			}
+			if names := listing(t, dir); !slices.Equal(names, []string{fileOf(writerBorn)}) {
+				t.Errorf("the folder holds %q", names)
+			}
+		})
+	}
+}
+
+// The first line is as the format states it for every body: the checksum has eight digits, the first of them zero at times.
+func TestFormatOfFirstLine(t *testing.T) {
+	dir := t.TempDir()
+	d := NewDesk(dir, Process{Born: writerBorn, PID: writerPID}, quiet)
+	zeros := 0
+	for i := range 64 {
+		d.Write(Record{State: engine.State{Version: int64(i)}})
+		text := mustRead(t, filepath.Join(dir, fileOf(writerBorn)))
+		_, body, _ := strings.Cut(string(text), "\n")
+		if want := framed("milletvane-handover", 1, body); !bytes.Equal(text, want) {
+			t.Fatalf("wrote:\n%s\nwant:\n%s", text, want)
+		}
+		if bytes.Contains(text, []byte("handover 1 0")) {
+			zeros++
+		}
+	}
+	if zeros == 0 {
+		t.Error("no checksum begins with zero")
+	}
+}
+
+// A file of an earlier build is read field by field, and written again as it was.
+func TestFormatReadAndWrittenAgain(t *testing.T) {
+	for _, name := range []string{"full.state", "zero.state"} {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			text := mustRead(t, filepath.Join("testdata", name))
+			now := writtenAt
+			if name == "zero.state" {
+				now = time.Time{}
+			}
+			put(t, dir, fileOf(writerBorn), text, writtenAt)
+			r, ok := NewDesk(dir, Process{Born: writerBorn + 1, PID: os.Getpid()}, quiet).Before(now)
+			if !ok {
+				t.Fatal("was not taken up")
+			}
+			var b bytes.Buffer
+			appendRecord(&b, r)
+			checkGolden(t, strings.TrimSuffix(name, ".state")+".fields", b.Bytes())
+			NewDesk(dir, Process{Born: writerBorn, PID: writerPID}, quiet).Write(r)
+			if again := mustRead(t, filepath.Join(dir, fileOf(writerBorn))); !bytes.Equal(again, text) {
+				t.Errorf("written again:\n%s\nwant:\n%s", again, text)
+			}
+		})
+	}
+}
+
+// Old, damaged and foreign files: which are taken up, and what becomes of each.
+func TestFormatReadForms(t *testing.T) {
+	const word = "milletvane-handover"
+	written := writtenAt.Format(time.RFC3339Nano)
+	whole := string(mustRead(t, filepath.Join("testdata", "full.state")))
+	_, wholeBody, _ := strings.Cut(whole, "\n")
+	short := `{"Process":{"Born":7,"PID":1},"Written":"` + written + `"}`
+	padded := func(size int) []byte {
+		head := len(framed(word, 1, strings.Repeat(" ", size))) - size
+		return framed(word, 1, short+strings.Repeat(" ", size-head-len(short)))
+	}
+	const sizeLimit = 16 << 20
+	var out bytes.Buffer
+	for _, c := range []struct {
+		name    string
+		file    string
+		text    []byte
+		now     time.Time
+		changed time.Time
+	}{
+		{name: "short", text: framed(word, 1, short)},
+		{name: "unknown fields are passed over", text: framed(word, 1, strings.Replace(short, `"Written"`, `"Later":{"a":[1]},"Written"`, 1))},
+		{name: "keys in lower case", text: framed(word, 1, regexp.MustCompile(`"[A-Za-z]+":`).ReplaceAllStringFunc(wholeBody, strings.ToLower))},
+		{name: "null lists", text: framed(word, 1, strings.Replace(short, `"Written"`, `"Known":null,"State":{"Servers":null,"Flows":null,"Learned":{"Servers":null,"Classes":null}},"Written"`, 1))},
+		{name: "empty lists", text: framed(word, 1, strings.Replace(short, `"Written"`, `"Known":[],"State":{"Servers":[],"Flows":[]},"Written"`, 1))},
+		{name: "no process", text: framed(word, 1, `{"Written":"`+written+`"}`)},
+		{name: "process of number 0", text: framed(word, 1, strings.Replace(short, `"PID":1`, `"PID":0`, 1))},
+		{name: "process that has ended", text: framed(word, 1, strings.Replace(short, `"PID":1`, `"PID":1073741824`, 1))},
+		{name: "checksum without leading zeros", text: func() []byte {
+			for i := 0; ; i++ {
+				text := string(framed(word, 1, strings.Replace(short, `{`, `{`+strings.Repeat(" ", i), 1)))
+				if cut := strings.Replace(text, " 1 0", " 1 ", 1); cut != text {
+					return []byte(cut)
+				}
+			}
+		}()},
+		{name: "more in the first line", text: []byte(strings.Replace(string(framed(word, 1, short)), "\n", " more\n", 1))},
+		{name: "empty", text: []byte{}},
+		{name: "no first line", text: []byte(word)},
+		{name: "first line alone", text: framed(word, 1, "")},
+		{name: "cut short", text: []byte(whole[:len(whole)-1])},
+		{name: "one byte more", text: []byte(whole + "x")},
+		{name: "one bit changed", text: []byte(strings.Replace(whole, `"s-1"`, `"s-0"`, 1))},
+		{name: "other word", text: framed("milletvine-handover", 1, short)},
+		{name: "version 0", text: framed(word, 0, short)},
+		{name: "version 2", text: framed(word, 2, short)},
+		{name: "no JSON", text: framed(word, 1, "{")},
+		{name: "JSON of another form", text: framed(word, 1, `{"Written":7}`)},
+		{name: "list of names", text: framed(word, 1, `["s-1"]`)},
+		{name: "as large as may be", text: padded(sizeLimit)},
+		{name: "larger than may be", text: append(padded(sizeLimit), ' ')},
+		{name: "written 10 s ago", text: framed(word, 1, short), now: writtenAt.Add(10 * time.Second)},
+		{name: "written over 10 s ago", text: framed(word, 1, short), now: writtenAt.Add(10*time.Second + 1)},
+		{name: "written 10 s ahead", text: framed(word, 1, short), now: writtenAt.Add(-10 * time.Second)},
+		{name: "written over 10 s ahead", text: framed(word, 1, short), now: writtenAt.Add(-10*time.Second - 1)},
+		{name: "changed a minute ago", text: framed(word, 1, short), changed: writtenAt.Add(-time.Minute)},
+		{name: "changed over a minute ago", text: framed(word, 1, short), changed: writtenAt.Add(-time.Minute - time.Millisecond)},
+		{name: "birth that is no number", file: "state-abc", text: framed(word, 1, short)},
+		{name: "birth of this process", file: "state-20", text: framed(word, 1, short)},
+		{name: "birth of this process with a zero", file: "state-020", text: framed(word, 1, short)},
+		{name: "birth after this process", file: "state-21", text: framed(word, 1, short)},
+		{name: "other prefix", file: "stat-10", text: framed(word, 1, short)},
+		{name: "put aside before", file: "bad-state-10", text: framed(word, 1, short)},
+	} {
+		dir := t.TempDir()
+		file, now, changed := c.file, c.now, c.changed
+		if file == "" {
+			file = "state-10"
+		}
+		if now.IsZero() {
+			now = writtenAt
+		}
+		if changed.IsZero() {
+			changed = writtenAt
+		}
+		put(t, dir, file, c.text, changed)
+		r, ok := NewDesk(dir, Process{Born: 20, PID: os.Getpid()}, quiet).Before(now)
+		fmt.Fprintf(&out, "== %s: taken up %t, left %q\n", c.name, ok, listing(t, dir))
+		if ok {
+			appendRecord(&out, r)
+		}
+	}
+	checkGolden(t, "forms.txt", out.Bytes())
+}
+
+// Of several processes the last born before this one counts, and of those after it any that is ready and runs.
+func TestFormatOfSeveralProcesses(t *testing.T) {
+	record := func(born int64, pid int, ready bool) []byte {
+		return framed("milletvane-handover", 1, fmt.Sprintf(`{"Process":{"Born":%d,"PID":%d},"Written":%q,"Ready":%t}`,
+			born, pid, writtenAt.Format(time.RFC3339Nano), ready))
+	}
+	const ended = 1 << 30
+	for _, c := range []struct {
+		name     string
+		files    map[string][]byte
+		before   int64 // birth of the process that is followed; 0: none
+		followed bool
+	}{
+		{"none", nil, 0, false},
+		{"two before", map[string][]byte{"state-9": record(9, 1, true), "state-10": record(10, 1, true)}, 10, false},
+		{"by number, not by letters", map[string][]byte{"state-5": record(5, 1, true), "state-19": record(19, 1, true)}, 19, false},
+		{"the later has ended", map[string][]byte{"state-9": record(9, 1, true), "state-10": record(10, ended, true)}, 9, false},
+		{"the later is damaged", map[string][]byte{"state-9": record(9, 1, true), "state-10": []byte("x")}, 9, false},
+		{"not ready", map[string][]byte{"state-9": record(9, 1, false)}, 9, false},
+		{"after, ready", map[string][]byte{"state-30": record(30, 1, true)}, 0, true},
+		{"after, not ready", map[string][]byte{"state-30": record(30, 1, false)}, 0, false},
+		{"after, ended", map[string][]byte{"state-30": record(30, ended, true)}, 0, false},
+		{"after, damaged", map[string][]byte{"state-30": []byte("x")}, 0, false},
+		{"after, one of two ready", map[string][]byte{"state-30": record(30, 1, false), "state-31": record(31, 1, true)}, 0, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			for name, text := range c.files {
+				put(t, dir, name, text, writtenAt)
+			}
+			d := NewDesk(dir, Process{Born: 20, PID: os.Getpid()}, quiet)
+			r, ok := d.Before(writtenAt)
+			if ok != (c.before > 0) || r.Process.Born != c.before {
+				t.Errorf("follows %d (%t), want %d", r.Process.Born, ok, c.before)
+			}
+			if got := d.Followed(); got != c.followed {
+				t.Errorf("followed: %t, want %t", got, c.followed)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/settings/format_test.go
@@ -0,0 +1,158 @@
+package settings
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the expected files in testdata anew")
+
+// checkGolden compares an output with its file in testdata.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// appendAll prints what the three readers make of pairs, field by field, or their faults.
+func appendAll(b *bytes.Buffer, p Pairs) {
+	if r, err := p.Rules(); err != nil {
+		fmt.Fprintf(b, "rules: %v\n", err)
+	} else {
+		fmt.Fprintf(b, "rules seed=%d gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
+			r.Seed, r.Gateways, r.OverShareWorth, r.MaxAttempts, r.Park, r.DrainGrace)
+		fmt.Fprintf(b, "rules cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t span=%s free=%g share=%g\n",
+			r.ColdTime, r.TipMultiple, r.TipTime, r.GoneIsAdvice, r.MaxRetryAfter, r.Reports, r.BudgetSpan, r.BudgetFree, r.BudgetShare)
+		for _, k := range r.Classes {
+			fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
+				k.Name, int(k.Effect), int(k.Scope), k.Window, k.Worth, k.Aim, k.Deadline, k.MessageAim)
+		}
+		for _, t := range r.Tenants {
+			fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.QuotaConnections)
+		}
+	}
+	if l, err := p.List(); err != nil {
+		fmt.Fprintf(b, "list: %v\n", err)
+	} else {
+		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", l.Pushed, l.Gateways, l.AskWithin, l.DrainGrace, l.Seed)
+	}
+	if n, err := p.Node(); err != nil {
+		fmt.Fprintf(b, "node: %v\n", err)
+	} else {
+		fmt.Fprintf(b, "node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
+			n.ConnectTimeout, n.Pass, n.TellsDelay, n.TellsLoad, n.Probes, n.MessageAim, n.AnswerSlack, n.LongestWait)
+	}
+}
+
+// fullPairs gives each path that is read a value of its own.
+func fullPairs() Pairs {
+	return Pairs{
+		"init_seed": "77", "replicas_of_me": "3", "over_share_worth": "0.5", "discovery": "push",
+		"caps.max_attempts": "5", "caps.connect_timeout_ns": "60000000", "caps.probes": "true", "caps.retry_after": "1",
+		"caps.max_retry_after_ns": "2000000000",
+		"family_info.park_ns":     "6449143000", "family_info.message_aim_ns": "60000000,null,40000000",
+		"family_info.tenant_quota_connections": "12.5,3", "family_info.mode": "pass", "family_info.tells_delay": "true",
+		"family_info.tells_load":       "1",
+		"rules.stop_sending_within_ns": "250000000", "rules.cold_ns": "21000000000", "rules.tip_multiple": "4.5", "rules.fall_ns": "900000000",
+		"rules.gone_is_advice": "true", "rules.ratio_span_ns": "10000000000", "rules.extra_free": "2.5", "rules.budget_share": "0.2",
+		"rules.start_capacity": "0.16", "rules.ask_within_ns": "5000000000", "rules.grace_to_answer_ns": "100000000",
+		"reporting.fields": "concurrent,depth,x0",
+		"classes.count":    "4", "classes.0.name": "a", "classes.0.effect": "idempotent", "classes.0.group": "all",
+		"classes.0.window_ns": "7000000", "classes.0.worth": "1.5", "classes.0.slo_ns": "800000000", "classes.0.give_up_ns": "4800000000",
+		"classes.1.name": "b", "classes.1.effect": "deduplicated", "classes.1.group": "zone", "classes.1.give_up_ns": "4900000000",
+		"classes.2.name": "c", "classes.2.effect": "at_most_once", "classes.2.group": "cell",
+		"tenants.count": "3", "tenants.0.name": "t1", "tenants.1.name": "t2", "tenants.2.name": "t3",
+	}
+}
+
+// Every path, with good and bad values: absent, empty, null, bounds, and what is none of its kind.
+func TestFormatOfValues(t *testing.T) {
+	var b bytes.Buffer
+	b.WriteString("== none\n")
+	appendAll(&b, Pairs{})
+	b.WriteString("== full\n")
+	var full bytes.Buffer
+	appendAll(&full, fullPairs())
+	b.Write(full.Bytes())
+	usual := strings.Split(strings.TrimSpace(full.String()), "\n") // lines that are not printed again
+	paths := []string{}
+	for path := range fullPairs() {
+		paths = append(paths, path)
+	}
+	slices.Sort(paths)
+	for _, path := range paths {
+		for _, value := range []string{"", "null", "0", "1", "false", "-1", "1.5", "1e3", "1000000000000000001", "2e18", "9223372036854775808", "NaN", "Inf",
+			"x", "true", "true ", "yes", "1,2", "1,x", "1,null", ",", "10001"} {
+			p := fullPairs()
+			p[path] = value
+			var one bytes.Buffer
+			appendAll(&one, p)
+			lines := strings.Split(strings.TrimSpace(one.String()), "\n")
+			fmt.Fprintf(&b, "== %s=%s: %d lines\n", path, value, len(lines))
+			for _, line := range lines {
+				if !slices.Contains(usual, line) {
+					fmt.Fprintf(&b, "%s\n", line)
+				}
+			}
+		}
+	}
+	checkGolden(t, "values.txt", b.Bytes())
+}
+
+// Nested JSON becomes pairs, or a fault.
+func TestFormatOfFlatten(t *testing.T) {
+	var b bytes.Buffer
+	for _, text := range []string{
+		`{}`, `{"a":1,"b":{"c":"x","d":{"e":true}},"f":null}`, `{"n":9223372036854775807,"x":1.50,"y":1e3,"z":-0,"s":"1"}`,
+		`{"list":[1,"a",null,false,1.0],"empty":[],"objects":[{"a":1},{"b":[2,3]},{}]}`, `{"mixed":[1,{"a":2},[3,4],"x"]}`,
+		`{"":1,"a.b":2}`, `{"a":{"":1}}`, `{"nested":[[[1]],[]]}`, `{"a":"comma,in","b":"ünïcode\u2028\n"}`, `{"a":1} {"b":2}`, `{"a":1}x`,
+		``, `[]`, `7`, `"x"`, `null`, `{"a":`, `{"a":01}`, `{a:1}`,
+	} {
+		fmt.Fprintf(&b, "== %s\n", text)
+		p, err := Flatten([]byte(text))
+		if err != nil {
+			fmt.Fprintf(&b, "%v\n", err)
+			continue
+		}
+		paths := []string{}
+		for path := range p {
+			paths = append(paths, path)
+		}
+		slices.Sort(paths)
+		for _, path := range paths {
+			fmt.Fprintf(&b, "%q=%q\n", path, p[path])
+		}
+	}
+	checkGolden(t, "flatten.txt", b.Bytes())
+}
+
+func TestFormatOfBools(t *testing.T) {
+	for text, want := range map[string][2]bool{
+		"1": {true, true}, "true": {true, true}, "0": {false, true}, "false": {false, true},
+		"": {}, "True": {}, "yes": {}, "2": {}, "null": {}, " 1": {},
+	} {
+		if v, ok := ParseBool(text); v != want[0] || ok != want[1] {
+			t.Errorf("%q is %t, %t", text, v, ok)
+		}
+	}
+}
