--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -33,19 +33,19 @@
 	keepFor  = time.Minute
 )
 
-// Record is what a process writes down for the one that follows.
+// Record is what a process writes down for the one that follows. Its keys in the file are part of the format.
 type Record struct {
-	Process Process
-	Written time.Time
-	Ready   bool     // it serves clients
-	Known   []string // ids of servers that were ever listed
-	State   engine.State
+	Process Process      `json:"Process"`
+	Written time.Time    `json:"Written"`
+	Ready   bool         `json:"Ready"` // it serves clients
+	Known   []string     `json:"Known"` // ids of servers that were ever listed
+	State   engine.State `json:"State"`
 }
 
 // Process tells the processes of one gateway apart.
 type Process struct {
-	Born int64 // Unix time in nanoseconds: who is born later follows
-	PID  int
+	Born int64 `json:"Born"` // Unix time in nanoseconds: who is born later follows
+	PID  int   `json:"PID"`
 }
 
 var table = crc32.MakeTable(crc32.Castagnoli)
