--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -226,11 +226,9 @@
 	whole := string(mustRead(t, filepath.Join("testdata", "full.state")))
 	_, wholeBody, _ := strings.Cut(whole, "\n")
 	short := `{"Process":{"Born":7,"PID":1},"Written":"` + written + `"}`
-	padded := func(size int) []byte {
-		head := len(framed(word, 1, strings.Repeat(" ", size))) - size
-		return framed(word, 1, short+strings.Repeat(" ", size-head-len(short)))
-	}
 	const sizeLimit = 16 << 20
+	head := len(fmt.Sprintf("%s %d %08x %d\n", word, 1, 0, sizeLimit))
+	largest := framed(word, 1, short+strings.Repeat(" ", sizeLimit-head-len(short)))
 	var out bytes.Buffer
 	for _, c := range []struct {
 		name    string
@@ -268,8 +266,8 @@
 		{name: "no JSON", text: framed(word, 1, "{")},
 		{name: "JSON of another form", text: framed(word, 1, `{"Written":7}`)},
 		{name: "list of names", text: framed(word, 1, `["s-1"]`)},
-		{name: "as large as may be", text: padded(sizeLimit)},
-		{name: "larger than may be", text: append(padded(sizeLimit), ' ')},
+		{name: "as large as may be", text: largest},
+		{name: "larger than may be", text: append(slices.Clone(largest), ' ')},
 		{name: "written 10 s ago", text: framed(word, 1, short), now: writtenAt.Add(10 * time.Second)},
 		{name: "written over 10 s ago", text: framed(word, 1, short), now: writtenAt.Add(10*time.Second + 1)},
 		{name: "written 10 s ahead", text: framed(word, 1, short), now: writtenAt.Add(-10 * time.Second)},
