--- a/rules/api.go
+++ b/rules/api.go
@@ -50,19 +50,22 @@
 	Gateways       int    // gateways that share the load; 0 is taken as 1
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64       // part of its worth that traffic over a tenant's quota keeps; 0: all
-	MaxAttempts    int           // attempts for one request; 0 is taken as 1
-	Park           time.Duration // how long a server keeps a connection whose packets stopped; 0: not at all
-	DrainGrace     time.Duration // sends to a draining or gone server must stop within this
-	ColdTime       time.Duration // a fresh server can do all it ever can after this; 0: servers start warm
-	TipMultiple    float64       // sent over this multiple of what it can do, a cold server falls over
-	TipTime        time.Duration // when it lasts this long; 0 is taken as a second
-	GoneIsAdvice   bool          // a server called gone may still be sent to; only draining binds
-	BudgetSpan     time.Duration // over this, attempts beyond each request's first are rationed; 0: no rule
-	BudgetFree     float64       // with BudgetSpan: so many are allowed in any case
-	BudgetShare    float64       // with BudgetSpan: and so many for each request taken
-	MaxRetryAfter  time.Duration // longest advice to stay away that a client follows; 0: none is given
-	Reports        bool          // servers may be asked for their load with Ask
+	OverShareWorth float64 // part of its worth that traffic over a tenant's quota keeps; 0: all
+	MaxAttempts    int     // attempts for one request; 0 is taken as 1
+	// how long a server keeps a connection whose packets stopped; 0: not at all
+	Park       time.Duration
+	DrainGrace time.Duration // sends to a draining or gone server must stop within this
+	// a fresh server can do all it ever can after this; 0: servers start warm
+	ColdTime     time.Duration
+	TipMultiple  float64       // sent over this multiple of what it can do, a cold server falls over
+	TipTime      time.Duration // when it lasts this long; 0 is taken as a second
+	GoneIsAdvice bool          // a server called gone may still be sent to; only draining binds
+	// over this, attempts beyond each request's first are rationed; 0: no rule
+	BudgetSpan    time.Duration
+	BudgetFree    float64       // with BudgetSpan: so many are allowed in any case
+	BudgetShare   float64       // with BudgetSpan: and so many for each request taken
+	MaxRetryAfter time.Duration // longest advice to stay away that a client follows; 0: none is given
+	Reports       bool          // servers may be asked for their load with Ask
 }
 
 // ServerState is what the list says of a server.
@@ -154,7 +157,8 @@
 		Held   float64 // connections there, of all gateways; 0: not told
 	}
 
-	// Shed tells what the fleet sheds: requests of ranks under the whole part of Level, and of the rank at it
+	// Shed tells what the fleet sheds: requests of ranks under the whole part of Level, and of the rank
+	// at it
 	// the part behind the point. 0 sheds nothing.
 	Shed struct{ Level float64 }
 
@@ -171,7 +175,8 @@
 	// Expired says that the client is gone; no answer is owed.
 	Expired struct{ ID RequestID }
 
-	// Returned says that a server that was out by hand may serve again: what was held against it is void.
+	// Returned says that a server that was out by hand may serve again: what was held against it is
+	// void.
 	Returned struct{ Server ServerID }
 
 	// Stop says that the program ends: each request that waits has to have its final answer by then.
--- a/rules/cold_test.go
+++ b/rules/cold_test.go
@@ -104,7 +104,8 @@
 	f.failures = between(0, 0.3, "turned away")
 	weight, each := between(0.5, 4, "weight"), between(1.5, 20, "allowed a second")
 	bears := each * f.set.ColdTime.Seconds() / f.set.TipMultiple / weight
-	f.n = max(each, coldRoom*f.set.TipMultiple/f.set.ColdTime.Seconds()) * f.set.TipTime.Seconds()
+	f.n = max(each, coldRoom*f.set.TipMultiple/f.set.ColdTime.Seconds()) *
+		f.set.TipTime.Seconds()
 	f.rnd = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	f.cold = ServerID(100 + warm)
 	before := List{Mode: Complete}
@@ -153,7 +154,8 @@
 			b.Handle(now, Opened{ID: s.ID, Attempt: n, Server: s.Server})
 			return
 		}
-		next = find[Send](b.Handle(now, Outcome{ID: s.ID, Attempt: n, Server: s.Server, Result: Full}))
+		next = find[Send](b.Handle(now,
+			Outcome{ID: s.ID, Attempt: n, Server: s.Server, Result: Full}))
 	}
 }
 
@@ -208,7 +210,8 @@
 			f.ask(now, fmt.Sprint("g", f.rnd.IntN(f.rnd.IntN(zipf)+1)), f.rnd.IntN(3) > 0)
 		}
 		if limit := f.n + 2*math.Sqrt(f.n) + 2; float64(f.most()) > limit {
-			t.Fatalf("sent %d in %v, it falls at %.1f (N %.1f)", f.most(), f.set.TipTime, limit, f.n)
+			t.Fatalf("sent %d in %v, it falls at %.1f (N %.1f)",
+				f.most(), f.set.TipTime, limit, f.n)
 		}
 	})
 }
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -178,7 +178,8 @@
 	t.Helper()
 	s := &stream{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 31)), now: time.Hour, hash: sha256.New(), coverage: coverage{},
-		hostByID: map[rules.ServerID]*host{}, nextHost: 100, requests: map[rules.RequestID]rules.Request{},
+		hostByID: map[rules.ServerID]*host{}, nextHost: 100,
+		requests: map[rules.RequestID]rules.Request{},
 		attempts: map[rules.RequestID]int{}, mayHaveRun: map[rules.RequestID]bool{},
 	}
 	s.grain = []time.Duration{0, 1, 10, 50}[s.rnd.IntN(4)] * time.Millisecond
@@ -224,7 +225,8 @@
 		DrainGrace:  pick(0, 500*time.Millisecond, 2*time.Second),
 		ColdTime:    pick(0, 3*time.Second, 8*time.Second, 20*time.Second),
 		TipMultiple: figure(0, 2, 4.5), TipTime: pick(0, 2*time.Second),
-		GoneIsAdvice: s.oneIn(2), MaxRetryAfter: pick(0, time.Second, 3*time.Second), Reports: s.oneIn(2),
+		GoneIsAdvice: s.oneIn(2), MaxRetryAfter: pick(0, time.Second, 3*time.Second),
+		Reports:        s.oneIn(2),
 		OverShareWorth: figure(0, 0.2, 0.7),
 	}
 	if s.oneIn(2) {
@@ -232,12 +234,17 @@
 		set.BudgetFree, set.BudgetShare = figure(0, 3, 8), figure(0.05, 0.1, 0.6)
 	}
 	set.Classes = []rules.Class{
-		{Name: "idempotent", Effect: rules.Safe, Worth: figure(0, 1, 3), Aim: pick(0, 150*time.Millisecond),
+		{Name: "idempotent", Effect: rules.Safe, Worth: figure(0, 1, 3),
+			Aim:        pick(0, 150*time.Millisecond),
 			MessageAim: pick(0, 60*time.Millisecond, 90*time.Millisecond)},
-		{Name: "with key", Effect: rules.Keyed, Scope: rules.Scope(rnd.IntN(3)), Worth: figure(1, 8),
-			Window: pick(time.Second, 10*time.Second), Aim: pick(0, 100*time.Millisecond)},
-		{Name: "non-idempotent", Effect: rules.Unsafe, Worth: figure(0, 0.5, 2), Deadline: time.Second},
-		{Name: "with key everywhere", Effect: rules.Keyed, Scope: rules.ScopeAll, Worth: 1,
+		{Name: "with key", Effect: rules.Keyed,
+			Scope: rules.Scope(rnd.IntN(3)), Worth: figure(1, 8),
+			Window: pick(time.Second, 10*time.Second),
+			Aim:    pick(0, 100*time.Millisecond)},
+		{Name: "non-idempotent", Effect: rules.Unsafe,
+			Worth: figure(0, 0.5, 2), Deadline: time.Second},
+		{Name: "with key everywhere", Effect: rules.Keyed,
+			Scope: rules.ScopeAll, Worth: 1,
 			Window:     pick(700*time.Millisecond, 4*time.Second),
 			MessageAim: pick(0, 45*time.Millisecond, 120*time.Millisecond)},
 	}
@@ -425,7 +432,8 @@
 	for _, k := range l.Servers {
 		present[k.ID] = true
 		s.add(10, uint64(k.ID), uint64(k.Started), math.Float64bits(k.Limit), uint64(k.CutAt),
-			uint64(k.PausedUntil), uint64(k.Ejected), uint64(k.Ejections), math.Float64bits(k.Strikes),
+			uint64(k.PausedUntil), uint64(k.Ejected), uint64(k.Ejections),
+			math.Float64bits(k.Strikes),
 			uint64(k.StrikesAt))
 		if k.Limit > 0 {
 			s.coverage["limit learned"]++
@@ -625,7 +633,8 @@
 	if !result.NeverRan() {
 		s.mayHaveRun[c.request.ID] = true
 	}
-	s.feed("ended", rules.Outcome{ID: c.request.ID, Attempt: c.attempt, Server: c.server, Result: result,
+	s.feed("ended", rules.Outcome{ID: c.request.ID, Attempt: c.attempt,
+		Server: c.server, Result: result,
 		Elapsed: s.upTo(300 * time.Millisecond), Settled: answered || c.left})
 }
 
@@ -656,7 +665,8 @@
 	case dice < 89:
 		s.changeList()
 	case dice < 90:
-		s.feed("fleet load shedding", rules.Shed{Level: []float64{0, 0, 0.3, 1, 1.4}[s.rnd.IntN(5)]})
+		s.feed("fleet load shedding",
+			rules.Shed{Level: []float64{0, 0, 0.3, 1, 1.4}[s.rnd.IntN(5)]})
 	case dice < 92:
 		s.reinstate(s.anyHost())
 	case dice < 93:
@@ -763,7 +773,8 @@
 
 func (s *stream) endOne() {
 	if c := s.anyLive(isEstablished); c != nil {
-		s.end(c, []rules.Result{rules.OK, rules.OK, rules.Cancelled, rules.Reset}[s.rnd.IntN(4)], true)
+		s.end(c,
+			[]rules.Result{rules.OK, rules.OK, rules.Cancelled, rules.Reset}[s.rnd.IntN(4)], true)
 	}
 }
 
@@ -856,7 +867,8 @@
 		return
 	case 10: // an old list, or an empty one
 		old := s.pastLists[s.rnd.IntN(len(s.pastLists))]
-		s.feedList([]rules.ListMode{rules.Complete, rules.Stored}[s.rnd.IntN(2)], old.Servers)
+		s.feedList(
+			[]rules.ListMode{rules.Complete, rules.Stored}[s.rnd.IntN(2)], old.Servers)
 		return
 	case 11:
 		s.feedList(rules.Complete, s.entries())
@@ -915,7 +927,8 @@
 			s.feed("request", c.request)
 		}
 	case 1:
-		s.feed("established", rules.Opened{ID: known, Attempt: s.rnd.IntN(3), Server: server + 50})
+		s.feed("established",
+			rules.Opened{ID: known, Attempt: s.rnd.IntN(3), Server: server + 50})
 	case 2:
 		s.feed("ended", rules.Outcome{ID: known, Attempt: 7, Server: server, Result: rules.Reset})
 	case 3:
@@ -961,7 +974,8 @@
 		life := s.upTo(20 * time.Second)
 		s.later(life, func() { s.end(c, rules.OK, true) })
 	}
-	s.feed("adopted connection", rules.Carried{Request: rules.Request{ID: s.nextRequest + 5000}, Server: 1})
+	s.feed("adopted connection",
+		rules.Carried{Request: rules.Request{ID: s.nextRequest + 5000}, Server: 1})
 }
 
 // spoil puts figures into a snapshot that have to be passed over or bounded.
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -13,13 +13,20 @@
 		Gateways:    2,
 		MaxAttempts: 3,
 		DrainGrace:  500 * time.Millisecond,
-		Classes:     []rules.Class{{Name: "feed", Effect: rules.Safe, Aim: 400 * time.Millisecond}},
+		Classes: []rules.Class{{
+			Name:   "feed",
+			Effect: rules.Safe,
+			Aim:    400 * time.Millisecond,
+		}},
 	})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	list := rules.List{Mode: rules.Complete, Servers: []rules.Server{{ID: 11}, {ID: 12}, {ID: 13}}}
+	list := rules.List{
+		Mode:    rules.Complete,
+		Servers: []rules.Server{{ID: 11}, {ID: 12}, {ID: 13}},
+	}
 	events := []rules.Event{
 		list,
 		rules.Request{ID: 1, Class: "feed", Group: "area-7", Deadline: 2 * time.Second},
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -64,7 +64,8 @@
 	set := Settings{
 		Gateways: rapid.SampledFrom([]int{0, 1, 3, 80, 300}).Draw(t, "gateways"),
 		Seed:     rapid.Uint64().Draw(t, "seed"), MaxAttempts: rapid.IntRange(0, 6).Draw(t, "attempts"),
-		Park: span("park", 10*sec), DrainGrace: span("grace", sec), ColdTime: span("cold", 30*sec),
+		Park: span("park", 10*sec), DrainGrace: span("grace", sec),
+		ColdTime:    span("cold", 30*sec),
 		TipMultiple: figure("multiple", 8), TipTime: span("tip", 3*sec),
 		MaxRetryAfter: span("retry after", 4*sec),
 		BudgetSpan:    span("budget", 20*sec), BudgetFree: figure("free", 20),
@@ -76,7 +77,8 @@
 		set.Classes = append(set.Classes, Class{
 			Name: fmt.Sprint("klass-", i), Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
 			Scope: Scope(rapid.IntRange(0, 2).Draw(t, "scope")), Window: span("window", 5*sec),
-			Worth: figure("worth", 9), Aim: span("aim", sec), Deadline: span("deadline", 5*sec),
+			Worth: figure("worth", 9), Aim: span("aim", sec),
+			Deadline:   span("deadline", 5*sec),
 			MessageAim: span("message aim", 300*ms),
 		})
 	}
@@ -163,7 +165,8 @@
 					break
 				}
 			case 7:
-				feed(LoadReport{Server: server, Load: rnd.Float64() * 3, Held: float64(rnd.IntN(60))})
+				feed(LoadReport{
+					Server: server, Load: rnd.Float64() * 3, Held: float64(rnd.IntN(60))})
 			case 8:
 				feed(Timer{Ref: refHousekeeping})
 			case 9:
--- a/rules/learned.go
+++ b/rules/learned.go
@@ -4,7 +4,8 @@
 
 // This file is what one process of a gateway passes to the next of what it has learned. It decides nothing.
 
-// Learned is what a Balancer knows beyond the list and its requests. Times are on the event clock, which both
+// Learned is what a Balancer knows beyond the list and its requests. Times are on the event clock, which
+// both
 // processes share.
 type Learned struct {
 	Servers []LearnedServer `json:"Servers"`
@@ -55,8 +56,11 @@
 			limit = 0
 		}
 		l.Servers = append(l.Servers, LearnedServer{
-			ID: s.ID, Started: s.Started, Limit: limit, CutAt: s.cutAt, PausedUntil: s.pausedUntil,
-			Ejected: s.ejected, Ejections: s.ejections, Strikes: s.strikes.sum, StrikesAt: s.strikes.at,
+			ID: s.ID, Started: s.Started,
+			Limit: limit, CutAt: s.cutAt,
+			PausedUntil: s.pausedUntil,
+			Ejected:     s.ejected, Ejections: s.ejections,
+			Strikes: s.strikes.sum, StrikesAt: s.strikes.at,
 		})
 	}
 	return l
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -122,7 +122,8 @@
 			switch {
 			case class.Effect == Unsafe:
 				d.t.Fatalf("unsafe request %d is sent again", a.ID)
-			case class.Effect == Keyed && (f.ranOn[0].Cell != s.Cell || d.now-f.ranAt > class.Window):
+			case class.Effect == Keyed &&
+				(f.ranOn[0].Cell != s.Cell || d.now-f.ranAt > class.Window):
 				d.t.Fatalf("keyed request %d is sent outside its cell or window", a.ID)
 			}
 		}
@@ -132,7 +133,8 @@
 		if f.attempts > 1 {
 			d.ledger.check(d.t, d.now, &d.set)
 		}
-		if age := d.now - s.Started; s.Started > 0 && age < d.set.ColdTime && s.State == Ready && !f.Stray {
+		if age := d.now - s.Started; s.Started > 0 &&
+			age < d.set.ColdTime && s.State == Ready && !f.Stray {
 			d.cold[a.Server] = append(d.cold[a.Server], d.now)
 			d.checkCold(a.Server, age)
 		}
@@ -143,7 +145,8 @@
 		}
 		f := d.answered(a.ID)
 		class := d.set.Classes[d.b.classes[f.Class]]
-		if len(f.ranOn) > 0 && class.Effect != Safe && (class.Effect == Unsafe || class.Scope != ScopeAll) {
+		if len(f.ranOn) > 0 && class.Effect != Safe &&
+			(class.Effect == Unsafe || class.Scope != ScopeAll) {
 			d.t.Fatalf("request %d is refused though it may have run", a.ID)
 		}
 	case Fail:
@@ -248,7 +251,8 @@
 		f.open = true
 		d.feed(Opened{ID: f.ID, Attempt: f.attempts - 1, Server: f.out.Server, Elapsed: 9 * ms})
 	case f.out != nil && dice < 9:
-		d.outcome(f, []Result{OK, Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled}[d.rnd.IntN(7)])
+		d.outcome(f,
+			[]Result{OK, Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled}[d.rnd.IntN(7)])
 	case f.out != nil && f.open && dice == 9:
 		delay := time.Duration(d.rnd.IntN(3000)) * ms
 		d.feed(MessageDelay{ID: f.ID, Server: f.out.Server, Delay: delay})
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -236,7 +236,8 @@
 	share := max(lookupsNear*s.Capacity/b.weight, coldGroup) // more where one group is most of all
 	tries := max(b.arrivals()*share, s.coldTried.value(b.now)*math.Ln2/evidenceHalf.Seconds())
 	s.coldTried.add(b.now, 1)
-	apart := min(coldApart/rate, b.set.TipTime.Seconds()) // in a burst the rate is learned too late
+	// in a burst the rate is learned too late
+	apart := min(coldApart/rate, b.set.TipTime.Seconds())
 	if (b.now-s.coldAt).Seconds() < apart || fraction(mix(uint64(r.ID), uint64(s.ID))) >= rate/tries {
 		return false
 	}
@@ -302,7 +303,8 @@
 		most -= b.now - s.told
 	}
 	c := b.set.Classes[r.class]
-	if left := r.ranAt + c.Window - b.now; r.mayHaveRun && c.Effect == Keyed && (most == 0 || left < most) {
+	if left := r.ranAt + c.Window - b.now; r.mayHaveRun && c.Effect == Keyed &&
+		(most == 0 || left < most) {
 		most = left
 	}
 	return most
@@ -407,7 +409,8 @@
 // told to come back spread over the second half of the time that they follow.
 func (b *Balancer) answer(r *request) {
 	c := b.set.Classes[r.class]
-	if !r.mayHaveRun || c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll {
+	if !r.mayHaveRun || c.Effect == Safe ||
+		c.Effect == Keyed && c.Scope == ScopeAll {
 		after := time.Duration((1 - b.rand()/2) * float64(b.set.MaxRetryAfter))
 		b.act(Refuse{ID: r.ID, RetryAfter: after, Shed: b.isShed(r)})
 	} else {
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -20,11 +20,15 @@
 		Gateways: 2, MaxAttempts: 3, Park: 5 * sec, DrainGrace: 500 * ms,
 		ColdTime: 20 * sec, TipMultiple: 3,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 500 * ms, Deadline: 2 * sec, Worth: 1, MessageAim: 90 * ms},
+			{Name: "safe", Effect: Safe,
+				Aim: 500 * ms, Deadline: 2 * sec,
+				Worth: 1, MessageAim: 90 * ms},
 			{Name: "keyed", Effect: Keyed, Scope: ScopeCell, Window: 3 * sec,
 				Aim: 500 * ms, Deadline: 2 * sec, Worth: 1},
-			{Name: "unsafe", Effect: Unsafe, Aim: 500 * ms, Deadline: 2 * sec, Worth: 1},
-			{Name: "dear", Effect: Safe, Aim: 500 * ms, Deadline: 2 * sec, Worth: 9},
+			{Name: "unsafe", Effect: Unsafe,
+				Aim: 500 * ms, Deadline: 2 * sec, Worth: 1},
+			{Name: "dear", Effect: Safe,
+				Aim: 500 * ms, Deadline: 2 * sec, Worth: 9},
 		},
 	}
 }
@@ -676,7 +680,8 @@
 		Outcome{ID: 77, Server: 100, Result: OK},
 		Outcome{ID: id, Server: s.Server, Attempt: 4, Result: Reset},
 		Expired{ID: 77}, Timer{Ref: 12345}, LoadChanged{ID: 77, Load: 1},
-		MessageDelay{ID: 77, Server: 4242, Delay: sec}, Carried{Request: Request{ID: 78}, Server: 4242},
+		MessageDelay{ID: 77, Server: 4242, Delay: sec},
+		Carried{Request: Request{ID: 78}, Server: 4242},
 		List{Mode: Changes},
 	} {
 		for _, a := range w.feed(ev) {
@@ -981,7 +986,8 @@
 	old := append(servers(6), Server{ID: 700, Capacity: 1}) // two newer ones missing, one that is no more
 	for name, wrong := range map[string]List{
 		"all gone": {Mode: Changes, Servers: gone}, "empty": {Mode: Complete},
-		"old": {Mode: Complete, Servers: old}, "twice": {Mode: Complete, Servers: append(gone, gone...)},
+		"old":   {Mode: Complete, Servers: old},
+		"twice": {Mode: Complete, Servers: append(gone, gone...)},
 	} {
 		w := newWorld(t, adviceOnly(), 8)
 		at := map[string]ServerID{}
--- a/rules/state.go
+++ b/rules/state.go
@@ -252,7 +252,8 @@
 		if _, twice := b.classes[c.Name]; twice {
 			return nil, fmt.Errorf("rules: class %q is given twice", c.Name)
 		}
-		if c.Aim < 0 || c.Deadline < 0 || c.Window < 0 || c.MessageAim < 0 || c.Worth < 0 {
+		if c.Aim < 0 || c.Deadline < 0 || c.Window < 0 ||
+			c.MessageAim < 0 || c.Worth < 0 {
 			return nil, fmt.Errorf("rules: class %q has a negative figure", c.Name)
 		}
 		b.classes[c.Name] = i
