--- a/rules/api.go
+++ b/rules/api.go
@@ -157,9 +157,8 @@
 		Held   float64 // connections there, of all gateways; 0: not told
 	}
 
-	// Shed tells what the fleet sheds: requests of ranks under the whole part of Level, and of the rank
-	// at it
-	// the part behind the point. 0 sheds nothing.
+	// Shed tells what the fleet sheds: requests of ranks under the whole part of Level, and of the
+	// rank at it the part behind the point. 0 sheds nothing.
 	Shed struct{ Level float64 }
 
 	// Outcome ends an attempt. Each Send gets exactly one.
@@ -175,8 +174,8 @@
 	// Expired says that the client is gone; no answer is owed.
 	Expired struct{ ID RequestID }
 
-	// Returned says that a server that was out by hand may serve again: what was held against it is
-	// void.
+	// Returned says that a server that was out by hand may serve again: what was held against
+	// it is void.
 	Returned struct{ Server ServerID }
 
 	// Stop says that the program ends: each request that waits has to have its final answer by then.
--- a/rules/learned.go
+++ b/rules/learned.go
@@ -5,8 +5,7 @@
 // This file is what one process of a gateway passes to the next of what it has learned. It decides nothing.
 
 // Learned is what a Balancer knows beyond the list and its requests. Times are on the event clock, which
-// both
-// processes share.
+// both processes share.
 type Learned struct {
 	Servers []LearnedServer `json:"Servers"`
 	Classes []Figure        `json:"Classes"` // mean loads by class, in the settings' order
