--- /dev/null
+++ b/internal/line/codec/format_test.go
@@ -0,0 +1,324 @@
+package codec_test
+
+import (
+	"crypto/sha256"
+	"errors"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"example.org/milletvane/internal/line/codec"
+)
+
+var update = flag.Bool("update", false, "write the files in testdata anew")
+
+// compareLines compares lines with those of a file in testdata, or writes the file with -update.
+func compareLines(t *testing.T, file string, got []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if *update {
+		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(got) != len(want) {
+		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
+	}
+	differ := 0
+	for i := range min(len(got), len(want)) {
+		if got[i] == want[i] {
+			continue
+		}
+		if differ++; differ <= 5 {
+			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
+		}
+	}
+}
+
+func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
+
+// The readers' results as text, field by field.
+
+func describeOpen(line []byte) string {
+	open, err := codec.ParseOpen(line)
+	switch {
+	case errors.Is(err, codec.ErrTooLong):
+		return "too long"
+	case errors.Is(err, codec.ErrMalformed):
+		return "malformed"
+	case err != nil:
+		return "another error"
+	}
+	return fmt.Sprintf("id=%q key=%q class=%q group=%q tenant=%q at=%q wait=%d hint=%v retry=%t returned=%t mid=%t whole=%t",
+		open.ID, open.Key, open.Class, open.Group, open.Tenant, open.At, open.Wait.Nanoseconds(), open.Hint,
+		open.Retry, open.Returned, open.Stray, string(open.Line) == string(line))
+}
+
+func describeKind(line []byte) string {
+	switch kind := codec.KindOf(line); kind {
+	case codec.KindOpen:
+		return "OPEN"
+	case codec.KindPing:
+		return "PING"
+	case codec.KindStats:
+		return "STATS"
+	case codec.KindOther:
+		return "other"
+	default:
+		return "unknown kind"
+	}
+}
+
+func describeReply(line []byte) string {
+	reply := codec.ParseReply(line)
+	word := "unknown word"
+	switch reply.Word {
+	case codec.WordOther:
+		word = "other"
+	case codec.WordUp:
+		word = "UP"
+	case codec.WordBye:
+		word = "BYE"
+	case codec.WordMove:
+		word = "MOVE"
+	case codec.WordErr:
+		word = "ERR"
+	case codec.WordBusy:
+		word = "BUSY"
+	case codec.WordLoad:
+		word = "LOAD"
+	}
+	return fmt.Sprintf("%s load=%v report=%q", word, reply.Load, reply.Report)
+}
+
+func describePong(line []byte) string {
+	report, ok := codec.ParsePong(line)
+	return fmt.Sprintf("pong=%t report=%q", ok, report)
+}
+
+func describeReport(report []byte) string {
+	var b strings.Builder
+	codec.Report(report, func(name string, value float64) { fmt.Fprintf(&b, "[%s %v]", name, value) })
+	return b.String()
+}
+
+// describeAll is what every reader makes of a line.
+func describeAll(line []byte) string {
+	return strings.Join([]string{describeKind(line), describeOpen(line), describeReply(line), describePong(line),
+		describeReport(line)}, " | ")
+}
+
+// inPieces tells what a reader makes of a line of which more and more has come: each result with the length from which it
+// stands.
+func inPieces(line string, read func([]byte) string) string {
+	var b strings.Builder
+	last := ""
+	for n := range len(line) + 1 {
+		if got := read([]byte(line[:n])); n == 0 || got != last {
+			fmt.Fprintf(&b, " %d: %s;", n, got)
+			last = got
+		}
+	}
+	return strings.TrimSpace(b.String())
+}
+
+// spoilt are the lines that differ from a line in one byte: left out, replaced or put in before it.
+func spoilt(line string) (all []string) {
+	for i := range len(line) + 1 {
+		for _, c := range "\x00 ,=\r\n\x7f\xff9xc." {
+			all = append(all, line[:i]+string(byte(c))+line[i:])
+			if i < len(line) {
+				all = append(all, line[:i]+string(byte(c))+line[i+1:])
+			}
+		}
+		if i < len(line) {
+			all = append(all, line[:i]+line[i+1:])
+		}
+	}
+	return all
+}
+
+// openLines are opening lines, good and bad, without their end.
+func openLines() []string {
+	lines := []string{
+		"OPEN 9b1f03aa5c7e2d41 7f3a9c21 c=chat,d=2000,g=5c0f,t=acme,r=1,again=1,mid=1,at=s-1,h=3.5,zz=9",
+		"OPEN i k", "OPEN i k ", "OPEN i k  c=a", "OPEN i k c=a ", "OPEN i  c=a", "OPEN  k c=a", "OPEN i", "OPEN",
+		"OPEN ", "OPEN i ",
+		"open i k c=a", "OPENED i k c=a", " OPEN i k c=a", "OPEN\ti k c=a", "PING", "UP x", "",
+		"OPEN i k c=a,g=b", "OPEN i k g=b,c=a", "OPEN i k c=a,c=b", "OPEN i k c=,g=,t=,at=", "OPEN i k c==a",
+		"OPEN i k c=a=b",
+		"OPEN i k c", "OPEN i k =a", "OPEN i k ,", "OPEN i k c=a,", "OPEN i k ,c=a", "OPEN i k c=a,,g=b",
+		"OPEN i k C=a,G=b",
+		"OPEN i k t=acme", "OPEN i k at=s-9,at=s-8", "OPEN i k unknown=1,x=,y=2", "OPEN é k c=ü",
+		"OPEN i k r=0", "OPEN i k r=1", "OPEN i k r=true", "OPEN i k r=", "OPEN i k r=1,r=0", "OPEN i k again=0",
+		"OPEN i k again=1", "OPEN i k again=01",
+		"OPEN i k mid=0", "OPEN i k mid=1", "OPEN i k mid=2",
+	}
+	for _, number := range []string{"", "0", "00", "1", "0.5", ".5", "5.", "1e3", "1E3", "1e-7", "+5", "-5", "-0",
+		"x", "1x", "0x10", "1_0", "nan", "inf", "1e12",
+		"1000000000001", "1e400", "2000", "2000.75", "86399999", "86400000", "86400001", "000000000000000000000001",
+		"0000000000000000000000001"} {
+		lines = append(lines, "OPEN i k d="+number, "OPEN i k h="+number)
+	}
+	lines = append(lines, "OPEN i k d=1,d=2", "OPEN i k d=1,c=a,d=1", "OPEN i k h=1,h=2", "OPEN i k c=a,d=7,g=b")
+	return lines
+}
+
+func TestOpenLinesRead(t *testing.T) {
+	var lines []string
+	for _, open := range openLines() {
+		for _, end := range []string{"\r\n", "\n", ""} {
+			lines = append(lines, fmt.Sprintf("%q: %s", open+end, describeOpen([]byte(open+end))))
+		}
+	}
+	for _, length := range []int{codec.MaxLine - 1, codec.MaxLine, codec.MaxLine + 1, 2 * codec.MaxLine} {
+		for _, end := range []string{"\r\n", "xx"} {
+			line := "OPEN i k c="
+			line += strings.Repeat("x", length-len(line)-len(end)) + end
+			lines = append(lines, fmt.Sprintf("%d bytes, end %q: %s", length, end, digest(describeOpen([]byte(line)))))
+		}
+	}
+	for c := range 256 {
+		line := append([]byte("OPEN i k c=a"), byte(c), '\r', '\n')
+		lines = append(lines, fmt.Sprintf("%q: %s", line, describeOpen(line)))
+	}
+	compareLines(t, "open_read.txt", lines)
+}
+
+func TestOpenLinesForwarded(t *testing.T) {
+	waits := []time.Duration{-time.Second, 0, 1, time.Millisecond - 1, time.Millisecond, 1500 * time.Microsecond,
+		2 * time.Second, 25 * time.Hour}
+	var lines []string
+	for _, line := range openLines() {
+		line += "\r\n"
+		open, err := codec.ParseOpen([]byte(line))
+		if err != nil {
+			continue
+		}
+		lines = append(lines, fmt.Sprintf("%q", line))
+		for _, wait := range waits {
+			lines = append(lines, fmt.Sprintf("\t%d: %q", wait.Nanoseconds(), open.Forward([][]byte{[]byte("before")},
+				wait)))
+		}
+	}
+	compareLines(t, "open_forwarded.txt", lines)
+}
+
+func TestFirstLinesToldApart(t *testing.T) {
+	var lines []string
+	for _, line := range []string{"OPEN i k c=a\r\n", "OPEN\r\n", "OPENS i\r\n", "PING\r\n", "PING 7\r\n", "PING\n",
+		"PING\r", "PINGS\r\n", "ping\r\n", " PING\r\n",
+		"PING\t\r\n", "PING \r\n", "PING\r\r\n", "PING\n\n", "STATS\r\n", "STATS all\r\n", "STATSX\r\n", "stats\r\n",
+		"PONG\r\n", "UP 1\r\n", "\r\n", "\n", " ", "\x00\r\n"} {
+		lines = append(lines, fmt.Sprintf("%q: %s", line, inPieces(line, describeKind)))
+	}
+	compareLines(t, "first_lines.txt", lines)
+}
+
+func TestServerLinesRead(t *testing.T) {
+	var lines []string
+	for _, line := range []string{"UP 7309b9501eeca7e6\r\n", "UP\r\n", "UPX\r\n", "up 1\r\n", "BYE\r\n",
+		"BYE inflight=7,queue=2,util=0.61\r\n", "BYE \r\n",
+		"BYE two words\r\n", "MOVE\r\n", "MOVE away\r\n", "MOVED\r\n", "ERR\r\n", "ERR no such class\r\n", "BUSY\r\n",
+		"BUSY 20\r\n", "BUSY 20 30\r\n",
+		"LOAD 351313.469\r\n", "LOAD\r\n", "LOAD \r\n", "LOAD x\r\n", "LOAD -1\r\n", "LOAD 0\r\n", "LOAD 1e3\r\n",
+		"LOAD 1 2\r\n", "LOAD 1e12\r\n", "LOAD 1e13\r\n",
+		"PONG inflight=7\r\n", "M 1 751b\r\n", "NO\r\n", " UP\r\n", "UP\t1\r\n", "\r\n", "\r\r\n", "UP\r\r\n"} {
+		bare := strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")
+		for _, l := range []string{line, bare + "\n", bare} {
+			lines = append(lines, fmt.Sprintf("%q: %s", l, describeReply([]byte(l))))
+		}
+		lines = append(lines, fmt.Sprintf("%q in pieces: %s", line, inPieces(line, describeReply)))
+	}
+	compareLines(t, "server_lines.txt", lines)
+}
+
+func TestProbeAnswersRead(t *testing.T) {
+	var lines []string
+	for _, line := range []string{"PONG\r\n", "PONG \r\n", "PONG inflight=7,queue=2,util=0.61\r\n",
+		"PONG a=1 b=2\r\n", "PONG\n", "PONG", "PONGS\r\n", "pong\r\n",
+		"PING\r\n", "NO\r\n", "ERR\r\n", "", "\r\n", " PONG\r\n"} {
+		lines = append(lines, fmt.Sprintf("%q: %s", line, describePong([]byte(line))))
+	}
+	for _, report := range []string{"", "inflight=7", "inflight=7,queue=2,util=0.61", "inflight=7,,queue=2",
+		",inflight=7,", "inflight=x,queue=2", "inflight=,queue=2",
+		"inflight,queue=2", "=3,queue=2", "a=1,a=2", "a=1=2", "a=-1,b=+1,c=.5,d=1e12,e=1e13,f=nan,g=inf,h=0x10",
+		" a=1", "a= 1", "a=1\r", "é=1",
+		"a=000000000000000000000001,b=0000000000000000000000001"} {
+		lines = append(lines, fmt.Sprintf("report %q: %s", report, describeReport([]byte(report))))
+	}
+	compareLines(t, "probe_answers.txt", lines)
+}
+
+func TestLinesWritten(t *testing.T) {
+	lines := []string{
+		fmt.Sprintf("pong %q", codec.Pong), fmt.Sprintf("no %q", codec.No), fmt.Sprintf("error %q", codec.Err),
+		fmt.Sprintf("move %q", codec.Move), fmt.Sprintf("stats %q", codec.Stats), fmt.Sprintf("longest line %d",
+			codec.MaxLine),
+	}
+	for _, after := range []time.Duration{-time.Hour, -1, 0, 1, time.Microsecond, time.Millisecond - 1,
+		time.Millisecond, time.Millisecond + 1,
+		1500 * time.Microsecond, 20 * time.Millisecond, time.Second, 90 * time.Second, 24 * time.Hour,
+		1000 * time.Hour} {
+		lines = append(lines, fmt.Sprintf("busy %d: %q", after.Nanoseconds(), codec.Busy(after)))
+	}
+	compareLines(t, "written.txt", lines)
+}
+
+// Every line with one byte other than it should be, as a digest of what all readers make of it.
+func TestSpoiltLines(t *testing.T) {
+	var lines []string
+	for _, line := range []string{
+		"OPEN 9b1f03 7f3a9c c=chat,d=2000,g=5c,t=acme,r=1,again=1,mid=1,at=s-1,h=3.5,zz=9\r\n", "OPEN i k\r\n",
+		"OPEN i k d=1\r\n",
+		"PING\r\n", "STATS\r\n", "UP 7309b950\r\n", "BYE inflight=7,queue=2\r\n", "MOVE\r\n", "ERR why\r\n",
+		"BUSY 20\r\n", "LOAD 351313.469\r\n",
+		"PONG inflight=7,queue=2,util=0.61\r\n", "inflight=7,queue=2,util=0.61",
+	} {
+		all := spoilt(line)
+		var b strings.Builder
+		for _, l := range all {
+			fmt.Fprintf(&b, "%q: %s\n", l, describeAll([]byte(l)))
+		}
+		lines = append(lines, fmt.Sprintf("%q, %d lines: %s", line, len(all), digest(b.String())))
+	}
+	compareLines(t, "spoilt.txt", lines)
+}
+
+// Drawn lines of the protocol's own pieces, as a digest of each hundred.
+func TestDrawnLines(t *testing.T) {
+	pieces := []string{"OPEN", "PING", "PONG", "STATS", "UP", "BYE", "MOVE", "ERR", "BUSY", "LOAD", " ", " ", " ",
+		"=", ",", "id", "key", "c=", "d=", "g=", "t=", "h=", "r=1",
+		"at=", "mid=1", "again=1", "1", "20", "0.5", "-", "e3", "\r\n", "\r\n", "\n", "\r", "\x00", "\x7f", "é"}
+	var lines []string
+	for seed := range uint64(300) {
+		rng := rand.New(rand.NewPCG(seed, 23))
+		var b strings.Builder
+		for range 100 {
+			line := ""
+			if rng.IntN(2) == 0 {
+				line = "OPEN i k "
+			}
+			for range rng.IntN(10) {
+				line += pieces[rng.IntN(len(pieces))]
+			}
+			if rng.IntN(2) == 0 {
+				line += "\r\n"
+			}
+			fmt.Fprintf(&b, "%q: %s\n", line, describeAll([]byte(line)))
+		}
+		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(b.String())))
+	}
+	compareLines(t, "drawn.txt", lines)
+}
--- /dev/null
+++ b/internal/nats/session/digest_test.go
@@ -0,0 +1,191 @@
+package session_test
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"example.org/milletvane/internal/nats/session"
+)
+
+var update = flag.Bool("update", false, "write the files in testdata anew")
+
+// compareDigests compares a digest of each transcript with a file in testdata, or writes the file with -update. It shows
+// the first transcript whose digest differs.
+func compareDigests(t *testing.T, file string, transcripts []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	var lines []string
+	for seed, text := range transcripts {
+		lines = append(lines, fmt.Sprintf("%04d %.16x", seed, sha256.Sum256([]byte(text))))
+	}
+	if *update {
+		if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(lines) != len(want) {
+		t.Fatalf("%s: %d lines, want %d", path, len(lines), len(want))
+	}
+	differ := 0
+	for i := range lines {
+		if lines[i] == want[i] {
+			continue
+		}
+		if differ++; differ == 1 {
+			t.Errorf("%s:%d: got %s, want %s; the transcript is now:\n%s", path, i+1, lines[i], want[i], transcripts[i])
+		}
+	}
+	if differ > 0 {
+		t.Errorf("%s: %d of %d digests differ", path, differ, len(lines))
+	}
+}
+
+func pick[T any](rng *rand.Rand, of []T) T { return of[rng.IntN(len(of))] }
+
+// spoil overwrites what a caller handed over, as a connection's buffer is overwritten by what comes next.
+func spoil(buffers ...[]byte) {
+	for _, b := range buffers {
+		for i := range b {
+			b[i] = '!'
+		}
+	}
+}
+
+var (
+	patterns = []string{"a", "a.b", "a.*", "a.>", "*.b", ">", "orders.new", "orders.*.done", "_INBOX.x.1"}
+	subjects = []string{"a", "a.b", "a.c", "a.b.c", "b", "b.b", "orders.new", "orders.7.done", "orders.7",
+		"_INBOX.x.1", "_INBOX.x.2"}
+	queues = []string{"", "", "", "workers", "q"}
+	sids   = []string{"1", "2", "3", "17", "x", "longer-id"}
+)
+
+func describe(b *strings.Builder, sub *session.Sub) {
+	if sub == nil {
+		b.WriteString("none\n")
+		return
+	}
+	fmt.Fprintf(b, "subject %q, queue %q, sid %q, max %d, given %d\n", sub.Subject, sub.Queue, sub.SID, sub.Max,
+		sub.Given)
+}
+
+// subscriptionsTranscript plays drawn calls on a session's subscriptions and writes down all that they give back.
+func subscriptionsTranscript(seed uint64) string {
+	rng := rand.New(rand.NewPCG(seed, 21))
+	var subs session.Subs
+	var b strings.Builder
+	for range 20 + rng.IntN(60) {
+		sid := []byte(pick(rng, sids))
+		switch rng.IntN(10) {
+		case 0, 1, 2:
+			subject, queue := []byte(pick(rng, patterns)), []byte(pick(rng, queues))
+			fmt.Fprintf(&b, "add %q %q %q\n", subject, queue, sid)
+			subs.Add(subject, queue, sid)
+			spoil(subject, queue, sid)
+		case 3, 4:
+			count := rng.IntN(7) - 1
+			fmt.Fprintf(&b, "end %q %d\n", sid, count)
+			subs.End(sid, count)
+			spoil(sid)
+		case 5, 6, 7:
+			fmt.Fprintf(&b, "give %q: ", sid)
+			fmt.Fprintf(&b, "%t\n", subs.Give(sid))
+		case 8:
+			subject := pick(rng, subjects)
+			fmt.Fprintf(&b, "for %q: ", subject)
+			describe(&b, subs.For([]byte(subject)))
+		case 9:
+			fmt.Fprintf(&b, "all %q\n", subs.AppendAll([]byte("before ")))
+		}
+		fmt.Fprintf(&b, "length %d, limited %t\n", subs.Len(), subs.Limited())
+	}
+	for _, subject := range subjects {
+		fmt.Fprintf(&b, "for %q: ", subject)
+		describe(&b, subs.For([]byte(subject)))
+	}
+	fmt.Fprintf(&b, "all %q\nends %q\n", subs.AppendAll(nil), subs.AppendEnds([]byte("before ")))
+	return b.String()
+}
+
+func TestSubscriptionDigests(t *testing.T) {
+	var transcripts []string
+	for seed := range uint64(300) {
+		transcripts = append(transcripts, subscriptionsTranscript(seed))
+	}
+	compareDigests(t, "subscriptions.txt", transcripts)
+}
+
+// overlapTranscript plays drawn messages of two nodes and writes down which of them are copies.
+func overlapTranscript(seed uint64) string {
+	rng := rand.New(rand.NewPCG(seed, 22))
+	var overlap session.Overlap
+	var b strings.Builder
+	kinds := 1 + rng.IntN(12)
+	for range 40 + rng.IntN(80) {
+		raw := fmt.Appendf(nil, "MSG a.%d 1 2\r\nhi\r\n", rng.IntN(kinds))
+		switch n := rng.IntN(40); {
+		case n == 0:
+			b.WriteString("end\n")
+			overlap.End()
+		case n <= 2:
+			b.WriteString("begin\n")
+			overlap.Begin()
+		case n < 21:
+			fmt.Fprintf(&b, "old %q\n", raw)
+			overlap.Old(raw)
+			spoil(raw)
+		default:
+			fmt.Fprintf(&b, "new %q: ", raw)
+			fmt.Fprintf(&b, "%t\n", overlap.New(raw))
+		}
+		fmt.Fprintf(&b, "on %t\n", overlap.On())
+	}
+	return b.String()
+}
+
+// boundTranscript writes down which copies are still known where the old node gave more than is remembered.
+func boundTranscript() string {
+	const bound = 1 << 16
+	message := func(i int) []byte { return fmt.Appendf(nil, "MSG a 1 6\r\n%06d\r\n", i) }
+	var overlap session.Overlap
+	var b strings.Builder
+	overlap.Begin()
+	for i := range bound + 8 {
+		overlap.Old(message(i))
+	}
+	for i := bound - 3; i < bound+8; i++ {
+		fmt.Fprintf(&b, "new %d: %t\n", i, overlap.New(message(i)))
+	}
+	for i := range 5 { // three have room again
+		overlap.Old(message(2*bound + i))
+	}
+	for i := range 5 {
+		fmt.Fprintf(&b, "new %d: %t\n", 2*bound+i, overlap.New(message(2*bound+i)))
+	}
+	for range 4 { // each of the same message is one of them
+		overlap.Old(message(0))
+	}
+	for range 6 {
+		fmt.Fprintf(&b, "new 0: %t\n", overlap.New(message(0)))
+	}
+	return b.String()
+}
+
+func TestOverlapDigests(t *testing.T) {
+	var transcripts []string
+	for seed := range uint64(300) {
+		transcripts = append(transcripts, overlapTranscript(seed))
+	}
+	compareDigests(t, "overlap.txt", append(transcripts, boundTranscript()))
+}
