--- /dev/null
+++ b/internal/wire/format_test.go
@@ -0,0 +1,587 @@
+package wire_test
+
+import (
+	"crypto/sha256"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"testing/iotest"
+	"time"
+
+	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/wire"
+	"example.org/milletvane/rules"
+)
+
+var update = flag.Bool("update", false, "write the files in testdata anew")
+
+// compareLines compares lines with those of a file in testdata, or writes the file with -update.
+func compareLines(t *testing.T, file string, got []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if *update {
+		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(got) != len(want) {
+		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
+	}
+	differ := 0
+	for i := range min(len(got), len(want)) {
+		if got[i] == want[i] {
+			continue
+		}
+		if differ++; differ <= 5 {
+			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
+		}
+	}
+}
+
+func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
+
+// fieldWriter writes the fields of an event that are not zero.
+type fieldWriter struct{ strings.Builder }
+
+func (w *fieldWriter) add(name string, v any) {
+	switch v {
+	case 0, int64(0), uint64(0), 0.0, "", false:
+		return
+	}
+	if s, ok := v.(string); ok {
+		fmt.Fprintf(w, " %s=%q", name, s)
+		return
+	}
+	fmt.Fprintf(w, " %s=%v", name, v)
+}
+
+func (w *fieldWriter) duration(name string, d time.Duration) { w.add(name, d.Nanoseconds()) }
+
+func (w *fieldWriter) request(r rules.Request) {
+	w.add("id", int64(r.ID))
+	w.add("class", r.Class)
+	w.add("tenant", r.Tenant)
+	w.add("key", r.Key)
+	w.add("group", r.Group)
+	w.duration("deadline", r.Deadline)
+	w.add("load", r.Load)
+	w.add("returned", r.Returned)
+	w.add("mid flow", r.Stray)
+	w.add("owner known", r.Held)
+	w.add("owner", int64(r.Holder))
+	w.add("rank", r.Rank)
+}
+
+func (w *fieldWriter) servers(l rules.List) {
+	w.add("mode", listMode(l.Mode))
+	for _, s := range l.Servers {
+		w.WriteString(" [server")
+		w.add("id", int64(s.ID))
+		w.add("zone", s.Zone)
+		w.add("cell", s.Cell)
+		w.add("state", serverState(s.State))
+		w.add("capacity", s.Capacity)
+		w.duration("started", s.Started)
+		w.add("clear", s.Clear)
+		w.WriteString("]")
+	}
+}
+
+func listMode(m rules.ListMode) string {
+	switch m {
+	case rules.Changes:
+		return "Partial"
+	case rules.Complete:
+		return "Complete"
+	case rules.Stored:
+		return "Persisted"
+	default:
+		return "unknown"
+	}
+}
+
+func serverState(s rules.ServerState) string {
+	switch s {
+	case rules.Ready:
+		return "IN"
+	case rules.Draining:
+		return "LAME"
+	case rules.Gone:
+		return "OUT"
+	default:
+		return "unknown"
+	}
+}
+
+func result(r rules.Result) string {
+	switch r {
+	case rules.OK:
+		return "100"
+	case rules.Errored:
+		return "301"
+	case rules.Full:
+		return "302"
+	case rules.TimedOut:
+		return "303"
+	case rules.ConnectFailed:
+		return "304"
+	case rules.Reset:
+		return "305"
+	case rules.Cancelled:
+		return "306"
+	case rules.Moot:
+		return "307"
+	default:
+		return "unknown"
+	}
+}
+
+func effect(e rules.Effect) string {
+	switch e {
+	case rules.Safe:
+		return "idempotent"
+	case rules.Keyed:
+		return "deduplicated"
+	case rules.Unsafe:
+		return "at_most_once"
+	default:
+		return "unknown"
+	}
+}
+
+func scope(s rules.Scope) string {
+	switch s {
+	case rules.ScopeAll:
+		return "all"
+	case rules.ScopeZone:
+		return "zone"
+	case rules.ScopeCell:
+		return "cell"
+	default:
+		return "unknown"
+	}
+}
+
+func (w *fieldWriter) settings(s rules.Settings) {
+	w.add("seed", s.Seed)
+	w.add("gateways", s.Gateways)
+	w.add("over share worth", s.OverShareWorth)
+	w.add("attempts", s.MaxAttempts)
+	w.duration("park", s.Park)
+	w.duration("drain grace", s.DrainGrace)
+	w.duration("cold time", s.ColdTime)
+	w.add("tip multiple", s.TipMultiple)
+	w.duration("tip time", s.TipTime)
+	w.add("gone is advice", s.GoneIsAdvice)
+	w.duration("budget span", s.BudgetSpan)
+	w.add("budget free", s.BudgetFree)
+	w.add("budget share", s.BudgetShare)
+	w.duration("retry after", s.MaxRetryAfter)
+	w.add("reports", s.Reports)
+	for _, c := range s.Classes {
+		w.WriteString(" [class")
+		w.add("name", c.Name)
+		w.add("effect", effect(c.Effect))
+		w.add("scope", scope(c.Scope))
+		w.duration("window", c.Window)
+		w.add("worth", c.Worth)
+		w.duration("aim", c.Aim)
+		w.duration("deadline", c.Deadline)
+		w.duration("message aim", c.MessageAim)
+		w.WriteString("]")
+	}
+	for _, tenant := range s.Tenants {
+		w.WriteString(" [tenant")
+		w.add("name", tenant.Name)
+		w.add("quota", tenant.QuotaConnections)
+		w.WriteString("]")
+	}
+}
+
+func (w *fieldWriter) list(s listclock.Settings) {
+	w.WriteString(" [list")
+	w.add("pushed", s.Pushed)
+	w.add("gateways", s.Gateways)
+	w.duration("ask within", s.AskWithin)
+	w.duration("drain grace", s.DrainGrace)
+	w.add("seed", s.Seed)
+	w.WriteString("]")
+}
+
+// describeEvent is an event field by field, without fields that are zero.
+func describeEvent(ev wire.Event) string {
+	var w fieldWriter
+	fmt.Fprintf(&w, "%d:", ev.Instance)
+	if ev.Start != nil {
+		w.WriteString(" start")
+		w.add("asks", ev.Start.Asks)
+		w.settings(ev.Start.Rules)
+		w.list(ev.Start.List)
+	}
+	if ev.Stop {
+		w.WriteString(" stop")
+	}
+	if ev.Unlisted {
+		w.WriteString(" no list")
+	}
+	switch e := ev.Rules.(type) {
+	case nil:
+	case rules.List:
+		w.WriteString(" list")
+		w.servers(e)
+	case rules.Request:
+		w.WriteString(" request")
+		w.request(e)
+	case rules.Carried:
+		w.WriteString(" carried")
+		w.request(e.Request)
+		w.add("server", int64(e.Server))
+	case rules.Opened:
+		w.WriteString(" opened")
+		w.add("id", int64(e.ID))
+		w.add("attempt", e.Attempt)
+		w.add("server", int64(e.Server))
+		w.duration("elapsed", e.Elapsed)
+	case rules.LoadChanged:
+		w.WriteString(" load")
+		w.add("id", int64(e.ID))
+		w.add("load", e.Load)
+	case rules.MessageDelay:
+		w.WriteString(" delay")
+		w.add("id", int64(e.ID))
+		w.add("server", int64(e.Server))
+		w.duration("delay", e.Delay)
+	case rules.Outcome:
+		w.WriteString(" result")
+		w.add("id", int64(e.ID))
+		w.add("attempt", e.Attempt)
+		w.add("server", int64(e.Server))
+		w.add("result", result(e.Result))
+		w.duration("elapsed", e.Elapsed)
+		w.add("settled", e.Settled)
+	case rules.Expired:
+		w.WriteString(" expired")
+		w.add("id", int64(e.ID))
+	case rules.Timer:
+		w.WriteString(" timer")
+		w.add("ref", e.Ref)
+	default:
+		w.WriteString(" an event that the wire does not have")
+	}
+	return w.String()
+}
+
+// describeInput reads batches until the input ends or has a fault. Of a fault only the line is written down.
+func describeInput(in io.Reader) (lines []string) {
+	r := wire.NewReader(in)
+	var batch wire.Batch
+	for {
+		if err := r.Read(&batch); err != nil {
+			at, _, _ := strings.Cut(err.Error(), ":")
+			if errors.Is(err, io.EOF) {
+				at = "end"
+			}
+			return append(lines, at)
+		}
+		lines = append(lines, fmt.Sprintf("at %d, %d events", batch.Now.Nanoseconds(), len(batch.Events)))
+		for _, ev := range batch.Events {
+			lines = append(lines, "\t"+describeEvent(ev))
+		}
+	}
+}
+
+func describeText(text string) string {
+	return strings.Join(describeInput(strings.NewReader(text)), "; ")
+}
+
+func batchOf(lines ...string) string {
+	return "mark t_ns=5\n" + strings.Join(lines, "\n") + "\nover_to_you\n"
+}
+
+// eventLines are lines of every event with every field, and with values at the bounds.
+func eventLines() (lines []string) {
+	const all = " ticket=7 backend=5 priority=p customer=c partition_key=k group=g grace_ns=3000000 weight_hint_ns=2500 returned=1 stray=true" +
+		" seq_no=2 elapsed_ns=9000000 outcome=305 settled=true value=120.5 topic=2 ref=77 mode=Complete rows_in=0 rev=5 stats=a:1,b:2 unknown=x"
+	kinds := []string{"destroy", "update", "new_request", "carried", "opened", "update_of", "result", "expired",
+		"timer", "checked", "message", "nonsense", "row", "mark", "Timer"}
+	for _, kind := range kinds {
+		lines = append(lines, kind, kind+" relay=3", kind+" relay=3"+all, kind+all+" relay=0",
+			kind+" relay=3 relay=4"+all, kind+" relay=2147483648", kind+" relay=-1", kind+" relay=x",
+			kind+" relay=3 outcome=100 mode=Partial", kind+"  relay=3  ", kind+"\trelay=3", kind+" relay=3 what",
+			kind+" relay=3 =x")
+	}
+	for outcome := range 10 {
+		lines = append(lines, fmt.Sprintf("result relay=1 ticket=7 outcome=%d", 299+outcome))
+	}
+	for _, outcome := range []string{"99", "100", "101", "0", "-1", "x", ""} {
+		lines = append(lines, "result relay=1 outcome="+outcome)
+	}
+	for _, topic := range []string{"0", "1", "2", "3", "-1", "x", ""} {
+		lines = append(lines, "update_of relay=1 ticket=7 backend=5 value=0.25 topic="+topic)
+	}
+	for _, mode := range []string{"Partial", "Complete", "Persisted", "Error", "complete", ""} {
+		lines = append(lines, "update relay=1 rows_in=0 mode="+mode)
+	}
+	values := []string{"", "0", "1", "-1", "+1", "007", "1.5", ".5", "1e3", "x", "nan", "inf", "-0.5", "true",
+		"false", "TRUE", "2", "2147483647", "2147483648", "4294967295", "4294967296",
+		"9223372036854775807", "9223372036854775808", "-9223372036854775808", "1e15", "1.1e15", "0x10", "1_0", "a=b",
+		"é"}
+	for _, field := range []string{"ticket", "backend", "priority", "customer", "partition_key", "group", "grace_ns",
+		"weight_hint_ns", "returned", "stray"} {
+		for _, v := range values {
+			lines = append(lines, "carried relay=1 "+field+"="+v)
+		}
+	}
+	for _, field := range []string{"seq_no", "elapsed_ns", "settled"} {
+		for _, v := range values {
+			lines = append(lines, "result relay=1 outcome=302 "+field+"="+v)
+		}
+	}
+	for _, v := range values {
+		lines = append(lines, "timer relay=1 ref="+v, "update_of relay=1 topic=1 value="+v,
+			"update_of relay=1 topic=2 value="+v, "update relay=1 mode=Complete rows_in="+v)
+	}
+	return lines
+}
+
+func TestEventsRead(t *testing.T) {
+	var lines []string
+	for _, line := range eventLines() {
+		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchOf(line))))
+	}
+	compareLines(t, "events.txt", lines)
+}
+
+func TestRowsRead(t *testing.T) {
+	var lines []string
+	for _, rows := range [][]string{
+		{"row backend=5 rack_zone=a machine=m cell=2 mode=IN capacity_hint=1.5 up_since_ns=61",
+			"row backend=6 mode=LAME", "row backend=7 mode=OUT"},
+		{"row backend=5"}, {"row backend=0"}, {"row backend=4294967295"}, {"row backend=4294967296"}, {"row"},
+		{"row cell=1"}, {"row backend=5 backend=6"}, {"row backend=x"}, {"rows backend=5"},
+		{"row backend=5 mode=in"}, {"row backend=5 mode="}, {"row backend=5 mode=Gone"}, {"row backend=5 cell=-3"},
+		{"row backend=5 cell=x"}, {"row backend=5 capacity_hint=-1"},
+		{"row backend=5 capacity_hint=0"}, {"row backend=5 capacity_hint=1e15"}, {"row backend=5 capacity_hint=2e15"},
+		{"row backend=5 up_since_ns=-1"}, {"row backend=5 up_since_ns=9223372036854775807"},
+		{"row backend=5 rack_zone= unknown=1"}, {"row backend=5 what"}, {"row backend=5", "row backend=5"}, {"",
+			"row backend=5"}, {"row  backend=5 "}, {},
+	} {
+		for _, count := range []int{len(rows), len(rows) + 1} {
+			for _, mode := range []string{"Partial", "Persisted"} {
+				text := batchOf(append([]string{fmt.Sprintf("update relay=1 mode=%s rev=41 rows_in=%d", mode, count)},
+					rows...)...)
+				lines = append(lines, fmt.Sprintf("%q: %s", text, describeText(text)))
+			}
+		}
+	}
+	compareLines(t, "rows.txt", lines)
+}
+
+// settingPaths are the settings that are read, and some that are not.
+var settingPaths = []string{
+	"init_seed", "replicas_of_me", "over_share_worth", "caps.max_attempts", "family_info.park_ns",
+	"rules.stop_sending_within_ns", "rules.cold_ns", "rules.tip_multiple", "rules.fall_ns",
+	"rules.gone_is_advice", "rules.ratio_span_ns", "rules.extra_free", "rules.budget_share", "rules.start_capacity",
+	"rules.ask_within_ns", "discovery", "caps.retry_after", "caps.max_retry_after_ns",
+	"family_info.message_aim_ns", "family_info.tenant_quota_connections", "classes.count", "classes.0.name",
+	"classes.0.effect", "classes.0.group", "classes.0.window_ns", "classes.0.worth",
+	"classes.0.slo_ns", "classes.0.give_up_ns", "tenants.count", "tenants.0.name", "tenants.0.portion", "caps.probes",
+	"unknown.path",
+}
+
+func TestSettingsRead(t *testing.T) {
+	lines := []string{}
+	add := func(line string) {
+		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchOf(line))))
+	}
+	values := []string{"", "null", "0", "1", "3", "-1", "1.5", "0.25", "1e18", "2e18", "x", "nan", "true", "false",
+		"ask", "push", "9223372036854775807", "9223372036854775808", "1,2", "1,null,2.5", "1,x",
+		"idempotent", "deduplicated", "at_most_once", "all", "zone", "cell", "10000", "10001"}
+	const base = "create relay=2 classes.count=1 tenants.count=1"
+	for _, path := range settingPaths {
+		for _, v := range values {
+			if strings.HasSuffix(path, ".count") && v == "10000" {
+				continue // long lines that say nothing
+			}
+			add(base + " " + path + "=" + v)
+		}
+	}
+	add("create")
+	add("create relay=2")
+	add("create relay=x")
+	add("create relay=2147483648")
+	add("create relay=2 what")
+	add("create relay=1 relay=2 init_seed=1 init_seed=2")
+	add("create relay=2 caps.retry_after=true caps.max_retry_after_ns=2000000")
+	add("create relay=2 caps.retry_after=0 caps.max_retry_after_ns=2000000")
+	add("create relay=2 init_seed=9 replicas_of_me=3 over_share_worth=0.25 discovery=ask caps.max_attempts=4 caps.retry_after=1 caps.max_retry_after_ns=2000000 caps.probes=1 family_info.park_ns=6 " +
+		"rules.stop_sending_within_ns=7 rules.cold_ns=8 rules.tip_multiple=1.5 rules.fall_ns=10 rules.gone_is_advice=1 rules.ratio_span_ns=11 rules.extra_free=5.0 rules.budget_share=0.1 " +
+		"rules.ask_within_ns=4000000 rules.start_capacity=1 classes.count=3 classes.0.name=a classes.0.effect=deduplicated classes.0.group=zone classes.0.window_ns=5000000 classes.0.worth=2 " +
+		"classes.0.slo_ns=12 classes.0.give_up_ns=13 classes.1.name=b classes.1.effect=idempotent classes.1.group=all classes.2.name=c classes.2.effect=at_most_once classes.2.group=cell " +
+		"classes.3.name=beyond family_info.message_aim_ns=1000000,null family_info.tenant_quota_connections=7.5,null,3 tenants.count=2 tenants.0.name=t tenants.1.name=u tenants.2.name=beyond")
+	compareLines(t, "settings.txt", lines)
+}
+
+// mixedInput has every event and several batches.
+func mixedInput() string {
+	return "\n" + batchOf("create relay=2 init_seed=9 replicas_of_me=3 discovery=ask classes.count=1 classes.0.name=a classes.0.effect=idempotent rules.cold_ns=8",
+		"update relay=2 mode=Persisted rev=1 rows_in=2",
+		"row backend=5 rack_zone=a cell=2 mode=IN capacity_hint=1.5 up_since_ns=61", "row backend=6 mode=LAME") +
+		"\n\r\nmark t_ns=6 more=1\r\nnew_request relay=2 ticket=1 customer=c weight_hint_ns=2500 grace_ns=3000000 group=g priority=a partition_key=k stray=1 returned=0\r\n" +
+		"carried relay=2 ticket=2 backend=5 priority=a\r\nover_to_you\r\n" +
+		batchOf("opened relay=2 ticket=1 seq_no=1 backend=5 elapsed_ns=9",
+			"update_of relay=2 ticket=1 value=0.5 topic=1", "update_of relay=2 ticket=1 backend=5 value=1.5 topic=2",
+			"result relay=2 ticket=1 seq_no=1 backend=5 outcome=100 elapsed_ns=10 settled=1",
+			"checked relay=2 ticket=1", "message relay=2", "expired relay=2 ticket=2", "timer relay=2 ref=77") +
+		batchOf("update relay=2 mode=Error", "update relay=2 mode=Partial rows_in=0", "destroy relay=2")
+}
+
+func TestBatchesRead(t *testing.T) {
+	var lines []string
+	for _, text := range []string{
+		mixedInput(), "", "\n", "\n\n\r\n", "mark\nover_to_you\n", "mark t_ns=5\nover_to_you",
+		"mark t_ns=5\nover_to_you now\n", "mark t_ns=5\n", "mark t_ns=5", "mark t_ns=-5\nover_to_you\n",
+		"mark t_ns=x\nover_to_you\n",
+		"mark t_ns=1 t_ns=2 x=y\nover_to_you\n", "mark what\nover_to_you\n", "mark=5\nover_to_you\n",
+		"marks t_ns=5\nover_to_you\n", "over_to_you\n", "hello\n", "\x00\xff\n",
+		"mark t_ns=5\ntimer relay=1 ref=1\n", "mark t_ns=5\ntimer relay=1 ref=1\nmark t_ns=6\nover_to_you\n",
+		"mark t_ns=5\nover_to_you\nmark t_ns=4\nover_to_you\nmark\nover_to_you\n",
+		"mark t_ns=5\ntimer relay=1 ref=1\nover_to_you\nmark t_ns=6\nover_to_you\nmark t_ns=7\ntimer relay=1 ref=2\nover_to_you\n", " mark t_ns=5\nover_to_you\n", "mark t_ns=5\r\r\n\r\nover_to_you\r\r\n",
+	} {
+		lines = append(lines, fmt.Sprintf("%q:", text))
+		for _, line := range describeInput(strings.NewReader(text)) {
+			lines = append(lines, "\t"+line)
+		}
+	}
+	compareLines(t, "batches.txt", lines)
+}
+
+// What is read does not depend on the pieces that the input comes in.
+func TestInputInPieces(t *testing.T) {
+	inputs := map[string]string{"mixed": mixedInput(), "cut off": strings.TrimSuffix(mixedInput(), "over_to_you\n")}
+	for _, length := range []int{1<<16 - 1, 1 << 16, 1<<16 + 1, 1<<17 + 5} {
+		line := "new_request relay=1 ticket=1 partition_key="
+		line += strings.Repeat("k", length-len(line)-1)
+		inputs[fmt.Sprint("line of ", length)] = batchOf(line, "timer relay=1 ref=4",
+			"timer relay=1 ref=5 filler="+strings.Repeat("k", length))
+	}
+	for name, text := range inputs {
+		t.Run(name, func(t *testing.T) {
+			want := strings.Join(describeInput(strings.NewReader(text)), "\n")
+			for _, event := range []string{"request", "timer"} {
+				if strings.Count(want, " "+event+" ") != strings.Count(text, "\n"+event)+strings.Count(text,
+					"new_"+event) {
+					t.Fatalf("not each %s is read: %.500s", event, want)
+				}
+			}
+			for pieces, in := range map[string]io.Reader{
+				"single bytes":            iotest.OneByteReader(strings.NewReader(text)),
+				"halves":                  iotest.HalfReader(strings.NewReader(text)),
+				"an end with the last":    iotest.DataErrReader(strings.NewReader(text)),
+				"single bytes to the end": iotest.DataErrReader(iotest.OneByteReader(strings.NewReader(text))),
+			} {
+				if got := strings.Join(describeInput(in), "\n"); got != want {
+					t.Errorf("%s: got %.500s, want %.500s", pieces, got, want)
+				}
+			}
+		})
+	}
+}
+
+// The mixed input's batches with one byte other than it should be, and cut off, at every place: a digest for each line.
+func TestSpoiltInput(t *testing.T) {
+	var lines []string
+	for _, text := range strings.SplitAfter(mixedInput(), "over_to_you\n") {
+		start := 0
+		for _, line := range strings.SplitAfter(text, "\n") {
+			var b strings.Builder
+			for i := start; i < start+len(line); i++ {
+				for _, c := range "\x00 =\n9-" {
+					fmt.Fprintln(&b, describeText(text[:i]+string(byte(c))+text[i+1:]))
+				}
+				fmt.Fprintln(&b, describeText(text[:i]+text[i+1:]))
+				fmt.Fprintln(&b, describeText(text[:i]))
+			}
+			lines = append(lines, fmt.Sprintf("%.20q: %s", line, digest(b.String())))
+			start += len(line)
+		}
+	}
+	compareLines(t, "spoilt.txt", lines)
+}
+
+// Drawn batches, as a digest of each.
+func TestDrawnInput(t *testing.T) {
+	var events, faults []string
+	for _, line := range eventLines() {
+		if strings.HasSuffix(describeText(batchOf(line)), "; end") {
+			events = append(events, line)
+		} else {
+			faults = append(faults, line)
+		}
+	}
+	var lines []string
+	for seed := range uint64(300) {
+		rng := rand.New(rand.NewPCG(seed, 25))
+		var b strings.Builder
+		for range 1 + rng.IntN(6) {
+			fmt.Fprintf(&b, "mark t_ns=%d\n", rng.Int64N(1<<40))
+			for range rng.IntN(6) {
+				line := events[rng.IntN(len(events))]
+				switch rng.IntN(30) {
+				case 0:
+					line = faults[rng.IntN(len(faults))]
+				case 1, 2, 3, 4, 5, 6:
+					line = fmt.Sprintf("create relay=%d classes.count=2 tenants.count=2 %s=%d", rng.IntN(5),
+						settingPaths[rng.IntN(len(settingPaths))], rng.IntN(3))
+				}
+				b.WriteString(line + "\n")
+			}
+			b.WriteString("over_to_you\n")
+		}
+		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(describeText(b.String()))))
+	}
+	compareLines(t, "drawn.txt", lines)
+}
+
+func TestActionsWritten(t *testing.T) {
+	var lines []string
+	add := func(name string, b []byte) { lines = append(lines, fmt.Sprintf("%s: %q", name, b)) }
+	for _, instance := range []int{0, 4, 1<<31 - 1} {
+		for _, a := range []struct {
+			name   string
+			action rules.Action
+		}{
+			{"send", rules.Send{ID: 1, Server: 2, Timeout: 3 * time.Millisecond, Begin: 9 * time.Millisecond}},
+			{"send, largest", rules.Send{ID: 1<<32 - 1, Server: 1<<32 - 1, Timeout: 1<<63 - 1}},
+			{"send, zero", rules.Send{}},
+			{"reject", rules.Refuse{ID: 1, RetryAfter: time.Millisecond}},
+			{"reject, shed", rules.Refuse{ID: 1, RetryAfter: 1, Shed: true}},
+			{"reject, at once", rules.Refuse{ID: 1}},
+			{"fail", rules.Fail{ID: 1}},
+			{"migrate", rules.Move{ID: 1}},
+			{"timer", rules.Wake{After: time.Millisecond, Ref: 2}},
+			{"timer, negative", rules.Wake{After: -1, Ref: -2}},
+			{"log", rules.Log{Text: "one line"}},
+			{"log, several lines", rules.Log{Text: "one\ntwo\r\nthree\rfour\n"}},
+			{"log, empty", rules.Log{}},
+		} {
+			add(fmt.Sprint(a.name, " at ", instance), wire.AppendAction([]byte("before\n"), instance, a.action))
+		}
+		add(fmt.Sprint("watch at ", instance), wire.AppendWatch([]byte("before\n"), instance))
+		add(fmt.Sprint("broken at ", instance), wire.AppendBroken([]byte("before\n"), instance, "why\nand why"))
+	}
+	add("yield", wire.AppendYield([]byte("before\n")))
+	compareLines(t, "actions.txt", lines)
+}
