--- a/config/format_test.go
+++ b/config/format_test.go
@@ -54,7 +54,7 @@
 	fmt.Fprintf(b, "budget span=%s free=%g share=%g\n", r.BudgetSpan, r.BudgetFree, r.BudgetShare)
 	for _, k := range r.Classes {
 		fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
-			k.Name, int(k.Effect), int(k.Scope), k.Window, k.Worth, k.Aim, k.Deadline, k.MessageAim)
+			k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.Worth, k.Aim, k.Deadline, k.MessageAim)
 	}
 	for _, t := range r.Tenants {
 		fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.QuotaConnections)
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -45,7 +45,7 @@
 			r.ColdTime, r.TipMultiple, r.TipTime, r.GoneIsAdvice, r.MaxRetryAfter, r.Reports, r.BudgetSpan, r.BudgetFree, r.BudgetShare)
 		for _, k := range r.Classes {
 			fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
-				k.Name, int(k.Effect), int(k.Scope), k.Window, k.Worth, k.Aim, k.Deadline, k.MessageAim)
+				k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.Worth, k.Aim, k.Deadline, k.MessageAim)
 		}
 		for _, t := range r.Tenants {
 			fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.QuotaConnections)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,11 +27,11 @@
 const maxItems = 10_000
 
 var (
-	effects = map[string]rules.Effect{
-		"": rules.Unsafe, "idempotent": rules.Safe, "deduplicated": rules.Keyed, "at_most_once": rules.Unsafe,
+	effects = map[string]rules.Idempotency{
+		"": rules.NonIdempotent, "idempotent": rules.Idempotent, "deduplicated": rules.WithIdempotencyKey, "at_most_once": rules.NonIdempotent,
 	}
-	scopes = map[string]rules.Scope{
-		"": rules.ScopeCell, "all": rules.ScopeAll, "zone": rules.ScopeZone, "cell": rules.ScopeCell,
+	scopes = map[string]rules.DedupScope{
+		"": rules.DedupScopeCell, "all": rules.DedupScopeAll, "zone": rules.DedupScopeZone, "cell": rules.DedupScopeCell,
 	}
 )
 
@@ -71,8 +71,8 @@
 			d.fail(at+"group", "a known group")
 		}
 		c := rules.Class{
-			Name: p[at+"name"], Effect: effect, Scope: scope,
-			Window: d.time(at + "window_ns"), Worth: d.float(at + "worth"),
+			Name: p[at+"name"], Idempotency: effect, DedupScope: scope,
+			DedupWindow: d.time(at + "window_ns"), Worth: d.float(at + "worth"),
 			Aim: d.time(at + "slo_ns"), Deadline: d.time(at + "give_up_ns"),
 		}
 		if i < len(aims) {
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -148,26 +148,26 @@
 	}
 }
 
-func effect(e rules.Effect) string {
+func effect(e rules.Idempotency) string {
 	switch e {
-	case rules.Safe:
+	case rules.Idempotent:
 		return "idempotent"
-	case rules.Keyed:
+	case rules.WithIdempotencyKey:
 		return "deduplicated"
-	case rules.Unsafe:
+	case rules.NonIdempotent:
 		return "at_most_once"
 	default:
 		return "unknown"
 	}
 }
 
-func scope(s rules.Scope) string {
+func scope(s rules.DedupScope) string {
 	switch s {
-	case rules.ScopeAll:
+	case rules.DedupScopeAll:
 		return "all"
-	case rules.ScopeZone:
+	case rules.DedupScopeZone:
 		return "zone"
-	case rules.ScopeCell:
+	case rules.DedupScopeCell:
 		return "cell"
 	default:
 		return "unknown"
@@ -193,9 +193,9 @@
 	for _, c := range s.Classes {
 		w.WriteString(" [class")
 		w.add("name", c.Name)
-		w.add("effect", effect(c.Effect))
-		w.add("scope", scope(c.Scope))
-		w.duration("window", c.Window)
+		w.add("effect", effect(c.Idempotency))
+		w.add("scope", scope(c.DedupScope))
+		w.duration("window", c.DedupWindow)
 		w.add("worth", c.Worth)
 		w.duration("aim", c.Aim)
 		w.duration("deadline", c.Deadline)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -71,8 +71,8 @@
 		Seed: 9, Gateways: 3, MaxAttempts: 4, MaxRetryAfter: 2 * ms,
 		BudgetFree: 5, BudgetShare: 0.1, BudgetSpan: 5 * ms, GoneIsAdvice: true,
 		Classes: []rules.Class{
-			{Name: "a", Effect: rules.Keyed, Scope: rules.ScopeZone, Window: 5 * ms, Worth: 2, MessageAim: ms},
-			{Name: "b", Effect: rules.Unsafe, Scope: rules.ScopeCell, MessageAim: 2 * ms},
+			{Name: "a", Idempotency: rules.WithIdempotencyKey, DedupScope: rules.DedupScopeZone, DedupWindow: 5 * ms, Worth: 2, MessageAim: ms},
+			{Name: "b", Idempotency: rules.NonIdempotent, DedupScope: rules.DedupScopeCell, MessageAim: 2 * ms},
 		},
 		Tenants: []rules.Tenant{{Name: "t", QuotaConnections: 7.5}, {Name: "u"}},
 	}
--- a/rules/api.go
+++ b/rules/api.go
@@ -8,34 +8,34 @@
 // RequestID names a request. It is never used twice.
 type RequestID uint32
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
 const (
-	Safe   Effect = iota // may be repeated and refused freely
-	Keyed                // repeats are discarded within a scope of servers, for a time
-	Unsafe               // may be repeated or refused only when no attempt ran
+	Idempotent         Idempotency = iota // may be repeated and refused freely
+	WithIdempotencyKey                    // repeats are discarded within a scope of servers, for a time
+	NonIdempotent                         // may be repeated or refused only when no attempt ran
 )
 
-// Scope is the set of servers that discard each other's repeats of a keyed request.
-type Scope int
+// DedupScope is the set of servers that discard each other's repeats of a keyed request.
+type DedupScope int
 
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	DedupScopeAll DedupScope = iota
+	DedupScopeZone
+	DedupScopeCell
 )
 
 // Class is one class of requests.
 type Class struct {
-	Name       string
-	Effect     Effect
-	Scope      Scope         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are recognised
-	Worth      float64       // 0 is taken as 1
-	Aim        time.Duration // wanted set-up time; 0 is taken as a third of Deadline
-	Deadline   time.Duration // given up after this; 0 is taken from each request
-	MessageAim time.Duration // wanted time of a message; 0: none stated
+	Name        string
+	Idempotency Idempotency
+	DedupScope  DedupScope    // for Keyed
+	DedupWindow time.Duration // for Keyed: how long repeats are recognised
+	Worth       float64       // 0 is taken as 1
+	Aim         time.Duration // wanted set-up time; 0 is taken as a third of Deadline
+	Deadline    time.Duration // given up after this; 0 is taken from each request
+	MessageAim  time.Duration // wanted time of a message; 0: none stated
 }
 
 // Tenant is one of those who share the service.
--- a/rules/begin_test.go
+++ b/rules/begin_test.go
@@ -6,7 +6,7 @@
 // meanwhile, or that drains and takes a stray, nor behind the window in which repeats are known.
 func TestLateConnectionsHaveABound(t *testing.T) {
 	set := settings()
-	set.Classes[1].Window, set.Classes[1].Scope = 400*ms, ScopeAll
+	set.Classes[1].DedupWindow, set.Classes[1].DedupScope = 400*ms, DedupScopeAll
 	w := newWorld(t, set, 4)
 	w.request("safe", "")
 	if s := w.sent(); s.Begin <= 0 || s.Begin >= set.DrainGrace {
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -234,19 +234,19 @@
 		set.BudgetFree, set.BudgetShare = figure(0, 3, 8), figure(0.05, 0.1, 0.6)
 	}
 	set.Classes = []rules.Class{
-		{Name: "idempotent", Effect: rules.Safe, Worth: figure(0, 1, 3),
+		{Name: "idempotent", Idempotency: rules.Idempotent, Worth: figure(0, 1, 3),
 			Aim:        pick(0, 150*time.Millisecond),
 			MessageAim: pick(0, 60*time.Millisecond, 90*time.Millisecond)},
-		{Name: "with key", Effect: rules.Keyed,
-			Scope: rules.Scope(rnd.IntN(3)), Worth: figure(1, 8),
-			Window: pick(time.Second, 10*time.Second),
-			Aim:    pick(0, 100*time.Millisecond)},
-		{Name: "non-idempotent", Effect: rules.Unsafe,
+		{Name: "with key", Idempotency: rules.WithIdempotencyKey,
+			DedupScope: rules.DedupScope(rnd.IntN(3)), Worth: figure(1, 8),
+			DedupWindow: pick(time.Second, 10*time.Second),
+			Aim:         pick(0, 100*time.Millisecond)},
+		{Name: "non-idempotent", Idempotency: rules.NonIdempotent,
 			Worth: figure(0, 0.5, 2), Deadline: time.Second},
-		{Name: "with key everywhere", Effect: rules.Keyed,
-			Scope: rules.ScopeAll, Worth: 1,
-			Window:     pick(700*time.Millisecond, 4*time.Second),
-			MessageAim: pick(0, 45*time.Millisecond, 120*time.Millisecond)},
+		{Name: "with key everywhere", Idempotency: rules.WithIdempotencyKey,
+			DedupScope: rules.DedupScopeAll, Worth: 1,
+			DedupWindow: pick(700*time.Millisecond, 4*time.Second),
+			MessageAim:  pick(0, 45*time.Millisecond, 120*time.Millisecond)},
 	}
 	if s.oneIn(2) {
 		set.Tenants = []rules.Tenant{{Name: "small", QuotaConnections: figure(2, 20)},
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -14,9 +14,9 @@
 		MaxAttempts: 3,
 		DrainGrace:  500 * time.Millisecond,
 		Classes: []rules.Class{{
-			Name:   "feed",
-			Effect: rules.Safe,
-			Aim:    400 * time.Millisecond,
+			Name:        "feed",
+			Idempotency: rules.Idempotent,
+			Aim:         400 * time.Millisecond,
 		}},
 	})
 	if err != nil {
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -75,8 +75,8 @@
 	}
 	for i := range rapid.IntRange(0, 5).Draw(t, "classes") {
 		set.Classes = append(set.Classes, Class{
-			Name: fmt.Sprint("klass-", i), Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
-			Scope: Scope(rapid.IntRange(0, 2).Draw(t, "scope")), Window: span("window", 5*sec),
+			Name: fmt.Sprint("klass-", i), Idempotency: Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")),
+			DedupScope: DedupScope(rapid.IntRange(0, 2).Draw(t, "scope")), DedupWindow: span("window", 5*sec),
 			Worth: figure("worth", 9), Aim: span("aim", sec),
 			Deadline:   span("deadline", 5*sec),
 			MessageAim: span("message aim", 300*ms),
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -120,10 +120,10 @@
 		class := d.set.Classes[d.b.classes[f.Class]]
 		if len(f.ranOn) > 0 {
 			switch {
-			case class.Effect == Unsafe:
+			case class.Idempotency == NonIdempotent:
 				d.t.Fatalf("unsafe request %d is sent again", a.ID)
-			case class.Effect == Keyed &&
-				(f.ranOn[0].Cell != s.Cell || d.now-f.ranAt > class.Window):
+			case class.Idempotency == WithIdempotencyKey &&
+				(f.ranOn[0].Cell != s.Cell || d.now-f.ranAt > class.DedupWindow):
 				d.t.Fatalf("keyed request %d is sent outside its cell or window", a.ID)
 			}
 		}
@@ -145,8 +145,8 @@
 		}
 		f := d.answered(a.ID)
 		class := d.set.Classes[d.b.classes[f.Class]]
-		if len(f.ranOn) > 0 && class.Effect != Safe &&
-			(class.Effect == Unsafe || class.Scope != ScopeAll) {
+		if len(f.ranOn) > 0 && class.Idempotency != Idempotent &&
+			(class.Idempotency == NonIdempotent || class.DedupScope != DedupScopeAll) {
 			d.t.Fatalf("request %d is refused though it may have run", a.ID)
 		}
 	case Fail:
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -272,7 +272,7 @@
 
 // serve places a request that has no attempt out: a send, a place among the waiting, or its final answer.
 func (b *Balancer) serve(r *request) {
-	hopeless := r.mayHaveRun && b.set.Classes[r.class].Effect == Unsafe
+	hopeless := r.mayHaveRun && b.set.Classes[r.class].Idempotency == NonIdempotent
 	if hopeless || b.now >= r.deadline-answerMargin || r.attempts >= b.set.MaxAttempts ||
 		r.attempts > 0 && !b.mayRetry() || b.isShed(r) {
 		b.answer(r)
@@ -303,7 +303,7 @@
 		most -= b.now - s.told
 	}
 	c := b.set.Classes[r.class]
-	if left := r.ranAt + c.Window - b.now; r.mayHaveRun && c.Effect == Keyed &&
+	if left := r.ranAt + c.DedupWindow - b.now; r.mayHaveRun && c.Idempotency == WithIdempotencyKey &&
 		(most == 0 || left < most) {
 		most = left
 	}
@@ -409,8 +409,8 @@
 // told to come back spread over the second half of the time that they follow.
 func (b *Balancer) answer(r *request) {
 	c := b.set.Classes[r.class]
-	if !r.mayHaveRun || c.Effect == Safe ||
-		c.Effect == Keyed && c.Scope == ScopeAll {
+	if !r.mayHaveRun || c.Idempotency == Idempotent ||
+		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupScopeAll {
 		after := time.Duration((1 - b.rand()/2) * float64(b.set.MaxRetryAfter))
 		b.act(Refuse{ID: r.ID, RetryAfter: after, Shed: b.isShed(r)})
 	} else {
@@ -672,16 +672,16 @@
 		return false
 	}
 	c := b.set.Classes[r.class]
-	if !r.mayHaveRun || c.Effect == Safe {
+	if !r.mayHaveRun || c.Idempotency == Idempotent {
 		return true
 	}
-	if c.Effect == Unsafe || b.now-r.ranAt >= c.Window {
+	if c.Idempotency == NonIdempotent || b.now-r.ranAt >= c.DedupWindow {
 		return false
 	}
-	switch c.Scope {
-	case ScopeZone:
+	switch c.DedupScope {
+	case DedupScopeZone:
 		return s.Zone == r.ranOn.Zone
-	case ScopeCell:
+	case DedupScopeCell:
 		return s.Cell == r.ranOn.Cell
 	}
 	return true
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -20,14 +20,14 @@
 		Gateways: 2, MaxAttempts: 3, Park: 5 * sec, DrainGrace: 500 * ms,
 		ColdTime: 20 * sec, TipMultiple: 3,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe,
+			{Name: "safe", Idempotency: Idempotent,
 				Aim: 500 * ms, Deadline: 2 * sec,
 				Worth: 1, MessageAim: 90 * ms},
-			{Name: "keyed", Effect: Keyed, Scope: ScopeCell, Window: 3 * sec,
+			{Name: "keyed", Idempotency: WithIdempotencyKey, DedupScope: DedupScopeCell, DedupWindow: 3 * sec,
 				Aim: 500 * ms, Deadline: 2 * sec, Worth: 1},
-			{Name: "unsafe", Effect: Unsafe,
+			{Name: "unsafe", Idempotency: NonIdempotent,
 				Aim: 500 * ms, Deadline: 2 * sec, Worth: 1},
-			{Name: "dear", Effect: Safe,
+			{Name: "dear", Idempotency: Idempotent,
 				Aim: 500 * ms, Deadline: 2 * sec, Worth: 9},
 		},
 	}
--- a/rules/state.go
+++ b/rules/state.go
@@ -252,7 +252,7 @@
 		if _, twice := b.classes[c.Name]; twice {
 			return nil, fmt.Errorf("rules: class %q is given twice", c.Name)
 		}
-		if c.Aim < 0 || c.Deadline < 0 || c.Window < 0 ||
+		if c.Aim < 0 || c.Deadline < 0 || c.DedupWindow < 0 ||
 			c.MessageAim < 0 || c.Worth < 0 {
 			return nil, fmt.Errorf("rules: class %q has a negative figure", c.Name)
 		}
@@ -262,7 +262,7 @@
 		}
 	}
 	// What no class describes is handled as the strictest kind.
-	b.set.Classes = append(b.set.Classes, Class{Effect: Unsafe})
+	b.set.Classes = append(b.set.Classes, Class{Idempotency: NonIdempotent})
 	for i := range b.set.Classes {
 		if c := &b.set.Classes[i]; c.Worth == 0 {
 			c.Worth = 1
