--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -96,7 +96,7 @@
 	balancer, err := rules.New(rules.Settings{
 		Gateways: 1, MaxAttempts: 2, DrainGrace: 500 * time.Millisecond,
 		MaxRetryAfter: 2 * time.Second,
-		Classes:       []rules.Class{{Name: "c", Aim: 800 * time.Millisecond, MessageAim: 60 * time.Millisecond}},
+		Classes:       []rules.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond}},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -155,7 +155,7 @@
 	r.phase, r.deadline = waiting, e.now+q.Wait
 	req := rules.Request{
 		ID: rules.RequestID(r.id), Class: q.Class, Tenant: q.Tenant, Key: q.Key, Group: q.Group,
-		Deadline: q.Wait, Load: q.Load, Returned: q.Returned, Stray: q.Stray,
+		Timeout: q.Wait, Load: q.Load, Returned: q.Returned, Stray: q.Stray,
 	}
 	if e.opts.Ranks != nil {
 		req.Rank = e.opts.Ranks(q.Class, q.Tenant)
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -33,7 +33,7 @@
 func (e *Engine) traceEvent(ev rules.Event) {
 	switch ev := ev.(type) {
 	case rules.Request:
-		e.trace("asked", append(e.traced(ev.ID, ev.Holder), "class", ev.Class, "group", ev.Group, "key", ev.Key, "wait", ev.Deadline,
+		e.trace("asked", append(e.traced(ev.ID, ev.Holder), "class", ev.Class, "group", ev.Group, "key", ev.Key, "wait", ev.Timeout,
 			"stray", ev.Stray, "returned", ev.Returned)...)
 	case rules.Carried:
 		e.trace("carried", append(e.traced(ev.ID, ev.Server), "class", ev.Class, "group", ev.Group)...)
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -166,7 +166,7 @@
 	g := f.gateways[f.random.IntN(len(f.gateways))]
 	g.last++
 	class := f.site.Rules.Classes[0]
-	r := &call{gateway: g, client: c, id: g.last, deadline: now + class.Deadline}
+	r := &call{gateway: g, client: c, id: g.last, deadline: now + class.Timeout}
 	g.calls[r.id] = r
 	f.Asked++
 	f.World.At(r.deadline+f.site.Slack, func() {
@@ -174,7 +174,7 @@
 			f.breaks("request %d has no answer %v after its deadline", r.id, f.site.Slack)
 		}
 	})
-	g.tell(rules.Request{ID: r.id, Class: class.Name, Key: c.key, Deadline: class.Deadline, Load: c.load * 1e6, Returned: c.back})
+	g.tell(rules.Request{ID: r.id, Class: class.Name, Key: c.key, Timeout: class.Timeout, Load: c.load * 1e6, Returned: c.back})
 }
 
 // again has a client come back.
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -12,7 +12,7 @@
 	s := Site{
 		Rules: rules.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, ColdTime: 20 * time.Second,
 			TipMultiple: 4, TipTime: time.Second, MaxRetryAfter: 2 * time.Second,
-			Classes: []rules.Class{{Name: "c", Aim: 800 * time.Millisecond, Deadline: 3 * time.Second}}},
+			Classes: []rules.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second}}},
 		Delay: time.Millisecond, Lag: time.Second, Arrivals: float64(nodes), Life: 30 * time.Second, Load: 0.03,
 		Rejoin: 200 * time.Millisecond, Slack: 50 * time.Millisecond,
 	}
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -40,15 +40,15 @@
 		fmt.Fprintf(b, "rules: %v\n", err)
 	} else {
 		fmt.Fprintf(b, "rules seed=%d gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
-			r.Seed, r.Gateways, r.OverShareWorth, r.MaxAttempts, r.Park, r.DrainGrace)
+			r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.Park, r.DrainGrace)
 		fmt.Fprintf(b, "rules cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t span=%s free=%g share=%g\n",
 			r.ColdTime, r.TipMultiple, r.TipTime, r.GoneIsAdvice, r.MaxRetryAfter, r.Reports, r.BudgetSpan, r.BudgetFree, r.BudgetShare)
 		for _, k := range r.Classes {
 			fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
-				k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.Worth, k.Aim, k.Deadline, k.MessageAim)
+				k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout, k.MessageLatencyObjective)
 		}
 		for _, t := range r.Tenants {
-			fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.QuotaConnections)
+			fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
 		}
 	}
 	if l, err := p.List(); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -42,19 +42,19 @@
 		d.fail("rules.start_capacity", "a share, between 0 and 1")
 	}
 	s := &rules.Settings{
-		Seed:           uint64(d.integer("init_seed")),
-		Gateways:       int(d.integer("replicas_of_me")),
-		OverShareWorth: d.float("over_share_worth"),
-		MaxAttempts:    int(d.integer("caps.max_attempts")),
-		Park:           d.time("family_info.park_ns"),
-		DrainGrace:     d.time("rules.stop_sending_within_ns"),
-		ColdTime:       d.time("rules.cold_ns"),
-		TipMultiple:    d.float("rules.tip_multiple"),
-		TipTime:        d.time("rules.fall_ns"),
-		GoneIsAdvice:   d.boolean("rules.gone_is_advice"),
-		BudgetSpan:     d.time("rules.ratio_span_ns"),
-		BudgetFree:     d.float("rules.extra_free"),
-		BudgetShare:    d.float("rules.budget_share"),
+		Seed:                  uint64(d.integer("init_seed")),
+		Gateways:              int(d.integer("replicas_of_me")),
+		OverQuotaWeightFactor: d.float("over_share_worth"),
+		MaxAttempts:           int(d.integer("caps.max_attempts")),
+		Park:                  d.time("family_info.park_ns"),
+		DrainGrace:            d.time("rules.stop_sending_within_ns"),
+		ColdTime:              d.time("rules.cold_ns"),
+		TipMultiple:           d.float("rules.tip_multiple"),
+		TipTime:               d.time("rules.fall_ns"),
+		GoneIsAdvice:          d.boolean("rules.gone_is_advice"),
+		BudgetSpan:            d.time("rules.ratio_span_ns"),
+		BudgetFree:            d.float("rules.extra_free"),
+		BudgetShare:           d.float("rules.budget_share"),
 	}
 	if d.boolean("caps.retry_after") {
 		s.MaxRetryAfter = d.time("caps.max_retry_after_ns")
@@ -72,11 +72,11 @@
 		}
 		c := rules.Class{
 			Name: p[at+"name"], Idempotency: effect, DedupScope: scope,
-			DedupWindow: d.time(at + "window_ns"), Worth: d.float(at + "worth"),
-			Aim: d.time(at + "slo_ns"), Deadline: d.time(at + "give_up_ns"),
+			DedupWindow: d.time(at + "window_ns"), PriorityWeight: d.float(at + "worth"),
+			SetupLatencyObjective: d.time(at + "slo_ns"), Timeout: d.time(at + "give_up_ns"),
 		}
 		if i < len(aims) {
-			c.MessageAim = aims[i]
+			c.MessageLatencyObjective = aims[i]
 		}
 		s.Classes = append(s.Classes, c)
 	}
@@ -85,7 +85,7 @@
 		at := "tenants." + strconv.Itoa(i) + "."
 		t := rules.Tenant{Name: p[at+"name"]}
 		if i < len(quotas) {
-			t.QuotaConnections = quotas[i]
+			t.ConnectionQuota = quotas[i]
 		}
 		s.Tenants = append(s.Tenants, t)
 	}
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -75,7 +75,7 @@
 	w.add("tenant", r.Tenant)
 	w.add("key", r.Key)
 	w.add("group", r.Group)
-	w.duration("deadline", r.Deadline)
+	w.duration("deadline", r.Timeout)
 	w.add("load", r.Load)
 	w.add("returned", r.Returned)
 	w.add("mid flow", r.Stray)
@@ -177,7 +177,7 @@
 func (w *fieldWriter) settings(s rules.Settings) {
 	w.add("seed", s.Seed)
 	w.add("gateways", s.Gateways)
-	w.add("over share worth", s.OverShareWorth)
+	w.add("over share worth", s.OverQuotaWeightFactor)
 	w.add("attempts", s.MaxAttempts)
 	w.duration("park", s.Park)
 	w.duration("drain grace", s.DrainGrace)
@@ -196,16 +196,16 @@
 		w.add("effect", effect(c.Idempotency))
 		w.add("scope", scope(c.DedupScope))
 		w.duration("window", c.DedupWindow)
-		w.add("worth", c.Worth)
-		w.duration("aim", c.Aim)
-		w.duration("deadline", c.Deadline)
-		w.duration("message aim", c.MessageAim)
+		w.add("worth", c.PriorityWeight)
+		w.duration("aim", c.SetupLatencyObjective)
+		w.duration("deadline", c.Timeout)
+		w.duration("message aim", c.MessageLatencyObjective)
 		w.WriteString("]")
 	}
 	for _, tenant := range s.Tenants {
 		w.WriteString(" [tenant")
 		w.add("name", tenant.Name)
-		w.add("quota", tenant.QuotaConnections)
+		w.add("quota", tenant.ConnectionQuota)
 		w.WriteString("]")
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -226,7 +226,7 @@
 	case "group":
 		rec.req.Group = r.name(f.value)
 	case "grace_ns":
-		rec.req.Deadline = f.duration()
+		rec.req.Timeout = f.duration()
 	case "weight_hint_ns":
 		rec.req.Load = float64(f.duration()) / float64(time.Microsecond)
 	case "returned":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,7 +26,7 @@
 	for line, want := range map[string]rules.Event{
 		"new_request relay=3 ticket=7 customer=c weight_hint_ns=2000 grace_ns=3000000 group=g priority=p " +
 			"partition_key=k stray=1 returned=true retry=0 unknown=x": rules.Request{ID: 7, Tenant: "c", Load: 2, Returned: true,
-			Deadline: 3 * ms, Group: "g", Class: "p", Key: "k", Stray: true},
+			Timeout: 3 * ms, Group: "g", Class: "p", Key: "k", Stray: true},
 		"carried relay=3 ticket=8 backend=5 priority=p": rules.Carried{
 			Request: rules.Request{ID: 8, Class: "p"}, Server: 5},
 		"opened relay=3 ticket=7 seq_no=1 backend=5 elapsed_ns=9000000": rules.Opened{
@@ -71,10 +71,10 @@
 		Seed: 9, Gateways: 3, MaxAttempts: 4, MaxRetryAfter: 2 * ms,
 		BudgetFree: 5, BudgetShare: 0.1, BudgetSpan: 5 * ms, GoneIsAdvice: true,
 		Classes: []rules.Class{
-			{Name: "a", Idempotency: rules.WithIdempotencyKey, DedupScope: rules.DedupScopeZone, DedupWindow: 5 * ms, Worth: 2, MessageAim: ms},
-			{Name: "b", Idempotency: rules.NonIdempotent, DedupScope: rules.DedupScopeCell, MessageAim: 2 * ms},
+			{Name: "a", Idempotency: rules.WithIdempotencyKey, DedupScope: rules.DedupScopeZone, DedupWindow: 5 * ms, PriorityWeight: 2, MessageLatencyObjective: ms},
+			{Name: "b", Idempotency: rules.NonIdempotent, DedupScope: rules.DedupScopeCell, MessageLatencyObjective: 2 * ms},
 		},
-		Tenants: []rules.Tenant{{Name: "t", QuotaConnections: 7.5}, {Name: "u"}},
+		Tenants: []rules.Tenant{{Name: "t", ConnectionQuota: 7.5}, {Name: "u"}},
 	}
 	if len(got) != 1 || !reflect.DeepEqual(&got[0].Start.Rules, want) {
 		t.Errorf("got  %+v\nwant %+v", got[0].Start.Rules, want)
--- a/rules/api.go
+++ b/rules/api.go
@@ -28,30 +28,30 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name        string
-	Idempotency Idempotency
-	DedupScope  DedupScope    // for Keyed
-	DedupWindow time.Duration // for Keyed: how long repeats are recognised
-	Worth       float64       // 0 is taken as 1
-	Aim         time.Duration // wanted set-up time; 0 is taken as a third of Deadline
-	Deadline    time.Duration // given up after this; 0 is taken from each request
-	MessageAim  time.Duration // wanted time of a message; 0: none stated
+	Name                    string
+	Idempotency             Idempotency
+	DedupScope              DedupScope    // for Keyed
+	DedupWindow             time.Duration // for Keyed: how long repeats are recognised
+	PriorityWeight          float64       // 0 is taken as 1
+	SetupLatencyObjective   time.Duration // wanted set-up time; 0 is taken as a third of Deadline
+	Timeout                 time.Duration // given up after this; 0 is taken from each request
+	MessageLatencyObjective time.Duration // wanted time of a message; 0: none stated
 }
 
 // Tenant is one of those who share the service.
 type Tenant struct {
-	Name             string
-	QuotaConnections float64 // open connections within its share, all gateways together; 0: no quota
+	Name            string
+	ConnectionQuota float64 // open connections within its share, all gateways together; 0: no quota
 }
 
 // Settings are what a gateway is told once, at its start. Zero values have the stated meaning.
 type Settings struct {
-	Seed           uint64 // this gateway's own; for jitter only, never for placement
-	Gateways       int    // gateways that share the load; 0 is taken as 1
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // part of its worth that traffic over a tenant's quota keeps; 0: all
-	MaxAttempts    int     // attempts for one request; 0 is taken as 1
+	Seed                  uint64 // this gateway's own; for jitter only, never for placement
+	Gateways              int    // gateways that share the load; 0 is taken as 1
+	Classes               []Class
+	Tenants               []Tenant
+	OverQuotaWeightFactor float64 // part of its worth that traffic over a tenant's quota keeps; 0: all
+	MaxAttempts           int     // attempts for one request; 0 is taken as 1
 	// how long a server keeps a connection whose packets stopped; 0: not at all
 	Park       time.Duration
 	DrainGrace time.Duration // sends to a draining or gone server must stop within this
@@ -114,7 +114,7 @@
 		Tenant   string
 		Key      string
 		Group    string
-		Deadline time.Duration // left from now
+		Timeout  time.Duration // left from now
 		Load     float64       // usual load, in microseconds of work a second; 0: unknown
 		Returned bool          // its client had a connection that broke or was moved
 		Stray    bool          // packets of a connection that some server already holds
--- a/rules/ask_test.go
+++ b/rules/ask_test.go
@@ -7,7 +7,7 @@
 	set := settings()
 	set.Gateways, set.Reports = 300, true
 	w := newWorld(t, set, n)
-	w.feed(Request{ID: 1, Class: "safe", Key: "a", Deadline: 2 * sec})
+	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
 	asks := find[Ask](w.last)
 	if len(asks) != askWidth || len(find[Send](w.last)) != 0 {
 		t.Fatalf("%d asked, %d sent to before any told of its load", len(asks), len(find[Send](w.last)))
--- a/rules/daily_test.go
+++ b/rules/daily_test.go
@@ -13,14 +13,14 @@
 	w.feed(LoadChanged{ID: id, Load: 1000})
 	w.feed(LoadReport{Server: s, Load: 2})
 	w.feed(Outcome{ID: id, Server: s, Result: OK, Settled: true})
-	w.feed(Request{ID: 900, Class: "safe", Key: "a", Group: "b", Deadline: 2 * sec, Load: 1000})
+	w.feed(Request{ID: 900, Class: "safe", Key: "a", Group: "b", Timeout: 2 * sec, Load: 1000})
 	if n := len(find[Send](w.last)); n > 0 {
 		t.Error("sent to a server that has just reported twice its load")
 	}
 	w.wait(2 * sec)
 	for i, want := range []int{1, 0} {
 		id := RequestID(901 + i)
-		w.feed(Request{ID: id, Class: "safe", Key: "a", Group: "b", Deadline: 2 * sec, Load: 1000})
+		w.feed(Request{ID: id, Class: "safe", Key: "a", Group: "b", Timeout: 2 * sec, Load: 1000})
 		if n := len(find[Send](w.last)); n != want {
 			t.Errorf("request %d: %d sent, want %d", i, n, want)
 		}
@@ -57,7 +57,7 @@
 	w.wait(tryWithin)
 	to := 0
 	for i := range 20 {
-		w.feed(Request{ID: RequestID(500 + i), Class: "safe", Key: fmt.Sprint(i), Deadline: 2 * sec})
+		w.feed(Request{ID: RequestID(500 + i), Class: "safe", Key: fmt.Sprint(i), Timeout: 2 * sec})
 		for _, s := range find[Send](w.last) {
 			if s.Server == back {
 				to++
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -226,31 +226,31 @@
 		ColdTime:    pick(0, 3*time.Second, 8*time.Second, 20*time.Second),
 		TipMultiple: figure(0, 2, 4.5), TipTime: pick(0, 2*time.Second),
 		GoneIsAdvice: s.oneIn(2), MaxRetryAfter: pick(0, time.Second, 3*time.Second),
-		Reports:        s.oneIn(2),
-		OverShareWorth: figure(0, 0.2, 0.7),
+		Reports:               s.oneIn(2),
+		OverQuotaWeightFactor: figure(0, 0.2, 0.7),
 	}
 	if s.oneIn(2) {
 		set.BudgetSpan = pick(time.Second, 5*time.Second)
 		set.BudgetFree, set.BudgetShare = figure(0, 3, 8), figure(0.05, 0.1, 0.6)
 	}
 	set.Classes = []rules.Class{
-		{Name: "idempotent", Idempotency: rules.Idempotent, Worth: figure(0, 1, 3),
-			Aim:        pick(0, 150*time.Millisecond),
-			MessageAim: pick(0, 60*time.Millisecond, 90*time.Millisecond)},
+		{Name: "idempotent", Idempotency: rules.Idempotent, PriorityWeight: figure(0, 1, 3),
+			SetupLatencyObjective:   pick(0, 150*time.Millisecond),
+			MessageLatencyObjective: pick(0, 60*time.Millisecond, 90*time.Millisecond)},
 		{Name: "with key", Idempotency: rules.WithIdempotencyKey,
-			DedupScope: rules.DedupScope(rnd.IntN(3)), Worth: figure(1, 8),
-			DedupWindow: pick(time.Second, 10*time.Second),
-			Aim:         pick(0, 100*time.Millisecond)},
+			DedupScope: rules.DedupScope(rnd.IntN(3)), PriorityWeight: figure(1, 8),
+			DedupWindow:           pick(time.Second, 10*time.Second),
+			SetupLatencyObjective: pick(0, 100*time.Millisecond)},
 		{Name: "non-idempotent", Idempotency: rules.NonIdempotent,
-			Worth: figure(0, 0.5, 2), Deadline: time.Second},
+			PriorityWeight: figure(0, 0.5, 2), Timeout: time.Second},
 		{Name: "with key everywhere", Idempotency: rules.WithIdempotencyKey,
-			DedupScope: rules.DedupScopeAll, Worth: 1,
-			DedupWindow: pick(700*time.Millisecond, 4*time.Second),
-			MessageAim:  pick(0, 45*time.Millisecond, 120*time.Millisecond)},
+			DedupScope: rules.DedupScopeAll, PriorityWeight: 1,
+			DedupWindow:             pick(700*time.Millisecond, 4*time.Second),
+			MessageLatencyObjective: pick(0, 45*time.Millisecond, 120*time.Millisecond)},
 	}
 	if s.oneIn(2) {
-		set.Tenants = []rules.Tenant{{Name: "small", QuotaConnections: figure(2, 20)},
-			{Name: "large", QuotaConnections: 500}, {Name: "free"}}
+		set.Tenants = []rules.Tenant{{Name: "small", ConnectionQuota: figure(2, 20)},
+			{Name: "large", ConnectionQuota: 500}, {Name: "free"}}
 	}
 	return set
 }
@@ -700,7 +700,7 @@
 		"with key everywhere", "not in the settings"}[s.rnd.IntN(7)]
 	r := rules.Request{
 		ID: s.nextRequest, Class: class,
-		Deadline: 50*time.Millisecond +
+		Timeout: 50*time.Millisecond +
 			s.upTo([]time.Duration{150 * time.Millisecond, 3 * time.Second}[s.rnd.IntN(2)]),
 		Rank: s.rnd.IntN(3), Returned: s.oneIn(5),
 		Tenant: []string{"", "small", "large", "free"}[s.rnd.IntN(4)],
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -14,9 +14,9 @@
 		MaxAttempts: 3,
 		DrainGrace:  500 * time.Millisecond,
 		Classes: []rules.Class{{
-			Name:        "feed",
-			Idempotency: rules.Idempotent,
-			Aim:         400 * time.Millisecond,
+			Name:                  "feed",
+			Idempotency:           rules.Idempotent,
+			SetupLatencyObjective: 400 * time.Millisecond,
 		}},
 	})
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	events := []rules.Event{
 		list,
-		rules.Request{ID: 1, Class: "feed", Group: "area-7", Deadline: 2 * time.Second},
+		rules.Request{ID: 1, Class: "feed", Group: "area-7", Timeout: 2 * time.Second},
 		rules.Outcome{ID: 1, Attempt: 0, Server: 13, Result: rules.ConnectFailed},
 		rules.Opened{ID: 1, Attempt: 1, Server: 11, Elapsed: 12 * time.Millisecond},
 	}
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -69,21 +69,21 @@
 		TipMultiple: figure("multiple", 8), TipTime: span("tip", 3*sec),
 		MaxRetryAfter: span("retry after", 4*sec),
 		BudgetSpan:    span("budget", 20*sec), BudgetFree: figure("free", 20),
-		BudgetShare:    figure("share", 1),
-		OverShareWorth: figure("over share", 1), Reports: rapid.Bool().Draw(t, "reports"),
+		BudgetShare:           figure("share", 1),
+		OverQuotaWeightFactor: figure("over share", 1), Reports: rapid.Bool().Draw(t, "reports"),
 		GoneIsAdvice: rapid.Bool().Draw(t, "advice"),
 	}
 	for i := range rapid.IntRange(0, 5).Draw(t, "classes") {
 		set.Classes = append(set.Classes, Class{
 			Name: fmt.Sprint("klass-", i), Idempotency: Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")),
 			DedupScope: DedupScope(rapid.IntRange(0, 2).Draw(t, "scope")), DedupWindow: span("window", 5*sec),
-			Worth: figure("worth", 9), Aim: span("aim", sec),
-			Deadline:   span("deadline", 5*sec),
-			MessageAim: span("message aim", 300*ms),
+			PriorityWeight: figure("worth", 9), SetupLatencyObjective: span("aim", sec),
+			Timeout:                 span("deadline", 5*sec),
+			MessageLatencyObjective: span("message aim", 300*ms),
 		})
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "tenants") {
-		who := Tenant{Name: fmt.Sprint("who-", i), QuotaConnections: figure("quota", 50)}
+		who := Tenant{Name: fmt.Sprint("who-", i), ConnectionQuota: figure("quota", 50)}
 		set.Tenants = append(set.Tenants, who)
 	}
 	return set
@@ -147,7 +147,7 @@
 					Tenant: fmt.Sprint("who-", rnd.IntN(4)),
 					Group:  fmt.Sprint("g", rnd.IntN(3)), Key: fmt.Sprint("k", id),
 					Load:     rnd.Float64() * 1e6 * float64(rnd.IntN(2)),
-					Deadline: time.Duration(rnd.Int64N(int64(3 * sec))),
+					Timeout:  time.Duration(rnd.Int64N(int64(3 * sec))),
 					Returned: rnd.IntN(2) == 0, Stray: rnd.IntN(9) == 0})
 			case 4, 5, 6:
 				for at, s := range out { // any one; which does not matter to what must hold
--- a/rules/move_test.go
+++ b/rules/move_test.go
@@ -10,7 +10,7 @@
 	set := settings()
 	set.Gateways, set.Reports = 300, true
 	w := newWorld(t, set, 8)
-	w.feed(Request{ID: 1, Class: "safe", Group: group, Key: key, Deadline: 2 * sec})
+	w.feed(Request{ID: 1, Class: "safe", Group: group, Key: key, Timeout: 2 * sec})
 	at := find[Ask](w.last)[0].Server
 	for _, a := range find[Ask](w.last) {
 		w.feed(LoadReport{Server: a.Server, Load: 0.3, Held: 20})
--- a/rules/near_test.go
+++ b/rules/near_test.go
@@ -19,7 +19,7 @@
 			w.feed(LoadReport{Server: s.ID, Load: load(i, n), Held: 20})
 		}
 		w.feed(Request{ID: RequestID(n + 1), Class: "safe", Key: fmt.Sprint("k", n), Group: group,
-			Deadline: 2 * sec})
+			Timeout: 2 * sec})
 		for _, s := range find[Send](w.last) {
 			over[s.Server] = true
 		}
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -229,9 +229,9 @@
 	if d.rnd.IntN(4) > 0 {
 		class := d.set.Classes[d.rnd.IntN(len(d.set.Classes))]
 		f := &fate{Request: Request{ID: id, Class: class.Name, Key: fmt.Sprint(d.rnd.IntN(50)),
-			Group: fmt.Sprint("g", d.rnd.IntN(8)), Deadline: time.Duration(200+d.rnd.IntN(1800)) * ms,
+			Group: fmt.Sprint("g", d.rnd.IntN(8)), Timeout: time.Duration(200+d.rnd.IntN(1800)) * ms,
 			Stray: d.rnd.IntN(9) == 0}}
-		f.deadline = d.now + f.Deadline
+		f.deadline = d.now + f.Timeout
 		d.fates, d.byID[id] = append(d.fates, f), f
 		d.ledger.taken = append(d.ledger.taken, d.now)
 		d.feed(f.Request)
@@ -371,7 +371,7 @@
 			for _, s := range list.Servers {
 				named[s.ID] = true
 			}
-			req := Request{ID: RequestID(i + 1), Class: "safe", Key: fmt.Sprint("k", i), Deadline: sec}
+			req := Request{ID: RequestID(i + 1), Class: "safe", Key: fmt.Sprint("k", i), Timeout: sec}
 			var first []Action
 			for g, b := range gateways {
 				b.Handle(now, list)
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -426,9 +426,9 @@
 	if r.attempts >= b.set.MaxAttempts {
 		return left
 	}
-	aim := b.set.Classes[r.class].Aim
+	aim := b.set.Classes[r.class].SetupLatencyObjective
 	if aim == 0 {
-		aim = r.Deadline / 3
+		aim = r.Timeout / 3
 	}
 	return min(aim, left)
 }
@@ -637,7 +637,7 @@
 func (b *Balancer) precedence(r *request) float64 {
 	top := 0.0
 	for c := range b.set.Classes[:len(b.set.Classes)-1] {
-		top = max(top, b.set.Classes[c].Worth/b.loadOfClass(c))
+		top = max(top, b.set.Classes[c].PriorityWeight/b.loadOfClass(c))
 	}
 	worth := b.worth(r)
 	return keepLeast + (1-keepLeast)*min(worth/max(top, 1e-12), 1)
@@ -946,10 +946,10 @@
 	if load == 0 {
 		load = b.loadOfClass(r.class)
 	}
-	worth := b.set.Classes[r.class].Worth
-	if t, ok := b.tenants[r.Tenant]; ok && b.set.OverShareWorth > 0 {
-		if q := b.set.Tenants[t].QuotaConnections; q > 0 && b.tenantHeld[t]*float64(b.set.Gateways) >= q {
-			worth *= b.set.OverShareWorth
+	worth := b.set.Classes[r.class].PriorityWeight
+	if t, ok := b.tenants[r.Tenant]; ok && b.set.OverQuotaWeightFactor > 0 {
+		if q := b.set.Tenants[t].ConnectionQuota; q > 0 && b.tenantHeld[t]*float64(b.set.Gateways) >= q {
+			worth *= b.set.OverQuotaWeightFactor
 		}
 	}
 	if r.Group != "" && r.server != nil {
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -21,14 +21,14 @@
 		ColdTime: 20 * sec, TipMultiple: 3,
 		Classes: []Class{
 			{Name: "safe", Idempotency: Idempotent,
-				Aim: 500 * ms, Deadline: 2 * sec,
-				Worth: 1, MessageAim: 90 * ms},
+				SetupLatencyObjective: 500 * ms, Timeout: 2 * sec,
+				PriorityWeight: 1, MessageLatencyObjective: 90 * ms},
 			{Name: "keyed", Idempotency: WithIdempotencyKey, DedupScope: DedupScopeCell, DedupWindow: 3 * sec,
-				Aim: 500 * ms, Deadline: 2 * sec, Worth: 1},
+				SetupLatencyObjective: 500 * ms, Timeout: 2 * sec, PriorityWeight: 1},
 			{Name: "unsafe", Idempotency: NonIdempotent,
-				Aim: 500 * ms, Deadline: 2 * sec, Worth: 1},
+				SetupLatencyObjective: 500 * ms, Timeout: 2 * sec, PriorityWeight: 1},
 			{Name: "dear", Idempotency: Idempotent,
-				Aim: 500 * ms, Deadline: 2 * sec, Worth: 9},
+				SetupLatencyObjective: 500 * ms, Timeout: 2 * sec, PriorityWeight: 9},
 		},
 	}
 }
@@ -80,7 +80,7 @@
 	w := newWorld(t, settings(), 2)
 	for i := range 20 {
 		w.now += 50 * ms
-		for _, a := range w.feed(Request{ID: RequestID(i + 1), Class: "safe", Deadline: 2 * sec}) {
+		for _, a := range w.feed(Request{ID: RequestID(i + 1), Class: "safe", Timeout: 2 * sec}) {
 			if s, ok := a.(Send); ok {
 				w.feed(Opened{ID: s.ID, Server: s.Server})
 			}
@@ -120,7 +120,7 @@
 
 func (w *world) request(class, group string) RequestID {
 	w.id++
-	w.feed(Request{ID: w.id, Class: class, Key: fmt.Sprint("k", w.id), Group: group, Deadline: 2 * sec})
+	w.feed(Request{ID: w.id, Class: class, Key: fmt.Sprint("k", w.id), Group: group, Timeout: 2 * sec})
 	return w.id
 }
 
@@ -190,11 +190,11 @@
 
 func TestClientKeyServesWithoutGroups(t *testing.T) {
 	w := newWorld(t, settings(), 9)
-	w.feed(Request{ID: 1, Class: "safe", Key: "alone", Deadline: sec})
+	w.feed(Request{ID: 1, Class: "safe", Key: "alone", Timeout: sec})
 	if want := w.entry("alone"); w.sent().Server != want {
 		t.Errorf("sent to %d, not %d", w.sent().Server, want)
 	}
-	w.feed(Request{ID: 2, Class: "safe", Deadline: sec}) // no key at all
+	w.feed(Request{ID: 2, Class: "safe", Timeout: sec}) // no key at all
 	w.sent()
 }
 
@@ -378,7 +378,7 @@
 	w := newWorld(t, settings(), 5)
 	_, held := w.open("safe", "g")
 	w.feed(List{Mode: Changes, Servers: []Server{{ID: held, State: Draining}}})
-	stray := Request{ID: 500, Class: "safe", Group: "g", Stray: true, Deadline: sec}
+	stray := Request{ID: 500, Class: "safe", Group: "g", Stray: true, Timeout: sec}
 	w.feed(stray)
 	if got := w.sent().Server; got != held {
 		t.Errorf("just after the change: sent to %d, held by %d", got, held)
@@ -399,13 +399,13 @@
 	w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1}}})
 	for i := range 40 {
 		group := fmt.Sprint("g", i)
-		w.feed(Request{ID: RequestID(1000 + i), Class: "safe", Group: group, Stray: true, Deadline: sec})
+		w.feed(Request{ID: RequestID(1000 + i), Class: "safe", Group: group, Stray: true, Timeout: sec})
 		if want := members[before.at(hashKey(group), 0)].ID; w.sent().Server != want {
 			t.Fatalf("group %s sent to %d, held by %d", group, w.sent().Server, want)
 		}
 	}
 	w.now += 6 * sec // past the park time
-	w.feed(Request{ID: 2000, Class: "safe", Group: "x", Stray: true, Deadline: sec})
+	w.feed(Request{ID: 2000, Class: "safe", Group: "x", Stray: true, Timeout: sec})
 	if want := w.entry("x"); w.sent().Server != want {
 		t.Errorf("past the park time: sent to %d, entry is %d", w.sent().Server, want)
 	}
@@ -577,11 +577,11 @@
 
 func TestTrafficOverQuotaYields(t *testing.T) {
 	set := settings()
-	set.OverShareWorth = 0.1
-	set.Tenants = []Tenant{{Name: "in", QuotaConnections: 1000}, {Name: "over", QuotaConnections: 4}}
+	set.OverQuotaWeightFactor = 0.1
+	set.Tenants = []Tenant{{Name: "in", ConnectionQuota: 1000}, {Name: "over", ConnectionQuota: 4}}
 	w := newWorld(t, set, 3)
 	for i := range RequestID(5) {
-		w.feed(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Deadline: sec})
+		w.feed(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Timeout: sec})
 	}
 	in, over := Request{Class: "safe", Tenant: "in"}, Request{Class: "safe", Tenant: "over"}
 	if a, b := w.b.worth(&request{Request: in}), w.b.worth(&request{Request: over}); b >= a {
@@ -607,7 +607,7 @@
 				w := worlds[id%gateways]
 				id++
 				key := fmt.Sprint("k", id)
-				w.feed(Request{ID: RequestID(id), Class: "safe", Key: key, Deadline: 2 * sec})
+				w.feed(Request{ID: RequestID(id), Class: "safe", Key: key, Timeout: 2 * sec})
 				for _, s := range find[Send](w.last) {
 					w.feed(Opened{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
 					if window > 0 { // gone again, so that what a server bears stays the same
@@ -675,7 +675,7 @@
 	id := w.request("safe", "g")
 	s := w.sent()
 	for _, ev := range []Event{
-		Request{ID: id, Class: "safe", Group: "g", Deadline: sec}, // twice
+		Request{ID: id, Class: "safe", Group: "g", Timeout: sec}, // twice
 		Opened{ID: 77, Server: 100}, Opened{ID: id, Server: s.Server, Attempt: 5},
 		Outcome{ID: 77, Server: 100, Result: OK},
 		Outcome{ID: id, Server: s.Server, Attempt: 4, Result: Reset},
@@ -731,7 +731,7 @@
 	for name, spoil := range map[string]func(*Settings){
 		"negative time":  func(s *Settings) { s.DrainGrace = -1 },
 		"class twice":    func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
-		"negative worth": func(s *Settings) { s.Classes[0].Worth = -1 },
+		"negative worth": func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
 		"BudgetFree":     func(s *Settings) { s.BudgetFree = -1 },
 		"BudgetShare":    func(s *Settings) { s.BudgetShare = math.NaN() },
 		"BudgetSpan":     func(s *Settings) { s.BudgetSpan = -sec },
@@ -801,7 +801,7 @@
 	for i := range 10 {
 		group := fmt.Sprint("g", i%2*i)
 		key := fmt.Sprint("k", i)
-		b.Handle(0, Request{ID: RequestID(i), Class: "safe", Group: group, Key: key, Deadline: sec})
+		b.Handle(0, Request{ID: RequestID(i), Class: "safe", Group: group, Key: key, Timeout: sec})
 	}
 	hot := b.parts(&request{Request: Request{Group: "g0"}})
 	small := b.parts(&request{Request: Request{Group: "g1"}})
@@ -823,7 +823,7 @@
 			s := b.order[0]
 			s.limit, s.cutAt = 0.5, 0
 			key := fmt.Sprint("k", i)
-			req := Request{ID: 1, Class: "safe", Key: key, Deadline: sec}
+			req := Request{ID: 1, Class: "safe", Key: key, Timeout: sec}
 			sent := len(find[Send](b.Handle(0, req))) == 1
 			if was, again := kept[key]; again && was != sent {
 				t.Fatalf("gateways differ on %s", key)
@@ -843,7 +843,7 @@
 func TestReturningClientPassesOverAnEntryThatNobodyVouchesFor(t *testing.T) {
 	w := newWorld(t, settings(), 6)
 	ask := func(id RequestID) ServerID {
-		w.feed(Request{ID: id, Class: "safe", Group: "g", Key: "k", Returned: id > 900, Deadline: sec})
+		w.feed(Request{ID: id, Class: "safe", Group: "g", Key: "k", Returned: id > 900, Timeout: sec})
 		return w.sent().Server
 	}
 	entry := w.entry("g")
@@ -1069,7 +1069,7 @@
 	}
 	stray := func() ServerID {
 		w.id++
-		w.feed(Request{ID: w.id, Class: "safe", Group: "g", Stray: true, Deadline: sec})
+		w.feed(Request{ID: w.id, Class: "safe", Group: "g", Stray: true, Timeout: sec})
 		return w.sent().Server
 	}
 	state(Gone, 0)
--- a/rules/shed_test.go
+++ b/rules/shed_test.go
@@ -19,7 +19,7 @@
 		w.now += 500 * ms
 		cold := w.b.servers[900]
 		cold.Started = w.now // stays as cold
-		w.feed(Request{ID: RequestID(i + 1), Class: "safe", Deadline: 2 * sec})
+		w.feed(Request{ID: RequestID(i + 1), Class: "safe", Timeout: 2 * sec})
 		for _, s := range find[Send](w.last) {
 			if s.Server != 900 {
 				t.Fatalf("sent to warm server %d though all is shed", s.Server)
@@ -38,7 +38,7 @@
 	set := settings()
 	set.Gateways, set.Reports = 300, true
 	w := newWorld(t, set, 8)
-	w.feed(Request{ID: 1, Class: "safe", Key: "a", Deadline: 2 * sec, Stray: true})
+	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec, Stray: true})
 	w.b.refresh()
 	if s := find[Send](w.last); len(s) != 1 || s[0].Server != w.b.entry(w.b.requests[1], 0).ID {
 		t.Errorf("sent %v", s)
@@ -76,7 +76,7 @@
 		for i := range 400 {
 			key := fmt.Sprint("k", i)
 			w.now += 10 * ms
-			w.feed(Request{ID: RequestID(i + 1), Class: "safe", Key: key, Rank: rank, Deadline: 2 * sec,
+			w.feed(Request{ID: RequestID(i + 1), Class: "safe", Key: key, Rank: rank, Timeout: 2 * sec,
 				Stray: stray})
 			for _, a := range find[Refuse](w.last) {
 				if !a.Shed {
@@ -107,7 +107,7 @@
 		}
 	}
 	w := newWorld(t, settings(), 8)
-	w.feed(Request{ID: 1, Class: "safe", Key: "a", Deadline: 2 * sec})
+	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
 	s := w.sent()
 	w.feed(Shed{Level: 1})
 	w.feed(Outcome{ID: 1, Server: s.Server, Result: ConnectFailed})
--- a/rules/state.go
+++ b/rules/state.go
@@ -239,7 +239,7 @@
 		{"ColdTime", float64(set.ColdTime)}, {"TipTime", float64(set.TipTime)},
 		{"TipMultiple", set.TipMultiple}, {"MaxRetryAfter", float64(set.MaxRetryAfter)},
 		{"BudgetSpan", float64(set.BudgetSpan)}, {"BudgetFree", set.BudgetFree},
-		{"BudgetShare", set.BudgetShare}, {"OverShareWorth", set.OverShareWorth},
+		{"BudgetShare", set.BudgetShare}, {"OverShareWorth", set.OverQuotaWeightFactor},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
 			return nil, fmt.Errorf("rules: %s is %v, not a figure of 0 or more", f.name, f.value)
@@ -252,20 +252,20 @@
 		if _, twice := b.classes[c.Name]; twice {
 			return nil, fmt.Errorf("rules: class %q is given twice", c.Name)
 		}
-		if c.Aim < 0 || c.Deadline < 0 || c.DedupWindow < 0 ||
-			c.MessageAim < 0 || c.Worth < 0 {
+		if c.SetupLatencyObjective < 0 || c.Timeout < 0 || c.DedupWindow < 0 ||
+			c.MessageLatencyObjective < 0 || c.PriorityWeight < 0 {
 			return nil, fmt.Errorf("rules: class %q has a negative figure", c.Name)
 		}
 		b.classes[c.Name] = i
-		if c.MessageAim > 0 && (b.aim == 0 || c.MessageAim < b.aim) {
-			b.aim = c.MessageAim
+		if c.MessageLatencyObjective > 0 && (b.aim == 0 || c.MessageLatencyObjective < b.aim) {
+			b.aim = c.MessageLatencyObjective
 		}
 	}
 	// What no class describes is handled as the strictest kind.
 	b.set.Classes = append(b.set.Classes, Class{Idempotency: NonIdempotent})
 	for i := range b.set.Classes {
-		if c := &b.set.Classes[i]; c.Worth == 0 {
-			c.Worth = 1
+		if c := &b.set.Classes[i]; c.PriorityWeight == 0 {
+			c.PriorityWeight = 1
 		}
 	}
 	b.sum.unknown = make([]int, len(b.set.Classes))
@@ -295,7 +295,7 @@
 	if !ok {
 		class = len(b.set.Classes) - 1
 	}
-	r := &request{Request: ev, class: class, load: ev.Load, deadline: b.now + ev.Deadline}
+	r := &request{Request: ev, class: class, load: ev.Load, deadline: b.now + ev.Timeout}
 	r.hash, r.client = hashes(ev)
 	b.requests[ev.ID] = r
 	return r
