--- a/config/config.go
+++ b/config/config.go
@@ -214,7 +214,7 @@
 	if c.Node.LongestWait <= 0 {
 		c.Node.LongestWait = defaultLongestWait
 	}
-	c.Rules.Reports = c.Node.Probes
+	c.Rules.CanPollLoad = c.Node.Probes
 	c.AnswerBy = min(c.Node.LongestWait, drainMost) + answerMore
 	c.Drain = min(c.Node.LongestWait, drainMost) + drainMore
 	if c.Node.Pass {
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -48,10 +48,10 @@
 	}
 	r := c.Rules
 	fmt.Fprintf(b, "seed=%016x gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
-		r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.Park, r.DrainGrace)
+		r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.FlowRetention, r.DrainGrace)
 	fmt.Fprintf(b, "cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t\n",
-		r.ColdTime, r.TipMultiple, r.TipTime, r.GoneIsAdvice, r.MaxRetryAfter, r.Reports)
-	fmt.Fprintf(b, "budget span=%s free=%g share=%g\n", r.BudgetSpan, r.BudgetFree, r.BudgetShare)
+		r.WarmupDuration, r.ColdOverloadFactor, r.ColdOverloadDuration, r.RemovalIsAdvisory, r.MaxRetryAfter, r.CanPollLoad)
+	fmt.Fprintf(b, "budget span=%s free=%g share=%g\n", r.RetryBudgetWindow, r.RetryBudgetMin, r.RetryBudgetRatio)
 	for _, k := range r.Classes {
 		fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
 			k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout, k.MessageLatencyObjective)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -106,14 +106,14 @@
 	g.engine = drive.New(engine.New(engine.Options{
 		Ranks: ranks, Tiers: g.tiers,
 		Sockets: c.Limits.ForClients(), Openings: c.Limits.Idle(), Classes: classes, RetryAfter: c.Rules.MaxRetryAfter, DefaultWait: c.Node.LongestWait, AnswerSlack: c.Node.AnswerSlack,
-		Pass: c.Node.Pass, Park: c.Rules.Park, TellsDelay: c.Node.TellsDelay, MessageAim: c.Node.MessageAim, Probes: c.Node.Probes, ReadyWithin: readyWithin, AnswerBy: c.AnswerBy, Drain: c.Drain,
+		Pass: c.Node.Pass, Park: c.Rules.FlowRetention, TellsDelay: c.Node.TellsDelay, MessageAim: c.Node.MessageAim, Probes: c.Node.Probes, ReadyWithin: readyWithin, AnswerBy: c.AnswerBy, Drain: c.Drain,
 		Figures: g.figures, Logger: g.logger, Trace: g.logger.Enabled(context.Background(), slog.LevelDebug),
 	}, balancer, g, attempts))
 	g.lines = attempts
 	if n := g.nat; n != nil {
 		g.nats = natsbackend.New(g.natsOptions(n))
 	}
-	g.follow.Cold = c.Rules.ColdTime
+	g.follow.Cold = c.Rules.WarmupDuration
 	g.usePlan(g.plan)
 	g.watcher.Connect(g.post)
 	return g, nil
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -17,7 +17,7 @@
 	m := g.member
 	_, ranks := m.Ranks()
 	return cluster.Options{Ranks: ranks, Floor: m.Floor, Name: g.config.Name, Listen: m.Listen, Members: m.Members, Key: m.Key, Dir: m.Dir, Wait: m.Wait,
-		Cold: g.config.Rules.ColdTime, Clock: g.clock, Logger: g.logger}
+		Cold: g.config.Rules.WarmupDuration, Clock: g.clock, Logger: g.logger}
 }
 
 // shedWith tells the fleet what this gateway is asked for and refuses, and the engine what the fleet sheds.
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -10,8 +10,8 @@
 
 func site(nodes, gateways int) Site {
 	s := Site{
-		Rules: rules.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, ColdTime: 20 * time.Second,
-			TipMultiple: 4, TipTime: time.Second, MaxRetryAfter: 2 * time.Second,
+		Rules: rules.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
+			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
 			Classes: []rules.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second}}},
 		Delay: time.Millisecond, Lag: time.Second, Arrivals: float64(nodes), Life: 30 * time.Second, Load: 0.03,
 		Rejoin: 200 * time.Millisecond, Slack: 50 * time.Millisecond,
@@ -81,7 +81,7 @@
 	}
 	deploy := func(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
 	if broken(func(s *Site) {
-		s.Rules.ColdTime = 0
+		s.Rules.WarmupDuration = 0
 		for i := range s.Nodes {
 			s.Nodes[i].TipMultiple = 1
 		}
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -40,9 +40,9 @@
 		fmt.Fprintf(b, "rules: %v\n", err)
 	} else {
 		fmt.Fprintf(b, "rules seed=%d gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
-			r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.Park, r.DrainGrace)
+			r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.FlowRetention, r.DrainGrace)
 		fmt.Fprintf(b, "rules cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t span=%s free=%g share=%g\n",
-			r.ColdTime, r.TipMultiple, r.TipTime, r.GoneIsAdvice, r.MaxRetryAfter, r.Reports, r.BudgetSpan, r.BudgetFree, r.BudgetShare)
+			r.WarmupDuration, r.ColdOverloadFactor, r.ColdOverloadDuration, r.RemovalIsAdvisory, r.MaxRetryAfter, r.CanPollLoad, r.RetryBudgetWindow, r.RetryBudgetMin, r.RetryBudgetRatio)
 		for _, k := range r.Classes {
 			fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
 				k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout, k.MessageLatencyObjective)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -46,15 +46,15 @@
 		Gateways:              int(d.integer("replicas_of_me")),
 		OverQuotaWeightFactor: d.float("over_share_worth"),
 		MaxAttempts:           int(d.integer("caps.max_attempts")),
-		Park:                  d.time("family_info.park_ns"),
+		FlowRetention:         d.time("family_info.park_ns"),
 		DrainGrace:            d.time("rules.stop_sending_within_ns"),
-		ColdTime:              d.time("rules.cold_ns"),
-		TipMultiple:           d.float("rules.tip_multiple"),
-		TipTime:               d.time("rules.fall_ns"),
-		GoneIsAdvice:          d.boolean("rules.gone_is_advice"),
-		BudgetSpan:            d.time("rules.ratio_span_ns"),
-		BudgetFree:            d.float("rules.extra_free"),
-		BudgetShare:           d.float("rules.budget_share"),
+		WarmupDuration:        d.time("rules.cold_ns"),
+		ColdOverloadFactor:    d.float("rules.tip_multiple"),
+		ColdOverloadDuration:  d.time("rules.fall_ns"),
+		RemovalIsAdvisory:     d.boolean("rules.gone_is_advice"),
+		RetryBudgetWindow:     d.time("rules.ratio_span_ns"),
+		RetryBudgetMin:        d.float("rules.extra_free"),
+		RetryBudgetRatio:      d.float("rules.budget_share"),
 	}
 	if d.boolean("caps.retry_after") {
 		s.MaxRetryAfter = d.time("caps.max_retry_after_ns")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -69,7 +69,7 @@
 		"tenants.count=2 tenants.0.name=t tenants.0.portion=0.5 tenants.1.name=u\nover_to_you\n")
 	want := &rules.Settings{
 		Seed: 9, Gateways: 3, MaxAttempts: 4, MaxRetryAfter: 2 * ms,
-		BudgetFree: 5, BudgetShare: 0.1, BudgetSpan: 5 * ms, GoneIsAdvice: true,
+		RetryBudgetMin: 5, RetryBudgetRatio: 0.1, RetryBudgetWindow: 5 * ms, RemovalIsAdvisory: true,
 		Classes: []rules.Class{
 			{Name: "a", Idempotency: rules.WithIdempotencyKey, DedupScope: rules.DedupScopeZone, DedupWindow: 5 * ms, PriorityWeight: 2, MessageLatencyObjective: ms},
 			{Name: "b", Idempotency: rules.NonIdempotent, DedupScope: rules.DedupScopeCell, MessageLatencyObjective: 2 * ms},
--- a/rules/api.go
+++ b/rules/api.go
@@ -53,19 +53,19 @@
 	OverQuotaWeightFactor float64 // part of its worth that traffic over a tenant's quota keeps; 0: all
 	MaxAttempts           int     // attempts for one request; 0 is taken as 1
 	// how long a server keeps a connection whose packets stopped; 0: not at all
-	Park       time.Duration
-	DrainGrace time.Duration // sends to a draining or gone server must stop within this
+	FlowRetention time.Duration
+	DrainGrace    time.Duration // sends to a draining or gone server must stop within this
 	// a fresh server can do all it ever can after this; 0: servers start warm
-	ColdTime     time.Duration
-	TipMultiple  float64       // sent over this multiple of what it can do, a cold server falls over
-	TipTime      time.Duration // when it lasts this long; 0 is taken as a second
-	GoneIsAdvice bool          // a server called gone may still be sent to; only draining binds
+	WarmupDuration       time.Duration
+	ColdOverloadFactor   float64       // sent over this multiple of what it can do, a cold server falls over
+	ColdOverloadDuration time.Duration // when it lasts this long; 0 is taken as a second
+	RemovalIsAdvisory    bool          // a server called gone may still be sent to; only draining binds
 	// over this, attempts beyond each request's first are rationed; 0: no rule
-	BudgetSpan    time.Duration
-	BudgetFree    float64       // with BudgetSpan: so many are allowed in any case
-	BudgetShare   float64       // with BudgetSpan: and so many for each request taken
-	MaxRetryAfter time.Duration // longest advice to stay away that a client follows; 0: none is given
-	Reports       bool          // servers may be asked for their load with Ask
+	RetryBudgetWindow time.Duration
+	RetryBudgetMin    float64       // with BudgetSpan: so many are allowed in any case
+	RetryBudgetRatio  float64       // with BudgetSpan: and so many for each request taken
+	MaxRetryAfter     time.Duration // longest advice to stay away that a client follows; 0: none is given
+	CanPollLoad       bool          // servers may be asked for their load with Ask
 }
 
 // ServerState is what the list says of a server.
--- a/rules/ask_test.go
+++ b/rules/ask_test.go
@@ -5,7 +5,7 @@
 // asking is a world whose gateway may ask servers for their load, with a client that has come.
 func asking(t *testing.T, n int) (*world, []Ask) {
 	set := settings()
-	set.Gateways, set.Reports = 300, true
+	set.Gateways, set.CanPollLoad = 300, true
 	w := newWorld(t, set, n)
 	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
 	asks := find[Ask](w.last)
--- a/rules/cold_test.go
+++ b/rules/cold_test.go
@@ -19,7 +19,7 @@
 	for _, gateways := range []int{3, 80, 300} {
 		for _, tip := range []time.Duration{sec, 2 * sec} {
 			set := settings()
-			set.Gateways, set.TipTime = gateways, tip
+			set.Gateways, set.ColdOverloadDuration = gateways, tip
 			sent, id := 0, RequestID(0)
 			w := newWorld(t, set, members-1)
 			w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
@@ -39,7 +39,7 @@
 					}
 				}
 			}
-			limit := set.TipMultiple * coldRoom / set.ColdTime.Seconds() * tip.Seconds()
+			limit := set.ColdOverloadFactor * coldRoom / set.WarmupDuration.Seconds() * tip.Seconds()
 			if mean := float64(sent) / bursts; mean > 1.2*limit || mean < 0.2*limit {
 				t.Errorf("%d gateways, %v: %.2f in a burst, the limit is %.2f", gateways, tip, mean, limit)
 			}
@@ -53,7 +53,7 @@
 func TestGroupsBurstTipsNoColdServer(t *testing.T) {
 	const members, bursts, bears, falls = 111, 200, 20, 15
 	set := settings()
-	set.Gateways, set.TipMultiple, set.ColdTime = 300, 4, 21*sec
+	set.Gateways, set.ColdOverloadFactor, set.WarmupDuration = 300, 4, 21*sec
 	w := newWorld(t, set, 80)
 	w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
 	w.b.refresh()
@@ -97,15 +97,15 @@
 	f := &coldFleet{t: t, set: settings(), sends: map[ServerID][]time.Duration{}}
 	gateways := rapid.SampledFrom([]int{3, 20, 30, 80, 300}).Draw(t, "gateways")
 	warm, cold := rapid.IntRange(8, 60).Draw(t, "warm"), rapid.IntRange(1, 8).Draw(t, "cold")
-	f.set.Gateways, f.set.Reports = gateways, false
-	f.set.TipMultiple = between(2, 6, "multiple")
-	f.set.ColdTime = time.Duration(between(10, 25, "cold time") * 1e9)
-	f.set.TipTime = time.Duration(between(1, 2, "tip time") * 1e9)
+	f.set.Gateways, f.set.CanPollLoad = gateways, false
+	f.set.ColdOverloadFactor = between(2, 6, "multiple")
+	f.set.WarmupDuration = time.Duration(between(10, 25, "cold time") * 1e9)
+	f.set.ColdOverloadDuration = time.Duration(between(1, 2, "tip time") * 1e9)
 	f.failures = between(0, 0.3, "turned away")
 	weight, each := between(0.5, 4, "weight"), between(1.5, 20, "allowed a second")
-	bears := each * f.set.ColdTime.Seconds() / f.set.TipMultiple / weight
-	f.n = max(each, coldRoom*f.set.TipMultiple/f.set.ColdTime.Seconds()) *
-		f.set.TipTime.Seconds()
+	bears := each * f.set.WarmupDuration.Seconds() / f.set.ColdOverloadFactor / weight
+	f.n = max(each, coldRoom*f.set.ColdOverloadFactor/f.set.WarmupDuration.Seconds()) *
+		f.set.ColdOverloadDuration.Seconds()
 	f.rnd = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	f.cold = ServerID(100 + warm)
 	before := List{Mode: Complete}
@@ -164,7 +164,7 @@
 	for _, at := range f.sends {
 		from := 0
 		for to := range at {
-			for at[to]-at[from] >= f.set.TipTime {
+			for at[to]-at[from] >= f.set.ColdOverloadDuration {
 				from++
 			}
 			most = max(most, to-from+1)
@@ -211,7 +211,7 @@
 		}
 		if limit := f.n + 2*math.Sqrt(f.n) + 2; float64(f.most()) > limit {
 			t.Fatalf("sent %d in %v, it falls at %.1f (N %.1f)",
-				f.most(), f.set.TipTime, limit, f.n)
+				f.most(), f.set.ColdOverloadDuration, limit, f.n)
 		}
 	})
 }
--- a/rules/daily_test.go
+++ b/rules/daily_test.go
@@ -77,7 +77,7 @@
 		every    time.Duration // between requests at one gateway
 	}{{48, 500 * ms}, {300, 500 * ms}, {300, 3 * sec}} {
 		set := settings()
-		set.Gateways, set.ColdTime = f.gateways, 2*sec
+		set.Gateways, set.WarmupDuration = f.gateways, 2*sec
 		const span, members = 10 * sec, 50
 		sent := 0
 		for g := range f.gateways {
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -220,18 +220,18 @@
 	figure := func(values ...float64) float64 { return values[rnd.IntN(len(values))] }
 	set := rules.Settings{
 		Seed: rnd.Uint64(), Gateways: []int{0, 1, 2, 3, 10, 80, 300}[rnd.IntN(7)],
-		MaxAttempts: []int{0, 2, 3, 5}[rnd.IntN(4)],
-		Park:        pick(0, 2*time.Second, 10*time.Second, 11*time.Minute),
-		DrainGrace:  pick(0, 500*time.Millisecond, 2*time.Second),
-		ColdTime:    pick(0, 3*time.Second, 8*time.Second, 20*time.Second),
-		TipMultiple: figure(0, 2, 4.5), TipTime: pick(0, 2*time.Second),
-		GoneIsAdvice: s.oneIn(2), MaxRetryAfter: pick(0, time.Second, 3*time.Second),
-		Reports:               s.oneIn(2),
+		MaxAttempts:        []int{0, 2, 3, 5}[rnd.IntN(4)],
+		FlowRetention:      pick(0, 2*time.Second, 10*time.Second, 11*time.Minute),
+		DrainGrace:         pick(0, 500*time.Millisecond, 2*time.Second),
+		WarmupDuration:     pick(0, 3*time.Second, 8*time.Second, 20*time.Second),
+		ColdOverloadFactor: figure(0, 2, 4.5), ColdOverloadDuration: pick(0, 2*time.Second),
+		RemovalIsAdvisory: s.oneIn(2), MaxRetryAfter: pick(0, time.Second, 3*time.Second),
+		CanPollLoad:           s.oneIn(2),
 		OverQuotaWeightFactor: figure(0, 0.2, 0.7),
 	}
 	if s.oneIn(2) {
-		set.BudgetSpan = pick(time.Second, 5*time.Second)
-		set.BudgetFree, set.BudgetShare = figure(0, 3, 8), figure(0.05, 0.1, 0.6)
+		set.RetryBudgetWindow = pick(time.Second, 5*time.Second)
+		set.RetryBudgetMin, set.RetryBudgetRatio = figure(0, 3, 8), figure(0.05, 0.1, 0.6)
 	}
 	set.Classes = []rules.Class{
 		{Name: "idempotent", Idempotency: rules.Idempotent, PriorityWeight: figure(0, 1, 3),
@@ -585,7 +585,7 @@
 			s.coverage["retry after an attempt that may have run"]++
 		}
 	}
-	if h.Started > 0 && s.now-h.Started < s.settings.ColdTime {
+	if h.Started > 0 && s.now-h.Started < s.settings.WarmupDuration {
 		s.coverage["send to a server that is warming up"]++
 	}
 	if a.Begin == 0 {
@@ -885,7 +885,7 @@
 // still be sent some.
 func (s *stream) midFlowAfter(h *host) {
 	s.sendRequest(s.drawRequest()) // the table is filled by the next placement
-	times := []time.Duration{s.settings.Park}
+	times := []time.Duration{s.settings.FlowRetention}
 	for range 3 {
 		times = append(times, s.upTo(s.settings.DrainGrace+100*time.Millisecond))
 	}
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -64,14 +64,14 @@
 	set := Settings{
 		Gateways: rapid.SampledFrom([]int{0, 1, 3, 80, 300}).Draw(t, "gateways"),
 		Seed:     rapid.Uint64().Draw(t, "seed"), MaxAttempts: rapid.IntRange(0, 6).Draw(t, "attempts"),
-		Park: span("park", 10*sec), DrainGrace: span("grace", sec),
-		ColdTime:    span("cold", 30*sec),
-		TipMultiple: figure("multiple", 8), TipTime: span("tip", 3*sec),
-		MaxRetryAfter: span("retry after", 4*sec),
-		BudgetSpan:    span("budget", 20*sec), BudgetFree: figure("free", 20),
-		BudgetShare:           figure("share", 1),
-		OverQuotaWeightFactor: figure("over share", 1), Reports: rapid.Bool().Draw(t, "reports"),
-		GoneIsAdvice: rapid.Bool().Draw(t, "advice"),
+		FlowRetention: span("park", 10*sec), DrainGrace: span("grace", sec),
+		WarmupDuration:     span("cold", 30*sec),
+		ColdOverloadFactor: figure("multiple", 8), ColdOverloadDuration: span("tip", 3*sec),
+		MaxRetryAfter:     span("retry after", 4*sec),
+		RetryBudgetWindow: span("budget", 20*sec), RetryBudgetMin: figure("free", 20),
+		RetryBudgetRatio:      figure("share", 1),
+		OverQuotaWeightFactor: figure("over share", 1), CanPollLoad: rapid.Bool().Draw(t, "reports"),
+		RemovalIsAdvisory: rapid.Bool().Draw(t, "advice"),
 	}
 	for i := range rapid.IntRange(0, 5).Draw(t, "classes") {
 		set.Classes = append(set.Classes, Class{
--- a/rules/move_test.go
+++ b/rules/move_test.go
@@ -8,7 +8,7 @@
 // slowOf is a gateway of many whose one connection, of a group, is at a server that reports too much load.
 func slowOf(t *testing.T, group, key string) (*world, RequestID, ServerID) {
 	set := settings()
-	set.Gateways, set.Reports = 300, true
+	set.Gateways, set.CanPollLoad = 300, true
 	w := newWorld(t, set, 8)
 	w.feed(Request{ID: 1, Class: "safe", Group: group, Key: key, Timeout: 2 * sec})
 	at := find[Ask](w.last)[0].Server
--- a/rules/near_test.go
+++ b/rules/near_test.go
@@ -11,7 +11,7 @@
 	t *testing.T, group string, members int, load func(server, member int) float64,
 ) (servers, refused int) {
 	set := settings()
-	set.Gateways, set.Reports = 300, true
+	set.Gateways, set.CanPollLoad = 300, true
 	over := map[ServerID]bool{}
 	for n := range members {
 		w := newWorld(t, set, 80)
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -48,21 +48,21 @@
 func (l *ledger) check(t *testing.T, now time.Duration, set *Settings) {
 	t.Helper()
 	l.further = append(l.further, now)
-	if set.BudgetSpan == 0 {
+	if set.RetryBudgetWindow == 0 {
 		return
 	}
 	taken, further := 0, 0
 	for _, at := range l.taken {
-		if at > now-set.BudgetSpan {
+		if at > now-set.RetryBudgetWindow {
 			taken++
 		}
 	}
 	for _, at := range l.further {
-		if at >= now-set.BudgetSpan {
+		if at >= now-set.RetryBudgetWindow {
 			further++
 		}
 	}
-	if allowed := set.BudgetFree + set.BudgetShare*float64(taken); float64(further) > allowed {
+	if allowed := set.RetryBudgetMin + set.RetryBudgetRatio*float64(taken); float64(further) > allowed {
 		t.Fatalf("%v: %d further attempts, %v are allowed for %d requests", now, further, allowed, taken)
 	}
 }
@@ -110,7 +110,7 @@
 			d.t.Fatalf("a send to server %d, which no list named", a.Server)
 		}
 		bound := s.State != Ready
-		if d.set.GoneIsAdvice {
+		if d.set.RemovalIsAdvisory {
 			bound = d.drained[a.Server]
 		}
 		if bound && d.now-d.told[a.Server] > d.set.DrainGrace {
@@ -134,7 +134,7 @@
 			d.ledger.check(d.t, d.now, &d.set)
 		}
 		if age := d.now - s.Started; s.Started > 0 &&
-			age < d.set.ColdTime && s.State == Ready && !f.Stray {
+			age < d.set.WarmupDuration && s.State == Ready && !f.Stray {
 			d.cold[a.Server] = append(d.cold[a.Server], d.now)
 			d.checkCold(a.Server, age)
 		}
@@ -183,7 +183,7 @@
 		most = max(most, len(s.open))
 	}
 	full := max(float64(most*d.set.Gateways)*4, coldRoom*float64(d.set.Gateways))
-	allowed := d.set.TipMultiple * full * tipTime.Seconds() / d.set.ColdTime.Seconds() /
+	allowed := d.set.ColdOverloadFactor * full * tipTime.Seconds() / d.set.WarmupDuration.Seconds() /
 		float64(d.set.Gateways)
 	if float64(n) > allowed+3 { // under one connection chance decides; another test holds the sum
 		d.t.Fatalf("%d connections in %v to server %d, %v old; %.1f allowed",
@@ -278,7 +278,7 @@
 	} else {
 		s.Started = d.list[id].Started
 	}
-	if d.set.GoneIsAdvice {
+	if d.set.RemovalIsAdvisory {
 		if s.Started > d.list[id].Started {
 			d.drained[id] = false
 		}
@@ -296,14 +296,14 @@
 	set := settings()
 	set.MaxRetryAfter = sec
 	set.Seed = seed
-	set.GoneIsAdvice = seed%3 == 0
+	set.RemovalIsAdvisory = seed%3 == 0
 	switch seed % 4 { // one with none, some free alone, a share alone, both
 	case 1:
-		set.BudgetSpan, set.BudgetFree = 2*sec, 3
+		set.RetryBudgetWindow, set.RetryBudgetMin = 2*sec, 3
 	case 2:
-		set.BudgetSpan, set.BudgetShare = 700*ms, 0.15
+		set.RetryBudgetWindow, set.RetryBudgetRatio = 700*ms, 0.15
 	case 3:
-		set.BudgetSpan, set.BudgetFree, set.BudgetShare = 3*sec, 2, 0.05
+		set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetRatio = 3*sec, 2, 0.05
 	}
 	d := &drill{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 7)), set: set, b: mustNew(t, set), now: 50 * sec,
@@ -345,7 +345,7 @@
 	for seed := range uint64(12) {
 		rnd := rand.New(rand.NewPCG(seed, 5))
 		set := settings()
-		set.GoneIsAdvice = seed%2 == 0
+		set.RemovalIsAdvisory = seed%2 == 0
 		var gateways []*Balancer
 		for i := range uint64(3) {
 			set.Seed = seed*10 + i
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -161,7 +161,7 @@
 // change when the true one comes. It costs an attempt where a server is gone and no connection told of it. A
 // drain binds until a new start, whatever an old list says later.
 func (b *Balancer) setState(s *server, state ServerState) {
-	if b.set.GoneIsAdvice {
+	if b.set.RemovalIsAdvisory {
 		switch {
 		case s.drained && state == Ready:
 			return
@@ -172,7 +172,7 @@
 			return
 		}
 	}
-	if state != Ready && s.State == Ready || b.set.GoneIsAdvice && state == Draining && !s.drained {
+	if state != Ready && s.State == Ready || b.set.RemovalIsAdvisory && state == Draining && !s.drained {
 		s.told = b.now
 	}
 	s.drained = s.drained && state != Ready || state == Draining
@@ -206,8 +206,8 @@
 	if slices.Equal(shares, b.shares) {
 		return // nothing that the table depends on has changed
 	}
-	if b.table != nil && b.set.Park > 0 {
-		b.past = append(b.past, pastTable{b.table, b.members, b.now + b.set.Park})
+	if b.table != nil && b.set.FlowRetention > 0 {
+		b.past = append(b.past, pastTable{b.table, b.members, b.now + b.set.FlowRetention})
 		if len(b.past) > maxPast {
 			b.past = slices.Delete(b.past, 0, len(b.past)-maxPast)
 		}
@@ -219,10 +219,10 @@
 
 // coldAge is how much of its warm-up a server has behind it: 1 is warm.
 func (b *Balancer) coldAge(s *server) float64 {
-	if s.Started <= 0 || b.now-s.Started >= b.set.ColdTime {
+	if s.Started <= 0 || b.now-s.Started >= b.set.WarmupDuration {
 		return 1
 	}
-	return max(float64(b.now-s.Started)/float64(b.set.ColdTime), 0)
+	return max(float64(b.now-s.Started)/float64(b.set.WarmupDuration), 0)
 }
 
 // admitCold reports whether a cold server's budget allows one more connection. It guards against gateways
@@ -231,13 +231,13 @@
 // to it however many gateways there are and however seldom each comes by. It could hurt where much of the
 // fleet is cold and little else has room.
 func (b *Balancer) admitCold(r *request, s *server) bool {
-	rate := coldSafety * max(b.set.TipMultiple, 1) * b.fullConnections(s) /
-		b.set.ColdTime.Seconds() / float64(b.set.Gateways)
+	rate := coldSafety * max(b.set.ColdOverloadFactor, 1) * b.fullConnections(s) /
+		b.set.WarmupDuration.Seconds() / float64(b.set.Gateways)
 	share := max(lookupsNear*s.Capacity/b.weight, coldGroup) // more where one group is most of all
 	tries := max(b.arrivals()*share, s.coldTried.value(b.now)*math.Ln2/evidenceHalf.Seconds())
 	s.coldTried.add(b.now, 1)
 	// in a burst the rate is learned too late
-	apart := min(coldApart/rate, b.set.TipTime.Seconds())
+	apart := min(coldApart/rate, b.set.ColdOverloadDuration.Seconds())
 	if (b.now-s.coldAt).Seconds() < apart || fraction(mix(uint64(r.ID), uint64(s.ID))) >= rate/tries {
 		return false
 	}
@@ -249,7 +249,7 @@
 // each gateway has one request and knows of no other, spend no more than a cold server bears in TipTime.
 func (b *Balancer) arrivals() float64 {
 	span := evidenceHalf.Seconds() / math.Ln2
-	more := max(coldSafety*span/b.set.TipTime.Seconds()-1, 0)
+	more := max(coldSafety*span/b.set.ColdOverloadDuration.Seconds()-1, 0)
 	age := max(b.now-b.began, evidenceHalf/30)
 	seen := 1 - math.Exp2(-float64(age)/float64(evidenceHalf)) // of the span, by a young process
 	came := b.came.value(b.now)
@@ -326,8 +326,8 @@
 
 // budget is that of further attempts: the stated one, but for a share above the module's own, or its own.
 func (b *Balancer) budget() (span time.Duration, free, share float64) {
-	if b.set.BudgetSpan > 0 {
-		return b.set.BudgetSpan, b.set.BudgetFree, min(b.set.BudgetShare, retryShare)
+	if b.set.RetryBudgetWindow > 0 {
+		return b.set.RetryBudgetWindow, b.set.RetryBudgetMin, min(b.set.RetryBudgetRatio, retryShare)
 	}
 	return retrySpan, retryFree, retryShare
 }
@@ -389,7 +389,7 @@
 
 // unknown reports whether nothing is known of a server's load, and it is to be asked before it is sent to.
 func (b *Balancer) unknown(s *server) bool {
-	return b.set.Reports && s.ejected == 0 && b.coldAge(s) == 1 && !b.toldOf(s) &&
+	return b.set.CanPollLoad && s.ejected == 0 && b.coldAge(s) == 1 && !b.toldOf(s) &&
 		(s.askedAt == 0 || b.now-s.askedAt > reportFor)
 }
 
@@ -397,7 +397,7 @@
 // where all that were are full: a refusal was measured to cost more.
 func (b *Balancer) strain(s *server) float64 {
 	switch load := b.loadWith(s); {
-	case !b.set.Reports || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= reportRoom:
+	case !b.set.CanPollLoad || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= reportRoom:
 		return 0
 	case b.toldOf(s):
 		return load
@@ -761,7 +761,7 @@
 // limit. One that holds nothing from here takes one in any case, as nothing more is heard of it otherwise and
 // a limit that no new group fits in would keep it out for minutes where connections are few.
 func (b *Balancer) hasRoom(s *server, load, part float64) bool {
-	if b.set.Reports && b.toldOf(s) {
+	if b.set.CanPollLoad && b.toldOf(s) {
 		return b.loadWith(s) <= reportMost
 	}
 	return s.limit == 0 || b.now >= s.pausedUntil &&
@@ -905,7 +905,7 @@
 func (b *Balancer) room() float64 {
 	free, all := 0.0, 0.0
 	for _, s := range b.members {
-		if b.set.Reports && !b.toldOf(s) {
+		if b.set.CanPollLoad && !b.toldOf(s) {
 			continue
 		}
 		all += s.Capacity
@@ -921,7 +921,7 @@
 func (b *Balancer) sound() {
 	b.refresh()
 	s := b.members[int(b.rand()*float64(len(b.members)))]
-	if b.set.Reports && b.soundAt < b.now && !b.toldOf(s) && b.now-s.askedAt > reportFor {
+	if b.set.CanPollLoad && b.soundAt < b.now && !b.toldOf(s) && b.now-s.askedAt > reportFor {
 		b.soundAt, s.askedAt = b.now, b.now
 		b.act(Ask{Server: s.ID})
 	}
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -17,8 +17,8 @@
 
 func settings() Settings {
 	return Settings{
-		Gateways: 2, MaxAttempts: 3, Park: 5 * sec, DrainGrace: 500 * ms,
-		ColdTime: 20 * sec, TipMultiple: 3,
+		Gateways: 2, MaxAttempts: 3, FlowRetention: 5 * sec, DrainGrace: 500 * ms,
+		WarmupDuration: 20 * sec, ColdOverloadFactor: 3,
 		Classes: []Class{
 			{Name: "safe", Idempotency: Idempotent,
 				SetupLatencyObjective: 500 * ms, Timeout: 2 * sec,
@@ -594,7 +594,7 @@
 func TestColdServerHasABudgetAtAnyNumberOfGateways(t *testing.T) {
 	for _, gateways := range []int{1, 4, 235} {
 		set := settings()
-		set.Gateways, set.TipTime = gateways, 2*sec
+		set.Gateways, set.ColdOverloadDuration = gateways, 2*sec
 		var worlds []*world
 		for range gateways {
 			worlds = append(worlds, newWorld(t, set, 8))
@@ -732,10 +732,10 @@
 		"negative time":  func(s *Settings) { s.DrainGrace = -1 },
 		"class twice":    func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
 		"negative worth": func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
-		"BudgetFree":     func(s *Settings) { s.BudgetFree = -1 },
-		"BudgetShare":    func(s *Settings) { s.BudgetShare = math.NaN() },
-		"BudgetSpan":     func(s *Settings) { s.BudgetSpan = -sec },
-		"TipMultiple":    func(s *Settings) { s.TipMultiple = math.Inf(1) },
+		"BudgetFree":     func(s *Settings) { s.RetryBudgetMin = -1 },
+		"BudgetShare":    func(s *Settings) { s.RetryBudgetRatio = math.NaN() },
+		"BudgetSpan":     func(s *Settings) { s.RetryBudgetWindow = -sec },
+		"TipMultiple":    func(s *Settings) { s.ColdOverloadFactor = math.Inf(1) },
 	} {
 		set := settings()
 		spoil(&set)
@@ -904,7 +904,7 @@
 	for _, budget := range []struct{ free, share float64 }{{5, 0}, {0, 0.1}, {5, 0.1}, {2.5, 0.02}, {0, 0}} {
 		set := settings()
 		set.MaxAttempts = 6
-		set.BudgetSpan, set.BudgetFree, set.BudgetShare = 5*sec, budget.free, budget.share
+		set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetRatio = 5*sec, budget.free, budget.share
 		w, l := newWorld(t, set, 40), ledger{}
 		rnd := rand.New(rand.NewPCG(3, 9))
 		for range 4000 {
@@ -929,7 +929,7 @@
 					Settled: result == OK})
 			}
 		}
-		spans := float64(w.now-100*sec) / float64(set.BudgetSpan)
+		spans := float64(w.now-100*sec) / float64(set.RetryBudgetWindow)
 		least := (spans*budget.free + 4000*budget.share) / 4
 		if got := float64(len(l.further)); got < least {
 			t.Errorf("%+v: %v further attempts, %.0f at least were wanted", budget, got, least)
@@ -972,7 +972,7 @@
 
 func adviceOnly() Settings {
 	set := settings()
-	set.GoneIsAdvice = true
+	set.RemovalIsAdvisory = true
 	return set
 }
 
@@ -1032,7 +1032,7 @@
 		w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, State: Gone}}})
 		for i := range 60 {
 			if w.request("safe", fmt.Sprint("g", i)); w.sent().Server == 900 {
-				t.Fatalf("gone is advice: %v: sent to it", set.GoneIsAdvice)
+				t.Fatalf("gone is advice: %v: sent to it", set.RemovalIsAdvisory)
 			}
 		}
 		w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, State: Ready}}})
@@ -1107,7 +1107,7 @@
 func TestGoneServersAreForgotten(t *testing.T) {
 	for _, advice := range []bool{false, true} {
 		set := settings()
-		set.GoneIsAdvice = advice
+		set.RemovalIsAdvisory = advice
 		w := newWorld(t, set, 0)
 		most := 0
 		for round := range 300 {
--- a/rules/shed_test.go
+++ b/rules/shed_test.go
@@ -10,7 +10,7 @@
 // What is shed since warm servers are slow may still go to a cold one within its budget, and to no warm one.
 func TestShedRequestsMayFillColdServers(t *testing.T) {
 	set := settings()
-	set.Gateways, set.ColdTime = 300, sec/100
+	set.Gateways, set.WarmupDuration = 300, sec/100
 	w := newWorld(t, set, 4)
 	w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 4}}})
 	w.b.pressure = 1
@@ -36,7 +36,7 @@
 // A connection that passes through is sent to its key's entry at once: no report tells who holds it.
 func TestStrayIsNotHeldForReports(t *testing.T) {
 	set := settings()
-	set.Gateways, set.Reports = 300, true
+	set.Gateways, set.CanPollLoad = 300, true
 	w := newWorld(t, set, 8)
 	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec, Stray: true})
 	w.b.refresh()
@@ -54,7 +54,7 @@
 	if got := w.b.room(); got != 1 {
 		t.Errorf("room is %v where all have room", got)
 	}
-	set.Reports = true
+	set.CanPollLoad = true
 	w = newWorld(t, set, 4)
 	w.b.refresh()
 	for i, load := range []float64{0.2, 1.5} {
--- a/rules/state.go
+++ b/rules/state.go
@@ -228,18 +228,18 @@
 	}
 	b.set.Gateways = max(set.Gateways, 1)
 	b.set.MaxAttempts = max(set.MaxAttempts, 1)
-	if set.TipTime == 0 {
-		b.set.TipTime = time.Second
+	if set.ColdOverloadDuration == 0 {
+		b.set.ColdOverloadDuration = time.Second
 	}
 	for _, f := range []struct {
 		name  string
 		value float64
 	}{
-		{"Park", float64(set.Park)}, {"DrainGrace", float64(set.DrainGrace)},
-		{"ColdTime", float64(set.ColdTime)}, {"TipTime", float64(set.TipTime)},
-		{"TipMultiple", set.TipMultiple}, {"MaxRetryAfter", float64(set.MaxRetryAfter)},
-		{"BudgetSpan", float64(set.BudgetSpan)}, {"BudgetFree", set.BudgetFree},
-		{"BudgetShare", set.BudgetShare}, {"OverShareWorth", set.OverQuotaWeightFactor},
+		{"Park", float64(set.FlowRetention)}, {"DrainGrace", float64(set.DrainGrace)},
+		{"ColdTime", float64(set.WarmupDuration)}, {"TipTime", float64(set.ColdOverloadDuration)},
+		{"TipMultiple", set.ColdOverloadFactor}, {"MaxRetryAfter", float64(set.MaxRetryAfter)},
+		{"BudgetSpan", float64(set.RetryBudgetWindow)}, {"BudgetFree", set.RetryBudgetMin},
+		{"BudgetShare", set.RetryBudgetRatio}, {"OverShareWorth", set.OverQuotaWeightFactor},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
 			return nil, fmt.Errorf("rules: %s is %v, not a figure of 0 or more", f.name, f.value)
@@ -488,7 +488,7 @@
 		if s.doubted > 0 && len(s.open) == 0 && b.now-s.doubted > forgetAfter {
 			b.confirmGone(s)
 		}
-		old := s.State == Gone && len(s.open) == 0 && b.now-s.told > max(forgetAfter, b.set.Park)
+		old := s.State == Gone && len(s.open) == 0 && b.now-s.told > max(forgetAfter, b.set.FlowRetention)
 		if old {
 			delete(b.servers, s.ID)
 		}
