--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -106,7 +106,7 @@
 		if t, ok := ev.Rules.(rules.Timer); ok && t.Ref == refAsk {
 			return wire.AppendWatch(reply, ev.Instance)
 		}
-		if l, ok := ev.Rules.(rules.List); ok && l.Mode != rules.Stored && i.list != nil {
+		if l, ok := ev.Rules.(rules.EndpointList); ok && l.Mode != rules.ListCached && i.list != nil {
 			// The simulator goes on with a watch by itself: what comes is taken note of, and no call follows.
 			i.list.Handle(batch.Now, listclock.Answered{Whole: true})
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -184,7 +184,7 @@
 	if said != "" {
 		g.logger.Info("weights", "by", said)
 	}
-	if l.Mode != rules.Changes || len(l.Servers) > 0 {
+	if l.Mode != rules.ListDelta || len(l.Servers) > 0 {
 		g.engine.Post(l)
 	}
 	at, ok := g.follow.Again()
@@ -295,9 +295,9 @@
 		}
 	}
 	// The rules start with the list as last held; a newer one is asked for meanwhile.
-	stored := engine.List{Mode: rules.Stored}
+	stored := engine.List{Mode: rules.ListCached}
 	if g.config.Known != nil {
-		stored = g.config.Known.List(rules.Stored)
+		stored = g.config.Known.List(rules.ListCached)
 	}
 	// Before any client: no server is used that staff took out, and what the process before knows is known.
 	g.bans.Look()
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -69,7 +69,7 @@
 			}
 			l := stored
 			if hint != nil {
-				l = hint.List(rules.Stored)
+				l = hint.List(rules.ListCached)
 			}
 			g.post(l)
 		})
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -262,21 +262,21 @@
 
 // Listed takes note of a list that discovery has told, before the engine hears of it.
 func (c *Cluster) Listed(l engine.List) {
-	if l.Mode != rules.Complete && l.Mode != rules.Changes {
+	if l.Mode != rules.ListComplete && l.Mode != rules.ListDelta {
 		return
 	}
 	c.mu.Lock()
-	if l.Mode == rules.Complete {
+	if l.Mode == rules.ListComplete {
 		c.servers = map[string]discovery.Member{}
 	}
 	for _, s := range l.Servers {
-		if s.State == rules.Gone {
+		if s.State == rules.Removed {
 			delete(c.servers, s.Name)
 		} else {
 			c.servers[s.Name] = discovery.MembersOf(0, []engine.Server{s}).Servers[0]
 		}
 	}
-	changed := l.Mode == rules.Complete || len(l.Servers) > 0
+	changed := l.Mode == rules.ListComplete || len(l.Servers) > 0
 	if l.Version > 0 {
 		c.version = l.Version
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -92,7 +92,7 @@
 }
 
 func list(version int64, n int) engine.List {
-	l := engine.List{Mode: rules.Complete, Version: version}
+	l := engine.List{Mode: rules.ListComplete, Version: version}
 	for i := range n {
 		id := fmt.Sprintf("s-%08x", i+1)
 		l.Servers = append(l.Servers, engine.Server{Name: id, Addr: fmt.Sprintf("10.0.0.%d:5000", i%250), Server: rules.Server{ID: discovery.NumberOf(id), Zone: "oviedo", Capacity: 1.5}})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -141,9 +141,9 @@
 		w.overdue = false
 		w.logger.Info("list told again", "addr", w.asked, "version", m.Version)
 	}
-	mode := rules.Changes
+	mode := rules.ListDelta
 	if m.Full {
-		mode = rules.Complete
+		mode = rules.ListComplete
 	}
 	if m.Full || len(m.Servers) > 0 {
 		w.logger.Info("list", "version", m.Version, "full", m.Full, "servers", len(m.Servers))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -81,7 +81,7 @@
 				if c.taken {
 					want = 1
 				}
-				if l := <-p.told; l.Mode != rules.Complete || len(l.Servers) != want {
+				if l := <-p.told; l.Mode != rules.ListComplete || len(l.Servers) != want {
 					t.Errorf("told %+v, want %d servers", l, want)
 				}
 			})
@@ -110,12 +110,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := m.List(rules.Changes)
+	l := m.List(rules.ListDelta)
 	first := rules.Server{ID: 1, Zone: "a", Cell: 3, State: rules.Draining, Capacity: 1.5, Started: 1700000000123 * time.Millisecond}
 	if l.Servers[0].Server != first || l.Servers[0].Name != "s-00000001" || l.Servers[0].Addr != "127.0.0.1:1" {
 		t.Errorf("read as %+v", l.Servers[0])
 	}
-	for i, want := range []rules.ServerState{rules.Draining, rules.Gone, rules.Ready, rules.Draining} {
+	for i, want := range []rules.ServerState{rules.Draining, rules.Removed, rules.Ready, rules.Draining} {
 		if got := l.Servers[i].State; got != want {
 			t.Errorf("server %d is in state %d, want %d", i, got, want)
 		}
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -59,11 +59,11 @@
 func writeList(w io.Writer, l engine.List) {
 	mode := "other"
 	switch l.Mode {
-	case rules.Changes:
+	case rules.ListDelta:
 		mode = "changes"
-	case rules.Complete:
+	case rules.ListComplete:
 		mode = "complete"
-	case rules.Stored:
+	case rules.ListCached:
 		mode = "stored"
 	}
 	fmt.Fprintf(w, "list mode=%s version=%d servers=%d\n", mode, l.Version, len(l.Servers))
@@ -74,11 +74,11 @@
 			state = "ready"
 		case rules.Draining:
 			state = "draining"
-		case rules.Gone:
+		case rules.Removed:
 			state = "gone"
 		}
 		fmt.Fprintf(w, "server name=%q addr=%q id=%d zone=%q cell=%d state=%s capacity=%g started=%d clear=%t\n",
-			s.Name, s.Addr, uint64(s.ID), s.Zone, s.Cell, state, s.Capacity, int64(s.Started), s.Clear)
+			s.Name, s.Addr, uint64(s.ID), s.Zone, s.Cell, state, s.Capacity, int64(s.Started), s.Evacuate)
 	}
 }
 
@@ -142,7 +142,7 @@
 				s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMS)
 		}
 		encode(t, &got, m)
-		writeList(&got, m.List(rules.Complete))
+		writeList(&got, m.List(rules.ListComplete))
 		got.WriteByte('\n')
 	}
 	checkGolden(t, "decoded.txt", got.Bytes())
@@ -164,9 +164,9 @@
 	encode(t, &got, MembersOf(0, nil))
 	encode(t, &got, MembersOf(77, []engine.Server{
 		{Name: "s-5be2a07c", Addr: "10.1.2.3:7000", Server: rules.Server{ID: 1, Zone: "a", Cell: 3, State: rules.Ready,
-			Capacity: 1.5, Started: 1700000000123*time.Millisecond + 999*time.Microsecond, Clear: true}},
+			Capacity: 1.5, Started: 1700000000123*time.Millisecond + 999*time.Microsecond, Evacuate: true}},
 		{Name: "b", Server: rules.Server{State: rules.Draining}},
-		{Name: "c", Server: rules.Server{State: rules.Gone, Cell: -1, Capacity: -2, Started: -1}},
+		{Name: "c", Server: rules.Server{State: rules.Removed, Cell: -1, Capacity: -2, Started: -1}},
 	}))
 	checkGolden(t, "encoded.txt", got.Bytes())
 }
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -81,7 +81,7 @@
 		case "in_service":
 			state = rules.Ready
 		case "terminated":
-			state = rules.Gone
+			state = rules.Removed
 		}
 		l.Servers = append(l.Servers, engine.Server{Name: s.ID, Addr: s.Addr, Server: rules.Server{
 			ID: NumberOf(s.ID), Zone: s.Zone, Cell: s.Cell, State: state, Capacity: s.Weight,
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -285,7 +285,7 @@
 			}
 			p.start(&Members{Version: 9, Servers: []Member{{ID: "s-00000001"}}})
 			l := <-p.told
-			if l.Mode != rules.Complete || l.Servers[0].Name != "s-00000003" {
+			if l.Mode != rules.ListComplete || l.Servers[0].Name != "s-00000003" {
 				t.Errorf("pushed %v: told %+v", pushed, l)
 			}
 		})
--- a/internal/engine/ask_test.go
+++ b/internal/engine/ask_test.go
@@ -77,7 +77,7 @@
 	w.tell(Leaving{Request: l.a.Request})
 	w.expect("leaves m")
 	entry := func(started time.Duration) List {
-		return List{Mode: rules.Changes, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
+		return List{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
 			Server: rules.Server{ID: l.a.Server, Started: started}}}}
 	}
 	w.tell(entry(0)) // the list is late: it still calls it ready
@@ -95,7 +95,7 @@
 }
 
 func TestMoversAreToldOfTheListsWord(t *testing.T) {
-	for _, state := range []rules.ServerState{rules.Draining, rules.Gone} {
+	for _, state := range []rules.ServerState{rules.Draining, rules.Removed} {
 		w := newWorld(t, 2, nil)
 		m := &mover{fakeClient{w: w, name: "m"}}
 		w.tell(Accepted{Client: m})
@@ -103,7 +103,7 @@
 		l := w.link
 		w.wentUp(l)
 		w.did = nil
-		w.tell(List{Mode: rules.Changes, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
+		w.tell(List{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
 			Server: rules.Server{ID: l.a.Server, State: state}}}})
 		if n := len(w.did); n == 0 || w.did[n-1] != "leaves m" {
 			t.Errorf("state %d: did %q", state, w.did)
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -24,7 +24,7 @@
 }
 
 func (w *world) entry(id rules.ServerID, state rules.ServerState, started time.Duration) {
-	w.tell(List{Mode: rules.Changes, Servers: []Server{{Name: fmt.Sprint("s", id), Addr: fmt.Sprint("a", id),
+	w.tell(List{Mode: rules.ListDelta, Servers: []Server{{Name: fmt.Sprint("s", id), Addr: fmt.Sprint("a", id),
 		Server: rules.Server{ID: id, State: state, Started: started}}}})
 }
 
@@ -49,8 +49,8 @@
 		"ready":      func() { w.entry(2, rules.Ready, 0) },
 		"drained":    func() { w.entry(2, rules.Draining, 0) },
 		"restarted":  func() { w.entry(2, rules.Ready, w.now) },
-		"gone":       func() { w.entry(2, rules.Gone, 0) },
-		"back":       func() { w.entry(2, rules.Gone, 0); w.entry(2, rules.Ready, w.now) },
+		"gone":       func() { w.entry(2, rules.Removed, 0) },
+		"back":       func() { w.entry(2, rules.Removed, 0); w.entry(2, rules.Ready, w.now) },
 		"called out": func() { w.ban("s2", true) },
 	} {
 		news()
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -102,7 +102,7 @@
 
 func (s *simulation) drawServers() {
 	for i := range serversDrawn {
-		s.servers = append(s.servers, listedServer{id: i + 1, state: rules.Gone})
+		s.servers = append(s.servers, listedServer{id: i + 1, state: rules.Removed})
 		if i < 1+s.random.IntN(serversDrawn) {
 			s.servers[i].state = rules.Ready
 		}
@@ -184,7 +184,7 @@
 	s.engine.Start(s.now)
 	s.step("start")
 	if s.isListed && !s.oneIn(4) {
-		s.list(rules.Stored)
+		s.list(rules.ListCached)
 	}
 	stopAt := stepsPerSeed - 1 - s.random.IntN(stepsPerSeed/3)
 	stopsWithArrivals := s.oneIn(2)
@@ -240,7 +240,7 @@
 		{5, s.answered},
 		{3, func() { s.report(rules.ServerID(1 + s.random.IntN(serversDrawn+1))) }},
 		{6, s.changeServer},
-		{2, func() { s.list(pick(s, rules.Complete, rules.Complete, rules.Stored)) }},
+		{2, func() { s.list(pick(s, rules.ListComplete, rules.ListComplete, rules.ListCached)) }},
 		{2, s.tell},
 		{3, s.inherit},
 		{3, s.ban},
@@ -555,7 +555,7 @@
 	event := engine.List{Mode: mode, Version: int64(s.random.IntN(50))}
 	if !s.oneIn(8) {
 		for _, l := range s.servers {
-			if l.state != rules.Gone && !s.oneIn(10) || l.state == rules.Gone && s.oneIn(4) {
+			if l.state != rules.Removed && !s.oneIn(10) || l.state == rules.Removed && s.oneIn(4) {
 				event.Servers = append(event.Servers, s.entry(l))
 			}
 		}
@@ -571,7 +571,7 @@
 
 // changeServer changes one or two servers and lists what has changed.
 func (s *simulation) changeServer() {
-	event := engine.List{Mode: rules.Changes}
+	event := engine.List{Mode: rules.ListDelta}
 	for range 1 + s.random.IntN(2) {
 		l := &s.servers[s.random.IntN(serversDrawn)]
 		switch s.random.IntN(6) {
@@ -580,7 +580,7 @@
 		case 3:
 			l.state = rules.Draining
 		case 4:
-			l.state = rules.Gone
+			l.state = rules.Removed
 		case 5:
 			l.started, l.addr = s.drawStart(), s.random.IntN(5)
 		}
@@ -648,7 +648,7 @@
 		for _, e := range state.Servers {
 			s.transcript.call("state server", field{"name", e.Name}, field{"addr", e.Addr}, field{"id", int(e.ID)}, field{"zone", e.Zone},
 				field{"cell", e.Cell}, field{"state", int(e.State)}, field{"capacity", e.Capacity}, field{"started", e.Started},
-				field{"clear", e.Clear})
+				field{"clear", e.Evacuate})
 		}
 		for _, f := range state.Flows {
 			s.transcript.call("state flow", field{"id", f.ID}, field{"class", f.Class}, field{"key", f.Key}, field{"group", f.Group},
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -109,7 +109,7 @@
 	}
 	w.e = New(opts, balancer, w, w)
 	w.e.Start(w.now)
-	list := List{Mode: rules.Stored}
+	list := List{Mode: rules.ListCached}
 	for i := range servers {
 		list.Servers = append(list.Servers, Server{Name: fmt.Sprint("s", i+1), Addr: fmt.Sprint("a", i+1),
 			Server: rules.Server{ID: rules.ServerID(i + 1)}})
@@ -312,7 +312,7 @@
 // A server that leaves the list is sent nothing more, and a full list implies who has left.
 func TestFullListRemoves(t *testing.T) {
 	w := newWorld(t, 2, nil)
-	w.tell(List{Mode: rules.Complete, Servers: []Server{{Name: "s2", Addr: "b2", Server: rules.Server{ID: 2}}}})
+	w.tell(List{Mode: rules.ListComplete, Servers: []Server{{Name: "s2", Addr: "b2", Server: rules.Server{ID: 2}}}})
 	for i := range 8 {
 		w.arrive(w.client("x"), Request{Key: fmt.Sprint(i)})
 		w.ended(w.link, rules.Errored)
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -29,17 +29,17 @@
 	if (s.leaving || s.banned) && n.State == rules.Ready {
 		n.State = rules.Draining
 	}
-	n.Started, n.Clear = max(n.Started, s.coldSince), s.banned
+	n.Started, n.Evacuate = max(n.Started, s.coldSince), s.banned
 	return n
 }
 
 func (e *Engine) onList(ev List) {
-	list := rules.List{Mode: ev.Mode}
+	list := rules.EndpointList{Mode: ev.Mode}
 	if ev.Version > 0 {
 		e.version = ev.Version
 	}
 	var drained []rules.ServerID
-	if ev.Mode == rules.Complete || ev.Mode == rules.Stored {
+	if ev.Mode == rules.ListComplete || ev.Mode == rules.ListCached {
 		listed := make(map[rules.ServerID]bool, len(ev.Servers))
 		for _, s := range ev.Servers {
 			listed[s.ID] = true
@@ -58,7 +58,7 @@
 			// Both would be one server to the rules. The first stays: which one it is must not change.
 			e.opts.Logger.Error("two servers share a number", "server", n.Name, "taken_by", s.name)
 			continue
-		case n.State == rules.Gone:
+		case n.State == rules.Removed:
 			if s != nil {
 				e.forget(n.ID, s)
 				drained = append(drained, n.ID)
@@ -89,7 +89,7 @@
 	e.tell(list)
 	e.tellMovers(drained)
 	e.countServers()
-	if ev.Mode == rules.Complete || len(e.servers) > 0 {
+	if ev.Mode == rules.ListComplete || len(e.servers) > 0 {
 		e.listed = true
 		e.ready.Store(true)
 	}
@@ -110,7 +110,7 @@
 	was := s.state
 	shown := s.shown()
 	s.state = shown.State
-	e.tell(rules.List{Mode: rules.Changes, Servers: []rules.Server{shown}})
+	e.tell(rules.EndpointList{Mode: rules.ListDelta, Servers: []rules.Server{shown}})
 	if was == rules.Ready && s.state == rules.Draining {
 		e.tellMovers([]rules.ServerID{id})
 	}
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -48,7 +48,7 @@
 		e.trace("slow", "server", e.serverName(ev.Server), "delay", ev.Delay)
 	case rules.LoadReport:
 		e.trace("report", "server", e.serverName(ev.Server), "load", ev.Load, "held", ev.Held)
-	case rules.List:
+	case rules.EndpointList:
 		for _, s := range ev.Servers {
 			e.trace("told", "server", e.serverName(s.ID), "number", s.ID, "state", int(s.State), "started", s.Started, "weight", s.Capacity,
 				"zone", s.Zone)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -41,7 +41,7 @@
 	if p != f.plan || zone != f.zone {
 		f.plan, f.zone, f.now = p, zone, "another"
 	}
-	return f.list(rules.Changes, nil)
+	return f.list(rules.ListDelta, nil)
 }
 
 // Again is when Look has something to do: a node is warm then. ok is false where none is cold.
@@ -50,17 +50,17 @@
 // Look returns the list that follows from the time alone.
 func (f *Follower) Look(now time.Duration) (engine.List, string) {
 	f.at = now
-	return f.list(rules.Changes, nil)
+	return f.list(rules.ListDelta, nil)
 }
 
 // Apply takes in a list and returns it with the weights to go by, and a word where what is gone by has changed.
 func (f *Follower) Apply(now time.Duration, l engine.List) (engine.List, string) {
 	f.at = now
-	if f.servers == nil || l.Mode != rules.Changes {
+	if f.servers == nil || l.Mode != rules.ListDelta {
 		f.servers = map[string]engine.Server{}
 	}
 	for _, s := range l.Servers {
-		if s.State == rules.Gone {
+		if s.State == rules.Removed {
 			delete(f.servers, s.Name)
 		} else {
 			f.servers[s.Name] = s
@@ -80,7 +80,7 @@
 	f.now = by
 	out := engine.List{Mode: mode}
 	for _, s := range came {
-		if s.State == rules.Gone {
+		if s.State == rules.Removed {
 			out.Servers = append(out.Servers, s)
 		} else if !changed {
 			out.Servers = append(out.Servers, weighed(s, weights))
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -33,11 +33,11 @@
 type told map[string]float64
 
 func (t told) take(l engine.List) {
-	if l.Mode != rules.Changes {
+	if l.Mode != rules.ListDelta {
 		clear(t)
 	}
 	for _, s := range l.Servers {
-		if t[s.Name] = s.Capacity; s.State == rules.Gone {
+		if t[s.Name] = s.Capacity; s.State == rules.Removed {
 			delete(t, s.Name)
 		}
 	}
@@ -55,16 +55,16 @@
 		}
 	}
 	f.SetPlan(0, plan(), "a")
-	all := engine.List{Mode: rules.Complete, Servers: []engine.Server{server(1, "a", rules.Ready), server(2, "a", rules.Ready), server(3, "b", rules.Ready)}}
+	all := engine.List{Mode: rules.ListComplete, Servers: []engine.Server{server(1, "a", rules.Ready), server(2, "a", rules.Ready), server(3, "b", rules.Ready)}}
 	step(all, "plan 4", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.List{Mode: rules.Changes}, "", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.List{Mode: rules.Changes, Servers: []engine.Server{server(1, "a", rules.Draining)}}, "plan 4 after the loss of node n1",
+	step(engine.List{Mode: rules.ListDelta}, "", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
+	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Draining)}}, "plan 4 after the loss of node n1",
 		map[string]float64{"n1": none, "n2": 50, "n3": 40})
-	step(engine.List{Mode: rules.Changes, Servers: []engine.Server{server(1, "a", rules.Gone)}}, "", map[string]float64{"n2": 50, "n3": 40})
-	step(engine.List{Mode: rules.Changes, Servers: []engine.Server{server(3, "b", rules.Draining)}}, "nominal weights: plan 4 has no word for the loss of n1, n3",
+	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Removed)}}, "", map[string]float64{"n2": 50, "n3": 40})
+	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(3, "b", rules.Draining)}}, "nominal weights: plan 4 has no word for the loss of n1, n3",
 		map[string]float64{"n2": 7, "n3": 7})
 	step(all, "plan 4", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.List{Mode: rules.Changes, Servers: []engine.Server{server(9, "b", rules.Ready)}}, "nominal weights: plan 4 does not know node n9",
+	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(9, "b", rules.Ready)}}, "nominal weights: plan 4 does not know node n9",
 		map[string]float64{"n1": 7, "n2": 7, "n3": 7, "n9": 7})
 	l, _ := f.SetPlan(0, nil, "")
 	know.take(l)
@@ -87,12 +87,12 @@
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			i := rapid.IntRange(1, 4).Draw(t, "node")
 			states[i] = rules.ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
-			l, _ := a.Apply(0, engine.List{Mode: rules.Changes, Servers: []engine.Server{server(i, zones[i], states[i])}})
+			l, _ := a.Apply(0, engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(i, zones[i], states[i])}})
 			ka.take(l)
 		}
-		whole := engine.List{Mode: rules.Complete}
+		whole := engine.List{Mode: rules.ListComplete}
 		for i := 4; i > 0; i-- {
-			if s, known := states[i]; known && s != rules.Gone {
+			if s, known := states[i]; known && s != rules.Removed {
 				whole.Servers = append(whole.Servers, server(i, zones[i], s))
 			}
 		}
@@ -107,7 +107,7 @@
 // A plan for 14 nodes met by a list of 9 that it has no word for: the list's own weights, and the log says why.
 func TestPlanForAnotherFleet(t *testing.T) {
 	p := &operator.Plan{Version: 1, Load: map[string]int64{}, Flows: []placement.Flow{{Class: "x", From: "a", To: "a", Load: 14}}}
-	l := engine.List{Mode: rules.Complete}
+	l := engine.List{Mode: rules.ListComplete}
 	for i := range 14 {
 		p.Load[fmt.Sprint("n", i)] = 1
 		if i < 9 {
@@ -129,7 +129,7 @@
 	fresh := server(1, "a", rules.Ready)
 	fresh.Started = time.Hour - 4*time.Second
 	know := told{}
-	l, said := f.Apply(time.Hour, engine.List{Mode: rules.Complete, Servers: []engine.Server{fresh, server(2, "a", rules.Ready), server(3, "b", rules.Ready)}})
+	l, said := f.Apply(time.Hour, engine.List{Mode: rules.ListComplete, Servers: []engine.Server{fresh, server(2, "a", rules.Ready), server(3, "b", rules.Ready)}})
 	know.take(l)
 	if at, ok := f.Again(); said != "plan 4 after the loss of node n1" || know["n1"] != none || !ok || at != time.Hour+6*time.Second {
 		t.Fatalf("%q, %v, again at %v", said, know, at)
--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -59,7 +59,7 @@
 			Version: 41,
 			Servers: []engine.Server{
 				{Name: "s-1", Addr: "127.0.0.1:1", Server: rules.Server{
-					ID: 1, Zone: "bilbao", Cell: 3, State: rules.Draining, Capacity: 1.5, Started: time.Hour, Clear: true,
+					ID: 1, Zone: "bilbao", Cell: 3, State: rules.Draining, Capacity: 1.5, Started: time.Hour, Evacuate: true,
 				}},
 				{Name: "s-2", Addr: "[::1]:2", Server: rules.Server{ID: 4294967295}},
 			},
@@ -88,7 +88,7 @@
 	fmt.Fprintf(b, "version=%d\n", r.State.Version)
 	for _, s := range r.State.Servers {
 		fmt.Fprintf(b, "server name=%q addr=%q id=%d zone=%q cell=%d state=%d capacity=%g started=%d clear=%t\n",
-			s.Name, s.Addr, uint64(s.ID), s.Zone, s.Cell, int(s.State), s.Capacity, int64(s.Started), s.Clear)
+			s.Name, s.Addr, uint64(s.ID), s.Zone, s.Cell, int(s.State), s.Capacity, int64(s.Started), s.Evacuate)
 	}
 	for _, s := range r.State.Learned.Servers {
 		fmt.Fprintf(b, "learned id=%d started=%d limit=%g cut_at=%d paused_until=%d ejected=%d ejections=%d strikes=%g strikes_at=%d\n",
--- a/internal/model/change.go
+++ b/internal/model/change.go
@@ -31,7 +31,7 @@
 			} else if _, known := g.told[entry.ID]; !known {
 				g.told[entry.ID] = f.World.Now()
 			}
-			g.tell(rules.List{Mode: rules.Changes, Servers: []rules.Server{entry}})
+			g.tell(rules.EndpointList{Mode: rules.ListDelta, Servers: []rules.Server{entry}})
 		}
 	})
 }
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -101,7 +101,7 @@
 		}
 		f.nodes = append(f.nodes, &machine{Node: n, id: rules.ServerID(i + 1), open: map[*call]bool{}})
 	}
-	list := rules.List{Mode: rules.Complete}
+	list := rules.EndpointList{Mode: rules.ListComplete}
 	for _, m := range f.nodes {
 		list.Servers = append(list.Servers, m.entry())
 	}
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -84,7 +84,7 @@
 	w.add("rank", r.Rank)
 }
 
-func (w *fieldWriter) servers(l rules.List) {
+func (w *fieldWriter) servers(l rules.EndpointList) {
 	w.add("mode", listMode(l.Mode))
 	for _, s := range l.Servers {
 		w.WriteString(" [server")
@@ -94,18 +94,18 @@
 		w.add("state", serverState(s.State))
 		w.add("capacity", s.Capacity)
 		w.duration("started", s.Started)
-		w.add("clear", s.Clear)
+		w.add("clear", s.Evacuate)
 		w.WriteString("]")
 	}
 }
 
 func listMode(m rules.ListMode) string {
 	switch m {
-	case rules.Changes:
+	case rules.ListDelta:
 		return "Partial"
-	case rules.Complete:
+	case rules.ListComplete:
 		return "Complete"
-	case rules.Stored:
+	case rules.ListCached:
 		return "Persisted"
 	default:
 		return "unknown"
@@ -118,7 +118,7 @@
 		return "IN"
 	case rules.Draining:
 		return "LAME"
-	case rules.Gone:
+	case rules.Removed:
 		return "OUT"
 	default:
 		return "unknown"
@@ -238,7 +238,7 @@
 	}
 	switch e := ev.Rules.(type) {
 	case nil:
-	case rules.List:
+	case rules.EndpointList:
 		w.WriteString(" list")
 		w.servers(e)
 	case rules.Request:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -260,7 +260,7 @@
 }
 
 var modes = map[string]rules.ListMode{
-	"Partial": rules.Changes, "Complete": rules.Complete, "Persisted": rules.Stored,
+	"Partial": rules.ListDelta, "Complete": rules.ListComplete, "Persisted": rules.ListCached,
 }
 
 func (r *Reader) build(kind string, rec *record, ev *Event) (known bool, err error) {
@@ -281,7 +281,7 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Rules = rules.List{Mode: mode, Servers: servers}
+		ev.Rules = rules.EndpointList{Mode: mode, Servers: servers}
 	case "new_request":
 		ev.Rules = rec.req
 	case "carried":
@@ -317,7 +317,7 @@
 	return true, nil
 }
 
-var states = map[string]rules.ServerState{"IN": rules.Ready, "LAME": rules.Draining, "OUT": rules.Gone}
+var states = map[string]rules.ServerState{"IN": rules.Ready, "LAME": rules.Draining, "OUT": rules.Removed}
 
 // servers reads the n list entries that follow an update line.
 func (r *Reader) servers(n int) ([]rules.Server, error) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,7 +38,7 @@
 			ID: 7, Server: 5, Result: rules.Reset, Settled: true},
 		"expired relay=3 ticket=7":                     rules.Expired{ID: 7},
 		"timer relay=3 ref=77":                         rules.Timer{Ref: 77},
-		"update relay=3 mode=Complete rev=5 rows_in=0": rules.List{Mode: rules.Complete},
+		"update relay=3 mode=Complete rev=5 rows_in=0": rules.EndpointList{Mode: rules.ListComplete},
 	} {
 		got := read(t, "mark t_ns=5\n"+line+"\nover_to_you\n")
 		if len(got) != 1 || got[0].Instance != 3 || !reflect.DeepEqual(got[0].Rules, want) {
@@ -51,7 +51,7 @@
 	got := read(t, "mark t_ns=5\nupdate relay=1 mode=Persisted rev=41 rows_in=2\n"+
 		"row backend=5 rack_zone=a machine=m cell=2 mode=IN capacity_hint=1.5 up_since_ns=61\n"+
 		"row backend=6 mode=LAME\nover_to_you\n")
-	want := rules.List{Mode: rules.Stored, Servers: []rules.Server{
+	want := rules.EndpointList{Mode: rules.ListCached, Servers: []rules.Server{
 		{ID: 5, Zone: "a", Cell: 2, Capacity: 1.5, Started: 61}, {ID: 6, State: rules.Draining}}}
 	if len(got) != 1 || !reflect.DeepEqual(got[0].Rules, want) {
 		t.Errorf("got %+v", got)
--- a/rules/api.go
+++ b/rules/api.go
@@ -74,7 +74,7 @@
 const (
 	Ready    ServerState = iota
 	Draining             // finishes its work; send nothing new
-	Gone
+	Removed
 )
 
 // Server is one entry of the server list.
@@ -85,24 +85,24 @@
 	State    ServerState   `json:"State"`
 	Capacity float64       `json:"Capacity"` // for comparison with other servers; 0 is taken as 1
 	Started  time.Duration `json:"Started"`  // latest start on the event clock; 0: long ago
-	Clear    bool          `json:"Clear"`    // where it drains: its connections are to leave before it does
+	Evacuate bool          `json:"Clear"`    // where it drains: its connections are to leave before it does
 }
 
 // ListMode says how a List is to be read.
 type ListMode int
 
 const (
-	Changes  ListMode = iota // changed entries only
-	Complete                 // the whole list
-	Stored                   // the whole list as last held before a restart; may be stale
+	ListDelta    ListMode = iota // changed entries only
+	ListComplete                 // the whole list
+	ListCached                   // the whole list as last held before a restart; may be stale
 )
 
 // Event is what a gateway is told. The concrete types are those below.
 type Event interface{ event() }
 
 type (
-	// List brings news of the servers.
-	List struct {
+	// EndpointList brings news of the servers.
+	EndpointList struct {
 		Mode    ListMode
 		Servers []Server
 	}
@@ -185,7 +185,7 @@
 	Timer struct{ Ref int64 }
 )
 
-func (List) event()         {}
+func (EndpointList) event() {}
 func (Request) event()      {}
 func (Carried) event()      {}
 func (Opened) event()       {}
--- a/rules/begin_test.go
+++ b/rules/begin_test.go
@@ -30,7 +30,7 @@
 
 	w.b.refresh()
 	holder := w.b.members[0]
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: holder.ID, State: Draining}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: holder.ID, State: Draining}}})
 	w.now += 300 * ms
 	w.feed(Request{ID: 900, Class: "safe", Stray: true, Held: true, Holder: holder.ID, Timeout: sec})
 	if s := w.sent(); s.Server != holder.ID || s.Begin <= 0 || s.Begin >= 200*ms {
--- a/rules/bench_test.go
+++ b/rules/bench_test.go
@@ -21,7 +21,7 @@
 			set := settings()
 			set.Gateways = 200
 			g := mustNew(b, set)
-			g.Handle(0, List{Mode: Complete, Servers: servers(n)})
+			g.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(n)})
 			id := RequestID(0)
 			for b.Loop() {
 				id++
--- a/rules/cold_test.go
+++ b/rules/cold_test.go
@@ -22,7 +22,7 @@
 			set.Gateways, set.ColdOverloadDuration = gateways, tip
 			sent, id := 0, RequestID(0)
 			w := newWorld(t, set, members-1)
-			w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
+			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
 			w.b.refresh()
 			s := w.b.servers[900]
 			w.b.began = w.now - time.Hour
@@ -55,7 +55,7 @@
 	set := settings()
 	set.Gateways, set.ColdOverloadFactor, set.WarmupDuration = 300, 4, 21*sec
 	w := newWorld(t, set, 80)
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
 	w.b.refresh()
 	w.b.began = w.now - time.Hour
 	w.b.bears.add(bears)
@@ -81,7 +81,7 @@
 	set      Settings
 	fleet    []*Balancer
 	told     []time.Duration // when each gateway hears of the cold servers
-	list     List            // with these
+	list     EndpointList    // with these
 	cold     ServerID        // the first of them; warm ones have lower numbers
 	n        float64         // requests that the settings allow a cold server in TipTime
 	id       RequestID
@@ -108,7 +108,7 @@
 		f.set.ColdOverloadDuration.Seconds()
 	f.rnd = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	f.cold = ServerID(100 + warm)
-	before := List{Mode: Complete}
+	before := EndpointList{Mode: ListComplete}
 	for i := range warm + cold {
 		s := Server{ID: ServerID(100 + i), Capacity: 1}
 		if i >= warm {
@@ -118,7 +118,7 @@
 		}
 		f.list.Servers = append(f.list.Servers, s)
 	}
-	f.list.Mode = Complete
+	f.list.Mode = ListComplete
 	f.age = rapid.SampledFrom([]time.Duration{0, 8 * sec}).Draw(t, "age")
 	late := between(0, 2, "lists come apart") // by so many seconds
 	for i := range gateways {
--- a/rules/daily_test.go
+++ b/rules/daily_test.go
@@ -53,7 +53,7 @@
 	w := newWorld(t, settings(), 4)
 	back := w.b.order[2].ID
 	w.feed(Returned{Server: back})
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: back, Capacity: 1, Started: w.now}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: back, Capacity: 1, Started: w.now}}})
 	w.wait(tryWithin)
 	to := 0
 	for i := range 20 {
@@ -82,7 +82,7 @@
 		sent := 0
 		for g := range f.gateways {
 			w := newWorld(t, set, members-1)
-			w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1}}})
+			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
 			w.b.refresh()
 			s := w.b.servers[900]
 			for i := 0; time.Duration(i)*f.every < 10*sec+span; i++ { // ten seconds ahead, to learn the rate
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -154,7 +154,7 @@
 	hostByID    map[rules.ServerID]*host
 	nextHost    rules.ServerID
 	listed      bool
-	pastLists   []rules.List
+	pastLists   []rules.EndpointList
 	nextRequest rules.RequestID
 	requests    map[rules.RequestID]rules.Request
 	attempts    map[rules.RequestID]int
@@ -323,7 +323,7 @@
 }
 
 func (s *stream) feedList(mode rules.ListMode, servers []rules.Server) {
-	list := rules.List{Mode: mode, Servers: servers}
+	list := rules.EndpointList{Mode: mode, Servers: servers}
 	if len(s.pastLists) < 6 {
 		s.pastLists = append(s.pastLists, list)
 	}
@@ -446,7 +446,7 @@
 		}
 	}
 	for _, h := range s.hosts {
-		if h.State == rules.Gone && !present[h.ID] {
+		if h.State == rules.Removed && !present[h.ID] {
 			s.coverage["forgotten server"]++
 		}
 	}
@@ -850,35 +850,35 @@
 	case 0:
 		h = s.addHost()
 	case 1, 2:
-		h.State, h.Clear = rules.Draining, s.oneIn(2)
+		h.State, h.Evacuate = rules.Draining, s.oneIn(2)
 		defer s.midFlowAfter(h)
 	case 3:
-		h.State = rules.Gone
+		h.State = rules.Removed
 		defer s.midFlowAfter(h)
 		s.resetAll(h, time.Second)
 	case 4, 5, 6:
-		h.State, h.Clear = rules.Ready, false
+		h.State, h.Evacuate = rules.Ready, false
 	case 7:
 		s.reboot(h)
 	case 8:
 		h.Capacity = []float64{0, -1, 0.5, 3, math.NaN(), math.Inf(1)}[s.rnd.IntN(6)]
 	case 9: // nothing new
-		s.feedList(rules.Changes, nil)
+		s.feedList(rules.ListDelta, nil)
 		return
 	case 10: // an old list, or an empty one
 		old := s.pastLists[s.rnd.IntN(len(s.pastLists))]
 		s.feedList(
-			[]rules.ListMode{rules.Complete, rules.Stored}[s.rnd.IntN(2)], old.Servers)
+			[]rules.ListMode{rules.ListComplete, rules.ListCached}[s.rnd.IntN(2)], old.Servers)
 		return
 	case 11:
-		s.feedList(rules.Complete, s.entries())
+		s.feedList(rules.ListComplete, s.entries())
 		return
 	}
 	if s.oneIn(5) {
-		s.feedList(rules.Complete, s.entries())
+		s.feedList(rules.ListComplete, s.entries())
 		return
 	}
-	s.feedList(rules.Changes, []rules.Server{h.Server})
+	s.feedList(rules.ListDelta, []rules.Server{h.Server})
 }
 
 // midFlowAfter sends requests of a server that has just left the table, around the times up to which it may
@@ -903,7 +903,7 @@
 
 // reboot restarts a server's process.
 func (s *stream) reboot(h *host) {
-	h.Started, h.State, h.Clear, h.condition = s.now, rules.Ready, false, healthy
+	h.Started, h.State, h.Evacuate, h.condition = s.now, rules.Ready, false, healthy
 	s.resetAll(h, 100*time.Millisecond)
 }
 
@@ -912,7 +912,7 @@
 	s.feed("server reinstated", rules.Returned{Server: h.ID})
 	if s.oneIn(2) {
 		s.reboot(h)
-		s.feedList(rules.Changes, []rules.Server{h.Server})
+		s.feedList(rules.ListDelta, []rules.Server{h.Server})
 	}
 }
 
@@ -959,7 +959,7 @@
 	}
 	s.settings.Seed++
 	s.balancer = s.newBalancer()
-	s.feedList([]rules.ListMode{rules.Complete, rules.Stored}[s.rnd.IntN(2)], s.entries())
+	s.feedList([]rules.ListMode{rules.ListComplete, rules.ListCached}[s.rnd.IntN(2)], s.entries())
 	s.balancer.Learn(s.now, snapshot)
 	s.digestSnapshot(s.balancer.Learned())
 	inherited := s.live
@@ -1010,9 +1010,9 @@
 		s.feed("shutdown", rules.Stop{By: s.now + s.upTo(time.Second)})
 	case 1, 2:
 		for _, h := range s.hosts[:(len(s.hosts)+1)/2] {
-			h.State = rules.Gone
+			h.State = rules.Removed
 		}
-		s.feedList(rules.Changes, s.entries())
+		s.feedList(rules.ListDelta, s.entries())
 		s.wait(8 * time.Second)
 		s.now += 9*time.Minute + s.upTo(time.Minute)
 		s.wait(time.Second) // the timers are late, and all else that was due
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -23,8 +23,8 @@
 		fmt.Println(err)
 		return
 	}
-	list := rules.List{
-		Mode:    rules.Complete,
+	list := rules.EndpointList{
+		Mode:    rules.ListComplete,
 		Servers: []rules.Server{{ID: 11}, {ID: 12}, {ID: 13}},
 	}
 	events := []rules.Event{
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -131,7 +131,7 @@
 			server := ServerID(1 + rnd.IntN(8))
 			switch rnd.IntN(10) {
 			case 0:
-				l := List{Mode: ListMode(rnd.IntN(3))}
+				l := EndpointList{Mode: ListMode(rnd.IntN(3))}
 				for range rnd.IntN(9) {
 					s := Server{ID: ServerID(1 + rnd.IntN(8)), State: ServerState(rnd.IntN(3))}
 					s.Capacity = rnd.Float64() * 4
--- a/rules/maglev_test.go
+++ b/rules/maglev_test.go
@@ -98,7 +98,7 @@
 		set := settings()
 		set.Seed = seed
 		b := mustNew(t, set)
-		b.Handle(0, List{Mode: Complete, Servers: shuffled})
+		b.Handle(0, EndpointList{Mode: ListComplete, Servers: shuffled})
 		if first == nil {
 			first = b
 		}
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -267,7 +267,7 @@
 // relist changes the list, or fails to.
 func (d *drill) relist() {
 	if d.rnd.IntN(4) == 0 {
-		d.feed(List{Mode: Changes})
+		d.feed(EndpointList{Mode: ListDelta})
 		return
 	}
 	id := ServerID(100 + d.rnd.IntN(7))
@@ -289,7 +289,7 @@
 		d.told[id] = d.now
 	}
 	d.list[id] = s
-	d.feed(List{Mode: Changes, Servers: []Server{s}})
+	d.feed(EndpointList{Mode: ListDelta, Servers: []Server{s}})
 }
 
 func run(t *testing.T, seed uint64, steps int) []string {
@@ -316,7 +316,7 @@
 		list = append(list, s)
 		d.list[s.ID] = s
 	}
-	d.feed(List{Mode: Stored, Servers: list})
+	d.feed(EndpointList{Mode: ListCached, Servers: list})
 	for i := range steps {
 		d.step(RequestID(i + 1))
 	}
@@ -352,11 +352,11 @@
 			gateways = append(gateways, mustNew(t, set))
 		}
 		named := map[ServerID]bool{}
-		past := []List{{Mode: Complete}}
+		past := []EndpointList{{Mode: ListComplete}}
 		now := 50 * sec
 		for i := range 300 {
 			now += time.Duration(rnd.IntN(3000)) * ms
-			list := List{Mode: ListMode(rnd.IntN(3))}
+			list := EndpointList{Mode: ListMode(rnd.IntN(3))}
 			for range rnd.IntN(9) {
 				s := Server{ID: ServerID(100 + rnd.IntN(9)), State: ServerState(rnd.IntN(3))}
 				if rnd.IntN(3) == 0 {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -90,7 +90,7 @@
 		b.act(Wake{After: housekeeping, Ref: refHousekeeping})
 	}
 	switch ev := ev.(type) {
-	case List:
+	case EndpointList:
 		b.onList(ev)
 	case Request:
 		b.onRequest(ev)
@@ -130,16 +130,16 @@
 
 // The list.
 
-func (b *Balancer) onList(ev List) {
+func (b *Balancer) onList(ev EndpointList) {
 	doubts := b.doubts()
-	if ev.Mode != Changes {
+	if ev.Mode != ListDelta {
 		listed := make(map[ServerID]bool, len(ev.Servers))
 		for _, e := range ev.Servers {
 			listed[e.ID] = true
 		}
 		for _, s := range b.order {
 			if !listed[s.ID] {
-				b.setState(s, Gone)
+				b.setState(s, Removed)
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 	if n := b.doubts(); n > doubts {
 		b.logf("list calls %d servers gone, in doubt until their outcomes tell", n-doubts)
 	}
-	b.listed = b.listed || ev.Mode == Complete || len(ev.Servers) > 0
+	b.listed = b.listed || ev.Mode == ListComplete || len(ev.Servers) > 0
 	b.stale = true
 	b.serveWaiting()
 }
@@ -165,7 +165,7 @@
 		switch {
 		case s.drained && state == Ready:
 			return
-		case state == Gone && s.State == Ready && s.ejected == 0:
+		case state == Removed && s.State == Ready && s.ejected == 0:
 			if s.doubted == 0 {
 				s.doubted, s.proven = b.now, len(s.open) > s.pending
 			}
@@ -181,7 +181,7 @@
 
 // confirmGone takes a server in doubt for gone.
 func (b *Balancer) confirmGone(s *server) {
-	s.State, s.told, s.doubted, b.stale = Gone, b.now, 0, true
+	s.State, s.told, s.doubted, b.stale = Removed, b.now, 0, true
 	b.logf("server %d is gone, as listed", s.ID)
 }
 
@@ -870,7 +870,7 @@
 // hang or slow with their connections on them, and lets an overloaded one drain. It could hurt where all
 // are overloaded: with no room elsewhere a move is a reconnect for nothing, hence the pace.
 func (b *Balancer) moveAway(s *server) {
-	if s.Clear && s.State == Draining && b.throttle() <= 0 {
+	if s.Evacuate && s.State == Draining && b.throttle() <= 0 {
 		b.clear(s)
 		return
 	}
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -71,7 +71,7 @@
 
 func newWorld(t *testing.T, set Settings, n int) *world {
 	w := unlisted(t, set)
-	w.feed(List{Mode: Complete, Servers: servers(n)})
+	w.feed(EndpointList{Mode: ListComplete, Servers: servers(n)})
 	return w
 }
 
@@ -233,7 +233,7 @@
 // A list that names no server is word enough: nothing is held for it.
 func TestEmptyListRefusesAtOnce(t *testing.T) {
 	w := newWorld(t, settings(), 2)
-	w.feed(List{Mode: Complete})
+	w.feed(EndpointList{Mode: ListComplete})
 	if w.request("unsafe", "g"); len(find[Refuse](w.last)) != 1 {
 		t.Errorf("actions %+v", w.last)
 	}
@@ -244,7 +244,7 @@
 	set := settings()
 	set.MaxRetryAfter = 2 * sec
 	w := newWorld(t, set, 2)
-	w.feed(List{Mode: Complete})
+	w.feed(EndpointList{Mode: ListComplete})
 	least, most := set.MaxRetryAfter, time.Duration(0)
 	for range 100 {
 		w.request("safe", "g")
@@ -259,7 +259,7 @@
 func TestHeldRequestGoesOutWithTheList(t *testing.T) {
 	w := unlisted(t, settings())
 	id := w.request("safe", "g")
-	w.feed(List{Mode: Changes, Servers: servers(3)})
+	w.feed(EndpointList{Mode: ListDelta, Servers: servers(3)})
 	if w.sent().ID != id {
 		t.Errorf("sent %+v", w.sent())
 	}
@@ -352,10 +352,10 @@
 }
 
 func TestDrainingServerGetsNothingNew(t *testing.T) {
-	for _, state := range []ServerState{Draining, Gone} {
+	for _, state := range []ServerState{Draining, Removed} {
 		w := newWorld(t, settings(), 5)
 		_, s := w.open("safe", "g")
-		w.feed(List{Mode: Changes, Servers: []Server{{ID: s, State: state}}})
+		w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: s, State: state}}})
 		for range 50 {
 			if _, got := w.open("safe", "g"); got == s {
 				t.Fatalf("state %v: sent to it", state)
@@ -366,7 +366,7 @@
 
 func TestServerMissingFromAWholeListIsGone(t *testing.T) {
 	w := newWorld(t, settings(), 3)
-	w.feed(List{Mode: Complete, Servers: servers(1)})
+	w.feed(EndpointList{Mode: ListComplete, Servers: servers(1)})
 	for i := range 20 {
 		if _, got := w.open("safe", fmt.Sprint("g", i)); got != 100 {
 			t.Fatalf("sent to %d", got)
@@ -377,7 +377,7 @@
 func TestStrayGoesWhereItWas(t *testing.T) {
 	w := newWorld(t, settings(), 5)
 	_, held := w.open("safe", "g")
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: held, State: Draining}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: held, State: Draining}}})
 	stray := Request{ID: 500, Class: "safe", Group: "g", Stray: true, Timeout: sec}
 	w.feed(stray)
 	if got := w.sent().Server; got != held {
@@ -396,7 +396,7 @@
 	w.b.refresh()
 	before := w.b.table
 	members := w.b.members
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
 	for i := range 40 {
 		group := fmt.Sprint("g", i)
 		w.feed(Request{ID: RequestID(1000 + i), Class: "safe", Group: group, Stray: true, Timeout: sec})
@@ -415,11 +415,11 @@
 func TestUnchangedListKeepsThePast(t *testing.T) {
 	w := newWorld(t, settings(), 5)
 	w.b.refresh()
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
 	w.b.refresh()
 	past := len(w.b.past)
 	for range 3 {
-		w.feed(List{Mode: Changes})
+		w.feed(EndpointList{Mode: ListDelta})
 		w.b.refresh()
 	}
 	if past != 1 || len(w.b.past) != 1 {
@@ -622,7 +622,7 @@
 		serve(0, 240) // thirty on each warm server
 		for _, w := range worlds {
 			w.now = start + 9*sec
-			w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 1, Started: start}}})
+			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: start}}})
 			full += w.b.fullConnections(w.b.servers[900]) / float64(gateways)
 		}
 		for i := range 5 {
@@ -651,7 +651,7 @@
 	for i := range list {
 		list[i].Started = w.now - 2*sec
 	}
-	w.feed(List{Mode: Complete, Servers: list})
+	w.feed(EndpointList{Mode: ListComplete, Servers: list})
 	sends := 0
 	for i := range 40 {
 		w.request("safe", fmt.Sprint("g", i))
@@ -682,7 +682,7 @@
 		Expired{ID: 77}, Timer{Ref: 12345}, LoadChanged{ID: 77, Load: 1},
 		MessageDelay{ID: 77, Server: 4242, Delay: sec},
 		Carried{Request: Request{ID: 78}, Server: 4242},
-		List{Mode: Changes},
+		EndpointList{Mode: ListDelta},
 	} {
 		for _, a := range w.feed(ev) {
 			switch a.(type) {
@@ -721,7 +721,7 @@
 	if s.ejected == 0 {
 		t.Fatal("not ejected")
 	}
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: s.ID, Started: w.now}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: s.ID, Started: w.now}}})
 	if s.ejected != 0 || s.strikes.sum != 0 {
 		t.Error("the new process bears the old one's record")
 	}
@@ -796,7 +796,7 @@
 	set := settings()
 	set.Gateways = 200
 	b := mustNew(t, set)
-	b.Handle(0, List{Mode: Complete, Servers: servers(80)})
+	b.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(80)})
 	b.refresh()
 	for i := range 10 {
 		group := fmt.Sprint("g", i%2*i)
@@ -819,7 +819,7 @@
 		n := 0
 		for i := range 400 {
 			b := mustNew(t, set)
-			b.Handle(0, List{Mode: Complete, Servers: servers(1)})
+			b.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(1)})
 			s := b.order[0]
 			s.limit, s.cutAt = 0.5, 0
 			key := fmt.Sprint("k", i)
@@ -879,7 +879,7 @@
 					list[i].ID += ServerID(round * 5000)
 					list[i].Capacity = []float64{0.001, 1, 0}[(i+round)%3]
 				}
-				w.feed(List{Mode: Complete, Servers: list})
+				w.feed(EndpointList{Mode: ListComplete, Servers: list})
 				for i := range 30 {
 					w.request("safe", fmt.Sprint("g", i%4))
 					sends := find[Send](w.last)
@@ -981,13 +981,13 @@
 func TestListThatIsWrongLeavesTheFleetServed(t *testing.T) {
 	gone := servers(8)
 	for i := range gone {
-		gone[i].State = Gone
+		gone[i].State = Removed
 	}
 	old := append(servers(6), Server{ID: 700, Capacity: 1}) // two newer ones missing, one that is no more
-	for name, wrong := range map[string]List{
-		"all gone": {Mode: Changes, Servers: gone}, "empty": {Mode: Complete},
-		"old":   {Mode: Complete, Servers: old},
-		"twice": {Mode: Complete, Servers: append(gone, gone...)},
+	for name, wrong := range map[string]EndpointList{
+		"all gone": {Mode: ListDelta, Servers: gone}, "empty": {Mode: ListComplete},
+		"old":   {Mode: ListComplete, Servers: old},
+		"twice": {Mode: ListComplete, Servers: append(gone, gone...)},
 	} {
 		w := newWorld(t, adviceOnly(), 8)
 		at := map[string]ServerID{}
@@ -1015,7 +1015,7 @@
 			t.Errorf("%s: %d of 30 groups moved", name, moved)
 		}
 		past := len(w.b.past)
-		w.feed(List{Mode: Complete, Servers: servers(8)})
+		w.feed(EndpointList{Mode: ListComplete, Servers: servers(8)})
 		if w.b.refresh(); !slices.Equal(w.b.shares, shares) {
 			t.Errorf("%s: the true list left another table", name)
 		}
@@ -1029,13 +1029,13 @@
 func TestServerFirstListedAsGoneGetsNothing(t *testing.T) {
 	for _, set := range []Settings{settings(), adviceOnly()} {
 		w := newWorld(t, set, 3)
-		w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, State: Gone}}})
+		w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, State: Removed}}})
 		for i := range 60 {
 			if w.request("safe", fmt.Sprint("g", i)); w.sent().Server == 900 {
 				t.Fatalf("gone is advice: %v: sent to it", set.RemovalIsAdvisory)
 			}
 		}
-		w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, State: Ready}}})
+		w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, State: Ready}}})
 		if w.b.servers[900].State != Ready {
 			t.Error("listed as ready it is not used")
 		}
@@ -1046,7 +1046,7 @@
 func TestFailureConfirmsThatAServerIsGone(t *testing.T) {
 	w := newWorld(t, adviceOnly(), 6)
 	entry := w.entry("g")
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: entry, State: Gone}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: entry, State: Removed}}})
 	first := w.onTrial("g", entry)
 	w.end(first, 0, TimedOut)
 	for range 100 {
@@ -1055,7 +1055,7 @@
 			t.Fatal("sent to a server whose failure confirmed the list")
 		}
 	}
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: entry, State: Ready}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: entry, State: Ready}}})
 	if w.request("safe", "g"); w.sent().Server != entry {
 		t.Error("listed as ready again, it gets nothing")
 	}
@@ -1065,14 +1065,14 @@
 	w := newWorld(t, adviceOnly(), 5)
 	_, s := w.open("safe", "g")
 	state := func(state ServerState, started time.Duration) {
-		w.feed(List{Mode: Changes, Servers: []Server{{ID: s, State: state, Started: started}}})
+		w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: s, State: state, Started: started}}})
 	}
 	stray := func() ServerID {
 		w.id++
 		w.feed(Request{ID: w.id, Class: "safe", Group: "g", Stray: true, Timeout: sec})
 		return w.sent().Server
 	}
-	state(Gone, 0)
+	state(Removed, 0)
 	w.now += 2 * sec
 	if _, got := w.open("safe", "g"); got != s {
 		t.Fatalf("called gone with a good connection: sent to %d, not %d", got, s)
@@ -1083,7 +1083,7 @@
 		t.Errorf("within the grace a stray goes to %d, not %d", got, s)
 	}
 	w.now += 300 * ms
-	for _, next := range []ServerState{Draining, Gone, Ready} { // an old list may call it ready again
+	for _, next := range []ServerState{Draining, Removed, Ready} { // an old list may call it ready again
 		state(next, 0)
 		if got := stray(); got == s {
 			t.Errorf("drained, then listed as %v: sent to it", next)
@@ -1115,7 +1115,7 @@
 			for i := range list {
 				list[i].ID = ServerID(1000*round + i)
 			}
-			w.feed(List{Mode: Complete, Servers: list})
+			w.feed(EndpointList{Mode: ListComplete, Servers: list})
 			for i := range 3 {
 				w.request("safe", fmt.Sprint("g", i))
 				if s := w.sent(); int(s.Server)/1000 == round {
--- a/rules/shed_test.go
+++ b/rules/shed_test.go
@@ -12,7 +12,7 @@
 	set := settings()
 	set.Gateways, set.WarmupDuration = 300, sec/100
 	w := newWorld(t, set, 4)
-	w.feed(List{Mode: Changes, Servers: []Server{{ID: 900, Capacity: 4}}})
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 4}}})
 	w.b.pressure = 1
 	sent := 0
 	for i := range 200 {
--- a/rules/state.go
+++ b/rules/state.go
@@ -437,7 +437,7 @@
 	if s == nil {
 		s = &server{Server: e, sum: sum{unknown: make([]int, len(b.set.Classes))},
 			groups: map[string]int{}, told: b.now}
-		if e.State != Gone { // one first heard of as gone was never there to be in doubt
+		if e.State != Removed { // one first heard of as gone was never there to be in doubt
 			s.State = Ready
 		}
 		b.servers[e.ID] = s
@@ -488,7 +488,7 @@
 		if s.doubted > 0 && len(s.open) == 0 && b.now-s.doubted > forgetAfter {
 			b.confirmGone(s)
 		}
-		old := s.State == Gone && len(s.open) == 0 && b.now-s.told > max(forgetAfter, b.set.FlowRetention)
+		old := s.State == Removed && len(s.open) == 0 && b.now-s.told > max(forgetAfter, b.set.FlowRetention)
 		if old {
 			delete(b.servers, s.ID)
 		}
