--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -155,17 +155,17 @@
 	r.phase, r.deadline = waiting, e.now+q.Wait
 	req := rules.Request{
 		ID: rules.RequestID(r.id), Class: q.Class, Tenant: q.Tenant, Key: q.Key, Group: q.Group,
-		Timeout: q.Wait, Load: q.Load, Returned: q.Returned, Stray: q.Stray,
+		Timeout: q.Wait, Load: q.Load, Reconnecting: q.Returned, MidFlow: q.Stray,
 	}
 	if e.opts.Ranks != nil {
-		req.Rank = e.opts.Ranks(q.Class, q.Tenant)
+		req.Priority = e.opts.Ranks(q.Class, q.Tenant)
 	}
-	if r.rank = req.Rank; !q.Stray && q.At == "" {
+	if r.rank = req.Priority; !q.Stray && q.At == "" {
 		e.opts.Tiers.Asked(r.rank)
 	}
 	r.flow, r.load = Flow{Class: q.Class, Key: q.Key, Group: q.Group}, q.Load
 	if q.Stray {
-		req.Holder, req.Held = e.claim(q.ID)
+		req.Owner, req.OwnerKnown = e.claim(q.ID)
 	}
 	if q.At != "" {
 		e.carry(r, req, q.At)
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -33,8 +33,8 @@
 func (e *Engine) traceEvent(ev rules.Event) {
 	switch ev := ev.(type) {
 	case rules.Request:
-		e.trace("asked", append(e.traced(ev.ID, ev.Holder), "class", ev.Class, "group", ev.Group, "key", ev.Key, "wait", ev.Timeout,
-			"stray", ev.Stray, "returned", ev.Returned)...)
+		e.trace("asked", append(e.traced(ev.ID, ev.Owner), "class", ev.Class, "group", ev.Group, "key", ev.Key, "wait", ev.Timeout,
+			"stray", ev.MidFlow, "returned", ev.Reconnecting)...)
 	case rules.Carried:
 		e.trace("carried", append(e.traced(ev.ID, ev.Server), "class", ev.Class, "group", ev.Group)...)
 	case rules.Opened:
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -174,7 +174,7 @@
 			f.breaks("request %d has no answer %v after its deadline", r.id, f.site.Slack)
 		}
 	})
-	g.tell(rules.Request{ID: r.id, Class: class.Name, Key: c.key, Timeout: class.Timeout, Load: c.load * 1e6, Returned: c.back})
+	g.tell(rules.Request{ID: r.id, Class: class.Name, Key: c.key, Timeout: class.Timeout, Load: c.load * 1e6, Reconnecting: c.back})
 }
 
 // again has a client come back.
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -77,11 +77,11 @@
 	w.add("group", r.Group)
 	w.duration("deadline", r.Timeout)
 	w.add("load", r.Load)
-	w.add("returned", r.Returned)
-	w.add("mid flow", r.Stray)
-	w.add("owner known", r.Held)
-	w.add("owner", int64(r.Holder))
-	w.add("rank", r.Rank)
+	w.add("returned", r.Reconnecting)
+	w.add("mid flow", r.MidFlow)
+	w.add("owner known", r.OwnerKnown)
+	w.add("owner", int64(r.Owner))
+	w.add("rank", r.Priority)
 }
 
 func (w *fieldWriter) servers(l rules.EndpointList) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -230,9 +230,9 @@
 	case "weight_hint_ns":
 		rec.req.Load = float64(f.duration()) / float64(time.Microsecond)
 	case "returned":
-		rec.req.Returned = f.boolean()
+		rec.req.Reconnecting = f.boolean()
 	case "stray":
-		rec.req.Stray = f.boolean()
+		rec.req.MidFlow = f.boolean()
 	case "seq_no":
 		rec.attempt = int(f.integer(1 << 31))
 	case "elapsed_ns":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -25,8 +25,8 @@
 func TestReadsEveryEvent(t *testing.T) {
 	for line, want := range map[string]rules.Event{
 		"new_request relay=3 ticket=7 customer=c weight_hint_ns=2000 grace_ns=3000000 group=g priority=p " +
-			"partition_key=k stray=1 returned=true retry=0 unknown=x": rules.Request{ID: 7, Tenant: "c", Load: 2, Returned: true,
-			Timeout: 3 * ms, Group: "g", Class: "p", Key: "k", Stray: true},
+			"partition_key=k stray=1 returned=true retry=0 unknown=x": rules.Request{ID: 7, Tenant: "c", Load: 2, Reconnecting: true,
+			Timeout: 3 * ms, Group: "g", Class: "p", Key: "k", MidFlow: true},
 		"carried relay=3 ticket=8 backend=5 priority=p": rules.Carried{
 			Request: rules.Request{ID: 8, Class: "p"}, Server: 5},
 		"opened relay=3 ticket=7 seq_no=1 backend=5 elapsed_ns=9000000": rules.Opened{
--- a/rules/api.go
+++ b/rules/api.go
@@ -109,18 +109,18 @@
 
 	// Request asks for one final answer within Deadline from now. Fields that a site lacks are zero.
 	Request struct {
-		ID       RequestID
-		Class    string
-		Tenant   string
-		Key      string
-		Group    string
-		Timeout  time.Duration // left from now
-		Load     float64       // usual load, in microseconds of work a second; 0: unknown
-		Returned bool          // its client had a connection that broke or was moved
-		Stray    bool          // packets of a connection that some server already holds
-		Held     bool          // and that server is known:
-		Holder   ServerID
-		Rank     int // of its tier: what is shed first has 0
+		ID           RequestID
+		Class        string
+		Tenant       string
+		Key          string
+		Group        string
+		Timeout      time.Duration // left from now
+		Load         float64       // usual load, in microseconds of work a second; 0: unknown
+		Reconnecting bool          // its client had a connection that broke or was moved
+		MidFlow      bool          // packets of a connection that some server already holds
+		OwnerKnown   bool          // and that server is known:
+		Owner        ServerID
+		Priority     int // of its tier: what is shed first has 0
 	}
 
 	// Carried is a connection that already ran through this gateway when it started.
--- a/rules/begin_test.go
+++ b/rules/begin_test.go
@@ -32,7 +32,7 @@
 	holder := w.b.members[0]
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: holder.ID, State: Draining}}})
 	w.now += 300 * ms
-	w.feed(Request{ID: 900, Class: "safe", Stray: true, Held: true, Holder: holder.ID, Timeout: sec})
+	w.feed(Request{ID: 900, Class: "safe", MidFlow: true, OwnerKnown: true, Owner: holder.ID, Timeout: sec})
 	if s := w.sent(); s.Server != holder.ID || s.Begin <= 0 || s.Begin >= 200*ms {
 		t.Errorf("a stray to a server that has drained for 300 of 500 ms: %+v", s)
 	}
--- a/rules/cold_test.go
+++ b/rules/cold_test.go
@@ -144,7 +144,7 @@
 	}
 	f.id++
 	next := find[Send](b.Handle(now, Request{ID: f.id, Class: "safe", Key: fmt.Sprint(f.id), Group: group,
-		Returned: returned, Timeout: 2 * sec}))
+		Reconnecting: returned, Timeout: 2 * sec}))
 	for n := 0; len(next) > 0; n++ {
 		s := next[0]
 		if s.Server >= f.cold {
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -510,7 +510,7 @@
 // comeAgain sends a client's next request, of the same key and group.
 func (s *stream) comeAgain(r rules.Request) {
 	s.nextRequest++
-	r.ID, r.Returned, r.Stray, r.Held = s.nextRequest, !s.oneIn(4), false, false
+	r.ID, r.Reconnecting, r.MidFlow, r.OwnerKnown = s.nextRequest, !s.oneIn(4), false, false
 	s.sendRequest(r)
 }
 
@@ -591,7 +591,7 @@
 	if a.Begin == 0 {
 		s.coverage["send without establish limit"]++
 	}
-	if c.request.Stray {
+	if c.request.MidFlow {
 		s.coverage["send of a mid-flow request"]++
 	}
 	if h.State == rules.Draining {
@@ -702,7 +702,7 @@
 		ID: s.nextRequest, Class: class,
 		Timeout: 50*time.Millisecond +
 			s.upTo([]time.Duration{150 * time.Millisecond, 3 * time.Second}[s.rnd.IntN(2)]),
-		Rank: s.rnd.IntN(3), Returned: s.oneIn(5),
+		Priority: s.rnd.IntN(3), Reconnecting: s.oneIn(5),
 		Tenant: []string{"", "small", "large", "free"}[s.rnd.IntN(4)],
 	}
 	if !s.oneIn(8) {
@@ -720,9 +720,9 @@
 // drawMidFlow is a request of which some server holds the connection already.
 func (s *stream) drawMidFlow() rules.Request {
 	r := s.drawRequest()
-	r.Stray = true
+	r.MidFlow = true
 	if s.oneIn(2) {
-		r.Held, r.Holder = true, s.anyHost().ID
+		r.OwnerKnown, r.Owner = true, s.anyHost().ID
 	}
 	return r
 }
@@ -736,7 +736,7 @@
 	group := s.drawRequest().Group
 	for range n {
 		r := s.drawRequest()
-		r.Group, r.Returned = group, !s.oneIn(3)
+		r.Group, r.Reconnecting = group, !s.oneIn(3)
 		s.sendRequest(r)
 	}
 }
@@ -895,7 +895,7 @@
 		}
 		s.later(after, func() {
 			r := s.drawRequest()
-			r.Stray, r.Held, r.Holder = true, s.oneIn(2), h.ID
+			r.MidFlow, r.OwnerKnown, r.Owner = true, s.oneIn(2), h.ID
 			s.sendRequest(r)
 		})
 	}
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -146,9 +146,9 @@
 				feed(Request{ID: id, Class: fmt.Sprint("klass-", rnd.IntN(6)),
 					Tenant: fmt.Sprint("who-", rnd.IntN(4)),
 					Group:  fmt.Sprint("g", rnd.IntN(3)), Key: fmt.Sprint("k", id),
-					Load:     rnd.Float64() * 1e6 * float64(rnd.IntN(2)),
-					Timeout:  time.Duration(rnd.Int64N(int64(3 * sec))),
-					Returned: rnd.IntN(2) == 0, Stray: rnd.IntN(9) == 0})
+					Load:         rnd.Float64() * 1e6 * float64(rnd.IntN(2)),
+					Timeout:      time.Duration(rnd.Int64N(int64(3 * sec))),
+					Reconnecting: rnd.IntN(2) == 0, MidFlow: rnd.IntN(9) == 0})
 			case 4, 5, 6:
 				for at, s := range out { // any one; which does not matter to what must hold
 					n := tries[at] - 1
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -134,7 +134,7 @@
 			d.ledger.check(d.t, d.now, &d.set)
 		}
 		if age := d.now - s.Started; s.Started > 0 &&
-			age < d.set.WarmupDuration && s.State == Ready && !f.Stray {
+			age < d.set.WarmupDuration && s.State == Ready && !f.MidFlow {
 			d.cold[a.Server] = append(d.cold[a.Server], d.now)
 			d.checkCold(a.Server, age)
 		}
@@ -230,7 +230,7 @@
 		class := d.set.Classes[d.rnd.IntN(len(d.set.Classes))]
 		f := &fate{Request: Request{ID: id, Class: class.Name, Key: fmt.Sprint(d.rnd.IntN(50)),
 			Group: fmt.Sprint("g", d.rnd.IntN(8)), Timeout: time.Duration(200+d.rnd.IntN(1800)) * ms,
-			Stray: d.rnd.IntN(9) == 0}}
+			MidFlow: d.rnd.IntN(9) == 0}}
 		f.deadline = d.now + f.Timeout
 		d.fates, d.byID[id] = append(d.fates, f), f
 		d.ledger.taken = append(d.ledger.taken, d.now)
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -313,7 +313,7 @@
 // isShed reports whether the fleet sheds a request. Which clients of the rank at the cut those are is alike
 // at every gateway: one who comes again elsewhere is answered alike. What a server holds is never shed.
 func (b *Balancer) isShed(r *request) bool {
-	return !r.Stray && r.chance(2) < b.shed-float64(r.Rank)
+	return !r.MidFlow && r.chance(2) < b.shed-float64(r.Priority)
 }
 
 // mayRetry reports whether the budget covers one more attempt beyond a request's first. It guards against
@@ -489,7 +489,7 @@
 // of keys. It could hurt a group that is better kept whole, since each part costs the server it goes to.
 func (b *Balancer) place(r *request) *server {
 	b.refresh()
-	if r.Stray && r.attempts == 0 {
+	if r.MidFlow && r.attempts == 0 {
 		if s := b.strayServer(r); s != nil {
 			return s
 		}
@@ -501,7 +501,7 @@
 		return s
 	}
 	first := int(r.chance(0) * b.parts(r))
-	if e := b.entry(r, first); r.Stray && r.attempts == 0 && b.unknown(e) && b.mayTry(r, e) {
+	if e := b.entry(r, first); r.MidFlow && r.attempts == 0 && b.unknown(e) && b.mayTry(r, e) {
 		return e // it loads whoever holds it already, and no report tells who that is
 	}
 	unit := b.unit()
@@ -514,7 +514,7 @@
 	var best *server
 	var ask []*server
 	least := math.Inf(1)
-	if r.Returned && !b.vouches(b.entry(r, first)) {
+	if r.Reconnecting && !b.vouches(b.entry(r, first)) {
 		first += 1 + int(mix(uint64(r.ID), keySeed)%returnOver)
 	}
 	most := lookupsMost
@@ -581,7 +581,7 @@
 // that it serves, where a cold server's budget would have them wait; each gateway begins at another time, so
 // that together they stay within what the server bears.
 func (b *Balancer) untried(r *request) *server {
-	if r.attempts > 0 || r.Stray {
+	if r.attempts > 0 || r.MidFlow {
 		return nil
 	}
 	for _, s := range b.members {
@@ -647,7 +647,7 @@
 // where the ordinary path put its key then, also if that drains, within the grace. It guards against a reset
 // where gateways and servers change together. It could miss a connection that an alternate took.
 func (b *Balancer) strayServer(r *request) *server {
-	if s := b.servers[r.Holder]; r.Held && s != nil && b.takesStrays(s) {
+	if s := b.servers[r.Owner]; r.OwnerKnown && s != nil && b.takesStrays(s) {
 		return s
 	}
 	for _, p := range b.past {
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -378,7 +378,7 @@
 	w := newWorld(t, settings(), 5)
 	_, held := w.open("safe", "g")
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: held, State: Draining}}})
-	stray := Request{ID: 500, Class: "safe", Group: "g", Stray: true, Timeout: sec}
+	stray := Request{ID: 500, Class: "safe", Group: "g", MidFlow: true, Timeout: sec}
 	w.feed(stray)
 	if got := w.sent().Server; got != held {
 		t.Errorf("just after the change: sent to %d, held by %d", got, held)
@@ -399,13 +399,13 @@
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
 	for i := range 40 {
 		group := fmt.Sprint("g", i)
-		w.feed(Request{ID: RequestID(1000 + i), Class: "safe", Group: group, Stray: true, Timeout: sec})
+		w.feed(Request{ID: RequestID(1000 + i), Class: "safe", Group: group, MidFlow: true, Timeout: sec})
 		if want := members[before.at(hashKey(group), 0)].ID; w.sent().Server != want {
 			t.Fatalf("group %s sent to %d, held by %d", group, w.sent().Server, want)
 		}
 	}
 	w.now += 6 * sec // past the park time
-	w.feed(Request{ID: 2000, Class: "safe", Group: "x", Stray: true, Timeout: sec})
+	w.feed(Request{ID: 2000, Class: "safe", Group: "x", MidFlow: true, Timeout: sec})
 	if want := w.entry("x"); w.sent().Server != want {
 		t.Errorf("past the park time: sent to %d, entry is %d", w.sent().Server, want)
 	}
@@ -843,7 +843,7 @@
 func TestReturningClientPassesOverAnEntryThatNobodyVouchesFor(t *testing.T) {
 	w := newWorld(t, settings(), 6)
 	ask := func(id RequestID) ServerID {
-		w.feed(Request{ID: id, Class: "safe", Group: "g", Key: "k", Returned: id > 900, Timeout: sec})
+		w.feed(Request{ID: id, Class: "safe", Group: "g", Key: "k", Reconnecting: id > 900, Timeout: sec})
 		return w.sent().Server
 	}
 	entry := w.entry("g")
@@ -1069,7 +1069,7 @@
 	}
 	stray := func() ServerID {
 		w.id++
-		w.feed(Request{ID: w.id, Class: "safe", Group: "g", Stray: true, Timeout: sec})
+		w.feed(Request{ID: w.id, Class: "safe", Group: "g", MidFlow: true, Timeout: sec})
 		return w.sent().Server
 	}
 	state(Removed, 0)
--- a/rules/shed_test.go
+++ b/rules/shed_test.go
@@ -38,7 +38,7 @@
 	set := settings()
 	set.Gateways, set.CanPollLoad = 300, true
 	w := newWorld(t, set, 8)
-	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec, Stray: true})
+	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec, MidFlow: true})
 	w.b.refresh()
 	if s := find[Send](w.last); len(s) != 1 || s[0].Server != w.b.entry(w.b.requests[1], 0).ID {
 		t.Errorf("sent %v", s)
@@ -76,8 +76,8 @@
 		for i := range 400 {
 			key := fmt.Sprint("k", i)
 			w.now += 10 * ms
-			w.feed(Request{ID: RequestID(i + 1), Class: "safe", Key: key, Rank: rank, Timeout: 2 * sec,
-				Stray: stray})
+			w.feed(Request{ID: RequestID(i + 1), Class: "safe", Key: key, Priority: rank, Timeout: 2 * sec,
+				MidFlow: stray})
 			for _, a := range find[Refuse](w.last) {
 				if !a.Shed {
 					t.Fatalf("%+v is not marked as shed", a)
