--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -103,7 +103,7 @@
 			}
 			return reply
 		}
-		if t, ok := ev.Rules.(rules.Timer); ok && t.Ref == refAsk {
+		if t, ok := ev.Rules.(rules.TimerFired); ok && t.Ref == refAsk {
 			return wire.AppendWatch(reply, ev.Instance)
 		}
 		if l, ok := ev.Rules.(rules.EndpointList); ok && l.Mode != rules.ListCached && i.list != nil {
--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -74,14 +74,14 @@
 		within = moveWithin
 	}
 	e.rearm(&r.answer, e.now+within, due{kind: dueMove, id: r.id})
-	e.tell(rules.Outcome{ID: rules.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
-		Elapsed: e.now - r.sent, Settled: true})
+	e.tell(rules.AttemptEnded{ID: rules.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
+		Elapsed: e.now - r.sent, Answered: true})
 }
 
 func (e *Engine) onSend(a rules.Send) {
 	r, ok := e.requests.Get(slot.ID(a.ID))
 	if !ok || r.phase != waiting || r.link != nil {
-		e.tell(rules.Outcome{ID: a.ID, Server: a.Server, Result: rules.Moot, Settled: true})
+		e.tell(rules.AttemptEnded{ID: a.ID, Server: a.Server, Result: rules.Moot, Answered: true})
 		return
 	}
 	wait := r.deadline - e.now
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -137,7 +137,7 @@
 		Out  bool
 		Done func()
 	}
-	// Shed tells what the fleet sheds, as rules.Shed.
+	// Shed tells what the fleet sheds, as rules.FleetShedLevel.
 	Shed struct{ Level float64 }
 	// Stop begins the end: what comes is still served, until AnswerBy has gone by where connections end with this
 	// gateway, and else until Drain has.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -177,7 +177,7 @@
 		if s := e.servers[ev.Server]; s != nil {
 			s.meter.report(e.now, ev.Report)
 			if ev.Report.HasLoad {
-				e.tell(rules.LoadReport{Server: ev.Server, Load: ev.Report.Load, Held: ev.Report.Held})
+				e.tell(rules.LoadReport{Server: ev.Server, Utilization: ev.Report.Load, Connections: ev.Report.Held})
 			}
 		}
 	case List:
@@ -189,7 +189,7 @@
 	case Banned:
 		e.onBanned(ev)
 	case Shed:
-		e.tell(rules.Shed{Level: ev.Level})
+		e.tell(rules.FleetShedLevel{Level: ev.Level})
 	case Stop:
 		e.onStop()
 	}
@@ -206,7 +206,7 @@
 		r, _ := e.requests.Get(d.id)
 		switch d.kind {
 		case dueWake:
-			e.tell(rules.Timer{Ref: d.ref})
+			e.tell(rules.TimerFired{Ref: d.ref})
 		case dueAttempt:
 			if r != nil {
 				e.onTimeout(r)
--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -79,7 +79,7 @@
 			return
 		}
 		e.heirs[f.ID] = r.id
-		e.tell(rules.Carried{Request: rules.Request{ID: rules.RequestID(r.id), Class: f.Class, Key: f.Key, Group: f.Group,
+		e.tell(rules.AdoptedConnection{Request: rules.Request{ID: rules.RequestID(r.id), Class: f.Class, Key: f.Key, Group: f.Group,
 			Load: f.Load}, Server: id})
 	}
 	for name := range e.heirs {
@@ -98,7 +98,7 @@
 		return 0, false
 	}
 	e.free(r)
-	e.tell(rules.Outcome{ID: rules.RequestID(r.id), Server: r.server, Result: rules.Cancelled, Settled: true})
+	e.tell(rules.AttemptEnded{ID: rules.RequestID(r.id), Server: r.server, Result: rules.Cancelled, Answered: true})
 	return r.server, true
 }
 
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -208,7 +208,7 @@
 		e.fail(r)
 		return
 	}
-	e.tell(rules.Carried{Request: req, Server: id})
+	e.tell(rules.AdoptedConnection{Request: req, Server: id})
 	e.send(r, id, r.deadline-e.now, 0)
 }
 
@@ -240,12 +240,12 @@
 	}
 	id := rules.RequestID(r.id)
 	if r.phase == waiting && !r.carried {
-		e.tell(rules.Expired{ID: id})
+		e.tell(rules.ClientDisconnected{ID: id})
 	}
 	if r.link != nil {
 		r.link.Abandon()
-		e.tell(rules.Outcome{ID: id, Attempt: r.attempts - 1, Server: r.server, Result: rules.Cancelled,
-			Elapsed: e.now - r.sent, Settled: true})
+		e.tell(rules.AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: r.server, Result: rules.Cancelled,
+			Elapsed: e.now - r.sent, Answered: true})
 	}
 }
 
@@ -260,7 +260,7 @@
 	e.deadlines.Remove(r.answer)
 	e.deadlines.Remove(r.timeout)
 	if !r.carried {
-		e.tell(rules.Opened{ID: rules.RequestID(r.id), Attempt: ev.Number, Server: r.server, Elapsed: ev.Elapsed})
+		e.tell(rules.AttemptEstablished{ID: rules.RequestID(r.id), Attempt: ev.Number, Server: r.server, Elapsed: ev.Elapsed})
 	}
 	if e.stage == closing && r.phase == open { // it came up as it was to be given up
 		e.move(r, rules.Cancelled)
@@ -281,12 +281,12 @@
 	r.link = nil
 	// What has no connection of its own is over with its answer.
 	settled := r.phase == open || result == rules.OK
-	out := rules.Outcome{ID: rules.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
-		Elapsed: e.now - r.sent, Settled: settled || r.carried}
+	out := rules.AttemptEnded{ID: rules.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
+		Elapsed: e.now - r.sent, Answered: settled || r.carried}
 	if result == rules.OK && r.phase == waiting && !r.carried {
 		// To the rules an answer is as good as a connection that stands: they tell a fault of one server from one that
 		// all share by how many stand.
-		e.tell(rules.Opened{ID: out.ID, Attempt: out.Attempt, Server: r.server, Elapsed: out.Elapsed})
+		e.tell(rules.AttemptEstablished{ID: out.ID, Attempt: out.Attempt, Server: r.server, Elapsed: out.Elapsed})
 		r.class.Succeeded.Add(1)
 	}
 	switch {
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -150,7 +150,7 @@
 				if s.entry.Started == s.bannedStart && !e.holds(id) {
 					s.coldSince = e.now
 				}
-				e.tell(rules.Returned{Server: id})
+				e.tell(rules.ServerReinstated{Server: id})
 			}
 			e.show(id, s)
 			if ev.Out {
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -41,7 +41,7 @@
 	e.answerBy = e.now + within
 	e.opts.Logger.Info("stopping", "connections", e.requests.Len(), "answer_by", within, "drain", e.opts.Drain)
 	e.deadlines.Add(e.now+e.opts.Drain, due{kind: dueEnd})
-	e.tell(rules.Stop{By: e.answerBy})
+	e.tell(rules.Shutdown{Deadline: e.answerBy})
 	e.requests.All(func(_ slot.ID, r *request) bool {
 		if r.phase == waiting {
 			e.hurry(r)
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -35,19 +35,19 @@
 	case rules.Request:
 		e.trace("asked", append(e.traced(ev.ID, ev.Owner), "class", ev.Class, "group", ev.Group, "key", ev.Key, "wait", ev.Timeout,
 			"stray", ev.MidFlow, "returned", ev.Reconnecting)...)
-	case rules.Carried:
+	case rules.AdoptedConnection:
 		e.trace("carried", append(e.traced(ev.ID, ev.Server), "class", ev.Class, "group", ev.Group)...)
-	case rules.Opened:
+	case rules.AttemptEstablished:
 		e.trace("up", append(e.traced(ev.ID, ev.Server), "after", ev.Elapsed)...)
-	case rules.Outcome:
+	case rules.AttemptEnded:
 		e.trace("outcome", append(e.traced(ev.ID, ev.Server), "attempt", ev.Attempt, "result", ev.Result.String(), "after", ev.Elapsed,
-			"settled", ev.Settled)...)
-	case rules.Expired:
+			"settled", ev.Answered)...)
+	case rules.ClientDisconnected:
 		e.trace("expired", e.traced(ev.ID, 0)...)
 	case rules.MessageDelay:
 		e.trace("slow", "server", e.serverName(ev.Server), "delay", ev.Delay)
 	case rules.LoadReport:
-		e.trace("report", "server", e.serverName(ev.Server), "load", ev.Load, "held", ev.Held)
+		e.trace("report", "server", e.serverName(ev.Server), "load", ev.Utilization, "held", ev.Connections)
 	case rules.EndpointList:
 		for _, s := range ev.Servers {
 			e.trace("told", "server", e.serverName(s.ID), "number", s.ID, "state", int(s.State), "started", s.Started, "weight", s.Capacity,
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -212,7 +212,7 @@
 			f.again(r.client, 0)
 		}
 	case rules.Wake:
-		f.World.After(a.After, func() { g.tell(rules.Timer{Ref: a.Ref}) })
+		f.World.After(a.After, func() { g.tell(rules.TimerFired{Ref: a.Ref}) })
 	}
 }
 
@@ -290,7 +290,7 @@
 	r.at.open[r] = true
 	f.Up++
 	r.leave = f.World.At(r.client.end, func() { r.over(rules.OK) })
-	r.gateway.tell(rules.Opened{ID: r.id, Attempt: r.attempts - 1, Server: r.at.id, Elapsed: f.World.Now() - r.sent})
+	r.gateway.tell(rules.AttemptEstablished{ID: r.id, Attempt: r.attempts - 1, Server: r.at.id, Elapsed: f.World.Now() - r.sent})
 }
 
 // over ends an attempt, or the connection that it set up.
@@ -310,5 +310,5 @@
 	if was {
 		delete(r.gateway.calls, r.id)
 	}
-	r.gateway.tell(rules.Outcome{ID: r.id, Attempt: r.attempts - 1, Server: m.id, Result: result, Elapsed: f.World.Now() - r.sent, Settled: was})
+	r.gateway.tell(rules.AttemptEnded{ID: r.id, Attempt: r.attempts - 1, Server: m.id, Result: result, Elapsed: f.World.Now() - r.sent, Answered: was})
 }
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -244,11 +244,11 @@
 	case rules.Request:
 		w.WriteString(" request")
 		w.request(e)
-	case rules.Carried:
+	case rules.AdoptedConnection:
 		w.WriteString(" carried")
 		w.request(e.Request)
 		w.add("server", int64(e.Server))
-	case rules.Opened:
+	case rules.AttemptEstablished:
 		w.WriteString(" opened")
 		w.add("id", int64(e.ID))
 		w.add("attempt", e.Attempt)
@@ -263,18 +263,18 @@
 		w.add("id", int64(e.ID))
 		w.add("server", int64(e.Server))
 		w.duration("delay", e.Delay)
-	case rules.Outcome:
+	case rules.AttemptEnded:
 		w.WriteString(" result")
 		w.add("id", int64(e.ID))
 		w.add("attempt", e.Attempt)
 		w.add("server", int64(e.Server))
 		w.add("result", result(e.Result))
 		w.duration("elapsed", e.Elapsed)
-		w.add("settled", e.Settled)
-	case rules.Expired:
+		w.add("settled", e.Answered)
+	case rules.ClientDisconnected:
 		w.WriteString(" expired")
 		w.add("id", int64(e.ID))
-	case rules.Timer:
+	case rules.TimerFired:
 		w.WriteString(" timer")
 		w.add("ref", e.Ref)
 	default:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -285,9 +285,9 @@
 	case "new_request":
 		ev.Rules = rec.req
 	case "carried":
-		ev.Rules = rules.Carried{Request: rec.req, Server: rec.server}
+		ev.Rules = rules.AdoptedConnection{Request: rec.req, Server: rec.server}
 	case "opened":
-		ev.Rules = rules.Opened{ID: id, Attempt: rec.attempt, Server: rec.server, Elapsed: rec.elapsed}
+		ev.Rules = rules.AttemptEstablished{ID: id, Attempt: rec.attempt, Server: rec.server, Elapsed: rec.elapsed}
 	case "update_of":
 		switch rec.topic {
 		case 1:
@@ -303,12 +303,12 @@
 		if !ok {
 			return false, r.errorf("result: unknown outcome %d", rec.outcome)
 		}
-		ev.Rules = rules.Outcome{ID: id, Attempt: rec.attempt, Server: rec.server, Result: result,
-			Elapsed: rec.elapsed, Settled: rec.settled}
+		ev.Rules = rules.AttemptEnded{ID: id, Attempt: rec.attempt, Server: rec.server, Result: result,
+			Elapsed: rec.elapsed, Answered: rec.settled}
 	case "expired":
-		ev.Rules = rules.Expired{ID: id}
+		ev.Rules = rules.ClientDisconnected{ID: id}
 	case "timer":
-		ev.Rules = rules.Timer{Ref: rec.ref}
+		ev.Rules = rules.TimerFired{Ref: rec.ref}
 	case "checked", "message": // answers to what the rules never ask or say
 		return false, nil
 	default:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,17 +27,17 @@
 		"new_request relay=3 ticket=7 customer=c weight_hint_ns=2000 grace_ns=3000000 group=g priority=p " +
 			"partition_key=k stray=1 returned=true retry=0 unknown=x": rules.Request{ID: 7, Tenant: "c", Load: 2, Reconnecting: true,
 			Timeout: 3 * ms, Group: "g", Class: "p", Key: "k", MidFlow: true},
-		"carried relay=3 ticket=8 backend=5 priority=p": rules.Carried{
+		"carried relay=3 ticket=8 backend=5 priority=p": rules.AdoptedConnection{
 			Request: rules.Request{ID: 8, Class: "p"}, Server: 5},
-		"opened relay=3 ticket=7 seq_no=1 backend=5 elapsed_ns=9000000": rules.Opened{
+		"opened relay=3 ticket=7 seq_no=1 backend=5 elapsed_ns=9000000": rules.AttemptEstablished{
 			ID: 7, Attempt: 1, Server: 5, Elapsed: 9 * ms},
 		"update_of relay=3 ticket=7 value=0.5 topic=1 backend=5": rules.LoadChanged{ID: 7, Load: 0.5},
 		"update_of relay=3 ticket=7 value=120.5 topic=2 backend=5": rules.MessageDelay{
 			ID: 7, Server: 5, Delay: 120*ms + 500*time.Microsecond},
-		"result relay=3 ticket=7 seq_no=0 backend=5 outcome=305 settled=1 stats=a:1,b:2": rules.Outcome{
-			ID: 7, Server: 5, Result: rules.Reset, Settled: true},
-		"expired relay=3 ticket=7":                     rules.Expired{ID: 7},
-		"timer relay=3 ref=77":                         rules.Timer{Ref: 77},
+		"result relay=3 ticket=7 seq_no=0 backend=5 outcome=305 settled=1 stats=a:1,b:2": rules.AttemptEnded{
+			ID: 7, Server: 5, Result: rules.Reset, Answered: true},
+		"expired relay=3 ticket=7":                     rules.ClientDisconnected{ID: 7},
+		"timer relay=3 ref=77":                         rules.TimerFired{Ref: 77},
 		"update relay=3 mode=Complete rev=5 rows_in=0": rules.EndpointList{Mode: rules.ListComplete},
 	} {
 		got := read(t, "mark t_ns=5\n"+line+"\nover_to_you\n")
--- a/rules/api.go
+++ b/rules/api.go
@@ -123,14 +123,14 @@
 		Priority     int // of its tier: what is shed first has 0
 	}
 
-	// Carried is a connection that already ran through this gateway when it started.
-	Carried struct {
+	// AdoptedConnection is a connection that already ran through this gateway when it started.
+	AdoptedConnection struct {
 		Request
 		Server ServerID
 	}
 
-	// Opened says that an attempt's connection stands; deadline and time-out no longer run.
-	Opened struct {
+	// AttemptEstablished says that an attempt's connection stands; deadline and time-out no longer run.
+	AttemptEstablished struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
@@ -152,52 +152,52 @@
 
 	// LoadReport brings a server's word of the load asked of it by all, as a part of what it can do.
 	LoadReport struct {
-		Server ServerID
-		Load   float64
-		Held   float64 // connections there, of all gateways; 0: not told
+		Server      ServerID
+		Utilization float64
+		Connections float64 // connections there, of all gateways; 0: not told
 	}
 
-	// Shed tells what the fleet sheds: requests of ranks under the whole part of Level, and of the
+	// FleetShedLevel tells what the fleet sheds: requests of ranks under the whole part of Level, and of the
 	// rank at it the part behind the point. 0 sheds nothing.
-	Shed struct{ Level float64 }
-
-	// Outcome ends an attempt. Each Send gets exactly one.
-	Outcome struct {
-		ID      RequestID
-		Attempt int
-		Server  ServerID
-		Result  Result
-		Elapsed time.Duration
-		Settled bool // the client has its final answer
+	FleetShedLevel struct{ Level float64 }
+
+	// AttemptEnded ends an attempt. Each Send gets exactly one.
+	AttemptEnded struct {
+		ID       RequestID
+		Attempt  int
+		Server   ServerID
+		Result   Result
+		Elapsed  time.Duration
+		Answered bool // the client has its final answer
 	}
 
-	// Expired says that the client is gone; no answer is owed.
-	Expired struct{ ID RequestID }
+	// ClientDisconnected says that the client is gone; no answer is owed.
+	ClientDisconnected struct{ ID RequestID }
 
-	// Returned says that a server that was out by hand may serve again: what was held against
+	// ServerReinstated says that a server that was out by hand may serve again: what was held against
 	// it is void.
-	Returned struct{ Server ServerID }
+	ServerReinstated struct{ Server ServerID }
 
-	// Stop says that the program ends: each request that waits has to have its final answer by then.
-	Stop struct{ By time.Duration }
+	// Shutdown says that the program ends: each request that waits has to have its final answer by then.
+	Shutdown struct{ Deadline time.Duration }
 
-	// Timer answers a Wake.
-	Timer struct{ Ref int64 }
+	// TimerFired answers a Wake.
+	TimerFired struct{ Ref int64 }
 )
 
-func (EndpointList) event() {}
-func (Request) event()      {}
-func (Carried) event()      {}
-func (Opened) event()       {}
-func (LoadChanged) event()  {}
-func (MessageDelay) event() {}
-func (LoadReport) event()   {}
-func (Shed) event()         {}
-func (Outcome) event()      {}
-func (Expired) event()      {}
-func (Returned) event()     {}
-func (Stop) event()         {}
-func (Timer) event()        {}
+func (EndpointList) event()       {}
+func (Request) event()            {}
+func (AdoptedConnection) event()  {}
+func (AttemptEstablished) event() {}
+func (LoadChanged) event()        {}
+func (MessageDelay) event()       {}
+func (LoadReport) event()         {}
+func (FleetShedLevel) event()     {}
+func (AttemptEnded) event()       {}
+func (ClientDisconnected) event() {}
+func (ServerReinstated) event()   {}
+func (Shutdown) event()           {}
+func (TimerFired) event()         {}
 
 // Result is how an attempt ended.
 type Result int
--- a/rules/ask_test.go
+++ b/rules/ask_test.go
@@ -23,8 +23,8 @@
 		want  int
 	}{{[2]float64{0.4, 0.1}, 0}, {[2]float64{0.8, 0.1}, 1}, {[2]float64{1.5, 0.5}, 1}} {
 		w, asks := asking(t, 8)
-		w.feed(LoadReport{Server: asks[0].Server, Load: f.loads[0], Held: 30})
-		w.feed(LoadReport{Server: asks[1].Server, Load: f.loads[1], Held: 30})
+		w.feed(LoadReport{Server: asks[0].Server, Utilization: f.loads[0], Connections: 30})
+		w.feed(LoadReport{Server: asks[1].Server, Utilization: f.loads[1], Connections: 30})
 		if s := find[Send](w.last); len(s) != 1 || s[0].Server != asks[f.want].Server {
 			t.Errorf("loads %v: sent %v, want one to %v", f.loads, s, asks[f.want])
 		}
@@ -41,7 +41,7 @@
 				t.Fatalf("%v asked twice within its report's time", a)
 			}
 			seen[a.Server] = true
-			w.feed(LoadReport{Server: a.Server, Load: 1.5, Held: 30})
+			w.feed(LoadReport{Server: a.Server, Utilization: 1.5, Connections: 30})
 		}
 		asks = find[Ask](w.last)
 		if round > askRounds {
@@ -56,12 +56,12 @@
 // A server that says nothing in time is passed over for one that does, and no client waits for it longer.
 func TestSilentServerIsPassedOver(t *testing.T) {
 	w, asks := asking(t, 8)
-	w.feed(LoadReport{Server: asks[1].Server, Load: 0.3, Held: 30})
+	w.feed(LoadReport{Server: asks[1].Server, Utilization: 0.3, Connections: 30})
 	if len(find[Send](w.last)) != 0 {
 		t.Fatal("the entry's word was not waited for")
 	}
 	w.now += askFor
-	w.feed(Timer{Ref: refOnce})
+	w.feed(TimerFired{Ref: refOnce})
 	if s := find[Send](w.last); len(s) != 1 || s[0].Server != asks[1].Server {
 		t.Errorf("sent %v, want one to %v", s, asks[1])
 	}
@@ -70,8 +70,8 @@
 // A client that leaves while servers are asked is sent nowhere.
 func TestLeftWhileAsking(t *testing.T) {
 	w, asks := asking(t, 8)
-	w.feed(Expired{ID: 1})
-	w.feed(LoadReport{Server: asks[0].Server, Load: 0.3, Held: 30})
+	w.feed(ClientDisconnected{ID: 1})
+	w.feed(LoadReport{Server: asks[0].Server, Utilization: 0.3, Connections: 30})
 	w.wait(sec)
 	if n := len(find[Send](w.last)); n != 0 || len(w.b.waiting) != 0 {
 		t.Errorf("%d sent, %d still waiting", n, len(w.b.waiting))
--- a/rules/begin_test.go
+++ b/rules/begin_test.go
@@ -15,7 +15,7 @@
 
 	id, first := w.request("keyed", ""), w.sent()
 	w.now += 150 * ms
-	w.feed(Outcome{ID: id, Server: first.Server, Result: Reset})
+	w.feed(AttemptEnded{ID: id, Server: first.Server, Result: Reset})
 	if s := w.sent(); s.Begin != 250*ms {
 		t.Errorf("a repeat 150 ms into a window of 400 ms: %+v", s)
 	}
@@ -23,7 +23,7 @@
 	// A repeat of what never ran has no window.
 	id, first = w.request("keyed", ""), w.sent()
 	w.now += 150 * ms
-	w.feed(Outcome{ID: id, Server: first.Server, Result: Full})
+	w.feed(AttemptEnded{ID: id, Server: first.Server, Result: Full})
 	if s := w.sent(); s.Begin <= 250*ms {
 		t.Errorf("a repeat of what never ran: %+v", s)
 	}
--- a/rules/bench_test.go
+++ b/rules/bench_test.go
@@ -28,8 +28,8 @@
 				group := fmt.Sprint("g", id%50)
 				acts := g.Handle(0, Request{ID: id, Class: "safe", Group: group, Key: group, Timeout: sec})
 				send := acts[len(acts)-1].(Send)
-				g.Handle(0, Opened{ID: id, Server: send.Server, Elapsed: ms})
-				g.Handle(0, Outcome{ID: id, Server: send.Server, Result: OK, Settled: true})
+				g.Handle(0, AttemptEstablished{ID: id, Server: send.Server, Elapsed: ms})
+				g.Handle(0, AttemptEnded{ID: id, Server: send.Server, Result: OK, Answered: true})
 			}
 		})
 	}
--- a/rules/cold_test.go
+++ b/rules/cold_test.go
@@ -151,11 +151,11 @@
 			f.sends[s.Server] = append(f.sends[s.Server], now)
 		}
 		if f.rnd.Float64() >= f.failures {
-			b.Handle(now, Opened{ID: s.ID, Attempt: n, Server: s.Server})
+			b.Handle(now, AttemptEstablished{ID: s.ID, Attempt: n, Server: s.Server})
 			return
 		}
 		next = find[Send](b.Handle(now,
-			Outcome{ID: s.ID, Attempt: n, Server: s.Server, Result: Full}))
+			AttemptEnded{ID: s.ID, Attempt: n, Server: s.Server, Result: Full}))
 	}
 }
 
--- a/rules/daily_test.go
+++ b/rules/daily_test.go
@@ -11,8 +11,8 @@
 	w := newWorld(t, settings(), 1)
 	id, s := w.open("safe", "g")
 	w.feed(LoadChanged{ID: id, Load: 1000})
-	w.feed(LoadReport{Server: s, Load: 2})
-	w.feed(Outcome{ID: id, Server: s, Result: OK, Settled: true})
+	w.feed(LoadReport{Server: s, Utilization: 2})
+	w.feed(AttemptEnded{ID: id, Server: s, Result: OK, Answered: true})
 	w.feed(Request{ID: 900, Class: "safe", Key: "a", Group: "b", Timeout: 2 * sec, Load: 1000})
 	if n := len(find[Send](w.last)); n > 0 {
 		t.Error("sent to a server that has just reported twice its load")
@@ -34,14 +34,14 @@
 	s := w.b.order[0]
 	before := w.b.fullConnections(s)
 	for range 20 {
-		w.feed(LoadReport{Server: w.b.order[1].ID, Load: 0.25, Held: 10})
+		w.feed(LoadReport{Server: w.b.order[1].ID, Utilization: 0.25, Connections: 10})
 	}
 	if got := w.b.fullConnections(s); before != coldRoom || got < 0.6*40 || got > 40 {
 		t.Errorf("held to bear %v, then %v with reports of 10 at a quarter", before, got)
 	}
 	s.Started = w.now
 	for range 20 {
-		w.feed(LoadReport{Server: s.ID, Load: 0.25, Held: 1000})
+		w.feed(LoadReport{Server: s.ID, Utilization: 0.25, Connections: 1000})
 	}
 	if got := w.b.fullConnections(s); got > 40 {
 		t.Errorf("a cold server's own report made it %v", got)
@@ -52,7 +52,7 @@
 func TestReturnedServerIsTriedOnce(t *testing.T) {
 	w := newWorld(t, settings(), 4)
 	back := w.b.order[2].ID
-	w.feed(Returned{Server: back})
+	w.feed(ServerReinstated{Server: back})
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: back, Capacity: 1, Started: w.now}}})
 	w.wait(tryWithin)
 	to := 0
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -484,7 +484,7 @@
 		asked := s.balancer
 		s.later(after, func() {
 			if s.balancer == asked {
-				s.feed("timer fired", rules.Timer{Ref: a.Ref})
+				s.feed("timer fired", rules.TimerFired{Ref: a.Ref})
 			}
 		})
 	case rules.Log:
@@ -604,7 +604,7 @@
 		return
 	}
 	c.established = true
-	s.feed("established", rules.Opened{ID: c.request.ID, Attempt: c.attempt, Server: c.server,
+	s.feed("established", rules.AttemptEstablished{ID: c.request.ID, Attempt: c.attempt, Server: c.server,
 		Elapsed: s.upTo(90 * time.Millisecond)})
 	life := s.upTo([]time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}[s.rnd.IntN(3)])
 	s.later(life, func() {
@@ -633,9 +633,9 @@
 	if !result.NeverRan() {
 		s.mayHaveRun[c.request.ID] = true
 	}
-	s.feed("ended", rules.Outcome{ID: c.request.ID, Attempt: c.attempt,
+	s.feed("ended", rules.AttemptEnded{ID: c.request.ID, Attempt: c.attempt,
 		Server: c.server, Result: result,
-		Elapsed: s.upTo(300 * time.Millisecond), Settled: answered || c.left})
+		Elapsed: s.upTo(300 * time.Millisecond), Answered: answered || c.left})
 }
 
 // What the world does by itself.
@@ -666,7 +666,7 @@
 		s.changeList()
 	case dice < 90:
 		s.feed("fleet load shedding",
-			rules.Shed{Level: []float64{0, 0, 0.3, 1, 1.4}[s.rnd.IntN(5)]})
+			rules.FleetShedLevel{Level: []float64{0, 0, 0.3, 1, 1.4}[s.rnd.IntN(5)]})
 	case dice < 92:
 		s.reinstate(s.anyHost())
 	case dice < 93:
@@ -767,7 +767,7 @@
 		return
 	}
 	c.left = true
-	s.feed("client disconnected", rules.Expired{ID: c.request.ID})
+	s.feed("client disconnected", rules.ClientDisconnected{ID: c.request.ID})
 	s.later(s.upTo(50*time.Millisecond), func() { s.end(c, rules.Cancelled, true) })
 }
 
@@ -787,12 +787,12 @@
 			held++
 		}
 	}
-	report := rules.LoadReport{Server: id, Load: h.others + float64(held)/h.capacity}
+	report := rules.LoadReport{Server: id, Utilization: h.others + float64(held)/h.capacity}
 	if h.condition == slow {
-		report.Load += 0.5
+		report.Utilization += 0.5
 	}
 	if !s.oneIn(4) {
-		report.Held = math.Floor(h.others*h.capacity) + float64(held*max(s.settings.Gateways, 1))
+		report.Connections = math.Floor(h.others*h.capacity) + float64(held*max(s.settings.Gateways, 1))
 	}
 	h.others = max(0, min(h.others+0.3*(s.rnd.Float64()-0.5), 1.2))
 	s.feed("load report", report)
@@ -909,7 +909,7 @@
 
 // reinstate has staff put a server back into use, for some after a restart.
 func (s *stream) reinstate(h *host) {
-	s.feed("server reinstated", rules.Returned{Server: h.ID})
+	s.feed("server reinstated", rules.ServerReinstated{Server: h.ID})
 	if s.oneIn(2) {
 		s.reboot(h)
 		s.feedList(rules.ListDelta, []rules.Server{h.Server})
@@ -928,21 +928,21 @@
 		}
 	case 1:
 		s.feed("established",
-			rules.Opened{ID: known, Attempt: s.rnd.IntN(3), Server: server + 50})
+			rules.AttemptEstablished{ID: known, Attempt: s.rnd.IntN(3), Server: server + 50})
 	case 2:
-		s.feed("ended", rules.Outcome{ID: known, Attempt: 7, Server: server, Result: rules.Reset})
+		s.feed("ended", rules.AttemptEnded{ID: known, Attempt: 7, Server: server, Result: rules.Reset})
 	case 3:
-		s.feed("client disconnected", rules.Expired{ID: unknown})
+		s.feed("client disconnected", rules.ClientDisconnected{ID: unknown})
 	case 4:
-		s.feed("timer fired", rules.Timer{Ref: 77})
+		s.feed("timer fired", rules.TimerFired{Ref: 77})
 	case 5:
 		s.feed("load changed", rules.LoadChanged{ID: unknown, Load: 5})
 	case 6:
 		s.feed("message delay", rules.MessageDelay{ID: unknown, Server: 1, Delay: time.Second})
 	case 7:
-		s.feed("load report", rules.LoadReport{Server: 1, Load: 1})
+		s.feed("load report", rules.LoadReport{Server: 1, Utilization: 1})
 	case 8:
-		s.feed("server reinstated", rules.Returned{Server: 1})
+		s.feed("server reinstated", rules.ServerReinstated{Server: 1})
 	}
 }
 
@@ -970,12 +970,12 @@
 		}
 		c.attempt, s.attempts[c.request.ID] = 0, 1
 		s.live = append(s.live, c)
-		s.feed("adopted connection", rules.Carried{Request: c.request, Server: c.server})
+		s.feed("adopted connection", rules.AdoptedConnection{Request: c.request, Server: c.server})
 		life := s.upTo(20 * time.Second)
 		s.later(life, func() { s.end(c, rules.OK, true) })
 	}
 	s.feed("adopted connection",
-		rules.Carried{Request: rules.Request{ID: s.nextRequest + 5000}, Server: 1})
+		rules.AdoptedConnection{Request: rules.Request{ID: s.nextRequest + 5000}, Server: 1})
 }
 
 // spoil puts figures into a snapshot that have to be passed over or bounded.
@@ -1007,7 +1007,7 @@
 func (s *stream) lastQuarter() {
 	switch s.rnd.IntN(6) {
 	case 0:
-		s.feed("shutdown", rules.Stop{By: s.now + s.upTo(time.Second)})
+		s.feed("shutdown", rules.Shutdown{Deadline: s.now + s.upTo(time.Second)})
 	case 1, 2:
 		for _, h := range s.hosts[:(len(s.hosts)+1)/2] {
 			h.State = rules.Removed
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -30,8 +30,8 @@
 	events := []rules.Event{
 		list,
 		rules.Request{ID: 1, Class: "feed", Group: "area-7", Timeout: 2 * time.Second},
-		rules.Outcome{ID: 1, Attempt: 0, Server: 13, Result: rules.ConnectFailed},
-		rules.Opened{ID: 1, Attempt: 1, Server: 11, Elapsed: 12 * time.Millisecond},
+		rules.AttemptEnded{ID: 1, Attempt: 0, Server: 13, Result: rules.ConnectFailed},
+		rules.AttemptEstablished{ID: 1, Attempt: 1, Server: 11, Elapsed: 12 * time.Millisecond},
 	}
 	now := time.Hour // any origin will do
 	for _, ev := range events {
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -153,24 +153,24 @@
 				for at, s := range out { // any one; which does not matter to what must hold
 					n := tries[at] - 1
 					if rnd.IntN(2) == 0 {
-						feed(Opened{ID: at, Attempt: n, Server: s.Server, Elapsed: ms})
+						feed(AttemptEstablished{ID: at, Attempt: n, Server: s.Server, Elapsed: ms})
 						feed(LoadChanged{ID: at, Load: rnd.Float64() * 1e5})
 						slow := time.Duration(rnd.Int64N(int64(sec)))
 						feed(MessageDelay{ID: at, Server: s.Server, Delay: slow})
 						answered[at]++
 					}
 					delete(out, at)
-					feed(Outcome{ID: at, Attempt: n, Server: s.Server, Result: Result(rnd.IntN(8)),
-						Settled: answered[at] > 0})
+					feed(AttemptEnded{ID: at, Attempt: n, Server: s.Server, Result: Result(rnd.IntN(8)),
+						Answered: answered[at] > 0})
 					break
 				}
 			case 7:
 				feed(LoadReport{
-					Server: server, Load: rnd.Float64() * 3, Held: float64(rnd.IntN(60))})
+					Server: server, Utilization: rnd.Float64() * 3, Connections: float64(rnd.IntN(60))})
 			case 8:
-				feed(Timer{Ref: refHousekeeping})
+				feed(TimerFired{Ref: refHousekeeping})
 			case 9:
-				feed(Timer{Ref: refOnce})
+				feed(TimerFired{Ref: refOnce})
 			}
 			if i%20 > 0 {
 				continue
--- a/rules/move_test.go
+++ b/rules/move_test.go
@@ -13,9 +13,9 @@
 	w.feed(Request{ID: 1, Class: "safe", Group: group, Key: key, Timeout: 2 * sec})
 	at := find[Ask](w.last)[0].Server
 	for _, a := range find[Ask](w.last) {
-		w.feed(LoadReport{Server: a.Server, Load: 0.3, Held: 20})
+		w.feed(LoadReport{Server: a.Server, Utilization: 0.3, Connections: 20})
 	}
-	w.feed(Opened{ID: 1, Server: at, Elapsed: 10 * ms})
+	w.feed(AttemptEstablished{ID: 1, Server: at, Elapsed: 10 * ms})
 	w.wait(2 * reportFor) // what the others said is old by now
 	return w, 1, at
 }
@@ -27,7 +27,7 @@
 	for i := range 20 {
 		w, id, at := slowOf(t, fmt.Sprint("g", i), "k")
 		for range 12 {
-			w.feed(LoadReport{Server: at, Load: 1.4, Held: 40})
+			w.feed(LoadReport{Server: at, Utilization: 1.4, Connections: 40})
 			w.feed(MessageDelay{ID: id, Server: at, Delay: sec / 2})
 			did := w.wait(housekeeping)
 			for _, a := range find[Ask](did) {
@@ -35,7 +35,7 @@
 					t.Fatal("the slow server was asked for room")
 				}
 				asked++
-				w.feed(LoadReport{Server: a.Server, Load: 0.2, Held: 10})
+				w.feed(LoadReport{Server: a.Server, Utilization: 0.2, Connections: 10})
 			}
 			moved += len(find[Move](did))
 		}
@@ -55,11 +55,11 @@
 		for m := range members {
 			w, id, at := slowOf(t, fmt.Sprint("g", g), fmt.Sprint("k", m))
 			for range 12 {
-				w.feed(LoadReport{Server: at, Load: 1.4, Held: 40})
+				w.feed(LoadReport{Server: at, Utilization: 1.4, Connections: 40})
 				w.feed(MessageDelay{ID: id, Server: at, Delay: sec / 2})
 				did := w.wait(housekeeping)
 				for _, a := range find[Ask](did) {
-					w.feed(LoadReport{Server: a.Server, Load: 0.2, Held: 10})
+					w.feed(LoadReport{Server: a.Server, Utilization: 0.2, Connections: 10})
 				}
 				left += len(find[Move](did))
 			}
--- a/rules/near_test.go
+++ b/rules/near_test.go
@@ -16,7 +16,7 @@
 	for n := range members {
 		w := newWorld(t, set, 80)
 		for i, s := range w.b.order {
-			w.feed(LoadReport{Server: s.ID, Load: load(i, n), Held: 20})
+			w.feed(LoadReport{Server: s.ID, Utilization: load(i, n), Connections: 20})
 		}
 		w.feed(Request{ID: RequestID(n + 1), Class: "safe", Key: fmt.Sprint("k", n), Group: group,
 			Timeout: 2 * sec})
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -193,8 +193,8 @@
 
 func (d *drill) outcome(f *fate, result Result) {
 	s := d.list[f.out.Server]
-	ev := Outcome{ID: f.ID, Attempt: f.attempts - 1, Server: f.out.Server, Result: result}
-	ev.Settled = f.over || f.open || result == OK
+	ev := AttemptEnded{ID: f.ID, Attempt: f.attempts - 1, Server: f.out.Server, Result: result}
+	ev.Answered = f.over || f.open || result == OK
 	if !result.NeverRan() {
 		if len(f.ranOn) == 0 {
 			f.ranAt = d.now
@@ -202,7 +202,7 @@
 		f.ranOn = append(f.ranOn, s)
 	}
 	f.out, f.open = nil, false
-	f.over = f.over || ev.Settled
+	f.over = f.over || ev.Answered
 	d.feed(ev)
 }
 
@@ -213,7 +213,7 @@
 			ref := d.refs[i]
 			d.timers[i], d.refs[i] = d.timers[len(d.timers)-1], d.refs[len(d.refs)-1]
 			d.timers, d.refs = d.timers[:len(d.timers)-1], d.refs[:len(d.refs)-1]
-			d.feed(Timer{Ref: ref})
+			d.feed(TimerFired{Ref: ref})
 			i = -1
 		}
 	}
@@ -249,7 +249,7 @@
 	switch dice := d.rnd.IntN(12); {
 	case f.out != nil && !f.open && dice < 6:
 		f.open = true
-		d.feed(Opened{ID: f.ID, Attempt: f.attempts - 1, Server: f.out.Server, Elapsed: 9 * ms})
+		d.feed(AttemptEstablished{ID: f.ID, Attempt: f.attempts - 1, Server: f.out.Server, Elapsed: 9 * ms})
 	case f.out != nil && dice < 9:
 		d.outcome(f,
 			[]Result{OK, Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled}[d.rnd.IntN(7)])
@@ -260,7 +260,7 @@
 		d.feed(LoadChanged{ID: f.ID, Load: float64(1 + d.rnd.IntN(5000))})
 	case dice == 11 && !f.over:
 		f.over = true
-		d.feed(Expired{ID: f.ID})
+		d.feed(ClientDisconnected{ID: f.ID})
 	}
 }
 
@@ -382,7 +382,7 @@
 						if !named[s.Server] {
 							t.Fatalf("sent to %d, which no list named", s.Server)
 						}
-						b.Handle(now, Outcome{ID: s.ID, Server: s.Server, Result: OK, Settled: true})
+						b.Handle(now, AttemptEnded{ID: s.ID, Server: s.Server, Result: OK, Answered: true})
 					}
 				}
 				if g == 0 {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -94,9 +94,9 @@
 		b.onList(ev)
 	case Request:
 		b.onRequest(ev)
-	case Carried:
+	case AdoptedConnection:
 		b.onCarried(ev)
-	case Opened:
+	case AttemptEstablished:
 		b.onOpened(ev)
 	case LoadChanged:
 		b.onLoad(ev)
@@ -109,20 +109,20 @@
 			b.onReport(s, ev)
 			b.serveWaiting()
 		}
-	case Returned:
+	case ServerReinstated:
 		if s := b.servers[ev.Server]; s != nil {
 			b.renew(s)
 			s.tryAt = b.now + time.Duration(b.rand()*float64(tryWithin))
 		}
-	case Shed:
+	case FleetShedLevel:
 		b.shed = ev.Level
-	case Stop:
-		b.hurry(ev.By)
-	case Outcome:
+	case Shutdown:
+		b.hurry(ev.Deadline)
+	case AttemptEnded:
 		b.onOutcome(ev)
-	case Expired:
+	case ClientDisconnected:
 		b.onExpired(ev.ID)
-	case Timer:
+	case TimerFired:
 		b.onTimer(ev)
 	}
 	return b.actions
@@ -433,7 +433,7 @@
 	return min(aim, left)
 }
 
-func (b *Balancer) onOpened(ev Opened) {
+func (b *Balancer) onOpened(ev AttemptEstablished) {
 	r := b.requests[ev.ID]
 	if r == nil || r.server == nil || r.server.ID != ev.Server || r.opened || ev.Attempt != r.attempts-1 {
 		return
@@ -445,7 +445,7 @@
 	r.server.probation, r.server.proven = false, true
 }
 
-func (b *Balancer) onOutcome(ev Outcome) {
+func (b *Balancer) onOutcome(ev AttemptEnded) {
 	r := b.requests[ev.ID]
 	if r == nil || r.server == nil || r.server.ID != ev.Server || ev.Attempt != r.attempts-1 {
 		return
@@ -461,7 +461,7 @@
 		b.further.undo(r.sent)
 	}
 	switch {
-	case ev.Settled || r.over:
+	case ev.Answered || r.over:
 		b.end(r)
 	default:
 		b.serve(r)
@@ -717,10 +717,10 @@
 // out for ten seconds while clients were refused. It holds for whatever takes a server's power. It could
 // hurt where reports are wrong by more than lies between reportRoom and reportOver.
 func (b *Balancer) onReport(s *server, ev LoadReport) {
-	load := ev.Load
+	load := ev.Utilization
 	s.load, s.reportAt, s.sent, s.each = load, b.now, 0, 0
-	if ev.Held > 0 && load > reportLeast {
-		s.each = load / ev.Held
+	if ev.Connections > 0 && load > reportLeast {
+		s.each = load / ev.Connections
 		if b.coldAge(s) == 1 {
 			b.bears.add(1 / s.each / s.Capacity)
 		}
@@ -837,7 +837,7 @@
 
 // Time.
 
-func (b *Balancer) onTimer(ev Timer) {
+func (b *Balancer) onTimer(ev TimerFired) {
 	if ev.Ref == refHousekeeping {
 		b.act(Wake{After: housekeeping, Ref: refHousekeeping})
 		slow := 0
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -82,7 +82,7 @@
 		w.now += 50 * ms
 		for _, a := range w.feed(Request{ID: RequestID(i + 1), Class: "safe", Timeout: 2 * sec}) {
 			if s, ok := a.(Send); ok {
-				w.feed(Opened{ID: s.ID, Server: s.Server})
+				w.feed(AttemptEstablished{ID: s.ID, Server: s.Server})
 			}
 		}
 	}
@@ -95,13 +95,13 @@
 		{0.35, 2 * load, 2.5 * load},
 		{0, 7 * load, 9 * load}, // bounded
 	} {
-		w.feed(LoadReport{Server: 100, Load: f.report})
+		w.feed(LoadReport{Server: 100, Utilization: f.report})
 		if s.limit < f.least || s.limit > f.most {
 			t.Errorf("at a load of %.1f a report of %.2f makes the limit %.2f, want %.2f to %.2f",
 				load, f.report, s.limit, f.least, f.most)
 		}
 	}
-	w.feed(LoadReport{Server: 999, Load: 2}) // one that is not listed
+	w.feed(LoadReport{Server: 999, Utilization: 2}) // one that is not listed
 }
 
 func (w *world) feed(ev Event) []Action {
@@ -113,7 +113,7 @@
 func (w *world) wait(d time.Duration) (all []Action) {
 	for end := w.now + d; w.now < end; {
 		w.now += min(housekeeping, end-w.now)
-		all = append(all, w.feed(Timer{Ref: refHousekeeping})...)
+		all = append(all, w.feed(TimerFired{Ref: refHousekeeping})...)
 	}
 	return all
 }
@@ -129,7 +129,7 @@
 	w.Helper()
 	id := w.request(class, group)
 	s := w.sent()
-	w.feed(Opened{ID: id, Server: s.Server, Elapsed: 10 * ms})
+	w.feed(AttemptEstablished{ID: id, Server: s.Server, Elapsed: 10 * ms})
 	return id, s.Server
 }
 
@@ -174,7 +174,7 @@
 }
 
 func (w *world) end(s Send, attempt int, result Result) {
-	w.feed(Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result, Elapsed: 10 * ms})
+	w.feed(AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result, Elapsed: 10 * ms})
 }
 
 func TestPlacementFollowsTheTable(t *testing.T) {
@@ -221,7 +221,7 @@
 		t.Fatalf("answered early: %+v", got)
 	}
 	w.now += 10 * ms
-	got := find[Refuse](w.feed(Timer{Ref: refOnce}))
+	got := find[Refuse](w.feed(TimerFired{Ref: refOnce}))
 	if len(got) != 1 || got[0].ID != id {
 		t.Fatalf("when its time is up: %+v", w.last)
 	}
@@ -445,7 +445,7 @@
 		t.Errorf("log lines at its return: %+v", logs)
 	}
 	first := w.onTrial("g", s)
-	w.feed(Outcome{ID: first.ID, Server: s, Result: TimedOut, Elapsed: 300 * ms})
+	w.feed(AttemptEnded{ID: first.ID, Server: s, Result: TimedOut, Elapsed: 300 * ms})
 	if w.b.servers[s].ejected == 0 {
 		t.Error("it failed on probation and stays")
 	}
@@ -609,9 +609,9 @@
 				key := fmt.Sprint("k", id)
 				w.feed(Request{ID: RequestID(id), Class: "safe", Key: key, Timeout: 2 * sec})
 				for _, s := range find[Send](w.last) {
-					w.feed(Opened{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
+					w.feed(AttemptEstablished{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
 					if window > 0 { // gone again, so that what a server bears stays the same
-						w.feed(Outcome{ID: s.ID, Server: s.Server, Result: OK, Settled: true})
+						w.feed(AttemptEnded{ID: s.ID, Server: s.Server, Result: OK, Answered: true})
 					}
 					if s.Server == 900 {
 						sent[window]++
@@ -676,12 +676,12 @@
 	s := w.sent()
 	for _, ev := range []Event{
 		Request{ID: id, Class: "safe", Group: "g", Timeout: sec}, // twice
-		Opened{ID: 77, Server: 100}, Opened{ID: id, Server: s.Server, Attempt: 5},
-		Outcome{ID: 77, Server: 100, Result: OK},
-		Outcome{ID: id, Server: s.Server, Attempt: 4, Result: Reset},
-		Expired{ID: 77}, Timer{Ref: 12345}, LoadChanged{ID: 77, Load: 1},
+		AttemptEstablished{ID: 77, Server: 100}, AttemptEstablished{ID: id, Server: s.Server, Attempt: 5},
+		AttemptEnded{ID: 77, Server: 100, Result: OK},
+		AttemptEnded{ID: id, Server: s.Server, Attempt: 4, Result: Reset},
+		ClientDisconnected{ID: 77}, TimerFired{Ref: 12345}, LoadChanged{ID: 77, Load: 1},
 		MessageDelay{ID: 77, Server: 4242, Delay: sec},
-		Carried{Request: Request{ID: 78}, Server: 4242},
+		AdoptedConnection{Request: Request{ID: 78}, Server: 4242},
 		EndpointList{Mode: ListDelta},
 	} {
 		for _, a := range w.feed(ev) {
@@ -692,7 +692,7 @@
 			}
 		}
 	}
-	w.feed(Expired{ID: id})
+	w.feed(ClientDisconnected{ID: id})
 	w.end(s, 0, TimedOut)
 	if len(w.last) > 0 {
 		t.Errorf("after the client left: %+v", w.last)
@@ -704,11 +704,11 @@
 
 func TestCarriedConnectionsCount(t *testing.T) {
 	w := newWorld(t, settings(), 3)
-	w.feed(Carried{Request: Request{ID: 5, Class: "safe", Group: "g"}, Server: 101})
+	w.feed(AdoptedConnection{Request: Request{ID: 5, Class: "safe", Group: "g"}, Server: 101})
 	if got := len(w.b.servers[101].open); got != 1 {
 		t.Fatalf("%d connections at its server", got)
 	}
-	w.feed(Outcome{ID: 5, Server: 101, Result: OK, Settled: true})
+	w.feed(AttemptEnded{ID: 5, Server: 101, Result: OK, Answered: true})
 	if got := len(w.b.servers[101].open); got != 0 {
 		t.Errorf("%d connections after its end", got)
 	}
@@ -859,7 +859,7 @@
 	if got := ask(1); got != entry {
 		t.Fatalf("a new client went to %d, the entry is %d", got, entry)
 	}
-	w.feed(Opened{ID: 1, Server: entry, Elapsed: 10 * ms})
+	w.feed(AttemptEstablished{ID: 1, Server: entry, Elapsed: 10 * ms})
 	if got := ask(1000); got != entry {
 		t.Errorf("a client returned to %d, though this gateway holds a good connection at %d", got, entry)
 	}
@@ -925,8 +925,8 @@
 					result = Full
 				}
 				s := w.sent()
-				w.feed(Outcome{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result,
-					Settled: result == OK})
+				w.feed(AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result,
+					Answered: result == OK})
 			}
 		}
 		spans := float64(w.now-100*sec) / float64(set.RetryBudgetWindow)
@@ -1006,7 +1006,7 @@
 				w.end(s, 0, ConnectFailed)
 				s = w.sent()
 			}
-			w.feed(Opened{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
+			w.feed(AttemptEstablished{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
 			if s.Server != before {
 				moved++
 			}
@@ -1119,9 +1119,9 @@
 			for i := range 3 {
 				w.request("safe", fmt.Sprint("g", i))
 				if s := w.sent(); int(s.Server)/1000 == round {
-					w.feed(Outcome{ID: s.ID, Server: s.Server, Result: OK, Settled: true})
+					w.feed(AttemptEnded{ID: s.ID, Server: s.Server, Result: OK, Answered: true})
 				} else {
-					w.feed(Outcome{ID: s.ID, Server: s.Server, Result: ConnectFailed, Settled: true})
+					w.feed(AttemptEnded{ID: s.ID, Server: s.Server, Result: ConnectFailed, Answered: true})
 				}
 			}
 			w.wait(30 * sec)
@@ -1161,7 +1161,7 @@
 		w.request("safe", fmt.Sprint("g", i))
 		for _, s := range find[Send](w.last) {
 			sent++
-			w.feed(Opened{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
+			w.feed(AttemptEstablished{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
 		}
 	}
 	if sent < 38 {
--- a/rules/shed_test.go
+++ b/rules/shed_test.go
@@ -58,7 +58,7 @@
 	w = newWorld(t, set, 4)
 	w.b.refresh()
 	for i, load := range []float64{0.2, 1.5} {
-		w.feed(LoadReport{Server: w.b.order[i].ID, Load: load, Held: 10})
+		w.feed(LoadReport{Server: w.b.order[i].ID, Utilization: load, Connections: 10})
 	}
 	if got := w.b.room(); got != 0.5 {
 		t.Errorf("room is %v where one of two that told is full", got)
@@ -72,7 +72,7 @@
 		set := settings()
 		set.Seed = seed
 		w := newWorld(t, set, 8)
-		w.feed(Shed{Level: level})
+		w.feed(FleetShedLevel{Level: level})
 		for i := range 400 {
 			key := fmt.Sprint("k", i)
 			w.now += 10 * ms
@@ -109,8 +109,8 @@
 	w := newWorld(t, settings(), 8)
 	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
 	s := w.sent()
-	w.feed(Shed{Level: 1})
-	w.feed(Outcome{ID: 1, Server: s.Server, Result: ConnectFailed})
+	w.feed(FleetShedLevel{Level: 1})
+	w.feed(AttemptEnded{ID: 1, Server: s.Server, Result: ConnectFailed})
 	if r := find[Refuse](w.last); len(r) != 1 || !r[0].Shed || len(find[Send](w.last)) > 0 {
 		t.Errorf("a further attempt of what is shed: %+v", w.last)
 	}
--- a/rules/state.go
+++ b/rules/state.go
@@ -409,7 +409,7 @@
 }
 
 // onCarried takes in a connection that is older than this gateway.
-func (b *Balancer) onCarried(ev Carried) {
+func (b *Balancer) onCarried(ev AdoptedConnection) {
 	s := b.servers[ev.Server]
 	if s == nil || b.requests[ev.ID] != nil {
 		return
--- a/rules/stop_test.go
+++ b/rules/stop_test.go
@@ -9,7 +9,7 @@
 	stands, at := w.open("safe", "")
 	w.request("safe", "")
 	out := w.sent()
-	w.feed(Stop{By: w.now + 300*ms})
+	w.feed(Shutdown{Deadline: w.now + 300*ms})
 	if wakes := find[Wake](w.last); len(wakes) != 1 || wakes[0].After > 300*ms {
 		t.Errorf("looks again %+v", wakes)
 	}
@@ -24,9 +24,9 @@
 
 	w = unlisted(t, settings())
 	w.request("safe", "")
-	w.feed(Stop{By: w.now + 200*ms})
+	w.feed(Shutdown{Deadline: w.now + 200*ms})
 	w.now += 200 * ms
-	w.feed(Timer{Ref: refOnce})
+	w.feed(TimerFired{Ref: refOnce})
 	if r := find[Refuse](w.last); len(r) != 1 {
 		t.Errorf("held for a list: %+v", w.last)
 	}
