--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -81,7 +81,7 @@
 func (e *Engine) onSend(a rules.Send) {
 	r, ok := e.requests.Get(slot.ID(a.ID))
 	if !ok || r.phase != waiting || r.link != nil {
-		e.tell(rules.AttemptEnded{ID: a.ID, Server: a.Server, Result: rules.Moot, Answered: true})
+		e.tell(rules.AttemptEnded{ID: a.ID, Server: a.Server, Result: rules.NotSent, Answered: true})
 		return
 	}
 	wait := r.deadline - e.now
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -28,7 +28,7 @@
 	fewFlows            = 2
 )
 
-var failures = []rules.Result{rules.Errored, rules.Full, rules.TimedOut, rules.ConnectFailed, rules.ConnectFailed, rules.Reset}
+var failures = []rules.Result{rules.Errored, rules.Rejected, rules.TimedOut, rules.ConnectFailed, rules.ConnectFailed, rules.Reset}
 
 // simulation draws what surrounds an engine, and records what the engine does to it. All of it runs in one goroutine on a
 // clock of its own.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -174,12 +174,12 @@
 	w := newWorld(t, 2, nil)
 	w.arrive(w.client("x"), Request{Key: "k"})
 	first := w.link
-	w.ended(first, rules.Full)
+	w.ended(first, rules.Rejected)
 	if w.link == first || w.link.a.Addr == first.a.Addr || w.link.a.Number != 1 {
 		t.Fatalf("then tried %+v", w.link.a)
 	}
 	w.did = nil
-	w.ended(w.link, rules.Full)
+	w.ended(w.link, rules.Rejected)
 	w.expect("refuse x")
 	w.held(0)
 }
--- a/internal/line/backend/link.go
+++ b/internal/line/backend/link.go
@@ -138,7 +138,7 @@
 		l.open(line)
 		return len(line)
 	case codec.WordBusy:
-		l.finish(rules.Full)
+		l.finish(rules.Rejected)
 	case codec.WordMove:
 		l.finish(rules.Cancelled)
 	default:
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -276,7 +276,7 @@
 		case verdict == Taken && m.since == begun && m.Up():
 			r.up()
 		case verdict == Full:
-			r.over(rules.Full)
+			r.over(rules.Rejected)
 		default:
 			r.over(rules.ConnectFailed)
 		}
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -234,7 +234,7 @@
 		return
 	}
 	if info.LameDuck { // it would turn the session away as soon as it is set up
-		l.finish(rules.Full)
+		l.finish(rules.Rejected)
 		return
 	}
 	// All of it in one write: the PONG confirms what stands before the PING.
@@ -346,7 +346,7 @@
 		l.finish(rules.Errored)
 		l.broken()
 	case strings.HasPrefix(lower, "maximum connections"), strings.HasPrefix(lower, "server shutdown"):
-		l.finish(rules.Full)
+		l.finish(rules.Rejected)
 		l.broken()
 	default:
 		l.finish(rules.Errored)
--- a/internal/nats/backend/try.go
+++ b/internal/nats/backend/try.go
@@ -91,7 +91,7 @@
 	l := t.backend.sharedLeg(t)
 	switch {
 	case l == nil: // the node is not to blame
-		t.finish(rules.Moot)
+		t.finish(rules.NotSent)
 	case l.Up():
 		t.send(l)
 	default:
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -131,7 +131,7 @@
 		return "100"
 	case rules.Errored:
 		return "301"
-	case rules.Full:
+	case rules.Rejected:
 		return "302"
 	case rules.TimedOut:
 		return "303"
@@ -141,7 +141,7 @@
 		return "305"
 	case rules.Cancelled:
 		return "306"
-	case rules.Moot:
+	case rules.NotSent:
 		return "307"
 	default:
 		return "unknown"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -255,8 +255,8 @@
 }
 
 var results = map[int]rules.Result{
-	100: rules.OK, 301: rules.Errored, 302: rules.Full, 303: rules.TimedOut,
-	304: rules.ConnectFailed, 305: rules.Reset, 306: rules.Cancelled, 307: rules.Moot,
+	100: rules.OK, 301: rules.Errored, 302: rules.Rejected, 303: rules.TimedOut,
+	304: rules.ConnectFailed, 305: rules.Reset, 306: rules.Cancelled, 307: rules.NotSent,
 }
 
 var modes = map[string]rules.ListMode{
--- a/rules/api.go
+++ b/rules/api.go
@@ -205,12 +205,12 @@
 const (
 	OK            Result = iota
 	Errored              // an error answer
-	Full                 // turned away unseen
+	Rejected             // turned away unseen
 	TimedOut             // no answer in time
 	ConnectFailed        // no connection in time
 	Reset                // broken while it was out
 	Cancelled            // cancelled, or the client left
-	Moot                 // never sent
+	NotSent              // never sent
 )
 
 // String names a result.
@@ -223,7 +223,7 @@
 }
 
 // NeverRan reports whether the result proves that the attempt had no effect.
-func (r Result) NeverRan() bool { return r == Full || r == ConnectFailed || r == Moot }
+func (r Result) NeverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
 // Action is what a gateway is to do. The concrete types are those below.
 type Action interface{ action() }
--- a/rules/begin_test.go
+++ b/rules/begin_test.go
@@ -23,7 +23,7 @@
 	// A repeat of what never ran has no window.
 	id, first = w.request("keyed", ""), w.sent()
 	w.now += 150 * ms
-	w.feed(AttemptEnded{ID: id, Server: first.Server, Result: Full})
+	w.feed(AttemptEnded{ID: id, Server: first.Server, Result: Rejected})
 	if s := w.sent(); s.Begin <= 250*ms {
 		t.Errorf("a repeat of what never ran: %+v", s)
 	}
--- a/rules/cold_test.go
+++ b/rules/cold_test.go
@@ -155,7 +155,7 @@
 			return
 		}
 		next = find[Send](b.Handle(now,
-			AttemptEnded{ID: s.ID, Attempt: n, Server: s.Server, Result: Full}))
+			AttemptEnded{ID: s.ID, Attempt: n, Server: s.Server, Result: Rejected}))
 	}
 }
 
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -558,11 +558,11 @@
 	case fate == crashed:
 		fail(setUp, rules.ConnectFailed)
 	case fate == full, s.flaky && s.oneIn(2):
-		fail(setUp, rules.Full)
+		fail(setUp, rules.Rejected)
 	case fate == failing:
 		fail(setUp, []rules.Result{rules.Errored, rules.Reset}[s.rnd.IntN(2)])
 	case s.oneIn(60):
-		fail(0, rules.Moot)
+		fail(0, rules.NotSent)
 	case s.oneIn(60):
 		fail(setUp, rules.Cancelled)
 	case s.oneIn(25):
@@ -570,7 +570,7 @@
 	case setUp > limit:
 		fail(limit, rules.TimedOut)
 	case s.oneIn(30) && a.Begin > 0: // stands too late to carry anything
-		fail(a.Begin, rules.Moot)
+		fail(a.Begin, rules.NotSent)
 	case s.oneIn(12): // a short answer
 		s.later(setUp, func() { s.end(c, rules.OK, true) })
 	default:
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -252,7 +252,7 @@
 		d.feed(AttemptEstablished{ID: f.ID, Attempt: f.attempts - 1, Server: f.out.Server, Elapsed: 9 * ms})
 	case f.out != nil && dice < 9:
 		d.outcome(f,
-			[]Result{OK, Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled}[d.rnd.IntN(7)])
+			[]Result{OK, Errored, Rejected, TimedOut, ConnectFailed, Reset, Cancelled}[d.rnd.IntN(7)])
 	case f.out != nil && f.open && dice == 9:
 		delay := time.Duration(d.rnd.IntN(3000)) * ms
 		d.feed(MessageDelay{ID: f.ID, Server: f.out.Server, Delay: delay})
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -457,7 +457,7 @@
 		r.mayHaveRun, r.ranOn, r.ranAt = true, s, r.sent
 	}
 	b.weighOutcome(s, ev.Result, opened, held)
-	if ev.Result == Moot && ev.Attempt > 0 { // it was never made
+	if ev.Result == NotSent && ev.Attempt > 0 { // it was never made
 		b.further.undo(r.sent)
 	}
 	switch {
@@ -788,9 +788,9 @@
 func (b *Balancer) weighOutcome(s *server, result Result, opened bool, held int) {
 	strike := 0.0
 	switch result {
-	case OK, Cancelled, Moot:
+	case OK, Cancelled, NotSent:
 		return
-	case Full:
+	case Rejected:
 		b.lowerLimit(s, 1, fullFor)
 		strike = 0.25
 	case ConnectFailed:
@@ -807,7 +807,7 @@
 			strike = 2 / float64(1+held)
 		}
 	}
-	if s.probation || s.doubted > 0 && !s.proven && result != Full {
+	if s.probation || s.doubted > 0 && !s.proven && result != Rejected {
 		strike = strikeLimit
 	}
 	if s.strikes.add(b.now, strike) < strikeLimit || s.ejected > 0 || s.State != Ready {
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -317,7 +317,7 @@
 
 func TestUnsafeIsNotRepeated(t *testing.T) {
 	for result, again := range map[Result]bool{
-		TimedOut: false, Reset: false, Errored: false, Cancelled: false, Full: true, ConnectFailed: true,
+		TimedOut: false, Reset: false, Errored: false, Cancelled: false, Rejected: true, ConnectFailed: true,
 	} {
 		w := newWorld(t, settings(), 6)
 		w.request("unsafe", "g")
@@ -922,7 +922,7 @@
 				}
 				result := OK
 				if rnd.IntN(2) == 0 {
-					result = Full
+					result = Rejected
 				}
 				s := w.sent()
 				w.feed(AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result,
