--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -64,7 +64,7 @@
 // asked appends what the clock of the list answers an event with.
 func (i *instance) asked(reply []byte, n int, call listclock.Call) []byte {
 	if call.Pause > 0 {
-		return wire.AppendAction(reply, n, rules.Wake{After: call.Pause, Ref: refAsk})
+		return wire.AppendAction(reply, n, rules.SetTimer{After: call.Pause, Ref: refAsk})
 	}
 	return wire.AppendWatch(reply, n)
 }
--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -32,11 +32,11 @@
 	switch a := a.(type) {
 	case rules.Send:
 		e.onSend(a)
-	case rules.Refuse:
+	case rules.Reject:
 		if r, ok := e.requests.Get(slot.ID(a.ID)); ok && r.phase == waiting {
 			e.counts.refused++
 			r.class.Declined.Add(1)
-			if a.Shed {
+			if a.ShedByFleet {
 				e.opts.Tiers.Cut(r.rank)
 			} else {
 				e.opts.Tiers.Refused(r.rank)
@@ -48,16 +48,16 @@
 		if r, ok := e.requests.Get(slot.ID(a.ID)); ok && r.phase == waiting {
 			e.fail(r)
 		}
-	case rules.Move:
+	case rules.Migrate:
 		if r, ok := e.requests.Get(slot.ID(a.ID)); ok && r.phase == open {
 			e.move(r, rules.Cancelled)
 		}
-	case rules.Ask:
+	case rules.PollLoad:
 		if s := e.servers[a.Server]; s != nil {
 			s.meter.askedAt = e.now
 			e.prober.Probe(a.Server, s.addr)
 		}
-	case rules.Wake:
+	case rules.SetTimer:
 		e.deadlines.Add(e.now+max(a.After, 0), due{kind: dueWake, ref: a.Ref})
 	case rules.Log:
 		e.opts.Logger.Info("rules", "text", a.Text)
@@ -88,7 +88,7 @@
 	if a.Timeout != 0 {
 		wait = min(wait, a.Timeout)
 	}
-	e.send(r, a.Server, wait, a.Begin)
+	e.send(r, a.Server, wait, a.ConnectTimeout)
 }
 
 func (e *Engine) send(r *request, to rules.ServerID, wait, begin time.Duration) {
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -65,13 +65,13 @@
 			cold = (e.now - s.shown().Started).Milliseconds()
 		}
 		e.trace("send", append(e.traced(a.ID, a.Server), "timeout", a.Timeout, "age_ms", cold)...)
-	case rules.Refuse:
+	case rules.Reject:
 		e.trace("refuse", append(e.traced(a.ID, 0), "after", a.RetryAfter)...)
 	case rules.Fail:
 		e.trace("fail", e.traced(a.ID, 0)...)
-	case rules.Move:
+	case rules.Migrate:
 		e.trace("move", e.traced(a.ID, 0)...)
-	case rules.Ask:
+	case rules.PollLoad:
 		e.trace("ask", "server", e.serverName(a.Server))
 	}
 }
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -195,7 +195,7 @@
 	switch a := a.(type) {
 	case rules.Send:
 		g.send(a)
-	case rules.Refuse:
+	case rules.Reject:
 		if r := g.answer(a.ID); r != nil {
 			f.Refused++
 			f.again(r.client, a.RetryAfter)
@@ -205,13 +205,13 @@
 			f.Failed++
 			f.again(r.client, 0)
 		}
-	case rules.Move:
+	case rules.Migrate:
 		if r := g.calls[a.ID]; r != nil && r.open {
 			f.Moved++
 			r.over(rules.Cancelled)
 			f.again(r.client, 0)
 		}
-	case rules.Wake:
+	case rules.SetTimer:
 		f.World.After(a.After, func() { g.tell(rules.TimerFired{Ref: a.Ref}) })
 	}
 }
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -563,16 +563,16 @@
 			name   string
 			action rules.Action
 		}{
-			{"send", rules.Send{ID: 1, Server: 2, Timeout: 3 * time.Millisecond, Begin: 9 * time.Millisecond}},
+			{"send", rules.Send{ID: 1, Server: 2, Timeout: 3 * time.Millisecond, ConnectTimeout: 9 * time.Millisecond}},
 			{"send, largest", rules.Send{ID: 1<<32 - 1, Server: 1<<32 - 1, Timeout: 1<<63 - 1}},
 			{"send, zero", rules.Send{}},
-			{"reject", rules.Refuse{ID: 1, RetryAfter: time.Millisecond}},
-			{"reject, shed", rules.Refuse{ID: 1, RetryAfter: 1, Shed: true}},
-			{"reject, at once", rules.Refuse{ID: 1}},
+			{"reject", rules.Reject{ID: 1, RetryAfter: time.Millisecond}},
+			{"reject, shed", rules.Reject{ID: 1, RetryAfter: 1, ShedByFleet: true}},
+			{"reject, at once", rules.Reject{ID: 1}},
 			{"fail", rules.Fail{ID: 1}},
-			{"migrate", rules.Move{ID: 1}},
-			{"timer", rules.Wake{After: time.Millisecond, Ref: 2}},
-			{"timer, negative", rules.Wake{After: -1, Ref: -2}},
+			{"migrate", rules.Migrate{ID: 1}},
+			{"timer", rules.SetTimer{After: time.Millisecond, Ref: 2}},
+			{"timer, negative", rules.SetTimer{After: -1, Ref: -2}},
 			{"log", rules.Log{Text: "one line"}},
 			{"log, several lines", rules.Log{Text: "one\ntwo\r\nthree\rfour\n"}},
 			{"log, empty", rules.Log{}},
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -446,17 +446,17 @@
 		pair("ticket", int64(a.ID))
 		pair("backend", int64(a.Server))
 		pair("limit_ns", int64(a.Timeout))
-	case rules.Refuse:
+	case rules.Reject:
 		head("shed")
 		pair("ticket", int64(a.ID))
 		pair("backoff_ns", int64(a.RetryAfter))
 	case rules.Fail:
 		head("respond_error")
 		pair("ticket", int64(a.ID))
-	case rules.Move:
+	case rules.Migrate:
 		head("rebalance")
 		pair("ticket", int64(a.ID))
-	case rules.Wake:
+	case rules.SetTimer:
 		head("wake_at")
 		pair("sleep_for_ns", int64(a.After))
 		pair("ref", a.Ref)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -136,10 +136,10 @@
 func TestPrintsEveryAction(t *testing.T) {
 	for want, a := range map[string]rules.Action{
 		"hand_off relay=4 ticket=1 backend=2 limit_ns=3000000": rules.Send{ID: 1, Server: 2, Timeout: 3 * ms},
-		"shed relay=4 ticket=1 backoff_ns=1000000":             rules.Refuse{ID: 1, RetryAfter: ms},
+		"shed relay=4 ticket=1 backoff_ns=1000000":             rules.Reject{ID: 1, RetryAfter: ms},
 		"respond_error relay=4 ticket=1":                       rules.Fail{ID: 1},
-		"rebalance relay=4 ticket=1":                           rules.Move{ID: 1},
-		"wake_at relay=4 sleep_for_ns=1000000 ref=2":           rules.Wake{After: ms, Ref: 2},
+		"rebalance relay=4 ticket=1":                           rules.Migrate{ID: 1},
+		"wake_at relay=4 sleep_for_ns=1000000 ref=2":           rules.SetTimer{After: ms, Ref: 2},
 		"emit relay=4 message=one line":                        rules.Log{Text: "one\nline"},
 	} {
 		if got := string(AppendAction(nil, 4, a)); got != want+"\n" {
--- a/rules/api.go
+++ b/rules/api.go
@@ -232,29 +232,29 @@
 	// Send starts the request's next attempt. Timeout 0 means until the client gives up. A connection that
 	// comes up later than Begin carries nothing: by then the server may drain, or the time to repeat be over.
 	Send struct {
-		ID             RequestID
-		Server         ServerID
-		Timeout, Begin time.Duration // Begin 0: at any time
+		ID                      RequestID
+		Server                  ServerID
+		Timeout, ConnectTimeout time.Duration // Begin 0: at any time
 	}
 
-	// Refuse is a final answer: not done, and a retry is harmless.
-	Refuse struct {
-		ID         RequestID
-		RetryAfter time.Duration
-		Shed       bool // by what the fleet sheds, not for want of room here
+	// Reject is a final answer: not done, and a retry is harmless.
+	Reject struct {
+		ID          RequestID
+		RetryAfter  time.Duration
+		ShedByFleet bool // by what the fleet sheds, not for want of room here
 	}
 
 	// Fail is a final answer that promises nothing.
 	Fail struct{ ID RequestID }
 
-	// Move ends an open connection politely; its client comes again as a new request.
-	Move struct{ ID RequestID }
+	// Migrate ends an open connection politely; its client comes again as a new request.
+	Migrate struct{ ID RequestID }
 
-	// Ask asks a server for its load; a LoadReport answers it, or nothing.
-	Ask struct{ Server ServerID }
+	// PollLoad asks a server for its load; a LoadReport answers it, or nothing.
+	PollLoad struct{ Server ServerID }
 
-	// Wake asks for a Timer after the given time.
-	Wake struct {
+	// SetTimer asks for a Timer after the given time.
+	SetTimer struct {
 		After time.Duration
 		Ref   int64
 	}
@@ -263,10 +263,10 @@
 	Log struct{ Text string }
 )
 
-func (Send) action()   {}
-func (Refuse) action() {}
-func (Fail) action()   {}
-func (Move) action()   {}
-func (Ask) action()    {}
-func (Wake) action()   {}
-func (Log) action()    {}
+func (Send) action()     {}
+func (Reject) action()   {}
+func (Fail) action()     {}
+func (Migrate) action()  {}
+func (PollLoad) action() {}
+func (SetTimer) action() {}
+func (Log) action()      {}
--- a/rules/ask_test.go
+++ b/rules/ask_test.go
@@ -3,12 +3,12 @@
 import "testing"
 
 // asking is a world whose gateway may ask servers for their load, with a client that has come.
-func asking(t *testing.T, n int) (*world, []Ask) {
+func asking(t *testing.T, n int) (*world, []PollLoad) {
 	set := settings()
 	set.Gateways, set.CanPollLoad = 300, true
 	w := newWorld(t, set, n)
 	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
-	asks := find[Ask](w.last)
+	asks := find[PollLoad](w.last)
 	if len(asks) != askWidth || len(find[Send](w.last)) != 0 {
 		t.Fatalf("%d asked, %d sent to before any told of its load", len(asks), len(find[Send](w.last)))
 	}
@@ -43,12 +43,12 @@
 			seen[a.Server] = true
 			w.feed(LoadReport{Server: a.Server, Utilization: 1.5, Connections: 30})
 		}
-		asks = find[Ask](w.last)
+		asks = find[PollLoad](w.last)
 		if round > askRounds {
 			t.Fatal("asks without end")
 		}
 	}
-	if n := len(find[Refuse](w.last)); n != 1 || len(seen) != askRounds*askWidth {
+	if n := len(find[Reject](w.last)); n != 1 || len(seen) != askRounds*askWidth {
 		t.Errorf("%d refusals after %d servers were asked", n, len(seen))
 	}
 }
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -389,16 +389,16 @@
 func (s *stream) digest(a rules.Action) {
 	switch a := a.(type) {
 	case rules.Send:
-		s.add(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout), uint64(a.Begin))
-	case rules.Refuse:
-		s.add(2, uint64(a.ID), uint64(a.RetryAfter), bit(a.Shed))
+		s.add(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout), uint64(a.ConnectTimeout))
+	case rules.Reject:
+		s.add(2, uint64(a.ID), uint64(a.RetryAfter), bit(a.ShedByFleet))
 	case rules.Fail:
 		s.add(3, uint64(a.ID))
-	case rules.Move:
+	case rules.Migrate:
 		s.add(4, uint64(a.ID))
-	case rules.Ask:
+	case rules.PollLoad:
 		s.add(5, uint64(a.Server))
-	case rules.Wake:
+	case rules.SetTimer:
 		s.add(6, uint64(a.After), uint64(a.Ref))
 	case rules.Log:
 		s.add(7)
@@ -459,15 +459,15 @@
 	case rules.Send:
 		s.coverage["send"]++
 		s.onSend(a)
-	case rules.Refuse:
+	case rules.Reject:
 		s.coverage["reject"]++
 		s.onReject(a)
 	case rules.Fail:
 		s.coverage["fail"]++
-	case rules.Move:
+	case rules.Migrate:
 		s.coverage["migrate"]++
 		s.onMigrate(a)
-	case rules.Ask:
+	case rules.PollLoad:
 		s.coverage["poll load"]++
 		if cause == "timer fired" {
 			s.coverage["poll load on a timer"]++
@@ -475,7 +475,7 @@
 		if !s.oneIn(5) {
 			s.later(s.upTo(130*time.Millisecond), func() { s.reportLoad(a.Server) })
 		}
-	case rules.Wake:
+	case rules.SetTimer:
 		s.coverage["set timer"]++
 		after := max(a.After, 0)
 		if s.oneIn(4) {
@@ -492,8 +492,8 @@
 	}
 }
 
-func (s *stream) onReject(a rules.Refuse) {
-	if a.Shed {
+func (s *stream) onReject(a rules.Reject) {
+	if a.ShedByFleet {
 		s.coverage["reject for fleet load shedding"]++
 	}
 	if a.RetryAfter > 0 {
@@ -514,7 +514,7 @@
 	s.sendRequest(r)
 }
 
-func (s *stream) onMigrate(a rules.Move) {
+func (s *stream) onMigrate(a rules.Migrate) {
 	i := slices.IndexFunc(s.live, func(c *connection) bool { return c.request.ID == a.ID })
 	if i < 0 {
 		return // a connection adopted from a process before, of which this driver lost sight
@@ -569,8 +569,8 @@
 		fail(setUp, rules.Errored)
 	case setUp > limit:
 		fail(limit, rules.TimedOut)
-	case s.oneIn(30) && a.Begin > 0: // stands too late to carry anything
-		fail(a.Begin, rules.NotSent)
+	case s.oneIn(30) && a.ConnectTimeout > 0: // stands too late to carry anything
+		fail(a.ConnectTimeout, rules.NotSent)
 	case s.oneIn(12): // a short answer
 		s.later(setUp, func() { s.end(c, rules.OK, true) })
 	default:
@@ -588,7 +588,7 @@
 	if h.Started > 0 && s.now-h.Started < s.settings.WarmupDuration {
 		s.coverage["send to a server that is warming up"]++
 	}
-	if a.Begin == 0 {
+	if a.ConnectTimeout == 0 {
 		s.coverage["send without establish limit"]++
 	}
 	if c.request.MidFlow {
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -41,8 +41,8 @@
 		}
 	}
 	// Output:
-	// rules.Wake {After:250ms Ref:1}
-	// rules.Send {ID:1 Server:13 Timeout:400ms Begin:450ms}
+	// rules.SetTimer {After:250ms Ref:1}
+	// rules.Send {ID:1 Server:13 Timeout:400ms ConnectTimeout:450ms}
 	// rules.Log {Text:server 13 out of the table for 5s}
-	// rules.Send {ID:1 Server:11 Timeout:400ms Begin:450ms}
+	// rules.Send {ID:1 Server:11 Timeout:400ms ConnectTimeout:450ms}
 }
--- a/rules/figures_test.go
+++ b/rules/figures_test.go
@@ -105,21 +105,21 @@
 					if _, twice := out[a.ID]; twice || answered[a.ID] > 0 {
 						t.Fatalf("%d is sent while out, or behind its answer", a.ID)
 					}
-					if a.Timeout < 0 || a.Begin < 0 {
+					if a.Timeout < 0 || a.ConnectTimeout < 0 {
 						t.Fatalf("%+v", a)
 					}
 					out[a.ID] = a
 					if tries[a.ID]++; tries[a.ID] > max(set.MaxAttempts, 1) {
 						t.Fatalf("%d attempts, %d are allowed", tries[a.ID], set.MaxAttempts)
 					}
-				case Refuse:
+				case Reject:
 					answered[a.ID]++
 					if a.RetryAfter < 0 || a.RetryAfter > set.MaxRetryAfter {
 						t.Fatalf("come again after %v", a.RetryAfter)
 					}
 				case Fail:
 					answered[a.ID]++
-				case Wake:
+				case SetTimer:
 					if a.After < 0 {
 						t.Fatalf("wake after %v", a.After)
 					}
--- a/rules/move_test.go
+++ b/rules/move_test.go
@@ -11,8 +11,8 @@
 	set.Gateways, set.CanPollLoad = 300, true
 	w := newWorld(t, set, 8)
 	w.feed(Request{ID: 1, Class: "safe", Group: group, Key: key, Timeout: 2 * sec})
-	at := find[Ask](w.last)[0].Server
-	for _, a := range find[Ask](w.last) {
+	at := find[PollLoad](w.last)[0].Server
+	for _, a := range find[PollLoad](w.last) {
 		w.feed(LoadReport{Server: a.Server, Utilization: 0.3, Connections: 20})
 	}
 	w.feed(AttemptEstablished{ID: 1, Server: at, Elapsed: 10 * ms})
@@ -30,14 +30,14 @@
 			w.feed(LoadReport{Server: at, Utilization: 1.4, Connections: 40})
 			w.feed(MessageDelay{ID: id, Server: at, Delay: sec / 2})
 			did := w.wait(housekeeping)
-			for _, a := range find[Ask](did) {
+			for _, a := range find[PollLoad](did) {
 				if a.Server == at {
 					t.Fatal("the slow server was asked for room")
 				}
 				asked++
 				w.feed(LoadReport{Server: a.Server, Utilization: 0.2, Connections: 10})
 			}
-			moved += len(find[Move](did))
+			moved += len(find[Migrate](did))
 		}
 	}
 	if asked == 0 || asked > 20*12 || moved < 5 || moved > 15 {
@@ -58,10 +58,10 @@
 				w.feed(LoadReport{Server: at, Utilization: 1.4, Connections: 40})
 				w.feed(MessageDelay{ID: id, Server: at, Delay: sec / 2})
 				did := w.wait(housekeeping)
-				for _, a := range find[Ask](did) {
+				for _, a := range find[PollLoad](did) {
 					w.feed(LoadReport{Server: a.Server, Utilization: 0.2, Connections: 10})
 				}
-				left += len(find[Move](did))
+				left += len(find[Migrate](did))
 			}
 		}
 		if left > 0 && left < members {
--- a/rules/near_test.go
+++ b/rules/near_test.go
@@ -23,7 +23,7 @@
 		for _, s := range find[Send](w.last) {
 			over[s.Server] = true
 		}
-		refused += len(find[Refuse](w.last))
+		refused += len(find[Reject](w.last))
 	}
 	return len(over), refused
 }
--- a/rules/random_test.go
+++ b/rules/random_test.go
@@ -139,7 +139,7 @@
 			d.checkCold(a.Server, age)
 		}
 		f.out = &a
-	case Refuse:
+	case Reject:
 		if a.RetryAfter < 0 || a.RetryAfter > d.set.MaxRetryAfter {
 			d.t.Fatalf("request %d is told to come back after %v", a.ID, a.RetryAfter)
 		}
@@ -151,13 +151,13 @@
 		}
 	case Fail:
 		d.answered(a.ID)
-	case Move:
+	case Migrate:
 		f := d.byID[a.ID]
 		if f == nil || f.over || !f.open {
 			d.t.Fatalf("a move of request %d, which has no open connection", a.ID)
 		}
 		f.over = true
-	case Wake:
+	case SetTimer:
 		d.timers = append(d.timers, d.now+a.After)
 		d.refs = append(d.refs, a.Ref)
 	}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -87,7 +87,7 @@
 	if !b.started {
 		b.started = true
 		b.began = b.now
-		b.act(Wake{After: housekeeping, Ref: refHousekeeping})
+		b.act(SetTimer{After: housekeeping, Ref: refHousekeeping})
 	}
 	switch ev := ev.(type) {
 	case EndpointList:
@@ -292,7 +292,7 @@
 	r.attempts++
 	r.sent = b.now
 	r.tried = append(r.tried, s.ID)
-	b.act(Send{ID: r.ID, Server: s.ID, Timeout: b.timeout(r), Begin: b.begin(r, s)})
+	b.act(Send{ID: r.ID, Server: s.ID, Timeout: b.timeout(r), ConnectTimeout: b.begin(r, s)})
 }
 
 // begin bounds the time until an attempt is under way. It guards against connections that come up late: to a
@@ -337,7 +337,7 @@
 	for _, r := range b.requests {
 		r.deadline, r.heldUntil = min(r.deadline, by), min(r.heldUntil, by-answerMargin)
 	}
-	b.act(Wake{After: max(by-answerMargin-b.now, 0), Ref: refOnce})
+	b.act(SetTimer{After: max(by-answerMargin-b.now, 0), Ref: refOnce})
 }
 
 // holdOrAnswer disposes of a request that no server may take now. Only the first list is waited for: what
@@ -351,7 +351,7 @@
 	if r.heldUntil == 0 {
 		wait := max(min(holdFor, r.deadline-answerMargin-b.now), 0)
 		r.heldUntil = b.now + wait
-		b.act(Wake{After: wait, Ref: refOnce})
+		b.act(SetTimer{After: wait, Ref: refOnce})
 	}
 }
 
@@ -380,11 +380,11 @@
 	for _, s := range of {
 		if b.now-s.askedAt > askFor || s.askedAt == 0 {
 			s.askedAt = b.now
-			b.act(Ask{Server: s.ID})
+			b.act(PollLoad{Server: s.ID})
 		}
 	}
 	b.waiting = append(b.waiting, r)
-	b.act(Wake{After: askFor, Ref: refOnce})
+	b.act(SetTimer{After: askFor, Ref: refOnce})
 }
 
 // unknown reports whether nothing is known of a server's load, and it is to be asked before it is sent to.
@@ -412,7 +412,7 @@
 	if !r.mayHaveRun || c.Idempotency == Idempotent ||
 		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupScopeAll {
 		after := time.Duration((1 - b.rand()/2) * float64(b.set.MaxRetryAfter))
-		b.act(Refuse{ID: r.ID, RetryAfter: after, Shed: b.isShed(r)})
+		b.act(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShed(r)})
 	} else {
 		b.act(Fail{ID: r.ID})
 	}
@@ -839,7 +839,7 @@
 
 func (b *Balancer) onTimer(ev TimerFired) {
 	if ev.Ref == refHousekeeping {
-		b.act(Wake{After: housekeeping, Ref: refHousekeeping})
+		b.act(SetTimer{After: housekeeping, Ref: refHousekeeping})
 		slow := 0
 		for _, s := range b.order {
 			if b.now < s.pausedUntil {
@@ -890,7 +890,7 @@
 		if pick == nil || b.loadOf(s)-(1-pick.stays(s))*b.unit() <= s.limit {
 			break
 		}
-		b.act(Move{ID: pick.ID})
+		b.act(Migrate{ID: pick.ID})
 		pick.over = true
 	}
 }
@@ -923,7 +923,7 @@
 	s := b.members[int(b.rand()*float64(len(b.members)))]
 	if b.set.CanPollLoad && b.soundAt < b.now && !b.toldOf(s) && b.now-s.askedAt > reportFor {
 		b.soundAt, s.askedAt = b.now, b.now
-		b.act(Ask{Server: s.ID})
+		b.act(PollLoad{Server: s.ID})
 	}
 }
 
@@ -933,7 +933,7 @@
 	n := int(math.Ceil(clearShare * b.room() * float64(len(s.open))))
 	for _, r := range s.open {
 		if n > 0 && r.opened && !r.over {
-			b.act(Move{ID: r.ID})
+			b.act(Migrate{ID: r.ID})
 			r.over = true
 			n--
 		}
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -214,18 +214,18 @@
 func TestNoListYetHoldsForAWhile(t *testing.T) {
 	w := unlisted(t, settings())
 	id := w.request("unsafe", "g")
-	if len(find[Send](w.last))+len(find[Refuse](w.last)) > 0 || len(find[Wake](w.last)) != 2 {
+	if len(find[Send](w.last))+len(find[Reject](w.last)) > 0 || len(find[SetTimer](w.last)) != 2 {
 		t.Fatalf("not held: %+v", w.last)
 	}
-	if got := w.wait(holdFor - 10*ms); len(find[Refuse](got)) > 0 {
+	if got := w.wait(holdFor - 10*ms); len(find[Reject](got)) > 0 {
 		t.Fatalf("answered early: %+v", got)
 	}
 	w.now += 10 * ms
-	got := find[Refuse](w.feed(TimerFired{Ref: refOnce}))
+	got := find[Reject](w.feed(TimerFired{Ref: refOnce}))
 	if len(got) != 1 || got[0].ID != id {
 		t.Fatalf("when its time is up: %+v", w.last)
 	}
-	if got := w.wait(sec); len(find[Refuse](got))+len(find[Fail](got)) > 0 {
+	if got := w.wait(sec); len(find[Reject](got))+len(find[Fail](got)) > 0 {
 		t.Errorf("answered twice: %+v", got)
 	}
 }
@@ -234,7 +234,7 @@
 func TestEmptyListRefusesAtOnce(t *testing.T) {
 	w := newWorld(t, settings(), 2)
 	w.feed(EndpointList{Mode: ListComplete})
-	if w.request("unsafe", "g"); len(find[Refuse](w.last)) != 1 {
+	if w.request("unsafe", "g"); len(find[Reject](w.last)) != 1 {
 		t.Errorf("actions %+v", w.last)
 	}
 }
@@ -248,7 +248,7 @@
 	least, most := set.MaxRetryAfter, time.Duration(0)
 	for range 100 {
 		w.request("safe", "g")
-		after := find[Refuse](w.last)[0].RetryAfter
+		after := find[Reject](w.last)[0].RetryAfter
 		least, most = min(least, after), max(most, after)
 	}
 	if least < 0 || most > set.MaxRetryAfter || most-least < set.MaxRetryAfter/3 {
@@ -270,7 +270,7 @@
 	w := unlisted(t, settings())
 	w.request("safe", "g")
 	wakes := 0
-	for _, a := range find[Wake](w.wait(sec)) {
+	for _, a := range find[SetTimer](w.wait(sec)) {
 		if a.Ref == refOnce {
 			wakes++
 		}
@@ -292,7 +292,7 @@
 		tried[s.Server] = true
 		w.end(s, attempt, TimedOut)
 	}
-	if len(find[Refuse](w.last)) != 1 {
+	if len(find[Reject](w.last)) != 1 {
 		t.Errorf("after the last attempt: %+v", w.last)
 	}
 }
@@ -325,7 +325,7 @@
 		if got := len(find[Send](w.last)) == 1; got != again {
 			t.Errorf("%v: sent again: %v, want %v", result, got, again)
 		}
-		if got := len(find[Fail](w.last)) == 1; got == again || len(find[Refuse](w.last)) > 0 {
+		if got := len(find[Fail](w.last)) == 1; got == again || len(find[Reject](w.last)) > 0 {
 			t.Errorf("%v: actions %+v", result, w.last)
 		}
 	}
@@ -346,7 +346,7 @@
 	if len(find[Send](w.last)) > 0 {
 		t.Errorf("sent after the window: %+v", w.last)
 	}
-	if len(find[Fail](w.last)) != 1 || len(find[Refuse](w.last)) > 0 {
+	if len(find[Fail](w.last)) != 1 || len(find[Reject](w.last)) > 0 {
 		t.Errorf("answers: %+v", w.last)
 	}
 }
@@ -488,7 +488,7 @@
 		if _, got := w.open("safe", "g"); got == s {
 			t.Fatal("a slow server got a new connection")
 		}
-		moved += len(find[Move](w.wait(sec)))
+		moved += len(find[Migrate](w.wait(sec)))
 	}
 	if moved == 0 {
 		t.Error("nothing moved off it")
@@ -521,7 +521,7 @@
 	w := newWorld(t, settings(), 6)
 	id, s := w.open("safe", "g")
 	w.feed(MessageDelay{ID: id, Server: s, Delay: 40 * ms}) // above a third of the aim, below the aim
-	if moves := find[Move](w.wait(2 * sec)); len(moves) > 0 {
+	if moves := find[Migrate](w.wait(2 * sec)); len(moves) > 0 {
 		t.Errorf("moved %+v", moves)
 	}
 }
@@ -569,7 +569,7 @@
 	s := w.b.order[0]
 	s.limit, s.cutAt, s.pausedUntil, s.delay, s.moves = 1, w.now, w.now+sec, sec, 1
 	w.b.moveAway(s)
-	got := find[Move](w.b.actions)
+	got := find[Migrate](w.b.actions)
 	if len(got) == 0 || got[0].ID != small {
 		t.Errorf("moved %+v, the lone member is %d", got, small)
 	}
@@ -686,7 +686,7 @@
 	} {
 		for _, a := range w.feed(ev) {
 			switch a.(type) {
-			case Log, Wake:
+			case Log, SetTimer:
 			default:
 				t.Errorf("%+v answered with %+v", ev, a)
 			}
--- a/rules/shed_test.go
+++ b/rules/shed_test.go
@@ -78,8 +78,8 @@
 			w.now += 10 * ms
 			w.feed(Request{ID: RequestID(i + 1), Class: "safe", Key: key, Priority: rank, Timeout: 2 * sec,
 				MidFlow: stray})
-			for _, a := range find[Refuse](w.last) {
-				if !a.Shed {
+			for _, a := range find[Reject](w.last) {
+				if !a.ShedByFleet {
 					t.Fatalf("%+v is not marked as shed", a)
 				}
 				clients = append(clients, key)
@@ -111,7 +111,7 @@
 	s := w.sent()
 	w.feed(FleetShedLevel{Level: 1})
 	w.feed(AttemptEnded{ID: 1, Server: s.Server, Result: ConnectFailed})
-	if r := find[Refuse](w.last); len(r) != 1 || !r[0].Shed || len(find[Send](w.last)) > 0 {
+	if r := find[Reject](w.last); len(r) != 1 || !r[0].ShedByFleet || len(find[Send](w.last)) > 0 {
 		t.Errorf("a further attempt of what is shed: %+v", w.last)
 	}
 }
--- a/rules/stop_test.go
+++ b/rules/stop_test.go
@@ -10,15 +10,15 @@
 	w.request("safe", "")
 	out := w.sent()
 	w.feed(Shutdown{Deadline: w.now + 300*ms})
-	if wakes := find[Wake](w.last); len(wakes) != 1 || wakes[0].After > 300*ms {
+	if wakes := find[SetTimer](w.last); len(wakes) != 1 || wakes[0].After > 300*ms {
 		t.Errorf("looks again %+v", wakes)
 	}
 	w.now += 300 * ms
 	w.end(out, 0, TimedOut)
-	if r := find[Refuse](w.last); len(r) != 1 || len(find[Send](w.last)) != 0 {
+	if r := find[Reject](w.last); len(r) != 1 || len(find[Send](w.last)) != 0 {
 		t.Errorf("at the end: %+v", w.last)
 	}
-	if got := find[Move](w.wait(sec)); len(got) != 0 {
+	if got := find[Migrate](w.wait(sec)); len(got) != 0 {
 		t.Errorf("%d at %d is moved", stands, at)
 	}
 
@@ -27,7 +27,7 @@
 	w.feed(Shutdown{Deadline: w.now + 200*ms})
 	w.now += 200 * ms
 	w.feed(TimerFired{Ref: refOnce})
-	if r := find[Refuse](w.last); len(r) != 1 {
+	if r := find[Reject](w.last); len(r) != 1 {
 		t.Errorf("held for a list: %+v", w.last)
 	}
 }
