--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -80,7 +80,7 @@
 // up as old. Only at the end of a seed, where nothing depends on the order any more, all are given up at once.
 type predecessor struct {
 	flows   []engine.Flow
-	learned rules.Learned
+	learned rules.Snapshot
 	isKnown bool
 }
 
@@ -658,16 +658,16 @@
 	}})
 }
 
-func (s *simulation) recordLearned(l rules.Learned) {
-	s.transcript.call("learned", field{"load", l.Load.Value}, field{"weight", l.Load.Weight}, field{"bears", l.Bears.Value},
-		field{"weight", l.Bears.Weight})
-	for _, c := range l.Classes {
+func (s *simulation) recordLearned(l rules.Snapshot) {
+	s.transcript.call("learned", field{"load", l.MeanLoad.Value}, field{"weight", l.MeanLoad.Weight}, field{"bears", l.ConnectionCapacity.Value},
+		field{"weight", l.ConnectionCapacity.Weight})
+	for _, c := range l.ClassLoads {
 		s.transcript.call("learned class", field{"load", c.Value}, field{"weight", c.Weight})
 	}
 	for _, k := range l.Servers {
-		s.transcript.call("learned server", field{"id", int(k.ID)}, field{"started", k.Started}, field{"limit", k.Limit},
-			field{"cut at", k.CutAt}, field{"paused until", k.PausedUntil}, field{"ejected", k.Ejected},
-			field{"ejections", k.Ejections}, field{"strikes", k.Strikes}, field{"strikes at", k.StrikesAt})
+		s.transcript.call("learned server", field{"id", int(k.ID)}, field{"started", k.Started}, field{"limit", k.LoadLimit},
+			field{"cut at", k.LimitLoweredAt}, field{"paused until", k.PausedUntil}, field{"ejected", k.EjectedUntil},
+			field{"ejections", k.Ejections}, field{"strikes", k.FailureScore}, field{"strikes at", k.FailureScoreAt})
 	}
 }
 
--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -9,9 +9,9 @@
 
 // State is what an engine passes to the one of the process that follows.
 type State struct {
-	Version int64         // of the list
-	Servers []Server      // as listed
-	Learned rules.Learned `json:"Learned"`
+	Version int64          // of the list
+	Servers []Server       // as listed
+	Learned rules.Snapshot `json:"Learned"`
 	Flows   []Flow
 }
 
@@ -40,7 +40,7 @@
 func (Inherit) event() {}
 
 func (e *Engine) onTell(ev Tell) {
-	st := State{Version: e.version, Learned: e.rules.Learned()}
+	st := State{Version: e.version, Learned: e.rules.Snapshot()}
 	for _, id := range e.order() {
 		s := e.servers[id]
 		st.Servers = append(st.Servers, Server{Name: s.name, Addr: s.addr, Server: s.entry})
@@ -60,7 +60,7 @@
 // processes share their limits, and when their packets come here they go to the server that holds them.
 func (e *Engine) onInherit(ev Inherit) {
 	if ev.First {
-		e.rules.Learn(e.now, ev.State.Learned)
+		e.rules.Restore(e.now, ev.State.Learned)
 	}
 	e.inheritedAt = e.now
 	held := make(map[string]bool, len(ev.State.Flows))
--- a/internal/engine/inherit_test.go
+++ b/internal/engine/inherit_test.go
@@ -89,7 +89,7 @@
 	st := old.state()
 	limits := func(w *world) (n int) {
 		for _, s := range w.state().Learned.Servers {
-			if s.Limit > 0 {
+			if s.LoadLimit > 0 {
 				n++
 			}
 		}
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -193,7 +193,7 @@
 func (e *Engine) countServers() {
 	avoided := 0
 	for id, s := range e.servers {
-		if s.banned || e.rules.Avoids(id) {
+		if s.banned || e.rules.IsEjected(id) {
 			avoided++
 		}
 	}
--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -63,14 +63,14 @@
 				}},
 				{Name: "s-2", Addr: "[::1]:2", Server: rules.Server{ID: 4294967295}},
 			},
-			Learned: rules.Learned{
-				Servers: []rules.LearnedServer{{
-					ID: 1, Started: 2 * time.Hour, Limit: 5.25, CutAt: 3 * time.Second, PausedUntil: 4 * time.Second,
-					Ejected: 5 * time.Second, Ejections: 6, Strikes: 0.1, StrikesAt: 7 * time.Second,
+			Learned: rules.Snapshot{
+				Servers: []rules.ServerSnapshot{{
+					ID: 1, Started: 2 * time.Hour, LoadLimit: 5.25, LimitLoweredAt: 3 * time.Second, PausedUntil: 4 * time.Second,
+					EjectedUntil: 5 * time.Second, Ejections: 6, FailureScore: 0.1, FailureScoreAt: 7 * time.Second,
 				}, {ID: 2}},
-				Classes: []rules.Figure{{Value: 1e21, Weight: 1e-7}, {Value: 3, Weight: 4}},
-				Load:    rules.Figure{Value: 20000, Weight: 3},
-				Bears:   rules.Figure{Value: 12.5, Weight: 0.5},
+				ClassLoads:         []rules.WeightedMean{{Value: 1e21, Weight: 1e-7}, {Value: 3, Weight: 4}},
+				MeanLoad:           rules.WeightedMean{Value: 20000, Weight: 3},
+				ConnectionCapacity: rules.WeightedMean{Value: 12.5, Weight: 0.5},
 			},
 			Flows: []engine.Flow{
 				{ID: "9b", Class: "c", Key: "k", Group: "g", Server: "s-1", Load: 12.75},
@@ -92,13 +92,13 @@
 	}
 	for _, s := range r.State.Learned.Servers {
 		fmt.Fprintf(b, "learned id=%d started=%d limit=%g cut_at=%d paused_until=%d ejected=%d ejections=%d strikes=%g strikes_at=%d\n",
-			uint64(s.ID), int64(s.Started), s.Limit, int64(s.CutAt), int64(s.PausedUntil), int64(s.Ejected), s.Ejections,
-			s.Strikes, int64(s.StrikesAt))
+			uint64(s.ID), int64(s.Started), s.LoadLimit, int64(s.LimitLoweredAt), int64(s.PausedUntil), int64(s.EjectedUntil), s.Ejections,
+			s.FailureScore, int64(s.FailureScoreAt))
 	}
-	for i, c := range r.State.Learned.Classes {
+	for i, c := range r.State.Learned.ClassLoads {
 		fmt.Fprintf(b, "class %d value=%g weight=%g\n", i, c.Value, c.Weight)
 	}
-	load, bears := r.State.Learned.Load, r.State.Learned.Bears
+	load, bears := r.State.Learned.MeanLoad, r.State.Learned.ConnectionCapacity
 	fmt.Fprintf(b, "load value=%g weight=%g bears value=%g weight=%g\n", load.Value, load.Weight, bears.Value, bears.Weight)
 	for _, f := range r.State.Flows {
 		fmt.Fprintf(b, "flow id=%q class=%q key=%q group=%q server=%q load=%g\n", f.ID, f.Class, f.Key, f.Group, f.Server, f.Load)
--- a/rules/digest_test.go
+++ b/rules/digest_test.go
@@ -410,32 +410,32 @@
 // observe adds the snapshot and the ejected servers to the digest.
 func (s *stream) observe() {
 	for _, h := range s.hosts {
-		s.add(8, uint64(h.ID), bit(s.balancer.Avoids(h.ID)))
-		if s.balancer.Avoids(h.ID) {
+		s.add(8, uint64(h.ID), bit(s.balancer.IsEjected(h.ID)))
+		if s.balancer.IsEjected(h.ID) {
 			s.coverage["server ejected"]++
 		}
 	}
-	s.digestSnapshot(s.balancer.Learned())
+	s.digestSnapshot(s.balancer.Snapshot())
 }
 
-func (s *stream) digestSnapshot(l rules.Learned) {
-	mean := func(m rules.Figure) { s.add(9, math.Float64bits(m.Value), math.Float64bits(m.Weight)) }
-	mean(l.Load)
-	mean(l.Bears)
-	if l.Bears.Weight > 0 {
+func (s *stream) digestSnapshot(l rules.Snapshot) {
+	mean := func(m rules.WeightedMean) { s.add(9, math.Float64bits(m.Value), math.Float64bits(m.Weight)) }
+	mean(l.MeanLoad)
+	mean(l.ConnectionCapacity)
+	if l.ConnectionCapacity.Weight > 0 {
 		s.coverage["server capacity learned"]++
 	}
-	for _, m := range l.Classes {
+	for _, m := range l.ClassLoads {
 		mean(m)
 	}
 	present := map[rules.ServerID]bool{}
 	for _, k := range l.Servers {
 		present[k.ID] = true
-		s.add(10, uint64(k.ID), uint64(k.Started), math.Float64bits(k.Limit), uint64(k.CutAt),
-			uint64(k.PausedUntil), uint64(k.Ejected), uint64(k.Ejections),
-			math.Float64bits(k.Strikes),
-			uint64(k.StrikesAt))
-		if k.Limit > 0 {
+		s.add(10, uint64(k.ID), uint64(k.Started), math.Float64bits(k.LoadLimit), uint64(k.LimitLoweredAt),
+			uint64(k.PausedUntil), uint64(k.EjectedUntil), uint64(k.Ejections),
+			math.Float64bits(k.FailureScore),
+			uint64(k.FailureScoreAt))
+		if k.LoadLimit > 0 {
 			s.coverage["limit learned"]++
 		}
 		if k.PausedUntil > s.now {
@@ -952,7 +952,7 @@
 // figures that no Balancer gives.
 func (s *stream) restart() {
 	s.coverage["restored snapshot"]++
-	snapshot := s.balancer.Learned()
+	snapshot := s.balancer.Snapshot()
 	s.digestSnapshot(snapshot)
 	if s.oneIn(4) {
 		s.spoil(&snapshot)
@@ -960,8 +960,8 @@
 	s.settings.Seed++
 	s.balancer = s.newBalancer()
 	s.feedList([]rules.ListMode{rules.ListComplete, rules.ListCached}[s.rnd.IntN(2)], s.entries())
-	s.balancer.Learn(s.now, snapshot)
-	s.digestSnapshot(s.balancer.Learned())
+	s.balancer.Restore(s.now, snapshot)
+	s.digestSnapshot(s.balancer.Snapshot())
 	inherited := s.live
 	s.live = nil
 	for _, c := range inherited {
@@ -979,25 +979,25 @@
 }
 
 // spoil puts figures into a snapshot that have to be passed over or bounded.
-func (s *stream) spoil(l *rules.Learned) {
-	l.Load.Value = math.NaN()
-	l.Bears.Weight = 1e9
+func (s *stream) spoil(l *rules.Snapshot) {
+	l.MeanLoad.Value = math.NaN()
+	l.ConnectionCapacity.Weight = 1e9
 	if s.oneIn(2) {
-		l.Classes = l.Classes[1:]
+		l.ClassLoads = l.ClassLoads[1:]
 	}
 	for i := range l.Servers {
 		k := &l.Servers[i]
 		switch s.rnd.IntN(6) {
 		case 0:
-			k.Limit = math.Inf(1)
+			k.LoadLimit = math.Inf(1)
 		case 1:
-			k.Limit, k.CutAt = -3, s.now+time.Hour
+			k.LoadLimit, k.LimitLoweredAt = -3, s.now+time.Hour
 		case 2:
-			k.PausedUntil, k.Ejected, k.Ejections = s.now+time.Hour, s.now+time.Hour, -4
+			k.PausedUntil, k.EjectedUntil, k.Ejections = s.now+time.Hour, s.now+time.Hour, -4
 		case 3:
 			k.Started++
 		case 4:
-			k.Strikes, k.StrikesAt = 0.9, s.now+time.Minute
+			k.FailureScore, k.FailureScoreAt = 0.9, s.now+time.Minute
 		}
 	}
 }
--- a/rules/state.go
+++ b/rules/state.go
@@ -278,8 +278,8 @@
 	return b, nil
 }
 
-// Avoids reports whether a server is out of use by the rules' own choice.
-func (b *Balancer) Avoids(id ServerID) bool {
+// IsEjected reports whether a server is out of use by the rules' own choice.
+func (b *Balancer) IsEjected(id ServerID) bool {
 	s := b.servers[id]
 	return s != nil && s.ejected > 0
 }
