--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -41,7 +41,7 @@
 			} else {
 				e.opts.Tiers.Refused(r.rank)
 			}
-			r.client.Refuse(a.RetryAfter)
+			r.client.Reject(a.RetryAfter)
 			e.free(r)
 		}
 	case rules.Fail:
@@ -69,7 +69,7 @@
 func (e *Engine) move(r *request, result rules.Result) {
 	e.counts.moved++
 	r.phase, r.link = leaving, nil
-	within := r.client.Move()
+	within := r.client.Migrate()
 	if within <= 0 {
 		within = moveWithin
 	}
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -9,25 +9,25 @@
 	"example.org/milletvane/rules"
 )
 
-// Ticket ties a client to its slot. A front embeds it in its clients and leaves it alone.
-type Ticket struct{ id slot.ID }
+// ClientHandle ties a client to its slot. A front embeds it in its clients and leaves it alone.
+type ClientHandle struct{ id slot.ID }
 
 // Client is the front's end of a connection. The engine calls it from its own goroutine; no method may
 // wait for the peer. Refuse, Fail and Close are final: the client sends no Left after them. After Move it sends
 // Left once it has been told.
 type Client interface {
-	Slot() *Ticket
-	Refuse(after time.Duration) // nothing was done; trying again is harmless
+	Handle() *ClientHandle
+	Reject(after time.Duration) // nothing was done; trying again is harmless
 	Fail()                      // failed, with no promise, or never to be done
 	Close()                     // ended, both sides, with no word but an answer to what may be on its way
-	// Move says that an open connection is to leave its server: its client is sent away politely, or taken elsewhere
+	// Migrate says that an open connection is to leave its server: its client is sent away politely, or taken elsewhere
 	// by its front. One that has not left after the time returned is closed; 0 is taken as a second.
-	Move() time.Duration
+	Migrate() time.Duration
 }
 
-// Mover is a Client that its front can take to another server without the client's help. It is told as soon as its open
+// DrainObserver is a Client that its front can take to another server without the client's help. It is told as soon as its open
 // connection's server drains or is gone.
-type Mover interface{ ServerLeaves() }
+type DrainObserver interface{ ServerDraining() }
 
 // Attempt is one try of a request at a server.
 type Attempt struct {
--- a/internal/engine/ask_test.go
+++ b/internal/engine/ask_test.go
@@ -10,7 +10,7 @@
 // mover is a client that its front can take elsewhere.
 type mover struct{ fakeClient }
 
-func (m *mover) ServerLeaves() { m.w.note("leaves %s", m.name) }
+func (m *mover) ServerDraining() { m.w.note("leaves %s", m.name) }
 
 func (w *world) ask(c Client) {
 	w.tell(Asked{Client: c, Request: Request{Class: "c", Key: "k", Wait: 3 * time.Second}})
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -150,7 +150,7 @@
 				c := w.client("x")
 				before := w.e.requests.Len()
 				w.tell(Accepted{Client: c})
-				if c.Ticket.id == 0 || w.e.requests.Len() == 0 && before == 0 {
+				if c.ClientHandle.id == 0 || w.e.requests.Len() == 0 && before == 0 {
 					break // turned away unasked
 				}
 				clients = append(clients, c)
--- a/internal/engine/digest_fakes_test.go
+++ b/internal/engine/digest_fakes_test.go
@@ -12,7 +12,7 @@
 
 // client is the simulation's end of a connection, or of a request without one.
 type client struct {
-	ticket     engine.Ticket
+	ticket     engine.ClientHandle
 	simulation *simulation
 	self       engine.Client // this one, as the engine is given it
 	number     int
@@ -24,9 +24,9 @@
 // movableClient is one that its front can take to another server.
 type movableClient struct{ client }
 
-func (c *client) Slot() *engine.Ticket { return &c.ticket }
+func (c *client) Handle() *engine.ClientHandle { return &c.ticket }
 
-func (c *client) Refuse(after time.Duration) {
+func (c *client) Reject(after time.Duration) {
 	c.gone = true
 	c.simulation.transcript.call("refuse", field{"client", c.number}, field{"after", after})
 }
@@ -41,8 +41,8 @@
 	c.simulation.transcript.call("close", field{"client", c.number})
 }
 
-// Move draws how long the client may take, and whether it leaves within that.
-func (c *client) Move() time.Duration {
+// Migrate draws how long the client may take, and whether it leaves within that.
+func (c *client) Migrate() time.Duration {
 	s := c.simulation
 	within := pick(s, 0, 0, 300*time.Millisecond, 2*time.Second, 5*time.Second)
 	s.transcript.call("move", field{"client", c.number}, field{"within", within})
@@ -52,7 +52,7 @@
 	return within
 }
 
-func (m *movableClient) ServerLeaves() {
+func (m *movableClient) ServerDraining() {
 	s := m.simulation
 	s.transcript.call("server leaves", field{"client", m.number})
 	if s.oneIn(2) {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -22,17 +22,17 @@
 }
 
 type fakeClient struct {
-	Ticket
+	ClientHandle
 	w      *world
 	name   string
 	within time.Duration
 }
 
-func (c *fakeClient) Slot() *Ticket          { return &c.Ticket }
-func (c *fakeClient) Refuse(d time.Duration) { c.w.note("refuse %s", c.name) }
+func (c *fakeClient) Handle() *ClientHandle  { return &c.ClientHandle }
+func (c *fakeClient) Reject(d time.Duration) { c.w.note("refuse %s", c.name) }
 func (c *fakeClient) Fail()                  { c.w.note("fail %s", c.name) }
 func (c *fakeClient) Close()                 { c.w.note("close %s", c.name) }
-func (c *fakeClient) Move() time.Duration    { c.w.note("move %s", c.name); return c.within }
+func (c *fakeClient) Migrate() time.Duration { c.w.note("move %s", c.name); return c.within }
 
 type fakeLink struct {
 	w     *world
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -45,7 +45,7 @@
 }
 
 func (e *Engine) of(c Client) *request {
-	r, _ := e.requests.Get(c.Slot().id)
+	r, _ := e.requests.Get(c.Handle().id)
 	return r
 }
 
@@ -103,13 +103,13 @@
 func (e *Engine) onAccepted(c Client) {
 	if e.stage >= closing || !e.room(nil) {
 		e.counts.refused++
-		c.Refuse(e.opts.RetryAfter)
+		c.Reject(e.opts.RetryAfter)
 		return
 	}
 	r := &request{client: c}
 	r.id, _ = e.requests.Put(r) // there is a slot for each socket
 	e.openings++
-	c.Slot().id = r.id
+	c.Handle().id = r.id
 	r.answer = e.deadlines.Add(e.now+openingFor, due{kind: dueOpening, id: r.id})
 }
 
@@ -132,7 +132,7 @@
 	if !e.room(r) { // for its server's side
 		e.counts.refused++
 		r.class.Declined.Add(1)
-		r.client.Refuse(e.opts.RetryAfter)
+		r.client.Reject(e.opts.RetryAfter)
 		e.free(r)
 		return
 	}
@@ -179,7 +179,7 @@
 func (e *Engine) onAsked(ev Asked) {
 	if !e.room(nil) {
 		e.counts.refused++
-		ev.Client.Refuse(e.opts.RetryAfter)
+		ev.Client.Reject(e.opts.RetryAfter)
 		return
 	}
 	e.onAccepted(ev.Client)
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -124,8 +124,8 @@
 	}
 	e.requests.All(func(_ slot.ID, r *request) bool {
 		if r.phase == open && slices.Contains(servers, r.server) {
-			if m, ok := r.client.(Mover); ok {
-				m.ServerLeaves()
+			if m, ok := r.client.(DrainObserver); ok {
+				m.ServerDraining()
 			}
 		}
 		return true
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -99,7 +99,7 @@
 			if r.link == nil || r.link.Abandon() {
 				e.fail(r)
 			} else if !e.opts.Pass { // it is up; word of that is on its way
-				r.client.Move()
+				r.client.Migrate()
 			}
 		case leaving:
 			r.client.Close()
--- a/internal/line/front/conn.go
+++ b/internal/line/front/conn.go
@@ -25,7 +25,7 @@
 	front  *Front
 	done   func() // tells the listener that the engine has seen it
 	conn   *reactor.Conn
-	ticket engine.Ticket
+	ticket engine.ClientHandle
 	open   codec.Open
 
 	mu    sync.Mutex // guards the phase
@@ -45,8 +45,8 @@
 	c.front.engine.Post(engine.Accepted{Client: c, Done: c.done})
 }
 
-// Slot implements engine.Client.
-func (c *Conn) Slot() *engine.Ticket { return &c.ticket }
+// Handle implements engine.Client.
+func (c *Conn) Handle() *engine.ClientHandle { return &c.ticket }
 
 // OnData implements reactor.Handler.
 func (c *Conn) OnData(_ *reactor.Conn, b []byte) int {
@@ -154,8 +154,8 @@
 	c.conn.Close()
 }
 
-// Refuse implements engine.Client.
-func (c *Conn) Refuse(after time.Duration) { c.final(codec.Busy(after)) }
+// Reject implements engine.Client.
+func (c *Conn) Reject(after time.Duration) { c.final(codec.Busy(after)) }
 
 // Fail implements engine.Client.
 func (c *Conn) Fail() { c.final([]byte(codec.Err)) }
@@ -169,7 +169,7 @@
 	c.mu.Unlock()
 	switch at {
 	case opening, waiting:
-		c.Refuse(0)
+		c.Reject(0)
 		return
 	case over:
 		return
@@ -188,12 +188,12 @@
 	at := c.phase
 	c.mu.Unlock()
 	if at < relaying {
-		c.Refuse(0)
+		c.Reject(0)
 	}
 }
 
-// Move implements engine.Client. Its loop tells the client, as word of it to the engine may have to wait.
-func (c *Conn) Move() time.Duration {
+// Migrate implements engine.Client. Its loop tells the client, as word of it to the engine may have to wait.
+func (c *Conn) Migrate() time.Duration {
 	c.conn.Do(c.move)
 	return 0
 }
--- a/internal/nats/front/ask.go
+++ b/internal/nats/front/ask.go
@@ -14,7 +14,7 @@
 // ask is a request of a session's: a message with a reply subject on a subject of a class. The engine holds it as a client
 // of its own.
 type ask struct {
-	ticket  engine.Ticket
+	ticket  engine.ClientHandle
 	session *Session
 	subject []byte
 	reply   []byte
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// Slot implements engine.Client.
-func (a *ask) Slot() *engine.Ticket { return &a.ticket }
+// Handle implements engine.Client.
+func (a *ask) Handle() *engine.ClientHandle { return &a.ticket }
 
 // Conn implements backend.Asker.
 func (a *ask) Conn() *reactor.Conn { return a.session.conn }
 
-// Refuse implements engine.Client.
-func (a *ask) Refuse(after time.Duration) {
+// Reject implements engine.Client.
+func (a *ask) Reject(after time.Duration) {
 	a.Conn().Do(func() { a.final(codec.StatusRefused, "Refused", after) })
 }
 
@@ -91,8 +91,8 @@
 // Close implements engine.Client. The engine closes only what asked for nothing or was not moved, which a request never is.
 func (a *ask) Close() { a.Fail() }
 
-// Move implements engine.Client. A request is never open in the engine's sense.
-func (a *ask) Move() time.Duration { return 0 }
+// Migrate implements engine.Client. A request is never open in the engine's sense.
+func (a *ask) Migrate() time.Duration { return 0 }
 
 // final gives the request an answer of the gateway's making.
 func (a *ask) final(code int, words string, after time.Duration) {
--- a/internal/nats/front/place.go
+++ b/internal/nats/front/place.go
@@ -12,7 +12,7 @@
 // place is a session's place at one node: to the engine it is a client of its own, so that a session that moves holds two
 // for a while.
 type place struct {
-	ticket  engine.Ticket
+	ticket  engine.ClientHandle
 	session *Session
 	leg     *backend.Leg // the present attempt's, once it is informed of its node
 	gone    bool         // the engine holds it no more
@@ -22,16 +22,16 @@
 }
 
 var _ backend.Owner = (*place)(nil)
-var _ engine.Mover = (*place)(nil)
+var _ engine.DrainObserver = (*place)(nil)
 
-// Slot implements engine.Client.
-func (p *place) Slot() *engine.Ticket { return &p.ticket }
+// Handle implements engine.Client.
+func (p *place) Handle() *engine.ClientHandle { return &p.ticket }
 
 // Conn implements backend.Owner.
 func (p *place) Conn() *reactor.Conn { return p.session.conn }
 
-// Refuse implements engine.Client.
-func (p *place) Refuse(after time.Duration) {
+// Reject implements engine.Client.
+func (p *place) Reject(after time.Duration) {
 	p.Conn().Do(func() { p.session.turnedAway(p, after) })
 }
 
@@ -52,8 +52,8 @@
 	})
 }
 
-// Move implements engine.Client.
-func (p *place) Move() time.Duration {
+// Migrate implements engine.Client.
+func (p *place) Migrate() time.Duration {
 	p.Conn().Do(func() {
 		if s := p.session; s.front.leaving.Load() {
 			s.leave()
@@ -65,8 +65,8 @@
 	return n.MoveWithin + n.FlushWithin
 }
 
-// ServerLeaves implements engine.Mover.
-func (p *place) ServerLeaves() { p.Conn().Do(func() { p.session.quit(p) }) }
+// ServerDraining implements engine.DrainObserver.
+func (p *place) ServerDraining() { p.Conn().Do(func() { p.session.quit(p) }) }
 
 // leave gives the place up.
 func (p *place) leave() {
