--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -131,7 +131,7 @@
 const nodePayload = 8 << 20
 
 // Send implements engine.Backend: each attempt goes by its client's protocol.
-func (g *Gateway) Send(a engine.Attempt) engine.Link {
+func (g *Gateway) Send(a engine.Attempt) engine.ActiveAttempt {
 	if g.nats != nil && g.nats.Handles(a) {
 		return g.nats.Send(a)
 	}
--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -55,7 +55,7 @@
 	case rules.PollLoad:
 		if s := e.servers[a.Server]; s != nil {
 			s.meter.askedAt = e.now
-			e.prober.Probe(a.Server, s.addr)
+			e.prober.PollLoad(a.Server, s.addr)
 		}
 	case rules.SetTimer:
 		e.deadlines.Add(e.now+max(a.After, 0), due{kind: dueWake, ref: a.Ref})
@@ -104,5 +104,5 @@
 		return
 	}
 	r.timeout = e.deadlines.Add(e.now+wait, due{kind: dueAttempt, id: r.id})
-	r.link = e.backend.Send(Attempt{Request: r.id, Number: r.attempts - 1, Server: to, Addr: s.addr, Client: r.client, Wait: wait, Begin: begin})
+	r.link = e.backend.Send(Attempt{RequestID: r.id, Number: r.attempts - 1, Server: to, Addr: s.addr, Client: r.client, Timeout: wait, ConnectTimeout: begin})
 }
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -31,27 +31,27 @@
 
 // Attempt is one try of a request at a server.
 type Attempt struct {
-	Request slot.ID
-	Number  int
-	Server  rules.ServerID
-	Addr    string
-	Client  Client
-	Wait    time.Duration // that the attempt is given
-	Begin   time.Duration // a connection that comes up later carries nothing, and the attempt never ran; 0: no such bound
+	RequestID      slot.ID
+	Number         int
+	Server         rules.ServerID
+	Addr           string
+	Client         Client
+	Timeout        time.Duration // that the attempt is given
+	ConnectTimeout time.Duration // a connection that comes up later carries nothing, and the attempt never ran; 0: no such bound
 }
 
-// Link is an attempt that has been started.
-type Link interface {
-	// Abandon gives up an attempt that is not up, before it returns. It returns false for one that is up,
+// ActiveAttempt is an attempt that has been started.
+type ActiveAttempt interface {
+	// Cancel gives up an attempt that is not up, before it returns. It returns false for one that is up,
 	// or that has ended by itself: word of that is on its way.
-	Abandon() bool
-	// Waiting is for how long the oldest line of the client has been without a line in return; 0: none is.
-	Waiting() time.Duration
+	Cancel() bool
+	// UnansweredFor is for how long the oldest line of the client has been without a line in return; 0: none is.
+	UnansweredFor() time.Duration
 }
 
 // Backend starts attempts. Each reports Up at most once and Ended at most once, in this order, unless it
 // was abandoned or its client left.
-type Backend interface{ Send(Attempt) Link }
+type Backend interface{ Send(Attempt) ActiveAttempt }
 
 // Request is what a client asks for.
 type Request struct {
--- a/internal/engine/delay.go
+++ b/internal/engine/delay.go
@@ -7,25 +7,25 @@
 	"example.org/milletvane/rules"
 )
 
-// Report is what a server says of its load.
-type Report struct {
-	Load     float64 // asked of it over what it can do
-	HasLoad  bool
-	Held     float64       // connections there, of all gateways; 0: not told
-	Piled    time.Duration // work that waits
-	HasPiled bool
+// LoadReport is what a server says of its load.
+type LoadReport struct {
+	Utilization    float64 // asked of it over what it can do
+	HasUtilization bool
+	Connections    float64       // connections there, of all gateways; 0: not told
+	Backlog        time.Duration // work that waits
+	HasBacklog     bool
 }
 
-// Prober asks servers for their load. A report comes back as Probed, or not at all.
-type Prober interface {
-	Probe(rules.ServerID, string)
+// LoadPoller asks servers for their load. A report comes back as Probed, or not at all.
+type LoadPoller interface {
+	PollLoad(rules.ServerID, string)
 	Forget(rules.ServerID) // nothing more is asked of it
 }
 
 // Probed brings a server's report.
 type Probed struct {
 	Server rules.ServerID
-	Report Report
+	Report LoadReport
 }
 
 func (Probed) event() {}
@@ -68,17 +68,17 @@
 // report takes in a load report. What is asked for beyond a server's power piles up; what is left of it
 // works that off. Reports are noisy, but a mean of the last few comes too late for the rules to keep a
 // server out of its jam: it was tried and lost more than false word costs.
-func (m *meter) report(now time.Duration, r Report) {
+func (m *meter) report(now time.Duration, r LoadReport) {
 	switch {
-	case r.HasPiled:
-		m.piled = r.Piled
-	case r.HasLoad && m.reportAt > 0 && now-m.reportAt <= reportFor:
-		m.piled += time.Duration((r.Load - 1) * float64(now-m.reportAt))
+	case r.HasBacklog:
+		m.piled = r.Backlog
+	case r.HasUtilization && m.reportAt > 0 && now-m.reportAt <= reportFor:
+		m.piled += time.Duration((r.Utilization - 1) * float64(now-m.reportAt))
 		m.piled = min(max(m.piled, 0), piledMost)
 	default:
 		m.piled = 0
 	}
-	m.load, m.reportAt = r.Load, now
+	m.load, m.reportAt = r.Utilization, now
 }
 
 // delay is how long a message takes now. aim is the shortest wanted time.
@@ -129,6 +129,6 @@
 		if e.opts.Trace {
 			e.trace("probe", "server", s.name)
 		}
-		e.prober.Probe(id, s.addr)
+		e.prober.PollLoad(id, s.addr)
 	}
 }
--- a/internal/engine/digest_fakes_test.go
+++ b/internal/engine/digest_fakes_test.go
@@ -82,20 +82,20 @@
 	waitingFrom time.Duration
 }
 
-func (a *attempt) Abandon() bool {
+func (a *attempt) Cancel() bool {
 	refused := a.established || a.ended || a.reluctant
 	kind := "abandon"
 	if refused {
 		kind = "abandon failed"
 	}
-	a.simulation.transcript.call(kind, field{"request", int(a.sent.Request)}, field{"number", a.sent.Number})
+	a.simulation.transcript.call(kind, field{"request", int(a.sent.RequestID)}, field{"number", a.sent.Number})
 	a.reluctant = false
 	a.abandoned = !refused
 	return !refused
 }
 
-func (a *attempt) Waiting() time.Duration {
-	a.simulation.transcript.call("waiting", field{"request", int(a.sent.Request)}, field{"number", a.sent.Number})
+func (a *attempt) UnansweredFor() time.Duration {
+	a.simulation.transcript.call("waiting", field{"request", int(a.sent.RequestID)}, field{"number", a.sent.Number})
 	if a.waitingFrom == 0 {
 		return 0
 	}
@@ -103,10 +103,10 @@
 }
 
 // Send implements engine.Backend: it draws what becomes of the attempt.
-func (s *simulation) Send(sent engine.Attempt) engine.Link {
-	s.transcript.call("send", field{"request", int(sent.Request)}, field{"number", sent.Number},
+func (s *simulation) Send(sent engine.Attempt) engine.ActiveAttempt {
+	s.transcript.call("send", field{"request", int(sent.RequestID)}, field{"number", sent.Number},
 		field{"server", int(sent.Server)}, field{"addr", sent.Addr}, field{"client", numberOf(sent.Client)},
-		field{"wait", sent.Wait}, field{"begin", sent.Begin})
+		field{"wait", sent.Timeout}, field{"begin", sent.ConnectTimeout})
 	a := &attempt{simulation: s, sent: sent, sentAt: s.now}
 	s.attempts = append(s.attempts, a)
 	delay := s.between(0, 400*time.Millisecond)
@@ -131,15 +131,15 @@
 	return i >= 0 && s.clients[i].answerOnly
 }
 
-// Probe implements engine.Prober: most servers report after a while.
-func (s *simulation) Probe(server rules.ServerID, addr string) {
+// PollLoad implements engine.LoadPoller: most servers report after a while.
+func (s *simulation) PollLoad(server rules.ServerID, addr string) {
 	s.transcript.call("probe", field{"server", int(server)}, field{"addr", addr})
 	if !s.oneIn(6) {
 		s.after(s.between(0, 120*time.Millisecond), func() { s.report(server) })
 	}
 }
 
-// Forget implements engine.Prober.
+// Forget implements engine.LoadPoller.
 func (s *simulation) Forget(server rules.ServerID) {
 	s.transcript.call("forget", field{"server", int(server)})
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -57,7 +57,7 @@
 	opts    Options
 	rules   *rules.Balancer
 	backend Backend
-	prober  Prober
+	prober  LoadPoller
 
 	ready atomic.Bool
 
@@ -90,7 +90,7 @@
 type counts struct{ taken, up, refused, failed, rejected, closed, moved, left, ended int }
 
 // New returns an engine that starts attempts with backend and, where Options allow it, asks for loads with prober.
-func New(opts Options, balancer *rules.Balancer, backend Backend, prober Prober) *Engine {
+func New(opts Options, balancer *rules.Balancer, backend Backend, prober LoadPoller) *Engine {
 	if opts.Logger == nil {
 		opts.Logger = slog.Default()
 	}
@@ -176,8 +176,8 @@
 	case Probed:
 		if s := e.servers[ev.Server]; s != nil {
 			s.meter.report(e.now, ev.Report)
-			if ev.Report.HasLoad {
-				e.tell(rules.LoadReport{Server: ev.Server, Utilization: ev.Report.Load, Connections: ev.Report.Held})
+			if ev.Report.HasUtilization {
+				e.tell(rules.LoadReport{Server: ev.Server, Utilization: ev.Report.Utilization, Connections: ev.Report.Connections})
 			}
 		}
 	case List:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -41,32 +41,32 @@
 	asked time.Duration // when the line was sent that is not returned; 0: none is
 }
 
-func (l *fakeLink) Abandon() bool {
+func (l *fakeLink) Cancel() bool {
 	if !l.up {
 		l.w.note("abandon %s/%d", l.a.Addr, l.a.Number)
 	}
 	return !l.up
 }
-func (l *fakeLink) Waiting() time.Duration {
+func (l *fakeLink) UnansweredFor() time.Duration {
 	if l.asked > 0 {
 		return l.w.now - l.asked
 	}
 	return 0
 }
 
-func (w *world) Send(a Attempt) Link {
+func (w *world) Send(a Attempt) ActiveAttempt {
 	w.note("send %s/%d", a.Addr, a.Number)
 	w.link = &fakeLink{w: w, a: a}
 	return w.link
 }
-func (w *world) Probe(_ rules.ServerID, at string) { w.note("probe %s", at) }
-func (w *world) Forget(id rules.ServerID)          { w.note("forget %d", id) }
-func (w *world) note(format string, args ...any)   { w.did = append(w.did, fmt.Sprintf(format, args...)) }
-func (w *world) tell(ev Event)                     { w.e.Handle(w.now, ev) }
-func (w *world) ended(l *fakeLink, r rules.Result) { w.tell(Ended{l.a.Request, l.a.Number, r}) }
+func (w *world) PollLoad(_ rules.ServerID, at string) { w.note("probe %s", at) }
+func (w *world) Forget(id rules.ServerID)             { w.note("forget %d", id) }
+func (w *world) note(format string, args ...any)      { w.did = append(w.did, fmt.Sprintf(format, args...)) }
+func (w *world) tell(ev Event)                        { w.e.Handle(w.now, ev) }
+func (w *world) ended(l *fakeLink, r rules.Result)    { w.tell(Ended{l.a.RequestID, l.a.Number, r}) }
 func (w *world) wentUp(l *fakeLink) {
 	l.up = true
-	w.tell(Up{Request: l.a.Request, Number: l.a.Number})
+	w.tell(Up{Request: l.a.RequestID, Number: l.a.Number})
 }
 func (w *world) client(name string) *fakeClient { return &fakeClient{w: w, name: name} }
 func (w *world) expect(want ...string) {
@@ -341,21 +341,21 @@
 	m = meter{}
 	now := time.Hour
 	for range 3 {
-		m.report(now, Report{Load: 1.23, HasLoad: true})
+		m.report(now, LoadReport{Utilization: 1.23, HasUtilization: true})
 		now += time.Second
 	}
 	if d := m.delay(now, aim); d < 2*aim {
 		t.Errorf("after two seconds of overload %v", d)
 	}
 	for range 20 { // noise that adds up must not keep the server out
-		m.report(now, Report{Load: 1.2, HasLoad: true})
+		m.report(now, LoadReport{Utilization: 1.2, HasUtilization: true})
 		now += time.Second
 	}
-	m.report(now, Report{Load: 0.2, HasLoad: true})
+	m.report(now, LoadReport{Utilization: 0.2, HasUtilization: true})
 	if d := m.delay(now, aim); d > aim/3 {
 		t.Errorf("with load gone %v", d)
 	}
-	m.report(now, Report{Load: 0.2, HasLoad: true, Piled: time.Second, HasPiled: true})
+	m.report(now, LoadReport{Utilization: 0.2, HasUtilization: true, Backlog: time.Second, HasBacklog: true})
 	if d := m.delay(now, aim); d < time.Second {
 		t.Errorf("with a second piled up %v", d)
 	}
@@ -380,13 +380,13 @@
 	first := w.link.a.Addr
 	w.wentUp(w.link)
 	server := rules.ServerID(first[1] - '0')
-	w.tell(Probed{Server: server, Report: Report{Load: 2, HasLoad: true}})
+	w.tell(Probed{Server: server, Report: LoadReport{Utilization: 2, HasUtilization: true}})
 	w.arrive(w.client("y"), Request{Key: "k"})
 	if w.link.a.Addr == first {
 		t.Error("sent to a server that had just reported twice what it can do")
 	}
 	w.ended(w.link, rules.OK)
-	w.tell(Probed{Server: server, Report: Report{Load: 0.1, HasLoad: true}})
+	w.tell(Probed{Server: server, Report: LoadReport{Utilization: 0.1, HasUtilization: true}})
 	w.arrive(w.client("z"), Request{Key: "k"})
 	if w.link.a.Addr != first {
 		t.Error("not sent to a server that has room again")
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -33,7 +33,7 @@
 	deadline time.Duration
 	answer   *deadline.Item[due] // the end of its opening, or of its wait
 	attempts int
-	link     Link // the attempt that is out or open
+	link     ActiveAttempt // the attempt that is out or open
 	server   rules.ServerID
 	sent     time.Duration
 	timeout  *deadline.Item[due]
@@ -243,7 +243,7 @@
 		e.tell(rules.ClientDisconnected{ID: id})
 	}
 	if r.link != nil {
-		r.link.Abandon()
+		r.link.Cancel()
 		e.tell(rules.AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: r.server, Result: rules.Cancelled,
 			Elapsed: e.now - r.sent, Answered: true})
 	}
@@ -302,14 +302,14 @@
 
 func (e *Engine) onTimeout(r *request) {
 	// The attempt is closed before the rules hear of it: two at once are never out.
-	if r.link != nil && r.phase == waiting && r.link.Abandon() {
+	if r.link != nil && r.phase == waiting && r.link.Cancel() {
 		e.outcome(r, rules.TimedOut)
 	}
 }
 
 // onOverdue guards the promise of one answer in time, should the rules ever owe it past the deadline.
 func (e *Engine) onOverdue(r *request) {
-	if r.link != nil && !r.link.Abandon() {
+	if r.link != nil && !r.link.Cancel() {
 		return // it is up; word of that is on its way
 	}
 	e.opts.Logger.Error("answer overdue", "attempts", r.attempts)
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -174,7 +174,7 @@
 		return true
 	})
 	for _, r := range at {
-		if r.link.Abandon() {
+		if r.link.Cancel() {
 			e.outcome(r, rules.Cancelled)
 		}
 	}
@@ -220,7 +220,7 @@
 			return true
 		}
 		holders[r.server] = id
-		age := r.link.Waiting()
+		age := r.link.UnansweredFor()
 		if s := e.servers[r.server]; s != nil && age > s.meter.waiting {
 			s.meter.waiting, s.meter.waiterOf = age, id
 		}
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -96,7 +96,7 @@
 		case opening:
 			e.close(r)
 		case waiting:
-			if r.link == nil || r.link.Abandon() {
+			if r.link == nil || r.link.Cancel() {
 				e.fail(r)
 			} else if !e.opts.Pass { // it is up; word of that is on its way
 				r.client.Migrate()
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -121,20 +121,20 @@
 	w.tell(Left{first})
 	w.arrive(w.client("next"), Request{Key: "k"})
 	next := w.link
-	if old.a.Request == next.a.Request {
+	if old.a.RequestID == next.a.RequestID {
 		t.Fatal("the number was given twice")
 	}
 	w.did = nil
-	w.tell(Up{Request: old.a.Request})
+	w.tell(Up{Request: old.a.RequestID})
 	w.ended(old, rules.Reset)
-	w.tell(Load{Request: old.a.Request, Load: 9})
-	w.tell(Answered{Request: old.a.Request, Delay: time.Minute})
-	w.tell(Leaving{Request: old.a.Request})
+	w.tell(Load{Request: old.a.RequestID, Load: 9})
+	w.tell(Answered{Request: old.a.RequestID, Delay: time.Minute})
+	w.tell(Leaving{Request: old.a.RequestID})
 	w.tell(Left{first})
 	w.expect()
 	w.held(1)
 	w.wentUp(next)
-	if r, ok := w.e.requests.Get(next.a.Request); !ok || r.phase != open || r.load != 0 {
+	if r, ok := w.e.requests.Get(next.a.RequestID); !ok || r.phase != open || r.load != 0 {
 		t.Error("the next tenant does not stand as it should")
 	}
 }
--- a/internal/line/backend/backend.go
+++ b/internal/line/backend/backend.go
@@ -33,7 +33,7 @@
 	Offer(engine.Event) // may be dropped
 }
 
-// Backend implements engine.Backend and engine.Prober.
+// Backend implements engine.Backend and engine.LoadPoller.
 type Backend struct {
 	options Options
 	events  Poster
@@ -61,10 +61,10 @@
 func (b *Backend) Connect(events Poster, conns *reactor.Group) { b.events, b.conns = events, conns }
 
 // Send implements engine.Backend. It does not wait.
-func (b *Backend) Send(a engine.Attempt) engine.Link {
+func (b *Backend) Send(a engine.Attempt) engine.ActiveAttempt {
 	l := &Link{backend: b, attempt: a, client: a.Client.(Client)}
-	within := a.Wait
-	for _, t := range []time.Duration{b.options.ConnectTimeout, a.Begin} {
+	within := a.Timeout
+	for _, t := range []time.Duration{b.options.ConnectTimeout, a.ConnectTimeout} {
 		if t > 0 {
 			within = min(within, t)
 		}
--- a/internal/line/backend/late_test.go
+++ b/internal/line/backend/late_test.go
@@ -71,7 +71,7 @@
 		got := make(reports, 1)
 		b := New(Options{})
 		b.Connect(got, g)
-		link := &Link{backend: b, client: &quiet{open: open}, attempt: engine.Attempt{Wait: patience, Begin: begin}}
+		link := &Link{backend: b, client: &quiet{open: open}, attempt: engine.Attempt{Timeout: patience, ConnectTimeout: begin}}
 		link.Begin(func() *reactor.Conn { return g.Dial(l.Addr().String(), patience, nobody{}, nil) })
 		server, err := l.Accept()
 		if err != nil {
@@ -109,12 +109,12 @@
 	got := make(reports, 1)
 	b := New(Options{})
 	b.Connect(got, g)
-	b.Send(engine.Attempt{Addr: "127.0.0.1:1", Client: &quiet{}, Wait: patience, Begin: patience})
+	b.Send(engine.Attempt{Addr: "127.0.0.1:1", Client: &quiet{}, Timeout: patience, ConnectTimeout: patience})
 	if e, ok := event(t, got).(engine.Ended); !ok || e.Result != rules.ConnectFailed {
 		t.Errorf("refused: told %+v", e)
 	}
 	full := crowded(t)
-	b.Send(engine.Attempt{Addr: full, Client: &quiet{}, Wait: patience, Begin: 50 * time.Millisecond})
+	b.Send(engine.Attempt{Addr: full, Client: &quiet{}, Timeout: patience, ConnectTimeout: 50 * time.Millisecond})
 	if e, ok := event(t, got).(engine.Ended); !ok || e.Result != rules.ConnectFailed {
 		t.Errorf("silent: told %+v", e)
 	}
--- a/internal/line/backend/link.go
+++ b/internal/line/backend/link.go
@@ -28,13 +28,13 @@
 
 // OnOpen implements reactor.Handler: it sends the opening line, or says that there is no connection.
 func (l *Link) OnOpen(c *reactor.Conn, err error) {
-	late := l.attempt.Begin > 0 && l.Age() > l.attempt.Begin // the loop may have been held up, and the dial's time with it
+	late := l.attempt.ConnectTimeout > 0 && l.Age() > l.attempt.ConnectTimeout // the loop may have been held up, and the dial's time with it
 	if err != nil || late {
 		l.finish(rules.ConnectFailed)
 		return
 	}
 	if l.Step(relay.Dialing, relay.Pending) { // one that is given up meanwhile carries nothing
-		c.Send(l.client.Forward(make([][]byte, 0, 3), l.attempt.Wait-l.Age())...)
+		c.Send(l.client.Forward(make([][]byte, 0, 3), l.attempt.Timeout-l.Age())...)
 		l.written()
 	}
 }
@@ -50,8 +50,8 @@
 
 // finish ends an attempt that is not up, once.
 func (l *Link) finish(result rules.Result) {
-	if l.Abandon() {
-		l.backend.events.Post(engine.Ended{Request: l.attempt.Request, Number: l.attempt.Number, Result: result})
+	if l.Cancel() {
+		l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	l.client.End(reset)
 	l.Conn().Close()
-	l.backend.events.Post(engine.Ended{Request: l.attempt.Request, Number: l.attempt.Number, Result: result})
+	l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 }
 
 // OnData implements reactor.Handler.
@@ -152,7 +152,7 @@
 	if !l.Step(relay.Pending, relay.Up) {
 		return
 	}
-	l.backend.events.Post(engine.Up{Request: l.attempt.Request, Number: l.attempt.Number, Elapsed: l.Age()})
+	l.backend.events.Post(engine.Up{Request: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
 	if !l.client.Open(first, l) {
 		l.End(false)
 	}
@@ -180,11 +180,11 @@
 		switch reply.Word {
 		case codec.WordLoad:
 			if l.backend.options.TellsLoad {
-				l.backend.events.Offer(engine.Load{Request: l.attempt.Request, Load: reply.Load})
+				l.backend.events.Offer(engine.Load{Request: l.attempt.RequestID, Load: reply.Load})
 			}
 		case codec.WordOther:
 			if delay := l.Answered(); delay > 0 {
-				l.backend.events.Offer(engine.Answered{Request: l.attempt.Request, Delay: delay})
+				l.backend.events.Offer(engine.Answered{Request: l.attempt.RequestID, Delay: delay})
 			}
 		}
 	}
--- a/internal/line/backend/probe.go
+++ b/internal/line/backend/probe.go
@@ -25,8 +25,8 @@
 	asks   chan struct{}
 }
 
-// Probe implements engine.Prober. One probe a server is out at a time, and one more may wait.
-func (b *Backend) Probe(id rules.ServerID, addr string) {
+// PollLoad implements engine.LoadPoller. One probe a server is out at a time, and one more may wait.
+func (b *Backend) PollLoad(id rules.ServerID, addr string) {
 	p := b.probes[id]
 	if p != nil && p.addr != addr {
 		b.Forget(id)
@@ -43,7 +43,7 @@
 	}
 }
 
-// Forget implements engine.Prober.
+// Forget implements engine.LoadPoller.
 func (b *Backend) Forget(id rules.ServerID) {
 	if p := b.probes[id]; p != nil {
 		close(p.asks)
@@ -84,7 +84,7 @@
 	}
 }
 
-func ask(conn net.Conn, in *bufio.Reader) (r engine.Report, err error) {
+func ask(conn net.Conn, in *bufio.Reader) (r engine.LoadReport, err error) {
 	conn.SetDeadline(time.Now().Add(probeFor))
 	if _, err := conn.Write([]byte(codec.Stats)); err != nil {
 		return r, err
@@ -100,11 +100,11 @@
 	codec.Report(report, func(name string, v float64) {
 		switch name {
 		case "x0":
-			r.Load, r.HasLoad = v, true
+			r.Utilization, r.HasUtilization = v, true
 		case "concurrent", "inflight":
-			r.Held = v
+			r.Connections = v
 		case "x1":
-			r.Piled, r.HasPiled = time.Duration(v*float64(time.Second)), true
+			r.Backlog, r.HasBacklog = time.Duration(v*float64(time.Second)), true
 		}
 	})
 	return r, nil
--- a/internal/line/backend/probe_test.go
+++ b/internal/line/backend/probe_test.go
@@ -38,10 +38,10 @@
 	b.Connect(got, nil)
 	defer b.Forget(1)
 	for i := range 3 {
-		b.Probe(1, l.Addr().String())
+		b.PollLoad(1, l.Addr().String())
 		select {
 		case ev := <-got:
-			if p := ev.(engine.Probed); p.Report.Load != 0.5 || p.Report.Held != 3 {
+			if p := ev.(engine.Probed); p.Report.Utilization != 0.5 || p.Report.Connections != 3 {
 				t.Errorf("told %+v", p)
 			}
 		case <-time.After(10 * time.Second):
--- a/internal/line/backend/spoilt_test.go
+++ b/internal/line/backend/spoilt_test.go
@@ -51,20 +51,20 @@
 			b := New(Options{})
 			b.Connect(got, nil)
 			defer b.Forget(1)
-			b.Probe(1, l.Addr().String())
+			b.PollLoad(1, l.Addr().String())
 			select {
 			case <-asked:
 			case <-time.After(patience):
 				t.Fatal("not asked")
 			}
-			b.Probe(1, l.Addr().String())
+			b.PollLoad(1, l.Addr().String())
 			for {
 				p, ok := event(t, got).(engine.Probed)
 				if !ok {
 					t.Fatalf("told %+v", p)
 				}
-				if p.Report.HasLoad {
-					if p.Report.Load != 0.5 {
+				if p.Report.HasUtilization {
+					if p.Report.Utilization != 0.5 {
 						t.Errorf("told %+v", p)
 					}
 					return
--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -72,7 +72,7 @@
 }
 
 // Send implements engine.Backend. It does not wait.
-func (b *Backend) Send(a engine.Attempt) engine.Link {
+func (b *Backend) Send(a engine.Attempt) engine.ActiveAttempt {
 	if asker, ok := a.Client.(Asker); ok {
 		t := &Try{backend: b, attempt: a, asker: asker}
 		asker.Conn().Do(t.start)
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -67,7 +67,7 @@
 
 func (b *Backend) dial(a engine.Attempt, o Owner) *Leg {
 	l := &Leg{backend: b, attempt: a, owner: o, hub: b.Hub(o.Conn())}
-	wait := a.Wait
+	wait := a.Timeout
 	if t := b.options().ConnectTimeout; t > 0 {
 		wait = min(wait, t)
 	}
@@ -83,11 +83,11 @@
 
 // finish ends a leg that does not stand, once.
 func (l *Leg) finish(result rules.Result) {
-	if !l.Abandon() {
+	if !l.Cancel() {
 		return
 	}
 	if l.owner != nil {
-		l.backend.events.Post(engine.Ended{Request: l.attempt.Request, Number: l.attempt.Number, Result: result})
+		l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 	} else {
 		l.fall(rules.ConnectFailed)
 	}
@@ -112,7 +112,7 @@
 	l.Conn().Abort(false)
 	l.fall(rules.Reset)
 	if l.owner != nil {
-		l.backend.events.Post(engine.Ended{Request: l.attempt.Request, Number: l.attempt.Number, Result: rules.Reset})
+		l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: rules.Reset})
 		l.owner.Ended(l)
 	}
 }
@@ -229,7 +229,7 @@
 	}
 	if !first {
 		if info.LameDuck && l.owner != nil {
-			l.backend.events.Post(engine.Leaving{Request: l.attempt.Request})
+			l.backend.events.Post(engine.Leaving{Request: l.attempt.RequestID})
 		}
 		return
 	}
@@ -307,7 +307,7 @@
 		l.shared.stands(l)
 		return
 	}
-	l.backend.events.Post(engine.Up{Request: l.attempt.Request, Number: l.attempt.Number, Elapsed: l.Age()})
+	l.backend.events.Post(engine.Up{Request: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
 	l.owner.Stands(l)
 }
 
@@ -320,7 +320,7 @@
 		if len(l.pings) == 0 {
 			l.Ping(nil)
 		}
-		if l.owner == nil && l.Waiting() > hungAfter {
+		if l.owner == nil && l.UnansweredFor() > hungAfter {
 			l.broken() // the engine looks after those of sessions
 			return
 		}
--- a/internal/nats/backend/try.go
+++ b/internal/nats/backend/try.go
@@ -41,9 +41,9 @@
 	sid string
 }
 
-// Abandon implements engine.Link. No answer counts once it has returned true, and the node hears that none is wanted before
+// Cancel implements engine.ActiveAttempt. No answer counts once it has returned true, and the node hears that none is wanted before
 // a further attempt is sent.
-func (t *Try) Abandon() bool {
+func (t *Try) Cancel() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.over {
@@ -54,8 +54,8 @@
 	return true
 }
 
-// Waiting implements engine.Link; a request has a deadline instead.
-func (t *Try) Waiting() time.Duration { return 0 }
+// UnansweredFor implements engine.ActiveAttempt; a request has a deadline instead.
+func (t *Try) UnansweredFor() time.Duration { return 0 }
 
 // done marks the try as over; it returns false where it was already.
 func (t *Try) done() bool {
@@ -69,7 +69,7 @@
 // finish ends the try without an answer.
 func (t *Try) finish(result rules.Result) {
 	if t.done() {
-		t.backend.events.Post(engine.Ended{Request: t.attempt.Request, Number: t.attempt.Number, Result: result})
+		t.backend.events.Post(engine.Ended{Request: t.attempt.RequestID, Number: t.attempt.Number, Result: result})
 	}
 }
 
@@ -112,7 +112,7 @@
 	l.tries[t.sid] = t
 	inbox := make([]byte, 0, 64)
 	inbox = append(append(inbox, "_GW."...), t.backend.options().Name...)
-	inbox = strconv.AppendUint(append(inbox, '.'), uint64(t.attempt.Request), 36)
+	inbox = strconv.AppendUint(append(inbox, '.'), uint64(t.attempt.RequestID), 36)
 	inbox = strconv.AppendInt(append(inbox, '.'), int64(t.attempt.Number), 10)
 	subject, body, headers := t.asker.Publication()
 	head := make([]byte, 0, 256)
@@ -142,7 +142,7 @@
 	delete(l.tries, t.sid)
 	if t.done() {
 		t.asker.Answered(f)
-		t.backend.events.Post(engine.Ended{Request: t.attempt.Request, Number: t.attempt.Number, Result: rules.OK})
+		t.backend.events.Post(engine.Ended{Request: t.attempt.RequestID, Number: t.attempt.Number, Result: rules.OK})
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,7 +22,7 @@
 	Over
 )
 
-// Attempt is a connection to a server through its phases. It is part of what implements engine.Link. Its methods may be
+// Attempt is a connection to a server through its phases. It is part of what implements engine.ActiveAttempt. Its methods may be
 // called by any goroutine and never wait.
 type Attempt struct {
 	mu    sync.Mutex // guards the phase; never held while writing or posting
@@ -75,9 +75,9 @@
 	return was
 }
 
-// Abandon implements engine.Link: it gives up one that does not stand. When it returns true the connection is closed and
+// Cancel implements engine.ActiveAttempt: it gives up one that does not stand. When it returns true the connection is closed and
 // carries nothing any more; false says that it stands, or has ended by itself.
-func (a *Attempt) Abandon() bool {
+func (a *Attempt) Cancel() bool {
 	a.mu.Lock()
 	if a.phase >= Up {
 		a.mu.Unlock()
@@ -103,8 +103,8 @@
 	return 0
 }
 
-// Waiting implements engine.Link: for how long the oldest question has been open; 0: none is.
-func (a *Attempt) Waiting() time.Duration {
+// UnansweredFor implements engine.ActiveAttempt: for how long the oldest question has been open; 0: none is.
+func (a *Attempt) UnansweredFor() time.Duration {
 	if at := a.asked.Load(); at > 0 {
 		return max(a.Age()-time.Duration(at), 0)
 	}
