--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -55,16 +55,16 @@
 
 // Request is what a client asks for.
 type Request struct {
-	ID       string // the client's name for it; empty: none
-	Class    string
-	Tenant   string
-	Key      string
-	Group    string
-	Wait     time.Duration // that the client waits; 0: not stated
-	Load     float64       // in microseconds of work a second; 0: unknown
-	Returned bool
-	Stray    bool
-	At       string // the server that holds the connection since before the run
+	ID           string // the client's name for it; empty: none
+	Class        string
+	Tenant       string
+	Key          string
+	Group        string
+	Timeout      time.Duration // that the client waits; 0: not stated
+	Load         float64       // in microseconds of work a second; 0: unknown
+	Reconnecting bool
+	MidFlow      bool
+	Owner        string // the server that holds the connection since before the run
 }
 
 // Server is an entry of the list, with the address at which this gateway reaches it.
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -32,7 +32,7 @@
 func (w *world) sentTo(n int) map[string]int {
 	to := map[string]int{}
 	for i := range n {
-		w.tell(Asked{Client: w.client("x"), Request: Request{Class: "c", Key: fmt.Sprint(i), Wait: 3 * time.Second}})
+		w.tell(Asked{Client: w.client("x"), Request: Request{Class: "c", Key: fmt.Sprint(i), Timeout: 3 * time.Second}})
 		to[w.link.a.Addr]++
 		w.ended(w.link, rules.OK)
 	}
@@ -156,7 +156,7 @@
 				clients = append(clients, c)
 				taken++
 				w.tell(Arrived{Client: c, Request: Request{ID: fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "id")), Class: "c", Key: "k",
-					Wait: time.Duration(rapid.IntRange(1, 3000).Draw(rt, "wait")) * time.Millisecond}})
+					Timeout: time.Duration(rapid.IntRange(1, 3000).Draw(rt, "wait")) * time.Millisecond}})
 			case 3:
 				if len(links) > 0 {
 					if l := links[rapid.IntRange(0, len(links)-1).Draw(rt, "link")]; !l.up {
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -420,15 +420,15 @@
 func (s *simulation) drawRequest() engine.Request {
 	s.nextRequest++
 	q := engine.Request{
-		ID:       pick(s, "", fmt.Sprint("request-", s.nextRequest), fmt.Sprint("request-", max(1, s.nextRequest-s.random.IntN(12)))),
-		Class:    pick(s, "interactive", "interactive", "bulk", "bulk", "strict"),
-		Tenant:   pick(s, "", "tenant-1", "tenant-2"),
-		Key:      fmt.Sprint("key-", s.random.IntN(40)),
-		Group:    pick(s, "", "", fmt.Sprint("group-", s.random.IntN(4))),
-		Wait:     pick(s, 0, time.Millisecond, 30*time.Millisecond, 300*time.Millisecond, time.Second, 3*time.Second, 10*time.Second),
-		Load:     pick(s, 0.0, 0, 50, 200, 1000, 20000), // whole numbers: sums of them are exact in any order
-		Returned: s.oneIn(7),
-		Stray:    s.oneIn(10),
+		ID:           pick(s, "", fmt.Sprint("request-", s.nextRequest), fmt.Sprint("request-", max(1, s.nextRequest-s.random.IntN(12)))),
+		Class:        pick(s, "interactive", "interactive", "bulk", "bulk", "strict"),
+		Tenant:       pick(s, "", "tenant-1", "tenant-2"),
+		Key:          fmt.Sprint("key-", s.random.IntN(40)),
+		Group:        pick(s, "", "", fmt.Sprint("group-", s.random.IntN(4))),
+		Timeout:      pick(s, 0, time.Millisecond, 30*time.Millisecond, 300*time.Millisecond, time.Second, 3*time.Second, 10*time.Second),
+		Load:         pick(s, 0.0, 0, 50, 200, 1000, 20000), // whole numbers: sums of them are exact in any order
+		Reconnecting: s.oneIn(7),
+		MidFlow:      s.oneIn(10),
 	}
 	switch s.random.IntN(30) {
 	case 0, 1:
@@ -436,11 +436,11 @@
 	case 2:
 		q.Key = ""
 	case 3, 4:
-		q.At = s.serverName(1 + s.random.IntN(serversDrawn+1))
+		q.Owner = s.serverName(1 + s.random.IntN(serversDrawn+1))
 	}
-	if flows := s.predecessor.flows; len(flows) > 0 && (q.Stray || s.oneIn(10)) {
+	if flows := s.predecessor.flows; len(flows) > 0 && (q.MidFlow || s.oneIn(10)) {
 		q.ID = flows[s.random.IntN(len(flows))].ID
-		q.Stray = !s.oneIn(5)
+		q.MidFlow = !s.oneIn(5)
 	}
 	return q
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -120,8 +120,8 @@
 
 func (w *world) arrive(c *fakeClient, q Request) {
 	w.tell(Accepted{Client: c})
-	if q.Wait == 0 {
-		q.Wait = 3 * time.Second
+	if q.Timeout == 0 {
+		q.Timeout = 3 * time.Second
 	}
 	if q.Class == "" {
 		q.Class = "c"
@@ -203,7 +203,7 @@
 func TestCarriedGoesToItsServer(t *testing.T) {
 	w := newWorld(t, 3, nil)
 	for i, at := range []string{"s1", "s2", "s3"} {
-		w.arrive(w.client(at), Request{Key: "k", At: at})
+		w.arrive(w.client(at), Request{Key: "k", Owner: at})
 		if want := fmt.Sprintf("send a%d/0", i+1); len(w.did) != 1 || w.did[0] != want {
 			t.Fatalf("did %q, want %q", w.did, want)
 		}
@@ -211,9 +211,9 @@
 		w.wentUp(w.link)
 		w.ended(w.link, rules.Cancelled)
 	}
-	w.arrive(w.client("x"), Request{Key: "k", At: "s9"})
+	w.arrive(w.client("x"), Request{Key: "k", Owner: "s9"})
 	w.expect("fail x")
-	w.arrive(w.client("y"), Request{Key: "k", At: "s1"})
+	w.arrive(w.client("y"), Request{Key: "k", Owner: "s1"})
 	w.ended(w.link, rules.ConnectFailed)
 	w.expect("send a1/0", "fail y")
 	w.held(0)
@@ -264,7 +264,7 @@
 	w.arrive(w.client("class"), Request{ID: "2", Class: "none"})
 	w.arrive(w.client("taken"), Request{ID: "1"})
 	w.expect("fail class", "fail taken")
-	w.arrive(w.client("mid"), Request{ID: "1", Stray: true}) // packets of x come here again
+	w.arrive(w.client("mid"), Request{ID: "1", MidFlow: true}) // packets of x come here again
 	w.tell(Rejected{x})
 	w.expect("send a1/0", "abandon a1/0")
 	w.arrive(w.client("taken"), Request{ID: "1"}) // still, by mid
@@ -398,10 +398,10 @@
 	w.arrive(w.client("x"), Request{Key: "k"})
 	w.wentUp(w.link)
 	w.tell(Stop{})
-	w.arrive(w.client("late"), Request{Key: "k", Wait: time.Minute})
+	w.arrive(w.client("late"), Request{Key: "k", Timeout: time.Minute})
 	w.expect("send a1/0", "send a1/0")
 	w.wentUp(w.link)
-	w.arrive(w.client("later"), Request{Key: "k", Wait: time.Minute})
+	w.arrive(w.client("later"), Request{Key: "k", Timeout: time.Minute})
 	w.did = nil
 	w.pass(time.Minute)
 	if w.e.stage != ended || slices.Contains(w.did, "move x") || slices.Contains(w.did, "move late") {
--- a/internal/engine/inherit_test.go
+++ b/internal/engine/inherit_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("reports %d of another process as its own", n)
 	}
 	for _, id := range []string{"1", "2", "3", "4"} {
-		w.arrive(w.client(id), Request{ID: id, Key: "k" + id, Stray: true})
+		w.arrive(w.client(id), Request{ID: id, Key: "k" + id, MidFlow: true})
 		if w.link.a.Addr != at[id] {
 			t.Errorf("%s went to %s, it stands at %s", id, w.link.a.Addr, at[id])
 		}
@@ -72,7 +72,7 @@
 	leaves := old.link.a.Server
 	w.entry(leaves, rules.Draining, 0)
 	w.tell(Inherit{State: st, First: true})
-	w.arrive(w.client("x"), Request{ID: "1", Key: "k", Stray: true})
+	w.arrive(w.client("x"), Request{ID: "1", Key: "k", MidFlow: true})
 	if w.link.a.Server == leaves {
 		t.Error("sent to a server that drains")
 	}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -146,29 +146,29 @@
 	}
 	e.openings--
 	e.countTaken()
-	if q.Wait <= 0 {
-		q.Wait = e.opts.DefaultWait
+	if q.Timeout <= 0 {
+		q.Timeout = e.opts.DefaultWait
 	}
 	if e.stage > serving { // nothing may be owed when the platform ends the program
-		q.Wait = min(q.Wait, max(e.answerBy-e.now, lateWait))
+		q.Timeout = min(q.Timeout, max(e.answerBy-e.now, lateWait))
 	}
-	r.phase, r.deadline = waiting, e.now+q.Wait
+	r.phase, r.deadline = waiting, e.now+q.Timeout
 	req := rules.Request{
 		ID: rules.RequestID(r.id), Class: q.Class, Tenant: q.Tenant, Key: q.Key, Group: q.Group,
-		Timeout: q.Wait, Load: q.Load, Reconnecting: q.Returned, MidFlow: q.Stray,
+		Timeout: q.Timeout, Load: q.Load, Reconnecting: q.Reconnecting, MidFlow: q.MidFlow,
 	}
 	if e.opts.Ranks != nil {
 		req.Priority = e.opts.Ranks(q.Class, q.Tenant)
 	}
-	if r.rank = req.Priority; !q.Stray && q.At == "" {
+	if r.rank = req.Priority; !q.MidFlow && q.Owner == "" {
 		e.opts.Tiers.Asked(r.rank)
 	}
 	r.flow, r.load = Flow{Class: q.Class, Key: q.Key, Group: q.Group}, q.Load
-	if q.Stray {
+	if q.MidFlow {
 		req.Owner, req.OwnerKnown = e.claim(q.ID)
 	}
-	if q.At != "" {
-		e.carry(r, req, q.At)
+	if q.Owner != "" {
+		e.carry(r, req, q.Owner)
 		return
 	}
 	e.rearm(&r.answer, r.deadline+e.opts.AnswerSlack, due{kind: dueAnswer, id: r.id})
@@ -194,7 +194,7 @@
 		return false
 	}
 	_, taken := e.named[q.ID]
-	return !taken || q.Stray
+	return !taken || q.MidFlow
 }
 
 // carry takes up a connection that is open at a server since before this gateway ran. There is nothing to
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -18,12 +18,12 @@
 					o.Drain = 15 * time.Second
 				}
 			})
-			w.arrive(w.client("x"), Request{Key: "k", Wait: time.Minute, Class: "c"})
+			w.arrive(w.client("x"), Request{Key: "k", Timeout: time.Minute, Class: "c"})
 			w.pass(850 * time.Millisecond) // its last attempt has all the time that is left
 			w.tell(Stop{})
-			w.arrive(w.client("y"), Request{Key: "k", Wait: time.Minute})
+			w.arrive(w.client("y"), Request{Key: "k", Timeout: time.Minute})
 			w.pass(3300*time.Millisecond - 10*time.Millisecond)
-			w.arrive(w.client("z"), Request{Key: "k", Wait: time.Minute})
+			w.arrive(w.client("z"), Request{Key: "k", Timeout: time.Minute})
 			w.pass(160 * time.Millisecond)
 			answers := map[string]int{}
 			for _, d := range w.did {
@@ -92,7 +92,7 @@
 	for _, name := range []string{"x", "y"} {
 		c := w.client(name)
 		w.tell(Accepted{Client: c, Done: func() { done++ }})
-		w.tell(Arrived{c, Request{Key: "k", Class: "c", Wait: time.Second}})
+		w.tell(Arrived{c, Request{Key: "k", Class: "c", Timeout: time.Second}})
 	}
 	if done != 2 {
 		t.Errorf("%d of 2", done)
@@ -106,7 +106,7 @@
 	w.tell(Accepted{Client: c})
 	w.pass(openingFor)
 	w.expect("close x")
-	w.tell(Arrived{c, Request{Key: "k", Class: "c", Wait: time.Second}})
+	w.tell(Arrived{c, Request{Key: "k", Class: "c", Timeout: time.Second}})
 	w.tell(Left{c})
 	w.expect()
 	w.held(0)
--- a/internal/line/front/conn.go
+++ b/internal/line/front/conn.go
@@ -113,7 +113,7 @@
 	c.mu.Unlock()
 	c.front.engine.Post(engine.Arrived{Client: c, Request: engine.Request{
 		ID: string(open.ID), Class: string(open.Class), Tenant: string(open.Tenant), Key: string(open.Key), Group: string(open.Group),
-		Wait: open.Wait, Load: open.Hint, Returned: open.Returned, Stray: open.Stray, At: string(open.At),
+		Timeout: open.Wait, Load: open.Hint, Reconnecting: open.Returned, MidFlow: open.Stray, Owner: string(open.At),
 	}})
 }
 
--- a/internal/nats/front/ask.go
+++ b/internal/nats/front/ask.go
@@ -59,7 +59,7 @@
 		key = s.key
 	}
 	s.front.engine.Post(engine.Asked{Client: a, Request: engine.Request{
-		Class: r.Class, Tenant: s.options.User, Key: key, Wait: r.Deadline,
+		Class: r.Class, Tenant: s.options.User, Key: key, Timeout: r.Deadline,
 	}})
 	return true
 }
--- a/internal/nats/front/session.go
+++ b/internal/nats/front/session.go
@@ -259,8 +259,8 @@
 func (s *Session) arrive(p *place, returned bool) {
 	n := s.front.settings()
 	s.front.engine.Post(engine.Arrived{Client: p, Request: engine.Request{
-		Class: n.Session.Class, Tenant: s.options.User, Key: s.key, Group: s.from(n.Session.Group), Wait: n.Session.Wait,
-		Returned: returned,
+		Class: n.Session.Class, Tenant: s.options.User, Key: s.key, Group: s.from(n.Session.Group), Timeout: n.Session.Wait,
+		Reconnecting: returned,
 	}})
 }
 
