--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -78,31 +78,31 @@
 type Event interface{ event() }
 
 type (
-	// Accepted brings a connection that has asked for nothing yet. Done, if there is one, is called once it has been taken
+	// ClientConnected brings a connection that has asked for nothing yet. Done, if there is one, is called once it has been taken
 	// or turned away.
-	Accepted struct {
+	ClientConnected struct {
 		Client Client
 		Done   func()
 	}
-	// Alive says that a connection without a request is in use, as by health checks.
-	Alive struct{ Client Client }
-	// Arrived brings an accepted connection's request.
-	Arrived struct {
+	// ClientActive says that a connection without a request is in use, as by health checks.
+	ClientActive struct{ Client Client }
+	// RequestReceived brings an accepted connection's request.
+	RequestReceived struct {
 		Client  Client
 		Request Request
 	}
-	// Asked brings a request without a connection of its own: its final answer ends it. Ended with rules.OK says that
+	// UnaryRequestReceived brings a request without a connection of its own: its final answer ends it. Ended with rules.OK says that
 	// its server has given that.
-	Asked struct {
+	UnaryRequestReceived struct {
 		Client  Client
 		Request Request
 	}
 	// Leaving says that the server of an open connection has told that it drains, ahead of the list.
 	Leaving struct{ Request slot.ID }
-	// Left says that a client ended its connection.
-	Left struct{ Client Client }
-	// Rejected says that the front turned a client away for what it sent.
-	Rejected struct{ Client Client }
+	// ClientDisconnected says that a client ended its connection.
+	ClientDisconnected struct{ Client Client }
+	// ProtocolViolated says that the front turned a client away for what it sent.
+	ProtocolViolated struct{ Client Client }
 	// Up says that a connection stands at its server.
 	Up struct {
 		Request slot.ID
@@ -144,21 +144,21 @@
 	Stop struct{}
 )
 
-func (Accepted) event() {}
-func (Alive) event()    {}
-func (Arrived) event()  {}
-func (Asked) event()    {}
-func (Leaving) event()  {}
-func (Left) event()     {}
-func (Rejected) event() {}
-func (Up) event()       {}
-func (Ended) event()    {}
-func (Load) event()     {}
-func (Answered) event() {}
-func (List) event()     {}
-func (Banned) event()   {}
-func (Shed) event()     {}
-func (Stop) event()     {}
+func (ClientConnected) event()      {}
+func (ClientActive) event()         {}
+func (RequestReceived) event()      {}
+func (UnaryRequestReceived) event() {}
+func (Leaving) event()              {}
+func (ClientDisconnected) event()   {}
+func (ProtocolViolated) event()     {}
+func (Up) event()                   {}
+func (Ended) event()                {}
+func (Load) event()                 {}
+func (Answered) event()             {}
+func (List) event()                 {}
+func (Banned) event()               {}
+func (Shed) event()                 {}
+func (Stop) event()                 {}
 
 // Options are what an engine goes by.
 type Options struct {
--- a/internal/engine/ask_test.go
+++ b/internal/engine/ask_test.go
@@ -13,7 +13,7 @@
 func (m *mover) ServerDraining() { m.w.note("leaves %s", m.name) }
 
 func (w *world) ask(c Client) {
-	w.tell(Asked{Client: c, Request: Request{Class: "c", Key: "k", Timeout: 3 * time.Second}})
+	w.tell(UnaryRequestReceived{Client: c, Request: Request{Class: "c", Key: "k", Timeout: 3 * time.Second}})
 }
 
 // A request without a connection is over with its answer, and holds nothing after it.
@@ -68,8 +68,8 @@
 func TestServersOwnWordOfItsDrain(t *testing.T) {
 	w := newWorld(t, 2, nil)
 	m := &mover{fakeClient{w: w, name: "m"}}
-	w.tell(Accepted{Client: m})
-	w.tell(Arrived{m, Request{Class: "c", Key: "k", Timeout: 3 * time.Second}})
+	w.tell(ClientConnected{Client: m})
+	w.tell(RequestReceived{m, Request{Class: "c", Key: "k", Timeout: 3 * time.Second}})
 	l := w.link
 	w.wentUp(l)
 	w.did = nil
@@ -98,8 +98,8 @@
 	for _, state := range []rules.ServerState{rules.Draining, rules.Removed} {
 		w := newWorld(t, 2, nil)
 		m := &mover{fakeClient{w: w, name: "m"}}
-		w.tell(Accepted{Client: m})
-		w.tell(Arrived{m, Request{Class: "c", Key: "k", Timeout: 3 * time.Second}})
+		w.tell(ClientConnected{Client: m})
+		w.tell(RequestReceived{m, Request{Class: "c", Key: "k", Timeout: 3 * time.Second}})
 		l := w.link
 		w.wentUp(l)
 		w.did = nil
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -32,7 +32,7 @@
 func (w *world) sentTo(n int) map[string]int {
 	to := map[string]int{}
 	for i := range n {
-		w.tell(Asked{Client: w.client("x"), Request: Request{Class: "c", Key: fmt.Sprint(i), Timeout: 3 * time.Second}})
+		w.tell(UnaryRequestReceived{Client: w.client("x"), Request: Request{Class: "c", Key: fmt.Sprint(i), Timeout: 3 * time.Second}})
 		to[w.link.a.Addr]++
 		w.ended(w.link, rules.OK)
 	}
@@ -149,13 +149,13 @@
 			case 0, 1, 2:
 				c := w.client("x")
 				before := w.e.requests.Len()
-				w.tell(Accepted{Client: c})
+				w.tell(ClientConnected{Client: c})
 				if c.ClientHandle.id == 0 || w.e.requests.Len() == 0 && before == 0 {
 					break // turned away unasked
 				}
 				clients = append(clients, c)
 				taken++
-				w.tell(Arrived{Client: c, Request: Request{ID: fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "id")), Class: "c", Key: "k",
+				w.tell(RequestReceived{Client: c, Request: Request{ID: fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "id")), Class: "c", Key: "k",
 					Timeout: time.Duration(rapid.IntRange(1, 3000).Draw(rt, "wait")) * time.Millisecond}})
 			case 3:
 				if len(links) > 0 {
@@ -176,7 +176,7 @@
 					if r := w.e.of(c); r != nil && r.phase == waiting {
 						left++
 					}
-					w.tell(Left{c})
+					w.tell(ClientDisconnected{c})
 				}
 			case 8:
 				w.ban(fmt.Sprint("s", rapid.IntRange(1, 3).Draw(rt, "server")), rapid.Bool().Draw(rt, "out"))
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -360,7 +360,7 @@
 
 func (s *simulation) accept() *client {
 	c := s.newClient()
-	event := engine.Accepted{Client: c.self}
+	event := engine.ClientConnected{Client: c.self}
 	if s.oneIn(2) {
 		event.Done = func() { s.transcript.call("done", field{"client", c.number}) }
 	}
@@ -373,7 +373,7 @@
 		return
 	}
 	c.hasRequest = true
-	s.handle("arrived", engine.Arrived{Client: c.self, Request: s.drawRequest()})
+	s.handle("arrived", engine.RequestReceived{Client: c.self, Request: s.drawRequest()})
 }
 
 // arriveLate brings the request of a client that was accepted some time ago, or seldom a second one.
@@ -388,22 +388,22 @@
 func (s *simulation) ask() {
 	c := s.newClient()
 	c.hasRequest, c.answerOnly = true, true
-	s.handle("asked", engine.Asked{Client: c.self, Request: s.drawRequest()})
+	s.handle("asked", engine.UnaryRequestReceived{Client: c.self, Request: s.drawRequest()})
 }
 
 func (s *simulation) alive() {
-	s.withClient(func(c *client) { s.handle("alive", engine.Alive{Client: c.self}) })
+	s.withClient(func(c *client) { s.handle("alive", engine.ClientActive{Client: c.self}) })
 }
 
 func (s *simulation) leave(c *client) {
 	c.gone = true
-	s.handle("left", engine.Left{Client: c.self})
+	s.handle("left", engine.ClientDisconnected{Client: c.self})
 }
 
 func (s *simulation) reject() {
 	s.withClient(func(c *client) {
 		c.gone = true
-		s.handle("rejected", engine.Rejected{Client: c.self})
+		s.handle("rejected", engine.ProtocolViolated{Client: c.self})
 	})
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -131,26 +131,26 @@
 func (e *Engine) Handle(now time.Duration, ev Event) {
 	e.now = max(e.now, now)
 	switch ev := ev.(type) {
-	case Accepted:
+	case ClientConnected:
 		e.onAccepted(ev.Client)
 		if ev.Done != nil {
 			ev.Done()
 		}
-	case Alive:
+	case ClientActive:
 		if r := e.of(ev.Client); r != nil && r.phase == opening {
 			e.rearm(&r.answer, e.now+openingFor, due{kind: dueOpening, id: r.id})
 		}
-	case Arrived:
+	case RequestReceived:
 		e.onArrived(ev)
-	case Asked:
+	case UnaryRequestReceived:
 		e.onAsked(ev)
 	case Leaving:
 		if r, ok := e.requests.Get(ev.Request); ok {
 			e.onLeaving(r.server)
 		}
-	case Left:
+	case ClientDisconnected:
 		e.onLeft(ev.Client)
-	case Rejected:
+	case ProtocolViolated:
 		if r := e.of(ev.Client); r != nil {
 			e.counts.rejected++
 			if r.phase == waiting {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -119,14 +119,14 @@
 }
 
 func (w *world) arrive(c *fakeClient, q Request) {
-	w.tell(Accepted{Client: c})
+	w.tell(ClientConnected{Client: c})
 	if q.Timeout == 0 {
 		q.Timeout = 3 * time.Second
 	}
 	if q.Class == "" {
 		q.Class = "c"
 	}
-	w.tell(Arrived{c, q})
+	w.tell(RequestReceived{c, q})
 }
 
 func (w *world) held(want int) {
@@ -189,8 +189,8 @@
 	c := w.client("x")
 	w.arrive(c, Request{Key: "k"})
 	l := w.link
-	w.tell(Left{c})
-	w.tell(Left{c})
+	w.tell(ClientDisconnected{c})
+	w.tell(ClientDisconnected{c})
 	w.expect("send a1/0", "abandon a1/0")
 	w.wentUp(l) // too late
 	w.held(0)
@@ -226,27 +226,27 @@
 	var silent []*fakeClient
 	for i := range 4 {
 		silent = append(silent, w.client(fmt.Sprint("s", i)))
-		w.tell(Accepted{Client: silent[i]})
+		w.tell(ClientConnected{Client: silent[i]})
 		w.now += time.Millisecond
 	}
 	w.e.opts.Openings = 4
-	w.tell(Accepted{Client: w.client("s4")})
+	w.tell(ClientConnected{Client: w.client("s4")})
 	w.expect("close s0")
 	silent[0] = w.client("s5")
-	w.tell(Accepted{Client: silent[0]})
+	w.tell(ClientConnected{Client: silent[0]})
 	w.expect("close s1")
-	w.tell(Alive{silent[2]}) // it is in use, so the next is the oldest
+	w.tell(ClientActive{silent[2]}) // it is in use, so the next is the oldest
 	w.arrive(w.client("x"), Request{Key: "k"})
 	w.expect("close s3", "close s4", "send a1/0")
 	w.wentUp(w.link)
 	w.arrive(w.client("y"), Request{Key: "k"})
 	w.expect("close s5", "close s2", "send a1/0")
 	w.wentUp(w.link)
-	w.tell(Accepted{Client: w.client("z")}) // what was asked for is never given up
+	w.tell(ClientConnected{Client: w.client("z")}) // what was asked for is never given up
 	w.expect("refuse z")
 	w.held(2)
 	w.ended(w.link, rules.OK)
-	w.tell(Accepted{Client: w.client("quiet")})
+	w.tell(ClientConnected{Client: w.client("quiet")})
 	w.pass(2900 * time.Millisecond)
 	w.expect("close quiet")
 	w.held(1)
@@ -265,7 +265,7 @@
 	w.arrive(w.client("taken"), Request{ID: "1"})
 	w.expect("fail class", "fail taken")
 	w.arrive(w.client("mid"), Request{ID: "1", MidFlow: true}) // packets of x come here again
-	w.tell(Rejected{x})
+	w.tell(ProtocolViolated{x})
 	w.expect("send a1/0", "abandon a1/0")
 	w.arrive(w.client("taken"), Request{ID: "1"}) // still, by mid
 	w.expect("fail taken")
@@ -291,7 +291,7 @@
 	w.pass(2 * time.Second)
 	w.expect("move x")
 	w.held(1)
-	w.tell(Left{c}) // it has been told
+	w.tell(ClientDisconnected{c}) // it has been told
 	w.held(0)
 	w.pass(10 * time.Second)
 	w.expect()
@@ -416,12 +416,12 @@
 	w.wentUp(w.link)
 	w.tell(Stop{})
 	w.expect("send a1/0", "move x")
-	w.tell(Left{c})
+	w.tell(ClientDisconnected{c})
 	late := w.client("late")
 	w.arrive(late, Request{Key: "k"})
 	w.wentUp(w.link)
 	w.pass(time.Minute)
 	w.expect("send a1/0", "move late")
-	w.tell(Left{late})
+	w.tell(ClientDisconnected{late})
 	w.held(0)
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -113,7 +113,7 @@
 	r.answer = e.deadlines.Add(e.now+openingFor, due{kind: dueOpening, id: r.id})
 }
 
-func (e *Engine) onArrived(ev Arrived) {
+func (e *Engine) onArrived(ev RequestReceived) {
 	r := e.of(ev.Client)
 	if r == nil || r.phase != opening {
 		return
@@ -176,14 +176,14 @@
 }
 
 // onAsked takes a request that comes with its client.
-func (e *Engine) onAsked(ev Asked) {
+func (e *Engine) onAsked(ev UnaryRequestReceived) {
 	if !e.room(nil) {
 		e.counts.refused++
 		ev.Client.Reject(e.opts.RetryAfter)
 		return
 	}
 	e.onAccepted(ev.Client)
-	e.onArrived(Arrived(ev))
+	e.onArrived(RequestReceived(ev))
 }
 
 // usable reports whether a request can be served. No server is shown one that it cannot use: what a server
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -47,15 +47,15 @@
 	w := newWorld(t, 1, func(o *Options) { o.Pass, o.AnswerBy, o.Sockets = false, 3300*time.Millisecond, 20 })
 	w.tell(Stop{})
 	w.pass(900 * time.Millisecond)
-	w.tell(Accepted{Client: w.client("early")}) // or the end would come for want of clients
+	w.tell(ClientConnected{Client: w.client("early")}) // or the end would come for want of clients
 	w.pass(2350 * time.Millisecond)
 	rests, late := w.client("rests"), w.client("late")
-	w.tell(Accepted{Client: rests})
+	w.tell(ClientConnected{Client: rests})
 	w.arrive(late, Request{Key: "k"})
 	w.expect("send a1/0")
 	w.pass(60 * time.Millisecond)
 	w.expect("close early", "close rests")
-	w.tell(Accepted{Client: w.client("later")})
+	w.tell(ClientConnected{Client: w.client("later")})
 	w.expect("refuse later")
 	w.wentUp(w.link)
 	w.expect("move late")
@@ -91,8 +91,8 @@
 	done := 0
 	for _, name := range []string{"x", "y"} {
 		c := w.client(name)
-		w.tell(Accepted{Client: c, Done: func() { done++ }})
-		w.tell(Arrived{c, Request{Key: "k", Class: "c", Timeout: time.Second}})
+		w.tell(ClientConnected{Client: c, Done: func() { done++ }})
+		w.tell(RequestReceived{c, Request{Key: "k", Class: "c", Timeout: time.Second}})
 	}
 	if done != 2 {
 		t.Errorf("%d of 2", done)
@@ -103,11 +103,11 @@
 func TestALineThatCrossesTheIdleClose(t *testing.T) {
 	w := newWorld(t, 1, nil)
 	c := w.client("x")
-	w.tell(Accepted{Client: c})
+	w.tell(ClientConnected{Client: c})
 	w.pass(openingFor)
 	w.expect("close x")
-	w.tell(Arrived{c, Request{Key: "k", Class: "c", Timeout: time.Second}})
-	w.tell(Left{c})
+	w.tell(RequestReceived{c, Request{Key: "k", Class: "c", Timeout: time.Second}})
+	w.tell(ClientDisconnected{c})
 	w.expect()
 	w.held(0)
 }
@@ -118,7 +118,7 @@
 	first := w.client("first")
 	w.arrive(first, Request{Key: "k"})
 	old := w.link
-	w.tell(Left{first})
+	w.tell(ClientDisconnected{first})
 	w.arrive(w.client("next"), Request{Key: "k"})
 	next := w.link
 	if old.a.RequestID == next.a.RequestID {
@@ -130,7 +130,7 @@
 	w.tell(Load{Request: old.a.RequestID, Load: 9})
 	w.tell(Answered{Request: old.a.RequestID, Delay: time.Minute})
 	w.tell(Leaving{Request: old.a.RequestID})
-	w.tell(Left{first})
+	w.tell(ClientDisconnected{first})
 	w.expect()
 	w.held(1)
 	w.wentUp(next)
--- a/internal/line/front/conn.go
+++ b/internal/line/front/conn.go
@@ -42,7 +42,7 @@
 // OnOpen implements reactor.Handler.
 func (c *Conn) OnOpen(rc *reactor.Conn, _ error) {
 	c.conn = rc
-	c.front.engine.Post(engine.Accepted{Client: c, Done: c.done})
+	c.front.engine.Post(engine.ClientConnected{Client: c, Done: c.done})
 }
 
 // Handle implements engine.Client.
@@ -85,7 +85,7 @@
 			answer = codec.Pong
 		}
 		c.conn.Send([]byte(answer))
-		c.front.engine.Post(engine.Alive{Client: c})
+		c.front.engine.Post(engine.ClientActive{Client: c})
 	case codec.KindStats: // a balancer has no load report
 		c.conn.Send([]byte(codec.No))
 	case codec.KindOpen:
@@ -111,7 +111,7 @@
 	}
 	c.open, c.phase = open, waiting
 	c.mu.Unlock()
-	c.front.engine.Post(engine.Arrived{Client: c, Request: engine.Request{
+	c.front.engine.Post(engine.RequestReceived{Client: c, Request: engine.Request{
 		ID: string(open.ID), Class: string(open.Class), Tenant: string(open.Tenant), Key: string(open.Key), Group: string(open.Group),
 		Timeout: open.Wait, Load: open.Hint, Reconnecting: open.Returned, MidFlow: open.Stray, Owner: string(open.At),
 	}})
@@ -122,7 +122,7 @@
 	if c.finish() {
 		c.conn.Send([]byte(codec.Err))
 		c.conn.Close()
-		c.front.engine.Post(engine.Rejected{Client: c})
+		c.front.engine.Post(engine.ProtocolViolated{Client: c})
 	}
 }
 
@@ -143,7 +143,7 @@
 	if c.link != nil {
 		c.link.End(reactor.WasReset(err))
 	}
-	c.front.engine.Post(engine.Left{Client: c})
+	c.front.engine.Post(engine.ClientDisconnected{Client: c})
 }
 
 func (c *Conn) final(line []byte) {
@@ -218,7 +218,7 @@
 	if c.link != nil {
 		c.link.End(false)
 	}
-	c.front.engine.Post(engine.Left{Client: c})
+	c.front.engine.Post(engine.ClientDisconnected{Client: c})
 }
 
 // Forward implements backend.Client.
--- a/internal/line/front/finish_test.go
+++ b/internal/line/front/finish_test.go
@@ -29,11 +29,11 @@
 func (d *deaf) Ready() bool { return true }
 
 // accepted are the events that bring connections.
-func (d *deaf) accepted() (all []engine.Accepted) {
+func (d *deaf) accepted() (all []engine.ClientConnected) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, ev := range d.came {
-		if a, ok := ev.(engine.Accepted); ok {
+		if a, ok := ev.(engine.ClientConnected); ok {
 			all = append(all, a)
 		}
 	}
--- a/internal/nats/front/ask.go
+++ b/internal/nats/front/ask.go
@@ -58,7 +58,7 @@
 	if key == "" {
 		key = s.key
 	}
-	s.front.engine.Post(engine.Asked{Client: a, Request: engine.Request{
+	s.front.engine.Post(engine.UnaryRequestReceived{Client: a, Request: engine.Request{
 		Class: r.Class, Tenant: s.options.User, Key: key, Timeout: r.Deadline,
 	}})
 	return true
--- a/internal/nats/front/move.go
+++ b/internal/nats/front/move.go
@@ -56,7 +56,7 @@
 		return
 	}
 	s.next = &place{session: s}
-	s.front.engine.Post(engine.Accepted{Client: s.next})
+	s.front.engine.Post(engine.ClientConnected{Client: s.next})
 	s.arrive(s.next, true)
 }
 
--- a/internal/nats/front/place.go
+++ b/internal/nats/front/place.go
@@ -75,7 +75,7 @@
 	}
 	if !p.gone {
 		p.gone = true
-		p.session.front.engine.Post(engine.Left{Client: p})
+		p.session.front.engine.Post(engine.ClientDisconnected{Client: p})
 	}
 }
 
--- a/internal/nats/front/session.go
+++ b/internal/nats/front/session.go
@@ -69,7 +69,7 @@
 	s.told = int(f.payload.Load())
 	c.Send(f.info(s.id))
 	s.next = &place{session: s}
-	f.engine.Post(engine.Accepted{Client: s.next})
+	f.engine.Post(engine.ClientConnected{Client: s.next})
 }
 
 // pingsMost is how many PINGs a client may leave unanswered.
@@ -118,7 +118,7 @@
 		s.hub.Cancel(t)
 	}
 	for a := range s.asks {
-		f.engine.Post(engine.Left{Client: a})
+		f.engine.Post(engine.ClientDisconnected{Client: a})
 	}
 	s.asks, s.held = nil, nil
 	for _, p := range []*place{s.cur, s.next, s.old} {
@@ -258,7 +258,7 @@
 // arrive asks the engine for a node.
 func (s *Session) arrive(p *place, returned bool) {
 	n := s.front.settings()
-	s.front.engine.Post(engine.Arrived{Client: p, Request: engine.Request{
+	s.front.engine.Post(engine.RequestReceived{Client: p, Request: engine.Request{
 		Class: n.Session.Class, Tenant: s.options.User, Key: s.key, Group: s.from(n.Session.Group), Timeout: n.Session.Wait,
 		Reconnecting: returned,
 	}})
