--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -97,33 +97,33 @@
 		Client  Client
 		Request Request
 	}
-	// Leaving says that the server of an open connection has told that it drains, ahead of the list.
-	Leaving struct{ Request slot.ID }
+	// ServerDraining says that the server of an open connection has told that it drains, ahead of the list.
+	ServerDraining struct{ RequestID slot.ID }
 	// ClientDisconnected says that a client ended its connection.
 	ClientDisconnected struct{ Client Client }
 	// ProtocolViolated says that the front turned a client away for what it sent.
 	ProtocolViolated struct{ Client Client }
-	// Up says that a connection stands at its server.
-	Up struct {
-		Request slot.ID
-		Number  int
-		Elapsed time.Duration
+	// AttemptEstablished says that a connection stands at its server.
+	AttemptEstablished struct {
+		RequestID slot.ID
+		Number    int
+		Elapsed   time.Duration
 	}
-	// Ended is the end of an attempt, or of the connection that it set up.
-	Ended struct {
-		Request slot.ID
-		Number  int
-		Result  rules.Result
+	// AttemptEnded is the end of an attempt, or of the connection that it set up.
+	AttemptEnded struct {
+		RequestID slot.ID
+		Number    int
+		Result    rules.Result
 	}
-	// Load tells the present load of an open connection.
-	Load struct {
-		Request slot.ID
-		Load    float64
+	// ConnectionLoad tells the present load of an open connection.
+	ConnectionLoad struct {
+		RequestID slot.ID
+		Load      float64
 	}
-	// Answered tells how long an open connection's line took to be returned.
-	Answered struct {
-		Request slot.ID
-		Delay   time.Duration
+	// MessageAnswered tells how long an open connection's line took to be returned.
+	MessageAnswered struct {
+		RequestID slot.ID
+		Delay     time.Duration
 	}
 	// List brings news of the servers.
 	List struct {
@@ -148,13 +148,13 @@
 func (ClientActive) event()         {}
 func (RequestReceived) event()      {}
 func (UnaryRequestReceived) event() {}
-func (Leaving) event()              {}
+func (ServerDraining) event()       {}
 func (ClientDisconnected) event()   {}
 func (ProtocolViolated) event()     {}
-func (Up) event()                   {}
-func (Ended) event()                {}
-func (Load) event()                 {}
-func (Answered) event()             {}
+func (AttemptEstablished) event()   {}
+func (AttemptEnded) event()         {}
+func (ConnectionLoad) event()       {}
+func (MessageAnswered) event()      {}
 func (List) event()                 {}
 func (Banned) event()               {}
 func (Shed) event()                 {}
--- a/internal/engine/ask_test.go
+++ b/internal/engine/ask_test.go
@@ -73,8 +73,8 @@
 	l := w.link
 	w.wentUp(l)
 	w.did = nil
-	w.tell(Leaving{Request: l.a.RequestID})
-	w.tell(Leaving{Request: l.a.RequestID})
+	w.tell(ServerDraining{RequestID: l.a.RequestID})
+	w.tell(ServerDraining{RequestID: l.a.RequestID})
 	w.expect("leaves m")
 	entry := func(started time.Duration) List {
 		return List{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -455,7 +455,7 @@
 	a.established = true
 	elapsed := s.now - a.sentAt
 	s.after(s.drawCrossing(), func() {
-		s.handle("up", engine.Up{Request: a.sent.RequestID, Number: a.sent.Number, Elapsed: elapsed})
+		s.handle("up", engine.AttemptEstablished{RequestID: a.sent.RequestID, Number: a.sent.Number, Elapsed: elapsed})
 		s.after(s.between(100*time.Millisecond, 12*time.Second), func() { s.endEstablished(a) })
 		if s.oneIn(3) {
 			s.after(s.between(0, 3*time.Second), func() { a.waitingFrom = s.now })
@@ -483,7 +483,7 @@
 }
 
 func (s *simulation) handleEnded(a *attempt, result rules.Result) {
-	s.handle("ended", engine.Ended{Request: a.sent.RequestID, Number: a.sent.Number, Result: result})
+	s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: a.sent.Number, Result: result})
 }
 
 // withEstablished draws one of the latest attempts that are established, if there is one.
@@ -500,19 +500,19 @@
 }
 
 func (s *simulation) serverLeaving() {
-	s.withEstablished(func(a *attempt) { s.handle("leaving", engine.Leaving{Request: a.sent.RequestID}) })
+	s.withEstablished(func(a *attempt) { s.handle("leaving", engine.ServerDraining{RequestID: a.sent.RequestID}) })
 }
 
 func (s *simulation) load() {
 	s.withEstablished(func(a *attempt) {
-		s.handle("load", engine.Load{Request: a.sent.RequestID, Load: float64(s.random.IntN(5000))})
+		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: float64(s.random.IntN(5000))})
 	})
 }
 
 func (s *simulation) answered() {
 	s.withEstablished(func(a *attempt) {
 		a.waitingFrom = 0
-		s.handle("answered", engine.Answered{Request: a.sent.RequestID, Delay: pick(s,
+		s.handle("answered", engine.MessageAnswered{RequestID: a.sent.RequestID, Delay: pick(s,
 			s.between(0, 30*time.Millisecond), s.between(0, 30*time.Millisecond), s.between(0, 400*time.Millisecond))})
 	})
 }
@@ -527,15 +527,15 @@
 	switch s.random.IntN(4) {
 	case 0:
 		if a.established || a.abandoned {
-			s.handle("up", engine.Up{Request: a.sent.RequestID, Number: number})
+			s.handle("up", engine.AttemptEstablished{RequestID: a.sent.RequestID, Number: number})
 		}
 	case 1:
 		a.ended = true
-		s.handle("ended", engine.Ended{Request: a.sent.RequestID, Number: number, Result: rules.Reset})
+		s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: number, Result: rules.Reset})
 	case 2:
-		s.handle("load", engine.Load{Request: a.sent.RequestID, Load: 7})
+		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: 7})
 	case 3:
-		s.handle("answered", engine.Answered{Request: a.sent.RequestID, Delay: time.Second})
+		s.handle("answered", engine.MessageAnswered{RequestID: a.sent.RequestID, Delay: time.Second})
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -144,8 +144,8 @@
 		e.onArrived(ev)
 	case UnaryRequestReceived:
 		e.onAsked(ev)
-	case Leaving:
-		if r, ok := e.requests.Get(ev.Request); ok {
+	case ServerDraining:
+		if r, ok := e.requests.Get(ev.RequestID); ok {
 			e.onLeaving(r.server)
 		}
 	case ClientDisconnected:
@@ -158,17 +158,17 @@
 			}
 			e.drop(r)
 		}
-	case Up:
+	case AttemptEstablished:
 		e.onUp(ev)
-	case Ended:
+	case AttemptEnded:
 		e.onEnded(ev)
-	case Load:
-		if r, ok := e.requests.Get(ev.Request); ok {
+	case ConnectionLoad:
+		if r, ok := e.requests.Get(ev.RequestID); ok {
 			r.load = ev.Load
-			e.tell(rules.LoadChanged{ID: rules.RequestID(ev.Request), Load: ev.Load})
+			e.tell(rules.LoadChanged{ID: rules.RequestID(ev.RequestID), Load: ev.Load})
 		}
-	case Answered:
-		if r, ok := e.requests.Get(ev.Request); ok {
+	case MessageAnswered:
+		if r, ok := e.requests.Get(ev.RequestID); ok {
 			if s := e.servers[r.server]; s != nil {
 				s.meter.line, s.meter.lineAt, s.meter.lineOf = ev.Delay, e.now, r.id
 			}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -63,10 +63,12 @@
 func (w *world) Forget(id rules.ServerID)             { w.note("forget %d", id) }
 func (w *world) note(format string, args ...any)      { w.did = append(w.did, fmt.Sprintf(format, args...)) }
 func (w *world) tell(ev Event)                        { w.e.Handle(w.now, ev) }
-func (w *world) ended(l *fakeLink, r rules.Result)    { w.tell(Ended{l.a.RequestID, l.a.Number, r}) }
+func (w *world) ended(l *fakeLink, r rules.Result) {
+	w.tell(AttemptEnded{l.a.RequestID, l.a.Number, r})
+}
 func (w *world) wentUp(l *fakeLink) {
 	l.up = true
-	w.tell(Up{Request: l.a.RequestID, Number: l.a.Number})
+	w.tell(AttemptEstablished{RequestID: l.a.RequestID, Number: l.a.Number})
 }
 func (w *world) client(name string) *fakeClient { return &fakeClient{w: w, name: name} }
 func (w *world) expect(want ...string) {
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -249,8 +249,8 @@
 	}
 }
 
-func (e *Engine) onUp(ev Up) {
-	r, ok := e.requests.Get(ev.Request)
+func (e *Engine) onUp(ev AttemptEstablished) {
+	r, ok := e.requests.Get(ev.RequestID)
 	if !ok || r.link == nil || r.attempts-1 != ev.Number || r.phase != waiting {
 		return
 	}
@@ -267,8 +267,8 @@
 	}
 }
 
-func (e *Engine) onEnded(ev Ended) {
-	r, ok := e.requests.Get(ev.Request)
+func (e *Engine) onEnded(ev AttemptEnded) {
+	r, ok := e.requests.Get(ev.RequestID)
 	if !ok || r.link == nil || r.attempts-1 != ev.Number {
 		return
 	}
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -125,11 +125,11 @@
 		t.Fatal("the number was given twice")
 	}
 	w.did = nil
-	w.tell(Up{Request: old.a.RequestID})
+	w.tell(AttemptEstablished{RequestID: old.a.RequestID})
 	w.ended(old, rules.Reset)
-	w.tell(Load{Request: old.a.RequestID, Load: 9})
-	w.tell(Answered{Request: old.a.RequestID, Delay: time.Minute})
-	w.tell(Leaving{Request: old.a.RequestID})
+	w.tell(ConnectionLoad{RequestID: old.a.RequestID, Load: 9})
+	w.tell(MessageAnswered{RequestID: old.a.RequestID, Delay: time.Minute})
+	w.tell(ServerDraining{RequestID: old.a.RequestID})
 	w.tell(ClientDisconnected{first})
 	w.expect()
 	w.held(1)
--- a/internal/line/backend/link.go
+++ b/internal/line/backend/link.go
@@ -51,7 +51,7 @@
 // finish ends an attempt that is not up, once.
 func (l *Link) finish(result rules.Result) {
 	if l.Cancel() {
-		l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
+		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	l.client.End(reset)
 	l.Conn().Close()
-	l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
+	l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 }
 
 // OnData implements reactor.Handler.
@@ -152,7 +152,7 @@
 	if !l.Step(relay.Pending, relay.Up) {
 		return
 	}
-	l.backend.events.Post(engine.Up{Request: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
+	l.backend.events.Post(engine.AttemptEstablished{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
 	if !l.client.Open(first, l) {
 		l.End(false)
 	}
@@ -180,11 +180,11 @@
 		switch reply.Word {
 		case codec.WordLoad:
 			if l.backend.options.TellsLoad {
-				l.backend.events.Offer(engine.Load{Request: l.attempt.RequestID, Load: reply.Load})
+				l.backend.events.Offer(engine.ConnectionLoad{RequestID: l.attempt.RequestID, Load: reply.Load})
 			}
 		case codec.WordOther:
 			if delay := l.Answered(); delay > 0 {
-				l.backend.events.Offer(engine.Answered{Request: l.attempt.RequestID, Delay: delay})
+				l.backend.events.Offer(engine.MessageAnswered{RequestID: l.attempt.RequestID, Delay: delay})
 			}
 		}
 	}
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if l.owner != nil {
-		l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
+		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 	} else {
 		l.fall(rules.ConnectFailed)
 	}
@@ -112,7 +112,7 @@
 	l.Conn().Abort(false)
 	l.fall(rules.Reset)
 	if l.owner != nil {
-		l.backend.events.Post(engine.Ended{Request: l.attempt.RequestID, Number: l.attempt.Number, Result: rules.Reset})
+		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: rules.Reset})
 		l.owner.Ended(l)
 	}
 }
@@ -229,7 +229,7 @@
 	}
 	if !first {
 		if info.LameDuck && l.owner != nil {
-			l.backend.events.Post(engine.Leaving{Request: l.attempt.RequestID})
+			l.backend.events.Post(engine.ServerDraining{RequestID: l.attempt.RequestID})
 		}
 		return
 	}
@@ -307,7 +307,7 @@
 		l.shared.stands(l)
 		return
 	}
-	l.backend.events.Post(engine.Up{Request: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
+	l.backend.events.Post(engine.AttemptEstablished{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
 	l.owner.Stands(l)
 }
 
--- a/internal/nats/backend/try.go
+++ b/internal/nats/backend/try.go
@@ -69,7 +69,7 @@
 // finish ends the try without an answer.
 func (t *Try) finish(result rules.Result) {
 	if t.done() {
-		t.backend.events.Post(engine.Ended{Request: t.attempt.RequestID, Number: t.attempt.Number, Result: result})
+		t.backend.events.Post(engine.AttemptEnded{RequestID: t.attempt.RequestID, Number: t.attempt.Number, Result: result})
 	}
 }
 
@@ -142,7 +142,7 @@
 	delete(l.tries, t.sid)
 	if t.done() {
 		t.asker.Answered(f)
-		t.backend.events.Post(engine.Ended{Request: t.attempt.RequestID, Number: t.attempt.Number, Result: rules.OK})
+		t.backend.events.Post(engine.AttemptEnded{RequestID: t.attempt.RequestID, Number: t.attempt.Number, Result: rules.OK})
 	}
 }
 
