--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -85,7 +85,9 @@
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g.bans = ban.New(c.State, g.logger)
-	g.bans.Connect(func(id string, out bool, done func()) { g.engine.Post(engine.Banned{Name: id, Out: out, Done: done}) })
+	g.bans.Connect(func(id string, out bool, done func()) {
+		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
+	})
 	g.takeUp()
 	g.clock = clock()
 	g.watcher = discovery.New(c.Discovery, c.List, g.clock, g.logger)
@@ -180,7 +182,7 @@
 }
 
 // followed passes a list on and sees to it that time is looked at when a node is warm. The lock is held.
-func (g *Gateway) followed(l engine.List, said string) {
+func (g *Gateway) followed(l engine.EndpointList, said string) {
 	if said != "" {
 		g.logger.Info("weights", "by", said)
 	}
@@ -203,7 +205,7 @@
 
 // post hands events over, lists with the weights that the plan has for them.
 func (g *Gateway) post(ev engine.Event) {
-	l, ok := ev.(engine.List)
+	l, ok := ev.(engine.EndpointList)
 	if !ok {
 		g.engine.Post(ev)
 		return
@@ -295,7 +297,7 @@
 		}
 	}
 	// The rules start with the list as last held; a newer one is asked for meanwhile.
-	stored := engine.List{Mode: rules.ListCached}
+	stored := engine.EndpointList{Mode: rules.ListCached}
 	if g.config.Known != nil {
 		stored = g.config.Known.List(rules.ListCached)
 	}
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -35,7 +35,7 @@
 		own.Asked, own.Refused, own.Cut = g.tiers.Take()
 		level := c.Shed(own)
 		if level != last {
-			g.engine.Post(engine.Shed{Level: level})
+			g.engine.Post(engine.FleetShedLevel{Level: level})
 		}
 		if math.Floor(level) != math.Floor(last) {
 			g.logger.Info("the fleet sheds", "ranks_under", math.Floor(level), "part_of_next", level-math.Floor(level))
@@ -46,7 +46,7 @@
 
 // recoverWith begins with what the disk and the peers tell, or with discovery's list where that comes first. The hint and
 // discovery's list go to the engine in this order or the hint not at all: it would be gone by as the newer one.
-func (g *Gateway) recoverWith(ctx context.Context, wg *sync.WaitGroup, c *cluster.Cluster, stored engine.List) {
+func (g *Gateway) recoverWith(ctx context.Context, wg *sync.WaitGroup, c *cluster.Cluster, stored engine.EndpointList) {
 	var mu sync.Mutex
 	told := false
 	g.watcher.Connect(func(ev engine.Event) {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -261,7 +261,7 @@
 }
 
 // Listed takes note of a list that discovery has told, before the engine hears of it.
-func (c *Cluster) Listed(l engine.List) {
+func (c *Cluster) Listed(l engine.EndpointList) {
 	if l.Mode != rules.ListComplete && l.Mode != rules.ListDelta {
 		return
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-func list(version int64, n int) engine.List {
-	l := engine.List{Mode: rules.ListComplete, Version: version}
+func list(version int64, n int) engine.EndpointList {
+	l := engine.EndpointList{Mode: rules.ListComplete, Version: version}
 	for i := range n {
 		id := fmt.Sprintf("s-%08x", i+1)
 		l.Servers = append(l.Servers, engine.Server{Name: id, Addr: fmt.Sprintf("10.0.0.%d:5000", i%250), Server: rules.Server{ID: discovery.NumberOf(id), Zone: "oviedo", Capacity: 1.5}})
@@ -101,7 +101,7 @@
 }
 
 // told has an instance hear a list from discovery and keep it.
-func (f *fleet) told(c *Cluster, l engine.List) {
+func (f *fleet) told(c *Cluster, l engine.EndpointList) {
 	f.t.Helper()
 	c.Listed(l)
 	if !c.save() {
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -162,7 +162,7 @@
 
 	x.now += 700 * time.Millisecond
 	servers := formatServers(15)
-	a.Listed(engine.List{Mode: rules.ListComplete, Version: 8, Servers: servers})
+	a.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 8, Servers: servers})
 	x.recover(a)
 	x.flush()
 	x.save(a)
@@ -173,7 +173,7 @@
 	servers[3].State, servers[4].State = rules.Removed, rules.Draining
 	added := engine.Server{Name: "server \u2028 \U0001f600 \t", Addr: "[::1]:5000"}
 	added.Server = rules.Server{Cell: -1, Capacity: -0.5, Started: time.Millisecond}
-	a.Listed(engine.List{Mode: rules.ListDelta, Version: 9, Servers: []engine.Server{servers[3], servers[4], added}})
+	a.Listed(engine.EndpointList{Mode: rules.ListDelta, Version: 9, Servers: []engine.Server{servers[3], servers[4], added}})
 	x.save(a)
 	x.now += time.Second
 	x.receive("c", `{"k":"ask","later":[1]}`)
@@ -186,17 +186,17 @@
 	digest := x.lastSent("tier")
 
 	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", peer.BodyMost)}
-	a.Listed(engine.List{Mode: rules.ListDelta, Version: 10, Servers: []engine.Server{long}})
+	a.Listed(engine.EndpointList{Mode: rules.ListDelta, Version: 10, Servers: []engine.Server{long}})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
-	a.Listed(engine.List{Mode: rules.ListComplete, Version: 11, Servers: formatServers(1800)})
+	a.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 11, Servers: formatServers(1800)})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
 	servers = formatServers(800)
 	for i := range servers {
 		servers[i].Addr += strings.Repeat("0", i*i%61)
 	}
-	a.Listed(engine.List{Mode: rules.ListComplete, Version: 12, Servers: servers})
+	a.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 12, Servers: servers})
 	x.receive("b", `{"k":"ask"}`)
 	x.digest()
 	a.Close()
@@ -230,7 +230,7 @@
 	disk = faulty.New(3)
 	b := x.start("b", disk)
 	for version := range int64(64) {
-		b.Listed(engine.List{Mode: rules.ListComplete, Version: 100 + version, Servers: formatServers(2)})
+		b.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 100 + version, Servers: formatServers(2)})
 		x.save(b)
 	}
 	b.Close()
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -56,7 +56,7 @@
 }
 
 // writeList writes a list as the engine gets it, field by field.
-func writeList(w io.Writer, l engine.List) {
+func writeList(w io.Writer, l engine.EndpointList) {
 	mode := "other"
 	switch l.Mode {
 	case rules.ListDelta:
@@ -196,7 +196,7 @@
 	}
 }
 
-func (r *transcript) list(l engine.List) {
+func (r *transcript) list(l engine.EndpointList) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.closed {
@@ -320,7 +320,7 @@
 	began := time.Now()
 	w := New(s.addrs[0], set, func() time.Duration { return time.Since(began) }, slog.New(slog.DiscardHandler))
 	w.Connect(func(ev engine.Event) {
-		if l, ok := ev.(engine.List); ok {
+		if l, ok := ev.(engine.EndpointList); ok {
 			s.record.list(l)
 		} else {
 			s.record.write("another event\n")
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -72,8 +72,8 @@
 }
 
 // List is the engine's form of the list.
-func (m *Members) List(mode rules.ListMode) engine.List {
-	l := engine.List{Mode: mode, Version: m.Version, Servers: make([]engine.Server, 0, len(m.Servers))}
+func (m *Members) List(mode rules.ListMode) engine.EndpointList {
+	l := engine.EndpointList{Mode: mode, Version: m.Version, Servers: make([]engine.Server, 0, len(m.Servers))}
 	for _, s := range m.Servers {
 		// What is in no known state wants nothing new for all that is known.
 		state := rules.Draining
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -22,7 +22,7 @@
 // service is discovery, or an agent, at the other end of pipes, in a bubble whose time goes on when nothing else does.
 type service struct {
 	w       *Watcher
-	told    chan engine.List
+	told    chan engine.EndpointList
 	calls   atomic.Int32
 	answer  http.HandlerFunc
 	began   time.Time
@@ -46,7 +46,7 @@
 func play(t *testing.T, set listclock.Settings, script func(*service)) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := make(pipes)
-		p := &service{told: make(chan engine.List, 1000), began: time.Now(), hanging: make(chan struct{})}
+		p := &service{told: make(chan engine.EndpointList, 1000), began: time.Now(), hanging: make(chan struct{})}
 		p.w = New("a.example:1", set, p.at, slog.New(slog.DiscardHandler))
 		p.w.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -57,7 +57,7 @@
 				return nil, ctx.Err()
 			}
 		}
-		p.w.Connect(func(ev engine.Event) { p.told <- ev.(engine.List) })
+		p.w.Connect(func(ev engine.Event) { p.told <- ev.(engine.EndpointList) })
 		server := &http.Server{ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(
 			func(w http.ResponseWriter, r *http.Request) {
 				p.calls.Add(1)
--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -62,7 +62,7 @@
 		case <-timer.C:
 		case <-stop:
 			stop = nil
-			e.Handle(clock(), engine.Stop{})
+			e.Handle(clock(), engine.Shutdown{})
 		}
 		e.Expire(clock())
 	}
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -125,23 +125,23 @@
 		RequestID slot.ID
 		Delay     time.Duration
 	}
-	// List brings news of the servers.
-	List struct {
+	// EndpointList brings news of the servers.
+	EndpointList struct {
 		Mode    rules.ListMode
 		Version int64 // as discovery numbers its lists; 0: it does not
 		Servers []Server
 	}
-	// Banned takes a server out by hand, whatever the list says of it, or puts it back. Done is called once that holds.
-	Banned struct {
-		Name string
-		Out  bool
-		Done func()
+	// MaintenanceChanged takes a server out by hand, whatever the list says of it, or puts it back. Done is called once that holds.
+	MaintenanceChanged struct {
+		Name          string
+		InMaintenance bool
+		Done          func()
 	}
-	// Shed tells what the fleet sheds, as rules.FleetShedLevel.
-	Shed struct{ Level float64 }
-	// Stop begins the end: what comes is still served, until AnswerBy has gone by where connections end with this
+	// FleetShedLevel tells what the fleet sheds, as rules.FleetShedLevel.
+	FleetShedLevel struct{ Level float64 }
+	// Shutdown begins the end: what comes is still served, until AnswerBy has gone by where connections end with this
 	// gateway, and else until Drain has.
-	Stop struct{}
+	Shutdown struct{}
 )
 
 func (ClientConnected) event()      {}
@@ -155,10 +155,10 @@
 func (AttemptEnded) event()         {}
 func (ConnectionLoad) event()       {}
 func (MessageAnswered) event()      {}
-func (List) event()                 {}
-func (Banned) event()               {}
-func (Shed) event()                 {}
-func (Stop) event()                 {}
+func (EndpointList) event()         {}
+func (MaintenanceChanged) event()   {}
+func (FleetShedLevel) event()       {}
+func (Shutdown) event()             {}
 
 // Options are what an engine goes by.
 type Options struct {
--- a/internal/engine/ask_test.go
+++ b/internal/engine/ask_test.go
@@ -76,8 +76,8 @@
 	w.tell(ServerDraining{RequestID: l.a.RequestID})
 	w.tell(ServerDraining{RequestID: l.a.RequestID})
 	w.expect("leaves m")
-	entry := func(started time.Duration) List {
-		return List{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
+	entry := func(started time.Duration) EndpointList {
+		return EndpointList{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
 			Server: rules.Server{ID: l.a.Server, Started: started}}}}
 	}
 	w.tell(entry(0)) // the list is late: it still calls it ready
@@ -103,7 +103,7 @@
 		l := w.link
 		w.wentUp(l)
 		w.did = nil
-		w.tell(List{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
+		w.tell(EndpointList{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
 			Server: rules.Server{ID: l.a.Server, State: state}}}})
 		if n := len(w.did); n == 0 || w.did[n-1] != "leaves m" {
 			t.Errorf("state %d: did %q", state, w.did)
@@ -119,7 +119,7 @@
 	w.arrive(c, Request{Key: "k"})
 	w.wentUp(w.link)
 	w.did = nil
-	w.tell(Stop{})
+	w.tell(Shutdown{})
 	w.pass(4900 * time.Millisecond)
 	w.expect("move x")
 	w.pass(200 * time.Millisecond)
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -16,7 +16,7 @@
 
 func (w *world) ban(name string, out bool) {
 	done := false
-	w.tell(Banned{Name: name, Out: out, Done: func() { done = true }})
+	w.tell(MaintenanceChanged{Name: name, InMaintenance: out, Done: func() { done = true }})
 	if !done {
 		w.t.Helper()
 		w.t.Errorf("ban of %s: not said to hold", name)
@@ -24,7 +24,7 @@
 }
 
 func (w *world) entry(id rules.ServerID, state rules.ServerState, started time.Duration) {
-	w.tell(List{Mode: rules.ListDelta, Servers: []Server{{Name: fmt.Sprint("s", id), Addr: fmt.Sprint("a", id),
+	w.tell(EndpointList{Mode: rules.ListDelta, Servers: []Server{{Name: fmt.Sprint("s", id), Addr: fmt.Sprint("a", id),
 		Server: rules.Server{ID: id, State: state, Started: started}}}})
 }
 
--- a/internal/engine/delay.go
+++ b/internal/engine/delay.go
@@ -22,13 +22,13 @@
 	Forget(rules.ServerID) // nothing more is asked of it
 }
 
-// Probed brings a server's report.
-type Probed struct {
+// LoadReported brings a server's report.
+type LoadReported struct {
 	Server rules.ServerID
 	Report LoadReport
 }
 
-func (Probed) event() {}
+func (LoadReported) event() {}
 
 const (
 	probeEvery = time.Second
--- a/internal/engine/delay_test.go
+++ b/internal/engine/delay_test.go
@@ -21,7 +21,7 @@
 			w.pass(250 * time.Millisecond)
 			if slices.Contains(w.did, "probe a1") {
 				asked++
-				w.tell(Probed{Server: 1, Report: LoadReport{Utilization: c.load, HasUtilization: true}})
+				w.tell(LoadReported{Server: 1, Report: LoadReport{Utilization: c.load, HasUtilization: true}})
 			}
 		}
 		if asked < c.want || asked > c.want+1 {
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -552,7 +552,7 @@
 
 // list brings a whole list: those that are gone may be listed as such, or left out.
 func (s *simulation) list(mode rules.ListMode) {
-	event := engine.List{Mode: mode, Version: int64(s.random.IntN(50))}
+	event := engine.EndpointList{Mode: mode, Version: int64(s.random.IntN(50))}
 	if !s.oneIn(8) {
 		for _, l := range s.servers {
 			if l.state != rules.Removed && !s.oneIn(10) || l.state == rules.Removed && s.oneIn(4) {
@@ -563,7 +563,7 @@
 	s.handleList(event)
 }
 
-func (s *simulation) handleList(event engine.List) {
+func (s *simulation) handleList(event engine.EndpointList) {
 	if s.isListed {
 		s.handle("list", event)
 	}
@@ -571,7 +571,7 @@
 
 // changeServer changes one or two servers and lists what has changed.
 func (s *simulation) changeServer() {
-	event := engine.List{Mode: rules.ListDelta}
+	event := engine.EndpointList{Mode: rules.ListDelta}
 	for range 1 + s.random.IntN(2) {
 		l := &s.servers[s.random.IntN(serversDrawn)]
 		switch s.random.IntN(6) {
@@ -609,34 +609,34 @@
 	if s.tellsBacklog && s.oneIn(2) {
 		report.Backlog, report.HasBacklog = s.between(0, 200*time.Millisecond), true
 	}
-	s.handle("probed", engine.Probed{Server: server, Report: report})
+	s.handle("probed", engine.LoadReported{Server: server, Report: report})
 }
 
 func (s *simulation) ban() {
 	id := 1 + s.random.IntN(serversDrawn+1)
-	event := engine.Banned{Name: s.serverName(id), Out: s.oneIn(2)}
+	event := engine.MaintenanceChanged{Name: s.serverName(id), InMaintenance: s.oneIn(2)}
 	if !s.oneIn(3) {
 		event.Done = func() { s.transcript.call("done", field{"banned", id}) }
 	}
 	s.handle("banned", event)
-	if event.Out {
+	if event.InMaintenance {
 		s.after(s.between(0, 3*time.Second), func() {
-			s.handle("banned", engine.Banned{Name: s.serverName(id)})
+			s.handle("banned", engine.MaintenanceChanged{Name: s.serverName(id)})
 		})
 	}
 }
 
 func (s *simulation) shed() {
-	s.handle("shed", engine.Shed{Level: pick(s, 0, 0, 0.5, 1.25)})
+	s.handle("shed", engine.FleetShedLevel{Level: pick(s, 0, 0, 0.5, 1.25)})
 }
 
 // Processes.
 
 func (s *simulation) stop() {
 	s.isStopping = true
-	s.handle("stop", engine.Stop{})
+	s.handle("stop", engine.Shutdown{})
 	if s.oneIn(3) {
-		s.handle("stop", engine.Stop{}) // it is told once
+		s.handle("stop", engine.Shutdown{}) // it is told once
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -173,24 +173,24 @@
 				s.meter.line, s.meter.lineAt, s.meter.lineOf = ev.Delay, e.now, r.id
 			}
 		}
-	case Probed:
+	case LoadReported:
 		if s := e.servers[ev.Server]; s != nil {
 			s.meter.report(e.now, ev.Report)
 			if ev.Report.HasUtilization {
 				e.tell(rules.LoadReport{Server: ev.Server, Utilization: ev.Report.Utilization, Connections: ev.Report.Connections})
 			}
 		}
-	case List:
+	case EndpointList:
 		e.onList(ev)
 	case Tell:
 		e.onTell(ev)
 	case Inherit:
 		e.onInherit(ev)
-	case Banned:
+	case MaintenanceChanged:
 		e.onBanned(ev)
-	case Shed:
+	case FleetShedLevel:
 		e.tell(rules.FleetShedLevel{Level: ev.Level})
-	case Stop:
+	case Shutdown:
 		e.onStop()
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -111,7 +111,7 @@
 	}
 	w.e = New(opts, balancer, w, w)
 	w.e.Start(w.now)
-	list := List{Mode: rules.ListCached}
+	list := EndpointList{Mode: rules.ListCached}
 	for i := range servers {
 		list.Servers = append(list.Servers, Server{Name: fmt.Sprint("s", i+1), Addr: fmt.Sprint("a", i+1),
 			Server: rules.Server{ID: rules.ServerID(i + 1)}})
@@ -314,7 +314,7 @@
 // A server that leaves the list is sent nothing more, and a full list implies who has left.
 func TestFullListRemoves(t *testing.T) {
 	w := newWorld(t, 2, nil)
-	w.tell(List{Mode: rules.ListComplete, Servers: []Server{{Name: "s2", Addr: "b2", Server: rules.Server{ID: 2}}}})
+	w.tell(EndpointList{Mode: rules.ListComplete, Servers: []Server{{Name: "s2", Addr: "b2", Server: rules.Server{ID: 2}}}})
 	for i := range 8 {
 		w.arrive(w.client("x"), Request{Key: fmt.Sprint(i)})
 		w.ended(w.link, rules.Errored)
@@ -382,13 +382,13 @@
 	first := w.link.a.Addr
 	w.wentUp(w.link)
 	server := rules.ServerID(first[1] - '0')
-	w.tell(Probed{Server: server, Report: LoadReport{Utilization: 2, HasUtilization: true}})
+	w.tell(LoadReported{Server: server, Report: LoadReport{Utilization: 2, HasUtilization: true}})
 	w.arrive(w.client("y"), Request{Key: "k"})
 	if w.link.a.Addr == first {
 		t.Error("sent to a server that had just reported twice what it can do")
 	}
 	w.ended(w.link, rules.OK)
-	w.tell(Probed{Server: server, Report: LoadReport{Utilization: 0.1, HasUtilization: true}})
+	w.tell(LoadReported{Server: server, Report: LoadReport{Utilization: 0.1, HasUtilization: true}})
 	w.arrive(w.client("z"), Request{Key: "k"})
 	if w.link.a.Addr != first {
 		t.Error("not sent to a server that has room again")
@@ -399,7 +399,7 @@
 	w := newWorld(t, 1, nil)
 	w.arrive(w.client("x"), Request{Key: "k"})
 	w.wentUp(w.link)
-	w.tell(Stop{})
+	w.tell(Shutdown{})
 	w.arrive(w.client("late"), Request{Key: "k", Timeout: time.Minute})
 	w.expect("send a1/0", "send a1/0")
 	w.wentUp(w.link)
@@ -416,7 +416,7 @@
 	c := w.client("x")
 	w.arrive(c, Request{Key: "k"})
 	w.wentUp(w.link)
-	w.tell(Stop{})
+	w.tell(Shutdown{})
 	w.expect("send a1/0", "move x")
 	w.tell(ClientDisconnected{c})
 	late := w.client("late")
--- a/internal/engine/inherit_test.go
+++ b/internal/engine/inherit_test.go
@@ -84,7 +84,7 @@
 	old.arrive(old.client("x"), Request{ID: "1", Key: "k"})
 	old.wentUp(old.link)
 	for id := rules.ServerID(1); id <= 2; id++ {
-		old.tell(Probed{Server: id, Report: LoadReport{Utilization: 3, HasUtilization: true}})
+		old.tell(LoadReported{Server: id, Report: LoadReport{Utilization: 3, HasUtilization: true}})
 	}
 	st := old.state()
 	limits := func(w *world) (n int) {
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -33,7 +33,7 @@
 	return n
 }
 
-func (e *Engine) onList(ev List) {
+func (e *Engine) onList(ev EndpointList) {
 	list := rules.EndpointList{Mode: ev.Mode}
 	if ev.Version > 0 {
 		e.version = ev.Version
@@ -135,16 +135,16 @@
 // onBanned takes a server out by hand or puts it back. Staff restart a server meanwhile, and the list may be late to say
 // so: unless a connection of ours has lived through, one that is put back is taken to have started just now. It guards
 // against a cold server that is sent what a warm one bears.
-func (e *Engine) onBanned(ev Banned) {
-	if ev.Out {
+func (e *Engine) onBanned(ev MaintenanceChanged) {
+	if ev.InMaintenance {
 		e.banned[ev.Name] = true
 	} else {
 		delete(e.banned, ev.Name)
 	}
 	if id, ok := e.names[ev.Name]; ok {
-		if s := e.servers[id]; s.banned != ev.Out {
-			s.banned = ev.Out
-			if ev.Out {
+		if s := e.servers[id]; s.banned != ev.InMaintenance {
+			s.banned = ev.InMaintenance
+			if ev.InMaintenance {
 				s.bannedStart, s.coldSince = s.entry.Started, 0
 			} else {
 				if s.entry.Started == s.bannedStart && !e.holds(id) {
@@ -153,7 +153,7 @@
 				e.tell(rules.ServerReinstated{Server: id})
 			}
 			e.show(id, s)
-			if ev.Out {
+			if ev.InMaintenance {
 				e.replace(id)
 			}
 			e.countServers()
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -20,7 +20,7 @@
 			})
 			w.arrive(w.client("x"), Request{Key: "k", Timeout: time.Minute, Class: "c"})
 			w.pass(850 * time.Millisecond) // its last attempt has all the time that is left
-			w.tell(Stop{})
+			w.tell(Shutdown{})
 			w.arrive(w.client("y"), Request{Key: "k", Timeout: time.Minute})
 			w.pass(3300*time.Millisecond - 10*time.Millisecond)
 			w.arrive(w.client("z"), Request{Key: "k", Timeout: time.Minute})
@@ -45,7 +45,7 @@
 // what comes up then is moved; half a line keeps its client for the rest of the time alone.
 func TestClosing(t *testing.T) {
 	w := newWorld(t, 1, func(o *Options) { o.Pass, o.AnswerBy, o.Sockets = false, 3300*time.Millisecond, 20 })
-	w.tell(Stop{})
+	w.tell(Shutdown{})
 	w.pass(900 * time.Millisecond)
 	w.tell(ClientConnected{Client: w.client("early")}) // or the end would come for want of clients
 	w.pass(2350 * time.Millisecond)
@@ -74,7 +74,7 @@
 		w := newWorld(t, 1, func(o *Options) { o.Pass = pass })
 		w.arrive(w.client("x"), Request{Key: "k"})
 		w.link.up = true // word of it is on its way
-		w.tell(Stop{})
+		w.tell(Shutdown{})
 		w.did = nil
 		w.e.end()
 		if pass {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -36,7 +36,7 @@
 
 // SetPlan goes over to a plan, or with nil to none, for gateways of a zone. It returns the list that follows; its servers are
 // none where no list has come yet.
-func (f *Follower) SetPlan(now time.Duration, p *operator.Plan, zone string) (engine.List, string) {
+func (f *Follower) SetPlan(now time.Duration, p *operator.Plan, zone string) (engine.EndpointList, string) {
 	f.at = now
 	if p != f.plan || zone != f.zone {
 		f.plan, f.zone, f.now = p, zone, "another"
@@ -48,13 +48,13 @@
 func (f *Follower) Again() (at time.Duration, ok bool) { return f.again, f.again > 0 }
 
 // Look returns the list that follows from the time alone.
-func (f *Follower) Look(now time.Duration) (engine.List, string) {
+func (f *Follower) Look(now time.Duration) (engine.EndpointList, string) {
 	f.at = now
 	return f.list(rules.ListDelta, nil)
 }
 
 // Apply takes in a list and returns it with the weights to go by, and a word where what is gone by has changed.
-func (f *Follower) Apply(now time.Duration, l engine.List) (engine.List, string) {
+func (f *Follower) Apply(now time.Duration, l engine.EndpointList) (engine.EndpointList, string) {
 	f.at = now
 	if f.servers == nil || l.Mode != rules.ListDelta {
 		f.servers = map[string]engine.Server{}
@@ -70,7 +70,7 @@
 }
 
 // list is what is to be told: what came, and in place of changed weights all servers.
-func (f *Follower) list(mode rules.ListMode, came []engine.Server) (engine.List, string) {
+func (f *Follower) list(mode rules.ListMode, came []engine.Server) (engine.EndpointList, string) {
 	weights, by := f.weights()
 	said := ""
 	if by != f.now {
@@ -78,7 +78,7 @@
 	}
 	changed := by != f.now && len(f.servers) > 0
 	f.now = by
-	out := engine.List{Mode: mode}
+	out := engine.EndpointList{Mode: mode}
 	for _, s := range came {
 		if s.State == rules.Removed {
 			out.Servers = append(out.Servers, s)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -32,7 +32,7 @@
 // told keeps what an engine would know after all lists.
 type told map[string]float64
 
-func (t told) take(l engine.List) {
+func (t told) take(l engine.EndpointList) {
 	if l.Mode != rules.ListDelta {
 		clear(t)
 	}
@@ -46,7 +46,7 @@
 func TestGoesByThePlanAndItsContingencies(t *testing.T) {
 	var f Follower
 	know := told{}
-	step := func(l engine.List, wantSaid string, want map[string]float64) {
+	step := func(l engine.EndpointList, wantSaid string, want map[string]float64) {
 		t.Helper()
 		l, said := f.Apply(0, l)
 		know.take(l)
@@ -55,16 +55,16 @@
 		}
 	}
 	f.SetPlan(0, plan(), "a")
-	all := engine.List{Mode: rules.ListComplete, Servers: []engine.Server{server(1, "a", rules.Ready), server(2, "a", rules.Ready), server(3, "b", rules.Ready)}}
+	all := engine.EndpointList{Mode: rules.ListComplete, Servers: []engine.Server{server(1, "a", rules.Ready), server(2, "a", rules.Ready), server(3, "b", rules.Ready)}}
 	step(all, "plan 4", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.List{Mode: rules.ListDelta}, "", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Draining)}}, "plan 4 after the loss of node n1",
+	step(engine.EndpointList{Mode: rules.ListDelta}, "", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
+	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Draining)}}, "plan 4 after the loss of node n1",
 		map[string]float64{"n1": none, "n2": 50, "n3": 40})
-	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Removed)}}, "", map[string]float64{"n2": 50, "n3": 40})
-	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(3, "b", rules.Draining)}}, "nominal weights: plan 4 has no word for the loss of n1, n3",
+	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Removed)}}, "", map[string]float64{"n2": 50, "n3": 40})
+	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(3, "b", rules.Draining)}}, "nominal weights: plan 4 has no word for the loss of n1, n3",
 		map[string]float64{"n2": 7, "n3": 7})
 	step(all, "plan 4", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(9, "b", rules.Ready)}}, "nominal weights: plan 4 does not know node n9",
+	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(9, "b", rules.Ready)}}, "nominal weights: plan 4 does not know node n9",
 		map[string]float64{"n1": 7, "n2": 7, "n3": 7, "n9": 7})
 	l, _ := f.SetPlan(0, nil, "")
 	know.take(l)
@@ -87,10 +87,10 @@
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			i := rapid.IntRange(1, 4).Draw(t, "node")
 			states[i] = rules.ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
-			l, _ := a.Apply(0, engine.List{Mode: rules.ListDelta, Servers: []engine.Server{server(i, zones[i], states[i])}})
+			l, _ := a.Apply(0, engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(i, zones[i], states[i])}})
 			ka.take(l)
 		}
-		whole := engine.List{Mode: rules.ListComplete}
+		whole := engine.EndpointList{Mode: rules.ListComplete}
 		for i := 4; i > 0; i-- {
 			if s, known := states[i]; known && s != rules.Removed {
 				whole.Servers = append(whole.Servers, server(i, zones[i], s))
@@ -107,7 +107,7 @@
 // A plan for 14 nodes met by a list of 9 that it has no word for: the list's own weights, and the log says why.
 func TestPlanForAnotherFleet(t *testing.T) {
 	p := &operator.Plan{Version: 1, Load: map[string]int64{}, Flows: []placement.Flow{{Class: "x", From: "a", To: "a", Load: 14}}}
-	l := engine.List{Mode: rules.ListComplete}
+	l := engine.EndpointList{Mode: rules.ListComplete}
 	for i := range 14 {
 		p.Load[fmt.Sprint("n", i)] = 1
 		if i < 9 {
@@ -129,7 +129,7 @@
 	fresh := server(1, "a", rules.Ready)
 	fresh.Started = time.Hour - 4*time.Second
 	know := told{}
-	l, said := f.Apply(time.Hour, engine.List{Mode: rules.ListComplete, Servers: []engine.Server{fresh, server(2, "a", rules.Ready), server(3, "b", rules.Ready)}})
+	l, said := f.Apply(time.Hour, engine.EndpointList{Mode: rules.ListComplete, Servers: []engine.Server{fresh, server(2, "a", rules.Ready), server(3, "b", rules.Ready)}})
 	know.take(l)
 	if at, ok := f.Again(); said != "plan 4 after the loss of node n1" || know["n1"] != none || !ok || at != time.Hour+6*time.Second {
 		t.Fatalf("%q, %v, again at %v", said, know, at)
--- a/internal/line/backend/probe_test.go
+++ b/internal/line/backend/probe_test.go
@@ -41,7 +41,7 @@
 		b.PollLoad(1, l.Addr().String())
 		select {
 		case ev := <-got:
-			if p := ev.(engine.Probed); p.Report.Utilization != 0.5 || p.Report.Connections != 3 {
+			if p := ev.(engine.LoadReported); p.Report.Utilization != 0.5 || p.Report.Connections != 3 {
 				t.Errorf("told %+v", p)
 			}
 		case <-time.After(10 * time.Second):
--- a/internal/line/backend/spoilt_test.go
+++ b/internal/line/backend/spoilt_test.go
@@ -59,7 +59,7 @@
 			}
 			b.PollLoad(1, l.Addr().String())
 			for {
-				p, ok := event(t, got).(engine.Probed)
+				p, ok := event(t, got).(engine.LoadReported)
 				if !ok {
 					t.Fatalf("told %+v", p)
 				}
