--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -310,7 +310,7 @@
 		wg.Go(func() { g.watcher.Run(watching, g.config.Known) })
 	}
 	if g.before != nil {
-		g.engine.Post(engine.Inherit{State: g.before.State, First: true})
+		g.engine.Post(engine.PredecessorState{State: g.before.State, First: true})
 	}
 	f, err := g.listen(conns)
 	if err != nil {
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -51,7 +51,7 @@
 	for {
 		now, every := time.Now(), recordEvery
 		if r, ok := g.desk.Before(now); ok {
-			g.engine.Post(engine.Inherit{State: r.State})
+			g.engine.Post(engine.PredecessorState{State: r.State})
 		}
 		if ctx.Err() != nil {
 			every = stoppingEvery
@@ -75,7 +75,7 @@
 // record writes down what this process knows now.
 func (g *Gateway) record(watching context.Context, ready bool) {
 	said := make(chan engine.State, 1)
-	g.engine.Post(engine.Tell{To: func(s engine.State) { said <- s }})
+	g.engine.Post(engine.StateRequested{Deliver: func(s engine.State) { said <- s }})
 	select {
 	case s := <-said:
 		g.desk.Write(handover.Record{Written: time.Now(), Ready: ready, Known: g.bans.Known(), State: s})
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -96,11 +96,11 @@
 		}
 		w.ban("s1", true)
 		w.ended(cut, rules.Reset)
-		if k := w.state().Learned.Servers[0]; k.FailureScore == 0 {
+		if k := w.state().Balancer.Servers[0]; k.FailureScore == 0 {
 			t.Fatal("nothing was held against it to begin with")
 		}
 		w.ban("s1", false)
-		if k := w.state().Learned.Servers[0]; k.FailureScore > 0 || k.EjectedUntil > 0 || k.Ejections > 0 {
+		if k := w.state().Balancer.Servers[0]; k.FailureScore > 0 || k.EjectedUntil > 0 || k.Ejections > 0 {
 			t.Errorf("with a connection that lived through (%t) it has %+v held against it", lives, k)
 		}
 	}
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -642,8 +642,8 @@
 
 // tell asks for the state, and records each field of it.
 func (s *simulation) tell() {
-	s.handle("tell", engine.Tell{To: func(state engine.State) {
-		s.predecessor.learned = state.Learned
+	s.handle("tell", engine.StateRequested{Deliver: func(state engine.State) {
+		s.predecessor.learned = state.Balancer
 		s.transcript.call("state", field{"version", state.Version})
 		for _, e := range state.Servers {
 			s.transcript.call("state server", field{"name", e.Name}, field{"addr", e.Addr}, field{"id", int(e.ID)}, field{"zone", e.Zone},
@@ -654,7 +654,7 @@
 			s.transcript.call("state flow", field{"id", f.ID}, field{"class", f.Class}, field{"key", f.Key}, field{"group", f.Group},
 				field{"server", f.Server}, field{"load", f.Load})
 		}
-		s.recordLearned(state.Learned)
+		s.recordLearned(state.Balancer)
 	}})
 }
 
@@ -674,10 +674,10 @@
 // inherit brings the state of the process before: at first with all its connections, then with one less now and then.
 func (s *simulation) inherit() {
 	p := &s.predecessor
-	event := engine.Inherit{First: !p.isKnown}
+	event := engine.PredecessorState{First: !p.isKnown}
 	if !p.isKnown {
 		s.drawFlows()
-		event.State.Learned = p.learned
+		event.State.Balancer = p.learned
 	} else if len(p.flows) > 0 && s.oneIn(2) {
 		i := s.random.IntN(len(p.flows))
 		p.flows = slices.Delete(slices.Clone(p.flows), i, i+1)
@@ -706,7 +706,7 @@
 	}
 }
 
-func (s *simulation) handleInherit(event engine.Inherit) {
+func (s *simulation) handleInherit(event engine.PredecessorState) {
 	event.State.Flows = slices.Clone(s.predecessor.flows)
 	s.handle("inherit", event)
 }
@@ -715,7 +715,7 @@
 func (s *simulation) refreshPredecessor() {
 	s.after(refreshBefore, func() {
 		if len(s.predecessor.flows) > 1 {
-			s.handleInherit(engine.Inherit{})
+			s.handleInherit(engine.PredecessorState{})
 			s.refreshPredecessor()
 		}
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -182,9 +182,9 @@
 		}
 	case EndpointList:
 		e.onList(ev)
-	case Tell:
+	case StateRequested:
 		e.onTell(ev)
-	case Inherit:
+	case PredecessorState:
 		e.onInherit(ev)
 	case MaintenanceChanged:
 		e.onBanned(ev)
--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -9,10 +9,10 @@
 
 // State is what an engine passes to the one of the process that follows.
 type State struct {
-	Version int64          // of the list
-	Servers []Server       // as listed
-	Learned rules.Snapshot `json:"Learned"`
-	Flows   []Flow
+	Version  int64          // of the list
+	Servers  []Server       // as listed
+	Balancer rules.Snapshot `json:"Learned"`
+	Flows    []Flow
 }
 
 // Flow is an open connection whose packets another process of the gateway will see next.
@@ -26,21 +26,21 @@
 }
 
 type (
-	// Tell asks for the state.
-	Tell struct{ To func(State) }
-	// Inherit brings the state of the process before. The first also brings what that has learned; later ones bring its
+	// StateRequested asks for the state.
+	StateRequested struct{ Deliver func(State) }
+	// PredecessorState brings the state of the process before. The first also brings what that has learned; later ones bring its
 	// open connections as they stand then.
-	Inherit struct {
+	PredecessorState struct {
 		State State
 		First bool
 	}
 )
 
-func (Tell) event()    {}
-func (Inherit) event() {}
+func (StateRequested) event()   {}
+func (PredecessorState) event() {}
 
-func (e *Engine) onTell(ev Tell) {
-	st := State{Version: e.version, Learned: e.rules.Snapshot()}
+func (e *Engine) onTell(ev StateRequested) {
+	st := State{Version: e.version, Balancer: e.rules.Snapshot()}
 	for _, id := range e.order() {
 		s := e.servers[id]
 		st.Servers = append(st.Servers, Server{Name: s.name, Addr: s.addr, Server: s.entry})
@@ -53,14 +53,14 @@
 		}
 		return true
 	})
-	ev.To(st)
+	ev.Deliver(st)
 }
 
 // onInherit takes up the connections that the process before holds: they load their servers and take sockets, as both
 // processes share their limits, and when their packets come here they go to the server that holds them.
-func (e *Engine) onInherit(ev Inherit) {
+func (e *Engine) onInherit(ev PredecessorState) {
 	if ev.First {
-		e.rules.Restore(e.now, ev.State.Learned)
+		e.rules.Restore(e.now, ev.State.Balancer)
 	}
 	e.inheritedAt = e.now
 	held := make(map[string]bool, len(ev.State.Flows))
--- a/internal/engine/inherit_test.go
+++ b/internal/engine/inherit_test.go
@@ -10,7 +10,7 @@
 
 // state asks an engine for what it would pass on.
 func (w *world) state() (s State) {
-	w.tell(Tell{To: func(got State) { s = got }})
+	w.tell(StateRequested{Deliver: func(got State) { s = got }})
 	return s
 }
 
@@ -33,7 +33,7 @@
 		s := st.Servers[(int(st.Flows[i].Server[1]-'0'))%3]
 		st.Flows[i].Server, at[st.Flows[i].ID] = s.Name, s.Addr
 	}
-	w.tell(Inherit{State: st, First: true})
+	w.tell(PredecessorState{State: st, First: true})
 	w.held(6)
 	if n := f.Outstanding.Load(); n != 0 {
 		t.Errorf("reports %d of another process as its own", n)
@@ -44,7 +44,7 @@
 			t.Errorf("%s went to %s, it stands at %s", id, w.link.a.Addr, at[id])
 		}
 		w.wentUp(w.link)
-		w.tell(Inherit{State: st}) // written before it came
+		w.tell(PredecessorState{State: st}) // written before it came
 	}
 	w.held(6)
 	if n := len(w.state().Flows); n != 6 {
@@ -52,11 +52,11 @@
 	}
 	// One that came has ended: a record that was written before must not bring it back.
 	w.ended(w.link, rules.OK)
-	w.tell(Inherit{State: st})
+	w.tell(PredecessorState{State: st})
 	w.held(5)
 	// One ended at the old process; the last never comes.
 	st.Flows = st.Flows[5:]
-	w.tell(Inherit{State: st})
+	w.tell(PredecessorState{State: st})
 	w.held(4)
 	w.pass(10 * time.Second)
 	w.held(3)
@@ -71,7 +71,7 @@
 	w := newWorld(t, 2, nil)
 	leaves := old.link.a.Server
 	w.entry(leaves, rules.Draining, 0)
-	w.tell(Inherit{State: st, First: true})
+	w.tell(PredecessorState{State: st, First: true})
 	w.arrive(w.client("x"), Request{ID: "1", Key: "k", MidFlow: true})
 	if w.link.a.Server == leaves {
 		t.Error("sent to a server that drains")
@@ -88,7 +88,7 @@
 	}
 	st := old.state()
 	limits := func(w *world) (n int) {
-		for _, s := range w.state().Learned.Servers {
+		for _, s := range w.state().Balancer.Servers {
 			if s.LoadLimit > 0 {
 				n++
 			}
@@ -96,13 +96,13 @@
 		return n
 	}
 	w := newWorld(t, 2, nil)
-	w.tell(Inherit{State: st, First: true})
+	w.tell(PredecessorState{State: st, First: true})
 	if n := limits(w); n != 2 {
 		t.Errorf("%d limits were taken over, not 2", n)
 	}
 	w = newWorld(t, 2, nil)
 	w.entry(1, rules.Ready, time.Minute)
-	w.tell(Inherit{State: st, First: true})
+	w.tell(PredecessorState{State: st, First: true})
 	if n := limits(w); n != 1 {
 		t.Errorf("%d limits were taken over, not 1", n)
 	}
--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -63,7 +63,7 @@
 				}},
 				{Name: "s-2", Addr: "[::1]:2", Server: rules.Server{ID: 4294967295}},
 			},
-			Learned: rules.Snapshot{
+			Balancer: rules.Snapshot{
 				Servers: []rules.ServerSnapshot{{
 					ID: 1, Started: 2 * time.Hour, LoadLimit: 5.25, LimitLoweredAt: 3 * time.Second, PausedUntil: 4 * time.Second,
 					EjectedUntil: 5 * time.Second, Ejections: 6, FailureScore: 0.1, FailureScoreAt: 7 * time.Second,
@@ -90,15 +90,15 @@
 		fmt.Fprintf(b, "server name=%q addr=%q id=%d zone=%q cell=%d state=%d capacity=%g started=%d clear=%t\n",
 			s.Name, s.Addr, uint64(s.ID), s.Zone, s.Cell, int(s.State), s.Capacity, int64(s.Started), s.Evacuate)
 	}
-	for _, s := range r.State.Learned.Servers {
+	for _, s := range r.State.Balancer.Servers {
 		fmt.Fprintf(b, "learned id=%d started=%d limit=%g cut_at=%d paused_until=%d ejected=%d ejections=%d strikes=%g strikes_at=%d\n",
 			uint64(s.ID), int64(s.Started), s.LoadLimit, int64(s.LimitLoweredAt), int64(s.PausedUntil), int64(s.EjectedUntil), s.Ejections,
 			s.FailureScore, int64(s.FailureScoreAt))
 	}
-	for i, c := range r.State.Learned.ClassLoads {
+	for i, c := range r.State.Balancer.ClassLoads {
 		fmt.Fprintf(b, "class %d value=%g weight=%g\n", i, c.Value, c.Weight)
 	}
-	load, bears := r.State.Learned.MeanLoad, r.State.Learned.ConnectionCapacity
+	load, bears := r.State.Balancer.MeanLoad, r.State.Balancer.ConnectionCapacity
 	fmt.Fprintf(b, "load value=%g weight=%g bears value=%g weight=%g\n", load.Value, load.Weight, bears.Value, bears.Weight)
 	for _, f := range r.State.Flows {
 		fmt.Fprintf(b, "flow id=%q class=%q key=%q group=%q server=%q load=%g\n", f.ID, f.Class, f.Key, f.Group, f.Server, f.Load)
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -21,10 +21,10 @@
 
 func sample(now time.Time) Record {
 	return Record{Written: now.UTC(), Ready: true, Known: []string{"s-1", "gone/%2F"}, State: engine.State{
-		Version: 41,
-		Servers: []engine.Server{{Name: "s-1", Addr: "127.0.0.1:1", Server: rules.Server{ID: 1, State: rules.Draining, Started: time.Hour}}},
-		Learned: rules.Snapshot{MeanLoad: rules.WeightedMean{Value: 20000, Weight: 3}, Servers: []rules.ServerSnapshot{{ID: 1, LoadLimit: 5}}},
-		Flows:   []engine.Flow{{ID: "9b", Class: "c", Key: "k", Server: "s-1", Load: 12}},
+		Version:  41,
+		Servers:  []engine.Server{{Name: "s-1", Addr: "127.0.0.1:1", Server: rules.Server{ID: 1, State: rules.Draining, Started: time.Hour}}},
+		Balancer: rules.Snapshot{MeanLoad: rules.WeightedMean{Value: 20000, Weight: 3}, Servers: []rules.ServerSnapshot{{ID: 1, LoadLimit: 5}}},
+		Flows:    []engine.Flow{{ID: "9b", Class: "c", Key: "k", Server: "s-1", Load: 12}},
 	}}
 }
 
