--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -106,10 +106,10 @@
 		}
 	}
 	g.engine = drive.New(engine.New(engine.Options{
-		Ranks: ranks, Tiers: g.tiers,
-		Sockets: c.Limits.ForClients(), Openings: c.Limits.Idle(), Classes: classes, RetryAfter: c.Rules.MaxRetryAfter, DefaultWait: c.Node.LongestWait, AnswerSlack: c.Node.AnswerSlack,
-		Pass: c.Node.Pass, Park: c.Rules.FlowRetention, TellsDelay: c.Node.TellsDelay, MessageAim: c.Node.MessageAim, Probes: c.Node.Probes, ReadyWithin: readyWithin, AnswerBy: c.AnswerBy, Drain: c.Drain,
-		Figures: g.figures, Logger: g.logger, Trace: g.logger.Enabled(context.Background(), slog.LevelDebug),
+		PriorityOf: ranks, PriorityCounters: g.tiers,
+		MaxSockets: c.Limits.ForClients(), MaxIdleClients: c.Limits.Idle(), Classes: classes, RetryAfter: c.Rules.MaxRetryAfter, DefaultTimeout: c.Node.LongestWait, AnswerGrace: c.Node.AnswerSlack,
+		ConnectionsOutliveGateway: c.Node.Pass, FlowRetention: c.Rules.FlowRetention, ReportsMessageDelay: c.Node.TellsDelay, MessageLatencyObjective: c.Node.MessageAim, CanPollLoad: c.Node.Probes, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerBy, DrainTimeout: c.Drain,
+		Metrics: g.figures, Logger: g.logger, Trace: g.logger.Enabled(context.Background(), slog.LevelDebug),
 	}, balancer, g, attempts))
 	g.lines = attempts
 	if n := g.nat; n != nil {
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -162,23 +162,23 @@
 
 // Options are what an engine goes by.
 type Options struct {
-	Sockets     int                            // that clients and their servers may take: one for each side
-	Openings    int                            // of these, for clients that have asked for nothing; 0: all
-	Classes     []string                       // of requests; empty: any
-	Ranks       func(class, tenant string) int // of requests, 0 the lowest; nil: all have 0
-	Tiers       *metrics.Tiers                 // what became of requests by rank; nil: nobody reads it
-	RetryAfter  time.Duration                  // that a client is to stay away for want of sockets; 0: not stated
-	DefaultWait time.Duration                  // of a request that states none
-	AnswerSlack time.Duration                  // after a request's deadline an answer is still valid this long
-	Park        time.Duration                  // servers keep a connection for so long whose packets have stopped
-	Pass        bool                           // open connections outlive this gateway: they are not moved when it stops
-	TellsDelay  bool                           // the rules want word of slow messages
-	MessageAim  time.Duration                  // the shortest wanted time of a message; 0: none stated
-	Probes      bool                           // servers may be asked for their load
-	ReadyWithin time.Duration                  // from the start until it is ready without a list; 0: never
-	AnswerBy    time.Duration                  // from Stop until all that waits is answered; 0: Drain
-	Drain       time.Duration                  // from Stop to the end
-	Figures     *metrics.Set                   // what is reported; nil: nobody reads it
-	Logger      *slog.Logger
-	Trace       bool // log each request's way, at level debug
+	MaxSockets                int                            // that clients and their servers may take: one for each side
+	MaxIdleClients            int                            // of these, for clients that have asked for nothing; 0: all
+	Classes                   []string                       // of requests; empty: any
+	PriorityOf                func(class, tenant string) int // of requests, 0 the lowest; nil: all have 0
+	PriorityCounters          *metrics.Tiers                 // what became of requests by rank; nil: nobody reads it
+	RetryAfter                time.Duration                  // that a client is to stay away for want of sockets; 0: not stated
+	DefaultTimeout            time.Duration                  // of a request that states none
+	AnswerGrace               time.Duration                  // after a request's deadline an answer is still valid this long
+	FlowRetention             time.Duration                  // servers keep a connection for so long whose packets have stopped
+	ConnectionsOutliveGateway bool                           // open connections outlive this gateway: they are not moved when it stops
+	ReportsMessageDelay       bool                           // the rules want word of slow messages
+	MessageLatencyObjective   time.Duration                  // the shortest wanted time of a message; 0: none stated
+	CanPollLoad               bool                           // servers may be asked for their load
+	ReadyTimeout              time.Duration                  // from the start until it is ready without a list; 0: never
+	AnswerTimeout             time.Duration                  // from Stop until all that waits is answered; 0: Drain
+	DrainTimeout              time.Duration                  // from Stop to the end
+	Metrics                   *metrics.Set                   // what is reported; nil: nobody reads it
+	Logger                    *slog.Logger
+	Trace                     bool // log each request's way, at level debug
 }
--- a/internal/engine/ask_test.go
+++ b/internal/engine/ask_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestAskedIsRefusedForWantOfRoom(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.Sockets = 2 })
+	w := newWorld(t, 1, func(o *Options) { o.MaxSockets = 2 })
 	w.ask(w.client("x"))
 	w.ask(w.client("y"))
 	w.expect("send a1/0", "refuse y")
@@ -113,7 +113,7 @@
 
 // A client that its front moves has the time that the front says; then it is closed.
 func TestMoveHasTheFrontsTime(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.Pass = false; o.Drain = time.Minute })
+	w := newWorld(t, 1, func(o *Options) { o.ConnectionsOutliveGateway = false; o.DrainTimeout = time.Minute })
 	c := w.client("x")
 	c.within = 5 * time.Second
 	w.arrive(c, Request{Key: "k"})
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -139,7 +139,7 @@
 func TestFiguresAddUp(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := metrics.New([]string{"c"})
-		w := newWorld(t, 3, func(o *Options) { o.Sockets, o.Figures = 8, f })
+		w := newWorld(t, 3, func(o *Options) { o.MaxSockets, o.Metrics = 8, f })
 		taken, left := 0, 0
 		var clients []*fakeClient
 		var links []*fakeLink
@@ -209,7 +209,7 @@
 // The clients of a server that is out are sent away before it is restarted, a part of them at a time, and what waits
 // there is tried elsewhere.
 func TestBanClearsTheServer(t *testing.T) {
-	w := newWorld(t, 2, func(o *Options) { o.Sockets = 64 })
+	w := newWorld(t, 2, func(o *Options) { o.MaxSockets = 64 })
 	held := map[string]int{}
 	for i := range 16 {
 		w.arrive(w.client("x"), Request{Key: fmt.Sprint(i)})
--- a/internal/engine/delay.go
+++ b/internal/engine/delay.go
@@ -102,8 +102,8 @@
 	if e.now-m.toldAt < delayTold {
 		return
 	}
-	d := m.delay(e.now, e.opts.MessageAim)
-	slow := d > e.opts.MessageAim/3
+	d := m.delay(e.now, e.opts.MessageLatencyObjective)
+	slow := d > e.opts.MessageLatencyObjective/3
 	if !slow && !m.slow {
 		return
 	}
@@ -124,7 +124,7 @@
 	if m := &s.meter; m.reportAt > 0 && m.load < easyLoad {
 		every = probeEasy
 	}
-	if e.opts.Probes && e.now-s.meter.askedAt >= every {
+	if e.opts.CanPollLoad && e.now-s.meter.askedAt >= every {
 		s.meter.askedAt = e.now
 		if e.opts.Trace {
 			e.trace("probe", "server", s.name)
--- a/internal/engine/delay_test.go
+++ b/internal/engine/delay_test.go
@@ -12,7 +12,7 @@
 		load float64
 		want int
 	}{{0.3, 5}, {0.7, 10}} {
-		w := newWorld(t, 1, func(o *Options) { o.Probes = true })
+		w := newWorld(t, 1, func(o *Options) { o.CanPollLoad = true })
 		w.arrive(w.client("a"), Request{Key: "k"})
 		w.wentUp(w.link)
 		asked := 0
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -149,32 +149,32 @@
 
 func (s *simulation) drawOptions(settings rules.Settings) engine.Options {
 	o := engine.Options{
-		Sockets:     pick(s, 2, 3, 5, 10, 24, socketsForManyFlows, socketsForManyFlows, 100),
-		Openings:    pick(s, 0, 0, 1, 3, 12),
-		RetryAfter:  pick(s, 0, 700*time.Millisecond),
-		DefaultWait: s.between(100*time.Millisecond, 4*time.Second),
-		AnswerSlack: pick(s, 0, 5*time.Millisecond, 16*time.Millisecond, 100*time.Millisecond),
-		Park:        settings.FlowRetention,
-		Pass:        s.oneIn(2),
-		TellsDelay:  !s.oneIn(4),
-		MessageAim:  pick(s, 0, 60*time.Millisecond, 60*time.Millisecond, 300*time.Millisecond),
-		Probes:      !s.oneIn(4),
-		ReadyWithin: pick(s, 0, 500*time.Millisecond, 3*time.Second),
-		AnswerBy:    pick(s, 0, 500*time.Millisecond, 1500*time.Millisecond, 3300*time.Millisecond),
-		Drain:       pick(s, 500*time.Millisecond, 3500*time.Millisecond, 8*time.Second),
-		Logger:      slog.New(s.log),
-		Trace:       s.oneIn(3),
+		MaxSockets:                pick(s, 2, 3, 5, 10, 24, socketsForManyFlows, socketsForManyFlows, 100),
+		MaxIdleClients:            pick(s, 0, 0, 1, 3, 12),
+		RetryAfter:                pick(s, 0, 700*time.Millisecond),
+		DefaultTimeout:            s.between(100*time.Millisecond, 4*time.Second),
+		AnswerGrace:               pick(s, 0, 5*time.Millisecond, 16*time.Millisecond, 100*time.Millisecond),
+		FlowRetention:             settings.FlowRetention,
+		ConnectionsOutliveGateway: s.oneIn(2),
+		ReportsMessageDelay:       !s.oneIn(4),
+		MessageLatencyObjective:   pick(s, 0, 60*time.Millisecond, 60*time.Millisecond, 300*time.Millisecond),
+		CanPollLoad:               !s.oneIn(4),
+		ReadyTimeout:              pick(s, 0, 500*time.Millisecond, 3*time.Second),
+		AnswerTimeout:             pick(s, 0, 500*time.Millisecond, 1500*time.Millisecond, 3300*time.Millisecond),
+		DrainTimeout:              pick(s, 500*time.Millisecond, 3500*time.Millisecond, 8*time.Second),
+		Logger:                    slog.New(s.log),
+		Trace:                     s.oneIn(3),
 	}
 	if !s.oneIn(4) {
 		o.Classes = []string{"interactive", "bulk", "strict"}
 	}
-	o.Figures = metrics.New(o.Classes)
+	o.Metrics = metrics.New(o.Classes)
 	if s.oneIn(2) {
 		s.tiers = metrics.NewTiers(ranksDrawn)
-		o.Tiers = s.tiers
+		o.PriorityCounters = s.tiers
 	}
 	if s.oneIn(2) {
-		o.Ranks = func(class, tenant string) int { return (len(class) + len(tenant)) % ranksDrawn }
+		o.PriorityOf = func(class, tenant string) int { return (len(class) + len(tenant)) % ranksDrawn }
 	}
 	return o
 }
@@ -211,7 +211,7 @@
 func (s *simulation) letPredecessorExpire() {
 	s.predecessor.flows = nil
 	s.reactions = nil
-	s.advance(max(s.options.Park, 3*time.Second) + time.Second)
+	s.advance(max(s.options.FlowRetention, 3*time.Second) + time.Second)
 	s.tell()
 }
 
@@ -316,7 +316,7 @@
 // step records the calls of one step, and how the engine stands after it.
 func (s *simulation) step(event string) {
 	next, hasNext := s.engine.Next()
-	f := s.options.Figures
+	f := s.options.Metrics
 	s.transcript.step(event, field{"now", s.now}, field{"next", next}, field{"has next", hasNext},
 		field{"ready", s.engine.Ready()}, field{"ended", s.engine.Ended()}, field{"outstanding", f.Outstanding.Load()},
 		field{"discovered", f.Discovered.Load()}, field{"ejected", f.Ejected.Load()})
@@ -325,7 +325,7 @@
 // recordFigures ends a transcript.
 func (s *simulation) recordFigures() {
 	for _, class := range []string{"interactive", "bulk", "strict"} {
-		c := s.options.Figures.Class(class)
+		c := s.options.Metrics.Class(class)
 		s.transcript.call("class", field{"name", class}, field{"succeeded", c.Succeeded.Load()},
 			field{"declined", c.Declined.Load()}, field{"aborted", c.Aborted.Load()})
 	}
@@ -692,7 +692,7 @@
 	p := &s.predecessor
 	p.isKnown = true
 	most := fewFlows
-	if s.options.Sockets >= socketsForManyFlows {
+	if s.options.MaxSockets >= socketsForManyFlows {
 		most = manyFlows
 	}
 	for i := range 1 + s.random.IntN(most) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -94,17 +94,17 @@
 	if opts.Logger == nil {
 		opts.Logger = slog.Default()
 	}
-	if opts.Figures == nil {
-		opts.Figures = metrics.New(opts.Classes)
+	if opts.Metrics == nil {
+		opts.Metrics = metrics.New(opts.Classes)
 	}
-	opts.AnswerSlack = max(opts.AnswerSlack, leastSlack)
+	opts.AnswerGrace = max(opts.AnswerGrace, leastSlack)
 	classes := make(map[string]bool, len(opts.Classes))
 	for _, c := range opts.Classes {
 		classes[c] = true
 	}
 	return &Engine{
 		opts: opts, classes: classes, named: map[string]slot.ID{}, rules: balancer, backend: backend, prober: prober,
-		requests: slot.New[*request](opts.Sockets),
+		requests: slot.New[*request](opts.MaxSockets),
 		servers:  map[rules.ServerID]*server{}, names: map[string]rules.ServerID{}, banned: map[string]bool{},
 		heirs: map[string]slot.ID{}, came: map[string]bool{},
 	}
@@ -122,7 +122,7 @@
 	e.now = now
 	e.deadlines.Add(now+tickEvery, due{kind: dueTick})
 	e.deadlines.Add(now+statsEvery, due{kind: dueStats})
-	if within := e.opts.ReadyWithin; within > 0 {
+	if within := e.opts.ReadyTimeout; within > 0 {
 		e.deadlines.Add(now+within, due{kind: dueReady})
 	}
 }
@@ -239,7 +239,7 @@
 			e.toldNoList = false
 		case dueReady:
 			if !e.listed {
-				e.opts.Logger.Warn("ready without a list: none came, requests are refused until one does", "after", e.opts.ReadyWithin)
+				e.opts.Logger.Warn("ready without a list: none came, requests are refused until one does", "after", e.opts.ReadyTimeout)
 				e.ready.Store(true)
 			}
 		case dueClosing:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -103,8 +103,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	opts := Options{Sockets: 6, Classes: []string{"c"}, DefaultWait: 3 * time.Second, AnswerSlack: 16 * time.Millisecond, Pass: true,
-		TellsDelay: true, MessageAim: 60 * time.Millisecond, Drain: 3500 * time.Millisecond,
+	opts := Options{MaxSockets: 6, Classes: []string{"c"}, DefaultTimeout: 3 * time.Second, AnswerGrace: 16 * time.Millisecond, ConnectionsOutliveGateway: true,
+		ReportsMessageDelay: true, MessageLatencyObjective: 60 * time.Millisecond, DrainTimeout: 3500 * time.Millisecond,
 		Logger: slog.New(slog.DiscardHandler)}
 	if change != nil {
 		change(&opts)
@@ -224,14 +224,14 @@
 // Clients that say nothing are ended within 3 s of connecting, and while there are many of them they do not
 // keep out the others: the oldest makes place.
 func TestSilentClientsMakePlace(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.Sockets = 4 })
+	w := newWorld(t, 1, func(o *Options) { o.MaxSockets = 4 })
 	var silent []*fakeClient
 	for i := range 4 {
 		silent = append(silent, w.client(fmt.Sprint("s", i)))
 		w.tell(ClientConnected{Client: silent[i]})
 		w.now += time.Millisecond
 	}
-	w.e.opts.Openings = 4
+	w.e.opts.MaxIdleClients = 4
 	w.tell(ClientConnected{Client: w.client("s4")})
 	w.expect("close s0")
 	silent[0] = w.client("s5")
@@ -364,7 +364,7 @@
 }
 
 func TestProbesOnlyWhereConnectionsAre(t *testing.T) {
-	w := newWorld(t, 2, func(o *Options) { o.Probes = true })
+	w := newWorld(t, 2, func(o *Options) { o.CanPollLoad = true })
 	w.pass(3 * time.Second)
 	w.expect()
 	w.arrive(w.client("x"), Request{Key: "k"})
@@ -412,7 +412,7 @@
 }
 
 func TestStopWhereConnectionsEndHere(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.Pass = false })
+	w := newWorld(t, 1, func(o *Options) { o.ConnectionsOutliveGateway = false })
 	c := w.client("x")
 	w.arrive(c, Request{Key: "k"})
 	w.wentUp(w.link)
--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -113,7 +113,7 @@
 
 // lookInherited gives up what never came, once the process before is silent for as long as servers keep such connections.
 func (e *Engine) lookInherited() {
-	if len(e.heirs) == 0 && len(e.came) == 0 || e.now-e.inheritedAt < max(e.opts.Park, inheritedFor) {
+	if len(e.heirs) == 0 && len(e.came) == 0 || e.now-e.inheritedAt < max(e.opts.FlowRetention, inheritedFor) {
 		return
 	}
 	for name := range e.heirs {
--- a/internal/engine/inherit_test.go
+++ b/internal/engine/inherit_test.go
@@ -16,7 +16,7 @@
 
 // An engine's open connections go to the same servers at the one that follows it, wherever their keys belong there.
 func TestConnectionsGoOnAtTheNextProcess(t *testing.T) {
-	old := newWorld(t, 3, func(o *Options) { o.Sockets = 64 })
+	old := newWorld(t, 3, func(o *Options) { o.MaxSockets = 64 })
 	at := map[string]string{}
 	for _, id := range []string{"1", "2", "3", "4", "5", "6"} {
 		old.arrive(old.client(id), Request{ID: id, Key: "k" + id})
@@ -28,7 +28,7 @@
 		t.Fatalf("passed on %+v", st)
 	}
 	f := metrics.New([]string{"c"})
-	w := newWorld(t, 3, func(o *Options) { o.Sockets, o.Figures = 64, f })
+	w := newWorld(t, 3, func(o *Options) { o.MaxSockets, o.Metrics = 64, f })
 	for i := range st.Flows { // as if an alternate had taken each
 		s := st.Servers[(int(st.Flows[i].Server[1]-'0'))%3]
 		st.Flows[i].Server, at[st.Flows[i].ID] = s.Name, s.Addr
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -65,7 +65,7 @@
 
 // countTaken reports how many requests are waiting and connections are open.
 func (e *Engine) countTaken() {
-	e.opts.Figures.Outstanding.Store(int64(e.requests.Len() - e.openings - len(e.heirs)))
+	e.opts.Metrics.Outstanding.Store(int64(e.requests.Len() - e.openings - len(e.heirs)))
 }
 
 // close ends a connection that has asked for nothing.
@@ -80,8 +80,8 @@
 // nothing, which else would keep out all others. What a client asked for is never given up for it. A new
 // client has besides nil; else it is the one that now asks for something.
 func (e *Engine) room(besides *request) bool {
-	tooIdle := besides == nil && e.opts.Openings > 0 && e.openings >= e.opts.Openings
-	if 2*e.requests.Len()-e.openings < e.opts.Sockets && !tooIdle {
+	tooIdle := besides == nil && e.opts.MaxIdleClients > 0 && e.openings >= e.opts.MaxIdleClients
+	if 2*e.requests.Len()-e.openings < e.opts.MaxSockets && !tooIdle {
 		return true
 	}
 	var oldest *request
@@ -119,7 +119,7 @@
 		return
 	}
 	q := ev.Request
-	if r.class = e.opts.Figures.Class(q.Class); r.class == nil {
+	if r.class = e.opts.Metrics.Class(q.Class); r.class == nil {
 		r.class = &e.unnamed
 	}
 	if !e.usable(q) {
@@ -147,7 +147,7 @@
 	e.openings--
 	e.countTaken()
 	if q.Timeout <= 0 {
-		q.Timeout = e.opts.DefaultWait
+		q.Timeout = e.opts.DefaultTimeout
 	}
 	if e.stage > serving { // nothing may be owed when the platform ends the program
 		q.Timeout = min(q.Timeout, max(e.answerBy-e.now, lateWait))
@@ -157,11 +157,11 @@
 		ID: rules.RequestID(r.id), Class: q.Class, Tenant: q.Tenant, Key: q.Key, Group: q.Group,
 		Timeout: q.Timeout, Load: q.Load, Reconnecting: q.Reconnecting, MidFlow: q.MidFlow,
 	}
-	if e.opts.Ranks != nil {
-		req.Priority = e.opts.Ranks(q.Class, q.Tenant)
+	if e.opts.PriorityOf != nil {
+		req.Priority = e.opts.PriorityOf(q.Class, q.Tenant)
 	}
 	if r.rank = req.Priority; !q.MidFlow && q.Owner == "" {
-		e.opts.Tiers.Asked(r.rank)
+		e.opts.PriorityCounters.Asked(r.rank)
 	}
 	r.flow, r.load = Flow{Class: q.Class, Key: q.Key, Group: q.Group}, q.Load
 	if q.MidFlow {
@@ -171,7 +171,7 @@
 		e.carry(r, req, q.Owner)
 		return
 	}
-	e.rearm(&r.answer, r.deadline+e.opts.AnswerSlack, due{kind: dueAnswer, id: r.id})
+	e.rearm(&r.answer, r.deadline+e.opts.AnswerGrace, due{kind: dueAnswer, id: r.id})
 	e.tell(req)
 }
 
@@ -202,7 +202,7 @@
 func (e *Engine) carry(r *request, req rules.Request, at string) {
 	id, known := e.names[at]
 	r.carried, r.deadline = true, max(r.deadline, e.now+carriedFor)
-	e.rearm(&r.answer, r.deadline+e.opts.AnswerSlack, due{kind: dueAnswer, id: r.id})
+	e.rearm(&r.answer, r.deadline+e.opts.AnswerGrace, due{kind: dueAnswer, id: r.id})
 	if !known {
 		e.opts.Logger.Warn("connection from before the run at an unlisted server", "server", at)
 		e.fail(r)
@@ -216,7 +216,7 @@
 func (e *Engine) fail(r *request) {
 	e.counts.failed++
 	r.class.Aborted.Add(1)
-	e.opts.Tiers.Refused(r.rank)
+	e.opts.PriorityCounters.Refused(r.rank)
 	r.client.Fail()
 	e.free(r)
 }
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -197,8 +197,8 @@
 			avoided++
 		}
 	}
-	e.opts.Figures.Discovered.Store(int64(len(e.servers)))
-	e.opts.Figures.Ejected.Store(int64(avoided))
+	e.opts.Metrics.Discovered.Store(int64(len(e.servers)))
+	e.opts.Metrics.Ejected.Store(int64(avoided))
 }
 
 func (e *Engine) forget(id rules.ServerID, s *server) {
@@ -233,7 +233,7 @@
 		e.opts.Logger.Warn("moved a client off a silent server", "server", r.server)
 		e.move(r, rules.Reset)
 	}
-	if !e.opts.TellsDelay || e.opts.MessageAim <= 0 {
+	if !e.opts.ReportsMessageDelay || e.opts.MessageLatencyObjective <= 0 {
 		return
 	}
 	// By number, not in the map's order: the same events come to the rules in the same order.
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -34,13 +34,13 @@
 		return
 	}
 	e.stage, e.stoppedAt = draining, e.now
-	within := e.opts.Drain
-	if e.opts.AnswerBy > 0 {
-		within = min(e.opts.AnswerBy, within)
+	within := e.opts.DrainTimeout
+	if e.opts.AnswerTimeout > 0 {
+		within = min(e.opts.AnswerTimeout, within)
 	}
 	e.answerBy = e.now + within
-	e.opts.Logger.Info("stopping", "connections", e.requests.Len(), "answer_by", within, "drain", e.opts.Drain)
-	e.deadlines.Add(e.now+e.opts.Drain, due{kind: dueEnd})
+	e.opts.Logger.Info("stopping", "connections", e.requests.Len(), "answer_by", within, "drain", e.opts.DrainTimeout)
+	e.deadlines.Add(e.now+e.opts.DrainTimeout, due{kind: dueEnd})
 	e.tell(rules.Shutdown{Deadline: e.answerBy})
 	e.requests.All(func(_ slot.ID, r *request) bool {
 		if r.phase == waiting {
@@ -48,7 +48,7 @@
 		}
 		return true
 	})
-	if !e.opts.Pass {
+	if !e.opts.ConnectionsOutliveGateway {
 		e.deadlines.Add(e.answerBy, due{kind: dueClosing})
 		e.moveAll()
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	r.deadline = e.answerBy
-	e.rearm(&r.answer, r.deadline+e.opts.AnswerSlack, due{kind: dueAnswer, id: r.id})
+	e.rearm(&r.answer, r.deadline+e.opts.AnswerGrace, due{kind: dueAnswer, id: r.id})
 	if r.timeout != nil && r.timeout.At() > r.deadline {
 		e.rearm(&r.timeout, r.deadline, due{kind: dueAttempt, id: r.id})
 	}
@@ -98,7 +98,7 @@
 		case waiting:
 			if r.link == nil || r.link.Cancel() {
 				e.fail(r)
-			} else if !e.opts.Pass { // it is up; word of that is on its way
+			} else if !e.opts.ConnectionsOutliveGateway { // it is up; word of that is on its way
 				r.client.Migrate()
 			}
 		case leaving:
@@ -106,7 +106,7 @@
 		}
 		return true
 	})
-	if !e.opts.Pass {
+	if !e.opts.ConnectionsOutliveGateway {
 		e.moveAll()
 	}
 	e.logStats()
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -13,9 +13,9 @@
 	for _, pass := range []bool{false, true} {
 		for _, servers := range []int{0, 1} {
 			w := newWorld(t, servers, func(o *Options) {
-				o.Pass, o.AnswerBy = pass, 3300*time.Millisecond
+				o.ConnectionsOutliveGateway, o.AnswerTimeout = pass, 3300*time.Millisecond
 				if pass {
-					o.Drain = 15 * time.Second
+					o.DrainTimeout = 15 * time.Second
 				}
 			})
 			w.arrive(w.client("x"), Request{Key: "k", Timeout: time.Minute, Class: "c"})
@@ -44,7 +44,9 @@
 // Where connections end here, who rests is closed at the end of the time for answers, who comes then is turned away, and
 // what comes up then is moved; half a line keeps its client for the rest of the time alone.
 func TestClosing(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.Pass, o.AnswerBy, o.Sockets = false, 3300*time.Millisecond, 20 })
+	w := newWorld(t, 1, func(o *Options) {
+		o.ConnectionsOutliveGateway, o.AnswerTimeout, o.MaxSockets = false, 3300*time.Millisecond, 20
+	})
 	w.tell(Shutdown{})
 	w.pass(900 * time.Millisecond)
 	w.tell(ClientConnected{Client: w.client("early")}) // or the end would come for want of clients
@@ -71,7 +73,7 @@
 // A connection that comes up in the very moment of the end is no failure to its client, which has its UP.
 func TestUpInTheMomentOfTheEnd(t *testing.T) {
 	for _, pass := range []bool{false, true} {
-		w := newWorld(t, 1, func(o *Options) { o.Pass = pass })
+		w := newWorld(t, 1, func(o *Options) { o.ConnectionsOutliveGateway = pass })
 		w.arrive(w.client("x"), Request{Key: "k"})
 		w.link.up = true // word of it is on its way
 		w.tell(Shutdown{})
@@ -87,7 +89,7 @@
 
 // Accepted connections are told of as dealt with, whether taken or not.
 func TestAcceptedIsDone(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.Sockets = 1 })
+	w := newWorld(t, 1, func(o *Options) { o.MaxSockets = 1 })
 	done := 0
 	for _, name := range []string{"x", "y"} {
 		c := w.client(name)
@@ -114,7 +116,7 @@
 
 // A slot's next tenant hears nothing of what was on its way to the one before.
 func TestASlotsNextTenantIsLeftAlone(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.Sockets = 2 })
+	w := newWorld(t, 1, func(o *Options) { o.MaxSockets = 2 })
 	first := w.client("first")
 	w.arrive(first, Request{Key: "k"})
 	old := w.link
@@ -141,7 +143,7 @@
 
 // Without a list a gateway is ready all the same in time, and with one at once; refusals say when to come again.
 func TestReadyWithoutAList(t *testing.T) {
-	w := newWorld(t, 0, func(o *Options) { o.ReadyWithin = 8 * time.Second })
+	w := newWorld(t, 0, func(o *Options) { o.ReadyTimeout = 8 * time.Second })
 	w.pass(8*time.Second - time.Millisecond)
 	if w.e.Ready() {
 		t.Error("ready too soon")
@@ -153,7 +155,7 @@
 	w.arrive(w.client("x"), Request{Key: "k"})
 	w.pass(time.Second)
 	w.expect("refuse x")
-	if w := newWorld(t, 1, func(o *Options) { o.ReadyWithin = 8 * time.Second }); !w.e.Ready() {
+	if w := newWorld(t, 1, func(o *Options) { o.ReadyTimeout = 8 * time.Second }); !w.e.Ready() {
 		t.Error("not ready with the list as last held")
 	}
 }
