--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -55,16 +55,16 @@
 // instance is one gateway's decisions, with the clock of its list where that has to be asked for.
 type instance struct {
 	rules *rules.Balancer
-	list  *listclock.Clock // nil: changes come by themselves
+	list  *listclock.Scheduler // nil: changes come by themselves
 }
 
 // refAsk is the timer for the next call for the list; the rules have lower numbers.
 const refAsk = 1 << 32
 
 // asked appends what the clock of the list answers an event with.
-func (i *instance) asked(reply []byte, n int, call listclock.Call) []byte {
-	if call.Pause > 0 {
-		return wire.AppendAction(reply, n, rules.SetTimer{After: call.Pause, Ref: refAsk})
+func (i *instance) asked(reply []byte, n int, call listclock.Poll) []byte {
+	if call.Delay > 0 {
+		return wire.AppendAction(reply, n, rules.SetTimer{After: call.Delay, Ref: refAsk})
 	}
 	return wire.AppendWatch(reply, n)
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -35,7 +35,7 @@
 	logger *slog.Logger
 	post   func(engine.Event)
 	client *http.Client
-	clock  *listclock.Clock
+	clock  *listclock.Scheduler
 	now    func() time.Duration
 	dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
@@ -65,7 +65,7 @@
 }
 
 // begin is the first call, with the list as last held.
-func (w *Watcher) begin(known *Members) listclock.Call {
+func (w *Watcher) begin(known *Members) listclock.Poll {
 	start := listclock.Start{}
 	if known != nil && len(known.Servers) > 0 {
 		start = listclock.Start{Have: true, Version: known.Version}
@@ -125,9 +125,9 @@
 }
 
 // take passes on what came of a call and returns the next one.
-func (w *Watcher) take(call listclock.Call, m *Members, err error) listclock.Call {
+func (w *Watcher) take(call listclock.Poll, m *Members, err error) listclock.Poll {
 	if err != nil {
-		var next listclock.Call
+		var next listclock.Poll
 		if errors.Is(err, errSilent) {
 			w.client.CloseIdleConnections()
 			next = w.clock.Handle(w.now(), listclock.Silent{})
@@ -148,7 +148,7 @@
 	if m.Full || len(m.Servers) > 0 {
 		w.logger.Info("list", "version", m.Version, "full", m.Full, "servers", len(m.Servers))
 	}
-	if w.clock.Takes(m.Version, m.Full) {
+	if w.clock.Accepts(m.Version, m.Full) {
 		w.post(m.List(mode))
 	} else {
 		w.logger.Warn("list not taken: it is older than the one held, or changes to another", "addr", w.asked, "version", m.Version)
@@ -157,18 +157,18 @@
 }
 
 // complain logs a call that brought nothing, and once for each outage that news may count as told which are not here.
-func (w *Watcher) complain(next listclock.Call, err error) {
-	w.logger.Warn("list not told", "addr", w.asked, "err", err, "again_in", next.Pause)
-	if !w.overdue && next.Told > 0 && w.now() >= next.Told {
+func (w *Watcher) complain(next listclock.Poll, err error) {
+	w.logger.Warn("list not told", "addr", w.asked, "err", err, "again_in", next.Delay)
+	if !w.overdue && next.StaleAt > 0 && w.now() >= next.StaleAt {
 		w.overdue = true
 		w.logger.Error("list overdue: what changed counts as told and is not here, the list as held is gone by", "addr", w.asked)
 	}
 }
 
 // carryOut makes a call after its pause.
-func (w *Watcher) carryOut(ctx context.Context, call listclock.Call) (*Members, error) {
-	if call.Pause > 0 {
-		t := time.NewTimer(call.Pause)
+func (w *Watcher) carryOut(ctx context.Context, call listclock.Poll) (*Members, error) {
+	if call.Delay > 0 {
+		t := time.NewTimer(call.Delay)
 		defer t.Stop()
 		select {
 		case <-ctx.Done():
@@ -178,10 +178,10 @@
 	}
 	ctx, silent := context.WithCancelCause(ctx)
 	defer silent(nil)
-	within := time.AfterFunc(connectIn+call.Within, func() { silent(errSilent) })
+	within := time.AfterFunc(connectIn+call.Timeout, func() { silent(errSilent) })
 	defer within.Stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { within.Reset(call.Within) },
+		GotConn: func(httptrace.GotConnInfo) { within.Reset(call.Timeout) },
 	})
 	m, err := w.ask(ctx, call)
 	if err != nil && errors.Is(context.Cause(ctx), errSilent) {
@@ -191,10 +191,10 @@
 }
 
 // ask asks once: for what is new, or for the whole list.
-func (w *Watcher) ask(ctx context.Context, call listclock.Call) (*Members, error) {
+func (w *Watcher) ask(ctx context.Context, call listclock.Poll) (*Members, error) {
 	target := "http://" + w.asked + path
-	if !call.Whole {
-		target = fmt.Sprintf("%s?after=%d&wait_ms=%d", target, call.After, call.Wait.Milliseconds())
+	if !call.Complete {
+		target = fmt.Sprintf("%s?after=%d&wait_ms=%d", target, call.AfterVersion, call.Wait.Milliseconds())
 	}
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -132,7 +132,7 @@
 	}))
 	defer s.Close()
 	w := New(strings.TrimPrefix(s.URL, "http://"), listclock.Settings{Pushed: true}, func() time.Duration { return 0 }, slog.New(slog.DiscardHandler))
-	call := listclock.Call{After: 1, Within: time.Second}
+	call := listclock.Poll{AfterVersion: 1, Timeout: time.Second}
 	for b.Loop() {
 		if _, err := w.carryOut(b.Context(), call); err != nil {
 			b.Fatal(err)
--- a/internal/listclock/digest_test.go
+++ b/internal/listclock/digest_test.go
@@ -42,18 +42,18 @@
 type stream struct {
 	out   io.Writer
 	rnd   *rand.Rand
-	clock *Clock
+	clock *Scheduler
 	now   time.Duration
-	call  Call
+	call  Poll
 }
 
 // pass lets some time pass after the last call, with the moments at which a decision may turn among the draws.
 func (s *stream) pass() {
-	sent := s.call.Pause
+	sent := s.call.Delay
 	s.now += sent + pick(s.rnd,
 		0, 1, time.Millisecond, 40*time.Millisecond, 300*time.Millisecond,
 		s.call.Wait/4-1, s.call.Wait/4, s.call.Wait/4+1, s.call.Wait/2, s.call.Wait, s.call.Wait+1,
-		s.call.Within-1, s.call.Within, s.call.Within+time.Second,
+		s.call.Timeout-1, s.call.Timeout, s.call.Timeout+time.Second,
 		time.Duration(s.rnd.Int64N(int64(10*time.Second))),
 		-sent, // before the call was made
 	)
@@ -89,11 +89,11 @@
 	s.call = s.clock.Handle(s.now, s.event(kind))
 	c := s.call
 	fmt.Fprintf(s.out, " -> pause=%d whole=%t after=%d wait=%d within=%d told=%d\n",
-		int64(c.Pause), c.Whole, c.After, int64(c.Wait), int64(c.Within), int64(c.Told))
+		int64(c.Delay), c.Complete, c.AfterVersion, int64(c.Wait), int64(c.Timeout), int64(c.StaleAt))
 	version, ok := s.clock.Version()
 	fmt.Fprintf(s.out, "holds %d %t takes", version, ok)
 	for _, other := range []int64{version - 1, version, version + 1, 0} {
-		fmt.Fprintf(s.out, " %t %t", s.clock.Takes(other, false), s.clock.Takes(other, true))
+		fmt.Fprintf(s.out, " %t %t", s.clock.Accepts(other, false), s.clock.Accepts(other, true))
 	}
 	io.WriteString(s.out, "\n")
 }
--- a/internal/listclock/listclock.go
+++ b/internal/listclock/listclock.go
@@ -73,24 +73,24 @@
 func (Silent) event()   {}
 func (Failed) event()   {}
 
-// Call is the next call to make. Exactly one follows each event.
-type Call struct {
-	Pause  time.Duration // before it is made
-	Whole  bool          // asks for the whole list, and does not wait
-	After  int64         // else for what is newer than this version,
-	Wait   time.Duration // waiting so long for it; 0: answered at once
-	Within time.Duration // from the moment it is sent, the answer has to be here whole; more is a silence
-	// Told is when all that was listed until the last event counts as told, if no call brings it; 0: at no stated time.
-	Told time.Duration
+// Poll is the next call to make. Exactly one follows each event.
+type Poll struct {
+	Delay        time.Duration // before it is made
+	Complete     bool          // asks for the whole list, and does not wait
+	AfterVersion int64         // else for what is newer than this version,
+	Wait         time.Duration // waiting so long for it; 0: answered at once
+	Timeout      time.Duration // from the moment it is sent, the answer has to be here whole; more is a silence
+	// StaleAt is when all that was listed until the last event counts as told, if no call brings it; 0: at no stated time.
+	StaleAt time.Duration
 }
 
-// Clock decides for one gateway. It is not safe for concurrent use.
-type Clock struct {
+// Scheduler decides for one gateway. It is not safe for concurrent use.
+type Scheduler struct {
 	set     Settings
 	random  uint64
 	have    bool
 	version int64
-	call    Call          // that is out
+	call    Poll          // that is out
 	began   time.Duration // when it was due to be made
 	silent  int           // calls in a row that fell silent
 	failing time.Duration // the next wait after a failure; 0: the last call did not fail
@@ -99,18 +99,18 @@
 }
 
 // New returns a Clock.
-func New(set Settings) *Clock {
+func New(set Settings) *Scheduler {
 	set.Gateways = max(set.Gateways, 1)
 	if set.DrainGrace <= 0 {
 		set.DrainGrace = graceDefault
 	}
-	return &Clock{set: set, random: set.Seed}
+	return &Scheduler{set: set, random: set.Seed}
 }
 
-// Takes reports whether a list, or changes to one, are to be gone by. What is older than the list that is held, or changes
+// Accepts reports whether a list, or changes to one, are to be gone by. What is older than the list that is held, or changes
 // one that is not, is not: whoever answered is late, went back, or is another. The whole list is asked for then, and taken
 // whatever its version.
-func (c *Clock) Takes(version int64, whole bool) bool {
+func (c *Scheduler) Accepts(version int64, whole bool) bool {
 	if !c.have {
 		return whole
 	}
@@ -118,10 +118,10 @@
 }
 
 // Version is the version of the list that is held; ok is false where none is.
-func (c *Clock) Version() (v int64, ok bool) { return c.version, c.have }
+func (c *Scheduler) Version() (v int64, ok bool) { return c.version, c.have }
 
 // Handle takes what came of the last call and returns the next one.
-func (c *Clock) Handle(now time.Duration, ev Event) Call {
+func (c *Scheduler) Handle(now time.Duration, ev Event) Poll {
 	switch ev := ev.(type) {
 	case Start:
 		c.have, c.version = ev.Have, ev.Version
@@ -137,8 +137,8 @@
 	return c.failed(now)
 }
 
-func (c *Clock) answered(now time.Duration, ev Answered) Call {
-	if !c.Takes(ev.Version, ev.Whole) {
+func (c *Scheduler) answered(now time.Duration, ev Answered) Poll {
+	if !c.Accepts(ev.Version, ev.Whole) {
 		c.have = false
 		return c.next(now, c.distance(), true)
 	}
@@ -153,12 +153,12 @@
 }
 
 // distance keeps calls apart that are answered without a wait, so that one who never waits costs little, and a watch goes on.
-func (c *Clock) distance() time.Duration { return min(c.set.DrainGrace/5, continues/2) }
+func (c *Scheduler) distance() time.Duration { return min(c.set.DrainGrace/5, continues/2) }
 
 // fellSilent begins anew at once. What an agent holds counts from the moment that it answers again, so it is asked all the
 // time until then, at a pace that keeps within the grace for drains; discovery is asked once, apart from others whose
 // watches fell silent with this one, and then as after any failure.
-func (c *Clock) fellSilent(now time.Duration) Call {
+func (c *Scheduler) fellSilent(now time.Duration) Poll {
 	c.told = c.heard + ToldAfter
 	c.silent++
 	switch {
@@ -171,7 +171,7 @@
 	return c.backOff(now)
 }
 
-func (c *Clock) failed(now time.Duration) Call {
+func (c *Scheduler) failed(now time.Duration) Poll {
 	if c.set.Pushed {
 		return c.next(now, c.set.DrainGrace/10, true)
 	}
@@ -184,7 +184,7 @@
 
 // backOff waits, longer with each failure and jittered: gateways that lost the list together do not ask for it together.
 // However many calls have failed, the next comes soon enough that what discovery holds on its return is known in time.
-func (c *Clock) backOff(now time.Duration) Call {
+func (c *Scheduler) backOff(now time.Duration) Poll {
 	if c.failing == 0 {
 		c.failing = failFirst
 	}
@@ -201,25 +201,25 @@
 }
 
 // next is the call that follows; atOnce asks for an answer without a wait, as does a call for the whole list.
-func (c *Clock) next(now, pause time.Duration, atOnce bool) Call {
-	call := Call{Pause: pause, Whole: !c.have, After: c.version, Told: c.told}
+func (c *Scheduler) next(now, pause time.Duration, atOnce bool) Poll {
+	call := Poll{Delay: pause, Complete: !c.have, AfterVersion: c.version, StaleAt: c.told}
 	wait, late := askWait, askLate
 	if c.set.Pushed {
 		wait, late = pushWait, c.set.DrainGrace/2
 	}
 	switch {
-	case !call.Whole && !atOnce:
+	case !call.Complete && !atOnce:
 		call.Wait = wait
 	case !c.set.Pushed:
 		late = askBusy
 	}
-	call.Within = call.Wait + late
+	call.Timeout = call.Wait + late
 	c.call, c.began = call, now+pause
 	return call
 }
 
 // rand is a number in [0, 1), for jitter (splitmix64).
-func (c *Clock) rand() float64 {
+func (c *Scheduler) rand() float64 {
 	c.random += 0x9e3779b97f4a7c15
 	z := c.random
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/listclock/listclock_test.go
+++ b/internal/listclock/listclock_test.go
@@ -10,7 +10,7 @@
 	sec = time.Second
 )
 
-func asked(gateways int, seed uint64) *Clock {
+func asked(gateways int, seed uint64) *Scheduler {
 	return New(Settings{Gateways: gateways, AskWithin: 10 * sec, DrainGrace: 500 * ms, Seed: seed})
 }
 
@@ -21,16 +21,16 @@
 	var other []time.Duration
 	for seed := range uint64(2) {
 		c, now := New(Settings{Gateways: 300, AskWithin: 500 * ms, Seed: seed + 1}), 0*sec
-		now += c.Handle(now, Start{Have: true, Version: 3}).Pause
+		now += c.Handle(now, Start{Have: true, Version: 3}).Delay
 		for i := range 200 {
 			call := c.Handle(now, Failed{})
-			if call.Pause > 4*500*ms {
-				t.Fatalf("not asked for %v", call.Pause)
+			if call.Delay > 4*500*ms {
+				t.Fatalf("not asked for %v", call.Delay)
 			}
-			if call.Told != 4*500*ms {
-				t.Fatalf("news count at %v, the first call was made at 0", call.Told)
+			if call.StaleAt != 4*500*ms {
+				t.Fatalf("news count at %v, the first call was made at 0", call.StaleAt)
 			}
-			now += call.Pause
+			now += call.Delay
 			if seed == 0 {
 				other = append(other, now)
 			} else if other[i] == now {
@@ -52,7 +52,7 @@
 			c := asked(gateways, uint64(i)+1)
 			c.Handle(0, Start{})
 			call := c.Handle(sec, Failed{})
-			least, most = min(least, call.Pause), max(most, call.Pause)
+			least, most = min(least, call.Delay), max(most, call.Delay)
 		}
 		want := min(max(failFirst, failEach*time.Duration(gateways)), apartFail)
 		if most-least < want*2/3 || least < failFirst/2 || most > ToldAfter/3 {
@@ -68,15 +68,15 @@
 		c := asked(300, seed)
 		watch := c.Handle(0, Start{Have: true, Version: 3})
 		counts := ToldAfter
-		call := c.Handle(watch.Within, Silent{})
-		times[(watch.Within+call.Pause).Truncate(25*ms)]++
-		if last := watch.Within + call.Pause + call.Within; last > counts+500*ms || call.Wait != 0 || call.Whole {
+		call := c.Handle(watch.Timeout, Silent{})
+		times[(watch.Timeout+call.Delay).Truncate(25*ms)]++
+		if last := watch.Timeout + call.Delay + call.Timeout; last > counts+500*ms || call.Wait != 0 || call.Complete {
 			t.Fatalf("%+v is made anew until %v, news count from %v on", call, last, counts)
 		}
-		if call.Told != counts {
-			t.Fatalf("news count from %v on, not %v", call.Told, counts)
+		if call.StaleAt != counts {
+			t.Fatalf("news count from %v on, not %v", call.StaleAt, counts)
 		}
-		if next := c.Handle(watch.Within+call.Pause+ms, Answered{Version: 3}); next.Wait != askWait || next.Pause != 0 || next.Told != 0 {
+		if next := c.Handle(watch.Timeout+call.Delay+ms, Answered{Version: 3}); next.Wait != askWait || next.Delay != 0 || next.StaleAt != 0 {
 			t.Fatalf("the watch goes on with %+v", next)
 		}
 	}
@@ -92,7 +92,7 @@
 	c, now, calls := asked(300, 5), 0*sec, 0
 	call := c.Handle(0, Start{Have: true})
 	for now < 60*sec {
-		now += call.Pause + call.Within
+		now += call.Delay + call.Timeout
 		calls++
 		call = c.Handle(now, Silent{})
 	}
@@ -105,17 +105,17 @@
 func TestCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		c := New(Settings{Pushed: pushed})
-		if call := c.Handle(0, Start{}); !call.Whole || call.Wait != 0 || call.Pause != 0 {
+		if call := c.Handle(0, Start{}); !call.Complete || call.Wait != 0 || call.Delay != 0 {
 			t.Errorf("pushed %v: begins with %+v", pushed, call)
 		}
 		call := c.Handle(sec, Answered{Version: 4, Whole: true})
-		if call.Whole || call.After != 4 || call.Wait == 0 || call.Pause != 0 {
+		if call.Complete || call.AfterVersion != 4 || call.Wait == 0 || call.Delay != 0 {
 			t.Errorf("pushed %v: goes on with %+v", pushed, call)
 		}
-		if call = c.Handle(sec+call.Wait, Answered{Version: 4}); call.Pause != 0 || call.After != 4 {
+		if call = c.Handle(sec+call.Wait, Answered{Version: 4}); call.Delay != 0 || call.AfterVersion != 4 {
 			t.Errorf("pushed %v: after a wait for nothing goes on with %+v", pushed, call)
 		}
-		if call = c.Handle(4*sec, Answered{Version: 2}); !call.Whole {
+		if call = c.Handle(4*sec, Answered{Version: 2}); !call.Complete {
 			t.Errorf("pushed %v: after changes to another list goes on with %+v", pushed, call)
 		}
 		if v, ok := c.Version(); ok {
--- a/internal/listclock/told_test.go
+++ b/internal/listclock/told_test.go
@@ -43,7 +43,7 @@
 }
 
 // call carries a call out that is sent at a time: what came of it and when, and with an answer when that was written.
-func (s *service) call(c Call, sent time.Duration) (ev Event, at, written time.Duration) {
+func (s *service) call(c Poll, sent time.Duration) (ev Event, at, written time.Duration) {
 	if a, is := s.awayAt(sent); is {
 		if a.refuses {
 			return Failed{}, sent + s.latency, 0
@@ -51,7 +51,7 @@
 		return Silent{}, sent + sec, 0 // it does not even connect
 	}
 	end := sent + c.Wait + s.latency
-	if !c.Whole && c.Wait > 0 {
+	if !c.Complete && c.Wait > 0 {
 		if at, ok := first(s.changes, sent, end); ok {
 			end = at + s.latency
 		}
@@ -61,13 +61,13 @@
 			if a.refuses {
 				return Failed{}, a.from + s.latency, 0
 			}
-			return Silent{}, sent + c.Within, 0
+			return Silent{}, sent + c.Timeout, 0
 		}
 	}
 	if _, ok := first(s.silence, sent, end); ok && c.Wait > 0 {
-		return Silent{}, sent + c.Within, 0
+		return Silent{}, sent + c.Timeout, 0
 	}
-	return Answered{Version: int64(end), Whole: c.Whole}, end, end - s.latency/2
+	return Answered{Version: int64(end), Whole: c.Complete}, end, end - s.latency/2
 }
 
 // Whatever becomes of calls, a change is known before it counts as told: 6 s after discovery had it and could be reached.
@@ -98,7 +98,7 @@
 		next := c.Handle(0, Start{Have: have})
 		known := make([]time.Duration, len(s.changes))
 		for now := time.Duration(0); now < 80*sec; {
-			ev, at, written := s.call(next, now+next.Pause)
+			ev, at, written := s.call(next, now+next.Delay)
 			if _, ok := ev.(Answered); ok {
 				for i, change := range s.changes {
 					if known[i] == 0 && change <= written {
@@ -131,14 +131,14 @@
 	for _, whole := range []bool{false, true} {
 		c := New(Settings{})
 		c.Handle(0, Start{Have: true, Version: 9})
-		if c.Takes(7, whole) || !c.Takes(9, whole) || !c.Takes(10, whole) {
-			t.Errorf("whole %v: takes 7 %v, 9 %v, 10 %v", whole, c.Takes(7, whole), c.Takes(9, whole), c.Takes(10, whole))
+		if c.Accepts(7, whole) || !c.Accepts(9, whole) || !c.Accepts(10, whole) {
+			t.Errorf("whole %v: takes 7 %v, 9 %v, 10 %v", whole, c.Accepts(7, whole), c.Accepts(9, whole), c.Accepts(10, whole))
 		}
 		call := c.Handle(sec, Answered{Version: 7, Whole: whole})
-		if !call.Whole || !c.Takes(7, true) || c.Takes(8, false) {
+		if !call.Complete || !c.Accepts(7, true) || c.Accepts(8, false) {
 			t.Errorf("whole %v: goes on with %+v", whole, call)
 		}
-		if c.Handle(2*sec, Answered{Version: 7, Whole: true}); !c.Takes(8, false) {
+		if c.Handle(2*sec, Answered{Version: 7, Whole: true}); !c.Accepts(8, false) {
 			t.Error("changes to the list that was asked for are not taken")
 		}
 	}
@@ -158,8 +158,8 @@
 // earlier stands in line again, behind the others, and may never be answered.
 func TestBusyServicesAreWaitedFor(t *testing.T) {
 	c := asked(300, 1)
-	for _, call := range []Call{c.Handle(0, Start{}), c.Handle(sec, Failed{}), c.Handle(4*sec, Silent{})} {
-		if call.Wait != 0 || call.Within <= 2*sec {
+	for _, call := range []Poll{c.Handle(0, Start{}), c.Handle(sec, Failed{}), c.Handle(4*sec, Silent{})} {
+		if call.Wait != 0 || call.Timeout <= 2*sec {
 			t.Errorf("%+v", call)
 		}
 	}
