--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -108,7 +108,7 @@
 		}
 		if l, ok := ev.Rules.(rules.EndpointList); ok && l.Mode != rules.ListCached && i.list != nil {
 			// The simulator goes on with a watch by itself: what comes is taken note of, and no call follows.
-			i.list.Handle(batch.Now, listclock.Answered{Whole: true})
+			i.list.Handle(batch.Now, listclock.ListReceived{Complete: true})
 		}
 		for _, a := range i.rules.Handle(batch.Now, ev.Rules) {
 			reply = wire.AppendAction(reply, ev.Instance, a)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -68,7 +68,7 @@
 func (w *Watcher) begin(known *Members) listclock.Poll {
 	start := listclock.Start{}
 	if known != nil && len(known.Servers) > 0 {
-		start = listclock.Start{Have: true, Version: known.Version}
+		start = listclock.Start{HasList: true, Version: known.Version}
 	}
 	return w.clock.Handle(w.now(), start)
 }
@@ -130,7 +130,7 @@
 		var next listclock.Poll
 		if errors.Is(err, errSilent) {
 			w.client.CloseIdleConnections()
-			next = w.clock.Handle(w.now(), listclock.Silent{})
+			next = w.clock.Handle(w.now(), listclock.TimedOut{})
 		} else {
 			next = w.clock.Handle(w.now(), listclock.Failed{})
 		}
@@ -153,7 +153,7 @@
 	} else {
 		w.logger.Warn("list not taken: it is older than the one held, or changes to another", "addr", w.asked, "version", m.Version)
 	}
-	return w.clock.Handle(w.now(), listclock.Answered{Version: m.Version, Whole: m.Full})
+	return w.clock.Handle(w.now(), listclock.ListReceived{Version: m.Version, Complete: m.Full})
 }
 
 // complain logs a call that brought nothing, and once for each outage that news may count as told which are not here.
--- a/internal/listclock/digest_test.go
+++ b/internal/listclock/digest_test.go
@@ -71,14 +71,14 @@
 	case "start":
 		have, version := s.rnd.IntN(2) == 0, s.version()
 		fmt.Fprintf(s.out, "start have=%t version=%d", have, version)
-		return Start{Have: have, Version: version}
+		return Start{HasList: have, Version: version}
 	case "answered":
 		version, whole := s.version(), s.rnd.IntN(2) == 0
 		fmt.Fprintf(s.out, "answered version=%d whole=%t", version, whole)
-		return Answered{Version: version, Whole: whole}
+		return ListReceived{Version: version, Complete: whole}
 	case "silent":
 		io.WriteString(s.out, "silent")
-		return Silent{}
+		return TimedOut{}
 	}
 	io.WriteString(s.out, "failed")
 	return Failed{}
--- a/internal/listclock/listclock.go
+++ b/internal/listclock/listclock.go
@@ -54,24 +54,24 @@
 	// Start begins: the program has started, or there is another address to ask. Version is of the list that is held from
 	// there; without Have none is, and the whole list is asked for.
 	Start struct {
-		Have    bool
+		HasList bool
 		Version int64
 	}
-	// Answered says that the call brought a list, whole or changes.
-	Answered struct {
-		Version int64
-		Whole   bool
+	// ListReceived says that the call brought a list, whole or changes.
+	ListReceived struct {
+		Version  int64
+		Complete bool
 	}
-	// Silent says that no whole answer came in the time that the call had.
-	Silent struct{}
+	// TimedOut says that no whole answer came in the time that the call had.
+	TimedOut struct{}
 	// Failed says that the call ended in any other way: refused, cut, turned away, or with what is no list.
 	Failed struct{}
 )
 
-func (Start) event()    {}
-func (Answered) event() {}
-func (Silent) event()   {}
-func (Failed) event()   {}
+func (Start) event()        {}
+func (ListReceived) event() {}
+func (TimedOut) event()     {}
+func (Failed) event()       {}
 
 // Poll is the next call to make. Exactly one follows each event.
 type Poll struct {
@@ -124,21 +124,21 @@
 func (c *Scheduler) Handle(now time.Duration, ev Event) Poll {
 	switch ev := ev.(type) {
 	case Start:
-		c.have, c.version = ev.Have, ev.Version
+		c.have, c.version = ev.HasList, ev.Version
 		c.silent, c.failing, c.heard, c.told = 0, 0, now, 0
 		// An agent answers at once, so that what it holds is known before the first wait. Discovery is shared: a call that
 		// waits brings what is new just as soon.
 		return c.next(now, 0, c.set.Pushed)
-	case Answered:
+	case ListReceived:
 		return c.answered(now, ev)
-	case Silent:
+	case TimedOut:
 		return c.fellSilent(now)
 	}
 	return c.failed(now)
 }
 
-func (c *Scheduler) answered(now time.Duration, ev Answered) Poll {
-	if !c.Accepts(ev.Version, ev.Whole) {
+func (c *Scheduler) answered(now time.Duration, ev ListReceived) Poll {
+	if !c.Accepts(ev.Version, ev.Complete) {
 		c.have = false
 		return c.next(now, c.distance(), true)
 	}
--- a/internal/listclock/listclock_test.go
+++ b/internal/listclock/listclock_test.go
@@ -21,7 +21,7 @@
 	var other []time.Duration
 	for seed := range uint64(2) {
 		c, now := New(Settings{Gateways: 300, AskWithin: 500 * ms, Seed: seed + 1}), 0*sec
-		now += c.Handle(now, Start{Have: true, Version: 3}).Delay
+		now += c.Handle(now, Start{HasList: true, Version: 3}).Delay
 		for i := range 200 {
 			call := c.Handle(now, Failed{})
 			if call.Delay > 4*500*ms {
@@ -66,9 +66,9 @@
 	times := map[time.Duration]int{}
 	for seed := range uint64(300) {
 		c := asked(300, seed)
-		watch := c.Handle(0, Start{Have: true, Version: 3})
+		watch := c.Handle(0, Start{HasList: true, Version: 3})
 		counts := ToldAfter
-		call := c.Handle(watch.Timeout, Silent{})
+		call := c.Handle(watch.Timeout, TimedOut{})
 		times[(watch.Timeout+call.Delay).Truncate(25*ms)]++
 		if last := watch.Timeout + call.Delay + call.Timeout; last > counts+500*ms || call.Wait != 0 || call.Complete {
 			t.Fatalf("%+v is made anew until %v, news count from %v on", call, last, counts)
@@ -76,7 +76,7 @@
 		if call.StaleAt != counts {
 			t.Fatalf("news count from %v on, not %v", call.StaleAt, counts)
 		}
-		if next := c.Handle(watch.Timeout+call.Delay+ms, Answered{Version: 3}); next.Wait != askWait || next.Delay != 0 || next.StaleAt != 0 {
+		if next := c.Handle(watch.Timeout+call.Delay+ms, ListReceived{Version: 3}); next.Wait != askWait || next.Delay != 0 || next.StaleAt != 0 {
 			t.Fatalf("the watch goes on with %+v", next)
 		}
 	}
@@ -90,11 +90,11 @@
 // Where discovery says nothing to anyone, it is not called without pause.
 func TestASilentServiceIsLeftAlone(t *testing.T) {
 	c, now, calls := asked(300, 5), 0*sec, 0
-	call := c.Handle(0, Start{Have: true})
+	call := c.Handle(0, Start{HasList: true})
 	for now < 60*sec {
 		now += call.Delay + call.Timeout
 		calls++
-		call = c.Handle(now, Silent{})
+		call = c.Handle(now, TimedOut{})
 	}
 	if calls > 30 {
 		t.Errorf("%d calls in a minute", calls)
@@ -108,14 +108,14 @@
 		if call := c.Handle(0, Start{}); !call.Complete || call.Wait != 0 || call.Delay != 0 {
 			t.Errorf("pushed %v: begins with %+v", pushed, call)
 		}
-		call := c.Handle(sec, Answered{Version: 4, Whole: true})
+		call := c.Handle(sec, ListReceived{Version: 4, Complete: true})
 		if call.Complete || call.AfterVersion != 4 || call.Wait == 0 || call.Delay != 0 {
 			t.Errorf("pushed %v: goes on with %+v", pushed, call)
 		}
-		if call = c.Handle(sec+call.Wait, Answered{Version: 4}); call.Delay != 0 || call.AfterVersion != 4 {
+		if call = c.Handle(sec+call.Wait, ListReceived{Version: 4}); call.Delay != 0 || call.AfterVersion != 4 {
 			t.Errorf("pushed %v: after a wait for nothing goes on with %+v", pushed, call)
 		}
-		if call = c.Handle(4*sec, Answered{Version: 2}); !call.Complete {
+		if call = c.Handle(4*sec, ListReceived{Version: 2}); !call.Complete {
 			t.Errorf("pushed %v: after changes to another list goes on with %+v", pushed, call)
 		}
 		if v, ok := c.Version(); ok {
--- a/internal/listclock/told_test.go
+++ b/internal/listclock/told_test.go
@@ -48,7 +48,7 @@
 		if a.refuses {
 			return Failed{}, sent + s.latency, 0
 		}
-		return Silent{}, sent + sec, 0 // it does not even connect
+		return TimedOut{}, sent + sec, 0 // it does not even connect
 	}
 	end := sent + c.Wait + s.latency
 	if !c.Complete && c.Wait > 0 {
@@ -61,13 +61,13 @@
 			if a.refuses {
 				return Failed{}, a.from + s.latency, 0
 			}
-			return Silent{}, sent + c.Timeout, 0
+			return TimedOut{}, sent + c.Timeout, 0
 		}
 	}
 	if _, ok := first(s.silence, sent, end); ok && c.Wait > 0 {
-		return Silent{}, sent + c.Timeout, 0
+		return TimedOut{}, sent + c.Timeout, 0
 	}
-	return Answered{Version: int64(end), Whole: c.Complete}, end, end - s.latency/2
+	return ListReceived{Version: int64(end), Complete: c.Complete}, end, end - s.latency/2
 }
 
 // Whatever becomes of calls, a change is known before it counts as told: 6 s after discovery had it and could be reached.
@@ -95,11 +95,11 @@
 		}
 		c := New(set)
 		have := rapid.Bool().Draw(t, "have")
-		next := c.Handle(0, Start{Have: have})
+		next := c.Handle(0, Start{HasList: have})
 		known := make([]time.Duration, len(s.changes))
 		for now := time.Duration(0); now < 80*sec; {
 			ev, at, written := s.call(next, now+next.Delay)
-			if _, ok := ev.(Answered); ok {
+			if _, ok := ev.(ListReceived); ok {
 				for i, change := range s.changes {
 					if known[i] == 0 && change <= written {
 						known[i] = at
@@ -130,15 +130,15 @@
 func TestAStaleListIsAskedForAgain(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		c := New(Settings{})
-		c.Handle(0, Start{Have: true, Version: 9})
+		c.Handle(0, Start{HasList: true, Version: 9})
 		if c.Accepts(7, whole) || !c.Accepts(9, whole) || !c.Accepts(10, whole) {
 			t.Errorf("whole %v: takes 7 %v, 9 %v, 10 %v", whole, c.Accepts(7, whole), c.Accepts(9, whole), c.Accepts(10, whole))
 		}
-		call := c.Handle(sec, Answered{Version: 7, Whole: whole})
+		call := c.Handle(sec, ListReceived{Version: 7, Complete: whole})
 		if !call.Complete || !c.Accepts(7, true) || c.Accepts(8, false) {
 			t.Errorf("whole %v: goes on with %+v", whole, call)
 		}
-		if c.Handle(2*sec, Answered{Version: 7, Whole: true}); !c.Accepts(8, false) {
+		if c.Handle(2*sec, ListReceived{Version: 7, Complete: true}); !c.Accepts(8, false) {
 			t.Error("changes to the list that was asked for are not taken")
 		}
 	}
@@ -158,7 +158,7 @@
 // earlier stands in line again, behind the others, and may never be answered.
 func TestBusyServicesAreWaitedFor(t *testing.T) {
 	c := asked(300, 1)
-	for _, call := range []Poll{c.Handle(0, Start{}), c.Handle(sec, Failed{}), c.Handle(4*sec, Silent{})} {
+	for _, call := range []Poll{c.Handle(0, Start{}), c.Handle(sec, Failed{}), c.Handle(4*sec, TimedOut{})} {
 		if call.Wait != 0 || call.Timeout <= 2*sec {
 			t.Errorf("%+v", call)
 		}
