--- a/config/config_test.go
+++ b/config/config_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Rules.Seed != 0x8c1f30d27a5be964 || c.Rules.Gateways != 3 || c.Rules.MaxAttempts != 5 ||
-		c.List.Pushed || c.Rules.FlowRetention != 6449143*time.Microsecond || len(c.Rules.Classes) != 1 ||
+		c.List.LocalAgent || c.Rules.FlowRetention != 6449143*time.Microsecond || len(c.Rules.Classes) != 1 ||
 		c.Rules.Classes[0].MessageLatencyObjective != 60*time.Millisecond || c.Rules.MaxRetryAfter != 2*time.Second {
 		t.Errorf("rules read as %+v", c.Rules)
 	}
@@ -123,8 +123,8 @@
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"ask"}}`:  true,
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"push"}}`: false,
 	} {
-		if c, err := Parse([]byte(text), none); err != nil || c.List.Pushed == want {
-			t.Errorf("%s: %v, pushed %v", text, err, c.List.Pushed)
+		if c, err := Parse([]byte(text), none); err != nil || c.List.LocalAgent == want {
+			t.Errorf("%s: %v, pushed %v", text, err, c.List.LocalAgent)
 		}
 	}
 }
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -60,7 +60,7 @@
 		fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
 	}
 	fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%016x\n",
-		c.List.Pushed, c.List.Gateways, c.List.AskWithin, c.List.DrainGrace, c.List.Seed)
+		c.List.LocalAgent, c.List.Gateways, c.List.MaxPollInterval, c.List.DrainGrace, c.List.Seed)
 	n := c.Node
 	fmt.Fprintf(b, "node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
 		n.ConnectTimeout, n.Pass, n.TellsDelay, n.TellsLoad, n.Probes, n.MessageAim, n.AnswerSlack, n.LongestWait)
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -54,11 +54,11 @@
 		"another address": {moved: true},
 	} {
 		for _, set := range []listclock.Settings{
-			{Gateways: 300, AskWithin: 10 * time.Second, DrainGrace: 500 * time.Millisecond, Seed: 5},
-			{Gateways: 3, Pushed: true, DrainGrace: 250 * time.Millisecond},
+			{Gateways: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, Seed: 5},
+			{Gateways: 3, LocalAgent: true, DrainGrace: 250 * time.Millisecond},
 		} {
 			for name, end := range ends {
-				t.Run(fmt.Sprint(name, ", then ", next, ", pushed ", set.Pushed), func(t *testing.T) {
+				t.Run(fmt.Sprint(name, ", then ", next, ", pushed ", set.LocalAgent), func(t *testing.T) {
 					play(t, set, func(p *service) {
 						var broke atomic.Int64 // when the watch did; handlers of calls run side by side
 						var told atomic.Bool
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -131,7 +131,7 @@
 		io.WriteString(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	defer s.Close()
-	w := New(strings.TrimPrefix(s.URL, "http://"), listclock.Settings{Pushed: true}, func() time.Duration { return 0 }, slog.New(slog.DiscardHandler))
+	w := New(strings.TrimPrefix(s.URL, "http://"), listclock.Settings{LocalAgent: true}, func() time.Duration { return 0 }, slog.New(slog.DiscardHandler))
 	call := listclock.Poll{AfterVersion: 1, Timeout: time.Second}
 	for b.Loop() {
 		if _, err := w.carryOut(b.Context(), call); err != nil {
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -353,9 +353,9 @@
 	const complete = `{"version":41,"full":true,"servers":[{"id":"s-00000001","addr":"10.0.0.1:1","state":"in_service"}]}`
 	const delta = `{"version":42,"full":false,"servers":[{"id":"s-00000002","state":"terminating"}]}`
 	known := &Members{Version: 40, Servers: []Member{{ID: "s-00000001"}}}
-	asked := listclock.Settings{Gateways: 1, AskWithin: time.Millisecond, DrainGrace: 2 * time.Second, Seed: 1}
-	pushed := listclock.Settings{Pushed: true, DrainGrace: 2 * time.Second}
-	quick := listclock.Settings{Pushed: true, DrainGrace: 600 * time.Millisecond}
+	asked := listclock.Settings{Gateways: 1, MaxPollInterval: time.Millisecond, DrainGrace: 2 * time.Second, Seed: 1}
+	pushed := listclock.Settings{LocalAgent: true, DrainGrace: 2 * time.Second}
+	quick := listclock.Settings{LocalAgent: true, DrainGrace: 600 * time.Millisecond}
 	raw := func(text string) step { return step{raw: text} }
 	last := func(text string) step { return step{raw: text, shut: true} }
 	var got bytes.Buffer
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -155,11 +155,11 @@
 func TestWhatASilentWatchMissedIsKnownInTime(t *testing.T) {
 	const news = 500 * time.Millisecond // after the watch fell silent
 	for _, set := range []listclock.Settings{
-		{Gateways: 300, AskWithin: 10 * time.Second, DrainGrace: 500 * time.Millisecond, Seed: 3},
-		{Gateways: 3, Pushed: true, DrainGrace: 250 * time.Millisecond},
+		{Gateways: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, Seed: 3},
+		{Gateways: 3, LocalAgent: true, DrainGrace: 250 * time.Millisecond},
 	} {
 		for name, silence := range silences {
-			t.Run(fmt.Sprint(name, " pushed ", set.Pushed), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, " pushed ", set.LocalAgent), func(t *testing.T) {
 				play(t, set, func(p *service) {
 					var since, counts atomic.Int64
 					p.answer = func(w http.ResponseWriter, r *http.Request) {
@@ -190,7 +190,7 @@
 
 // A pushed list is fetched without being asked for, news of it are there at once, and after an outage in one call.
 func TestPushedListsAreFetched(t *testing.T) {
-	set := listclock.Settings{Pushed: true, DrainGrace: 250 * time.Millisecond}
+	set := listclock.Settings{LocalAgent: true, DrainGrace: 250 * time.Millisecond}
 	for name, out := range silences {
 		t.Run(name, func(t *testing.T) {
 			play(t, set, func(p *service) {
@@ -230,7 +230,7 @@
 
 // A new process beside an agent that says nothing has the list as soon as there is one.
 func TestAStartBesideASilentAgent(t *testing.T) {
-	play(t, listclock.Settings{Pushed: true, DrainGrace: 250 * time.Millisecond}, func(p *service) {
+	play(t, listclock.Settings{LocalAgent: true, DrainGrace: 250 * time.Millisecond}, func(p *service) {
 		p.answer = func(w http.ResponseWriter, r *http.Request) {
 			if p.at() < 3*time.Second {
 				<-p.hanging
@@ -249,7 +249,7 @@
 func TestAnotherAddressDuringASilence(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for name, silence := range silences {
-			play(t, listclock.Settings{Pushed: pushed, Gateways: 300}, func(p *service) {
+			play(t, listclock.Settings{LocalAgent: pushed, Gateways: 300}, func(p *service) {
 				p.answer = func(w http.ResponseWriter, r *http.Request) {
 					switch {
 					case r.Host == "b.example:1" && r.URL.RawQuery == "":
@@ -275,7 +275,7 @@
 // Changes to a list that is not held are not gone by, and the whole is asked for.
 func TestChangesToAnotherVersion(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		play(t, listclock.Settings{Pushed: pushed}, func(p *service) {
+		play(t, listclock.Settings{LocalAgent: pushed}, func(p *service) {
 			p.answer = func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.RawQuery == "" {
 					io.WriteString(w, listOf(3, "s-00000003"))
@@ -296,7 +296,7 @@
 func TestAnswersWithoutAWaitKeepADistance(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, body := range []string{listOf(1, "s-00000001"), `{"version":1,"full":false,"servers":[]}`} {
-			play(t, listclock.Settings{Pushed: pushed, DrainGrace: 250 * time.Millisecond}, func(p *service) {
+			play(t, listclock.Settings{LocalAgent: pushed, DrainGrace: 250 * time.Millisecond}, func(p *service) {
 				p.answer = func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }
 				p.start(&Members{Version: 1, Servers: []Member{{ID: "s-00000001"}}})
 				time.Sleep(10 * time.Second)
--- a/internal/listclock/digest_test.go
+++ b/internal/listclock/digest_test.go
@@ -28,9 +28,9 @@
 // drawnSettings covers both modes, every default and the bounds that depend on the number of gateways.
 func drawnSettings(rnd *rand.Rand) Settings {
 	return Settings{
-		Pushed:   rnd.IntN(2) == 0,
-		Gateways: pick(rnd, -1, 0, 1, 2, 3, 4, 9, 10, 11, 36, 249, 250, 251, 300, 1000, 5000),
-		AskWithin: pick(rnd, 0, 0, 90*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond, time.Second,
+		LocalAgent: rnd.IntN(2) == 0,
+		Gateways:   pick(rnd, -1, 0, 1, 2, 3, 4, 9, 10, 11, 36, 249, 250, 251, 300, 1000, 5000),
+		MaxPollInterval: pick(rnd, 0, 0, 90*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond, time.Second,
 			1499*time.Millisecond, 1500*time.Millisecond, 10*time.Second, 30*time.Second),
 		DrainGrace: pick(rnd, -time.Second, 0, 7*time.Nanosecond, 50*time.Millisecond, 250*time.Millisecond,
 			499*time.Millisecond, 500*time.Millisecond, 501*time.Millisecond, 2*time.Second),
@@ -120,7 +120,7 @@
 	rnd := rand.New(rand.NewPCG(seed, 0x6c697374))
 	set := drawnSettings(rnd)
 	fmt.Fprintf(h, "pushed=%t gateways=%d within=%d grace=%d seed=%d\n",
-		set.Pushed, set.Gateways, int64(set.AskWithin), int64(set.DrainGrace), set.Seed)
+		set.LocalAgent, set.Gateways, int64(set.MaxPollInterval), int64(set.DrainGrace), set.Seed)
 	s := &stream{out: h, rnd: rnd, clock: New(set)}
 	s.run()
 	return hex.EncodeToString(h.Sum(nil))[:16]
--- a/internal/listclock/listclock.go
+++ b/internal/listclock/listclock.go
@@ -40,11 +40,11 @@
 
 // Settings are what the clock goes by. Zero values have the stated meaning.
 type Settings struct {
-	Pushed     bool          // an agent beside the gateway holds what it was sent, and is asked at no price
-	Gateways   int           // that share discovery; 0 is taken as 1
-	AskWithin  time.Duration // where discovery is asked: who has not called for this long counts as told; 0: no such rule
-	DrainGrace time.Duration // sends to a drained server stop within this after it counts as told; 0: 250 ms
-	Seed       uint64        // for jitter
+	LocalAgent      bool          // an agent beside the gateway holds what it was sent, and is asked at no price
+	Gateways        int           // that share discovery; 0 is taken as 1
+	MaxPollInterval time.Duration // where discovery is asked: who has not called for this long counts as told; 0: no such rule
+	DrainGrace      time.Duration // sends to a drained server stop within this after it counts as told; 0: 250 ms
+	Seed            uint64        // for jitter
 }
 
 // Event is what the clock is told. The concrete types are those below.
@@ -128,7 +128,7 @@
 		c.silent, c.failing, c.heard, c.told = 0, 0, now, 0
 		// An agent answers at once, so that what it holds is known before the first wait. Discovery is shared: a call that
 		// waits brings what is new just as soon.
-		return c.next(now, 0, c.set.Pushed)
+		return c.next(now, 0, c.set.LocalAgent)
 	case ListReceived:
 		return c.answered(now, ev)
 	case TimedOut:
@@ -162,7 +162,7 @@
 	c.told = c.heard + ToldAfter
 	c.silent++
 	switch {
-	case c.set.Pushed:
+	case c.set.LocalAgent:
 		return c.next(now, c.set.DrainGrace/10, true)
 	case c.silent == 1:
 		apart := min(time.Duration(c.set.Gateways)*apartEach, apartMost)
@@ -172,12 +172,12 @@
 }
 
 func (c *Scheduler) failed(now time.Duration) Poll {
-	if c.set.Pushed {
+	if c.set.LocalAgent {
 		return c.next(now, c.set.DrainGrace/10, true)
 	}
 	c.told = c.heard + ToldAfter
-	if c.set.AskWithin > 0 {
-		c.told = min(c.told, c.heard+failedStandsFor*c.set.AskWithin)
+	if c.set.MaxPollInterval > 0 {
+		c.told = min(c.told, c.heard+failedStandsFor*c.set.MaxPollInterval)
 	}
 	return c.backOff(now)
 }
@@ -189,13 +189,13 @@
 		c.failing = failFirst
 	}
 	spread := min(max(c.failing, time.Duration(c.set.Gateways)*failEach), apartFail)
-	if c.set.AskWithin > 0 {
-		spread = min(spread, c.set.AskWithin)
+	if c.set.MaxPollInterval > 0 {
+		spread = min(spread, c.set.MaxPollInterval)
 	}
 	wait := c.failing/2 + time.Duration(c.rand()*float64(spread))
 	c.failing = min(2*c.failing, failMost)
-	if c.set.AskWithin > 0 {
-		c.failing = min(c.failing, 2*c.set.AskWithin)
+	if c.set.MaxPollInterval > 0 {
+		c.failing = min(c.failing, 2*c.set.MaxPollInterval)
 	}
 	return c.next(now, wait, true)
 }
@@ -204,13 +204,13 @@
 func (c *Scheduler) next(now, pause time.Duration, atOnce bool) Poll {
 	call := Poll{Delay: pause, Complete: !c.have, AfterVersion: c.version, StaleAt: c.told}
 	wait, late := askWait, askLate
-	if c.set.Pushed {
+	if c.set.LocalAgent {
 		wait, late = pushWait, c.set.DrainGrace/2
 	}
 	switch {
 	case !call.Complete && !atOnce:
 		call.Wait = wait
-	case !c.set.Pushed:
+	case !c.set.LocalAgent:
 		late = askBusy
 	}
 	call.Timeout = call.Wait + late
--- a/internal/listclock/listclock_test.go
+++ b/internal/listclock/listclock_test.go
@@ -11,7 +11,7 @@
 )
 
 func asked(gateways int, seed uint64) *Scheduler {
-	return New(Settings{Gateways: gateways, AskWithin: 10 * sec, DrainGrace: 500 * ms, Seed: seed})
+	return New(Settings{Gateways: gateways, MaxPollInterval: 10 * sec, DrainGrace: 500 * ms, Seed: seed})
 }
 
 // Calls that fail are made again often enough that a drain which is listed meanwhile does not count as told, at times that
@@ -20,7 +20,7 @@
 	together := 0
 	var other []time.Duration
 	for seed := range uint64(2) {
-		c, now := New(Settings{Gateways: 300, AskWithin: 500 * ms, Seed: seed + 1}), 0*sec
+		c, now := New(Settings{Gateways: 300, MaxPollInterval: 500 * ms, Seed: seed + 1}), 0*sec
 		now += c.Handle(now, Start{HasList: true, Version: 3}).Delay
 		for i := range 200 {
 			call := c.Handle(now, Failed{})
@@ -104,7 +104,7 @@
 // A watch goes on: the call after an answer comes without a pause, and a start without a list asks for the whole.
 func TestCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		c := New(Settings{Pushed: pushed})
+		c := New(Settings{LocalAgent: pushed})
 		if call := c.Handle(0, Start{}); !call.Complete || call.Wait != 0 || call.Delay != 0 {
 			t.Errorf("pushed %v: begins with %+v", pushed, call)
 		}
--- a/internal/listclock/told_test.go
+++ b/internal/listclock/told_test.go
@@ -78,8 +78,8 @@
 			return time.Duration(rapid.Int64Range(int64(from), int64(to)).Draw(t, label))
 		}
 		s := &service{latency: between(ms, 300*ms, "latency")}
-		set := Settings{Gateways: rapid.SampledFrom([]int{1, 3, 30, 300}).Draw(t, "gateways"), AskWithin: 10 * sec,
-			DrainGrace: between(200*ms, 800*ms, "grace"), Seed: rapid.Uint64().Draw(t, "seed"), Pushed: pushed}
+		set := Settings{Gateways: rapid.SampledFrom([]int{1, 3, 30, 300}).Draw(t, "gateways"), MaxPollInterval: 10 * sec,
+			DrainGrace: between(200*ms, 800*ms, "grace"), Seed: rapid.Uint64().Draw(t, "seed"), LocalAgent: pushed}
 		if pushed {
 			s.latency = between(0, 20*ms, "latency of an agent")
 		}
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -54,7 +54,7 @@
 	if l, err := p.List(); err != nil {
 		fmt.Fprintf(b, "list: %v\n", err)
 	} else {
-		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", l.Pushed, l.Gateways, l.AskWithin, l.DrainGrace, l.Seed)
+		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", l.LocalAgent, l.Gateways, l.MaxPollInterval, l.DrainGrace, l.Seed)
 	}
 	if n, err := p.Node(); err != nil {
 		fmt.Fprintf(b, "node: %v\n", err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -97,12 +97,12 @@
 func (p Pairs) List() (listclock.Settings, error) {
 	d := decoder{p: p}
 	s := listclock.Settings{
-		Gateways: int(d.integer("replicas_of_me")), AskWithin: d.time("rules.ask_within_ns"),
+		Gateways: int(d.integer("replicas_of_me")), MaxPollInterval: d.time("rules.ask_within_ns"),
 		DrainGrace: d.time("rules.stop_sending_within_ns"), Seed: uint64(d.integer("init_seed")),
 	}
 	switch p["discovery"] {
 	case "push":
-		s.Pushed = true
+		s.LocalAgent = true
 	case "", "ask", null:
 	default:
 		d.fail("discovery", "ask or push")
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -212,9 +212,9 @@
 
 func (w *fieldWriter) list(s listclock.Settings) {
 	w.WriteString(" [list")
-	w.add("pushed", s.Pushed)
+	w.add("pushed", s.LocalAgent)
 	w.add("gateways", s.Gateways)
-	w.duration("ask within", s.AskWithin)
+	w.duration("ask within", s.MaxPollInterval)
 	w.duration("drain grace", s.DrainGrace)
 	w.add("seed", s.Seed)
 	w.WriteString("]")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -79,7 +79,7 @@
 	if len(got) != 1 || !reflect.DeepEqual(&got[0].Start.Rules, want) {
 		t.Errorf("got  %+v\nwant %+v", got[0].Start.Rules, want)
 	}
-	if l := got[0].Start.List; !got[0].Start.Asks || l.Pushed || l.Gateways != 3 || l.AskWithin != 4*ms {
+	if l := got[0].Start.List; !got[0].Start.Asks || l.LocalAgent || l.Gateways != 3 || l.MaxPollInterval != 4*ms {
 		t.Errorf("the list's clock goes by %+v", l)
 	}
 }
