--- a/config/config.go
+++ b/config/config.go
@@ -79,7 +79,7 @@
 	Passed    int    // the descriptor of a listening socket that the platform holds; 0: there is none
 	State     string // a folder for what the next process should know; empty: there is none
 	Limits    Limits
-	Known     *discovery.Members // the list as last held; nil: none
+	Known     *discovery.EndpointList // the list as last held; nil: none
 	Rules     rules.Settings
 	List      listclock.Settings
 	Node      settings.Node
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -40,8 +40,8 @@
 	if c.Known == nil {
 		fmt.Fprintf(b, "known: none\n")
 	} else {
-		fmt.Fprintf(b, "known version=%d full=%t\n", c.Known.Version, c.Known.Full)
-		for _, s := range c.Known.Servers {
+		fmt.Fprintf(b, "known version=%d full=%t\n", c.Known.Version, c.Known.Complete)
+		for _, s := range c.Known.Endpoints {
 			fmt.Fprintf(b, "server id=%q addr=%q zone=%q kind=%q cell=%d state=%q weight=%g started_ms=%d\n",
 				s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMS)
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -299,7 +299,7 @@
 	// The rules start with the list as last held; a newer one is asked for meanwhile.
 	stored := engine.EndpointList{Mode: rules.ListCached}
 	if g.config.Known != nil {
-		stored = g.config.Known.List(rules.ListCached)
+		stored = g.config.Known.EngineList(rules.ListCached)
 	}
 	// Before any client: no server is used that staff took out, and what the process before knows is known.
 	g.bans.Look()
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -60,7 +60,7 @@
 	begun := sync.OnceFunc(func() { close(first) })
 	wg.Go(func() {
 		defer begun()
-		c.Recover(ctx, func(hint *discovery.Members) {
+		c.Recover(ctx, func(hint *discovery.EndpointList) {
 			defer begun()
 			mu.Lock()
 			defer mu.Unlock()
@@ -69,7 +69,7 @@
 			}
 			l := stored
 			if hint != nil {
-				l = hint.List(rules.ListCached)
+				l = hint.EngineList(rules.ListCached)
 			}
 			g.post(l)
 		})
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -35,7 +35,7 @@
 	g.before = &r
 	g.bans.Listed(r.Known)
 	if known := g.config.Known; len(r.State.Servers) > 0 && (known == nil || r.State.Version > known.Version) {
-		g.config.Known = discovery.MembersOf(r.State.Version, r.State.Servers)
+		g.config.Known = discovery.NewEndpointList(r.State.Version, r.State.Servers)
 	}
 	g.logger.Info("follows", "pid", r.Process.PID, "written", r.Written, "list", r.State.Version, "open", len(r.State.Flows))
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -59,12 +59,12 @@
 	serving  time.Duration // since when; 0: it recovers
 	version  int64
 	told     time.Duration // when the list came
-	servers  map[string]discovery.Member
+	servers  map[string]discovery.Endpoint
 	stored   uint64 // records
 	dirty    chan struct{}
 	recovery *recovery.Recovery
 	answers  map[string]*answer
-	lists    map[string][]discovery.Member // whole ones that peers told
+	lists    map[string][]discovery.Endpoint // whole ones that peers told
 	decided  chan recovery.Decision
 	tiers    *tiers.Tiers // nil: none are named
 	digests  uint64       // that were told
@@ -73,7 +73,7 @@
 // record is a list on the disk.
 type record struct {
 	AtMS int64 `json:"at"`
-	discovery.Members
+	discovery.EndpointList
 }
 
 // Start reads the disk, begins a life and joins the peers. A damaged store is put aside and named, and does not keep the
@@ -82,8 +82,8 @@
 	if o.Disk == nil {
 		o.Disk = store.Disk{}
 	}
-	c := &Cluster{opts: o, began: o.Clock(), servers: map[string]discovery.Member{}, dirty: make(chan struct{}, 1),
-		answers: map[string]*answer{}, lists: map[string][]discovery.Member{}, decided: make(chan recovery.Decision, 64)}
+	c := &Cluster{opts: o, began: o.Clock(), servers: map[string]discovery.Endpoint{}, dirty: make(chan struct{}, 1),
+		answers: map[string]*answer{}, lists: map[string][]discovery.Endpoint{}, decided: make(chan recovery.Decision, 64)}
 	if o.Ranks > 0 {
 		c.tiers = tiers.New(tiers.Settings{Ranks: o.Ranks, Floor: o.Floor})
 	}
@@ -147,13 +147,13 @@
 		return v
 	}
 	c.version, c.told = r.Version, time.Duration(r.AtMS)*time.Millisecond
-	for _, s := range r.Servers {
+	for _, s := range r.Endpoints {
 		c.servers[s.ID] = s
 	}
-	return c.voice(r.Servers, c.version, c.told)
+	return c.voice(r.Endpoints, c.version, c.told)
 }
 
-func (c *Cluster) voice(servers []discovery.Member, version int64, at time.Duration) recovery.Voice {
+func (c *Cluster) voice(servers []discovery.Endpoint, version int64, at time.Duration) recovery.Voice {
 	v := recovery.Voice{Version: version, Hash: hashOf(servers), At: at}
 	for _, s := range servers {
 		v.Servers = append(v.Servers, recovery.Server{ID: s.ID, Started: time.Duration(s.StartedMS) * time.Millisecond})
@@ -176,7 +176,7 @@
 // Recover asks peers and hands over the list to begin with, within Options.Wait: nil is none. Until discovery tells a list
 // it goes on asking those that have not answered, and hands over another where their answers change the first. It returns
 // when discovery has told, or when ctx is done.
-func (c *Cluster) Recover(ctx context.Context, hint func(*discovery.Members)) {
+func (c *Cluster) Recover(ctx context.Context, hint func(*discovery.EndpointList)) {
 	tick := time.NewTicker(askEvery)
 	defer tick.Stop()
 	for {
@@ -208,7 +208,7 @@
 }
 
 // adopt makes a decision the list that this instance holds.
-func (c *Cluster) adopt(d recovery.Decision) *discovery.Members {
+func (c *Cluster) adopt(d recovery.Decision) *discovery.EndpointList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Clock()
@@ -231,7 +231,7 @@
 			servers = append(servers, c.servers[id])
 		}
 	}
-	hint := &discovery.Members{Version: d.Version, Full: true}
+	hint := &discovery.EndpointList{Version: d.Version, Complete: true}
 	for _, s := range servers {
 		if slices.Contains(d.Avoid, s.ID) {
 			continue
@@ -240,7 +240,7 @@
 		if d.AllCold {
 			s.StartedMS = max(s.StartedMS, c.began.Milliseconds())
 		}
-		hint.Servers = append(hint.Servers, s)
+		hint.Endpoints = append(hint.Endpoints, s)
 	}
 	return hint
 }
@@ -267,13 +267,13 @@
 	}
 	c.mu.Lock()
 	if l.Mode == rules.ListComplete {
-		c.servers = map[string]discovery.Member{}
+		c.servers = map[string]discovery.Endpoint{}
 	}
 	for _, s := range l.Servers {
 		if s.State == rules.Removed {
 			delete(c.servers, s.Name)
 		} else {
-			c.servers[s.Name] = discovery.MembersOf(0, []engine.Server{s}).Servers[0]
+			c.servers[s.Name] = discovery.NewEndpointList(0, []engine.Server{s}).Endpoints[0]
 		}
 	}
 	changed := l.Mode == rules.ListComplete || len(l.Servers) > 0
@@ -319,9 +319,9 @@
 // save stores the list as it is, and reports whether the store is still of use. One that is full is tried again.
 func (c *Cluster) save() bool {
 	c.mu.Lock()
-	r := record{AtMS: c.told.Milliseconds(), Members: discovery.Members{Version: c.version, Full: true}}
+	r := record{AtMS: c.told.Milliseconds(), EndpointList: discovery.EndpointList{Version: c.version, Complete: true}}
 	for _, id := range c.ids() {
-		r.Servers = append(r.Servers, c.servers[id])
+		r.Endpoints = append(r.Endpoints, c.servers[id])
 	}
 	c.mu.Unlock()
 	b, _ := json.Marshal(r)
@@ -386,7 +386,7 @@
 	if c.serving > 0 {
 		m.UpMS = (now - c.serving).Milliseconds()
 	}
-	var servers []discovery.Member
+	var servers []discovery.Endpoint
 	for _, id := range c.ids() {
 		servers = append(servers, c.servers[id])
 	}
@@ -414,7 +414,7 @@
 		if hashOf(servers) != m.Hash { // more than peers tell, or not what it says
 			m.Version = 0
 		}
-		c.lists[from] = append([]discovery.Member{}, servers...)
+		c.lists[from] = append([]discovery.Endpoint{}, servers...)
 		t = recovery.Told{Peer: from, Clock: time.Duration(m.NowMS) * time.Millisecond, Voice: c.voice(servers, m.Version, time.Duration(m.AtMS)*time.Millisecond)}
 		t.Voice.Up = time.Duration(m.UpMS) * time.Millisecond
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -76,12 +76,12 @@
 }
 
 // first is the first list that an instance goes by.
-func (f *fleet) first(c *Cluster) *discovery.Members {
+func (f *fleet) first(c *Cluster) *discovery.EndpointList {
 	f.t.Helper()
-	got := make(chan *discovery.Members, 16)
+	got := make(chan *discovery.EndpointList, 16)
 	ctx, cancel := context.WithTimeout(f.t.Context(), 20*time.Second)
 	defer cancel()
-	go c.Recover(ctx, func(m *discovery.Members) { got <- m })
+	go c.Recover(ctx, func(m *discovery.EndpointList) { got <- m })
 	select {
 	case m := <-got:
 		return m
@@ -95,7 +95,7 @@
 	l := engine.EndpointList{Mode: rules.ListComplete, Version: version}
 	for i := range n {
 		id := fmt.Sprintf("s-%08x", i+1)
-		l.Servers = append(l.Servers, engine.Server{Name: id, Addr: fmt.Sprintf("10.0.0.%d:5000", i%250), Server: rules.Server{ID: discovery.NumberOf(id), Zone: "oviedo", Capacity: 1.5}})
+		l.Servers = append(l.Servers, engine.Server{Name: id, Addr: fmt.Sprintf("10.0.0.%d:5000", i%250), Server: rules.Server{ID: discovery.ServerID(id), Zone: "oviedo", Capacity: 1.5}})
 	}
 	return l
 }
@@ -121,17 +121,17 @@
 	}
 	before := time.Now().UnixMilli()
 	a, b, c := f.start("a"), f.start("b"), f.start("c")
-	hints := make(chan *discovery.Members, 3)
+	hints := make(chan *discovery.EndpointList, 3)
 	for _, one := range []*Cluster{a, b, c} {
 		go func() { hints <- f.first(one) }()
 	}
 	for range 3 {
 		m := <-hints
-		if m == nil || m.Version != 8 || len(m.Servers) != 90 || m.Servers[89].Addr != "10.0.0.89:5000" || m.Servers[0].Zone != "oviedo" || m.Servers[0].Weight != 1.5 {
+		if m == nil || m.Version != 8 || len(m.Endpoints) != 90 || m.Endpoints[89].Addr != "10.0.0.89:5000" || m.Endpoints[0].Zone != "oviedo" || m.Endpoints[0].Weight != 1.5 {
 			t.Fatalf("goes by %+v", m)
 		}
-		if m.Servers[7].StartedMS < before {
-			t.Errorf("a server counts as started at %d, power came back at %d", m.Servers[7].StartedMS, before)
+		if m.Endpoints[7].StartedMS < before {
+			t.Errorf("a server counts as started at %d, power came back at %d", m.Endpoints[7].StartedMS, before)
 		}
 	}
 	if !f.logs["c"].has("list=peers") || !f.logs["a"].has(`list="own disk"`) {
@@ -153,7 +153,7 @@
 	}
 	f.start("b")
 	f.start("c")
-	if m := f.first(f.start("a")); m == nil || m.Version != 9 || len(m.Servers) != 5 {
+	if m := f.first(f.start("a")); m == nil || m.Version != 9 || len(m.Endpoints) != 5 {
 		t.Errorf("goes by %+v", m)
 	}
 	if !f.logs["a"].has("is damaged") || !f.logs["a"].has("its files are in") {
@@ -188,7 +188,7 @@
 // Parts of a list fit a datagram each and come together in any order, with some twice.
 func TestParts(t *testing.T) {
 	for _, n := range []int{0, 1, 6, 90, 5000} {
-		servers := discovery.MembersOf(3, list(3, n).Servers).Servers
+		servers := discovery.NewEndpointList(3, list(3, n).Servers).Endpoints
 		parts := message{Version: 3, Hash: hashOf(servers), AtMS: 1 << 41, UpMS: 1 << 41, NowMS: 1 << 41}.parts(servers)
 		a := answer{}
 		whole := false
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -98,24 +98,24 @@
 }
 
 // recover has an instance go by what it has received.
-func (x *exchange) recover(c *Cluster) *discovery.Members {
+func (x *exchange) recover(c *Cluster) *discovery.EndpointList {
 	ctx, cancel := context.WithTimeout(x.t.Context(), 10*time.Second)
 	defer cancel()
-	var got *discovery.Members
-	c.Recover(ctx, func(m *discovery.Members) {
+	var got *discovery.EndpointList
+	c.Recover(ctx, func(m *discovery.EndpointList) {
 		got = m
 		cancel()
 	})
 	return got
 }
 
-func (x *exchange) hint(m *discovery.Members) {
+func (x *exchange) hint(m *discovery.EndpointList) {
 	if m == nil {
 		x.printf("hint %s nothing", x.name)
 		return
 	}
-	x.printf("hint %s version=%d full=%t servers=%d", x.name, m.Version, m.Full, len(m.Servers))
-	for _, s := range m.Servers {
+	x.printf("hint %s version=%d full=%t servers=%d", x.name, m.Version, m.Complete, len(m.Endpoints))
+	for _, s := range m.Endpoints {
 		x.printf("hint %s id=%q addr=%q zone=%q kind=%q cell=%d state=%q weight=%x started=%d", x.name, s.ID, s.Addr, s.Zone,
 			s.Kind, s.Cell, s.State, math.Float64bits(s.Weight), s.StartedMS)
 	}
@@ -132,7 +132,7 @@
 	for i := range n {
 		id := fmt.Sprintf("s-%08x", i+1)
 		all = append(all, engine.Server{Name: id, Addr: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Server: rules.Server{
-			ID:       discovery.NumberOf(id),
+			ID:       discovery.ServerID(id),
 			Zone:     []string{"oviedo", "gijón", "a<b>&\"c\"", ""}[i%4],
 			Cell:     i % 3,
 			Capacity: []float64{1, 0.1, 1e21, 1.0 / 3}[i%4],
@@ -415,8 +415,8 @@
 		v := object(t, f[3])
 		v.integer("at", r.AtMS)
 		v.integer("version", r.Version)
-		v.boolean("full", r.Full)
-		v.members("servers", r.Servers)
+		v.boolean("full", r.Complete)
+		v.members("servers", r.Endpoints)
 		v.done()
 		again, err := json.Marshal(r)
 		if err != nil || string(again) != f[3] {
@@ -524,7 +524,7 @@
 	}
 }
 
-func (v *values) members(key string, got []discovery.Member) {
+func (v *values) members(key string, got []discovery.Endpoint) {
 	v.t.Helper()
 	var want []json.RawMessage
 	if text, ok := v.left[key]; ok {
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -22,7 +22,7 @@
 	names []string
 	disks map[string]*faulty.Disk
 	runs  map[string]*Cluster
-	hints map[string]*discovery.Members // what each goes by
+	hints map[string]*discovery.EndpointList // what each goes by
 	last  map[string]recovery.Decision
 	trace []string
 }
@@ -33,7 +33,7 @@
 
 func newSoak(seed uint64) *soak {
 	rnd := rand.New(rand.NewPCG(seed, 9))
-	s := &soak{rnd: rnd, disks: map[string]*faulty.Disk{}, runs: map[string]*Cluster{}, hints: map[string]*discovery.Members{},
+	s := &soak{rnd: rnd, disks: map[string]*faulty.Disk{}, runs: map[string]*Cluster{}, hints: map[string]*discovery.EndpointList{},
 		last: map[string]recovery.Decision{}}
 	s.net = simnet.New(seed, simnet.Faults{Most: time.Duration(rnd.IntN(150)+1) * time.Millisecond, Lost: 0.2 * rnd.Float64(), Double: 0.2 * rnd.Float64()})
 	for i := range 3 + rnd.IntN(4) {
@@ -167,7 +167,7 @@
 			for id := range c.servers {
 				delete(c.servers, id)
 			}
-			c.servers["s-0000beef"] = discovery.Member{ID: "s-0000beef", State: "in_service", StartedMS: 1}
+			c.servers["s-0000beef"] = discovery.Endpoint{ID: "s-0000beef", State: "in_service", StartedMS: 1}
 		}
 	}
 	a, b := s.names[rnd.IntN(n)], s.names[rnd.IntN(n)]
@@ -193,7 +193,7 @@
 			}
 			continue
 		}
-		for _, m := range hint.Servers {
+		for _, m := range hint.Endpoints {
 			if m.ID == "s-0000beef" {
 				return fmt.Errorf("%s goes by the liar's server", name)
 			}
@@ -205,8 +205,8 @@
 		if name != stale && name != broken {
 			others--
 		}
-		if name == stale && others >= 2 && (d.Version != 8 || len(hint.Servers) != servers-1) {
-			return fmt.Errorf("%s goes by %d of an old disk (%v, %d servers), %d hold a newer one", name, d.Version, d.Source, len(hint.Servers), others)
+		if name == stale && others >= 2 && (d.Version != 8 || len(hint.Endpoints) != servers-1) {
+			return fmt.Errorf("%s goes by %d of an old disk (%v, %d servers), %d hold a newer one", name, d.Version, d.Source, len(hint.Endpoints), others)
 		}
 	}
 	return nil
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -87,8 +87,8 @@
 		zone(d.Zone)
 	}
 	h := xxhash.New()
-	sorted := slices.Clone(members.Servers)
-	slices.SortFunc(sorted, func(a, b discovery.Member) int {
+	sorted := slices.Clone(members.Endpoints)
+	slices.SortFunc(sorted, func(a, b discovery.Endpoint) int {
 		if a.ID < b.ID {
 			return -1
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -65,9 +65,9 @@
 }
 
 // begin is the first call, with the list as last held.
-func (w *Watcher) begin(known *Members) listclock.Poll {
+func (w *Watcher) begin(known *EndpointList) listclock.Poll {
 	start := listclock.Start{}
-	if known != nil && len(known.Servers) > 0 {
+	if known != nil && len(known.Endpoints) > 0 {
 		start = listclock.Start{HasList: true, Version: known.Version}
 	}
 	return w.clock.Handle(w.now(), start)
@@ -104,7 +104,7 @@
 }
 
 // Run makes one call after another until ctx is done. known is the list as last held; nil: none.
-func (w *Watcher) Run(ctx context.Context, known *Members) {
+func (w *Watcher) Run(ctx context.Context, known *EndpointList) {
 	defer w.client.CloseIdleConnections()
 	call := w.begin(known)
 	for ctx.Err() == nil {
@@ -125,7 +125,7 @@
 }
 
 // take passes on what came of a call and returns the next one.
-func (w *Watcher) take(call listclock.Poll, m *Members, err error) listclock.Poll {
+func (w *Watcher) take(call listclock.Poll, m *EndpointList, err error) listclock.Poll {
 	if err != nil {
 		var next listclock.Poll
 		if errors.Is(err, errSilent) {
@@ -142,18 +142,18 @@
 		w.logger.Info("list told again", "addr", w.asked, "version", m.Version)
 	}
 	mode := rules.ListDelta
-	if m.Full {
+	if m.Complete {
 		mode = rules.ListComplete
 	}
-	if m.Full || len(m.Servers) > 0 {
-		w.logger.Info("list", "version", m.Version, "full", m.Full, "servers", len(m.Servers))
+	if m.Complete || len(m.Endpoints) > 0 {
+		w.logger.Info("list", "version", m.Version, "full", m.Complete, "servers", len(m.Endpoints))
 	}
-	if w.clock.Accepts(m.Version, m.Full) {
-		w.post(m.List(mode))
+	if w.clock.Accepts(m.Version, m.Complete) {
+		w.post(m.EngineList(mode))
 	} else {
 		w.logger.Warn("list not taken: it is older than the one held, or changes to another", "addr", w.asked, "version", m.Version)
 	}
-	return w.clock.Handle(w.now(), listclock.ListReceived{Version: m.Version, Complete: m.Full})
+	return w.clock.Handle(w.now(), listclock.ListReceived{Version: m.Version, Complete: m.Complete})
 }
 
 // complain logs a call that brought nothing, and once for each outage that news may count as told which are not here.
@@ -166,7 +166,7 @@
 }
 
 // carryOut makes a call after its pause.
-func (w *Watcher) carryOut(ctx context.Context, call listclock.Poll) (*Members, error) {
+func (w *Watcher) carryOut(ctx context.Context, call listclock.Poll) (*EndpointList, error) {
 	if call.Delay > 0 {
 		t := time.NewTimer(call.Delay)
 		defer t.Stop()
@@ -191,7 +191,7 @@
 }
 
 // ask asks once: for what is new, or for the whole list.
-func (w *Watcher) ask(ctx context.Context, call listclock.Poll) (*Members, error) {
+func (w *Watcher) ask(ctx context.Context, call listclock.Poll) (*EndpointList, error) {
 	target := "http://" + w.asked + path
 	if !call.Complete {
 		target = fmt.Sprintf("%s?after=%d&wait_ms=%d", target, call.AfterVersion, call.Wait.Milliseconds())
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -90,15 +90,15 @@
 }
 
 func TestNumbersAreStable(t *testing.T) {
-	if got := NumberOf("s-5be2a07c"); got != 0x5be2a07c {
+	if got := ServerID("s-5be2a07c"); got != 0x5be2a07c {
 		t.Errorf("s-5be2a07c is %#x", got)
 	}
 	for _, id := range []string{"", "node-7", "s-5be2a07", "s-5be2a07cc", "s-zzzzzzzz", "5BE2A07C", "s-+be2a07c"} {
-		if NumberOf(id) != NumberOf(id) {
+		if ServerID(id) != ServerID(id) {
 			t.Errorf("%q has two numbers", id)
 		}
 	}
-	if NumberOf("node-7") == NumberOf("node-8") {
+	if ServerID("node-7") == ServerID("node-8") {
 		t.Error("two names share a number")
 	}
 }
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := m.List(rules.ListDelta)
+	l := m.EngineList(rules.ListDelta)
 	first := rules.Server{ID: 1, Zone: "a", Cell: 3, State: rules.Draining, Capacity: 1.5, Started: 1700000000123 * time.Millisecond}
 	if l.Servers[0].Server != first || l.Servers[0].Name != "s-00000001" || l.Servers[0].Addr != "127.0.0.1:1" {
 		t.Errorf("read as %+v", l.Servers[0])
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -136,20 +136,20 @@
 			got.WriteString("error\n\n")
 			continue
 		}
-		fmt.Fprintf(&got, "decoded version=%d full=%t servers=%d nil=%t\n", m.Version, m.Full, len(m.Servers), m.Servers == nil)
-		for _, s := range m.Servers {
+		fmt.Fprintf(&got, "decoded version=%d full=%t servers=%d nil=%t\n", m.Version, m.Complete, len(m.Endpoints), m.Endpoints == nil)
+		for _, s := range m.Endpoints {
 			fmt.Fprintf(&got, "entry id=%q addr=%q zone=%q kind=%q cell=%d state=%q weight=%g started_ms=%d\n",
 				s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMS)
 		}
 		encode(t, &got, m)
-		writeList(&got, m.List(rules.ListComplete))
+		writeList(&got, m.EngineList(rules.ListComplete))
 		got.WriteByte('\n')
 	}
 	checkGolden(t, "decoded.txt", got.Bytes())
 }
 
 // encode writes a list in discovery's form, as it is stored and sent to peers.
-func encode(t *testing.T, w io.Writer, m *Members) {
+func encode(t *testing.T, w io.Writer, m *EndpointList) {
 	t.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -161,8 +161,8 @@
 // What a list that the engine holds is in discovery's form.
 func TestEncodeGolden(t *testing.T) {
 	var got bytes.Buffer
-	encode(t, &got, MembersOf(0, nil))
-	encode(t, &got, MembersOf(77, []engine.Server{
+	encode(t, &got, NewEndpointList(0, nil))
+	encode(t, &got, NewEndpointList(77, []engine.Server{
 		{Name: "s-5be2a07c", Addr: "10.1.2.3:7000", Server: rules.Server{ID: 1, Zone: "a", Cell: 3, State: rules.Ready,
 			Capacity: 1.5, Started: 1700000000123*time.Millisecond + 999*time.Microsecond, Evacuate: true}},
 		{Name: "b", Server: rules.Server{State: rules.Draining}},
@@ -176,7 +176,7 @@
 	var got bytes.Buffer
 	for _, id := range []string{"", "-", "s-5be2a07c", "s-5BE2A07C", "5be2a07c", "a-b-5be2a07c", "s-5be2a07c-", "s-00000000", "s-ffffffff",
 		"s-5be2a07", "s-5be2a07cc", "s-zzzzzzzz", "s-+be2a07c", "s-0x5be2a0", "s-1_000_00", "node-7", "node-8", "é", "\x00", strings.Repeat("x", 300)} {
-		fmt.Fprintf(&got, "%q %d\n", id, uint64(NumberOf(id)))
+		fmt.Fprintf(&got, "%q %d\n", id, uint64(ServerID(id)))
 	}
 	checkGolden(t, "numbers.txt", got.Bytes())
 }
@@ -298,7 +298,7 @@
 }
 
 // session returns what a watcher sends and posts while a script answers.
-func session(t *testing.T, set listclock.Settings, known *Members, steps []step) []byte {
+func session(t *testing.T, set listclock.Settings, known *EndpointList, steps []step) []byte {
 	t.Helper()
 	s := &scripted{record: &transcript{}, steps: make(chan step, len(steps)), done: make(chan struct{})}
 	for _, st := range steps {
@@ -352,7 +352,7 @@
 func TestRequestsGolden(t *testing.T) {
 	const complete = `{"version":41,"full":true,"servers":[{"id":"s-00000001","addr":"10.0.0.1:1","state":"in_service"}]}`
 	const delta = `{"version":42,"full":false,"servers":[{"id":"s-00000002","state":"terminating"}]}`
-	known := &Members{Version: 40, Servers: []Member{{ID: "s-00000001"}}}
+	known := &EndpointList{Version: 40, Endpoints: []Endpoint{{ID: "s-00000001"}}}
 	asked := listclock.Settings{Gateways: 1, MaxPollInterval: time.Millisecond, DrainGrace: 2 * time.Second, Seed: 1}
 	pushed := listclock.Settings{LocalAgent: true, DrainGrace: 2 * time.Second}
 	quick := listclock.Settings{LocalAgent: true, DrainGrace: 600 * time.Millisecond}
@@ -362,14 +362,14 @@
 	for _, c := range []struct {
 		name  string
 		set   listclock.Settings
-		known *Members
+		known *EndpointList
 		steps []step
 	}{
 		{"asked, nothing known: complete, changes, nothing new", asked, nil, []step{plain(complete), plain(delta), plain(`{"version":42,"full":false}`)}},
 		{"asked, a list known: complete, changes", asked, known, []step{plain(complete), plain(delta)}},
 		{"pushed, nothing known: complete, changes, nothing new", pushed, nil, []step{plain(complete), plain(delta), plain(`{"version":42,"full":false}`)}},
 		{"pushed, a list known: changes to it", pushed, known, []step{plain(delta), plain(complete), plain(complete)}},
-		{"pushed, an empty list known", pushed, &Members{Version: 40}, []step{plain(complete)}},
+		{"pushed, an empty list known", pushed, &EndpointList{Version: 40}, []step{plain(complete)}},
 		{"asked, a failed call", asked, known, []step{raw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), plain(delta)}},
 		{"pushed, failed calls of each kind", quick, known, []step{
 			raw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -13,15 +13,15 @@
 	"example.org/milletvane/rules"
 )
 
-// Members is a list of servers in discovery's form.
-type Members struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Member `json:"servers"`
+// EndpointList is a list of servers in discovery's form.
+type EndpointList struct {
+	Version   int64      `json:"version"`
+	Complete  bool       `json:"full"`
+	Endpoints []Endpoint `json:"servers"`
 }
 
-// Member is one of its entries.
-type Member struct {
+// Endpoint is one of its entries.
+type Endpoint struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -33,12 +33,12 @@
 }
 
 // Parse reads a list.
-func Parse(b []byte) (*Members, error) {
-	var m Members
+func Parse(b []byte) (*EndpointList, error) {
+	var m EndpointList
 	if err := json.Unmarshal(b, &m); err != nil {
 		return nil, err
 	}
-	for i, s := range m.Servers {
+	for i, s := range m.Endpoints {
 		if s.ID == "" {
 			return nil, fmt.Errorf("servers[%d]: id is missing", i)
 		}
@@ -46,9 +46,9 @@
 	return &m, nil
 }
 
-// NumberOf is a server's number: the same on every balancer and after every restart, whatever lists came
+// ServerID is a server's number: the same on every balancer and after every restart, whatever lists came
 // before. An id that ends in 32 bits of hex, as s-5be2a07c, holds its number already; others are hashed.
-func NumberOf(id string) rules.ServerID {
+func ServerID(id string) rules.ServerID {
 	if hex := id[strings.LastIndexByte(id, '-')+1:]; len(hex) == 8 {
 		if n, err := strconv.ParseUint(hex, 16, 32); err == nil {
 			return rules.ServerID(n)
@@ -57,24 +57,24 @@
 	return rules.ServerID(xxhash.Sum64String(id))
 }
 
-// MembersOf is the list in discovery's form again, as a watch goes on from it.
-func MembersOf(version int64, servers []engine.Server) *Members {
-	m := &Members{Version: version, Full: true}
+// NewEndpointList is the list in discovery's form again, as a watch goes on from it.
+func NewEndpointList(version int64, servers []engine.Server) *EndpointList {
+	m := &EndpointList{Version: version, Complete: true}
 	for _, s := range servers {
 		state := "in_service"
 		if s.State != rules.Ready {
 			state = "terminating"
 		}
-		m.Servers = append(m.Servers, Member{ID: s.Name, Addr: s.Addr, Zone: s.Zone, Cell: s.Cell, State: state,
+		m.Endpoints = append(m.Endpoints, Endpoint{ID: s.Name, Addr: s.Addr, Zone: s.Zone, Cell: s.Cell, State: state,
 			Weight: s.Capacity, StartedMS: s.Started.Milliseconds()})
 	}
 	return m
 }
 
-// List is the engine's form of the list.
-func (m *Members) List(mode rules.ListMode) engine.EndpointList {
-	l := engine.EndpointList{Mode: mode, Version: m.Version, Servers: make([]engine.Server, 0, len(m.Servers))}
-	for _, s := range m.Servers {
+// EngineList is the engine's form of the list.
+func (m *EndpointList) EngineList(mode rules.ListMode) engine.EndpointList {
+	l := engine.EndpointList{Mode: mode, Version: m.Version, Servers: make([]engine.Server, 0, len(m.Endpoints))}
+	for _, s := range m.Endpoints {
 		// What is in no known state wants nothing new for all that is known.
 		state := rules.Draining
 		switch s.State {
@@ -84,7 +84,7 @@
 			state = rules.Removed
 		}
 		l.Servers = append(l.Servers, engine.Server{Name: s.ID, Addr: s.Addr, Server: rules.Server{
-			ID: NumberOf(s.ID), Zone: s.Zone, Cell: s.Cell, State: state, Capacity: s.Weight,
+			ID: ServerID(s.ID), Zone: s.Zone, Cell: s.Cell, State: state, Capacity: s.Weight,
 			Started: time.Duration(s.StartedMS) * time.Millisecond, // the engine's clock is Unix time
 		}})
 	}
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -26,7 +26,7 @@
 	calls   atomic.Int32
 	answer  http.HandlerFunc
 	began   time.Time
-	start   func(known *Members)
+	start   func(known *EndpointList)
 	hanging chan struct{} // closed at the end: what hangs ends
 }
 
@@ -66,7 +66,7 @@
 		go server.Serve(conns)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		p.start = func(known *Members) {
+		p.start = func(known *EndpointList) {
 			go func() { p.w.Run(ctx, known); close(done) }()
 		}
 		script(p)
@@ -238,7 +238,7 @@
 			}
 			io.WriteString(w, listOf(9, "s-00000001"))
 		}
-		p.start(&Members{Version: 4, Servers: []Member{{ID: "s-00000007"}}})
+		p.start(&EndpointList{Version: 4, Endpoints: []Endpoint{{ID: "s-00000007"}}})
 		if got := p.until("s-00000001"); got > 3*time.Second+250*time.Millisecond {
 			t.Errorf("known at %v", got)
 		}
@@ -260,7 +260,7 @@
 						silence(p, w)
 					}
 				}
-				p.start(&Members{Version: 9, Servers: []Member{{ID: "s-00000001"}}})
+				p.start(&EndpointList{Version: 9, Endpoints: []Endpoint{{ID: "s-00000001"}}})
 				time.Sleep(1300 * time.Millisecond)
 				moved := p.at()
 				p.w.SetAddr("b.example:1")
@@ -283,7 +283,7 @@
 				}
 				io.WriteString(w, `{"version":2,"full":false,"servers":[{"id":"s-00000002","state":"in_service"}]}`)
 			}
-			p.start(&Members{Version: 9, Servers: []Member{{ID: "s-00000001"}}})
+			p.start(&EndpointList{Version: 9, Endpoints: []Endpoint{{ID: "s-00000001"}}})
 			l := <-p.told
 			if l.Mode != rules.ListComplete || l.Servers[0].Name != "s-00000003" {
 				t.Errorf("pushed %v: told %+v", pushed, l)
@@ -298,7 +298,7 @@
 		for _, body := range []string{listOf(1, "s-00000001"), `{"version":1,"full":false,"servers":[]}`} {
 			play(t, listclock.Settings{LocalAgent: pushed, DrainGrace: 250 * time.Millisecond}, func(p *service) {
 				p.answer = func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }
-				p.start(&Members{Version: 1, Servers: []Member{{ID: "s-00000001"}}})
+				p.start(&EndpointList{Version: 1, Endpoints: []Endpoint{{ID: "s-00000001"}}})
 				time.Sleep(10 * time.Second)
 				if n := p.calls.Load(); n < 100 || n > 250 {
 					t.Errorf("pushed %v: %d calls in 10 s", pushed, n)
