--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -117,7 +117,7 @@
 	}
 	g.follow.Cold = c.Rules.WarmupDuration
 	g.usePlan(g.plan)
-	g.watcher.Connect(g.post)
+	g.watcher.SetHandler(g.post)
 	return g, nil
 }
 
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -49,7 +49,7 @@
 func (g *Gateway) recoverWith(ctx context.Context, wg *sync.WaitGroup, c *cluster.Cluster, stored engine.EndpointList) {
 	var mu sync.Mutex
 	told := false
-	g.watcher.Connect(func(ev engine.Event) {
+	g.watcher.SetHandler(func(ev engine.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		told = true
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -73,8 +73,8 @@
 	return w.clock.Handle(w.now(), start)
 }
 
-// Connect sets where lists go before Run.
-func (w *Watcher) Connect(post func(engine.Event)) { w.post = post }
+// SetHandler sets where lists go before Run.
+func (w *Watcher) SetHandler(post func(engine.Event)) { w.post = post }
 
 // SetAddr names the service's new address. A call at the old one ends now, and the new one is asked at once for
 // the whole list: no news of the old one is waited for, nor is a change lost between the two.
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -319,7 +319,7 @@
 	}
 	began := time.Now()
 	w := New(s.addrs[0], set, func() time.Duration { return time.Since(began) }, slog.New(slog.DiscardHandler))
-	w.Connect(func(ev engine.Event) {
+	w.SetHandler(func(ev engine.Event) {
 		if l, ok := ev.(engine.EndpointList); ok {
 			s.record.list(l)
 		} else {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -57,7 +57,7 @@
 				return nil, ctx.Err()
 			}
 		}
-		p.w.Connect(func(ev engine.Event) { p.told <- ev.(engine.EndpointList) })
+		p.w.SetHandler(func(ev engine.Event) { p.told <- ev.(engine.EndpointList) })
 		server := &http.Server{ErrorLog: log.New(io.Discard, "", 0), Handler: http.HandlerFunc(
 			func(w http.ResponseWriter, r *http.Request) {
 				p.calls.Add(1)
