--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,8 +51,8 @@
 	front   atomic.Pointer[natsfront.Front] // while it runs
 	watcher *discovery.Watcher
 	cluster atomic.Pointer[cluster.Cluster] // while it runs; nil: there is none
-	figures *metrics.Set
-	tiers   *metrics.Tiers // nil: none are named
+	figures *metrics.Registry
+	tiers   *metrics.PriorityCounters // nil: none are named
 	bans    *ban.Store
 	serving atomic.Bool // clients' connections are taken, and no stop has been asked for
 	desk    *handover.Desk
@@ -102,7 +102,7 @@
 	var ranks func(class, tenant string) int
 	if g.member != nil {
 		if by, n := g.member.Ranks(); n > 0 {
-			g.tiers, ranks = metrics.NewTiers(n), func(class, _ string) int { return by[class] }
+			g.tiers, ranks = metrics.NewPriorityCounters(n), func(class, _ string) int { return by[class] }
 		}
 	}
 	g.engine = drive.New(engine.New(engine.Options{
@@ -264,7 +264,7 @@
 		}
 	}
 	if g.config.Admin != "" {
-		a, err := admin.Listen(g.config.Admin, admin.Options{Ready: g.Ready, Figures: g.figures.Append, Set: g.bans.Set, Logger: g.logger})
+		a, err := admin.Listen(g.config.Admin, admin.Options{Ready: g.Ready, Figures: g.figures.AppendStatsd, Set: g.bans.Set, Logger: g.logger})
 		if err != nil {
 			return fmt.Errorf("admin_addr: listen %s: %w", g.config.Admin, err)
 		}
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -32,7 +32,7 @@
 		case <-tick.C:
 		}
 		var own tiers.Own
-		own.Asked, own.Refused, own.Cut = g.tiers.Take()
+		own.Asked, own.Refused, own.Cut = g.tiers.TakeCounts()
 		level := c.Shed(own)
 		if level != last {
 			g.engine.Post(engine.FleetShedLevel{Level: level})
--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -37,9 +37,9 @@
 			e.counts.refused++
 			r.class.Declined.Add(1)
 			if a.ShedByFleet {
-				e.opts.PriorityCounters.Cut(r.rank)
+				e.opts.PriorityCounters.AddShed(r.rank)
 			} else {
-				e.opts.PriorityCounters.Refused(r.rank)
+				e.opts.PriorityCounters.AddRejected(r.rank)
 			}
 			r.client.Reject(a.RetryAfter)
 			e.free(r)
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -166,7 +166,7 @@
 	MaxIdleClients            int                            // of these, for clients that have asked for nothing; 0: all
 	Classes                   []string                       // of requests; empty: any
 	PriorityOf                func(class, tenant string) int // of requests, 0 the lowest; nil: all have 0
-	PriorityCounters          *metrics.Tiers                 // what became of requests by rank; nil: nobody reads it
+	PriorityCounters          *metrics.PriorityCounters      // what became of requests by rank; nil: nobody reads it
 	RetryAfter                time.Duration                  // that a client is to stay away for want of sockets; 0: not stated
 	DefaultTimeout            time.Duration                  // of a request that states none
 	AnswerGrace               time.Duration                  // after a request's deadline an answer is still valid this long
@@ -178,7 +178,7 @@
 	ReadyTimeout              time.Duration                  // from the start until it is ready without a list; 0: never
 	AnswerTimeout             time.Duration                  // from Stop until all that waits is answered; 0: Drain
 	DrainTimeout              time.Duration                  // from Stop to the end
-	Metrics                   *metrics.Set                   // what is reported; nil: nobody reads it
+	Metrics                   *metrics.Registry              // what is reported; nil: nobody reads it
 	Logger                    *slog.Logger
 	Trace                     bool // log each request's way, at level debug
 }
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -38,7 +38,7 @@
 	transcript *transcript
 	engine     *engine.Engine
 	options    engine.Options
-	tiers      *metrics.Tiers
+	tiers      *metrics.PriorityCounters
 	log        *logRecorder
 
 	now       time.Duration
@@ -170,7 +170,7 @@
 	}
 	o.Metrics = metrics.New(o.Classes)
 	if s.oneIn(2) {
-		s.tiers = metrics.NewTiers(ranksDrawn)
+		s.tiers = metrics.NewPriorityCounters(ranksDrawn)
 		o.PriorityCounters = s.tiers
 	}
 	if s.oneIn(2) {
@@ -330,7 +330,7 @@
 			field{"declined", c.Declined.Load()}, field{"aborted", c.Aborted.Load()})
 	}
 	if s.tiers != nil {
-		asked, refused, cut := s.tiers.Take()
+		asked, refused, cut := s.tiers.TakeCounts()
 		for rank := range ranksDrawn {
 			s.transcript.call("rank", field{"number", rank}, field{"asked", int64(asked[rank])},
 				field{"refused", int64(refused[rank])}, field{"cut", int64(cut[rank])})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -69,13 +69,13 @@
 	deadlines deadline.Queue[due]
 	servers   map[rules.ServerID]*server
 	names     map[string]rules.ServerID
-	banned    map[string]bool    // names of servers that are out by hand, listed or not
-	unnamed   metrics.Class      // for what the settings do not name; nobody reads it
-	listed    bool               // a list has come
-	version   int64              // of the list
-	heirs     map[string]slot.ID // connections of the process before, by their clients' names for them
-	came      map[string]bool    // of these, those whose packets have come here
-	queue     []rules.Event      // outcomes that follow at once from actions
+	banned    map[string]bool       // names of servers that are out by hand, listed or not
+	unnamed   metrics.ClassCounters // for what the settings do not name; nobody reads it
+	listed    bool                  // a list has come
+	version   int64                 // of the list
+	heirs     map[string]slot.ID    // connections of the process before, by their clients' names for them
+	came      map[string]bool       // of these, those whose packets have come here
+	queue     []rules.Event         // outcomes that follow at once from actions
 	stage     stage
 	stoppedAt time.Duration
 	answerBy  time.Duration // what waits at the stop is answered by then
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -24,10 +24,10 @@
 	name   string // as its client calls it; empty: nothing
 	client Client
 	phase  phase
-	flow   Flow           // what the process that follows must know of it
-	load   float64        // as last told
-	class  *metrics.Class // where its answer is counted, once it has asked
-	rank   int            // of its tier
+	flow   Flow                   // what the process that follows must know of it
+	load   float64                // as last told
+	class  *metrics.ClassCounters // where its answer is counted, once it has asked
+	rank   int                    // of its tier
 
 	carried  bool
 	deadline time.Duration
@@ -161,7 +161,7 @@
 		req.Priority = e.opts.PriorityOf(q.Class, q.Tenant)
 	}
 	if r.rank = req.Priority; !q.MidFlow && q.Owner == "" {
-		e.opts.PriorityCounters.Asked(r.rank)
+		e.opts.PriorityCounters.AddOffered(r.rank)
 	}
 	r.flow, r.load = Flow{Class: q.Class, Key: q.Key, Group: q.Group}, q.Load
 	if q.MidFlow {
@@ -216,7 +216,7 @@
 func (e *Engine) fail(r *request) {
 	e.counts.failed++
 	r.class.Aborted.Add(1)
-	e.opts.PriorityCounters.Refused(r.rank)
+	e.opts.PriorityCounters.AddRejected(r.rank)
 	r.client.Fail()
 	e.free(r)
 }
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -42,7 +42,7 @@
 		{"a class twice", []string{"x", "y", "x"}},
 	} {
 		s := New(c.classes)
-		fmt.Fprintf(&got, "# %s: new\n%s", c.name, s.Append(nil))
+		fmt.Fprintf(&got, "# %s: new\n%s", c.name, s.AppendStatsd(nil))
 		for i, name := range append([]string{"of no class", "other"}, c.classes...) {
 			class := s.Class(name)
 			if class == nil {
@@ -57,7 +57,7 @@
 		s.Outstanding.Store(-5)
 		s.Discovered.Store(6)
 		s.Ejected.Store(7)
-		fmt.Fprintf(&got, "# %s: counted\n%s", c.name, s.Append([]byte("before\n")))
+		fmt.Fprintf(&got, "# %s: counted\n%s", c.name, s.AppendStatsd([]byte("before\n")))
 	}
 	fmt.Fprintf(&got, "# prefix\n%s\n", Prefix)
 	checkGolden(t, "page.txt", got.Bytes())
@@ -67,26 +67,26 @@
 func TestRankCountsGolden(t *testing.T) {
 	var got bytes.Buffer
 	for _, ranks := range []int{1, 2, 5} {
-		counts := NewTiers(ranks)
+		counts := NewPriorityCounters(ranks)
 		for rank := -2; rank < ranks+3; rank++ {
 			for range rank + 3 {
-				counts.Asked(rank)
+				counts.AddOffered(rank)
 			}
 			for range 2*rank + 6 {
-				counts.Refused(rank)
+				counts.AddRejected(rank)
 			}
 			for range 3*rank + 9 {
-				counts.Cut(rank)
+				counts.AddShed(rank)
 			}
 		}
 		for range 2 {
-			asked, refused, cut := counts.Take()
+			asked, refused, cut := counts.TakeCounts()
 			fmt.Fprintf(&got, "ranks %d: asked %d refused %d cut %d\n", ranks, asked, refused, cut)
 		}
 	}
-	var none *Tiers
-	none.Asked(0)
-	none.Refused(1)
-	none.Cut(2)
+	var none *PriorityCounters
+	none.AddOffered(0)
+	none.AddRejected(1)
+	none.AddShed(2)
 	checkGolden(t, "ranks.txt", got.Bytes())
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -14,18 +14,18 @@
 // other is the class of requests where the settings name no classes.
 const other = "other"
 
-// Class counts how the requests of one class were answered since the start.
-type Class struct {
+// ClassCounters counts how the requests of one class were answered since the start.
+type ClassCounters struct {
 	Succeeded atomic.Int64 // brought up, or answered by a server
 	Declined  atomic.Int64 // refused: trying again is harmless
 	Aborted   atomic.Int64 // failed
 }
 
-// Set is all figures of one gateway.
-type Set struct {
+// Registry is all figures of one gateway.
+type Registry struct {
 	names   []string // of the classes, as they are reported
-	classes []*Class
-	byName  map[string]*Class
+	classes []*ClassCounters
+	byName  map[string]*ClassCounters
 
 	Forwards    atomic.Int64 // attempts written whole to servers since the start
 	Outstanding atomic.Int64 // requests taken and connections brought up that have not ended
@@ -34,8 +34,8 @@
 }
 
 // New returns a Set for the classes that the settings name. Without any, all requests count as one class.
-func New(classes []string) *Set {
-	s := &Set{byName: make(map[string]*Class, len(classes))}
+func New(classes []string) *Registry {
+	s := &Registry{byName: make(map[string]*ClassCounters, len(classes))}
 	for _, name := range classes {
 		s.add(name)
 	}
@@ -45,8 +45,8 @@
 	return s
 }
 
-func (s *Set) add(name string) {
-	c := &Class{}
+func (s *Registry) add(name string) {
+	c := &ClassCounters{}
 	s.names, s.classes, s.byName[name] = append(s.names, clean.Replace(name)), append(s.classes, c), c
 }
 
@@ -54,15 +54,15 @@
 var clean = strings.NewReplacer(":", "_", "|", "_", "@", "_", "\n", "_", "\r", "_", " ", "_")
 
 // Class returns the counts of a class; nil for one that the settings do not name, whatever a client called it.
-func (s *Set) Class(name string) *Class {
+func (s *Registry) Class(name string) *ClassCounters {
 	if c := s.byName[name]; c != nil {
 		return c
 	}
 	return s.byName[other]
 }
 
-// Append writes all figures, in statsd's form: one to a line, |c behind a count and |g behind what stands now.
-func (s *Set) Append(b []byte) []byte {
+// AppendStatsd writes all figures, in statsd's form: one to a line, |c behind a count and |g behind what stands now.
+func (s *Registry) AppendStatsd(b []byte) []byte {
 	line := func(name, class string, v int64, kind byte) {
 		b = append(append(b, Prefix...), name...)
 		if class != "" {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,7 +13,7 @@
 	want := "edge_proxy.succeeded.plan-diario:812|c\nedge_proxy.declined.plan-diario:0|c\nedge_proxy.aborted.plan-diario:0|c\n" +
 		"edge_proxy.succeeded.a_b_c_d:0|c\nedge_proxy.declined.a_b_c_d:0|c\nedge_proxy.aborted.a_b_c_d:1|c\n" +
 		"edge_proxy.forwards:3|c\nedge_proxy.outstanding:14|g\nedge_proxy.discovered:2|g\nedge_proxy.ejected:1|g\n"
-	if got := string(s.Append(nil)); got != want {
+	if got := string(s.AppendStatsd(nil)); got != want {
 		t.Errorf("got %s", got)
 	}
 	if s.Class("a client's") != nil {
