--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -264,7 +264,7 @@
 		}
 	}
 	if g.config.Admin != "" {
-		a, err := admin.Listen(g.config.Admin, admin.Options{Ready: g.Ready, Figures: g.figures.AppendStatsd, Set: g.bans.Set, Logger: g.logger})
+		a, err := admin.Listen(g.config.Admin, admin.Options{Ready: g.Ready, AppendMetrics: g.figures.AppendStatsd, SetMaintenance: g.bans.Set, Logger: g.logger})
 		if err != nil {
 			return fmt.Errorf("admin_addr: listen %s: %w", g.config.Admin, err)
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -27,10 +27,10 @@
 
 // Options are what a Server answers from.
 type Options struct {
-	Ready   func() bool
-	Figures func([]byte) []byte                                  // appends the figures
-	Set     func(ctx context.Context, id string, out bool) error // takes a server out or puts it back
-	Logger  *slog.Logger
+	Ready          func() bool
+	AppendMetrics  func([]byte) []byte                                  // appends the figures
+	SetMaintenance func(ctx context.Context, id string, out bool) error // takes a server out or puts it back
+	Logger         *slog.Logger
 }
 
 // Server listens for operators.
@@ -89,7 +89,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		w.Write(s.options.Figures(nil))
+		w.Write(s.options.AppendMetrics(nil))
 	default:
 		id, out, ok := server(path)
 		if !ok {
@@ -120,7 +120,7 @@
 	}
 	ctx, end := context.WithTimeout(context.WithoutCancel(r.Context()), takeIn)
 	defer end()
-	switch err := s.options.Set(ctx, id, out); {
+	switch err := s.options.SetMaintenance(ctx, id, out); {
 	case err == nil && out:
 		w.Write([]byte("out\n"))
 	case err == nil:
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -28,9 +28,9 @@
 func open(t *testing.T) *desk {
 	d := &desk{calls: make(chan string, 16)}
 	s, err := Listen("127.0.0.1:0", Options{
-		Ready:   d.ready.Load,
-		Figures: func(b []byte) []byte { return append(b, "edge_proxy.discovered:3|g\n"...) },
-		Set: func(_ context.Context, id string, out bool) error {
+		Ready:         d.ready.Load,
+		AppendMetrics: func(b []byte) []byte { return append(b, "edge_proxy.discovered:3|g\n"...) },
+		SetMaintenance: func(_ context.Context, id string, out bool) error {
 			switch {
 			case id == "unlisted":
 				return ban.ErrUnknown
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -80,9 +80,9 @@
 	var mu sync.Mutex // guards called
 	var called []string
 	s, err := Listen("127.0.0.1:0", Options{
-		Ready:   ready.Load,
-		Figures: func(b []byte) []byte { return append(b, "edge_proxy.discovered:3|g\n"...) },
-		Set: func(ctx context.Context, id string, out bool) error {
+		Ready:         ready.Load,
+		AppendMetrics: func(b []byte) []byte { return append(b, "edge_proxy.discovered:3|g\n"...) },
+		SetMaintenance: func(ctx context.Context, id string, out bool) error {
 			deadline, ok := ctx.Deadline()
 			left := time.Until(deadline)
 			mu.Lock()
