--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -103,7 +103,7 @@
 	}
 	slices.Sort(set.Peers)
 	c.recovery = recovery.New(set)
-	c.handle(recovery.Begin{Disk: disk})
+	c.handle(recovery.Startup{Disk: disk})
 	if o.Connect == nil {
 		o.Connect = func(p peer.Options) (peer.Transport, error) {
 			g, err := peer.Listen(peer.GossipOptions{Options: p, Bind: o.Listen, Join: join, Key: o.Key, Logger: o.Logger})
@@ -127,7 +127,7 @@
 }
 
 // load reads the list that the disk holds.
-func (c *Cluster) load() (v recovery.Voice) {
+func (c *Cluster) load() (v recovery.PeerState) {
 	j, held, err := store.Open(c.opts.Disk, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
 	if damage := new(store.DamageError); errors.As(err, &damage) && damage.Aside != "" {
 		fault.Log(c.opts.Logger, err)
@@ -153,10 +153,10 @@
 	return c.voice(r.Endpoints, c.version, c.told)
 }
 
-func (c *Cluster) voice(servers []discovery.Endpoint, version int64, at time.Duration) recovery.Voice {
-	v := recovery.Voice{Version: version, Hash: hashOf(servers), At: at}
+func (c *Cluster) voice(servers []discovery.Endpoint, version int64, at time.Duration) recovery.PeerState {
+	v := recovery.PeerState{Version: version, Hash: hashOf(servers), UpdatedAt: at}
 	for _, s := range servers {
-		v.Servers = append(v.Servers, recovery.Server{ID: s.ID, Started: time.Duration(s.StartedMS) * time.Millisecond})
+		v.Servers = append(v.Servers, recovery.Server{ID: s.ID, StartedAt: time.Duration(s.StartedMS) * time.Millisecond})
 	}
 	return v
 }
@@ -185,7 +185,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			c.handle(recovery.Look{})
+			c.handle(recovery.Tick{})
 		case d := <-c.decided:
 			m := c.adopt(d)
 			if d.Source == recovery.Discovery {
@@ -282,7 +282,7 @@
 	}
 	c.told = c.opts.Clock()
 	c.mu.Unlock()
-	c.handle(recovery.Confirmed{})
+	c.handle(recovery.DiscoveryUpdate{})
 	if changed {
 		select {
 		case c.dirty <- struct{}{}:
@@ -408,15 +408,15 @@
 		c.answers[from] = a
 	}
 	whole := a.add(m)
-	var t recovery.Told
+	var t recovery.PeerReport
 	if whole {
 		servers := a.servers()
 		if hashOf(servers) != m.Hash { // more than peers tell, or not what it says
 			m.Version = 0
 		}
 		c.lists[from] = append([]discovery.Endpoint{}, servers...)
-		t = recovery.Told{Peer: from, Clock: time.Duration(m.NowMS) * time.Millisecond, Voice: c.voice(servers, m.Version, time.Duration(m.AtMS)*time.Millisecond)}
-		t.Voice.Up = time.Duration(m.UpMS) * time.Millisecond
+		t = recovery.PeerReport{Peer: from, Clock: time.Duration(m.NowMS) * time.Millisecond, State: c.voice(servers, m.Version, time.Duration(m.AtMS)*time.Millisecond)}
+		t.State.Uptime = time.Duration(m.UpMS) * time.Millisecond
 	}
 	c.mu.Unlock()
 	if whole {
--- a/internal/cluster/recovery/digest_test.go
+++ b/internal/cluster/recovery/digest_test.go
@@ -155,7 +155,7 @@
 type drawn struct {
 	*rand.Rand
 	set   recovery.Settings
-	lists []recovery.Voice // version, hash and server names; some share a version, some a hash
+	lists []recovery.PeerState // version, hash and server names; some share a version, some a hash
 }
 
 func newDrawn(seed uint64, stream uint64, peers int) *drawn {
@@ -175,7 +175,7 @@
 	r.set.Peers = shuffled(r, r.set.Peers)
 	size := r.IntN(9)
 	for i := range 2 + r.IntN(4) {
-		l := recovery.Voice{Version: 40 + int64(r.IntN(4)), Hash: uint64(i/2+1) * 0x9e3779b97f4a7c15}
+		l := recovery.PeerState{Version: 40 + int64(r.IntN(4)), Hash: uint64(i/2+1) * 0x9e3779b97f4a7c15}
 		for n := range size {
 			if r.IntN(4) > 0 {
 				l.Servers = append(l.Servers, recovery.Server{ID: fmt.Sprint("s", n)})
@@ -198,32 +198,32 @@
 }
 
 // state is one of the seed's lists, with times that are drawn.
-func (r *drawn) state(now time.Duration) recovery.Voice {
-	var v recovery.Voice
+func (r *drawn) state(now time.Duration) recovery.PeerState {
+	var v recovery.PeerState
 	switch r.IntN(12) {
 	case 0: // holds none
 	case 1:
-		v = recovery.Voice{Version: int64(r.IntN(3)) - 1, Hash: r.Uint64()}
+		v = recovery.PeerState{Version: int64(r.IntN(3)) - 1, Hash: r.Uint64()}
 	case 2: // as one that reports anything
-		v = recovery.Voice{Version: r.Int64N(1 << 40), Hash: r.Uint64()}
+		v = recovery.PeerState{Version: r.Int64N(1 << 40), Hash: r.Uint64()}
 		v.Servers = []recovery.Server{{ID: "s0"}, {ID: "x"}, {ID: "s0"}}
 	default:
 		v = r.lists[r.IntN(len(r.lists))]
 	}
 	v.Servers = slices.Clone(v.Servers)
 	for i := range v.Servers {
-		v.Servers[i].Started = r.started(now)
+		v.Servers[i].StartedAt = r.started(now)
 	}
 	v.Servers = shuffled(r, v.Servers)
-	v.At, v.Up = now-time.Duration(r.IntN(100))*time.Second, 0
+	v.UpdatedAt, v.Uptime = now-time.Duration(r.IntN(100))*time.Second, 0
 	if r.IntN(6) == 0 {
-		v.At = r.about(now + r.set.Skew)
+		v.UpdatedAt = r.about(now + r.set.Skew)
 	}
 	switch r.IntN(4) {
 	case 0:
-		v.Up = r.about(r.set.Cold)
+		v.Uptime = r.about(r.set.Cold)
 	case 1:
-		v.Up = time.Duration(r.IntN(90)) * time.Second
+		v.Uptime = time.Duration(r.IntN(90)) * time.Second
 	}
 	return v
 }
@@ -243,8 +243,8 @@
 	}
 }
 
-func (r *drawn) report(now time.Duration, peer string) recovery.Told {
-	m := recovery.Told{Peer: peer, Clock: now, Voice: r.state(now)}
+func (r *drawn) report(now time.Duration, peer string) recovery.PeerReport {
+	m := recovery.PeerReport{Peer: peer, Clock: now, State: r.state(now)}
 	switch r.IntN(8) {
 	case 0:
 		m.Clock = r.about(now + r.set.Skew)
@@ -268,7 +268,7 @@
 	if r.IntN(10) == 0 { // an answer that comes before the disk is read
 		handle(r.report(now, "p0"))
 	}
-	handle(recovery.Begin{Disk: r.state(now)})
+	handle(recovery.Startup{Disk: r.state(now)})
 	began := now
 	peers := append(slices.Clone(r.set.Peers), "me", "stranger")
 	for range 5 + r.IntN(30) {
@@ -281,11 +281,11 @@
 		case n < 60:
 			handle(r.report(now, peers[r.IntN(len(peers))]))
 		case n < 95:
-			handle(recovery.Look{})
+			handle(recovery.Tick{})
 		case n < 97:
-			handle(recovery.Begin{Disk: r.state(now)})
+			handle(recovery.Startup{Disk: r.state(now)})
 		default:
-			handle(recovery.Confirmed{})
+			handle(recovery.DiscoveryUpdate{})
 		}
 	}
 }
@@ -297,7 +297,7 @@
 	offset  time.Duration // of its clock
 	starts  time.Duration // when it does
 	listed  time.Duration // when discovery answers it
-	holds   recovery.Voice
+	holds   recovery.PeerState
 	serving time.Duration // by its clock; 0: it recovers
 	reports bool          // whatever it likes
 }
@@ -306,7 +306,7 @@
 	at       time.Duration
 	from, to *instance
 	clock    time.Duration
-	state    recovery.Voice
+	state    recovery.PeerState
 }
 
 // drawFleet has instances start after a loss of power, ask one another until discovery answers, and some start again.
@@ -334,7 +334,7 @@
 			if a.at > now {
 				later = append(later, a)
 			} else if a.to.rec != nil {
-				a.to.handle(out, now, recovery.Told{Peer: a.from.name, Clock: a.clock, Voice: a.state})
+				a.to.handle(out, now, recovery.PeerReport{Peer: a.from.name, Clock: a.clock, State: a.state})
 			}
 		}
 		inFlight = later
@@ -367,13 +367,13 @@
 			}
 		}
 		x.rec, x.serving = recovery.New(set), 0
-		x.handle(out, now, recovery.Begin{Disk: x.holds})
+		x.handle(out, now, recovery.Startup{Disk: x.holds})
 	case now >= x.listed:
 		x.holds = r.lists[len(r.lists)-1]
-		x.holds.At = now + x.offset
-		x.handle(out, now, recovery.Confirmed{})
+		x.holds.UpdatedAt = now + x.offset
+		x.handle(out, now, recovery.DiscoveryUpdate{})
 	default:
-		x.handle(out, now, recovery.Look{})
+		x.handle(out, now, recovery.Tick{})
 	}
 }
 
@@ -387,14 +387,14 @@
 }
 
 // state is what an instance answers to another.
-func (x *instance) state(r *drawn, now time.Duration) recovery.Voice {
+func (x *instance) state(r *drawn, now time.Duration) recovery.PeerState {
 	local := now + x.offset
 	if x.reports {
 		return r.state(local)
 	}
 	v := x.holds
 	if x.serving > 0 {
-		v.Up = local - x.serving
+		v.Uptime = local - x.serving
 	}
 	return v
 }
--- a/internal/cluster/recovery/recovery.go
+++ b/internal/cluster/recovery/recovery.go
@@ -24,41 +24,41 @@
 
 // Server is an entry of a list, as far as instances have to agree on it.
 type Server struct {
-	ID      string
-	Started time.Duration // in Unix time; 0: long ago
+	ID        string
+	StartedAt time.Duration // in Unix time; 0: long ago
 }
 
-// Voice is what one instance holds: its own disk's content, or a peer's answer.
-type Voice struct {
-	Version int64  // of the list; 0: it holds none
-	Hash    uint64 // of its entries without their starts: two that hold the same list have the same
-	Servers []Server
-	At      time.Duration // when the list was stored, or told, by its holder's clock
-	Up      time.Duration // for how long the peer has served; 0 in the disk's voice, and in that of one who recovers as well
+// PeerState is what one instance holds: its own disk's content, or a peer's answer.
+type PeerState struct {
+	Version   int64  // of the list; 0: it holds none
+	Hash      uint64 // of its entries without their starts: two that hold the same list have the same
+	Servers   []Server
+	UpdatedAt time.Duration // when the list was stored, or told, by its holder's clock
+	Uptime    time.Duration // for how long the peer has served; 0 in the disk's voice, and in that of one who recovers as well
 }
 
 // Event is what happened. The concrete types are those below.
 type Event interface{ event() }
 
 type (
-	// Begin is the start, with what the disk holds.
-	Begin struct{ Disk Voice }
-	// Told is a peer's answer; a later one of the same peer takes its place.
-	Told struct {
+	// Startup is the start, with what the disk holds.
+	Startup struct{ Disk PeerState }
+	// PeerReport is a peer's answer; a later one of the same peer takes its place.
+	PeerReport struct {
 		Peer  string
 		Clock time.Duration // the peer's, when it answered
-		Voice Voice
+		State PeerState
 	}
-	// Confirmed says that discovery has told a list: hints are of no more use.
-	Confirmed struct{}
-	// Look lets time go by.
-	Look struct{}
+	// DiscoveryUpdate says that discovery has told a list: hints are of no more use.
+	DiscoveryUpdate struct{}
+	// Tick lets time go by.
+	Tick struct{}
 )
 
-func (Begin) event()     {}
-func (Told) event()      {}
-func (Confirmed) event() {}
-func (Look) event()      {}
+func (Startup) event()         {}
+func (PeerReport) event()      {}
+func (DiscoveryUpdate) event() {}
+func (Tick) event()            {}
 
 // Source says whose list is gone by.
 type Source int
@@ -97,8 +97,8 @@
 type Recovery struct {
 	set     Settings
 	began   time.Duration
-	disk    Voice
-	peers   map[string]Told
+	disk    PeerState
+	peers   map[string]PeerReport
 	decided bool
 	over    bool     // discovery has told
 	last    Decision // that was taken
@@ -106,7 +106,7 @@
 }
 
 // New returns a Recovery.
-func New(set Settings) *Recovery { return &Recovery{set: set, peers: map[string]Told{}} }
+func New(set Settings) *Recovery { return &Recovery{set: set, peers: map[string]PeerReport{}} }
 
 // Handle takes an event; ok is true with a decision that is new. now is Unix time.
 func (r *Recovery) Handle(now time.Duration, ev Event) (d Decision, ok bool) {
@@ -115,12 +115,12 @@
 	}
 	confirmed := false
 	switch ev := ev.(type) {
-	case Begin:
+	case Startup:
 		r.began, r.disk = now, ev.Disk
-		if r.disk.At > now+r.set.Skew {
-			r.warn("the clock is %v before the time at which the disk was last written: it jumped back, or the disk's ran ahead", r.disk.At-now)
+		if r.disk.UpdatedAt > now+r.set.Skew {
+			r.warn("the clock is %v before the time at which the disk was last written: it jumped back, or the disk's ran ahead", r.disk.UpdatedAt-now)
 		}
-	case Told:
+	case PeerReport:
 		if ev.Peer == r.set.Name || !slices.Contains(r.set.Peers, ev.Peer) {
 			return d, false
 		}
@@ -128,7 +128,7 @@
 			r.warn("the clock of %s differs by %v", ev.Peer, off)
 		}
 		r.peers[ev.Peer] = ev
-	case Confirmed:
+	case DiscoveryUpdate:
 		confirmed = true
 	}
 	if !r.decided && !confirmed && len(r.peers) < len(r.set.Peers) && now < r.began+r.set.Wait {
@@ -170,7 +170,7 @@
 func (r *Recovery) servedOn() bool {
 	served := 0
 	for _, t := range r.peers {
-		if t.Voice.Up > r.set.Cold {
+		if t.State.Uptime > r.set.Cold {
 			served++
 		}
 	}
@@ -189,7 +189,7 @@
 // where the disk holds none and nobody contradicts it: one that lies can't bring in a list of its own.
 func (r *Recovery) list(d *Decision) {
 	var lists []*held
-	add := func(v Voice, peer string) {
+	add := func(v PeerState, peer string) {
 		if v.Version <= 0 {
 			return
 		}
@@ -211,7 +211,7 @@
 	}
 	add(r.disk, "")
 	for _, name := range r.names() {
-		add(r.peers[name].Voice, name)
+		add(r.peers[name].State, name)
 	}
 	slices.SortStableFunc(lists, func(a, b *held) int { return cmp.Compare(b.version, a.version) })
 	for i, l := range lists {
@@ -242,7 +242,7 @@
 // of them away is not believed in any.
 func (r *Recovery) left() (ids []string) {
 	for _, name := range r.names() {
-		v := r.peers[name].Voice
+		v := r.peers[name].State
 		if v.Version <= r.disk.Version || len(v.Servers) == 0 {
 			continue
 		}
@@ -288,17 +288,17 @@
 	told := map[string][]time.Duration{}
 	for _, t := range r.peers {
 		seen := map[string]bool{}
-		for _, s := range t.Voice.Servers {
-			if s.Started > 0 && s.Started <= now+r.set.Skew && !seen[s.ID] {
+		for _, s := range t.State.Servers {
+			if s.StartedAt > 0 && s.StartedAt <= now+r.set.Skew && !seen[s.ID] {
 				seen[s.ID] = true
-				told[s.ID] = append(told[s.ID], s.Started)
+				told[s.ID] = append(told[s.ID], s.StartedAt)
 			}
 		}
 	}
 	all := map[string]time.Duration{}
 	for _, s := range r.disk.Servers {
-		if s.Started > 0 && s.Started <= now+r.set.Skew {
-			all[s.ID] = s.Started
+		if s.StartedAt > 0 && s.StartedAt <= now+r.set.Skew {
+			all[s.ID] = s.StartedAt
 		}
 	}
 	for id, list := range told {
--- a/internal/cluster/recovery/recovery_test.go
+++ b/internal/cluster/recovery/recovery_test.go
@@ -32,37 +32,37 @@
 	return s
 }
 
-func voice(version int64, up time.Duration, servers ...Server) Voice {
-	return Voice{Version: version, Hash: uint64(version) * 7, Servers: servers, At: now - 60*sec, Up: up}
+func voice(version int64, up time.Duration, servers ...Server) PeerState {
+	return PeerState{Version: version, Hash: uint64(version) * 7, Servers: servers, UpdatedAt: now - 60*sec, Uptime: up}
 }
 
 // decide tells a Recovery of the disk and of peers, the first of them p0, and lets its time pass.
-func decide(t *testing.T, set Settings, disk Voice, peers ...Voice) Decision {
+func decide(t *testing.T, set Settings, disk PeerState, peers ...PeerState) Decision {
 	t.Helper()
 	r := New(set)
-	d, ok := r.Handle(now, Begin{disk})
+	d, ok := r.Handle(now, Startup{disk})
 	for i, v := range peers {
 		if ok {
 			t.Fatal("decided before all peers had answered")
 		}
-		d, ok = r.Handle(now+sec, Told{fmt.Sprint("p", i), now + sec, v})
+		d, ok = r.Handle(now+sec, PeerReport{fmt.Sprint("p", i), now + sec, v})
 	}
 	if !ok {
-		if d, ok = r.Handle(now+set.Wait-1, Look{}); ok {
+		if d, ok = r.Handle(now+set.Wait-1, Tick{}); ok {
 			t.Fatal("decided before its time")
 		}
-		d, ok = r.Handle(now+set.Wait, Look{})
+		d, ok = r.Handle(now+set.Wait, Tick{})
 	}
 	if !ok {
 		t.Fatal("not decided in time")
 	}
-	if _, again := r.Handle(now+100*sec, Look{}); again {
+	if _, again := r.Handle(now+100*sec, Tick{}); again {
 		t.Fatal("decided twice")
 	}
-	if _, again := r.Handle(now+100*sec, Confirmed{}); !again {
+	if _, again := r.Handle(now+100*sec, DiscoveryUpdate{}); !again {
 		t.Fatal("discovery's word changes nothing")
 	}
-	if _, again := r.Handle(now+100*sec, Told{"p0", now, voice(7, 0)}); again {
+	if _, again := r.Handle(now+100*sec, PeerReport{"p0", now, voice(7, 0)}); again {
 		t.Fatal("decided after discovery's word")
 	}
 	return d
@@ -72,23 +72,23 @@
 	other := voice(42, 0)
 	other.Hash = 1
 	for name, c := range map[string]struct {
-		disk   Voice
-		peers  []Voice
+		disk   PeerState
+		peers  []PeerState
 		source Source
 		want   int64
 		from   string
 	}{
-		"nobody and nothing":               {Voice{}, nil, Nothing, 0, ""},
+		"nobody and nothing":               {PeerState{}, nil, Nothing, 0, ""},
 		"own disk alone":                   {voice(41, 0), nil, OwnDisk, 41, ""},
-		"a newer one of two peers":         {voice(41, 0), []Voice{voice(43, 0), voice(43, 0), voice(41, 0)}, OfPeers, 43, "p0 p1"},
-		"an older one of two peers":        {voice(41, 0), []Voice{voice(40, 0), voice(40, 0)}, OfPeers, 40, "p0 p1"},
-		"the own one, which a peer holds":  {voice(41, 0), []Voice{voice(41, 0), voice(40, 0), voice(40, 0)}, OwnDisk, 41, ""},
-		"a liar among five":                {voice(41, 0), []Voice{voice(999, 0), voice(41, 0), voice(41, 0), voice(41, 0)}, OwnDisk, 41, ""},
-		"a liar beside an empty disk":      {Voice{}, []Voice{voice(999, 0), voice(41, 0), voice(41, 0)}, OfPeers, 41, "p1 p2"},
-		"one peer beside an empty disk":    {Voice{}, []Voice{voice(41, 0)}, OfPeers, 41, "p0"},
-		"two that contradict, none agrees": {Voice{}, []Voice{voice(41, 0), voice(42, 0)}, Nothing, 0, ""},
-		"one newer peer alone":             {voice(41, 0), []Voice{voice(99, 0)}, OwnDisk, 41, ""},
-		"one version in two forms":         {voice(42, 0), []Voice{other, other}, OfPeers, 42, "p0 p1"},
+		"a newer one of two peers":         {voice(41, 0), []PeerState{voice(43, 0), voice(43, 0), voice(41, 0)}, OfPeers, 43, "p0 p1"},
+		"an older one of two peers":        {voice(41, 0), []PeerState{voice(40, 0), voice(40, 0)}, OfPeers, 40, "p0 p1"},
+		"the own one, which a peer holds":  {voice(41, 0), []PeerState{voice(41, 0), voice(40, 0), voice(40, 0)}, OwnDisk, 41, ""},
+		"a liar among five":                {voice(41, 0), []PeerState{voice(999, 0), voice(41, 0), voice(41, 0), voice(41, 0)}, OwnDisk, 41, ""},
+		"a liar beside an empty disk":      {PeerState{}, []PeerState{voice(999, 0), voice(41, 0), voice(41, 0)}, OfPeers, 41, "p1 p2"},
+		"one peer beside an empty disk":    {PeerState{}, []PeerState{voice(41, 0)}, OfPeers, 41, "p0"},
+		"two that contradict, none agrees": {PeerState{}, []PeerState{voice(41, 0), voice(42, 0)}, Nothing, 0, ""},
+		"one newer peer alone":             {voice(41, 0), []PeerState{voice(99, 0)}, OwnDisk, 41, ""},
+		"one version in two forms":         {voice(42, 0), []PeerState{other, other}, OfPeers, 42, "p0 p1"},
 	} {
 		d := decide(t, settings(max(len(c.peers), 1)), c.disk, c.peers...)
 		if d.Source != c.source || d.Version != c.want || strings.Join(d.From, " ") != c.from || d.Alone != (len(c.peers) == 0) {
@@ -110,7 +110,7 @@
 		{[]time.Duration{60 * sec, 60 * sec, 0}, false}, {[]time.Duration{99 * sec, 0, 0, 0}, true},
 		{[]time.Duration{99 * sec, 0}, true}, {[]time.Duration{5 * sec, 5 * sec}, true},
 	} {
-		var peers []Voice
+		var peers []PeerState
 		for _, up := range c.up {
 			peers = append(peers, voice(41, up))
 		}
@@ -134,7 +134,7 @@
 		{"one alone says it is warm", []Server{at(5 * sec)}, []Server{at(900 * sec), at(5 * sec)}, 5 * sec},
 		{"ahead of the clock", nil, []Server{at(-60 * sec), at(-60 * sec)}, 0},
 	} {
-		var peers []Voice
+		var peers []PeerState
 		for _, s := range c.peers {
 			peers = append(peers, voice(41, 0, s))
 		}
@@ -152,9 +152,9 @@
 func TestClocksThatJumpedAreNamed(t *testing.T) {
 	r := New(settings(1))
 	disk := voice(41, 0)
-	disk.At = now + 3600*sec
-	r.Handle(now, Begin{disk})
-	d, ok := r.Handle(now, Told{"p0", now - 3600*sec, voice(41, 0)})
+	disk.UpdatedAt = now + 3600*sec
+	r.Handle(now, Startup{disk})
+	d, ok := r.Handle(now, PeerReport{"p0", now - 3600*sec, voice(41, 0)})
 	if !ok || len(d.Warnings) != 2 || !strings.Contains(d.Warnings[0], "jumped back") || !strings.Contains(d.Warnings[1], "p0") {
 		t.Errorf("warned of %q", d.Warnings)
 	}
@@ -163,13 +163,13 @@
 // Discovery's word ends the wait at once; strangers and echoes of this instance do not.
 func TestDiscoveryEndsTheWait(t *testing.T) {
 	r := New(settings(2))
-	r.Handle(now, Begin{voice(41, 0)})
+	r.Handle(now, Startup{voice(41, 0)})
 	for _, stranger := range []string{"me", "mallory"} {
-		if _, ok := r.Handle(now, Told{stranger, now, voice(9, 0)}); ok {
+		if _, ok := r.Handle(now, PeerReport{stranger, now, voice(9, 0)}); ok {
 			t.Fatal("a stranger counts")
 		}
 	}
-	if d, ok := r.Handle(now+1, Confirmed{}); !ok || d.Source != Discovery || d.Version != 0 {
+	if d, ok := r.Handle(now+1, DiscoveryUpdate{}); !ok || d.Source != Discovery || d.Version != 0 {
 		t.Errorf("%v: %+v", ok, d)
 	}
 }
@@ -180,40 +180,40 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 6).Draw(t, "peers")
 		set := settings(n)
-		honest := func(label string) Voice {
+		honest := func(label string) PeerState {
 			var servers []Server
 			for i := range 4 {
 				servers = append(servers, Server{fmt.Sprint("s", i), now - time.Duration(1+i)*sec})
 			}
 			return voice(rapid.Int64Range(40, 42).Draw(t, label), 0, servers...)
 		}
-		lie := func() Voice {
-			v := Voice{Version: rapid.Int64Range(0, 1<<40).Draw(t, "version"), Hash: rapid.Uint64().Draw(t, "hash"),
-				Up: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "up")), At: now}
+		lie := func() PeerState {
+			v := PeerState{Version: rapid.Int64Range(0, 1<<40).Draw(t, "version"), Hash: rapid.Uint64().Draw(t, "hash"),
+				Uptime: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "up")), UpdatedAt: now}
 			for i := range 6 {
 				v.Servers = append(v.Servers, Server{fmt.Sprint("s", i), time.Duration(rapid.Int64Range(0, int64(2*now)).Draw(t, "start"))})
 			}
 			return v
 		}
-		disk, voices := honest("disk"), []Voice{}
+		disk, voices := honest("disk"), []PeerState{}
 		for i := range n - 1 {
 			voices = append(voices, honest(fmt.Sprint("v", i)))
 		}
-		told := map[string]Voice{}
+		told := map[string]PeerState{}
 		for i, v := range voices {
 			told[fmt.Sprint("p", i)] = v
 		}
 		liar := lie()
 		told[fmt.Sprint("p", n-1)] = liar
 		r := New(set)
-		d, ok := r.Handle(now, Begin{disk})
+		d, ok := r.Handle(now, Startup{disk})
 		for _, name := range rapid.Permutation(slices.Clone(set.Peers)).Draw(t, "order") {
-			d, ok = r.Handle(now+1, Told{name, now + 1, told[name]})
+			d, ok = r.Handle(now+1, PeerReport{name, now + 1, told[name]})
 		}
 		if !ok {
 			t.Fatal("not decided")
 		}
-		if d.Version == liar.Version && d.Hash == liar.Hash && !slices.ContainsFunc(append(voices, disk), func(v Voice) bool {
+		if d.Version == liar.Version && d.Hash == liar.Hash && !slices.ContainsFunc(append(voices, disk), func(v PeerState) bool {
 			return v.Version == liar.Version && v.Hash == liar.Hash
 		}) {
 			t.Fatalf("goes by the liar's list: %+v", d)
@@ -249,16 +249,16 @@
 		{list("a", "b", "c"), "d"}, {list("a", "b", "c", "d", "e"), ""}, {list("a", "b"), "c d"}, {list("a"), ""}, {list("x"), ""}, {nil, ""},
 	} {
 		r := New(settings(3))
-		r.Handle(now, Begin{voice(41, 0, list("a", "b", "c", "d")...)})
-		r.Handle(now, Told{"p0", now, voice(42, 0, c.peer...)})
-		d, ok := r.Handle(now+2*sec, Look{})
+		r.Handle(now, Startup{voice(41, 0, list("a", "b", "c", "d")...)})
+		r.Handle(now, PeerReport{"p0", now, voice(42, 0, c.peer...)})
+		d, ok := r.Handle(now+2*sec, Tick{})
 		if !ok || d.Source != OwnDisk || strings.Join(d.Avoid, " ") != c.avoid {
 			t.Errorf("beside one that holds %v: %v, avoids %q", c.peer, d.Source, d.Avoid)
 		}
-		if d, ok = r.Handle(now+3*sec, Told{"p1", now, voice(42, 0, c.peer...)}); !ok || d.Source != OfPeers || d.Version != 42 {
+		if d, ok = r.Handle(now+3*sec, PeerReport{"p1", now, voice(42, 0, c.peer...)}); !ok || d.Source != OfPeers || d.Version != 42 {
 			t.Errorf("beside two that hold %v: %v %+v", c.peer, ok, d)
 		}
-		if _, ok = r.Handle(now+3*sec, Told{"p2", now, voice(42, 0, c.peer...)}); ok {
+		if _, ok = r.Handle(now+3*sec, PeerReport{"p2", now, voice(42, 0, c.peer...)}); ok {
 			t.Error("a third that says the same is news")
 		}
 	}
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -77,7 +77,7 @@
 				continue
 			}
 			c.askAll()
-			c.handle(recovery.Look{})
+			c.handle(recovery.Tick{})
 			for len(c.decided) > 0 {
 				d := <-c.decided
 				s.last[name], s.hints[name] = d, c.adopt(d)
