--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -188,7 +188,7 @@
 			c.handle(recovery.Tick{})
 		case d := <-c.decided:
 			m := c.adopt(d)
-			if d.Source == recovery.Discovery {
+			if d.Source == recovery.FromDiscovery {
 				return
 			}
 			hint(m)
@@ -215,17 +215,17 @@
 	if c.serving == 0 {
 		c.serving = now
 	}
-	c.opts.Logger.Info("recovered", "list", d.Source.String(), "version", d.Version, "from", d.From, "avoid", d.Avoid, "all_cold", d.AllCold,
-		"alone", d.Alone, "after", now-c.began)
+	c.opts.Logger.Info("recovered", "list", d.Source.String(), "version", d.Version, "from", d.Peers, "avoid", d.Excluded, "all_cold", d.ColdStart,
+		"alone", d.Isolated, "after", now-c.began)
 	for _, w := range d.Warnings {
 		c.opts.Logger.Warn("recovery", "text", w)
 	}
-	if d.Source == recovery.Discovery || d.Source == recovery.Nothing {
+	if d.Source == recovery.FromDiscovery || d.Source == recovery.FromNowhere {
 		return nil
 	}
 	// What peers told is gone by and not passed on as this instance's own: two would seem to hold what one has claimed.
-	servers := c.lists[firstOf(d.From)]
-	if d.Source == recovery.OwnDisk {
+	servers := c.lists[firstOf(d.Peers)]
+	if d.Source == recovery.FromDisk {
 		servers = nil
 		for _, id := range c.ids() {
 			servers = append(servers, c.servers[id])
@@ -233,11 +233,11 @@
 	}
 	hint := &discovery.EndpointList{Version: d.Version, Complete: true}
 	for _, s := range servers {
-		if slices.Contains(d.Avoid, s.ID) {
+		if slices.Contains(d.Excluded, s.ID) {
 			continue
 		}
-		s.StartedMS = max(s.StartedMS, d.Starts[s.ID].Milliseconds())
-		if d.AllCold {
+		s.StartedMS = max(s.StartedMS, d.StartTimes[s.ID].Milliseconds())
+		if d.ColdStart {
 			s.StartedMS = max(s.StartedMS, c.began.Milliseconds())
 		}
 		hint.Endpoints = append(hint.Endpoints, s)
--- a/internal/cluster/recovery/digest_test.go
+++ b/internal/cluster/recovery/digest_test.go
@@ -122,15 +122,15 @@
 		o.text(sourceText(d.Source))
 		o.number(uint64(d.Version))
 		o.number(d.Hash)
-		o.texts(d.From)
-		o.texts(d.Avoid)
-		o.flag(d.AllCold)
-		o.flag(d.Alone)
+		o.texts(d.Peers)
+		o.texts(d.Excluded)
+		o.flag(d.ColdStart)
+		o.flag(d.Isolated)
 		o.number(uint64(len(d.Warnings)))
-		o.number(uint64(len(d.Starts)))
-		for _, id := range slices.Sorted(maps.Keys(d.Starts)) {
+		o.number(uint64(len(d.StartTimes)))
+		for _, id := range slices.Sorted(maps.Keys(d.StartTimes)) {
 			o.text(id)
-			o.number(uint64(d.Starts[id]))
+			o.number(uint64(d.StartTimes[id]))
 		}
 	}
 	o.sum.Write(o.buf)
@@ -138,13 +138,13 @@
 
 func sourceText(s recovery.Source) string {
 	switch s {
-	case recovery.Nothing:
+	case recovery.FromNowhere:
 		return "nothing"
-	case recovery.OwnDisk:
+	case recovery.FromDisk:
 		return "disk"
-	case recovery.OfPeers:
+	case recovery.FromPeers:
 		return "peers"
-	case recovery.Discovery:
+	case recovery.FromDiscovery:
 		return "discovery"
 	default:
 		return fmt.Sprintf("unknown %d", int(s))
--- a/internal/cluster/recovery/recovery.go
+++ b/internal/cluster/recovery/recovery.go
@@ -64,10 +64,10 @@
 type Source int
 
 const (
-	Nothing   Source = iota // no list until discovery tells one
-	OwnDisk                 // a hint
-	OfPeers                 // a hint that more than one of them tells
-	Discovery               // no hint
+	FromNowhere   Source = iota // no list until discovery tells one
+	FromDisk                    // a hint
+	FromPeers                   // a hint that more than one of them tells
+	FromDiscovery               // no hint
 )
 
 func (s Source) String() string {
@@ -77,18 +77,18 @@
 // Decision is taken once, and again where later answers change it before discovery tells a list.
 type Decision struct {
 	Source  Source
-	From    []string // peers that hold the list, where it is OfPeers: the entries are to be had from them
+	Peers   []string // peers that hold the list, where it is OfPeers: the entries are to be had from them
 	Version int64
 	Hash    uint64
-	// Avoid are servers of the own disk's list that a peer with a newer one does not hold, where no two voices agree. They
+	// Excluded are servers of the own disk's list that a peer with a newer one does not hold, where no two voices agree. They
 	// are not to be sent to. Half of the list at the most: one that lies takes no more than that away.
-	Avoid []string
-	// Starts are those of servers, by id, as more than one voice or the own disk tells them. They go over the list's.
-	Starts map[string]time.Duration
-	// AllCold says that power was lost, as far as is known: no peer has served on. Servers of a hint may have started
+	Excluded []string
+	// StartTimes are those of servers, by id, as more than one voice or the own disk tells them. They go over the list's.
+	StartTimes map[string]time.Duration
+	// ColdStart says that power was lost, as far as is known: no peer has served on. Servers of a hint may have started
 	// since it was stored, so each is taken to have started now until discovery tells.
-	AllCold bool
-	Alone   bool // no peer answered: no part of a budget but the own one is used
+	ColdStart bool
+	Isolated  bool // no peer answered: no part of a budget but the own one is used
 	// Warnings name what did not fit: clocks that jumped, lists that contradict one another.
 	Warnings []string
 }
@@ -144,7 +144,7 @@
 
 // same reports whether two decisions have the same list gone by in the same way.
 func (d Decision) same(o Decision) bool {
-	return d.Source == o.Source && d.Version == o.Version && d.Hash == o.Hash && d.AllCold == o.AllCold && slices.Equal(d.Avoid, o.Avoid)
+	return d.Source == o.Source && d.Version == o.Version && d.Hash == o.Hash && d.ColdStart == o.ColdStart && slices.Equal(d.Excluded, o.Excluded)
 }
 
 func (r *Recovery) warn(format string, args ...any) {
@@ -154,10 +154,10 @@
 }
 
 func (r *Recovery) decide(now time.Duration, confirmed bool) Decision {
-	d := Decision{Alone: len(r.peers) == 0, AllCold: !r.servedOn()}
-	d.Starts = r.starts(now)
+	d := Decision{Isolated: len(r.peers) == 0, ColdStart: !r.servedOn()}
+	d.StartTimes = r.starts(now)
 	if confirmed {
-		d.Source = Discovery
+		d.Source = FromDiscovery
 	} else {
 		r.list(&d)
 	}
@@ -225,13 +225,13 @@
 		if len(l.peers) > 1 || l.own && len(l.peers) > 0 || l.own && r.newestAgreed(lists) == nil ||
 			len(lists) == 1 && r.disk.Version == 0 {
 			d.Version, d.Hash = l.version, l.hash
-			if d.Source = OfPeers; l.own {
-				d.Source = OwnDisk
+			if d.Source = FromPeers; l.own {
+				d.Source = FromDisk
 			} else {
-				d.From = l.peers
+				d.Peers = l.peers
 			}
 			if l.own && len(l.peers) == 0 {
-				d.Avoid = r.left()
+				d.Excluded = r.left()
 			}
 			return
 		}
--- a/internal/cluster/recovery/recovery_test.go
+++ b/internal/cluster/recovery/recovery_test.go
@@ -78,21 +78,21 @@
 		want   int64
 		from   string
 	}{
-		"nobody and nothing":               {PeerState{}, nil, Nothing, 0, ""},
-		"own disk alone":                   {voice(41, 0), nil, OwnDisk, 41, ""},
-		"a newer one of two peers":         {voice(41, 0), []PeerState{voice(43, 0), voice(43, 0), voice(41, 0)}, OfPeers, 43, "p0 p1"},
-		"an older one of two peers":        {voice(41, 0), []PeerState{voice(40, 0), voice(40, 0)}, OfPeers, 40, "p0 p1"},
-		"the own one, which a peer holds":  {voice(41, 0), []PeerState{voice(41, 0), voice(40, 0), voice(40, 0)}, OwnDisk, 41, ""},
-		"a liar among five":                {voice(41, 0), []PeerState{voice(999, 0), voice(41, 0), voice(41, 0), voice(41, 0)}, OwnDisk, 41, ""},
-		"a liar beside an empty disk":      {PeerState{}, []PeerState{voice(999, 0), voice(41, 0), voice(41, 0)}, OfPeers, 41, "p1 p2"},
-		"one peer beside an empty disk":    {PeerState{}, []PeerState{voice(41, 0)}, OfPeers, 41, "p0"},
-		"two that contradict, none agrees": {PeerState{}, []PeerState{voice(41, 0), voice(42, 0)}, Nothing, 0, ""},
-		"one newer peer alone":             {voice(41, 0), []PeerState{voice(99, 0)}, OwnDisk, 41, ""},
-		"one version in two forms":         {voice(42, 0), []PeerState{other, other}, OfPeers, 42, "p0 p1"},
+		"nobody and nothing":               {PeerState{}, nil, FromNowhere, 0, ""},
+		"own disk alone":                   {voice(41, 0), nil, FromDisk, 41, ""},
+		"a newer one of two peers":         {voice(41, 0), []PeerState{voice(43, 0), voice(43, 0), voice(41, 0)}, FromPeers, 43, "p0 p1"},
+		"an older one of two peers":        {voice(41, 0), []PeerState{voice(40, 0), voice(40, 0)}, FromPeers, 40, "p0 p1"},
+		"the own one, which a peer holds":  {voice(41, 0), []PeerState{voice(41, 0), voice(40, 0), voice(40, 0)}, FromDisk, 41, ""},
+		"a liar among five":                {voice(41, 0), []PeerState{voice(999, 0), voice(41, 0), voice(41, 0), voice(41, 0)}, FromDisk, 41, ""},
+		"a liar beside an empty disk":      {PeerState{}, []PeerState{voice(999, 0), voice(41, 0), voice(41, 0)}, FromPeers, 41, "p1 p2"},
+		"one peer beside an empty disk":    {PeerState{}, []PeerState{voice(41, 0)}, FromPeers, 41, "p0"},
+		"two that contradict, none agrees": {PeerState{}, []PeerState{voice(41, 0), voice(42, 0)}, FromNowhere, 0, ""},
+		"one newer peer alone":             {voice(41, 0), []PeerState{voice(99, 0)}, FromDisk, 41, ""},
+		"one version in two forms":         {voice(42, 0), []PeerState{other, other}, FromPeers, 42, "p0 p1"},
 	} {
 		d := decide(t, settings(max(len(c.peers), 1)), c.disk, c.peers...)
-		if d.Source != c.source || d.Version != c.want || strings.Join(d.From, " ") != c.from || d.Alone != (len(c.peers) == 0) {
-			t.Errorf("%s: %v %d of %q, alone %v", name, d.Source, d.Version, d.From, d.Alone)
+		if d.Source != c.source || d.Version != c.want || strings.Join(d.Peers, " ") != c.from || d.Isolated != (len(c.peers) == 0) {
+			t.Errorf("%s: %v %d of %q, alone %v", name, d.Source, d.Version, d.Peers, d.Isolated)
 		}
 		if name == "one version in two forms" && len(d.Warnings) != 1 {
 			t.Errorf("%s: warned of %q", name, d.Warnings)
@@ -114,8 +114,8 @@
 		for _, up := range c.up {
 			peers = append(peers, voice(41, up))
 		}
-		if d := decide(t, settings(max(len(peers), 1)), voice(41, 0), peers...); d.AllCold != c.allCold {
-			t.Errorf("peers up for %v: all cold %v", c.up, d.AllCold)
+		if d := decide(t, settings(max(len(peers), 1)), voice(41, 0), peers...); d.ColdStart != c.allCold {
+			t.Errorf("peers up for %v: all cold %v", c.up, d.ColdStart)
 		}
 	}
 }
@@ -143,8 +143,8 @@
 		if c.want == 0 {
 			want = 0
 		}
-		if d.Starts["s"] != want {
-			t.Errorf("%s: started %v ago", c.name, now-d.Starts["s"])
+		if d.StartTimes["s"] != want {
+			t.Errorf("%s: started %v ago", c.name, now-d.StartTimes["s"])
 		}
 	}
 }
@@ -169,7 +169,7 @@
 			t.Fatal("a stranger counts")
 		}
 	}
-	if d, ok := r.Handle(now+1, DiscoveryUpdate{}); !ok || d.Source != Discovery || d.Version != 0 {
+	if d, ok := r.Handle(now+1, DiscoveryUpdate{}); !ok || d.Source != FromDiscovery || d.Version != 0 {
 		t.Errorf("%v: %+v", ok, d)
 	}
 }
@@ -218,7 +218,7 @@
 		}) {
 			t.Fatalf("goes by the liar's list: %+v", d)
 		}
-		if !d.AllCold {
+		if !d.ColdStart {
 			t.Fatal("the liar talked the power loss away")
 		}
 		for i := range 6 {
@@ -226,7 +226,7 @@
 			if i < 4 {
 				want = now - time.Duration(1+i)*sec
 			}
-			if got := d.Starts[fmt.Sprint("s", i)]; got != want {
+			if got := d.StartTimes[fmt.Sprint("s", i)]; got != want {
 				t.Fatalf("s%d started at %v, not %v", i, got, want)
 			}
 		}
@@ -252,10 +252,10 @@
 		r.Handle(now, Startup{voice(41, 0, list("a", "b", "c", "d")...)})
 		r.Handle(now, PeerReport{"p0", now, voice(42, 0, c.peer...)})
 		d, ok := r.Handle(now+2*sec, Tick{})
-		if !ok || d.Source != OwnDisk || strings.Join(d.Avoid, " ") != c.avoid {
-			t.Errorf("beside one that holds %v: %v, avoids %q", c.peer, d.Source, d.Avoid)
+		if !ok || d.Source != FromDisk || strings.Join(d.Excluded, " ") != c.avoid {
+			t.Errorf("beside one that holds %v: %v, avoids %q", c.peer, d.Source, d.Excluded)
 		}
-		if d, ok = r.Handle(now+3*sec, PeerReport{"p1", now, voice(42, 0, c.peer...)}); !ok || d.Source != OfPeers || d.Version != 42 {
+		if d, ok = r.Handle(now+3*sec, PeerReport{"p1", now, voice(42, 0, c.peer...)}); !ok || d.Source != FromPeers || d.Version != 42 {
 			t.Errorf("beside two that hold %v: %v %+v", c.peer, ok, d)
 		}
 		if _, ok = r.Handle(now+3*sec, PeerReport{"p2", now, voice(42, 0, c.peer...)}); ok {
@@ -263,7 +263,7 @@
 		}
 	}
 	// Where another agrees with the own disk, one newer peer alone takes nothing away.
-	if d := decide(t, settings(2), voice(41, 0, list("a", "b")...), voice(42, 0, list("a")...), voice(41, 0, list("a", "b")...)); len(d.Avoid) > 0 {
-		t.Errorf("avoids %q", d.Avoid)
+	if d := decide(t, settings(2), voice(41, 0, list("a", "b")...), voice(42, 0, list("a")...), voice(41, 0, list("a", "b")...)); len(d.Excluded) > 0 {
+		t.Errorf("avoids %q", d.Excluded)
 	}
 }
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -81,7 +81,7 @@
 			for len(c.decided) > 0 {
 				d := <-c.decided
 				s.last[name], s.hints[name] = d, c.adopt(d)
-				s.say("%s goes by %v %d avoid %v", name, d.Source, d.Version, d.Avoid)
+				s.say("%s goes by %v %d avoid %v", name, d.Source, d.Version, d.Excluded)
 			}
 		}
 	}
