--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set := recovery.Settings{Name: o.Name, Wait: o.Wait, Cold: o.Cold, Skew: skew}
+	set := recovery.Settings{Name: o.Name, PeerTimeout: o.Wait, WarmupDuration: o.Cold, MaxClockSkew: skew}
 	var join []string
 	for name, addr := range o.Members {
 		set.Peers, join = append(set.Peers, name), append(join, addr)
--- a/internal/cluster/recovery/digest_test.go
+++ b/internal/cluster/recovery/digest_test.go
@@ -161,10 +161,10 @@
 func newDrawn(seed uint64, stream uint64, peers int) *drawn {
 	r := &drawn{Rand: rand.New(rand.NewPCG(seed, stream))}
 	r.set = recovery.Settings{
-		Name: "me",
-		Wait: time.Duration(r.IntN(3000)) * time.Millisecond,
-		Cold: time.Duration(5+r.IntN(20)) * time.Second,
-		Skew: time.Duration(500+r.IntN(2000)) * time.Millisecond,
+		Name:           "me",
+		PeerTimeout:    time.Duration(r.IntN(3000)) * time.Millisecond,
+		WarmupDuration: time.Duration(5+r.IntN(20)) * time.Second,
+		MaxClockSkew:   time.Duration(500+r.IntN(2000)) * time.Millisecond,
 	}
 	for i := range peers {
 		r.set.Peers = append(r.set.Peers, fmt.Sprint("p", i))
@@ -217,11 +217,11 @@
 	v.Servers = shuffled(r, v.Servers)
 	v.UpdatedAt, v.Uptime = now-time.Duration(r.IntN(100))*time.Second, 0
 	if r.IntN(6) == 0 {
-		v.UpdatedAt = r.about(now + r.set.Skew)
+		v.UpdatedAt = r.about(now + r.set.MaxClockSkew)
 	}
 	switch r.IntN(4) {
 	case 0:
-		v.Uptime = r.about(r.set.Cold)
+		v.Uptime = r.about(r.set.WarmupDuration)
 	case 1:
 		v.Uptime = time.Duration(r.IntN(90)) * time.Second
 	}
@@ -233,7 +233,7 @@
 	case 0:
 		return 0
 	case 1:
-		return r.about(now + r.set.Skew)
+		return r.about(now + r.set.MaxClockSkew)
 	case 2:
 		return now - time.Duration(r.Int64N(int64(time.Hour)))
 	case 3:
@@ -247,9 +247,9 @@
 	m := recovery.PeerReport{Peer: peer, Clock: now, State: r.state(now)}
 	switch r.IntN(8) {
 	case 0:
-		m.Clock = r.about(now + r.set.Skew)
+		m.Clock = r.about(now + r.set.MaxClockSkew)
 	case 1:
-		m.Clock = r.about(now - r.set.Skew)
+		m.Clock = r.about(now - r.set.MaxClockSkew)
 	case 2:
 		m.Clock = now + time.Duration(r.IntN(10_000)-5_000)*time.Millisecond
 	}
@@ -272,8 +272,8 @@
 	began := now
 	peers := append(slices.Clone(r.set.Peers), "me", "stranger")
 	for range 5 + r.IntN(30) {
-		if now < began+r.set.Wait-time.Second && r.IntN(5) == 0 || r.IntN(20) == 0 {
-			now = max(now, r.about(began+r.set.Wait))
+		if now < began+r.set.PeerTimeout-time.Second && r.IntN(5) == 0 || r.IntN(20) == 0 {
+			now = max(now, r.about(began+r.set.PeerTimeout))
 		} else {
 			now += time.Duration(r.IntN(400)) * time.Millisecond
 		}
@@ -315,7 +315,7 @@
 	n := 2 + int(seed%5)
 	r := newDrawn(seed, 2, n)
 	r.set.Peers = slices.DeleteFunc(r.set.Peers, func(name string) bool { return name == r.set.Name })
-	r.set.Cold = time.Duration(1+r.IntN(3)) * time.Second
+	r.set.WarmupDuration = time.Duration(1+r.IntN(3)) * time.Second
 	fleet := make([]*instance, n)
 	for i, name := range slices.Sorted(slices.Values(r.set.Peers)) {
 		fleet[i] = &instance{name: name, holds: r.state(epoch), starts: epoch + time.Duration(r.IntN(4000))*time.Millisecond,
--- a/internal/cluster/recovery/recovery.go
+++ b/internal/cluster/recovery/recovery.go
@@ -15,11 +15,11 @@
 
 // Settings are what a decision goes by.
 type Settings struct {
-	Name  string        // this instance's
-	Peers []string      // the others that the configuration names
-	Wait  time.Duration // for their answers; then it goes on without those that are missing
-	Cold  time.Duration // a server that started is cold for this long
-	Skew  time.Duration // clocks of two instances may differ by this
+	Name           string        // this instance's
+	Peers          []string      // the others that the configuration names
+	PeerTimeout    time.Duration // for their answers; then it goes on without those that are missing
+	WarmupDuration time.Duration // a server that started is cold for this long
+	MaxClockSkew   time.Duration // clocks of two instances may differ by this
 }
 
 // Server is an entry of a list, as far as instances have to agree on it.
@@ -117,21 +117,21 @@
 	switch ev := ev.(type) {
 	case Startup:
 		r.began, r.disk = now, ev.Disk
-		if r.disk.UpdatedAt > now+r.set.Skew {
+		if r.disk.UpdatedAt > now+r.set.MaxClockSkew {
 			r.warn("the clock is %v before the time at which the disk was last written: it jumped back, or the disk's ran ahead", r.disk.UpdatedAt-now)
 		}
 	case PeerReport:
 		if ev.Peer == r.set.Name || !slices.Contains(r.set.Peers, ev.Peer) {
 			return d, false
 		}
-		if off := ev.Clock - now; off > r.set.Skew || off < -r.set.Skew {
+		if off := ev.Clock - now; off > r.set.MaxClockSkew || off < -r.set.MaxClockSkew {
 			r.warn("the clock of %s differs by %v", ev.Peer, off)
 		}
 		r.peers[ev.Peer] = ev
 	case DiscoveryUpdate:
 		confirmed = true
 	}
-	if !r.decided && !confirmed && len(r.peers) < len(r.set.Peers) && now < r.began+r.set.Wait {
+	if !r.decided && !confirmed && len(r.peers) < len(r.set.Peers) && now < r.began+r.set.PeerTimeout {
 		return d, false
 	}
 	d = r.decide(now, confirmed)
@@ -170,7 +170,7 @@
 func (r *Recovery) servedOn() bool {
 	served := 0
 	for _, t := range r.peers {
-		if t.State.Uptime > r.set.Cold {
+		if t.State.Uptime > r.set.WarmupDuration {
 			served++
 		}
 	}
@@ -289,7 +289,7 @@
 	for _, t := range r.peers {
 		seen := map[string]bool{}
 		for _, s := range t.State.Servers {
-			if s.StartedAt > 0 && s.StartedAt <= now+r.set.Skew && !seen[s.ID] {
+			if s.StartedAt > 0 && s.StartedAt <= now+r.set.MaxClockSkew && !seen[s.ID] {
 				seen[s.ID] = true
 				told[s.ID] = append(told[s.ID], s.StartedAt)
 			}
@@ -297,7 +297,7 @@
 	}
 	all := map[string]time.Duration{}
 	for _, s := range r.disk.Servers {
-		if s.StartedAt > 0 && s.StartedAt <= now+r.set.Skew {
+		if s.StartedAt > 0 && s.StartedAt <= now+r.set.MaxClockSkew {
 			all[s.ID] = s.StartedAt
 		}
 	}
--- a/internal/cluster/recovery/recovery_test.go
+++ b/internal/cluster/recovery/recovery_test.go
@@ -25,7 +25,7 @@
 }
 
 func settings(peers int) Settings {
-	s := Settings{Name: "me", Wait: 2 * sec, Cold: 20 * sec, Skew: sec}
+	s := Settings{Name: "me", PeerTimeout: 2 * sec, WarmupDuration: 20 * sec, MaxClockSkew: sec}
 	for i := range peers {
 		s.Peers = append(s.Peers, fmt.Sprint("p", i))
 	}
@@ -48,10 +48,10 @@
 		d, ok = r.Handle(now+sec, PeerReport{fmt.Sprint("p", i), now + sec, v})
 	}
 	if !ok {
-		if d, ok = r.Handle(now+set.Wait-1, Tick{}); ok {
+		if d, ok = r.Handle(now+set.PeerTimeout-1, Tick{}); ok {
 			t.Fatal("decided before its time")
 		}
-		d, ok = r.Handle(now+set.Wait, Tick{})
+		d, ok = r.Handle(now+set.PeerTimeout, Tick{})
 	}
 	if !ok {
 		t.Fatal("not decided in time")
