--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -31,8 +31,8 @@
 			return
 		case <-tick.C:
 		}
-		var own tiers.Own
-		own.Asked, own.Refused, own.Cut = g.tiers.TakeCounts()
+		var own tiers.LocalCounts
+		own.Requests, own.Rejected, own.Shed = g.tiers.TakeCounts()
 		level := c.Shed(own)
 		if level != last {
 			g.engine.Post(engine.FleetShedLevel{Level: level})
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -66,8 +66,8 @@
 	answers  map[string]*answer
 	lists    map[string][]discovery.Endpoint // whole ones that peers told
 	decided  chan recovery.Decision
-	tiers    *tiers.Tiers // nil: none are named
-	digests  uint64       // that were told
+	tiers    *tiers.Shedder // nil: none are named
+	digests  uint64         // that were told
 }
 
 // record is a list on the disk.
@@ -341,12 +341,12 @@
 
 // Shed takes this instance's counts since the last call, by rank, tells the others of them, and returns the level of what
 // the fleet sheds. It is to be called every tiers.Tick.
-func (c *Cluster) Shed(own tiers.Own) (level float64) {
+func (c *Cluster) Shed(own tiers.LocalCounts) (level float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d, level := c.tiers.Handle(c.opts.Clock(), own)
 	c.digests++
-	b, _ := json.Marshal(message{Kind: tier, Number: c.digests, Share: d.Share, Asked: d.Asked})
+	b, _ := json.Marshal(message{Kind: tier, Number: c.digests, Share: d.ShedRatio, Asked: d.RequestRates})
 	for name := range c.opts.Members {
 		c.peers.Send(name, b)
 	}
@@ -368,8 +368,8 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if _, member := c.opts.Members[from.From]; member && c.tiers != nil {
-			c.tiers.Handle(c.opts.Clock(), tiers.Told{Peer: from.From, Incarnation: from.Incarnation, Number: m.Number,
-				Digest: tiers.Digest{Share: m.Share, Asked: m.Asked}})
+			c.tiers.Handle(c.opts.Clock(), tiers.PeerReport{Peer: from.From, Incarnation: from.Incarnation, Sequence: m.Number,
+				Report: tiers.Report{ShedRatio: m.Share, RequestRates: m.Asked}})
 		}
 	}
 }
--- a/internal/cluster/tiers/digest_test.go
+++ b/internal/cluster/tiers/digest_test.go
@@ -103,13 +103,13 @@
 
 func (o *transcript) digest() string { return fmt.Sprintf("%x", o.sum.Sum(nil)[:8]) }
 
-func (o *transcript) level(now time.Duration, instance int, told tiers.Digest, level float64) {
+func (o *transcript) level(now time.Duration, instance int, told tiers.Report, level float64) {
 	b := binary.BigEndian.AppendUint64(o.buf[:0], uint64(now))
 	b = binary.BigEndian.AppendUint64(b, uint64(instance))
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(level))
-	b = binary.BigEndian.AppendUint64(b, math.Float64bits(told.Share))
-	b = binary.BigEndian.AppendUint64(b, uint64(len(told.Asked)))
-	for _, a := range told.Asked {
+	b = binary.BigEndian.AppendUint64(b, math.Float64bits(told.ShedRatio))
+	b = binary.BigEndian.AppendUint64(b, uint64(len(told.RequestRates)))
+	for _, a := range told.RequestRates {
 		b = binary.BigEndian.AppendUint64(b, math.Float64bits(a))
 	}
 	o.sum.Write(b)
@@ -123,14 +123,14 @@
 type message struct {
 	at   time.Duration
 	to   int
-	told tiers.Told
+	told tiers.PeerReport
 }
 
 // fleet is some instances in front of servers that bear so many requests a second.
 type fleet struct {
 	*rand.Rand
 	set    tiers.Settings
-	all    []*tiers.Tiers
+	all    []*tiers.Shedder
 	levels []float64
 	lives  []uint64
 	number uint64
@@ -223,12 +223,12 @@
 func (f *fleet) cut(i, k int) float64 { return min(max(f.levels[i]-float64(k), 0), 1) }
 
 func (f *fleet) tick(i int, refused float64, out *transcript) {
-	var own tiers.Own
+	var own tiers.LocalCounts
 	for k, load := range f.load {
 		asked := load * tiers.Tick.Seconds() * (0.8 + 0.4*f.Float64())
-		own.Asked = append(own.Asked, uint64(math.Round(asked)))
-		own.Cut = append(own.Cut, uint64(asked*f.cut(i, k)))
-		own.Refused = append(own.Refused, uint64(asked*(1-f.cut(i, k))*refused))
+		own.Requests = append(own.Requests, uint64(math.Round(asked)))
+		own.Shed = append(own.Shed, uint64(asked*f.cut(i, k)))
+		own.Rejected = append(own.Rejected, uint64(asked*(1-f.cut(i, k))*refused))
 	}
 	told, level := f.all[i].Handle(f.now, own)
 	out.level(f.now, i, told, level)
@@ -239,7 +239,7 @@
 	f.number++
 	for to := range f.all {
 		if to != i && f.IntN(20) > 0 {
-			f.send(to, tiers.Told{Peer: peerName(i), Incarnation: f.lives[i], Number: f.number, Digest: told})
+			f.send(to, tiers.PeerReport{Peer: peerName(i), Incarnation: f.lives[i], Sequence: f.number, Report: told})
 		}
 	}
 }
@@ -247,7 +247,7 @@
 func peerName(i int) string { return "p" + strconv.Itoa(i) }
 
 // send queues a message; some come late, twice, or after a later one.
-func (f *fleet) send(to int, told tiers.Told) {
+func (f *fleet) send(to int, told tiers.PeerReport) {
 	copies := 1
 	if f.IntN(30) == 0 {
 		copies = 2
@@ -274,32 +274,32 @@
 }
 
 // claim is a digest that nothing bears out, or none at all.
-func (f *fleet) claim() tiers.Digest {
-	d := tiers.Digest{Share: f.Float64()}
+func (f *fleet) claim() tiers.Report {
+	d := tiers.Report{ShedRatio: f.Float64()}
 	for range f.set.Ranks {
-		d.Asked = append(d.Asked, f.Float64()*1e6)
+		d.RequestRates = append(d.RequestRates, f.Float64()*1e6)
 	}
 	switch f.IntN(12) {
 	case 0:
-		d.Share = math.NaN()
+		d.ShedRatio = math.NaN()
 	case 1:
-		d.Share = -1e-9
+		d.ShedRatio = -1e-9
 	case 2:
-		d.Share = math.Nextafter(1, 2)
+		d.ShedRatio = math.Nextafter(1, 2)
 	case 3:
-		d.Share = 1
+		d.ShedRatio = 1
 	case 4:
-		d.Share = 0
+		d.ShedRatio = 0
 	case 5:
-		d.Asked[0] = math.NaN()
+		d.RequestRates[0] = math.NaN()
 	case 6:
-		d.Asked[0] = math.Inf(1)
+		d.RequestRates[0] = math.Inf(1)
 	case 7:
-		d.Asked[0] = -1
+		d.RequestRates[0] = -1
 	case 8:
-		d.Asked = append(d.Asked, 1)
+		d.RequestRates = append(d.RequestRates, 1)
 	case 9:
-		d.Asked = nil
+		d.RequestRates = nil
 	}
 	return d
 }
@@ -316,5 +316,5 @@
 	case 2:
 		number -= min(number, uint64(len(f.all)))
 	}
-	f.send(to, tiers.Told{Peer: peerName(from), Incarnation: life, Number: number, Digest: f.claim()})
+	f.send(to, tiers.PeerReport{Peer: peerName(from), Incarnation: life, Sequence: number, Report: f.claim()})
 }
--- a/internal/cluster/tiers/tiers.go
+++ b/internal/cluster/tiers/tiers.go
@@ -42,37 +42,37 @@
 	smooth    = 0.5  // of a tick's counts in what is held of late
 )
 
-// Digest is what an instance tells the others.
-type Digest struct {
-	Share float64   // of all requests, that is to be shed
-	Asked []float64 // requests a second, by rank
+// Report is what an instance tells the others.
+type Report struct {
+	ShedRatio    float64   // of all requests, that is to be shed
+	RequestRates []float64 // requests a second, by rank
 }
 
 // Event is what happened. The concrete types are those below.
 type Event interface{ event() }
 
 type (
-	// Own are this instance's counts since the last Own, by rank.
-	Own struct{ Asked, Refused, Cut []uint64 }
-	// Told is a peer's digest. One of an earlier life, or out of order, is of no use.
-	Told struct {
+	// LocalCounts are this instance's counts since the last Own, by rank.
+	LocalCounts struct{ Requests, Rejected, Shed []uint64 }
+	// PeerReport is a peer's digest. One of an earlier life, or out of order, is of no use.
+	PeerReport struct {
 		Peer        string
 		Incarnation uint64
-		Number      uint64
-		Digest      Digest
+		Sequence    uint64
+		Report      Report
 	}
 )
 
-func (Own) event()  {}
-func (Told) event() {}
+func (LocalCounts) event() {}
+func (PeerReport) event()  {}
 
 type heard struct {
-	Told
+	PeerReport
 	at time.Duration
 }
 
-// Tiers decides for one instance.
-type Tiers struct {
+// Shedder decides for one instance.
+type Shedder struct {
 	set     Settings
 	peers   map[string]heard
 	asked   []float64 // a second
@@ -87,37 +87,37 @@
 }
 
 // New returns a Tiers.
-func New(set Settings) *Tiers {
-	return &Tiers{set: set, peers: map[string]heard{}, asked: make([]float64, set.Ranks)}
+func New(set Settings) *Shedder {
+	return &Shedder{set: set, peers: map[string]heard{}, asked: make([]float64, set.Ranks)}
 }
 
 // Handle takes an event. After Own it returns what to tell the others, and the level: ranks under its whole part are shed,
 // and of the rank at it the part behind the point.
-func (t *Tiers) Handle(now time.Duration, ev Event) (d Digest, level float64) {
+func (t *Shedder) Handle(now time.Duration, ev Event) (d Report, level float64) {
 	switch ev := ev.(type) {
-	case Told:
+	case PeerReport:
 		old := t.peers[ev.Peer]
-		if ev.Incarnation > old.Incarnation || ev.Incarnation == old.Incarnation && ev.Number > old.Number {
-			if sound(ev.Digest, t.set.Ranks) {
+		if ev.Incarnation > old.Incarnation || ev.Incarnation == old.Incarnation && ev.Sequence > old.Sequence {
+			if sound(ev.Report, t.set.Ranks) {
 				t.peers[ev.Peer] = heard{ev, now}
 			}
 		}
 		return d, 0
-	case Own:
+	case LocalCounts:
 		t.count(ev)
 	}
 	all := t.digests(now)
 	t.share = t.want(now, medianShare(all[1:]))
-	own := Digest{Share: t.share, Asked: slices.Clone(t.asked)}
+	own := Report{ShedRatio: t.share, RequestRates: slices.Clone(t.asked)}
 	return own, t.level(medianShare(append(t.digests(now)[1:], own)), append(all[1:], own))
 }
 
 // sound reports whether a digest has figures that can be gone by.
-func sound(d Digest, ranks int) bool {
-	if len(d.Asked) != ranks || !(d.Share >= 0 && d.Share <= 1) {
+func sound(d Report, ranks int) bool {
+	if len(d.RequestRates) != ranks || !(d.ShedRatio >= 0 && d.ShedRatio <= 1) {
 		return false
 	}
-	for _, a := range d.Asked {
+	for _, a := range d.RequestRates {
 		if !(a >= 0) || math.IsInf(a, 1) {
 			return false
 		}
@@ -125,13 +125,13 @@
 	return true
 }
 
-func (t *Tiers) count(o Own) {
+func (t *Shedder) count(o LocalCounts) {
 	var letIn, refused float64
 	for i := range t.set.Ranks {
-		asked := float64(o.Asked[i]) / Tick.Seconds()
+		asked := float64(o.Requests[i]) / Tick.Seconds()
 		t.asked[i] += smooth * (asked - t.asked[i])
-		letIn += asked - float64(o.Cut[i])/Tick.Seconds()
-		refused += float64(o.Refused[i]) / Tick.Seconds()
+		letIn += asked - float64(o.Shed[i])/Tick.Seconds()
+		refused += float64(o.Rejected[i]) / Tick.Seconds()
 	}
 	t.letIn += smooth * (letIn - t.letIn)
 	t.refused += smooth * (refused - t.refused)
@@ -139,24 +139,24 @@
 }
 
 // digests are those that count now, this instance's last one first.
-func (t *Tiers) digests(now time.Duration) []Digest {
-	all := []Digest{{Share: t.share, Asked: t.asked}}
+func (t *Shedder) digests(now time.Duration) []Report {
+	all := []Report{{ShedRatio: t.share, RequestRates: t.asked}}
 	for _, h := range t.peers {
 		if now-h.at <= fresh {
-			all = append(all, h.Digest)
+			all = append(all, h.Report)
 		}
 	}
 	return all
 }
 
 // medianShare is the middle of what instances want shed: one that claims anything moves it by one place.
-func medianShare(all []Digest) float64 {
+func medianShare(all []Report) float64 {
 	if len(all) == 0 {
 		return 0
 	}
 	shares := make([]float64, len(all))
 	for i, d := range all {
-		shares[i] = d.Share
+		shares[i] = d.ShedRatio
 	}
 	return median(shares)
 }
@@ -173,7 +173,7 @@
 // of late, and less once nobody was refused for a time. It keeps to its own share, as each would follow one that lies a
 // little. What is refused now is no measure for the next step, as a step shows some ticks later: by it steps went on until a
 // fifth of the highest tier was shed for nothing.
-func (t *Tiers) want(now time.Duration, others float64) float64 {
+func (t *Shedder) want(now time.Duration, others float64) float64 {
 	if !t.opened { // one that joins begins where the others stand
 		t.opened, t.starved, t.wait, t.share = true, now, openAfter, others
 	}
@@ -213,12 +213,12 @@
 }
 
 // level is where a share cuts, by what instances are asked for.
-func (t *Tiers) level(share float64, all []Digest) float64 {
+func (t *Shedder) level(share float64, all []Report) float64 {
 	mix, sum := make([]float64, t.set.Ranks), 0.0
 	for k := range mix {
 		of := make([]float64, len(all))
 		for i, d := range all {
-			of[i] = d.Asked[k]
+			of[i] = d.RequestRates[k]
 		}
 		mix[k] = trimmed(of)
 		sum += mix[k]
--- a/internal/cluster/tiers/tiers_test.go
+++ b/internal/cluster/tiers/tiers_test.go
@@ -21,11 +21,11 @@
 // world is a fleet in front of nodes that bear so much: who is let in beyond that is refused for want of room, whatever its
 // tier.
 type world struct {
-	all   []*Tiers
+	all   []*Shedder
 	level []float64
 	lives []uint64
 	cut   map[int]bool // instances that nobody hears and who hear nobody
-	lies  map[int]Digest
+	lies  map[int]Report
 	rnd   *rand.Rand
 	late  time.Duration // of digests
 	now   time.Duration
@@ -40,11 +40,11 @@
 type sent struct {
 	at   time.Duration
 	to   int
-	told Told
+	told PeerReport
 }
 
 func newWorld(n int, seed uint64) *world {
-	w := &world{cut: map[int]bool{}, lies: map[int]Digest{}, rnd: rand.New(rand.NewPCG(seed, 1)), late: 50 * time.Millisecond}
+	w := &world{cut: map[int]bool{}, lies: map[int]Report{}, rnd: rand.New(rand.NewPCG(seed, 1)), late: 50 * time.Millisecond}
 	for range n {
 		w.all, w.level, w.lives = append(w.all, New(Settings{Ranks: 3})), append(w.level, 0), append(w.lives, 1)
 	}
@@ -76,12 +76,12 @@
 		w.all[s.to].Handle(w.now, s.told)
 	}
 	for i, t := range w.all {
-		var o Own
+		var o LocalCounts
 		for k := range 3 {
 			jitter := 0.9 + 0.2*w.rnd.Float64()
-			o.Asked = append(o.Asked, uint64(math.Round(ask[k]*jitter*Tick.Seconds())))
-			o.Cut = append(o.Cut, uint64(math.Round((ask[k]-by[i][k])*jitter*Tick.Seconds())))
-			o.Refused = append(o.Refused, uint64(math.Round(by[i][k]*refused*jitter*Tick.Seconds())))
+			o.Requests = append(o.Requests, uint64(math.Round(ask[k]*jitter*Tick.Seconds())))
+			o.Shed = append(o.Shed, uint64(math.Round((ask[k]-by[i][k])*jitter*Tick.Seconds())))
+			o.Rejected = append(o.Rejected, uint64(math.Round(by[i][k]*refused*jitter*Tick.Seconds())))
 			w.asked[k] += ask[k] * Tick.Seconds()
 			w.served[k] += by[i][k] * (1 - refused) * Tick.Seconds()
 		}
@@ -96,7 +96,7 @@
 		w.n++
 		for to := range w.all {
 			if to != i && !w.cut[i] && !w.cut[to] {
-				w.queue = append(w.queue, sent{w.now + w.late, to, Told{string(rune('a' + i)), w.lives[i], w.n, d}})
+				w.queue = append(w.queue, sent{w.now + w.late, to, PeerReport{string(rune('a' + i)), w.lives[i], w.n, d}})
 			}
 		}
 	}
@@ -123,10 +123,10 @@
 	for name, trouble := range map[string]func(w *world){
 		"none":                              func(*world) {},
 		"cut off":                           func(w *world) { w.cut[0] = true },
-		"claims that nothing is to be shed": func(w *world) { w.lies[0] = Digest{0, []float64{0, 0, 0}} },
-		"claims that all is to be shed":     func(w *world) { w.lies[0] = Digest{1, []float64{0, 0, 1e12}} },
-		"claims to be asked for the lowest": func(w *world) { w.lies[0] = Digest{0.9, []float64{1e12, 0, 0}} },
-		"tells what is none":                func(w *world) { w.lies[0] = Digest{math.NaN(), []float64{-1}} },
+		"claims that nothing is to be shed": func(w *world) { w.lies[0] = Report{0, []float64{0, 0, 0}} },
+		"claims that all is to be shed":     func(w *world) { w.lies[0] = Report{1, []float64{0, 0, 1e12}} },
+		"claims to be asked for the lowest": func(w *world) { w.lies[0] = Report{0.9, []float64{1e12, 0, 0}} },
+		"tells what is none":                func(w *world) { w.lies[0] = Report{math.NaN(), []float64{-1}} },
 		"digests half a second late":        func(w *world) { w.late = 500 * time.Millisecond },
 		"starts anew":                       func(w *world) { w.all[0], w.lives[0], w.level[0] = New(Settings{Ranks: 3}), 2, 0 },
 		"an instance joins with nothing held": func(w *world) {
@@ -183,10 +183,10 @@
 
 func TestAFloorIsKept(t *testing.T) {
 	x := New(Settings{Ranks: 2, Floor: 0.1})
-	if got := x.level(0.4, []Digest{{0.4, []float64{10, 10}}}); math.Abs(got-0.8) > 1e-9 {
+	if got := x.level(0.4, []Report{{0.4, []float64{10, 10}}}); math.Abs(got-0.8) > 1e-9 {
 		t.Errorf("cuts at %v", got)
 	}
-	if got := x.level(0.9, []Digest{{0.9, []float64{10, 10}}}); got != 1.8 {
+	if got := x.level(0.9, []Report{{0.9, []float64{10, 10}}}); got != 1.8 {
 		t.Errorf("cuts at %v", got)
 	}
 	if x.set.Floor != 0.1 {
@@ -205,7 +205,7 @@
 			sum += asked[i]
 		}
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		level := x.level(share, []Digest{{share, asked}})
+		level := x.level(share, []Report{{share, asked}})
 		shed := 0.0
 		for k, a := range asked {
 			shed += a * min(max(level-float64(k), 0), 1)
@@ -213,10 +213,10 @@
 		if math.Abs(shed-share*sum) > 1e-6*sum {
 			t.Fatalf("level %v sheds %v of %v, share %v", level, shed, sum, share)
 		}
-		good := Told{"p", 5, 9, Digest{0.5, asked}}
+		good := PeerReport{"p", 5, 9, Report{0.5, asked}}
 		x.Handle(0, good)
-		for _, old := range []Told{{"p", 4, 99, Digest{1, asked}}, {"p", 5, 8, Digest{1, asked}}, {"p", 5, 9, Digest{1, asked}}} {
-			if x.Handle(0, old); x.peers["p"].Digest.Share != 0.5 {
+		for _, old := range []PeerReport{{"p", 4, 99, Report{1, asked}}, {"p", 5, 8, Report{1, asked}}, {"p", 5, 9, Report{1, asked}}} {
+			if x.Handle(0, old); x.peers["p"].Report.ShedRatio != 0.5 {
 				t.Fatalf("went by %+v", old)
 			}
 		}
