--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -22,7 +22,7 @@
 
 // shedWith tells the fleet what this gateway is asked for and refuses, and the engine what the fleet sheds.
 func (g *Gateway) shedWith(ctx context.Context, c *cluster.Cluster) {
-	tick := time.NewTicker(tiers.Tick)
+	tick := time.NewTicker(tiers.ReportInterval)
 	defer tick.Stop()
 	last := 0.0
 	for {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -85,7 +85,7 @@
 	c := &Cluster{opts: o, began: o.Clock(), servers: map[string]discovery.Endpoint{}, dirty: make(chan struct{}, 1),
 		answers: map[string]*answer{}, lists: map[string][]discovery.Endpoint{}, decided: make(chan recovery.Decision, 64)}
 	if o.Ranks > 0 {
-		c.tiers = tiers.New(tiers.Settings{Ranks: o.Ranks, Floor: o.Floor})
+		c.tiers = tiers.New(tiers.Settings{Priorities: o.Ranks, MinAdmittedRatio: o.Floor})
 	}
 	disk := c.load()
 	var err error
@@ -340,7 +340,7 @@
 }
 
 // Shed takes this instance's counts since the last call, by rank, tells the others of them, and returns the level of what
-// the fleet sheds. It is to be called every tiers.Tick.
+// the fleet sheds. It is to be called every tiers.ReportInterval.
 func (c *Cluster) Shed(own tiers.LocalCounts) (level float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -123,7 +123,7 @@
 
 // shed has an instance take its counts, and notes the level that it goes by.
 func (x *exchange) shed(c *Cluster, own tiers.LocalCounts) {
-	x.now += tiers.Tick
+	x.now += tiers.ReportInterval
 	x.printf("level %s %x", x.name, math.Float64bits(c.Shed(own)))
 	x.flush()
 }
--- a/internal/cluster/tiers/digest_test.go
+++ b/internal/cluster/tiers/digest_test.go
@@ -145,9 +145,9 @@
 
 func newFleet(seed, stream uint64, n int) *fleet {
 	f := &fleet{Rand: rand.New(rand.NewPCG(seed, stream)), now: epoch}
-	f.set = tiers.Settings{Ranks: 1 + f.IntN(5)}
+	f.set = tiers.Settings{Priorities: 1 + f.IntN(5)}
 	if f.IntN(2) == 0 {
-		f.set.Floor = f.Float64() / 4
+		f.set.MinAdmittedRatio = f.Float64() / 4
 	}
 	f.exact, f.claims = f.IntN(2) == 0, n > 2 && f.IntN(3) == 0
 	for range n {
@@ -159,7 +159,7 @@
 
 // drawLoad draws what instances are asked for from now on: less than servers bear, or up to four times as much.
 func (f *fleet) drawLoad() {
-	f.load = make([]float64, f.set.Ranks)
+	f.load = make([]float64, f.set.Priorities)
 	for k := range f.load {
 		if f.IntN(6) > 0 {
 			f.load[k] = f.Float64() * 100
@@ -184,7 +184,7 @@
 		if f.IntN(200) == 0 && !f.steady {
 			f.restart(f.IntN(len(f.all)))
 		}
-		f.now += tiers.Tick
+		f.now += tiers.ReportInterval
 		if !f.exact {
 			f.now += time.Duration(f.IntN(40)-20) * time.Millisecond
 		}
@@ -225,7 +225,7 @@
 func (f *fleet) tick(i int, refused float64, out *transcript) {
 	var own tiers.LocalCounts
 	for k, load := range f.load {
-		asked := load * tiers.Tick.Seconds() * (0.8 + 0.4*f.Float64())
+		asked := load * tiers.ReportInterval.Seconds() * (0.8 + 0.4*f.Float64())
 		own.Requests = append(own.Requests, uint64(math.Round(asked)))
 		own.Shed = append(own.Shed, uint64(asked*f.cut(i, k)))
 		own.Rejected = append(own.Rejected, uint64(asked*(1-f.cut(i, k))*refused))
@@ -253,7 +253,7 @@
 		copies = 2
 	}
 	for range copies {
-		delay := time.Duration(f.IntN(7)) * tiers.Tick
+		delay := time.Duration(f.IntN(7)) * tiers.ReportInterval
 		if !f.exact {
 			delay = time.Duration(f.IntN(300)) * time.Millisecond
 		}
@@ -276,7 +276,7 @@
 // claim is a digest that nothing bears out, or none at all.
 func (f *fleet) claim() tiers.Report {
 	d := tiers.Report{ShedRatio: f.Float64()}
-	for range f.set.Ranks {
+	for range f.set.Priorities {
 		d.RequestRates = append(d.RequestRates, f.Float64()*1e6)
 	}
 	switch f.IntN(12) {
--- a/internal/cluster/tiers/tiers.go
+++ b/internal/cluster/tiers/tiers.go
@@ -11,15 +11,15 @@
 
 // Settings are what a decision goes by. Ranks number tiers from 0, the lowest, on.
 type Settings struct {
-	Ranks int
-	Floor float64 // part of the lowest tier that is let in whatever happens
+	Priorities       int
+	MinAdmittedRatio float64 // part of the lowest tier that is let in whatever happens
 }
 
 const (
 	// Tick is how often Handle is to see Own, and digests are to be sent.
-	Tick = 200 * time.Millisecond
+	ReportInterval = 200 * time.Millisecond
 	// fresh is how long a digest counts: one that is later tells of another load.
-	fresh = 5 * Tick
+	fresh = 5 * ReportInterval
 	// starving is the part of what is let in that may be refused for want of room without more being shed. Real gateways
 	// refuse some that nodes could still take; with a hundredth, all but the highest tier was shed though there was room.
 	starving = 0.05
@@ -88,7 +88,7 @@
 
 // New returns a Tiers.
 func New(set Settings) *Shedder {
-	return &Shedder{set: set, peers: map[string]heard{}, asked: make([]float64, set.Ranks)}
+	return &Shedder{set: set, peers: map[string]heard{}, asked: make([]float64, set.Priorities)}
 }
 
 // Handle takes an event. After Own it returns what to tell the others, and the level: ranks under its whole part are shed,
@@ -98,7 +98,7 @@
 	case PeerReport:
 		old := t.peers[ev.Peer]
 		if ev.Incarnation > old.Incarnation || ev.Incarnation == old.Incarnation && ev.Sequence > old.Sequence {
-			if sound(ev.Report, t.set.Ranks) {
+			if sound(ev.Report, t.set.Priorities) {
 				t.peers[ev.Peer] = heard{ev, now}
 			}
 		}
@@ -127,15 +127,15 @@
 
 func (t *Shedder) count(o LocalCounts) {
 	var letIn, refused float64
-	for i := range t.set.Ranks {
-		asked := float64(o.Requests[i]) / Tick.Seconds()
+	for i := range t.set.Priorities {
+		asked := float64(o.Requests[i]) / ReportInterval.Seconds()
 		t.asked[i] += smooth * (asked - t.asked[i])
-		letIn += asked - float64(o.Shed[i])/Tick.Seconds()
-		refused += float64(o.Rejected[i]) / Tick.Seconds()
+		letIn += asked - float64(o.Shed[i])/ReportInterval.Seconds()
+		refused += float64(o.Rejected[i]) / ReportInterval.Seconds()
 	}
 	t.letIn += smooth * (letIn - t.letIn)
 	t.refused += smooth * (refused - t.refused)
-	t.best = max(t.letIn-t.refused, t.best*(1-bestFades*Tick.Seconds()))
+	t.best = max(t.letIn-t.refused, t.best*(1-bestFades*ReportInterval.Seconds()))
 }
 
 // digests are those that count now, this instance's last one first.
@@ -195,7 +195,7 @@
 	case now-t.starved > t.wait:
 		t.opening = true
 		pace := openShare * (1 + (now - t.starved - t.wait).Seconds())
-		return max(t.share-pace*Tick.Seconds(), 0)
+		return max(t.share-pace*ReportInterval.Seconds(), 0)
 	}
 	return t.share
 }
@@ -214,7 +214,7 @@
 
 // level is where a share cuts, by what instances are asked for.
 func (t *Shedder) level(share float64, all []Report) float64 {
-	mix, sum := make([]float64, t.set.Ranks), 0.0
+	mix, sum := make([]float64, t.set.Priorities), 0.0
 	for k := range mix {
 		of := make([]float64, len(all))
 		for i, d := range all {
@@ -233,7 +233,7 @@
 			part = min(shed/a, 1)
 		}
 		if k == 0 {
-			part = min(part, 1-t.set.Floor)
+			part = min(part, 1-t.set.MinAdmittedRatio)
 		}
 		shed -= a
 		if level = float64(k) + part; part < 1 && k > 0 {
--- a/internal/cluster/tiers/tiers_test.go
+++ b/internal/cluster/tiers/tiers_test.go
@@ -46,14 +46,14 @@
 func newWorld(n int, seed uint64) *world {
 	w := &world{cut: map[int]bool{}, lies: map[int]Report{}, rnd: rand.New(rand.NewPCG(seed, 1)), late: 50 * time.Millisecond}
 	for range n {
-		w.all, w.level, w.lives = append(w.all, New(Settings{Ranks: 3})), append(w.level, 0), append(w.lives, 1)
+		w.all, w.level, w.lives = append(w.all, New(Settings{Priorities: 3})), append(w.level, 0), append(w.lives, 1)
 	}
 	return w
 }
 
 // step is a tick in which each instance is asked for so much of each rank, and nodes bear a sum.
 func (w *world) step(ask [3]float64, bears float64) {
-	w.now += Tick
+	w.now += ReportInterval
 	letIn, by := 0.0, make([][3]float64, len(w.all))
 	lowest := 3
 	for i := range w.all {
@@ -68,7 +68,7 @@
 	}
 	refused := max(1-bears/max(letIn, 1e-9), 0)
 	if refused > 0.06 && lowest < 2 {
-		w.inverted += Tick
+		w.inverted += ReportInterval
 	}
 	for len(w.queue) > 0 && w.queue[0].at <= w.now {
 		s := w.queue[0]
@@ -79,11 +79,11 @@
 		var o LocalCounts
 		for k := range 3 {
 			jitter := 0.9 + 0.2*w.rnd.Float64()
-			o.Requests = append(o.Requests, uint64(math.Round(ask[k]*jitter*Tick.Seconds())))
-			o.Shed = append(o.Shed, uint64(math.Round((ask[k]-by[i][k])*jitter*Tick.Seconds())))
-			o.Rejected = append(o.Rejected, uint64(math.Round(by[i][k]*refused*jitter*Tick.Seconds())))
-			w.asked[k] += ask[k] * Tick.Seconds()
-			w.served[k] += by[i][k] * (1 - refused) * Tick.Seconds()
+			o.Requests = append(o.Requests, uint64(math.Round(ask[k]*jitter*ReportInterval.Seconds())))
+			o.Shed = append(o.Shed, uint64(math.Round((ask[k]-by[i][k])*jitter*ReportInterval.Seconds())))
+			o.Rejected = append(o.Rejected, uint64(math.Round(by[i][k]*refused*jitter*ReportInterval.Seconds())))
+			w.asked[k] += ask[k] * ReportInterval.Seconds()
+			w.served[k] += by[i][k] * (1 - refused) * ReportInterval.Seconds()
 		}
 		was := w.level[i]
 		d, level := t.Handle(w.now, o)
@@ -103,7 +103,7 @@
 }
 
 func (w *world) run(d time.Duration, ask [3]float64, bears float64) {
-	for range d / Tick {
+	for range d / ReportInterval {
 		w.step(ask, bears)
 	}
 }
@@ -128,9 +128,9 @@
 		"claims to be asked for the lowest": func(w *world) { w.lies[0] = Report{0.9, []float64{1e12, 0, 0}} },
 		"tells what is none":                func(w *world) { w.lies[0] = Report{math.NaN(), []float64{-1}} },
 		"digests half a second late":        func(w *world) { w.late = 500 * time.Millisecond },
-		"starts anew":                       func(w *world) { w.all[0], w.lives[0], w.level[0] = New(Settings{Ranks: 3}), 2, 0 },
+		"starts anew":                       func(w *world) { w.all[0], w.lives[0], w.level[0] = New(Settings{Priorities: 3}), 2, 0 },
 		"an instance joins with nothing held": func(w *world) {
-			w.all, w.level, w.lives = append(w.all, New(Settings{Ranks: 3})), append(w.level, 0), append(w.lives, 1)
+			w.all, w.level, w.lives = append(w.all, New(Settings{Priorities: 3})), append(w.level, 0), append(w.lives, 1)
 		},
 	} {
 		for _, n := range []int{5, 20} {
@@ -182,14 +182,14 @@
 }
 
 func TestAFloorIsKept(t *testing.T) {
-	x := New(Settings{Ranks: 2, Floor: 0.1})
+	x := New(Settings{Priorities: 2, MinAdmittedRatio: 0.1})
 	if got := x.level(0.4, []Report{{0.4, []float64{10, 10}}}); math.Abs(got-0.8) > 1e-9 {
 		t.Errorf("cuts at %v", got)
 	}
 	if got := x.level(0.9, []Report{{0.9, []float64{10, 10}}}); got != 1.8 {
 		t.Errorf("cuts at %v", got)
 	}
-	if x.set.Floor != 0.1 {
+	if x.set.MinAdmittedRatio != 0.1 {
 		t.Error("no floor")
 	}
 }
@@ -198,7 +198,7 @@
 func TestLevelAndLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ranks := rapid.IntRange(1, 5).Draw(t, "ranks")
-		x := New(Settings{Ranks: ranks})
+		x := New(Settings{Priorities: ranks})
 		asked, sum := make([]float64, ranks), 0.0
 		for i := range asked {
 			asked[i] = rapid.Float64Range(0.1, 100).Draw(t, "asked")
