--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -211,7 +211,7 @@
 		return
 	}
 	if c := g.cluster.Load(); c != nil {
-		c.Listed(l)
+		c.UpdateEndpoints(l)
 	}
 	ids := make([]string, len(l.Servers))
 	for i := range l.Servers {
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -16,8 +16,8 @@
 func (g *Gateway) clusterOptions() cluster.Options {
 	m := g.member
 	_, ranks := m.Ranks()
-	return cluster.Options{Ranks: ranks, Floor: m.Floor, Name: g.config.Name, Listen: m.Listen, Members: m.Members, Key: m.Key, Dir: m.Dir, Wait: m.Wait,
-		Cold: g.config.Rules.WarmupDuration, Clock: g.clock, Logger: g.logger}
+	return cluster.Options{Priorities: ranks, MinAdmittedRatio: m.Floor, Name: g.config.Name, Listen: m.Listen, Peers: m.Members, Key: m.Key, Dir: m.Dir, PeerTimeout: m.Wait,
+		WarmupDuration: g.config.Rules.WarmupDuration, Clock: g.clock, Logger: g.logger}
 }
 
 // shedWith tells the fleet what this gateway is asked for and refuses, and the engine what the fleet sheds.
@@ -33,7 +33,7 @@
 		}
 		var own tiers.LocalCounts
 		own.Requests, own.Rejected, own.Shed = g.tiers.TakeCounts()
-		level := c.Shed(own)
+		level := c.UpdateLoad(own)
 		if level != last {
 			g.engine.Post(engine.FleetShedLevel{Level: level})
 		}
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -31,16 +31,16 @@
 
 // Options are what a Cluster goes by.
 type Options struct {
-	Name    string
-	Listen  string            // for peers
-	Members map[string]string // the others' names, with their addresses
-	Key     []byte
-	Dir     string        // on a disk that lasts
-	Wait    time.Duration // for peers, after a start
-	Ranks   int           // of tiers; 0: nothing is shed
-	Floor   float64       // part of the lowest tier that is let in whatever happens
-	Cold    time.Duration // a server that started is cold for this long
-	Disk    store.FS      // nil: the system's
+	Name             string
+	Listen           string            // for peers
+	Peers            map[string]string // the others' names, with their addresses
+	Key              []byte
+	Dir              string        // on a disk that lasts
+	PeerTimeout      time.Duration // for peers, after a start
+	Priorities       int           // of tiers; 0: nothing is shed
+	MinAdmittedRatio float64       // part of the lowest tier that is let in whatever happens
+	WarmupDuration   time.Duration // a server that started is cold for this long
+	FS               store.FS      // nil: the system's
 	// Connect is the network to the others; nil: sockets, with Listen, Members and Key.
 	Connect func(peer.Options) (peer.Transport, error)
 	Clock   func() time.Duration
@@ -79,26 +79,26 @@
 // Start reads the disk, begins a life and joins the peers. A damaged store is put aside and named, and does not keep the
 // gateway from starting; a life that can't be numbered does.
 func Start(o Options) (*Cluster, error) {
-	if o.Disk == nil {
-		o.Disk = store.Disk{}
+	if o.FS == nil {
+		o.FS = store.Disk{}
 	}
 	c := &Cluster{opts: o, began: o.Clock(), servers: map[string]discovery.Endpoint{}, dirty: make(chan struct{}, 1),
 		answers: map[string]*answer{}, lists: map[string][]discovery.Endpoint{}, decided: make(chan recovery.Decision, 64)}
-	if o.Ranks > 0 {
-		c.tiers = tiers.New(tiers.Settings{Priorities: o.Ranks, MinAdmittedRatio: o.Floor})
+	if o.Priorities > 0 {
+		c.tiers = tiers.New(tiers.Settings{Priorities: o.Priorities, MinAdmittedRatio: o.MinAdmittedRatio})
 	}
 	disk := c.load()
 	var err error
-	if c.lives, err = peer.OpenIncarnations(o.Disk, o.Dir); err != nil {
+	if c.lives, err = peer.OpenIncarnations(o.FS, o.Dir); err != nil {
 		return nil, err
 	}
 	life, err := c.lives.Next(0, c.began)
 	if err != nil {
 		return nil, err
 	}
-	set := recovery.Settings{Name: o.Name, PeerTimeout: o.Wait, WarmupDuration: o.Cold, MaxClockSkew: skew}
+	set := recovery.Settings{Name: o.Name, PeerTimeout: o.PeerTimeout, WarmupDuration: o.WarmupDuration, MaxClockSkew: skew}
 	var join []string
-	for name, addr := range o.Members {
+	for name, addr := range o.Peers {
 		set.Peers, join = append(set.Peers, name), append(join, addr)
 	}
 	slices.Sort(set.Peers)
@@ -128,10 +128,10 @@
 
 // load reads the list that the disk holds.
 func (c *Cluster) load() (v recovery.PeerState) {
-	j, held, err := store.Open(c.opts.Disk, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
+	j, held, err := store.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
 	if damage := new(store.DamageError); errors.As(err, &damage) && damage.Aside != "" {
 		fault.Log(c.opts.Logger, err)
-		j, held, err = store.Open(c.opts.Disk, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
+		j, held, err = store.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
 	}
 	if err != nil {
 		fault.Log(c.opts.Logger, err)
@@ -200,7 +200,7 @@
 	b, _ := json.Marshal(message{Kind: ask})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name := range c.opts.Members {
+	for name := range c.opts.Peers {
 		if c.lists[name] == nil {
 			c.peers.Send(name, b)
 		}
@@ -260,8 +260,8 @@
 	return ids
 }
 
-// Listed takes note of a list that discovery has told, before the engine hears of it.
-func (c *Cluster) Listed(l engine.EndpointList) {
+// UpdateEndpoints takes note of a list that discovery has told, before the engine hears of it.
+func (c *Cluster) UpdateEndpoints(l engine.EndpointList) {
 	if l.Mode != rules.ListComplete && l.Mode != rules.ListDelta {
 		return
 	}
@@ -339,15 +339,15 @@
 	return x != nil && x.Again()
 }
 
-// Shed takes this instance's counts since the last call, by rank, tells the others of them, and returns the level of what
+// UpdateLoad takes this instance's counts since the last call, by rank, tells the others of them, and returns the level of what
 // the fleet sheds. It is to be called every tiers.ReportInterval.
-func (c *Cluster) Shed(own tiers.LocalCounts) (level float64) {
+func (c *Cluster) UpdateLoad(own tiers.LocalCounts) (level float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d, level := c.tiers.Handle(c.opts.Clock(), own)
 	c.digests++
 	b, _ := json.Marshal(message{Kind: tier, Number: c.digests, Share: d.ShedRatio, Asked: d.RequestRates})
-	for name := range c.opts.Members {
+	for name := range c.opts.Peers {
 		c.peers.Send(name, b)
 	}
 	return level
@@ -367,7 +367,7 @@
 	case tier:
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if _, member := c.opts.Members[from.From]; member && c.tiers != nil {
+		if _, member := c.opts.Peers[from.From]; member && c.tiers != nil {
 			c.tiers.Handle(c.opts.Clock(), tiers.PeerReport{Peer: from.From, Incarnation: from.Incarnation, Sequence: m.Number,
 				Report: tiers.Report{ShedRatio: m.Share, RequestRates: m.Asked}})
 		}
@@ -400,7 +400,7 @@
 	c.mu.Lock()
 	a := c.answers[from]
 	if a == nil {
-		if _, member := c.opts.Members[from]; !member {
+		if _, member := c.opts.Peers[from]; !member {
 			c.mu.Unlock()
 			return
 		}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -65,8 +65,8 @@
 			others[n] = a
 		}
 	}
-	c, err := Start(Options{Name: name, Listen: f.addrs[name], Members: others, Key: []byte("0123456789abcdef"), Dir: "d", Wait: 3 * time.Second,
-		Cold: 20 * time.Second, Disk: f.disks[name], Clock: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
+	c, err := Start(Options{Name: name, Listen: f.addrs[name], Peers: others, Key: []byte("0123456789abcdef"), Dir: "d", PeerTimeout: 3 * time.Second,
+		WarmupDuration: 20 * time.Second, FS: f.disks[name], Clock: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
 		Logger: slog.New(slog.NewTextHandler(f.logs[name], nil))})
 	if err != nil {
 		f.t.Fatal(err)
@@ -103,7 +103,7 @@
 // told has an instance hear a list from discovery and keep it.
 func (f *fleet) told(c *Cluster, l engine.EndpointList) {
 	f.t.Helper()
-	c.Listed(l)
+	c.UpdateEndpoints(l)
 	if !c.save() {
 		f.t.Fatal("not stored")
 	}
@@ -167,14 +167,14 @@
 	c := f.start("a")
 	f.told(c, list(8, 5))
 	f.disks["a"].SetRoom(10)
-	c.Listed(list(9, 5))
+	c.UpdateEndpoints(list(9, 5))
 	if !c.save() || !f.logs["a"].has("no room for a record") || !f.logs["a"].has("again=true") {
 		t.Errorf("logged %s", f.logs["a"].b.String())
 	}
 	f.disks["a"].SetRoom(-1)
 	f.told(c, list(10, 5))
 	f.disks["a"].FailSyncs(1)
-	c.Listed(list(11, 5))
+	c.UpdateEndpoints(list(11, 5))
 	if c.save() || !f.logs["a"].has("the disk did not keep") {
 		t.Errorf("a failed sync: logged %s", f.logs["a"].b.String())
 	}
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -65,8 +65,8 @@
 	others := map[string]string{"a": "10.0.0.1:7000", "b": "10.0.0.2:7000", "c": "10.0.0.3:7000"}
 	delete(others, name)
 	c, err := Start(Options{
-		Name: name, Members: others, Dir: "d", Wait: 2 * time.Second, Cold: 20 * time.Second, Ranks: 3, Floor: 0.05,
-		Disk:   disk,
+		Name: name, Peers: others, Dir: "d", PeerTimeout: 2 * time.Second, WarmupDuration: 20 * time.Second, Priorities: 3, MinAdmittedRatio: 0.05,
+		FS:     disk,
 		Clock:  func() time.Duration { return x.now },
 		Logger: slog.New(slog.DiscardHandler),
 		Connect: func(o peer.Options) (peer.Transport, error) {
@@ -124,7 +124,7 @@
 // shed has an instance take its counts, and notes the level that it goes by.
 func (x *exchange) shed(c *Cluster, own tiers.LocalCounts) {
 	x.now += tiers.ReportInterval
-	x.printf("level %s %x", x.name, math.Float64bits(c.Shed(own)))
+	x.printf("level %s %x", x.name, math.Float64bits(c.UpdateLoad(own)))
 	x.flush()
 }
 
@@ -162,7 +162,7 @@
 
 	x.now += 700 * time.Millisecond
 	servers := formatServers(15)
-	a.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 8, Servers: servers})
+	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 8, Servers: servers})
 	x.recover(a)
 	x.flush()
 	x.save(a)
@@ -173,7 +173,7 @@
 	servers[3].State, servers[4].State = rules.Removed, rules.Draining
 	added := engine.Server{Name: "server \u2028 \U0001f600 \t", Addr: "[::1]:5000"}
 	added.Server = rules.Server{Cell: -1, Capacity: -0.5, Started: time.Millisecond}
-	a.Listed(engine.EndpointList{Mode: rules.ListDelta, Version: 9, Servers: []engine.Server{servers[3], servers[4], added}})
+	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListDelta, Version: 9, Servers: []engine.Server{servers[3], servers[4], added}})
 	x.save(a)
 	x.now += time.Second
 	x.receive("c", `{"k":"ask","later":[1]}`)
@@ -186,17 +186,17 @@
 	digest := x.lastSent("tier")
 
 	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", peer.BodyMost)}
-	a.Listed(engine.EndpointList{Mode: rules.ListDelta, Version: 10, Servers: []engine.Server{long}})
+	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListDelta, Version: 10, Servers: []engine.Server{long}})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
-	a.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 11, Servers: formatServers(1800)})
+	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 11, Servers: formatServers(1800)})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
 	servers = formatServers(800)
 	for i := range servers {
 		servers[i].Addr += strings.Repeat("0", i*i%61)
 	}
-	a.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 12, Servers: servers})
+	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 12, Servers: servers})
 	x.receive("b", `{"k":"ask"}`)
 	x.digest()
 	a.Close()
@@ -230,7 +230,7 @@
 	disk = faulty.New(3)
 	b := x.start("b", disk)
 	for version := range int64(64) {
-		b.Listed(engine.EndpointList{Mode: rules.ListComplete, Version: 100 + version, Servers: formatServers(2)})
+		b.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 100 + version, Servers: formatServers(2)})
 		x.save(b)
 	}
 	b.Close()
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -55,7 +55,7 @@
 			others[n] = n
 		}
 	}
-	c, err := Start(Options{Name: name, Members: others, Dir: "d", Wait: 2 * time.Second, Cold: 20 * time.Second, Disk: s.disks[name],
+	c, err := Start(Options{Name: name, Peers: others, Dir: "d", PeerTimeout: 2 * time.Second, WarmupDuration: 20 * time.Second, FS: s.disks[name],
 		Clock: func() time.Duration { return soakBase + s.net.Now }, Logger: slog.New(slog.DiscardHandler),
 		Connect: func(o peer.Options) (peer.Transport, error) { return s.net.Listen(o), nil }})
 	if err != nil {
@@ -134,7 +134,7 @@
 			if version == 8 && name == stale {
 				continue // its disk lost what came last
 			}
-			s.runs[name].Listed(list(version, servers-int(version-7)))
+			s.runs[name].UpdateEndpoints(list(version, servers-int(version-7)))
 			if !s.runs[name].save() {
 				return fmt.Errorf("%s could not store", name)
 			}
