--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -51,7 +51,7 @@
 type Cluster struct {
 	opts  Options
 	lives *peer.Incarnations
-	store store.Store // nil: its files were damaged, or the disk is no good; the program goes on without
+	store store.Log // nil: its files were damaged, or the disk is no good; the program goes on without
 	peers peer.Transport
 
 	mu       sync.Mutex
@@ -80,7 +80,7 @@
 // gateway from starting; a life that can't be numbered does.
 func Start(o Options) (*Cluster, error) {
 	if o.FS == nil {
-		o.FS = store.Disk{}
+		o.FS = store.OSFS{}
 	}
 	c := &Cluster{opts: o, began: o.Clock(), servers: map[string]discovery.Endpoint{}, dirty: make(chan struct{}, 1),
 		answers: map[string]*answer{}, lists: map[string][]discovery.Endpoint{}, decided: make(chan recovery.Decision, 64)}
@@ -138,7 +138,7 @@
 		return v
 	}
 	c.store = j
-	text := held.State
+	text := held.Snapshot
 	if n := len(held.Records); n > 0 {
 		text = held.Records[n-1].Data
 	}
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -306,8 +306,8 @@
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	if len(held.State) > 0 {
-		x.printf("stored %s %d %s", x.name, held.UpTo, held.State)
+	if len(held.Snapshot) > 0 {
+		x.printf("stored %s %d %s", x.name, held.SnapshotNumber, held.Snapshot)
 	}
 	for _, r := range held.Records {
 		x.printf("stored %s %d %s", x.name, r.Number, r.Data)
--- a/internal/peer/process_test.go
+++ b/internal/peer/process_test.go
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal([]byte(text), &c); err != nil {
 		return err
 	}
-	lives, err := peer.OpenIncarnations(store.Disk{}, c.Dir)
+	lives, err := peer.OpenIncarnations(store.OSFS{}, c.Dir)
 	if err != nil {
 		return err
 	}
--- a/internal/store/format_test.go
+++ b/internal/store/format_test.go
@@ -194,9 +194,9 @@
 }
 
 // recoveredText names what an open log had in it, field by field.
-func recoveredText(held *store.Held) string {
+func recoveredText(held *store.RecoveredLog) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "snapshot %d %s\n", held.UpTo, hex.EncodeToString(held.State))
+	fmt.Fprintf(&b, "snapshot %d %s\n", held.SnapshotNumber, hex.EncodeToString(held.Snapshot))
 	for _, r := range held.Records {
 		data := hex.EncodeToString(r.Data)
 		if len(r.Data) > 32 {
@@ -204,7 +204,7 @@
 		}
 		fmt.Fprintf(&b, "record %d %s\n", r.Number, data)
 	}
-	fmt.Fprintf(&b, "last %d\ntorn %d\n", held.Last(), held.Cut)
+	fmt.Fprintf(&b, "last %d\ntorn %d\n", held.LastNumber(), held.TornBytes)
 	return b.String()
 }
 
@@ -228,10 +228,10 @@
 }
 
 // formatScript is what a case does to a log.
-type formatScript func(t *testing.T, j store.Store)
+type formatScript func(t *testing.T, j store.Log)
 
 func appends(records ...string) formatScript {
-	return func(t *testing.T, j store.Store) {
+	return func(t *testing.T, j store.Log) {
 		t.Helper()
 		for _, r := range records {
 			if _, err := j.Append([]byte(r)); err != nil {
@@ -242,7 +242,7 @@
 }
 
 func snapshotAt(upTo uint64, state string) formatScript {
-	return func(t *testing.T, j store.Store) {
+	return func(t *testing.T, j store.Log) {
 		t.Helper()
 		if err := j.Snapshot(upTo, []byte(state)); err != nil {
 			t.Fatal(err)
@@ -393,7 +393,7 @@
 func TestFilesOnTheSystemsDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	script := []formatScript{appends("the first of some records", "the second", "the third"), snapshotAt(2, "two")}
-	j, _, err := store.Open(store.Disk{}, dir, withSegments(64))
+	j, _, err := store.Open(store.OSFS{}, dir, withSegments(64))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -403,10 +403,10 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := filesOn(t, store.Disk{}, dir).text(), write(t, withSegments(64), script...).text(); got != want {
+	if got, want := filesOn(t, store.OSFS{}, dir).text(), write(t, withSegments(64), script...).text(); got != want {
 		t.Errorf("on the system's disk:\n%s\nin memory:\n%s", got, want)
 	}
-	for _, name := range append(filesOn(t, store.Disk{}, dir).names(), ".") {
+	for _, name := range append(filesOn(t, store.OSFS{}, dir).names(), ".") {
 		info, err := os.Stat(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -97,7 +97,7 @@
 	if got := binary.LittleEndian.Uint64(b[4:]); got != number {
 		return nil, 0, damaged, "a frame has another number than the one that follows"
 	}
-	if length > RecordMost {
+	if length > MaxRecordBytes {
 		return nil, 0, damaged, "a frame is longer than any record"
 	}
 	if len(b) < frameHead+length {
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -33,16 +33,16 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
-// Disk is the operating system's.
-type Disk struct{}
+// OSFS is the operating system's.
+type OSFS struct{}
 
-func (Disk) MkdirAll(dir string) error            { return os.MkdirAll(dir, 0o700) }
-func (Disk) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
-func (Disk) Rename(from, to string) error         { return os.Rename(from, to) }
-func (Disk) Remove(name string) error             { return os.Remove(name) }
+func (OSFS) MkdirAll(dir string) error            { return os.MkdirAll(dir, 0o700) }
+func (OSFS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
+func (OSFS) Rename(from, to string) error         { return os.Rename(from, to) }
+func (OSFS) Remove(name string) error             { return os.Remove(name) }
 
 // List implements FS.
-func (Disk) List(dir string) (names []string, err error) {
+func (OSFS) List(dir string) (names []string, err error) {
 	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
 		names = append(names, e.Name())
@@ -51,15 +51,15 @@
 }
 
 // Create implements FS.
-func (Disk) Create(name string) (File, error) {
+func (OSFS) Create(name string) (File, error) {
 	return open(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND)
 }
 
 // Append implements FS.
-func (Disk) Append(name string) (File, error) { return open(name, os.O_WRONLY|os.O_APPEND) }
+func (OSFS) Append(name string) (File, error) { return open(name, os.O_WRONLY|os.O_APPEND) }
 
 // SyncDir implements FS.
-func (Disk) SyncDir(dir string) error {
+func (OSFS) SyncDir(dir string) error {
 	d, err := os.Open(filepath.Clean(dir))
 	if err != nil {
 		return err
--- a/internal/store/journal.go
+++ b/internal/store/journal.go
@@ -16,8 +16,8 @@
 
 const segmentBytes = 4 << 20
 
-// Journal is the Store on a disk.
-type Journal struct {
+// FileLog is the Store on a disk.
+type FileLog struct {
 	fs   FS
 	dir  string
 	opts Options
@@ -47,9 +47,9 @@
 func stateName(upTo uint64) string    { return fmt.Sprintf("state-%016x", upTo) }
 
 // Append implements Store. Appends that come while one is being written are written together, with one sync for all.
-func (j *Journal) Append(record []byte) (uint64, error) {
-	if len(record) > RecordMost {
-		return 0, &TooLargeError{Bytes: len(record), Most: RecordMost}
+func (j *FileLog) Append(record []byte) (uint64, error) {
+	if len(record) > MaxRecordBytes {
+		return 0, &TooLargeError{Bytes: len(record), Most: MaxRecordBytes}
 	}
 	w := &waiter{record: record, done: make(chan struct{})}
 	j.mu.Lock()
@@ -70,7 +70,7 @@
 }
 
 // drain writes what waits until nothing does. The lock is held, but not during writes.
-func (j *Journal) drain() {
+func (j *FileLog) drain() {
 	for len(j.waiting) > 0 {
 		batch, broken := j.waiting, j.err
 		j.waiting = nil
@@ -95,7 +95,7 @@
 
 // write writes a batch and syncs. With an error none of it is acknowledged: it is FullError where the segment is as before,
 // and BrokenError where that is not known.
-func (j *Journal) write(batch []*waiter) error {
+func (j *FileLog) write(batch []*waiter) error {
 	j.buf = j.buf[:0]
 	number := j.last
 	for _, w := range batch {
@@ -124,7 +124,7 @@
 }
 
 // roll begins a new segment after the last record.
-func (j *Journal) roll() error {
+func (j *FileLog) roll() error {
 	name := filepath.Join(j.dir, segmentName(j.last+1))
 	f, err := j.fs.Create(name)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func (j *Journal) failed(err error) error {
+func (j *FileLog) failed(err error) error {
 	if IsFull(err) {
 		return &FullError{j.dir, err}
 	}
@@ -158,7 +158,7 @@
 }
 
 // Close implements Store.
-func (j *Journal) Close() error {
+func (j *FileLog) Close() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for j.writing {
@@ -172,7 +172,7 @@
 }
 
 // Snapshot implements Store.
-func (j *Journal) Snapshot(upTo uint64, state []byte) error {
+func (j *FileLog) Snapshot(upTo uint64, state []byte) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for j.writing {
@@ -197,7 +197,7 @@
 
 // compact writes the state beside the journal and only then lets go of what it holds. A stop at any point leaves either
 // the old state with all segments, or the new one with segments that are let go of at the next start.
-func (j *Journal) compact(upTo uint64, state []byte) error {
+func (j *FileLog) compact(upTo uint64, state []byte) error {
 	if upTo > j.last {
 		return fmt.Errorf("store: a state of record %d, where the last is %d", upTo, j.last)
 	}
@@ -216,7 +216,7 @@
 }
 
 // let removes what the newest state makes needless. That it fails does no harm: it is done again at the next start.
-func (j *Journal) let(before uint64) {
+func (j *FileLog) let(before uint64) {
 	names, err := j.fs.List(j.dir)
 	if err != nil {
 		return
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -15,14 +15,14 @@
 const stateHead = segHead + 8 + 4
 
 // Open opens the journal in a folder, which is made where it is missing, and returns what it holds.
-func Open(fs FS, dir string, opts Options) (*Journal, *Held, error) {
+func Open(fs FS, dir string, opts Options) (*FileLog, *RecoveredLog, error) {
 	if opts.SegmentBytes <= 0 {
 		opts.SegmentBytes = segmentBytes
 	}
 	if opts.Logger == nil {
 		opts.Logger = slog.Default()
 	}
-	j := &Journal{fs: fs, dir: dir, opts: opts}
+	j := &FileLog{fs: fs, dir: dir, opts: opts}
 	j.idle.L = &j.mu
 	if err := fs.MkdirAll(dir); err != nil {
 		return nil, nil, j.failed(err)
@@ -39,7 +39,7 @@
 }
 
 // load reads what the folder holds, cuts a torn end off, and leaves the last segment open.
-func (j *Journal) load() (*Held, error) {
+func (j *FileLog) load() (*RecoveredLog, error) {
 	names, err := j.fs.List(j.dir)
 	if err != nil {
 		return nil, j.failed(err)
@@ -50,18 +50,18 @@
 			j.fs.Remove(filepath.Join(j.dir, name))
 		}
 	}
-	held := &Held{}
+	held := &RecoveredLog{}
 	if n := len(l.states); n > 0 {
-		held.UpTo = l.states[n-1]
-		if held.State, err = j.readState(held.UpTo); err != nil {
+		held.SnapshotNumber = l.states[n-1]
+		if held.Snapshot, err = j.readState(held.SnapshotNumber); err != nil {
 			return nil, err
 		}
 	}
-	j.snapshot, j.last = held.UpTo, held.UpTo
+	j.snapshot, j.last = held.SnapshotNumber, held.SnapshotNumber
 	// The state holds what came before it: only what follows has to be whole and without a gap.
 	from := 0
 	for i, first := range l.segments {
-		if first <= held.UpTo+1 {
+		if first <= held.SnapshotNumber+1 {
 			from = i
 		}
 	}
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, s := range l.states {
-		if s != held.UpTo {
+		if s != held.SnapshotNumber {
 			j.fs.Remove(filepath.Join(j.dir, stateName(s)))
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 // begin makes the first segment, or the one after a state.
-func (j *Journal) begin() error {
+func (j *FileLog) begin() error {
 	name := filepath.Join(j.dir, segmentName(j.last+1))
 	f, err := j.fs.Create(name)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (j *Journal) readSegment(held *Held, first uint64, newest bool) error {
+func (j *FileLog) readSegment(held *RecoveredLog, first uint64, newest bool) error {
 	name := filepath.Join(j.dir, segmentName(first))
 	b, err := j.fs.ReadFile(name)
 	if err != nil {
@@ -111,7 +111,7 @@
 	got, v, reason := readSegHead(b)
 	switch {
 	case v == torn && newest: // it was being begun; nothing in it was acknowledged
-		held.Cut += int64(len(b))
+		held.TornBytes += int64(len(b))
 		return nil
 	case v != whole:
 		return damage(0, reason)
@@ -141,7 +141,7 @@
 		return j.failed(err)
 	}
 	if cut := len(b) - at; cut > 0 {
-		held.Cut += int64(cut)
+		held.TornBytes += int64(cut)
 		j.opts.Logger.Warn("cut what a torn write left", "file", name, "at", at, "bytes", cut)
 		if err := errors.Join(f.Truncate(int64(at)), f.Sync()); err != nil {
 			f.Close()
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (j *Journal) readState(upTo uint64) ([]byte, error) {
+func (j *FileLog) readState(upTo uint64) ([]byte, error) {
 	name := filepath.Join(j.dir, stateName(upTo))
 	b, err := j.fs.ReadFile(name)
 	if err != nil {
@@ -174,7 +174,7 @@
 }
 
 // putAside moves a damaged store's files into a folder beside it, so that a new one can begin, and names that folder.
-func (j *Journal) putAside() string {
+func (j *FileLog) putAside() string {
 	for i := range 1000 {
 		aside := fmt.Sprintf("%s.damaged-%d", j.dir, i+1)
 		if names, err := j.fs.List(aside); err == nil && len(names) > 0 {
--- a/internal/store/process_test.go
+++ b/internal/store/process_test.go
@@ -45,7 +45,7 @@
 	if limit != "" {
 		opts.SegmentBytes = 1 << 30
 	}
-	j, held, err := store.Open(store.Disk{}, dir, opts)
+	j, held, err := store.Open(store.OSFS{}, dir, opts)
 	if err != nil {
 		fmt.Println("error", err)
 		return 1
@@ -56,10 +56,10 @@
 			return 1
 		}
 	}
-	fmt.Println("held", held.Last())
+	fmt.Println("held", held.LastNumber())
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	next := held.Last()
+	next := held.LastNumber()
 	for range 3 {
 		wg.Go(func() {
 			for {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -5,8 +5,8 @@
 // acknowledged, and is cut. Whatever else does not fit is damage: the store does not open and puts its files aside.
 package store
 
-// Store keeps records in order. Its methods may be called from any goroutine.
-type Store interface {
+// Log keeps records in order. Its methods may be called from any goroutine.
+type Log interface {
 	// Append stores a record and returns its number, one more than the last. The record is durable then.
 	Append(record []byte) (uint64, error)
 	// Snapshot replaces all records up to a number by a state that holds them. It is durable when Snapshot returns; where
@@ -22,21 +22,21 @@
 	Data   []byte
 }
 
-// Held is what a store holds when it is opened.
-type Held struct {
-	UpTo    uint64 // all records up to this one are in State; 0: there is no state
-	State   []byte
-	Records []Record // those after it, in order
-	Cut     int64    // bytes of a torn write that were cut off the end
+// RecoveredLog is what a store holds when it is opened.
+type RecoveredLog struct {
+	SnapshotNumber uint64 // all records up to this one are in State; 0: there is no state
+	Snapshot       []byte
+	Records        []Record // those after it, in order
+	TornBytes      int64    // bytes of a torn write that were cut off the end
 }
 
-// Last is the number of the last record; 0: there is none.
-func (h *Held) Last() uint64 {
+// LastNumber is the number of the last record; 0: there is none.
+func (h *RecoveredLog) LastNumber() uint64 {
 	if n := len(h.Records); n > 0 {
 		return h.Records[n-1].Number
 	}
-	return h.UpTo
+	return h.SnapshotNumber
 }
 
 // RecordMost bounds a record, in bytes.
-const RecordMost = 1 << 20
+const MaxRecordBytes = 1 << 20
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,25 +19,25 @@
 
 var small = store.Options{SegmentBytes: 8 << 10, Logger: slog.New(slog.DiscardHandler)}
 
-type memoryRig struct{ m store.Memory }
+type memoryRig struct{ m store.MemoryLog }
 
-func (r *memoryRig) Open() (store.Store, *store.Held, error) { return &r.m, r.m.Open(), nil }
-func (r *memoryRig) Crash()                                  {}
+func (r *memoryRig) Open() (store.Log, *store.RecoveredLog, error) { return &r.m, r.m.Open(), nil }
+func (r *memoryRig) Crash()                                        {}
 
 type diskRig struct{ dir string }
 
-func (r *diskRig) Open() (store.Store, *store.Held, error) {
-	return asStore(store.Open(store.Disk{}, r.dir, small))
+func (r *diskRig) Open() (store.Log, *store.RecoveredLog, error) {
+	return asStore(store.Open(store.OSFS{}, r.dir, small))
 }
 func (r *diskRig) Crash() {}
 
 type faultyRig struct{ *faulty.Disk }
 
-func (r faultyRig) Open() (store.Store, *store.Held, error) {
+func (r faultyRig) Open() (store.Log, *store.RecoveredLog, error) {
 	return asStore(store.Open(r.Disk, "d", small))
 }
 
-func asStore(j *store.Journal, h *store.Held, err error) (store.Store, *store.Held, error) {
+func asStore(j *store.FileLog, h *store.RecoveredLog, err error) (store.Log, *store.RecoveredLog, error) {
 	if err != nil {
 		return nil, nil, err
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func journal(t *testing.T, d *faulty.Disk) (*store.Journal, *store.Held) {
+func journal(t *testing.T, d *faulty.Disk) (*store.FileLog, *store.RecoveredLog) {
 	t.Helper()
 	j, held, err := store.Open(d, "d", small)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return j, held
 }
 
-func mustAppend(t *testing.T, j *store.Journal, texts ...string) {
+func mustAppend(t *testing.T, j *store.FileLog, texts ...string) {
 	t.Helper()
 	for _, text := range texts {
 		if _, err := j.Append([]byte(text)); err != nil {
@@ -79,15 +79,15 @@
 		acked := 0
 		for range 4 {
 			j, held := journal(t, d)
-			if int(held.Last()) < acked {
-				t.Fatalf("seed %d: %d held of %d acknowledged", seed, held.Last(), acked)
+			if int(held.LastNumber()) < acked {
+				t.Fatalf("seed %d: %d held of %d acknowledged", seed, held.LastNumber(), acked)
 			}
 			for i := range held.Records {
 				if n := held.Records[i].Number; string(held.Records[i].Data) != long(n) {
 					t.Fatalf("seed %d: record %d differs", seed, n)
 				}
 			}
-			n := held.Last()
+			n := held.LastNumber()
 			for range rnd.IntN(8) {
 				n++
 				mustAppend(t, j, long(n))
@@ -150,7 +150,7 @@
 		d.SetRoom(-1)
 		mustAppend(t, j, "three")
 		d.Crash()
-		if _, held := journal(t, d); held.Last() != 3 || string(held.Records[2].Data) != "three" {
+		if _, held := journal(t, d); held.LastNumber() != 3 || string(held.Records[2].Data) != "three" {
 			t.Fatalf("room %d: holds %+v", room, held)
 		}
 	}
@@ -180,7 +180,7 @@
 			t.Fatalf("put aside in %s: %v, %v", damage.Aside, names, err)
 		}
 		j, held := journal(t, d)
-		if held.Last() != 0 {
+		if held.LastNumber() != 0 {
 			t.Fatalf("a new store holds %+v", held)
 		}
 		mustAppend(t, j, "new")
@@ -247,7 +247,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n := held.Last(); n < 2 || n > 4 {
+		if n := held.LastNumber(); n < 2 || n > 4 {
 			t.Fatalf("seed %d: holds up to %d", seed, n)
 		}
 		for _, r := range held.Records {
@@ -263,7 +263,7 @@
 func BenchmarkAppend(b *testing.B) {
 	for _, at := range []int{1, 32} {
 		b.Run(fmt.Sprint(at), func(b *testing.B) {
-			j, _, err := store.Open(store.Disk{}, filepath.Join(b.TempDir(), "d"), store.Options{Logger: slog.New(slog.DiscardHandler)})
+			j, _, err := store.Open(store.OSFS{}, filepath.Join(b.TempDir(), "d"), store.Options{Logger: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/storetest/contract.go
+++ b/internal/store/storetest/contract.go
@@ -16,7 +16,7 @@
 // Rig is one store with what it stands on.
 type Rig interface {
 	// Open opens the store and returns what it holds.
-	Open() (store.Store, *store.Held, error)
+	Open() (store.Log, *store.RecoveredLog, error)
 	// Crash ends it as a loss of power does. The Store that was open is not used again.
 	Crash()
 }
@@ -36,7 +36,7 @@
 	})
 }
 
-func open(t *testing.T, r Rig) (store.Store, *store.Held) {
+func open(t *testing.T, r Rig) (store.Log, *store.RecoveredLog) {
 	t.Helper()
 	s, held, err := r.Open()
 	if err != nil {
@@ -48,7 +48,7 @@
 // Records come back in order, under their numbers, whether the store was closed or power was lost.
 func order(t *testing.T, r Rig) {
 	s, held := open(t, r)
-	if held.Last() != 0 || len(held.Records) != 0 {
+	if held.LastNumber() != 0 || len(held.Records) != 0 {
 		t.Fatalf("a new store holds %+v", held)
 	}
 	for i := range 50 {
@@ -65,8 +65,8 @@
 			r.Crash()
 		}
 		s, held = open(t, r)
-		if len(held.Records) != 50 || held.Last() != 50 {
-			t.Fatalf("closed %v: %d records, the last %d", closed, len(held.Records), held.Last())
+		if len(held.Records) != 50 || held.LastNumber() != 50 {
+			t.Fatalf("closed %v: %d records, the last %d", closed, len(held.Records), held.LastNumber())
 		}
 		for i, got := range held.Records {
 			if got.Number != uint64(i+1) || !bytes.Equal(got.Data, bytes.Repeat([]byte{byte(i)}, i*40)) {
@@ -94,7 +94,7 @@
 	}
 	r.Crash()
 	s, held := open(t, r)
-	if held.UpTo != 7 || string(held.State) != "seven" || len(held.Records) != 3 || held.Records[0].Number != 8 {
+	if held.SnapshotNumber != 7 || string(held.Snapshot) != "seven" || len(held.Records) != 3 || held.Records[0].Number != 8 {
 		t.Fatalf("holds %+v", held)
 	}
 	if err := s.Snapshot(10, []byte("ten")); err != nil {
@@ -104,7 +104,7 @@
 		t.Fatalf("goes on with %d, %v", n, err)
 	}
 	r.Crash()
-	if _, held = open(t, r); held.UpTo != 10 || string(held.State) != "ten" || len(held.Records) != 1 || held.Last() != 11 {
+	if _, held = open(t, r); held.SnapshotNumber != 10 || string(held.Snapshot) != "ten" || len(held.Records) != 1 || held.LastNumber() != 11 {
 		t.Fatalf("holds %+v", held)
 	}
 }
@@ -145,7 +145,7 @@
 func bounds(t *testing.T, r Rig) {
 	s, _ := open(t, r)
 	var large *store.TooLargeError
-	if _, err := s.Append(make([]byte, store.RecordMost+1)); !errors.As(err, &large) {
+	if _, err := s.Append(make([]byte, store.MaxRecordBytes+1)); !errors.As(err, &large) {
 		t.Errorf("a record too large: %v", err)
 	}
 	if n, err := s.Append(nil); n != 1 || err != nil {
@@ -173,13 +173,13 @@
 		switch rnd.IntN(10) {
 		case 0:
 			r.Crash()
-			var held *store.Held
+			var held *store.RecoveredLog
 			s, held = open(t, r)
-			if int(held.Last()) != len(want) || int(held.UpTo)+len(held.Records) != len(want) {
-				t.Fatalf("seed %d: holds up to %d and %d records, acknowledged were %d", seed, held.UpTo, len(held.Records), len(want))
+			if int(held.LastNumber()) != len(want) || int(held.SnapshotNumber)+len(held.Records) != len(want) {
+				t.Fatalf("seed %d: holds up to %d and %d records, acknowledged were %d", seed, held.SnapshotNumber, len(held.Records), len(want))
 			}
-			if held.UpTo > 0 && string(held.State) != fmt.Sprint("state ", held.UpTo) {
-				t.Fatalf("seed %d: state %q at %d", seed, held.State, held.UpTo)
+			if held.SnapshotNumber > 0 && string(held.Snapshot) != fmt.Sprint("state ", held.SnapshotNumber) {
+				t.Fatalf("seed %d: state %q at %d", seed, held.Snapshot, held.SnapshotNumber)
 			}
 			for _, got := range held.Records {
 				if want[got.Number-1] != string(got.Data) {
