--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -129,7 +129,7 @@
 // load reads the list that the disk holds.
 func (c *Cluster) load() (v recovery.PeerState) {
 	j, held, err := store.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
-	if damage := new(store.DamageError); errors.As(err, &damage) && damage.Aside != "" {
+	if damage := new(store.CorruptionError); errors.As(err, &damage) && damage.QuarantineDir != "" {
 		fault.Log(c.opts.Logger, err)
 		j, held, err = store.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
 	}
--- a/internal/fault/walk_test.go
+++ b/internal/fault/walk_test.go
@@ -23,8 +23,8 @@
 
 // all are the error types of the packages in walked, one of each.
 var all = []fault.Explained{
-	&store.FullError{Dir: "d", Err: io.ErrShortWrite}, &store.BrokenError{Dir: "d", Err: io.ErrShortWrite},
-	&store.DamageError{File: "f", At: 3, Reason: "r"}, &store.ClosedError{Dir: "d"}, &store.TooLargeError{Bytes: 2, Most: 1},
+	&store.NoSpaceError{Dir: "d", Err: io.ErrShortWrite}, &store.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
+	&store.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &store.ClosedError{Dir: "d"}, &store.TooLargeError{Bytes: 2, Most: 1},
 	&operator.KeyError{File: "f", Reason: "r"},
 	&peer.BindError{Addr: "a", Err: io.ErrShortWrite}, &peer.IncarnationError{File: "f", Err: io.ErrShortWrite},
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -2,53 +2,55 @@
 
 import "fmt"
 
-// FullError says that the disk has no room for a record. What was stored before stays, and is served.
-type FullError struct {
+// NoSpaceError says that the disk has no room for a record. What was stored before stays, and is served.
+type NoSpaceError struct {
 	Dir string
 	Err error
 }
 
-func (e *FullError) Error() string  { return e.Failed() + ": " + e.Err.Error() }
-func (e *FullError) Unwrap() error  { return e.Err }
-func (e *FullError) Failed() string { return "no room for a record in " + e.Dir }
-func (e *FullError) Again() bool    { return true }
-func (e *FullError) Do() string {
+func (e *NoSpaceError) Error() string  { return e.Failed() + ": " + e.Err.Error() }
+func (e *NoSpaceError) Unwrap() error  { return e.Err }
+func (e *NoSpaceError) Failed() string { return "no room for a record in " + e.Dir }
+func (e *NoSpaceError) Again() bool    { return true }
+func (e *NoSpaceError) Do() string {
 	return "free room on the disk; nothing that was acknowledged is lost"
 }
 
-// BrokenError says that a store takes nothing more, since a write to disk failed in a way that leaves open what is there.
+// WriteFailedError says that a store takes nothing more, since a write to disk failed in a way that leaves open what is there.
 // It is opened anew with the next start, which reads what is there.
-type BrokenError struct {
+type WriteFailedError struct {
 	Dir string
 	Err error
 }
 
-func (e *BrokenError) Error() string  { return e.Failed() + ": " + e.Err.Error() }
-func (e *BrokenError) Unwrap() error  { return e.Err }
-func (e *BrokenError) Failed() string { return "the disk did not keep what was written to " + e.Dir }
-func (e *BrokenError) Again() bool    { return false }
-func (e *BrokenError) Do() string {
+func (e *WriteFailedError) Error() string { return e.Failed() + ": " + e.Err.Error() }
+func (e *WriteFailedError) Unwrap() error { return e.Err }
+func (e *WriteFailedError) Failed() string {
+	return "the disk did not keep what was written to " + e.Dir
+}
+func (e *WriteFailedError) Again() bool { return false }
+func (e *WriteFailedError) Do() string {
 	return "look at the disk, then start again: what was acknowledged is read from it"
 }
 
-// DamageError says that a file of a store is damaged in its middle. The store does not open; its files are put aside whole.
-type DamageError struct {
-	File   string // that is damaged
-	At     int64  // offset of the first byte that is wrong
-	Aside  string // where the store's files are now; empty: they could not be moved
-	Reason string
+// CorruptionError says that a file of a store is damaged in its middle. The store does not open; its files are put aside whole.
+type CorruptionError struct {
+	File          string // that is damaged
+	Offset        int64  // offset of the first byte that is wrong
+	QuarantineDir string // where the store's files are now; empty: they could not be moved
+	Reason        string
 }
 
-func (e *DamageError) Error() string {
-	return fmt.Sprintf("%s at byte %d: %s", e.Failed(), e.At, e.Reason)
+func (e *CorruptionError) Error() string {
+	return fmt.Sprintf("%s at byte %d: %s", e.Failed(), e.Offset, e.Reason)
 }
-func (e *DamageError) Failed() string { return e.File + " is damaged" }
-func (e *DamageError) Again() bool    { return false }
-func (e *DamageError) Do() string {
-	if e.Aside == "" {
+func (e *CorruptionError) Failed() string { return e.File + " is damaged" }
+func (e *CorruptionError) Again() bool    { return false }
+func (e *CorruptionError) Do() string {
+	if e.QuarantineDir == "" {
 		return "move the folder away, bring it back from a copy, or start with an empty one"
 	}
-	return "its files are in " + e.Aside + "; bring them back from a copy, or go on with what peers hold"
+	return "its files are in " + e.QuarantineDir + "; bring them back from a copy, or go on with what peers hold"
 }
 
 // ClosedError says that a store was used after Close.
--- a/internal/store/format_test.go
+++ b/internal/store/format_test.go
@@ -171,16 +171,16 @@
 
 // outcome names what kind of error one is, with what it says of the files.
 func outcome(err error) string {
-	var full *store.FullError
-	var broken *store.BrokenError
-	var damage *store.DamageError
+	var full *store.NoSpaceError
+	var broken *store.WriteFailedError
+	var damage *store.CorruptionError
 	var closed *store.ClosedError
 	var large *store.TooLargeError
 	switch {
 	case err == nil:
 		return "ok"
 	case errors.As(err, &damage):
-		return fmt.Sprintf("corrupt file %s offset %d moved to %q", filepath.Base(damage.File), damage.At, damage.Aside)
+		return fmt.Sprintf("corrupt file %s offset %d moved to %q", filepath.Base(damage.File), damage.Offset, damage.QuarantineDir)
 	case errors.As(err, &broken):
 		return "failed dir " + broken.Dir
 	case errors.As(err, &full):
@@ -220,9 +220,9 @@
 		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, outcome(err), outcome(j.Close()))
 	}
 	fmt.Fprintf(&b, "files\n%s", filesOn(t, fs, formatDir).digests())
-	var damage *store.DamageError
-	if errors.As(err, &damage) && damage.Aside != "" {
-		fmt.Fprintf(&b, "moved files\n%s", filesOn(t, fs, damage.Aside).digests())
+	var damage *store.CorruptionError
+	if errors.As(err, &damage) && damage.QuarantineDir != "" {
+		fmt.Fprintf(&b, "moved files\n%s", filesOn(t, fs, damage.QuarantineDir).digests())
 	}
 	return b.String()
 }
--- a/internal/store/journal.go
+++ b/internal/store/journal.go
@@ -85,7 +85,7 @@
 			close(w.done)
 		}
 		j.mu.Lock()
-		if b := new(BrokenError); errors.As(broken, &b) {
+		if b := new(WriteFailedError); errors.As(broken, &b) {
 			j.err = broken
 		}
 	}
@@ -111,12 +111,12 @@
 	if _, err := j.file.Write(j.buf); err != nil {
 		// What part of it is there was not acknowledged; it goes, so that the next record stands where this one did.
 		if cut := errors.Join(j.file.Truncate(j.size), j.file.Sync()); cut != nil || !IsFull(err) {
-			return &BrokenError{j.dir, errors.Join(err, cut)}
+			return &WriteFailedError{j.dir, errors.Join(err, cut)}
 		}
-		return &FullError{j.dir, err}
+		return &NoSpaceError{j.dir, err}
 	}
 	if err := j.file.Sync(); err != nil {
-		return &BrokenError{j.dir, err}
+		return &WriteFailedError{j.dir, err}
 	}
 	j.size += int64(len(j.buf))
 	j.last = number
@@ -141,7 +141,7 @@
 		// One that is not whole must not stand behind the one that goes on.
 		f.Close()
 		if gone := errors.Join(j.fs.Remove(name), j.fs.SyncDir(j.dir)); gone != nil {
-			return &BrokenError{j.dir, errors.Join(err, gone)}
+			return &WriteFailedError{j.dir, errors.Join(err, gone)}
 		}
 		return j.failed(err)
 	}
@@ -152,9 +152,9 @@
 
 func (j *FileLog) failed(err error) error {
 	if IsFull(err) {
-		return &FullError{j.dir, err}
+		return &NoSpaceError{j.dir, err}
 	}
-	return &BrokenError{j.dir, err}
+	return &WriteFailedError{j.dir, err}
 }
 
 // Close implements Store.
@@ -188,7 +188,7 @@
 	j.mu.Unlock()
 	err := j.compact(upTo, state)
 	j.mu.Lock()
-	if b := new(BrokenError); errors.As(err, &b) {
+	if b := new(WriteFailedError); errors.As(err, &b) {
 		j.err = err
 	}
 	j.drain()
--- a/internal/store/open.go
+++ b/internal/store/open.go
@@ -28,8 +28,8 @@
 		return nil, nil, j.failed(err)
 	}
 	held, err := j.load()
-	if d := new(DamageError); errors.As(err, &d) {
-		d.Aside = j.putAside()
+	if d := new(CorruptionError); errors.As(err, &d) {
+		d.QuarantineDir = j.putAside()
 		return nil, nil, d
 	}
 	if err != nil {
@@ -107,7 +107,9 @@
 	if err != nil {
 		return j.failed(err)
 	}
-	damage := func(at int, reason string) error { return &DamageError{File: name, At: int64(at), Reason: reason} }
+	damage := func(at int, reason string) error {
+		return &CorruptionError{File: name, Offset: int64(at), Reason: reason}
+	}
 	got, v, reason := readSegHead(b)
 	switch {
 	case v == torn && newest: // it was being begun; nothing in it was acknowledged
@@ -145,7 +147,7 @@
 		j.opts.Logger.Warn("cut what a torn write left", "file", name, "at", at, "bytes", cut)
 		if err := errors.Join(f.Truncate(int64(at)), f.Sync()); err != nil {
 			f.Close()
-			return &BrokenError{j.dir, err}
+			return &WriteFailedError{j.dir, err}
 		}
 	}
 	j.file, j.size, j.first = f, int64(at), first
@@ -162,13 +164,13 @@
 	got, v, reason := readSegHead(b)
 	switch {
 	case v != whole:
-		return nil, &DamageError{File: name, Reason: reason}
+		return nil, &CorruptionError{File: name, Reason: reason}
 	case got != upTo || len(b) < stateHead:
-		return nil, &DamageError{File: name, Reason: "it is of another record, or cut short"}
+		return nil, &CorruptionError{File: name, Reason: "it is of another record, or cut short"}
 	}
 	state := b[stateHead:]
 	if binary.LittleEndian.Uint64(b[segHead:]) != uint64(len(state)) || binary.LittleEndian.Uint32(b[segHead+8:]) != sum(state) {
-		return nil, &DamageError{File: name, At: int64(stateHead), Reason: "the state does not fit its checksum"}
+		return nil, &CorruptionError{File: name, Offset: int64(stateHead), Reason: "the state does not fit its checksum"}
 	}
 	return slices.Clone(state), nil
 }
--- a/internal/store/process_test.go
+++ b/internal/store/process_test.go
@@ -66,7 +66,7 @@
 				mu.Lock() // numbers follow the order of appends, and a record tells its number
 				next++
 				n, err := j.Append([]byte(long(next)))
-				var full *store.FullError
+				var full *store.NoSpaceError
 				if errors.As(err, &full) {
 					next--
 					fmt.Println("full", next)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -116,7 +116,7 @@
 	j, _ := journal(t, d)
 	mustAppend(t, j, "one")
 	d.FailSyncs(1)
-	var broken *store.BrokenError
+	var broken *store.WriteFailedError
 	for range 3 {
 		if _, err := j.Append([]byte("two")); !errors.As(err, &broken) || !errors.Is(err, faulty.ErrIO) || broken.Again() {
 			t.Fatalf("after a failed sync: %v", err)
@@ -138,7 +138,7 @@
 		j, _ := journal(t, d)
 		mustAppend(t, j, "one", "two")
 		d.SetRoom(room)
-		var full *store.FullError
+		var full *store.NoSpaceError
 		for range 3 {
 			if _, err := j.Append([]byte("a record that is longer than the room")); !errors.As(err, &full) || !full.Again() {
 				t.Fatalf("room %d: %v", room, err)
@@ -172,12 +172,12 @@
 			t.Fatal("nothing to flip")
 		}
 		_, _, err := store.Open(d, "d", small)
-		var damage *store.DamageError
-		if !errors.As(err, &damage) || damage.Again() || damage.Aside == "" {
+		var damage *store.CorruptionError
+		if !errors.As(err, &damage) || damage.Again() || damage.QuarantineDir == "" {
 			t.Fatalf("a bit %d bytes from the end: %v", at, err)
 		}
-		if names, err := d.List(damage.Aside); err != nil || len(names) == 0 {
-			t.Fatalf("put aside in %s: %v, %v", damage.Aside, names, err)
+		if names, err := d.List(damage.QuarantineDir); err != nil || len(names) == 0 {
+			t.Fatalf("put aside in %s: %v, %v", damage.QuarantineDir, names, err)
 		}
 		j, held := journal(t, d)
 		if held.LastNumber() != 0 {
@@ -199,7 +199,7 @@
 		if !d.Flip("state", at) {
 			continue
 		}
-		var damage *store.DamageError
+		var damage *store.CorruptionError
 		if _, _, err := store.Open(d, "d", small); !errors.As(err, &damage) {
 			t.Fatalf("a bit at %d of the state: %v", at, err)
 		}
@@ -240,7 +240,7 @@
 		mustAppend(t, j, long(3), long(4))
 		d.Crash()
 		j, held, err := store.Open(d, "d", small)
-		var damage *store.DamageError
+		var damage *store.CorruptionError
 		if errors.As(err, &damage) {
 			continue // what it lost was in the middle of what it kept
 		}
