--- a/config/operator/cluster.go
+++ b/config/operator/cluster.go
@@ -116,9 +116,9 @@
 // KeyError says that the members' key can't be used.
 type KeyError struct{ File, Reason string }
 
-func (e *KeyError) Error() string  { return e.Failed() + ": " + e.Reason }
-func (e *KeyError) Failed() string { return e.File + ": cluster.key-file" }
-func (e *KeyError) Again() bool    { return false }
-func (e *KeyError) Do() string {
+func (e *KeyError) Error() string   { return e.Problem() + ": " + e.Reason }
+func (e *KeyError) Problem() string { return e.File + ": cluster.key-file" }
+func (e *KeyError) Retryable() bool { return false }
+func (e *KeyError) Remedy() string {
 	return "put the key that all members share there, 16, 24 or 32 letters"
 }
--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -337,7 +337,7 @@
 		appendResult(&one, s, err)
 		var bad *KeyError
 		if errors.As(err, &bad) {
-			fmt.Fprintf(&one, "failed: %s\ndo: %s\nagain: %t\n", bad.Failed(), bad.Do(), bad.Again())
+			fmt.Fprintf(&one, "failed: %s\ndo: %s\nagain: %t\n", bad.Problem(), bad.Remedy(), bad.Retryable())
 		}
 		if err == nil && s.Plan != nil {
 			appendPlan(&one, s.Plan.Plan)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -336,7 +336,7 @@
 	}
 	fault.Log(c.opts.Logger, err)
 	x := fault.Of(err)
-	return x != nil && x.Again()
+	return x != nil && x.Retryable()
 }
 
 // UpdateLoad takes this instance's counts since the last call, by rank, tells the others of them, and returns the level of what
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -7,17 +7,17 @@
 	"log/slog"
 )
 
-// Explained is an error of a type of its own that tells all three.
-type Explained interface {
+// Error is an error of a type of its own that tells all three.
+type Error interface {
 	error
-	Failed() string // what failed, with the name of the thing
-	Again() bool    // whether trying again later may help
-	Do() string     // what an operator can do
+	Problem() string // what failed, with the name of the thing
+	Retryable() bool // whether trying again later may help
+	Remedy() string  // what an operator can do
 }
 
 // Of finds the outermost Explained of an error's chain; nil: there is none.
-func Of(err error) Explained {
-	var x Explained
+func Of(err error) Error {
+	var x Error
 	if errors.As(err, &x) {
 		return x
 	}
@@ -31,5 +31,5 @@
 		l.Error("fault", "err", err)
 		return
 	}
-	l.Error("fault", "failed", x.Failed(), "again", x.Again(), "do", x.Do(), "cause", errors.Unwrap(x))
+	l.Error("fault", "failed", x.Problem(), "again", x.Retryable(), "do", x.Remedy(), "cause", errors.Unwrap(x))
 }
--- a/internal/fault/walk_test.go
+++ b/internal/fault/walk_test.go
@@ -22,7 +22,7 @@
 )
 
 // all are the error types of the packages in walked, one of each.
-var all = []fault.Explained{
+var all = []fault.Error{
 	&store.NoSpaceError{Dir: "d", Err: io.ErrShortWrite}, &store.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
 	&store.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &store.ClosedError{Dir: "d"}, &store.TooLargeError{Bytes: 2, Most: 1},
 	&operator.KeyError{File: "f", Reason: "r"},
@@ -36,8 +36,8 @@
 	var have []string
 	for _, x := range all {
 		have = append(have, reflect.TypeOf(x).Elem().PkgPath()+"."+reflect.TypeOf(x).Elem().Name())
-		if x.Failed() == "" || x.Do() == "" || !strings.Contains(x.Error(), x.Failed()) {
-			t.Errorf("%T: %q, failed %q, do %q", x, x.Error(), x.Failed(), x.Do())
+		if x.Problem() == "" || x.Remedy() == "" || !strings.Contains(x.Error(), x.Problem()) {
+			t.Errorf("%T: %q, failed %q, do %q", x, x.Error(), x.Problem(), x.Remedy())
 		}
 		wrapped := fmt.Errorf("at the edge: %w", errors.Join(io.EOF, x))
 		if got := fault.Of(wrapped); got != x {
--- a/internal/peer/format_test.go
+++ b/internal/peer/format_test.go
@@ -276,7 +276,7 @@
 	if !errors.As(err, &failed) {
 		return "other error"
 	}
-	return fmt.Sprintf("no incarnation in %s, again %t", failed.File, failed.Again())
+	return fmt.Sprintf("no incarnation in %s, again %t", failed.File, failed.Retryable())
 }
 
 // failingFS fails one of the calls that write an incarnation, by its number.
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -65,11 +65,11 @@
 	Err  error
 }
 
-func (e *BindError) Error() string  { return e.Failed() + ": " + e.Err.Error() }
-func (e *BindError) Unwrap() error  { return e.Err }
-func (e *BindError) Failed() string { return "peers can't be listened for on " + e.Addr }
-func (e *BindError) Again() bool    { return true }
-func (e *BindError) Do() string {
+func (e *BindError) Error() string   { return e.Problem() + ": " + e.Err.Error() }
+func (e *BindError) Unwrap() error   { return e.Err }
+func (e *BindError) Problem() string { return "peers can't be listened for on " + e.Addr }
+func (e *BindError) Retryable() bool { return true }
+func (e *BindError) Remedy() string {
 	return "see who uses the address, and that the key has 16, 24 or 32 bytes"
 }
 
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -28,11 +28,13 @@
 	Err  error
 }
 
-func (e *IncarnationError) Error() string  { return e.Failed() + ": " + e.Err.Error() }
-func (e *IncarnationError) Unwrap() error  { return e.Err }
-func (e *IncarnationError) Failed() string { return "no incarnation could be written to " + e.File }
-func (e *IncarnationError) Again() bool    { return store.IsFull(e.Err) }
-func (e *IncarnationError) Do() string     { return "see that the folder can be written, then start again" }
+func (e *IncarnationError) Error() string   { return e.Problem() + ": " + e.Err.Error() }
+func (e *IncarnationError) Unwrap() error   { return e.Err }
+func (e *IncarnationError) Problem() string { return "no incarnation could be written to " + e.File }
+func (e *IncarnationError) Retryable() bool { return store.IsFull(e.Err) }
+func (e *IncarnationError) Remedy() string {
+	return "see that the folder can be written, then start again"
+}
 
 // OpenIncarnations reads the last one from a folder. What can't be read counts as none: peers tell, then.
 func OpenIncarnations(disk store.FS, dir string) (*Incarnations, error) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -234,7 +234,7 @@
 	d.SetRoom(0)
 	i, _ := peer.OpenIncarnations(d, "d")
 	var none *peer.IncarnationError
-	if _, err := i.Next(0, 52*year); !errors.As(err, &none) || !none.Again() {
+	if _, err := i.Next(0, 52*year); !errors.As(err, &none) || !none.Retryable() {
 		t.Errorf("on a full disk: %v", err)
 	}
 	d.SetRoom(-1)
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -8,11 +8,11 @@
 	Err error
 }
 
-func (e *NoSpaceError) Error() string  { return e.Failed() + ": " + e.Err.Error() }
-func (e *NoSpaceError) Unwrap() error  { return e.Err }
-func (e *NoSpaceError) Failed() string { return "no room for a record in " + e.Dir }
-func (e *NoSpaceError) Again() bool    { return true }
-func (e *NoSpaceError) Do() string {
+func (e *NoSpaceError) Error() string   { return e.Problem() + ": " + e.Err.Error() }
+func (e *NoSpaceError) Unwrap() error   { return e.Err }
+func (e *NoSpaceError) Problem() string { return "no room for a record in " + e.Dir }
+func (e *NoSpaceError) Retryable() bool { return true }
+func (e *NoSpaceError) Remedy() string {
 	return "free room on the disk; nothing that was acknowledged is lost"
 }
 
@@ -23,13 +23,13 @@
 	Err error
 }
 
-func (e *WriteFailedError) Error() string { return e.Failed() + ": " + e.Err.Error() }
+func (e *WriteFailedError) Error() string { return e.Problem() + ": " + e.Err.Error() }
 func (e *WriteFailedError) Unwrap() error { return e.Err }
-func (e *WriteFailedError) Failed() string {
+func (e *WriteFailedError) Problem() string {
 	return "the disk did not keep what was written to " + e.Dir
 }
-func (e *WriteFailedError) Again() bool { return false }
-func (e *WriteFailedError) Do() string {
+func (e *WriteFailedError) Retryable() bool { return false }
+func (e *WriteFailedError) Remedy() string {
 	return "look at the disk, then start again: what was acknowledged is read from it"
 }
 
@@ -42,11 +42,11 @@
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s at byte %d: %s", e.Failed(), e.Offset, e.Reason)
+	return fmt.Sprintf("%s at byte %d: %s", e.Problem(), e.Offset, e.Reason)
 }
-func (e *CorruptionError) Failed() string { return e.File + " is damaged" }
-func (e *CorruptionError) Again() bool    { return false }
-func (e *CorruptionError) Do() string {
+func (e *CorruptionError) Problem() string { return e.File + " is damaged" }
+func (e *CorruptionError) Retryable() bool { return false }
+func (e *CorruptionError) Remedy() string {
 	if e.QuarantineDir == "" {
 		return "move the folder away, bring it back from a copy, or start with an empty one"
 	}
@@ -56,15 +56,15 @@
 // ClosedError says that a store was used after Close.
 type ClosedError struct{ Dir string }
 
-func (e *ClosedError) Error() string  { return e.Failed() }
-func (e *ClosedError) Failed() string { return e.Dir + " is closed" }
-func (e *ClosedError) Again() bool    { return false }
-func (e *ClosedError) Do() string     { return "nothing: the program is ending" }
+func (e *ClosedError) Error() string   { return e.Problem() }
+func (e *ClosedError) Problem() string { return e.Dir + " is closed" }
+func (e *ClosedError) Retryable() bool { return false }
+func (e *ClosedError) Remedy() string  { return "nothing: the program is ending" }
 
 // TooLargeError says that a record is longer than a store takes.
 type TooLargeError struct{ Bytes, Most int }
 
-func (e *TooLargeError) Error() string  { return e.Failed() }
-func (e *TooLargeError) Failed() string { return fmt.Sprintf("a record of %d bytes", e.Bytes) }
-func (e *TooLargeError) Again() bool    { return false }
-func (e *TooLargeError) Do() string     { return fmt.Sprintf("send at most %d bytes in one", e.Most) }
+func (e *TooLargeError) Error() string   { return e.Problem() }
+func (e *TooLargeError) Problem() string { return fmt.Sprintf("a record of %d bytes", e.Bytes) }
+func (e *TooLargeError) Retryable() bool { return false }
+func (e *TooLargeError) Remedy() string  { return fmt.Sprintf("send at most %d bytes in one", e.Most) }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -118,7 +118,7 @@
 	d.FailSyncs(1)
 	var broken *store.WriteFailedError
 	for range 3 {
-		if _, err := j.Append([]byte("two")); !errors.As(err, &broken) || !errors.Is(err, faulty.ErrIO) || broken.Again() {
+		if _, err := j.Append([]byte("two")); !errors.As(err, &broken) || !errors.Is(err, faulty.ErrIO) || broken.Retryable() {
 			t.Fatalf("after a failed sync: %v", err)
 		}
 	}
@@ -140,7 +140,7 @@
 		d.SetRoom(room)
 		var full *store.NoSpaceError
 		for range 3 {
-			if _, err := j.Append([]byte("a record that is longer than the room")); !errors.As(err, &full) || !full.Again() {
+			if _, err := j.Append([]byte("a record that is longer than the room")); !errors.As(err, &full) || !full.Retryable() {
 				t.Fatalf("room %d: %v", room, err)
 			}
 		}
@@ -173,7 +173,7 @@
 		}
 		_, _, err := store.Open(d, "d", small)
 		var damage *store.CorruptionError
-		if !errors.As(err, &damage) || damage.Again() || damage.QuarantineDir == "" {
+		if !errors.As(err, &damage) || damage.Retryable() || damage.QuarantineDir == "" {
 			t.Fatalf("a bit %d bytes from the end: %v", at, err)
 		}
 		if names, err := d.List(damage.QuarantineDir); err != nil || len(names) == 0 {
