--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -113,7 +113,7 @@
 			return g, nil
 		}
 	}
-	g, err := o.Connect(peer.Options{Name: o.Name, Incarnation: life, Receive: c.receive, Raise: func(above uint64) (uint64, error) {
+	g, err := o.Connect(peer.Options{Name: o.Name, Incarnation: life, OnMessage: c.receive, BumpIncarnation: func(above uint64) (uint64, error) {
 		o.Logger.Warn("peers remember a later life than this disk does: it is older than they saw", "life", above)
 		return c.lives.Next(above, o.Clock())
 	}})
@@ -356,7 +356,7 @@
 // receive takes a message of a peer.
 func (c *Cluster) receive(from peer.Message) {
 	var m message
-	if json.Unmarshal(from.Body, &m) != nil {
+	if json.Unmarshal(from.Payload, &m) != nil {
 		return
 	}
 	switch m.Kind {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -194,7 +194,7 @@
 		whole := false
 		for i := range 2 * len(parts) {
 			b := parts[(i*7+3)%len(parts)]
-			if len(b) > peer.BodyMost {
+			if len(b) > peer.MaxBodyBytes {
 				t.Fatalf("a part of %d bytes", len(b))
 			}
 			m := message{}
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -70,7 +70,7 @@
 		Clock:  func() time.Duration { return x.now },
 		Logger: slog.New(slog.DiscardHandler),
 		Connect: func(o peer.Options) (peer.Transport, error) {
-			x.links.receive = o.Receive
+			x.links.receive = o.OnMessage
 			return x.links, nil
 		},
 	})
@@ -83,7 +83,7 @@
 
 // receive has the instance take a message.
 func (x *exchange) receive(from, body string) {
-	x.links.receive(peer.Message{From: from, Incarnation: 1, Body: []byte(body)})
+	x.links.receive(peer.Message{From: from, Incarnation: 1, Payload: []byte(body)})
 }
 
 // flush notes what was sent since the last call. Equal messages in a row count as one: how often peers are asked is a matter
@@ -185,7 +185,7 @@
 	}
 	digest := x.lastSent("tier")
 
-	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", peer.BodyMost)}
+	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", peer.MaxBodyBytes)}
 	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListDelta, Version: 10, Servers: []engine.Server{long}})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -52,7 +52,7 @@
 func (m message) parts(servers []discovery.Endpoint) [][]byte {
 	m.Kind, m.Servers = part, nil
 	frame, _ := json.Marshal(m)
-	room := peer.BodyMost - len(frame) - 64 // the numbers that are not set yet, and the list's brackets
+	room := peer.MaxBodyBytes - len(frame) - 64 // the numbers that are not set yet, and the list's brackets
 	var groups [][]discovery.Endpoint
 	size := room + 1
 	for _, s := range servers {
--- a/internal/peer/format_test.go
+++ b/internal/peer/format_test.go
@@ -81,10 +81,10 @@
 func takes(own uint64, raise func(uint64) (uint64, error), packets ...[]byte) string {
 	var b strings.Builder
 	e := peer.NewEndpoint(peer.Options{Name: "a", Incarnation: own,
-		Receive: func(m peer.Message) {
-			fmt.Fprintf(&b, "message from %q incarnation %d body %x\n", m.From, m.Incarnation, m.Body)
+		OnMessage: func(m peer.Message) {
+			fmt.Fprintf(&b, "message from %q incarnation %d body %x\n", m.From, m.Incarnation, m.Payload)
 		},
-		Raise: func(above uint64) (uint64, error) {
+		BumpIncarnation: func(above uint64) (uint64, error) {
 			fmt.Fprintf(&b, "incarnation %d is known\n", above)
 			return raise(above)
 		}})
@@ -197,7 +197,7 @@
 		fmt.Fprintf(&all, "%x: cuts %s flips %s\n", base, shortDigest(cuts.String()), shortDigest(flips.String()))
 	}
 	o := peer.NewEndpoint(peer.Options{}).Options()
-	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.QueueMost, peer.BodyMost, o.Pace(1000))
+	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.QueueMost, peer.MaxBodyBytes, o.Pace(1000))
 	compare(t, "packets.taken", all.String())
 }
 
@@ -380,7 +380,7 @@
 func TestSocketsCarryPacketsAsTheyAre(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
 	var box peertest.Inbox
-	a := r.Start(peer.Options{Name: "a", Incarnation: 0x0102030405060708, Receive: box.Receive})
+	a := r.Start(peer.Options{Name: "a", Incarnation: 0x0102030405060708, OnMessage: box.Receive})
 	host, text, err := net.SplitHostPort(freeAddr(t))
 	if err != nil {
 		t.Fatal(err)
@@ -451,11 +451,11 @@
 	nodes := map[string]*simnet.Node{}
 	start := func(name string, incarnation uint64) {
 		o := peer.Options{Name: name, Incarnation: incarnation, BytesPerSecond: []int{0, 2000, 20000}[rnd(3)], QueueMost: []int{0, 2, 8}[rnd(3)],
-			Receive: func(m peer.Message) {
-				fmt.Fprintf(&b, "%d %s from %s incarnation %d body %x\n", n.Now, name, m.From, m.Incarnation, m.Body)
+			OnMessage: func(m peer.Message) {
+				fmt.Fprintf(&b, "%d %s from %s incarnation %d body %x\n", n.Now, name, m.From, m.Incarnation, m.Payload)
 			}}
 		if rnd(2) == 0 {
-			o.Raise = func(above uint64) (uint64, error) {
+			o.BumpIncarnation = func(above uint64) (uint64, error) {
 				fmt.Fprintf(&b, "%d %s raised above %d\n", n.Now, name, above)
 				return above + 2, nil
 			}
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -147,7 +147,7 @@
 
 // Send implements Transport.
 func (g *Gossip) Send(to string, body []byte) {
-	if len(body) > BodyMost {
+	if len(body) > MaxBodyBytes {
 		g.Dropped(to)
 		return
 	}
--- a/internal/peer/packet.go
+++ b/internal/peer/packet.go
@@ -23,7 +23,7 @@
 		return
 	}
 	n := int(b[2])
-	if n == 0 || n > nameMost || len(b) < 3+n+8 || len(b) > 3+n+8+BodyMost {
+	if n == 0 || n > nameMost || len(b) < 3+n+8 || len(b) > 3+n+8+MaxBodyBytes {
 		return
 	}
 	return b[1], string(b[3 : 3+n]), binary.BigEndian.Uint64(b[3+n:]), append([]byte(nil), b[3+n+8:]...), true
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -30,7 +30,7 @@
 type Message struct {
 	From        string
 	Incarnation uint64 // of the sender when it sent this; never lower than any seen from it
-	Body        []byte
+	Payload     []byte
 }
 
 // Transport carries messages. Its methods may be called from any goroutine, and none waits for a peer.
@@ -58,11 +58,11 @@
 type Options struct {
 	Name        string
 	Incarnation uint64
-	// Receive is called for each message, one at a time, and must not wait. A message is its own from then on.
-	Receive func(Message)
-	// Raise is called where a peer remembers a later life of this instance than the one that it is in: the disk under its
+	// OnMessage is called for each message, one at a time, and must not wait. A message is its own from then on.
+	OnMessage func(Message)
+	// BumpIncarnation is called where a peer remembers a later life of this instance than the one that it is in: the disk under its
 	// name is older than what others saw. It returns the incarnation to go on with, durable by then. nil: none is taken.
-	Raise func(above uint64) (uint64, error)
+	BumpIncarnation func(above uint64) (uint64, error)
 	// BytesPerSecond bounds what is sent to one peer, and QueueMost what waits for it, in messages. 0: 64 KiB, 64.
 	BytesPerSecond int
 	QueueMost      int
@@ -72,7 +72,7 @@
 	bytesPerSecond = 64 << 10
 	queueMost      = 64
 	// BodyMost bounds a message, so that it fits a datagram with all that goes around it.
-	BodyMost = 1100
+	MaxBodyBytes = 1100
 )
 
 func (o Options) withDefaults() Options {
@@ -192,18 +192,18 @@
 	e.mu.Lock()
 	e.count(from).Received++
 	e.mu.Unlock()
-	if e.opts.Receive != nil {
-		e.opts.Receive(Message{From: from, Incarnation: incarnation, Body: body})
+	if e.opts.OnMessage != nil {
+		e.opts.OnMessage(Message{From: from, Incarnation: incarnation, Payload: body})
 	}
 	return "", nil
 }
 
 // remembered hears that a peer remembers a life of this instance.
 func (e *Endpoint) remembered(life uint64) {
-	if life <= e.Incarnation() || e.opts.Raise == nil {
+	if life <= e.Incarnation() || e.opts.BumpIncarnation == nil {
 		return
 	}
-	raised, err := e.opts.Raise(life)
+	raised, err := e.opts.BumpIncarnation(life)
 	if err != nil || raised <= life {
 		return // it goes on unheard, and is told again
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -138,11 +138,11 @@
 func TestWhoHasNoKeyIsNotHeard(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
 	var a, b peertest.Inbox
-	ta := r.Start(peer.Options{Name: "a", Incarnation: 1, Receive: a.Receive})
-	tb := r.Start(peer.Options{Name: "b", Incarnation: 1, Receive: b.Receive})
+	ta := r.Start(peer.Options{Name: "a", Incarnation: 1, OnMessage: a.Receive})
+	tb := r.Start(peer.Options{Name: "b", Incarnation: 1, OnMessage: b.Receive})
 	var heard peertest.Inbox
 	for _, k := range [][]byte{nil, []byte("fedcba9876543210")} {
-		g, err := peer.Listen(peer.GossipOptions{Options: peer.Options{Name: "mallory", Incarnation: 1, Receive: heard.Receive},
+		g, err := peer.Listen(peer.GossipOptions{Options: peer.Options{Name: "mallory", Incarnation: 1, OnMessage: heard.Receive},
 			Bind: freeAddr(t), Join: []string{r.links.addrs["a"]}, Key: k, Probe: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
@@ -185,9 +185,9 @@
 	f.Add([]byte{1, 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got := 0
-		a := peer.NewEndpoint(peer.Options{Name: "a", Receive: func(m peer.Message) {
+		a := peer.NewEndpoint(peer.Options{Name: "a", OnMessage: func(m peer.Message) {
 			got++
-			if len(m.Body) > peer.BodyMost || m.From == "" {
+			if len(m.Payload) > peer.MaxBodyBytes || m.From == "" {
 				t.Errorf("took %+v", m)
 			}
 		}})
--- a/internal/peer/peertest/contract.go
+++ b/internal/peer/peertest/contract.go
@@ -51,7 +51,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, m := range i.all {
-		if m.From == name && string(m.Body) == body {
+		if m.From == name && string(m.Payload) == body {
 			return true
 		}
 	}
@@ -88,7 +88,7 @@
 	for i := range n {
 		box := &Inbox{}
 		boxes = append(boxes, box)
-		ts = append(ts, r.Start(peer.Options{Name: name(i), Incarnation: 1, Receive: box.Receive}))
+		ts = append(ts, r.Start(peer.Options{Name: name(i), Incarnation: 1, OnMessage: box.Receive}))
 	}
 	Until(t, r, "all know all", func() bool {
 		for _, tr := range ts {
@@ -143,7 +143,7 @@
 	for i := range burst {
 		ts[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
 	}
-	ts[0].Send("b", make([]byte, peer.BodyMost+1))
+	ts[0].Send("b", make([]byte, peer.MaxBodyBytes+1))
 	Until(t, r, "c hears in spite of b's queue", func() bool {
 		ts[0].Send("c", []byte("on"))
 		return boxes[2].has("a", "on")
@@ -189,14 +189,14 @@
 	ts, boxes := fleet(t, r, 3)
 	ts[1].Close()
 	box := &Inbox{}
-	b := r.Start(peer.Options{Name: "b", Incarnation: 9, Receive: box.Receive})
+	b := r.Start(peer.Options{Name: "b", Incarnation: 9, OnMessage: box.Receive})
 	Until(t, r, "b is heard in its ninth life", func() bool {
 		b.Send("a", []byte("nine"))
 		b.Send("c", []byte("nine"))
 		return boxes[0].From("b", 9) > 0 && boxes[2].From("b", 9) > 0
 	})
 	b.Close()
-	b = r.Start(peer.Options{Name: "b", Incarnation: 4, Receive: box.Receive})
+	b = r.Start(peer.Options{Name: "b", Incarnation: 4, OnMessage: box.Receive})
 	Until(t, r, "messages of an old life are counted", func() bool {
 		b.Send("a", []byte("four"))
 		return ts[0].Counts()["b"].Old > 2
@@ -207,7 +207,7 @@
 	b.Close()
 	var mu sync.Mutex
 	var remembered []uint64
-	b = r.Start(peer.Options{Name: "b", Incarnation: 5, Receive: box.Receive, Raise: func(above uint64) (uint64, error) {
+	b = r.Start(peer.Options{Name: "b", Incarnation: 5, OnMessage: box.Receive, BumpIncarnation: func(above uint64) (uint64, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		remembered = append(remembered, above)
@@ -234,7 +234,7 @@
 		t.Error("b is gone with c")
 	}
 	box := &Inbox{}
-	c := r.Start(peer.Options{Name: "c", Incarnation: 2, Receive: box.Receive})
+	c := r.Start(peer.Options{Name: "c", Incarnation: 2, OnMessage: box.Receive})
 	Until(t, r, "c is back for all", func() bool {
 		c.Send("a", []byte("back"))
 		ts[0].Send("c", []byte("welcome"))
--- a/internal/peer/process_test.go
+++ b/internal/peer/process_test.go
@@ -67,7 +67,7 @@
 	}
 	g, err := peer.Listen(peer.GossipOptions{Bind: c.Addrs[c.Name], Join: join, Key: key, Probe: 100 * time.Millisecond,
 		Logger: slog.New(slog.DiscardHandler), Wrap: func(w peer.Wire) peer.Wire { return cutWire{w, c.Name, l} },
-		Options: peer.Options{Name: c.Name, Incarnation: life, Receive: func(m peer.Message) {
+		Options: peer.Options{Name: c.Name, Incarnation: life, OnMessage: func(m peer.Message) {
 			mu.Lock()
 			defer mu.Unlock()
 			h := all[m.From]
--- a/internal/peer/simnet/simnet.go
+++ b/internal/peer/simnet/simnet.go
@@ -158,7 +158,7 @@
 
 // Send implements peer.Transport.
 func (d *Node) Send(to string, body []byte) {
-	if d.closed || len(body) > peer.BodyMost || d.net.nodes[to] == nil {
+	if d.closed || len(body) > peer.MaxBodyBytes || d.net.nodes[to] == nil {
 		d.Dropped(to)
 		return
 	}
