--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -40,12 +40,12 @@
 type fleet struct {
 	t     *testing.T
 	addrs map[string]string
-	disks map[string]*faulty.Disk
+	disks map[string]*faulty.FS
 	logs  map[string]*logs
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t, map[string]string{}, map[string]*faulty.Disk{}, map[string]*logs{}}
+	f := &fleet{t, map[string]string{}, map[string]*faulty.FS{}, map[string]*logs{}}
 	for i, n := range names {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -148,7 +148,7 @@
 		f.told(c, list(9, 5))
 		c.Close()
 	}
-	if !f.disks["a"].Flip("journal", -40) {
+	if !f.disks["a"].FlipBit("journal", -40) {
 		t.Fatal("nothing to damage")
 	}
 	f.start("b")
@@ -166,14 +166,14 @@
 	f := newFleet(t, "a", "b")
 	c := f.start("a")
 	f.told(c, list(8, 5))
-	f.disks["a"].SetRoom(10)
+	f.disks["a"].SetFreeBytes(10)
 	c.UpdateEndpoints(list(9, 5))
 	if !c.save() || !f.logs["a"].has("no room for a record") || !f.logs["a"].has("again=true") {
 		t.Errorf("logged %s", f.logs["a"].b.String())
 	}
-	f.disks["a"].SetRoom(-1)
+	f.disks["a"].SetFreeBytes(-1)
 	f.told(c, list(10, 5))
-	f.disks["a"].FailSyncs(1)
+	f.disks["a"].FailNextSyncs(1)
 	c.UpdateEndpoints(list(11, 5))
 	if c.save() || !f.logs["a"].has("the disk did not keep") {
 		t.Errorf("a failed sync: logged %s", f.logs["a"].b.String())
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -48,8 +48,8 @@
 type exchange struct {
 	t     *testing.T
 	now   time.Duration
-	disk  *faulty.Disk // of the instance that started last
-	links *recorder    // its
+	disk  *faulty.FS // of the instance that started last
+	links *recorder  // its
 	name  string
 	lines []string
 }
@@ -59,7 +59,7 @@
 }
 
 // start starts an instance beside two others.
-func (x *exchange) start(name string, disk *faulty.Disk) *Cluster {
+func (x *exchange) start(name string, disk *faulty.FS) *Cluster {
 	x.t.Helper()
 	x.name, x.disk, x.links = name, disk, &recorder{sent: map[string][]string{}}
 	others := map[string]string{"a": "10.0.0.1:7000", "b": "10.0.0.2:7000", "c": "10.0.0.3:7000"}
@@ -242,7 +242,7 @@
 
 // playDoubtful plays what instances make of messages that don't fit: entries that are not those of the hash, parts of two
 // lists, and starts that lie ahead of the clock. The disk holds the same list.
-func (x *exchange) playDoubtful(told []string, disk *faulty.Disk) {
+func (x *exchange) playDoubtful(told []string, disk *faulty.FS) {
 	another := slices.Clone(told)
 	for i := range another {
 		another[i] = strings.ReplaceAll(another[i], "oviedo", "madrid")
@@ -301,7 +301,7 @@
 }
 
 // stored notes the records that a disk holds.
-func (x *exchange) stored(disk *faulty.Disk) {
+func (x *exchange) stored(disk *faulty.FS) {
 	s, held, err := store.Open(disk, filepath.Join("d", "lists"), store.Options{Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		x.t.Fatal(err)
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -17,10 +17,10 @@
 
 // soak is a fleet in simulated time: instances as they are, on disks and links that fail by a seed.
 type soak struct {
-	net   *simnet.Net
+	net   *simnet.Network
 	rnd   *rand.Rand
 	names []string
-	disks map[string]*faulty.Disk
+	disks map[string]*faulty.FS
 	runs  map[string]*Cluster
 	hints map[string]*discovery.EndpointList // what each goes by
 	last  map[string]recovery.Decision
@@ -33,9 +33,9 @@
 
 func newSoak(seed uint64) *soak {
 	rnd := rand.New(rand.NewPCG(seed, 9))
-	s := &soak{rnd: rnd, disks: map[string]*faulty.Disk{}, runs: map[string]*Cluster{}, hints: map[string]*discovery.EndpointList{},
+	s := &soak{rnd: rnd, disks: map[string]*faulty.FS{}, runs: map[string]*Cluster{}, hints: map[string]*discovery.EndpointList{},
 		last: map[string]recovery.Decision{}}
-	s.net = simnet.New(seed, simnet.Faults{Most: time.Duration(rnd.IntN(150)+1) * time.Millisecond, Lost: 0.2 * rnd.Float64(), Double: 0.2 * rnd.Float64()})
+	s.net = simnet.New(seed, simnet.Faults{MaxDelay: time.Duration(rnd.IntN(150)+1) * time.Millisecond, LossRate: 0.2 * rnd.Float64(), DuplicateRate: 0.2 * rnd.Float64()})
 	for i := range 3 + rnd.IntN(4) {
 		name := string(rune('a' + i))
 		s.names = append(s.names, name)
@@ -70,7 +70,7 @@
 // pass lets time go by, as Recover does for each instance.
 func (s *soak) pass(d time.Duration) {
 	for range d / askEvery {
-		s.net.Pass(askEvery)
+		s.net.Advance(askEvery)
 		for _, name := range s.names {
 			c := s.runs[name]
 			if c == nil {
@@ -146,7 +146,7 @@
 	if broken != stale && rnd.IntN(2) == 0 {
 		s.disks[broken] = faulty.New(seed + 1<<40)
 	} else if broken != stale {
-		s.disks[broken].Flip("journal", -30)
+		s.disks[broken].FlipBit("journal", -30)
 	}
 	honest := 0 // that hold the new list
 	for _, name := range s.names {
--- a/internal/peer/format_test.go
+++ b/internal/peer/format_test.go
@@ -210,7 +210,7 @@
 		}
 		return hex.EncodeToString(b)
 	}
-	diskWith := func(file []byte) *faulty.Disk {
+	diskWith := func(file []byte) *faulty.FS {
 		d := faulty.New(1)
 		if file == nil {
 			return d
@@ -445,8 +445,8 @@
 func simulate(seed uint64) string {
 	rnd := newDraw(seed)
 	var b strings.Builder
-	n := simnet.New(seed, simnet.Faults{Least: time.Duration(rnd(20)) * time.Millisecond, Most: time.Duration(20+rnd(200)) * time.Millisecond,
-		Lost: float64(rnd(30)) / 100, Double: float64(rnd(30)) / 100})
+	n := simnet.New(seed, simnet.Faults{MinDelay: time.Duration(rnd(20)) * time.Millisecond, MaxDelay: time.Duration(20+rnd(200)) * time.Millisecond,
+		LossRate: float64(rnd(30)) / 100, DuplicateRate: float64(rnd(30)) / 100})
 	names := []string{"a", "b", "c", "d"}
 	nodes := map[string]*simnet.Node{}
 	start := func(name string, incarnation uint64) {
@@ -477,7 +477,7 @@
 		case 3:
 			nodes[from].Send(to, make([]byte, 1099+rnd(4)))
 		case 4, 5, 6:
-			n.Pass(time.Duration(rnd(1500)) * time.Millisecond)
+			n.Advance(time.Duration(rnd(1500)) * time.Millisecond)
 		default:
 			nodes[from].Send(to, bytes.Repeat([]byte{byte(rnd(256))}, rnd(300)))
 		}
@@ -492,7 +492,7 @@
 			fmt.Fprintf(&b, "%d %s knows %s incarnation %d %s\n", n.Now, from, m.Name, m.Incarnation, state)
 		}
 	}
-	n.Pass(5 * time.Second)
+	n.Advance(5 * time.Second)
 	for _, name := range names {
 		counts := nodes[name].Counts()
 		for _, of := range append(names, "", "nobody") {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,7 +20,7 @@
 	"example.org/milletvane/internal/store/faulty"
 )
 
-type simRig struct{ *simnet.Net }
+type simRig struct{ *simnet.Network }
 
 func (r simRig) Start(o peer.Options) peer.Transport { return r.Listen(o) }
 
@@ -115,13 +115,13 @@
 	r.links.cut[[2]string{from, to}] = cut
 }
 
-func (r socketRig) Pass(d time.Duration) { time.Sleep(d) }
+func (r socketRig) Advance(d time.Duration) { time.Sleep(d) }
 
 func TestContract(t *testing.T) {
 	for name, rig := range map[string]func(t *testing.T) peertest.Rig{
-		"in order": func(*testing.T) peertest.Rig { return simRig{simnet.New(1, simnet.Faults{Least: time.Millisecond})} },
+		"in order": func(*testing.T) peertest.Rig { return simRig{simnet.New(1, simnet.Faults{MinDelay: time.Millisecond})} },
 		"disordered": func(*testing.T) peertest.Rig {
-			return simRig{simnet.New(2, simnet.Faults{Most: 300 * time.Millisecond, Lost: 0.2, Double: 0.2})}
+			return simRig{simnet.New(2, simnet.Faults{MaxDelay: 300 * time.Millisecond, LossRate: 0.2, DuplicateRate: 0.2})}
 		},
 		"sockets": func(t *testing.T) peertest.Rig {
 			return socketRig{t, &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}, true}
@@ -231,14 +231,14 @@
 	if n := next(51 * year); n <= last {
 		t.Errorf("an empty disk begins with %d, after %d", n, last)
 	}
-	d.SetRoom(0)
+	d.SetFreeBytes(0)
 	i, _ := peer.OpenIncarnations(d, "d")
 	var none *peer.IncarnationError
 	if _, err := i.Next(0, 52*year); !errors.As(err, &none) || !none.Retryable() {
 		t.Errorf("on a full disk: %v", err)
 	}
-	d.SetRoom(-1)
-	d.Flip("incarnation", 3)
+	d.SetFreeBytes(-1)
+	d.FlipBit("incarnation", 3)
 	if n := next(53 * year); n <= last {
 		t.Errorf("a damaged file: %d after %d", n, last)
 	}
--- a/internal/peer/peertest/contract.go
+++ b/internal/peer/peertest/contract.go
@@ -18,8 +18,8 @@
 	Start(o peer.Options) peer.Transport
 	// Cut stops what goes from one instance to another, or has it go again.
 	Cut(from, to string, cut bool)
-	// Pass lets time go by.
-	Pass(d time.Duration)
+	// Advance lets time go by.
+	Advance(d time.Duration)
 }
 
 // Inbox keeps what an instance receives.
@@ -68,7 +68,7 @@
 		if holds() {
 			return
 		}
-		r.Pass(step)
+		r.Advance(step)
 	}
 	t.Fatalf("not in time: %s", what)
 }
@@ -165,7 +165,7 @@
 func oneWay(t *testing.T, r Rig) {
 	ts, boxes := fleet(t, r, 3)
 	r.Cut("a", "b", true)
-	r.Pass(100 * time.Millisecond)
+	r.Advance(100 * time.Millisecond)
 	had := boxes[1].From("a", 0)
 	i := 0
 	Until(t, r, "a hears b", func() bool {
--- a/internal/peer/simnet/simnet.go
+++ b/internal/peer/simnet/simnet.go
@@ -13,12 +13,12 @@
 
 // Faults are those of every link. Parts are between 0 and 1.
 type Faults struct {
-	Least, Most  time.Duration // delay
-	Lost, Double float64
+	MinDelay, MaxDelay      time.Duration // delay
+	LossRate, DuplicateRate float64
 }
 
-// Net connects instances. It is not safe for concurrent use.
-type Net struct {
+// Network connects instances. It is not safe for concurrent use.
+type Network struct {
 	Now    time.Duration
 	Faults Faults
 	// SuspectAfter and GoneAfter are how long nothing has come from a member when it is held to be so.
@@ -42,15 +42,15 @@
 const beat = 200 * time.Millisecond
 
 // New returns a network without instances.
-func New(seed uint64, f Faults) *Net {
-	return &Net{Faults: f, SuspectAfter: time.Second, GoneAfter: 3 * time.Second, rnd: rand.New(rand.NewPCG(seed, 5)),
+func New(seed uint64, f Faults) *Network {
+	return &Network{Faults: f, SuspectAfter: time.Second, GoneAfter: 3 * time.Second, rnd: rand.New(rand.NewPCG(seed, 5)),
 		nodes: map[string]*Node{}, cut: map[[2]string]bool{}}
 }
 
 // Node is one instance's Transport.
 type Node struct {
 	*peer.Endpoint
-	net    *Net
+	net    *Network
 	closed bool
 	heard  map[string]time.Duration
 	free   map[string]time.Duration // when a link has carried what was given to it
@@ -58,7 +58,7 @@
 }
 
 // Listen starts an instance. One of the same name that runs is over.
-func (n *Net) Listen(o peer.Options) *Node {
+func (n *Network) Listen(o peer.Options) *Node {
 	if old := n.nodes[o.Name]; old != nil {
 		old.closed = true
 	}
@@ -68,10 +68,10 @@
 }
 
 // Cut stops what goes from one instance to another, or has it go again.
-func (n *Net) Cut(from, to string, cut bool) { n.cut[[2]string{from, to}] = cut }
+func (n *Network) Cut(from, to string, cut bool) { n.cut[[2]string{from, to}] = cut }
 
-// Pass lets time go by.
-func (n *Net) Pass(d time.Duration) {
+// Advance lets time go by.
+func (n *Network) Advance(d time.Duration) {
 	end := n.Now + d
 	for {
 		at := end
@@ -93,7 +93,7 @@
 }
 
 // step carries out what is due now.
-func (n *Net) step() {
+func (n *Network) step() {
 	for len(n.queue) > 0 && n.queue[0].at <= n.Now {
 		p := n.queue[0]
 		n.queue = n.queue[1:]
@@ -125,7 +125,7 @@
 	}
 }
 
-func (n *Net) names() (names []string) {
+func (n *Network) names() (names []string) {
 	for name := range n.nodes {
 		names = append(names, name)
 	}
@@ -134,19 +134,19 @@
 }
 
 // put gives a packet to a link, which does with it what its faults say.
-func (n *Net) put(from, to string, b []byte) {
+func (n *Network) put(from, to string, b []byte) {
 	if n.cut[[2]string{from, to}] {
 		return
 	}
 	copies := 1
-	if n.rnd.Float64() < n.Faults.Lost {
+	if n.rnd.Float64() < n.Faults.LossRate {
 		copies = 0
-	} else if n.rnd.Float64() < n.Faults.Double {
+	} else if n.rnd.Float64() < n.Faults.DuplicateRate {
 		copies = 2
 	}
 	for range copies {
-		delay := n.Faults.Least
-		if more := n.Faults.Most - n.Faults.Least; more > 0 {
+		delay := n.Faults.MinDelay
+		if more := n.Faults.MaxDelay - n.Faults.MinDelay; more > 0 {
 			delay += time.Duration(n.rnd.Int64N(int64(more)))
 		}
 		n.next++
--- a/internal/store/faulty/disk.go
+++ b/internal/store/faulty/disk.go
@@ -17,8 +17,8 @@
 // ErrIO is what a disk that fails says.
 var ErrIO = errors.New("input/output error")
 
-// Disk is a store.FS. Without faults it keeps all that was synced through Crash, and of the rest whatever chance leaves.
-type Disk struct {
+// FS is a store.FS. Without faults it keeps all that was synced through Crash, and of the rest whatever chance leaves.
+type FS struct {
 	mu    sync.Mutex
 	rnd   *rand.Rand
 	names map[string]*inode // as seen
@@ -35,34 +35,34 @@
 type inode struct{ data, kept []byte }
 
 // New returns a sound disk without anything on it.
-func New(seed uint64) *Disk {
-	return &Disk{rnd: rand.New(rand.NewPCG(seed, 7)), names: map[string]*inode{}, kept: map[string]*inode{},
+func New(seed uint64) *FS {
+	return &FS{rnd: rand.New(rand.NewPCG(seed, 7)), names: map[string]*inode{}, kept: map[string]*inode{},
 		dirs: map[string]bool{}, room: -1}
 }
 
-// SetRoom bounds what may still be written, in bytes; under 0 there is no bound.
-func (d *Disk) SetRoom(bytes int) {
+// SetFreeBytes bounds what may still be written, in bytes; under 0 there is no bound.
+func (d *FS) SetFreeBytes(bytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.room = bytes
 }
 
-// FailSyncs makes the next n syncs fail. What they should have kept is lost with power, as kernels drop what failed.
-func (d *Disk) FailSyncs(n int) {
+// FailNextSyncs makes the next n syncs fail. What they should have kept is lost with power, as kernels drop what failed.
+func (d *FS) FailNextSyncs(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failSyncs = n
 }
 
 // LoseSynced makes syncs say yes and keep nothing, from now on or no more.
-func (d *Disk) LoseSynced(on bool) {
+func (d *FS) LoseSynced(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.loses = on
 }
 
 // Stall makes writes wait until the function that it returns is called.
-func (d *Disk) Stall() (release func()) {
+func (d *FS) Stall() (release func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := make(chan struct{})
@@ -75,8 +75,8 @@
 	})
 }
 
-// Flip changes one bit of the newest file whose name has a part, at an offset from its end, or else from its beginning.
-func (d *Disk) Flip(part string, at int) bool {
+// FlipBit changes one bit of the newest file whose name has a part, at an offset from its end, or else from its beginning.
+func (d *FS) FlipBit(part string, at int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var names []string
@@ -104,7 +104,7 @@
 }
 
 // Crash is a loss of power: what was not synced is kept in part, with sectors that were never written, or not at all.
-func (d *Disk) Crash() {
+func (d *FS) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, op := range d.ops[:d.rnd.IntN(len(d.ops)+1)] { // names reach the disk in order, as far as they do
@@ -125,7 +125,7 @@
 }
 
 // tear leaves of a file what a disk may have of it.
-func (d *Disk) tear(n *inode) {
+func (d *FS) tear(n *inode) {
 	from := len(n.kept)
 	if len(n.data) < from || string(n.data[:from]) != string(n.kept) { // cut and written anew since the last sync
 		n.data = slices.Clone(n.kept)
@@ -144,13 +144,13 @@
 	n.data, n.kept = data, slices.Clone(data)
 }
 
-func (d *Disk) do(op func(map[string]*inode)) {
+func (d *FS) do(op func(map[string]*inode)) {
 	op(d.names)
 	d.ops = append(d.ops, op)
 }
 
 // MkdirAll implements store.FS.
-func (d *Disk) MkdirAll(dir string) error {
+func (d *FS) MkdirAll(dir string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dirs[dir] = true
@@ -158,7 +158,7 @@
 }
 
 // List implements store.FS.
-func (d *Disk) List(dir string) (names []string, err error) {
+func (d *FS) List(dir string) (names []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name := range d.names {
@@ -174,7 +174,7 @@
 }
 
 // ReadFile implements store.FS.
-func (d *Disk) ReadFile(name string) ([]byte, error) {
+func (d *FS) ReadFile(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.names[name]
@@ -185,7 +185,7 @@
 }
 
 // Create implements store.FS.
-func (d *Disk) Create(name string) (store.File, error) {
+func (d *FS) Create(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.room == 0 {
@@ -197,7 +197,7 @@
 }
 
 // Append implements store.FS.
-func (d *Disk) Append(name string) (store.File, error) {
+func (d *FS) Append(name string) (store.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.names[name]
@@ -208,7 +208,7 @@
 }
 
 // Rename implements store.FS, of a file or a folder.
-func (d *Disk) Rename(from, to string) error {
+func (d *FS) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	moved := false
@@ -234,7 +234,7 @@
 }
 
 // Remove implements store.FS.
-func (d *Disk) Remove(name string) error {
+func (d *FS) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.names[name] == nil {
@@ -245,7 +245,7 @@
 }
 
 // SyncDir implements store.FS.
-func (d *Disk) SyncDir(string) error {
+func (d *FS) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.failing() {
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func (d *Disk) failing() bool {
+func (d *FS) failing() bool {
 	if d.failSyncs > 0 {
 		d.failSyncs--
 		return true
@@ -270,7 +270,7 @@
 }
 
 type file struct {
-	d *Disk
+	d *FS
 	n *inode
 }
 
--- a/internal/store/format_test.go
+++ b/internal/store/format_test.go
@@ -151,7 +151,7 @@
 	return f
 }
 
-func diskOf(t *testing.T, f formatFiles) *faulty.Disk {
+func diskOf(t *testing.T, f formatFiles) *faulty.FS {
 	t.Helper()
 	d := faulty.New(1)
 	if err := d.MkdirAll(formatDir); err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,10 +31,10 @@
 }
 func (r *diskRig) Crash() {}
 
-type faultyRig struct{ *faulty.Disk }
+type faultyRig struct{ *faulty.FS }
 
 func (r faultyRig) Open() (store.Log, *store.RecoveredLog, error) {
-	return asStore(store.Open(r.Disk, "d", small))
+	return asStore(store.Open(r.FS, "d", small))
 }
 
 func asStore(j *store.FileLog, h *store.RecoveredLog, err error) (store.Log, *store.RecoveredLog, error) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func journal(t *testing.T, d *faulty.Disk) (*store.FileLog, *store.RecoveredLog) {
+func journal(t *testing.T, d *faulty.FS) (*store.FileLog, *store.RecoveredLog) {
 	t.Helper()
 	j, held, err := store.Open(d, "d", small)
 	if err != nil {
@@ -99,7 +99,7 @@
 				}
 			}
 			// The last write's sync never returns: power goes first.
-			d.FailSyncs(1)
+			d.FailNextSyncs(1)
 			if _, err := j.Append([]byte(long(n + 1))); err == nil {
 				t.Fatalf("seed %d: acknowledged without a sync", seed)
 			}
@@ -115,7 +115,7 @@
 	d := faulty.New(1)
 	j, _ := journal(t, d)
 	mustAppend(t, j, "one")
-	d.FailSyncs(1)
+	d.FailNextSyncs(1)
 	var broken *store.WriteFailedError
 	for range 3 {
 		if _, err := j.Append([]byte("two")); !errors.As(err, &broken) || !errors.Is(err, faulty.ErrIO) || broken.Retryable() {
@@ -137,7 +137,7 @@
 		d := faulty.New(uint64(room))
 		j, _ := journal(t, d)
 		mustAppend(t, j, "one", "two")
-		d.SetRoom(room)
+		d.SetFreeBytes(room)
 		var full *store.NoSpaceError
 		for range 3 {
 			if _, err := j.Append([]byte("a record that is longer than the room")); !errors.As(err, &full) || !full.Retryable() {
@@ -147,7 +147,7 @@
 		if err := j.Snapshot(1, make([]byte, 100)); !errors.As(err, &full) {
 			t.Fatalf("room %d: a snapshot: %v", room, err)
 		}
-		d.SetRoom(-1)
+		d.SetFreeBytes(-1)
 		mustAppend(t, j, "three")
 		d.Crash()
 		if _, held := journal(t, d); held.LastNumber() != 3 || string(held.Records[2].Data) != "three" {
@@ -168,7 +168,7 @@
 		}
 		mustAppend(t, j, string(make([]byte, 20*size)))
 		j.Close()
-		if !d.Flip("journal", -1-at) {
+		if !d.FlipBit("journal", -1-at) {
 			t.Fatal("nothing to flip")
 		}
 		_, _, err := store.Open(d, "d", small)
@@ -196,7 +196,7 @@
 		if err := j.Snapshot(2, make([]byte, 30)); err != nil {
 			t.Fatal(err)
 		}
-		if !d.Flip("state", at) {
+		if !d.FlipBit("state", at) {
 			continue
 		}
 		var damage *store.CorruptionError
