--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -23,21 +23,21 @@
 // the configuration's.
 func (g *Gateway) takeUp() {
 	if g.config.Passed == 0 {
-		g.desk = handover.NewDesk("", handover.Process{}, g.logger)
+		g.desk = handover.NewStateDir("", handover.Process{}, g.logger)
 		return
 	}
 	now := time.Now()
-	g.desk = handover.NewDesk(g.config.State, handover.Process{Born: now.UnixNano(), PID: os.Getpid()}, g.logger)
-	r, ok := g.desk.Before(now)
+	g.desk = handover.NewStateDir(g.config.State, handover.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
+	r, ok := g.desk.ReadPredecessor(now)
 	if !ok {
 		return
 	}
 	g.before = &r
-	g.bans.Listed(r.Known)
+	g.bans.Listed(r.KnownServers)
 	if known := g.config.Known; len(r.State.Servers) > 0 && (known == nil || r.State.Version > known.Version) {
 		g.config.Known = discovery.NewEndpointList(r.State.Version, r.State.Servers)
 	}
-	g.logger.Info("follows", "pid", r.Process.PID, "written", r.Written, "list", r.State.Version, "open", len(r.State.Flows))
+	g.logger.Info("follows", "pid", r.Process.PID, "written", r.WrittenAt, "list", r.State.Version, "open", len(r.State.Flows))
 }
 
 // handOver keeps up with the process before, and writes down what the one that follows must know, until watching is done.
@@ -50,12 +50,12 @@
 	ready, accepting := false, true
 	for {
 		now, every := time.Now(), recordEvery
-		if r, ok := g.desk.Before(now); ok {
+		if r, ok := g.desk.ReadPredecessor(now); ok {
 			g.engine.Post(engine.PredecessorState{State: r.State})
 		}
 		if ctx.Err() != nil {
 			every = stoppingEvery
-			if accepting && g.desk.Followed() {
+			if accepting && g.desk.HasSuccessor() {
 				accepting = false
 				f.Close()
 			}
@@ -78,7 +78,7 @@
 	g.engine.Post(engine.StateRequested{Deliver: func(s engine.State) { said <- s }})
 	select {
 	case s := <-said:
-		g.desk.Write(handover.Record{Written: time.Now(), Ready: ready, Known: g.bans.Known(), State: s})
+		g.desk.Write(handover.Snapshot{WrittenAt: time.Now(), Ready: ready, KnownServers: g.bans.Known(), State: s})
 	case <-watching.Done():
 	}
 }
--- a/internal/handover/format_test.go
+++ b/internal/handover/format_test.go
@@ -50,11 +50,11 @@
 }
 
 // fullRecord has a value of its own in every field.
-func fullRecord() Record {
-	return Record{
-		Written: writtenAt,
-		Ready:   true,
-		Known:   []string{"s-1", "gone/%2F", "ümlaut <&>\u2028", ""},
+func fullRecord() Snapshot {
+	return Snapshot{
+		WrittenAt:    writtenAt,
+		Ready:        true,
+		KnownServers: []string{"s-1", "gone/%2F", "ümlaut <&>\u2028", ""},
 		State: engine.State{
 			Version: 41,
 			Servers: []engine.Server{
@@ -81,10 +81,10 @@
 }
 
 // appendRecord prints a record field by field.
-func appendRecord(b *bytes.Buffer, r Record) {
-	fmt.Fprintf(b, "process born=%d pid=%d\n", r.Process.Born, r.Process.PID)
-	fmt.Fprintf(b, "written=%s ready=%t\n", r.Written.Format(time.RFC3339Nano), r.Ready)
-	fmt.Fprintf(b, "known absent=%t %q\n", r.Known == nil, r.Known)
+func appendRecord(b *bytes.Buffer, r Snapshot) {
+	fmt.Fprintf(b, "process born=%d pid=%d\n", r.Process.StartedAt, r.Process.PID)
+	fmt.Fprintf(b, "written=%s ready=%t\n", r.WrittenAt.Format(time.RFC3339Nano), r.Ready)
+	fmt.Fprintf(b, "known absent=%t %q\n", r.KnownServers == nil, r.KnownServers)
 	fmt.Fprintf(b, "version=%d\n", r.State.Version)
 	for _, s := range r.State.Servers {
 		fmt.Fprintf(b, "server name=%q addr=%q id=%d zone=%q cell=%d state=%d capacity=%g started=%d clear=%t\n",
@@ -150,10 +150,10 @@
 
 // What is written is, byte for byte, what earlier builds wrote, in a file and a folder that nobody else may read.
 func TestFormatWritten(t *testing.T) {
-	for name, r := range map[string]Record{"full.state": fullRecord(), "zero.state": {}} {
+	for name, r := range map[string]Snapshot{"full.state": fullRecord(), "zero.state": {}} {
 		t.Run(name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "a", "state")
-			NewDesk(dir, Process{Born: writerBorn, PID: writerPID}, quiet).Write(r)
+			NewStateDir(dir, Process{StartedAt: writerBorn, PID: writerPID}, quiet).Write(r)
 			path := filepath.Join(dir, fileOf(writerBorn))
 			checkGolden(t, name, mustRead(t, path))
 			for at, want := range map[string]os.FileMode{path: 0o600, dir: 0o700} {
@@ -175,10 +175,10 @@
 // The first line is as the format states it for every body: the checksum has eight digits, the first of them zero at times.
 func TestFormatOfFirstLine(t *testing.T) {
 	dir := t.TempDir()
-	d := NewDesk(dir, Process{Born: writerBorn, PID: writerPID}, quiet)
+	d := NewStateDir(dir, Process{StartedAt: writerBorn, PID: writerPID}, quiet)
 	zeros := 0
 	for i := range 64 {
-		d.Write(Record{State: engine.State{Version: int64(i)}})
+		d.Write(Snapshot{State: engine.State{Version: int64(i)}})
 		text := mustRead(t, filepath.Join(dir, fileOf(writerBorn)))
 		_, body, _ := strings.Cut(string(text), "\n")
 		if want := framed("milletvane-handover", 1, body); !bytes.Equal(text, want) {
@@ -204,14 +204,14 @@
 				now = time.Time{}
 			}
 			put(t, dir, fileOf(writerBorn), text, writtenAt)
-			r, ok := NewDesk(dir, Process{Born: writerBorn + 1, PID: os.Getpid()}, quiet).Before(now)
+			r, ok := NewStateDir(dir, Process{StartedAt: writerBorn + 1, PID: os.Getpid()}, quiet).ReadPredecessor(now)
 			if !ok {
 				t.Fatal("was not taken up")
 			}
 			var b bytes.Buffer
 			appendRecord(&b, r)
 			checkGolden(t, strings.TrimSuffix(name, ".state")+".fields", b.Bytes())
-			NewDesk(dir, Process{Born: writerBorn, PID: writerPID}, quiet).Write(r)
+			NewStateDir(dir, Process{StartedAt: writerBorn, PID: writerPID}, quiet).Write(r)
 			if again := mustRead(t, filepath.Join(dir, fileOf(writerBorn))); !bytes.Equal(again, text) {
 				t.Errorf("written again:\n%s\nwant:\n%s", again, text)
 			}
@@ -293,7 +293,7 @@
 			changed = writtenAt
 		}
 		put(t, dir, file, c.text, changed)
-		r, ok := NewDesk(dir, Process{Born: 20, PID: os.Getpid()}, quiet).Before(now)
+		r, ok := NewStateDir(dir, Process{StartedAt: 20, PID: os.Getpid()}, quiet).ReadPredecessor(now)
 		fmt.Fprintf(&out, "== %s: taken up %t, left %q\n", c.name, ok, listing(t, dir))
 		if ok {
 			appendRecord(&out, r)
@@ -332,12 +332,12 @@
 			for name, text := range c.files {
 				put(t, dir, name, text, writtenAt)
 			}
-			d := NewDesk(dir, Process{Born: 20, PID: os.Getpid()}, quiet)
-			r, ok := d.Before(writtenAt)
-			if ok != (c.before > 0) || r.Process.Born != c.before {
-				t.Errorf("follows %d (%t), want %d", r.Process.Born, ok, c.before)
+			d := NewStateDir(dir, Process{StartedAt: 20, PID: os.Getpid()}, quiet)
+			r, ok := d.ReadPredecessor(writtenAt)
+			if ok != (c.before > 0) || r.Process.StartedAt != c.before {
+				t.Errorf("follows %d (%t), want %d", r.Process.StartedAt, ok, c.before)
 			}
-			if got := d.Followed(); got != c.followed {
+			if got := d.HasSuccessor(); got != c.followed {
 				t.Errorf("followed: %t, want %t", got, c.followed)
 			}
 		})
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -33,19 +33,19 @@
 	keepFor  = time.Minute
 )
 
-// Record is what a process writes down for the one that follows. Its keys in the file are part of the format.
-type Record struct {
-	Process Process      `json:"Process"`
-	Written time.Time    `json:"Written"`
-	Ready   bool         `json:"Ready"` // it serves clients
-	Known   []string     `json:"Known"` // ids of servers that were ever listed
-	State   engine.State `json:"State"`
+// Snapshot is what a process writes down for the one that follows. Its keys in the file are part of the format.
+type Snapshot struct {
+	Process      Process      `json:"Process"`
+	WrittenAt    time.Time    `json:"Written"`
+	Ready        bool         `json:"Ready"` // it serves clients
+	KnownServers []string     `json:"Known"` // ids of servers that were ever listed
+	State        engine.State `json:"State"`
 }
 
 // Process tells the processes of one gateway apart.
 type Process struct {
-	Born int64 `json:"Born"` // Unix time in nanoseconds: who is born later follows
-	PID  int   `json:"PID"`
+	StartedAt int64 `json:"Born"` // Unix time in nanoseconds: who is born later follows
+	PID       int   `json:"PID"`
 }
 
 var table = crc32.MakeTable(crc32.Castagnoli)
@@ -56,8 +56,8 @@
 	ErrForeign = errors.New("is of another form")
 )
 
-// Desk is the folder where the processes of a gateway leave their records.
-type Desk struct {
+// StateDir is the folder where the processes of a gateway leave their records.
+type StateDir struct {
 	dir    string
 	self   Process
 	logger *slog.Logger
@@ -67,15 +67,15 @@
 	read   time.Time // and when it had been changed
 }
 
-// NewDesk returns the desk in a folder; "" is none, where nothing is written or found.
-func NewDesk(dir string, self Process, logger *slog.Logger) *Desk {
-	return &Desk{dir: dir, self: self, logger: logger}
+// NewStateDir returns the desk in a folder; "" is none, where nothing is written or found.
+func NewStateDir(dir string, self Process, logger *slog.Logger) *StateDir {
+	return &StateDir{dir: dir, self: self, logger: logger}
 }
 
-func (d *Desk) name(p Process) string { return prefix + strconv.FormatInt(p.Born, 10) }
+func (d *StateDir) name(p Process) string { return prefix + strconv.FormatInt(p.StartedAt, 10) }
 
 // Write replaces this process's record as a whole. A fault is logged once; it keeps nobody from serving.
-func (d *Desk) Write(r Record) {
+func (d *StateDir) Write(r Snapshot) {
 	if d.dir == "" {
 		return
 	}
@@ -99,14 +99,14 @@
 }
 
 // Remove takes this process's record away.
-func (d *Desk) Remove() {
+func (d *StateDir) Remove() {
 	if d.dir != "" {
 		os.Remove(filepath.Join(d.dir, d.name(d.self)))
 	}
 }
 
 // files lists the records of other processes, by birth.
-func (d *Desk) files() (names []string) {
+func (d *StateDir) files() (names []string) {
 	if d.dir == "" {
 		return nil
 	}
@@ -124,10 +124,10 @@
 	return n
 }
 
-// Before returns the record of the process that this one follows, if it is new since the last call. That process is found
+// ReadPredecessor returns the record of the process that this one follows, if it is new since the last call. That process is found
 // once: the last born before this one of those that run. Files that are damaged, of another form or old are put aside or
 // passed over, and none of them is an error.
-func (d *Desk) Before(now time.Time) (r Record, ok bool) {
+func (d *StateDir) ReadPredecessor(now time.Time) (r Snapshot, ok bool) {
 	if d.from != "" {
 		info, err := os.Stat(filepath.Join(d.dir, d.from))
 		if err != nil || info.ModTime().Equal(d.read) {
@@ -144,7 +144,7 @@
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(born(b), born(a)) })
 	for _, name := range names {
 		info, err := os.Stat(filepath.Join(d.dir, name))
-		if err != nil || born(name) >= d.self.Born {
+		if err != nil || born(name) >= d.self.StartedAt {
 			continue
 		}
 		if now.Sub(info.ModTime()) > keepFor {
@@ -156,10 +156,10 @@
 			return r, true
 		}
 	}
-	return Record{}, false
+	return Snapshot{}, false
 }
 
-func (d *Desk) open(name string, now time.Time) (r Record, ok bool) {
+func (d *StateDir) open(name string, now time.Time) (r Snapshot, ok bool) {
 	path := filepath.Join(d.dir, name)
 	r, err := load(path)
 	switch {
@@ -167,14 +167,14 @@
 		d.logger.Warn("put aside", "file", name, "err", err)
 		os.Rename(path, filepath.Join(d.dir, asideMark+name))
 		return r, false
-	case now.Sub(r.Written) > freshFor || r.Written.Sub(now) > freshFor:
-		d.logger.Info("not taken up", "file", name, "written", r.Written)
+	case now.Sub(r.WrittenAt) > freshFor || r.WrittenAt.Sub(now) > freshFor:
+		d.logger.Info("not taken up", "file", name, "written", r.WrittenAt)
 		return r, false
 	}
 	return r, true
 }
 
-func load(path string) (r Record, err error) {
+func load(path string) (r Snapshot, err error) {
 	if info, err := os.Stat(path); err != nil || info.Size() > recordMost {
 		return r, errors.Join(ErrDamaged, err)
 	}
@@ -201,10 +201,10 @@
 	return r, nil
 }
 
-// Followed reports whether a process born later serves clients now.
-func (d *Desk) Followed() bool {
+// HasSuccessor reports whether a process born later serves clients now.
+func (d *StateDir) HasSuccessor() bool {
 	for _, name := range d.files() {
-		if born(name) <= d.self.Born {
+		if born(name) <= d.self.StartedAt {
 			continue
 		}
 		if r, err := load(filepath.Join(d.dir, name)); err == nil && r.Ready && alive(r.Process.PID) {
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -15,12 +15,12 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-func process(dir string, born int64) *Desk {
-	return NewDesk(dir, Process{Born: born, PID: os.Getpid()}, quiet)
+func process(dir string, born int64) *StateDir {
+	return NewStateDir(dir, Process{StartedAt: born, PID: os.Getpid()}, quiet)
 }
 
-func sample(now time.Time) Record {
-	return Record{Written: now.UTC(), Ready: true, Known: []string{"s-1", "gone/%2F"}, State: engine.State{
+func sample(now time.Time) Snapshot {
+	return Snapshot{WrittenAt: now.UTC(), Ready: true, KnownServers: []string{"s-1", "gone/%2F"}, State: engine.State{
 		Version:  41,
 		Servers:  []engine.Server{{Name: "s-1", Addr: "127.0.0.1:1", Server: rules.Server{ID: 1, State: rules.Draining, Started: time.Hour}}},
 		Balancer: rules.Snapshot{MeanLoad: rules.WeightedMean{Value: 20000, Weight: 3}, Servers: []rules.ServerSnapshot{{ID: 1, LoadLimit: 5}}},
@@ -32,26 +32,26 @@
 	dir := filepath.Join(t.TempDir(), "state")
 	now := time.Now()
 	a, b := process(dir, 10), process(dir, 20)
-	if _, ok := process(dir, 5).Before(now); ok {
+	if _, ok := process(dir, 5).ReadPredecessor(now); ok {
 		t.Error("a record where there is none")
 	}
 	want := sample(now)
 	a.Write(want)
 	want.Process = a.self
-	got, ok := b.Before(now)
+	got, ok := b.ReadPredecessor(now)
 	if !ok || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%t: got %+v, want %+v", ok, got, want)
 	}
-	if _, ok := b.Before(now); ok {
+	if _, ok := b.ReadPredecessor(now); ok {
 		t.Error("an old record came again")
 	}
-	want.Known = nil
+	want.KnownServers = nil
 	a.Write(want)
 	later := now.Add(time.Second) // the file's own time of change is coarse
 	if err := os.Chtimes(filepath.Join(dir, "state-10"), later, later); err != nil {
 		t.Fatal(err)
 	}
-	if got, ok := b.Before(now); !ok || got.Known != nil {
+	if got, ok := b.ReadPredecessor(now); !ok || got.KnownServers != nil {
 		t.Error("the new record did not come")
 	}
 	if left, _ := os.ReadDir(dir); len(left) != 1 {
@@ -90,7 +90,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "state-10"), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, ok := process(dir, 20).Before(c.now); ok {
+		if _, ok := process(dir, 20).ReadPredecessor(c.now); ok {
 			t.Errorf("%s: taken up", name)
 		}
 		if _, err := os.Stat(filepath.Join(dir, "state-10")); (err == nil) != c.kept {
@@ -103,33 +103,33 @@
 func TestWhoFollowsWhom(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Now()
-	first, died, third := process(dir, 10), NewDesk(dir, Process{Born: 20, PID: 1 << 30}, quiet), process(dir, 30)
+	first, died, third := process(dir, 10), NewStateDir(dir, Process{StartedAt: 20, PID: 1 << 30}, quiet), process(dir, 30)
 	r := sample(now)
 	r.State.Version = 1
 	first.Write(r)
-	if first.Followed() {
+	if first.HasSuccessor() {
 		t.Error("followed by nobody")
 	}
 	r.State.Version = 2
 	died.Write(r)
-	if first.Followed() {
+	if first.HasSuccessor() {
 		t.Error("followed by one that died")
 	}
-	if got, ok := third.Before(now); !ok || got.State.Version != 1 {
+	if got, ok := third.ReadPredecessor(now); !ok || got.State.Version != 1 {
 		t.Errorf("follows %+v", got.Process)
 	}
 	r.Ready = false
 	third.Write(r)
-	if first.Followed() {
+	if first.HasSuccessor() {
 		t.Error("followed by one that is not ready")
 	}
 	r.Ready = true
 	third.Write(r)
-	if !first.Followed() || third.Followed() {
+	if !first.HasSuccessor() || third.HasSuccessor() {
 		t.Error("the third follows the first, and none the third")
 	}
 	third.Remove()
-	if first.Followed() {
+	if first.HasSuccessor() {
 		t.Error("followed by one that has left")
 	}
 }
@@ -143,7 +143,7 @@
 	for _, dir := range []string{"", file} {
 		d := process(dir, 10)
 		d.Write(sample(time.Now()))
-		if _, ok := d.Before(time.Now()); ok || d.Followed() {
+		if _, ok := d.ReadPredecessor(time.Now()); ok || d.HasSuccessor() {
 			t.Errorf("%q: a record came of nowhere", dir)
 		}
 		d.Remove()
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket checks that a descriptor is what the platform should have passed, a TCP socket that listens at the address, and
+// PrepareListener checks that a descriptor is what the platform should have passed, a TCP socket that listens at the address, and
 // makes it fit for a reactor. The open file is shared with other processes: it is set not to wait, which all of them
 // want, and nothing else of it is changed.
-func Socket(fd int, listen string) error {
+func PrepareListener(fd int, listen string) error {
 	kind, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil {
 		return fmt.Errorf("descriptor %d is no socket: %w", fd, err)
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -57,7 +57,7 @@
 		{good, "127.0.0.2" + strings.TrimPrefix(addr, "127.0.0.1"), "listens at"},
 		{good, "127.0.0.1:1", "listens at"},
 	} {
-		err := Socket(x.fd, x.at)
+		err := PrepareListener(x.fd, x.at)
 		if (err == nil) != (x.want == "") || err != nil && !strings.Contains(err.Error(), x.want) {
 			t.Errorf("descriptor %d for %s: %v, want %q", x.fd, x.at, err, x.want)
 		}
