--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -85,7 +85,7 @@
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g.bans = ban.New(c.State, g.logger)
-	g.bans.Connect(func(id string, out bool, done func()) {
+	g.bans.OnChange(func(id string, out bool, done func()) {
 		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
 	})
 	g.takeUp()
@@ -217,7 +217,7 @@
 	for i := range l.Servers {
 		ids[i] = l.Servers[i].Name
 	}
-	g.bans.Listed(ids)
+	g.bans.AddKnown(ids)
 	g.follow.Lock()
 	defer g.follow.Unlock() // lists reach the engine in the order in which they are followed
 	g.followed(g.follow.Apply(g.clock(), l))
@@ -302,7 +302,7 @@
 		stored = g.config.Known.EngineList(rules.ListCached)
 	}
 	// Before any client: no server is used that staff took out, and what the process before knows is known.
-	g.bans.Look()
+	g.bans.Sync()
 	if c := g.cluster.Load(); c != nil {
 		g.recoverWith(watching, &wg, c, stored)
 	} else {
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -33,7 +33,7 @@
 		return
 	}
 	g.before = &r
-	g.bans.Listed(r.KnownServers)
+	g.bans.AddKnown(r.KnownServers)
 	if known := g.config.Known; len(r.State.Servers) > 0 && (known == nil || r.State.Version > known.Version) {
 		g.config.Known = discovery.NewEndpointList(r.State.Version, r.State.Servers)
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,9 +33,9 @@
 		SetMaintenance: func(_ context.Context, id string, out bool) error {
 			switch {
 			case id == "unlisted":
-				return ban.ErrUnknown
+				return ban.ErrUnknownServer
 			case id == "late":
-				return ban.ErrNotTaken
+				return ban.ErrNotApplied
 			case id == "broken":
 				return errors.New("no disk")
 			}
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -90,9 +90,9 @@
 			called = append(called, fmt.Sprintf("%q out=%t deadline=%t", id, out, ok && left > 0 && left <= 900*time.Millisecond))
 			switch id {
 			case "unlisted":
-				return fmt.Errorf("wrapped: %w", ban.ErrUnknown)
+				return fmt.Errorf("wrapped: %w", ban.ErrUnknownServer)
 			case "late":
-				return ban.ErrNotTaken
+				return ban.ErrNotApplied
 			case "broken":
 				return errors.New("no disk")
 			}
--- a/internal/ban/ban.go
+++ b/internal/ban/ban.go
@@ -29,8 +29,8 @@
 
 // Errors of calls.
 var (
-	ErrUnknown  = errors.New("no server of this id was ever listed")
-	ErrNotTaken = errors.New("not in force yet, call again")
+	ErrUnknownServer = errors.New("no server of this id was ever listed")
+	ErrNotApplied    = errors.New("not in force yet, call again")
 )
 
 // Store is the bans of one gateway. Its methods may be called by any goroutine.
@@ -56,11 +56,11 @@
 	return &Store{dir: dir, logger: logger, out: map[string]*entry{}, known: map[string]struct{}{}}
 }
 
-// Connect sets how the engine is told, before the first Look. done may be nil.
-func (s *Store) Connect(apply func(id string, out bool, done func())) { s.apply = apply }
+// OnChange sets how the engine is told, before the first Look. done may be nil.
+func (s *Store) OnChange(apply func(id string, out bool, done func())) { s.apply = apply }
 
-// Listed notes ids that discovery has named.
-func (s *Store) Listed(ids []string) {
+// AddKnown notes ids that discovery has named.
+func (s *Store) AddKnown(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range ids {
@@ -100,7 +100,7 @@
 	case <-taken:
 		return nil
 	case <-ctx.Done():
-		return ErrNotTaken
+		return ErrNotApplied
 	}
 }
 
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.known[id]; !ok && s.out[id] == nil {
-		return ErrUnknown
+		return ErrUnknownServer
 	}
 	if out {
 		e := s.out[id]
@@ -168,8 +168,8 @@
 	s.lastFail = text
 }
 
-// Look takes up what the folder holds: calls that the other process was given since the last look.
-func (s *Store) Look() {
+// Sync takes up what the folder holds: calls that the other process was given since the last look.
+func (s *Store) Sync() {
 	if s.dir == "" {
 		return
 	}
@@ -240,7 +240,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			s.Look()
+			s.Sync()
 		}
 	}
 }
--- a/internal/ban/ban_test.go
+++ b/internal/ban/ban_test.go
@@ -21,7 +21,7 @@
 
 func newProcess(dir string) *process {
 	p := &process{Store: New(dir, slog.New(slog.DiscardHandler)), out: map[string]bool{}}
-	p.Connect(func(id string, out bool, done func()) {
+	p.OnChange(func(id string, out bool, done func()) {
 		p.out[id] = out
 		if done != nil {
 			done()
@@ -42,26 +42,26 @@
 	dir := filepath.Join(t.TempDir(), "state")
 	a, b := newProcess(dir), newProcess(dir)
 	ids := []string{"s-1", "../../s-2", "a/b%2F", strings.Repeat("x", 4000), "."}
-	a.Listed(ids)
-	b.Listed(ids)
+	a.AddKnown(ids)
+	b.AddKnown(ids)
 	for _, id := range ids {
 		a.call(t, id, true)
 		a.call(t, id, true)
-		b.Look()
+		b.Sync()
 		if !b.out[id] {
 			t.Errorf("%.20q is not out at the other process", id)
 		}
 		b.call(t, id, false)
 		b.call(t, id, false)
-		a.Look()
+		a.Sync()
 		if a.out[id] {
 			t.Errorf("%.20q is not back at the other process", id)
 		}
 		// Out and back before the other looks: as if nothing had been.
 		b.call(t, id, true)
 		a.call(t, id, false)
-		b.Look()
-		a.Look()
+		b.Sync()
+		a.Sync()
 		if a.out[id] || b.out[id] {
 			t.Errorf("%.20q is out after the last call put it back", id)
 		}
@@ -77,15 +77,15 @@
 func TestBansOutliveTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	a := newProcess(dir)
-	a.Listed([]string{"s-1"})
+	a.AddKnown([]string{"s-1"})
 	a.call(t, "s-1", true)
 	b := newProcess(dir)
-	b.Look()
+	b.Sync()
 	if !b.out["s-1"] {
 		t.Fatal("the ban is gone")
 	}
 	b.call(t, "s-1", false) // known by its ban
-	if err := b.Set(context.Background(), "s-2", true); !errors.Is(err, ErrUnknown) {
+	if err := b.Set(context.Background(), "s-2", true); !errors.Is(err, ErrUnknownServer) {
 		t.Errorf("an id that was never listed: %v", err)
 	}
 }
@@ -98,16 +98,16 @@
 		t.Fatal(err)
 	}
 	a := newProcess(dir)
-	a.Listed([]string{"s-1"})
+	a.AddKnown([]string{"s-1"})
 	a.call(t, "s-1", true)
 	for range 2 {
-		if a.Look(); !a.out["s-1"] {
+		if a.Sync(); !a.out["s-1"] {
 			t.Fatal("the ban was given up")
 		}
 		os.Remove(dir)
 	}
 	b := newProcess(dir)
-	if b.Look(); !b.out["s-1"] {
+	if b.Sync(); !b.out["s-1"] {
 		t.Error("the ban was not stored when it could be")
 	}
 }
@@ -120,7 +120,7 @@
 		}
 	}
 	a := newProcess(dir)
-	if a.Look(); len(a.out) > 0 {
+	if a.Sync(); len(a.out) > 0 {
 		t.Errorf("took %v for bans", a.out)
 	}
 }
@@ -128,14 +128,14 @@
 func TestKnownIdsAreBounded(t *testing.T) {
 	a := newProcess("")
 	for i := range knownMost + 10 {
-		a.Listed([]string{fmt.Sprint(i)})
+		a.AddKnown([]string{fmt.Sprint(i)})
 	}
 	known := a.Known()
 	if len(known) != knownMost || slices.Contains(known, "9") || !slices.Contains(known, "10") {
 		t.Errorf("%d known", len(known))
 	}
 	for i := range 1000 {
-		a.Listed([]string{fmt.Sprint(i, strings.Repeat("x", 4000))})
+		a.AddKnown([]string{fmt.Sprint(i, strings.Repeat("x", 4000))})
 	}
 	size := 0
 	for _, id := range a.Known() {
@@ -149,11 +149,11 @@
 // An engine that does not take the call up in time gets no yes.
 func TestNoYesBeforeTheEngine(t *testing.T) {
 	s := New("", slog.New(slog.DiscardHandler))
-	s.Connect(func(string, bool, func()) {})
-	s.Listed([]string{"s-1"})
+	s.OnChange(func(string, bool, func()) {})
+	s.AddKnown([]string{"s-1"})
 	ctx, end := context.WithTimeout(context.Background(), time.Millisecond)
 	defer end()
-	if err := s.Set(ctx, "s-1", true); !errors.Is(err, ErrNotTaken) {
+	if err := s.Set(ctx, "s-1", true); !errors.Is(err, ErrNotApplied) {
 		t.Errorf("answered %v", err)
 	}
 }
--- a/internal/ban/format_test.go
+++ b/internal/ban/format_test.go
@@ -85,13 +85,13 @@
 func TestFormatWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "state")
 	p := newProcess(dir)
-	p.Listed(formatIDs)
+	p.AddKnown(formatIDs)
 	var b bytes.Buffer
 	for _, out := range []bool{true, true, false, false} {
 		for _, id := range formatIDs {
 			err := p.Set(context.Background(), id, out)
-			fmt.Fprintf(&b, "set %s out=%t: unknown %t, other fault %t\n", short(id), out, errors.Is(err, ErrUnknown),
-				err != nil && !errors.Is(err, ErrUnknown))
+			fmt.Fprintf(&b, "set %s out=%t: unknown %t, other fault %t\n", short(id), out, errors.Is(err, ErrUnknownServer),
+				err != nil && !errors.Is(err, ErrUnknownServer))
 		}
 		appendFolder(t, &b, dir)
 	}
@@ -129,7 +129,7 @@
 			t.Fatal(err)
 		}
 		p := newProcess(dir)
-		p.Look()
+		p.Sync()
 		fmt.Fprintf(&b, "== %s\n", c.name)
 		for id, out := range p.out { // one at most
 			fmt.Fprintf(&b, "  taken up: %s out=%t\n", short(id), out)
@@ -166,17 +166,17 @@
 			t.Errorf("%s: %q, want %q", step, got, want)
 		}
 	}
-	p.Look()
+	p.Sync()
 	check("three files", "s-1 true", "s-2 true", "s-3 true")
 	if err := os.Remove(filepath.Join(dir, fileOf("s-2"))); err != nil {
 		t.Fatal(err)
 	}
-	p.Look()
+	p.Sync()
 	check("one removed", "s-1 true", "s-2 false", "s-3 true")
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	p.Look()
+	p.Sync()
 	check("no folder", "s-1 false", "s-2 false", "s-3 false")
 	p.call(t, "s-1", true)
 	check("out again", "s-1 true", "s-2 false", "s-3 false")
@@ -190,7 +190,7 @@
 	parent := t.TempDir()
 	dir := filepath.Join(parent, "state")
 	p := newProcess(dir)
-	p.Listed([]string{"s-1"})
+	p.AddKnown([]string{"s-1"})
 	p.call(t, "s-1", true)
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
@@ -201,8 +201,8 @@
 	ended, end := context.WithCancel(context.Background())
 	end()
 	slow := New("", slog.New(slog.DiscardHandler))
-	slow.Connect(func(string, bool, func()) {})
-	slow.Listed([]string{"s-1"})
+	slow.OnChange(func(string, bool, func()) {})
+	slow.AddKnown([]string{"s-1"})
 	for _, c := range []struct {
 		err  error
 		want string
