--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,7 +36,7 @@
 type Gateway struct {
 	config config.Config
 	logger *slog.Logger
-	engine *drive.Driver
+	engine *drive.Loop
 	lines  *backend.Backend
 	nats   *natsbackend.Backend // nil: off
 	nat    *operator.NATS
--- a/internal/drive/drive.go
+++ b/internal/drive/drive.go
@@ -10,33 +10,33 @@
 )
 
 // QueueEvents is how many events may wait.
-const QueueEvents = 4096
+const QueueCapacity = 4096
 
-// Driver runs one engine.
-type Driver struct {
+// Loop runs one engine.
+type Loop struct {
 	engine *engine.Engine
 	inbox  chan engine.Event
 	done   chan struct{}
 }
 
 // New returns a Driver of an engine that nobody else calls from now on, but for Ready.
-func New(e *engine.Engine) *Driver {
-	return &Driver{engine: e, inbox: make(chan engine.Event, QueueEvents), done: make(chan struct{})}
+func New(e *engine.Engine) *Loop {
+	return &Loop{engine: e, inbox: make(chan engine.Event, QueueCapacity), done: make(chan struct{})}
 }
 
 // Ready reports whether requests can be served.
-func (d *Driver) Ready() bool { return d.engine.Ready() }
+func (d *Loop) Ready() bool { return d.engine.Ready() }
 
 // Post hands an event over. It waits while the queue is full, and gives up when the engine has ended.
-func (d *Driver) Post(ev engine.Event) {
+func (d *Loop) Post(ev engine.Event) {
 	select {
 	case d.inbox <- ev:
 	case <-d.done:
 	}
 }
 
-// Offer hands an event over that may be lost: it is dropped while the queue is full.
-func (d *Driver) Offer(ev engine.Event) {
+// TryPost hands an event over that may be lost: it is dropped while the queue is full.
+func (d *Loop) TryPost(ev engine.Event) {
 	select {
 	case d.inbox <- ev:
 	default:
@@ -45,7 +45,7 @@
 
 // Run handles events until ctx is done and the drain that follows is over. The clock tells Unix time and never runs
 // backwards.
-func (d *Driver) Run(ctx context.Context, clock func() time.Duration) {
+func (d *Loop) Run(ctx context.Context, clock func() time.Duration) {
 	defer close(d.done)
 	e := d.engine
 	e.Start(clock())
--- a/internal/line/backend/backend.go
+++ b/internal/line/backend/backend.go
@@ -30,7 +30,7 @@
 // Poster takes events for the engine.
 type Poster interface {
 	Post(engine.Event)
-	Offer(engine.Event) // may be dropped
+	TryPost(engine.Event) // may be dropped
 }
 
 // Backend implements engine.Backend and engine.LoadPoller.
--- a/internal/line/backend/link.go
+++ b/internal/line/backend/link.go
@@ -180,11 +180,11 @@
 		switch reply.Word {
 		case codec.WordLoad:
 			if l.backend.options.TellsLoad {
-				l.backend.events.Offer(engine.ConnectionLoad{RequestID: l.attempt.RequestID, Load: reply.Load})
+				l.backend.events.TryPost(engine.ConnectionLoad{RequestID: l.attempt.RequestID, Load: reply.Load})
 			}
 		case codec.WordOther:
 			if delay := l.Answered(); delay > 0 {
-				l.backend.events.Offer(engine.MessageAnswered{RequestID: l.attempt.RequestID, Delay: delay})
+				l.backend.events.TryPost(engine.MessageAnswered{RequestID: l.attempt.RequestID, Delay: delay})
 			}
 		}
 	}
--- a/internal/line/backend/probe.go
+++ b/internal/line/backend/probe.go
@@ -69,7 +69,7 @@
 			}
 			report, err := ask(conn, r)
 			if err == nil {
-				b.events.Offer(engine.LoadReported{Server: p.server, Report: report})
+				b.events.TryPost(engine.LoadReported{Server: p.server, Report: report})
 				break
 			}
 			conn.Close()
--- a/internal/line/backend/probe_test.go
+++ b/internal/line/backend/probe_test.go
@@ -11,8 +11,8 @@
 
 type reports chan engine.Event
 
-func (r reports) Post(ev engine.Event)  { r <- ev }
-func (r reports) Offer(ev engine.Event) { r <- ev }
+func (r reports) Post(ev engine.Event)    { r <- ev }
+func (r reports) TryPost(ev engine.Event) { r <- ev }
 
 // A server closes what is idle. That shows only at the next question, which must not be lost for it.
 func TestProbeOnAConnectionThatWasClosedIdle(t *testing.T) {
