--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Item is an entry of a Queue, kept by whoever may want to remove it.
-type Item[T any] struct {
+// Timer is an entry of a Queue, kept by whoever may want to remove it.
+type Timer[T any] struct {
 	value T
 	at    time.Duration
 	seq   uint64
@@ -15,7 +15,7 @@
 }
 
 // At is when the entry is, or was, due.
-func (it *Item[T]) At() time.Duration { return it.at }
+func (it *Timer[T]) At() time.Duration { return it.at }
 
 // Queue orders values by time, and by order of arrival where times are equal. It is not safe for
 // concurrent use.
@@ -28,15 +28,15 @@
 func (q *Queue[T]) Len() int { return len(q.items) }
 
 // Add puts a value in at its time.
-func (q *Queue[T]) Add(at time.Duration, v T) *Item[T] {
+func (q *Queue[T]) Add(at time.Duration, v T) *Timer[T] {
 	q.seq++
-	it := &Item[T]{value: v, at: at, seq: q.seq}
+	it := &Timer[T]{value: v, at: at, seq: q.seq}
 	heap.Push(&q.items, it)
 	return it
 }
 
 // Remove takes an entry out. One that is nil, or has come due or been removed, is let be.
-func (q *Queue[T]) Remove(it *Item[T]) {
+func (q *Queue[T]) Remove(it *Timer[T]) {
 	if it != nil && it.index >= 0 {
 		heap.Remove(&q.items, it.index)
 	}
@@ -50,16 +50,16 @@
 	return q.items[0].at, true
 }
 
-// Pop takes out the earliest entry that is due; ok is false where none is.
-func (q *Queue[T]) Pop(now time.Duration) (v T, ok bool) {
+// PopExpired takes out the earliest entry that is due; ok is false where none is.
+func (q *Queue[T]) PopExpired(now time.Duration) (v T, ok bool) {
 	if len(q.items) == 0 || q.items[0].at > now {
 		return v, false
 	}
-	return heap.Pop(&q.items).(*Item[T]).value, true
+	return heap.Pop(&q.items).(*Timer[T]).value, true
 }
 
 // items implements heap.Interface.
-type items[T any] []*Item[T]
+type items[T any] []*Timer[T]
 
 func (h items[T]) Len() int { return len(h) }
 
@@ -76,7 +76,7 @@
 }
 
 func (h *items[T]) Push(x any) {
-	it := x.(*Item[T])
+	it := x.(*Timer[T])
 	it.index = len(*h)
 	*h = append(*h, it)
 }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -36,7 +36,7 @@
 		slices.SortStableFunc(want, func(a, b entry) int { return a.at - b.at })
 		for now := 0; now <= 20; now++ {
 			for {
-				e, ok := q.Pop(time.Duration(now))
+				e, ok := q.PopExpired(time.Duration(now))
 				if !ok {
 					break
 				}
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -185,7 +185,7 @@
 				links = append(links, w.link)
 			}
 			waits, stands := 0, 0
-			w.e.requests.All(func(_ slot.ID, r *request) bool {
+			w.e.requests.All(func(_ slot.Handle, r *request) bool {
 				switch r.phase {
 				case waiting:
 					waits++
--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -45,7 +45,7 @@
 		s := e.servers[id]
 		st.Servers = append(st.Servers, Server{Name: s.name, Addr: s.addr, Server: s.entry})
 	}
-	e.requests.All(func(_ slot.ID, r *request) bool {
+	e.requests.All(func(_ slot.Handle, r *request) bool {
 		if s := e.servers[r.server]; s != nil && r.name != "" && (r.phase == open || r.phase == inherited) {
 			f := r.flow
 			f.ID, f.Server, f.Load = r.name, s.name, r.load
@@ -75,7 +75,7 @@
 		}
 		r := &request{phase: inherited, name: f.ID, server: id, flow: f, load: f.Load}
 		var ok bool
-		if r.id, ok = e.requests.Put(r); !ok {
+		if r.id, ok = e.requests.Insert(r); !ok {
 			return
 		}
 		e.heirs[f.ID] = r.id
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -20,7 +20,7 @@
 )
 
 type request struct {
-	id     slot.ID
+	id     slot.Handle
 	name   string // as its client calls it; empty: nothing
 	client Client
 	phase  phase
@@ -31,15 +31,15 @@
 
 	carried  bool
 	deadline time.Duration
-	answer   *deadline.Item[due] // the end of its opening, or of its wait
+	answer   *deadline.Timer[due] // the end of its opening, or of its wait
 	attempts int
 	link     ActiveAttempt // the attempt that is out or open
 	server   rules.ServerID
 	sent     time.Duration
-	timeout  *deadline.Item[due]
+	timeout  *deadline.Timer[due]
 }
 
-func (e *Engine) rearm(it **deadline.Item[due], at time.Duration, d due) {
+func (e *Engine) rearm(it **deadline.Timer[due], at time.Duration, d due) {
 	e.deadlines.Remove(*it)
 	*it = e.deadlines.Add(at, d)
 }
@@ -86,7 +86,7 @@
 	}
 	var oldest *request
 	if e.openings > 0 {
-		e.requests.All(func(_ slot.ID, r *request) bool {
+		e.requests.All(func(_ slot.Handle, r *request) bool {
 			if r.phase == opening && r != besides && (oldest == nil || r.answer.At() < oldest.answer.At()) {
 				oldest = r
 			}
@@ -107,7 +107,7 @@
 		return
 	}
 	r := &request{client: c}
-	r.id, _ = e.requests.Put(r) // there is a slot for each socket
+	r.id, _ = e.requests.Insert(r) // there is a slot for each socket
 	e.openings++
 	c.Handle().id = r.id
 	r.answer = e.deadlines.Add(e.now+openingFor, due{kind: dueOpening, id: r.id})
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -28,7 +28,7 @@
 func (w *World) Waiting() int { return w.tasks.Len() }
 
 // Event is one that is to come.
-type Event = deadline.Item[func()]
+type Event = deadline.Timer[func()]
 
 // At has f called at a time, behind what was to happen then already. A time that has gone by is now.
 func (w *World) At(at time.Duration, f func()) *Event { return w.tasks.Add(max(at, w.now), f) }
@@ -48,7 +48,7 @@
 			return n
 		}
 		w.now = at
-		f, _ := w.tasks.Pop(at)
+		f, _ := w.tasks.PopExpired(at)
 		f()
 		n++
 	}
--- a/internal/nats/backend/hub.go
+++ b/internal/nats/backend/hub.go
@@ -21,7 +21,7 @@
 }
 
 // Timer is something due later.
-type Timer = deadline.Item[func()]
+type Timer = deadline.Timer[func()]
 
 type hubs struct {
 	mu  sync.Mutex
@@ -75,7 +75,7 @@
 func (h *Hub) expire() {
 	h.armed = 0
 	for {
-		f, ok := h.queue.Pop(now())
+		f, ok := h.queue.PopExpired(now())
 		if !ok {
 			break
 		}
--- a/internal/slot/slot.go
+++ b/internal/slot/slot.go
@@ -2,16 +2,16 @@
 // that one kept past the end of its thing is recognised as stale and never reaches the slot's next tenant.
 package slot
 
-// ID numbers a tenant of a table: the slot in the low half, its generation in the high one. 0 is never given.
-type ID uint32
+// Handle numbers a tenant of a table: the slot in the low half, its generation in the high one. 0 is never given.
+type Handle uint32
 
 const (
 	indexBits = 16
 	// MaxLimit is the most that a table can hold.
-	MaxLimit = 1 << indexBits
+	MaxCapacity = 1 << indexBits
 )
 
-func (id ID) index() int { return int(id & (MaxLimit - 1)) }
+func (id Handle) index() int { return int(id & (MaxCapacity - 1)) }
 
 type entry[T any] struct {
 	value T
@@ -19,8 +19,8 @@
 	used  bool
 }
 
-// Table holds values in slots. It is not safe for concurrent use.
-type Table[T any] struct {
+// Map holds values in slots. It is not safe for concurrent use.
+type Map[T any] struct {
 	limit   int
 	entries []entry[T]
 	free    []uint16 // in order of release: the longest free slot is taken first, so that numbers recur late
@@ -28,15 +28,15 @@
 }
 
 // New returns a table for at most limit values.
-func New[T any](limit int) *Table[T] {
-	return &Table[T]{limit: min(max(limit, 0), MaxLimit)}
+func New[T any](limit int) *Map[T] {
+	return &Map[T]{limit: min(max(limit, 0), MaxCapacity)}
 }
 
 // Len is the number of values held.
-func (t *Table[T]) Len() int { return len(t.entries) - (len(t.free) - t.head) }
+func (t *Map[T]) Len() int { return len(t.entries) - (len(t.free) - t.head) }
 
-// Put takes a slot for a value; ok is false where the table is full.
-func (t *Table[T]) Put(v T) (id ID, ok bool) {
+// Insert takes a slot for a value; ok is false where the table is full.
+func (t *Map[T]) Insert(v T) (id Handle, ok bool) {
 	var i int
 	switch {
 	case t.head < len(t.free):
@@ -54,23 +54,23 @@
 	}
 	e := &t.entries[i]
 	e.value, e.used = v, true
-	return ID(e.gen)<<indexBits | ID(i), true
+	return Handle(e.gen)<<indexBits | Handle(i), true
 }
 
-func (t *Table[T]) at(id ID) *entry[T] {
+func (t *Map[T]) at(id Handle) *entry[T] {
 	i := id.index()
 	if i >= len(t.entries) {
 		return nil
 	}
 	e := &t.entries[i]
-	if !e.used || ID(e.gen) != id>>indexBits {
+	if !e.used || Handle(e.gen) != id>>indexBits {
 		return nil
 	}
 	return e
 }
 
 // Get returns the value that a number stands for; ok is false where its tenant has left.
-func (t *Table[T]) Get(id ID) (v T, ok bool) {
+func (t *Map[T]) Get(id Handle) (v T, ok bool) {
 	e := t.at(id)
 	if e == nil {
 		return v, false
@@ -79,7 +79,7 @@
 }
 
 // Remove frees a slot. A stale number frees nothing.
-func (t *Table[T]) Remove(id ID) {
+func (t *Map[T]) Remove(id Handle) {
 	e := t.at(id)
 	if e == nil {
 		return
@@ -93,9 +93,9 @@
 }
 
 // All calls f for each value until it returns false. f may remove the value that it is given.
-func (t *Table[T]) All(f func(ID, T) bool) {
+func (t *Map[T]) All(f func(Handle, T) bool) {
 	for i := range t.entries {
-		if e := &t.entries[i]; e.used && !f(ID(e.gen)<<indexBits|ID(i), e.value) {
+		if e := &t.entries[i]; e.used && !f(Handle(e.gen)<<indexBits|Handle(i), e.value) {
 			return
 		}
 	}
--- a/internal/slot/slot_test.go
+++ b/internal/slot/slot_test.go
@@ -19,10 +19,10 @@
 func TestTableIsAMapOfLiveNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 5
-		table, live, stale := New[int](limit), map[ID]int{}, []ID{}
+		table, live, stale := New[int](limit), map[Handle]int{}, []Handle{}
 		for i := range rapid.IntRange(0, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "put") {
-				id, ok := table.Put(i)
+				id, ok := table.Insert(i)
 				if ok != (len(live) < limit) {
 					t.Fatalf("put with %d of %d held: %v", len(live), limit, ok)
 				}
@@ -57,7 +57,7 @@
 			}
 		}
 		seen := 0
-		table.All(func(id ID, v int) bool {
+		table.All(func(id Handle, v int) bool {
 			seen++
 			if live[id] != v {
 				t.Fatalf("%d is %d, want %d", id, v, live[id])
@@ -73,7 +73,7 @@
 func TestGenerationsSkipTheNumberZero(t *testing.T) {
 	table := New[int](1)
 	for range 1 << 17 {
-		id, ok := table.Put(1)
+		id, ok := table.Insert(1)
 		if !ok || id == 0 {
 			t.Fatalf("number %d %v", id, ok)
 		}
