--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -10,7 +10,7 @@
 	"os"
 	"runtime/debug"
 
-	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/wire"
 	"example.org/milletvane/rules"
 )
@@ -55,14 +55,14 @@
 // instance is one gateway's decisions, with the clock of its list where that has to be asked for.
 type instance struct {
 	rules *rules.Balancer
-	list  *listclock.Scheduler // nil: changes come by themselves
+	list  *refresh.Scheduler // nil: changes come by themselves
 }
 
 // refAsk is the timer for the next call for the list; the rules have lower numbers.
 const refAsk = 1 << 32
 
 // asked appends what the clock of the list answers an event with.
-func (i *instance) asked(reply []byte, n int, call listclock.Poll) []byte {
+func (i *instance) asked(reply []byte, n int, call refresh.Poll) []byte {
 	if call.Delay > 0 {
 		return wire.AppendAction(reply, n, rules.SetTimer{After: call.Delay, Ref: refAsk})
 	}
@@ -87,8 +87,8 @@
 		i := &instance{rules: b}
 		instances[ev.Instance] = i
 		if ev.Start.Asks {
-			i.list = listclock.New(ev.Start.List)
-			reply = i.asked(reply, ev.Instance, i.list.Handle(batch.Now, listclock.Start{}))
+			i.list = refresh.New(ev.Start.List)
+			reply = i.asked(reply, ev.Instance, i.list.Handle(batch.Now, refresh.Start{}))
 		}
 	case ev.Stop:
 		delete(instances, ev.Instance)
@@ -99,7 +99,7 @@
 		}
 		if ev.Unlisted {
 			if i.list != nil {
-				reply = i.asked(reply, ev.Instance, i.list.Handle(batch.Now, listclock.Failed{}))
+				reply = i.asked(reply, ev.Instance, i.list.Handle(batch.Now, refresh.Failed{}))
 			}
 			return reply
 		}
@@ -108,7 +108,7 @@
 		}
 		if l, ok := ev.Rules.(rules.EndpointList); ok && l.Mode != rules.ListCached && i.list != nil {
 			// The simulator goes on with a watch by itself: what comes is taken note of, and no call follows.
-			i.list.Handle(batch.Now, listclock.ListReceived{Complete: true})
+			i.list.Handle(batch.Now, refresh.ListReceived{Complete: true})
 		}
 		for _, a := range i.rules.Handle(batch.Now, ev.Rules) {
 			reply = wire.AppendAction(reply, ev.Instance, a)
--- a/config/config.go
+++ b/config/config.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"example.org/milletvane/internal/discovery"
-	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/settings"
 	"example.org/milletvane/rules"
 )
@@ -81,7 +81,7 @@
 	Limits    Limits
 	Known     *discovery.EndpointList // the list as last held; nil: none
 	Rules     rules.Settings
-	List      listclock.Settings
+	List      refresh.Settings
 	Node      settings.Node
 	AnswerBy  time.Duration // from a planned stop until all that waits has its answer
 	Drain     time.Duration // from a planned stop to the end
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/rules"
 )
 
@@ -53,7 +53,7 @@
 		"an empty list":   {first: `{"version":2,"full":true,"servers":[]}`},
 		"another address": {moved: true},
 	} {
-		for _, set := range []listclock.Settings{
+		for _, set := range []refresh.Settings{
 			{Gateways: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, Seed: 5},
 			{Gateways: 3, LocalAgent: true, DrainGrace: 250 * time.Millisecond},
 		} {
@@ -99,7 +99,7 @@
 								break
 							}
 						}
-						if counts := time.Duration(broke.Load()) + max(news, script.away) + listclock.ToldAfter; p.at() > counts {
+						if counts := time.Duration(broke.Load()) + max(news, script.away) + refresh.ToldAfter; p.at() > counts {
 							t.Errorf("known at %v, it counts as told at %v", p.at(), counts)
 						}
 					})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/listclock"
 	"example.org/milletvane/rules"
 )
 
@@ -35,7 +35,7 @@
 	logger *slog.Logger
 	post   func(engine.Event)
 	client *http.Client
-	clock  *listclock.Scheduler
+	clock  *refresh.Scheduler
 	now    func() time.Duration
 	dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
@@ -49,8 +49,8 @@
 }
 
 // New returns a Watcher of the service at addr. now never runs backwards.
-func New(addr string, set listclock.Settings, now func() time.Duration, logger *slog.Logger) *Watcher {
-	w := &Watcher{addr: addr, asked: addr, logger: logger, now: now, clock: listclock.New(set),
+func New(addr string, set refresh.Settings, now func() time.Duration, logger *slog.Logger) *Watcher {
+	w := &Watcher{addr: addr, asked: addr, logger: logger, now: now, clock: refresh.New(set),
 		dialer: (&net.Dialer{Timeout: connectIn}).DialContext}
 	// One connection of its own, kept between calls; no proxy of the environment's stands between.
 	w.client = &http.Client{Transport: &http.Transport{
@@ -65,10 +65,10 @@
 }
 
 // begin is the first call, with the list as last held.
-func (w *Watcher) begin(known *EndpointList) listclock.Poll {
-	start := listclock.Start{}
+func (w *Watcher) begin(known *EndpointList) refresh.Poll {
+	start := refresh.Start{}
 	if known != nil && len(known.Endpoints) > 0 {
-		start = listclock.Start{HasList: true, Version: known.Version}
+		start = refresh.Start{HasList: true, Version: known.Version}
 	}
 	return w.clock.Handle(w.now(), start)
 }
@@ -111,7 +111,7 @@
 		turn, cut, moved := w.turn(ctx)
 		if moved {
 			w.client.CloseIdleConnections()
-			call = w.clock.Handle(w.now(), listclock.Start{})
+			call = w.clock.Handle(w.now(), refresh.Start{})
 		}
 		m, err := w.carryOut(turn, call)
 		cut()
@@ -125,14 +125,14 @@
 }
 
 // take passes on what came of a call and returns the next one.
-func (w *Watcher) take(call listclock.Poll, m *EndpointList, err error) listclock.Poll {
+func (w *Watcher) take(call refresh.Poll, m *EndpointList, err error) refresh.Poll {
 	if err != nil {
-		var next listclock.Poll
+		var next refresh.Poll
 		if errors.Is(err, errSilent) {
 			w.client.CloseIdleConnections()
-			next = w.clock.Handle(w.now(), listclock.TimedOut{})
+			next = w.clock.Handle(w.now(), refresh.TimedOut{})
 		} else {
-			next = w.clock.Handle(w.now(), listclock.Failed{})
+			next = w.clock.Handle(w.now(), refresh.Failed{})
 		}
 		w.complain(next, err)
 		return next
@@ -153,11 +153,11 @@
 	} else {
 		w.logger.Warn("list not taken: it is older than the one held, or changes to another", "addr", w.asked, "version", m.Version)
 	}
-	return w.clock.Handle(w.now(), listclock.ListReceived{Version: m.Version, Complete: m.Complete})
+	return w.clock.Handle(w.now(), refresh.ListReceived{Version: m.Version, Complete: m.Complete})
 }
 
 // complain logs a call that brought nothing, and once for each outage that news may count as told which are not here.
-func (w *Watcher) complain(next listclock.Poll, err error) {
+func (w *Watcher) complain(next refresh.Poll, err error) {
 	w.logger.Warn("list not told", "addr", w.asked, "err", err, "again_in", next.Delay)
 	if !w.overdue && next.StaleAt > 0 && w.now() >= next.StaleAt {
 		w.overdue = true
@@ -166,7 +166,7 @@
 }
 
 // carryOut makes a call after its pause.
-func (w *Watcher) carryOut(ctx context.Context, call listclock.Poll) (*EndpointList, error) {
+func (w *Watcher) carryOut(ctx context.Context, call refresh.Poll) (*EndpointList, error) {
 	if call.Delay > 0 {
 		t := time.NewTimer(call.Delay)
 		defer t.Stop()
@@ -191,7 +191,7 @@
 }
 
 // ask asks once: for what is new, or for the whole list.
-func (w *Watcher) ask(ctx context.Context, call listclock.Poll) (*EndpointList, error) {
+func (w *Watcher) ask(ctx context.Context, call refresh.Poll) (*EndpointList, error) {
 	target := "http://" + w.asked + path
 	if !call.Complete {
 		target = fmt.Sprintf("%s?after=%d&wait_ms=%d", target, call.AfterVersion, call.Wait.Milliseconds())
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/rules"
 )
 
@@ -68,7 +68,7 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, listclock.Settings{}, func(p *service) {
+			play(t, refresh.Settings{}, func(p *service) {
 				p.answer = func(w http.ResponseWriter, r *http.Request) {
 					if p.calls.Load() == 1 {
 						c.answer(w, r)
@@ -131,8 +131,8 @@
 		io.WriteString(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	defer s.Close()
-	w := New(strings.TrimPrefix(s.URL, "http://"), listclock.Settings{LocalAgent: true}, func() time.Duration { return 0 }, slog.New(slog.DiscardHandler))
-	call := listclock.Poll{AfterVersion: 1, Timeout: time.Second}
+	w := New(strings.TrimPrefix(s.URL, "http://"), refresh.Settings{LocalAgent: true}, func() time.Duration { return 0 }, slog.New(slog.DiscardHandler))
+	call := refresh.Poll{AfterVersion: 1, Timeout: time.Second}
 	for b.Loop() {
 		if _, err := w.carryOut(b.Context(), call); err != nil {
 			b.Fatal(err)
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/listclock"
 	"example.org/milletvane/rules"
 )
 
@@ -298,7 +298,7 @@
 }
 
 // session returns what a watcher sends and posts while a script answers.
-func session(t *testing.T, set listclock.Settings, known *EndpointList, steps []step) []byte {
+func session(t *testing.T, set refresh.Settings, known *EndpointList, steps []step) []byte {
 	t.Helper()
 	s := &scripted{record: &transcript{}, steps: make(chan step, len(steps)), done: make(chan struct{})}
 	for _, st := range steps {
@@ -353,15 +353,15 @@
 	const complete = `{"version":41,"full":true,"servers":[{"id":"s-00000001","addr":"10.0.0.1:1","state":"in_service"}]}`
 	const delta = `{"version":42,"full":false,"servers":[{"id":"s-00000002","state":"terminating"}]}`
 	known := &EndpointList{Version: 40, Endpoints: []Endpoint{{ID: "s-00000001"}}}
-	asked := listclock.Settings{Gateways: 1, MaxPollInterval: time.Millisecond, DrainGrace: 2 * time.Second, Seed: 1}
-	pushed := listclock.Settings{LocalAgent: true, DrainGrace: 2 * time.Second}
-	quick := listclock.Settings{LocalAgent: true, DrainGrace: 600 * time.Millisecond}
+	asked := refresh.Settings{Gateways: 1, MaxPollInterval: time.Millisecond, DrainGrace: 2 * time.Second, Seed: 1}
+	pushed := refresh.Settings{LocalAgent: true, DrainGrace: 2 * time.Second}
+	quick := refresh.Settings{LocalAgent: true, DrainGrace: 600 * time.Millisecond}
 	raw := func(text string) step { return step{raw: text} }
 	last := func(text string) step { return step{raw: text, shut: true} }
 	var got bytes.Buffer
 	for _, c := range []struct {
 		name  string
-		set   listclock.Settings
+		set   refresh.Settings
 		known *EndpointList
 		steps []step
 	}{
--- a/internal/listclock/digest_test.go
+++ b/internal/discovery/refresh/digest_test.go
@@ -1,4 +1,4 @@
-package listclock
+package refresh
 
 import (
 	"bytes"
--- a/internal/listclock/listclock.go
+++ b/internal/discovery/refresh/listclock.go
@@ -1,7 +1,7 @@
-// Package listclock decides when the list of servers is asked for, how long an answer may take, and from when on news that
+// Package refresh decides when the list of servers is asked for, how long an answer may take, and from when on news that
 // did not come counts as told. It is the one owner of that clock, where discovery is asked and where an agent beside the
 // gateway is pushed to. Events in, calls out: it does no I/O and reads no clock.
-package listclock
+package refresh
 
 import "time"
 
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -14,8 +14,8 @@
 	"testing/synctest"
 	"time"
 
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/listclock"
 	"example.org/milletvane/rules"
 )
 
@@ -43,7 +43,7 @@
 func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
 // play runs a watcher against a service that a script answers for.
-func play(t *testing.T, set listclock.Settings, script func(*service)) {
+func play(t *testing.T, set refresh.Settings, script func(*service)) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := make(pipes)
 		p := &service{told: make(chan engine.EndpointList, 1000), began: time.Now(), hanging: make(chan struct{})}
@@ -154,7 +154,7 @@
 // A watch that falls silent is begun anew, and what it missed is known before it counts as told, in both modes.
 func TestWhatASilentWatchMissedIsKnownInTime(t *testing.T) {
 	const news = 500 * time.Millisecond // after the watch fell silent
-	for _, set := range []listclock.Settings{
+	for _, set := range []refresh.Settings{
 		{Gateways: 300, MaxPollInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, Seed: 3},
 		{Gateways: 3, LocalAgent: true, DrainGrace: 250 * time.Millisecond},
 	} {
@@ -190,7 +190,7 @@
 
 // A pushed list is fetched without being asked for, news of it are there at once, and after an outage in one call.
 func TestPushedListsAreFetched(t *testing.T) {
-	set := listclock.Settings{LocalAgent: true, DrainGrace: 250 * time.Millisecond}
+	set := refresh.Settings{LocalAgent: true, DrainGrace: 250 * time.Millisecond}
 	for name, out := range silences {
 		t.Run(name, func(t *testing.T) {
 			play(t, set, func(p *service) {
@@ -230,7 +230,7 @@
 
 // A new process beside an agent that says nothing has the list as soon as there is one.
 func TestAStartBesideASilentAgent(t *testing.T) {
-	play(t, listclock.Settings{LocalAgent: true, DrainGrace: 250 * time.Millisecond}, func(p *service) {
+	play(t, refresh.Settings{LocalAgent: true, DrainGrace: 250 * time.Millisecond}, func(p *service) {
 		p.answer = func(w http.ResponseWriter, r *http.Request) {
 			if p.at() < 3*time.Second {
 				<-p.hanging
@@ -249,7 +249,7 @@
 func TestAnotherAddressDuringASilence(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for name, silence := range silences {
-			play(t, listclock.Settings{LocalAgent: pushed, Gateways: 300}, func(p *service) {
+			play(t, refresh.Settings{LocalAgent: pushed, Gateways: 300}, func(p *service) {
 				p.answer = func(w http.ResponseWriter, r *http.Request) {
 					switch {
 					case r.Host == "b.example:1" && r.URL.RawQuery == "":
@@ -275,7 +275,7 @@
 // Changes to a list that is not held are not gone by, and the whole is asked for.
 func TestChangesToAnotherVersion(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		play(t, listclock.Settings{LocalAgent: pushed}, func(p *service) {
+		play(t, refresh.Settings{LocalAgent: pushed}, func(p *service) {
 			p.answer = func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.RawQuery == "" {
 					io.WriteString(w, listOf(3, "s-00000003"))
@@ -296,7 +296,7 @@
 func TestAnswersWithoutAWaitKeepADistance(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, body := range []string{listOf(1, "s-00000001"), `{"version":1,"full":false,"servers":[]}`} {
-			play(t, listclock.Settings{LocalAgent: pushed, DrainGrace: 250 * time.Millisecond}, func(p *service) {
+			play(t, refresh.Settings{LocalAgent: pushed, DrainGrace: 250 * time.Millisecond}, func(p *service) {
 				p.answer = func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }
 				p.start(&EndpointList{Version: 1, Endpoints: []Endpoint{{ID: "s-00000001"}}})
 				time.Sleep(10 * time.Second)
--- a/internal/purity/purity_test.go
+++ b/internal/purity/purity_test.go
@@ -18,20 +18,20 @@
 
 // pure are the packages that decide, with what they may import of this module.
 var pure = map[string][]string{
-	"rules":                     nil,
-	"internal/slot":             nil,
-	"internal/deadline":         nil,
-	"internal/listclock":        nil,
-	"internal/metrics":          nil,
-	"internal/engine":           {"rules", "internal/slot", "internal/deadline", "internal/metrics"},
-	"internal/line/codec":       nil,
-	"internal/nats/codec":       nil,
-	"internal/nats/session":     {"internal/nats/codec"},
-	"placement":                 nil,
-	"internal/model":            {"internal/deadline", "rules"},
-	"internal/cluster/recovery": nil,
-	"internal/cluster/tiers":    nil,
-	"internal/follow":           {"config/operator", "internal/engine", "placement", "rules"},
+	"rules":                      nil,
+	"internal/slot":              nil,
+	"internal/deadline":          nil,
+	"internal/discovery/refresh": nil,
+	"internal/metrics":           nil,
+	"internal/engine":            {"rules", "internal/slot", "internal/deadline", "internal/metrics"},
+	"internal/line/codec":        nil,
+	"internal/nats/codec":        nil,
+	"internal/nats/session":      {"internal/nats/codec"},
+	"placement":                  nil,
+	"internal/model":             {"internal/deadline", "rules"},
+	"internal/cluster/recovery":  nil,
+	"internal/cluster/tiers":     nil,
+	"internal/follow":            {"config/operator", "internal/engine", "placement", "rules"},
 }
 
 // outside are packages that reach outside the program, or whose goroutines would.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/rules"
 )
 
@@ -94,9 +94,9 @@
 
 // List reads the settings that the clock of the list goes by. Where nothing says who has the list, it is asked for: an
 // address is given, so there is something to ask.
-func (p Pairs) List() (listclock.Settings, error) {
+func (p Pairs) List() (refresh.Settings, error) {
 	d := decoder{p: p}
-	s := listclock.Settings{
+	s := refresh.Settings{
 		Gateways: int(d.integer("replicas_of_me")), MaxPollInterval: d.time("rules.ask_within_ns"),
 		DrainGrace: d.time("rules.stop_sending_within_ns"), Seed: uint64(d.integer("init_seed")),
 	}
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -14,7 +14,7 @@
 	"testing/iotest"
 	"time"
 
-	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/wire"
 	"example.org/milletvane/rules"
 )
@@ -210,7 +210,7 @@
 	}
 }
 
-func (w *fieldWriter) list(s listclock.Settings) {
+func (w *fieldWriter) list(s refresh.Settings) {
 	w.WriteString(" [list")
 	w.add("pushed", s.LocalAgent)
 	w.add("gateways", s.Gateways)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"example.org/milletvane/internal/listclock"
+	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/settings"
 	"example.org/milletvane/rules"
 )
@@ -31,7 +31,7 @@
 type Start struct {
 	Rules rules.Settings
 	Asks  bool // the list has to be asked for; else changes come by themselves
-	List  listclock.Settings
+	List  refresh.Settings
 }
 
 // Batch is what happened at one time.
