--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"example.org/milletvane/internal/cluster"
-	"example.org/milletvane/internal/cluster/tiers"
+	"example.org/milletvane/internal/cluster/loadshed"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/rules"
@@ -22,7 +22,7 @@
 
 // shedWith tells the fleet what this gateway is asked for and refuses, and the engine what the fleet sheds.
 func (g *Gateway) shedWith(ctx context.Context, c *cluster.Cluster) {
-	tick := time.NewTicker(tiers.ReportInterval)
+	tick := time.NewTicker(loadshed.ReportInterval)
 	defer tick.Stop()
 	last := 0.0
 	for {
@@ -31,7 +31,7 @@
 			return
 		case <-tick.C:
 		}
-		var own tiers.LocalCounts
+		var own loadshed.LocalCounts
 		own.Requests, own.Rejected, own.Shed = g.tiers.TakeCounts()
 		level := c.UpdateLoad(own)
 		if level != last {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"example.org/milletvane/internal/cluster/loadshed"
 	"example.org/milletvane/internal/cluster/recovery"
-	"example.org/milletvane/internal/cluster/tiers"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/fault"
@@ -66,8 +66,8 @@
 	answers  map[string]*answer
 	lists    map[string][]discovery.Endpoint // whole ones that peers told
 	decided  chan recovery.Decision
-	tiers    *tiers.Shedder // nil: none are named
-	digests  uint64         // that were told
+	tiers    *loadshed.Shedder // nil: none are named
+	digests  uint64            // that were told
 }
 
 // record is a list on the disk.
@@ -85,7 +85,7 @@
 	c := &Cluster{opts: o, began: o.Clock(), servers: map[string]discovery.Endpoint{}, dirty: make(chan struct{}, 1),
 		answers: map[string]*answer{}, lists: map[string][]discovery.Endpoint{}, decided: make(chan recovery.Decision, 64)}
 	if o.Priorities > 0 {
-		c.tiers = tiers.New(tiers.Settings{Priorities: o.Priorities, MinAdmittedRatio: o.MinAdmittedRatio})
+		c.tiers = loadshed.New(loadshed.Settings{Priorities: o.Priorities, MinAdmittedRatio: o.MinAdmittedRatio})
 	}
 	disk := c.load()
 	var err error
@@ -340,8 +340,8 @@
 }
 
 // UpdateLoad takes this instance's counts since the last call, by rank, tells the others of them, and returns the level of what
-// the fleet sheds. It is to be called every tiers.ReportInterval.
-func (c *Cluster) UpdateLoad(own tiers.LocalCounts) (level float64) {
+// the fleet sheds. It is to be called every loadshed.ReportInterval.
+func (c *Cluster) UpdateLoad(own loadshed.LocalCounts) (level float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d, level := c.tiers.Handle(c.opts.Clock(), own)
@@ -368,8 +368,8 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if _, member := c.opts.Peers[from.From]; member && c.tiers != nil {
-			c.tiers.Handle(c.opts.Clock(), tiers.PeerReport{Peer: from.From, Incarnation: from.Incarnation, Sequence: m.Number,
-				Report: tiers.Report{ShedRatio: m.Share, RequestRates: m.Asked}})
+			c.tiers.Handle(c.opts.Clock(), loadshed.PeerReport{Peer: from.From, Incarnation: from.Incarnation, Sequence: m.Number,
+				Report: loadshed.Report{ShedRatio: m.Share, RequestRates: m.Asked}})
 		}
 	}
 }
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/cluster/tiers"
+	"example.org/milletvane/internal/cluster/loadshed"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/peer"
@@ -122,8 +122,8 @@
 }
 
 // shed has an instance take its counts, and notes the level that it goes by.
-func (x *exchange) shed(c *Cluster, own tiers.LocalCounts) {
-	x.now += tiers.ReportInterval
+func (x *exchange) shed(c *Cluster, own loadshed.LocalCounts) {
+	x.now += loadshed.ReportInterval
 	x.printf("level %s %x", x.name, math.Float64bits(c.UpdateLoad(own)))
 	x.flush()
 }
@@ -181,7 +181,7 @@
 	x.flush()
 
 	for i := range 12 {
-		x.shed(a, tiers.LocalCounts{Requests: []uint64{40, 30, uint64(20 + i)}, Rejected: []uint64{20, 15, 9}, Shed: []uint64{uint64(i), 0, 0}})
+		x.shed(a, loadshed.LocalCounts{Requests: []uint64{40, 30, uint64(20 + i)}, Rejected: []uint64{20, 15, 9}, Shed: []uint64{uint64(i), 0, 0}})
 	}
 	digest := x.lastSent("tier")
 
@@ -223,7 +223,7 @@
 	x.receive("a", digest)
 	x.receive("b", digest)
 	x.receive("stranger", `{"k":"tier","no":1,"share":1,"asked":[1,1,1]}`)
-	x.shed(c, tiers.LocalCounts{Requests: []uint64{10, 10, 10}, Rejected: []uint64{0, 0, 0}, Shed: []uint64{0, 0, 0}})
+	x.shed(c, loadshed.LocalCounts{Requests: []uint64{10, 10, 10}, Rejected: []uint64{0, 0, 0}, Shed: []uint64{0, 0, 0}})
 
 	x.playDoubtful(told, disk)
 
--- a/internal/cluster/tiers/digest_test.go
+++ b/internal/cluster/loadshed/digest_test.go
@@ -1,4 +1,4 @@
-package tiers_test
+package loadshed_test
 
 import (
 	"crypto/sha256"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/cluster/tiers"
+	"example.org/milletvane/internal/cluster/loadshed"
 )
 
 var updateDigests = flag.Bool("update", false, "write the digests of the drawn event streams anew")
@@ -103,7 +103,7 @@
 
 func (o *transcript) digest() string { return fmt.Sprintf("%x", o.sum.Sum(nil)[:8]) }
 
-func (o *transcript) level(now time.Duration, instance int, told tiers.Report, level float64) {
+func (o *transcript) level(now time.Duration, instance int, told loadshed.Report, level float64) {
 	b := binary.BigEndian.AppendUint64(o.buf[:0], uint64(now))
 	b = binary.BigEndian.AppendUint64(b, uint64(instance))
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(level))
@@ -123,14 +123,14 @@
 type message struct {
 	at   time.Duration
 	to   int
-	told tiers.PeerReport
+	told loadshed.PeerReport
 }
 
 // fleet is some instances in front of servers that bear so many requests a second.
 type fleet struct {
 	*rand.Rand
-	set    tiers.Settings
-	all    []*tiers.Shedder
+	set    loadshed.Settings
+	all    []*loadshed.Shedder
 	levels []float64
 	lives  []uint64
 	number uint64
@@ -145,13 +145,13 @@
 
 func newFleet(seed, stream uint64, n int) *fleet {
 	f := &fleet{Rand: rand.New(rand.NewPCG(seed, stream)), now: epoch}
-	f.set = tiers.Settings{Priorities: 1 + f.IntN(5)}
+	f.set = loadshed.Settings{Priorities: 1 + f.IntN(5)}
 	if f.IntN(2) == 0 {
 		f.set.MinAdmittedRatio = f.Float64() / 4
 	}
 	f.exact, f.claims = f.IntN(2) == 0, n > 2 && f.IntN(3) == 0
 	for range n {
-		f.all, f.levels, f.lives = append(f.all, tiers.New(f.set)), append(f.levels, 0), append(f.lives, 1)
+		f.all, f.levels, f.lives = append(f.all, loadshed.New(f.set)), append(f.levels, 0), append(f.lives, 1)
 	}
 	f.drawLoad()
 	return f
@@ -184,7 +184,7 @@
 		if f.IntN(200) == 0 && !f.steady {
 			f.restart(f.IntN(len(f.all)))
 		}
-		f.now += tiers.ReportInterval
+		f.now += loadshed.ReportInterval
 		if !f.exact {
 			f.now += time.Duration(f.IntN(40)-20) * time.Millisecond
 		}
@@ -204,7 +204,7 @@
 
 // restart begins another life of an instance.
 func (f *fleet) restart(i int) {
-	f.all[i], f.levels[i] = tiers.New(f.set), 0
+	f.all[i], f.levels[i] = loadshed.New(f.set), 0
 	f.lives[i]++
 }
 
@@ -223,9 +223,9 @@
 func (f *fleet) cut(i, k int) float64 { return min(max(f.levels[i]-float64(k), 0), 1) }
 
 func (f *fleet) tick(i int, refused float64, out *transcript) {
-	var own tiers.LocalCounts
+	var own loadshed.LocalCounts
 	for k, load := range f.load {
-		asked := load * tiers.ReportInterval.Seconds() * (0.8 + 0.4*f.Float64())
+		asked := load * loadshed.ReportInterval.Seconds() * (0.8 + 0.4*f.Float64())
 		own.Requests = append(own.Requests, uint64(math.Round(asked)))
 		own.Shed = append(own.Shed, uint64(asked*f.cut(i, k)))
 		own.Rejected = append(own.Rejected, uint64(asked*(1-f.cut(i, k))*refused))
@@ -239,7 +239,7 @@
 	f.number++
 	for to := range f.all {
 		if to != i && f.IntN(20) > 0 {
-			f.send(to, tiers.PeerReport{Peer: peerName(i), Incarnation: f.lives[i], Sequence: f.number, Report: told})
+			f.send(to, loadshed.PeerReport{Peer: peerName(i), Incarnation: f.lives[i], Sequence: f.number, Report: told})
 		}
 	}
 }
@@ -247,13 +247,13 @@
 func peerName(i int) string { return "p" + strconv.Itoa(i) }
 
 // send queues a message; some come late, twice, or after a later one.
-func (f *fleet) send(to int, told tiers.PeerReport) {
+func (f *fleet) send(to int, told loadshed.PeerReport) {
 	copies := 1
 	if f.IntN(30) == 0 {
 		copies = 2
 	}
 	for range copies {
-		delay := time.Duration(f.IntN(7)) * tiers.ReportInterval
+		delay := time.Duration(f.IntN(7)) * loadshed.ReportInterval
 		if !f.exact {
 			delay = time.Duration(f.IntN(300)) * time.Millisecond
 		}
@@ -274,8 +274,8 @@
 }
 
 // claim is a digest that nothing bears out, or none at all.
-func (f *fleet) claim() tiers.Report {
-	d := tiers.Report{ShedRatio: f.Float64()}
+func (f *fleet) claim() loadshed.Report {
+	d := loadshed.Report{ShedRatio: f.Float64()}
 	for range f.set.Priorities {
 		d.RequestRates = append(d.RequestRates, f.Float64()*1e6)
 	}
@@ -316,5 +316,5 @@
 	case 2:
 		number -= min(number, uint64(len(f.all)))
 	}
-	f.send(to, tiers.PeerReport{Peer: peerName(from), Incarnation: life, Sequence: number, Report: f.claim()})
+	f.send(to, loadshed.PeerReport{Peer: peerName(from), Incarnation: life, Sequence: number, Report: f.claim()})
 }
--- a/internal/cluster/tiers/tiers.go
+++ b/internal/cluster/loadshed/tiers.go
@@ -1,7 +1,7 @@
-// Package tiers decides what a fleet sheds under overload: the lowest tiers first, at all instances alike. Each instance
+// Package loadshed decides what a fleet sheds under overload: the lowest tiers first, at all instances alike. Each instance
 // tells how large a share of all requests it holds should be shed, and what it is asked for by tier; all go by the median of
 // the shares and the sum of what is asked. Events in, a level out; it does no I/O and reads no clock.
-package tiers
+package loadshed
 
 import (
 	"math"
--- a/internal/cluster/tiers/tiers_test.go
+++ b/internal/cluster/loadshed/tiers_test.go
@@ -1,4 +1,4 @@
-package tiers
+package loadshed
 
 import (
 	"flag"
--- a/internal/purity/purity_test.go
+++ b/internal/purity/purity_test.go
@@ -30,7 +30,7 @@
 	"placement":                  nil,
 	"internal/model":             {"internal/deadline", "rules"},
 	"internal/cluster/recovery":  nil,
-	"internal/cluster/tiers":     nil,
+	"internal/cluster/loadshed":  nil,
 	"internal/follow":            {"config/operator", "internal/engine", "placement", "rules"},
 }
 
