--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -14,7 +14,7 @@
 
 	"example.org/milletvane/internal/store"
 	"example.org/milletvane/internal/store/faulty"
-	"example.org/milletvane/internal/store/storetest"
+	"example.org/milletvane/internal/store/waltest"
 )
 
 var small = store.Options{SegmentBytes: 8 << 10, Logger: slog.New(slog.DiscardHandler)}
@@ -45,12 +45,12 @@
 }
 
 func TestContract(t *testing.T) {
-	for name, rig := range map[string]func(*testing.T, uint64) storetest.Rig{
-		"memory": func(*testing.T, uint64) storetest.Rig { return &memoryRig{} },
-		"disk":   func(t *testing.T, _ uint64) storetest.Rig { return &diskRig{filepath.Join(t.TempDir(), "d")} },
-		"lossy":  func(_ *testing.T, seed uint64) storetest.Rig { return faultyRig{faulty.New(seed)} },
+	for name, rig := range map[string]func(*testing.T, uint64) waltest.Rig{
+		"memory": func(*testing.T, uint64) waltest.Rig { return &memoryRig{} },
+		"disk":   func(t *testing.T, _ uint64) waltest.Rig { return &diskRig{filepath.Join(t.TempDir(), "d")} },
+		"lossy":  func(_ *testing.T, seed uint64) waltest.Rig { return faultyRig{faulty.New(seed)} },
 	} {
-		t.Run(name, func(t *testing.T) { storetest.Run(t, rig) })
+		t.Run(name, func(t *testing.T) { waltest.Run(t, rig) })
 	}
 }
 
--- a/internal/store/storetest/contract.go
+++ b/internal/store/waltest/contract.go
@@ -1,6 +1,6 @@
-// Package storetest is the contract of stores: one suite that every implementation has to pass. A new one joins by one call
+// Package waltest is the contract of stores: one suite that every implementation has to pass. A new one joins by one call
 // of Run.
-package storetest
+package waltest
 
 import (
 	"bytes"
