--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -14,7 +14,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/store/faulty"
+	"example.org/milletvane/internal/store/faultfs"
 	"example.org/milletvane/rules"
 )
 
@@ -40,18 +40,18 @@
 type fleet struct {
 	t     *testing.T
 	addrs map[string]string
-	disks map[string]*faulty.FS
+	disks map[string]*faultfs.FS
 	logs  map[string]*logs
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t, map[string]string{}, map[string]*faulty.FS{}, map[string]*logs{}}
+	f := &fleet{t, map[string]string{}, map[string]*faultfs.FS{}, map[string]*logs{}}
 	for i, n := range names {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.addrs[n], f.disks[n], f.logs[n] = l.Addr().String(), faulty.New(uint64(i)), &logs{}
+		f.addrs[n], f.disks[n], f.logs[n] = l.Addr().String(), faultfs.New(uint64(i)), &logs{}
 		l.Close()
 	}
 	return f
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -22,7 +22,7 @@
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/peer"
 	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faulty"
+	"example.org/milletvane/internal/store/faultfs"
 	"example.org/milletvane/rules"
 )
 
@@ -48,8 +48,8 @@
 type exchange struct {
 	t     *testing.T
 	now   time.Duration
-	disk  *faulty.FS // of the instance that started last
-	links *recorder  // its
+	disk  *faultfs.FS // of the instance that started last
+	links *recorder   // its
 	name  string
 	lines []string
 }
@@ -59,7 +59,7 @@
 }
 
 // start starts an instance beside two others.
-func (x *exchange) start(name string, disk *faulty.FS) *Cluster {
+func (x *exchange) start(name string, disk *faultfs.FS) *Cluster {
 	x.t.Helper()
 	x.name, x.disk, x.links = name, disk, &recorder{sent: map[string][]string{}}
 	others := map[string]string{"a": "10.0.0.1:7000", "b": "10.0.0.2:7000", "c": "10.0.0.3:7000"}
@@ -155,7 +155,7 @@
 // for messages; then one that starts from the disk, one that starts from what the first sent, and one whose disk holds a
 // snapshot.
 func (x *exchange) play() {
-	disk := faulty.New(1)
+	disk := faultfs.New(1)
 	a := x.start("a", disk)
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
@@ -210,7 +210,7 @@
 	x.hint(x.recover(restarted))
 	x.flush()
 
-	c := x.start("c", faulty.New(2))
+	c := x.start("c", faultfs.New(2))
 	for _, body := range told {
 		x.receive("a", body)
 		x.receive("b", body)
@@ -227,7 +227,7 @@
 
 	x.playDoubtful(told, disk)
 
-	disk = faulty.New(3)
+	disk = faultfs.New(3)
 	b := x.start("b", disk)
 	for version := range int64(64) {
 		b.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 100 + version, Servers: formatServers(2)})
@@ -242,12 +242,12 @@
 
 // playDoubtful plays what instances make of messages that don't fit: entries that are not those of the hash, parts of two
 // lists, and starts that lie ahead of the clock. The disk holds the same list.
-func (x *exchange) playDoubtful(told []string, disk *faulty.FS) {
+func (x *exchange) playDoubtful(told []string, disk *faultfs.FS) {
 	another := slices.Clone(told)
 	for i := range another {
 		another[i] = strings.ReplaceAll(another[i], "oviedo", "madrid")
 	}
-	c := x.start("c", faulty.New(4))
+	c := x.start("c", faultfs.New(4))
 	for _, body := range another {
 		x.receive("a", body)
 		x.receive("b", body)
@@ -259,7 +259,7 @@
 	for i := range another {
 		another[i] = strings.ReplaceAll(another[i], `"h":`+hash, `"h":1`)
 	}
-	c = x.start("c", faulty.New(5))
+	c = x.start("c", faultfs.New(5))
 	for _, from := range []string{"a", "b"} {
 		x.receive(from, another[0])
 		for _, body := range told[1:] {
@@ -301,7 +301,7 @@
 }
 
 // stored notes the records that a disk holds.
-func (x *exchange) stored(disk *faulty.FS) {
+func (x *exchange) stored(disk *faultfs.FS) {
 	s, held, err := store.Open(disk, filepath.Join("d", "lists"), store.Options{Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		x.t.Fatal(err)
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -12,7 +12,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/peer"
 	"example.org/milletvane/internal/peer/simnet"
-	"example.org/milletvane/internal/store/faulty"
+	"example.org/milletvane/internal/store/faultfs"
 )
 
 // soak is a fleet in simulated time: instances as they are, on disks and links that fail by a seed.
@@ -20,7 +20,7 @@
 	net   *simnet.Network
 	rnd   *rand.Rand
 	names []string
-	disks map[string]*faulty.FS
+	disks map[string]*faultfs.FS
 	runs  map[string]*Cluster
 	hints map[string]*discovery.EndpointList // what each goes by
 	last  map[string]recovery.Decision
@@ -33,13 +33,13 @@
 
 func newSoak(seed uint64) *soak {
 	rnd := rand.New(rand.NewPCG(seed, 9))
-	s := &soak{rnd: rnd, disks: map[string]*faulty.FS{}, runs: map[string]*Cluster{}, hints: map[string]*discovery.EndpointList{},
+	s := &soak{rnd: rnd, disks: map[string]*faultfs.FS{}, runs: map[string]*Cluster{}, hints: map[string]*discovery.EndpointList{},
 		last: map[string]recovery.Decision{}}
 	s.net = simnet.New(seed, simnet.Faults{MaxDelay: time.Duration(rnd.IntN(150)+1) * time.Millisecond, LossRate: 0.2 * rnd.Float64(), DuplicateRate: 0.2 * rnd.Float64()})
 	for i := range 3 + rnd.IntN(4) {
 		name := string(rune('a' + i))
 		s.names = append(s.names, name)
-		s.disks[name] = faulty.New(seed*10 + uint64(i))
+		s.disks[name] = faultfs.New(seed*10 + uint64(i))
 	}
 	return s
 }
@@ -144,7 +144,7 @@
 		s.crash(name)
 	}
 	if broken != stale && rnd.IntN(2) == 0 {
-		s.disks[broken] = faulty.New(seed + 1<<40)
+		s.disks[broken] = faultfs.New(seed + 1<<40)
 	} else if broken != stale {
 		s.disks[broken].FlipBit("journal", -30)
 	}
--- a/internal/peer/format_test.go
+++ b/internal/peer/format_test.go
@@ -26,7 +26,7 @@
 	"example.org/milletvane/internal/peer/peertest"
 	"example.org/milletvane/internal/peer/simnet"
 	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faulty"
+	"example.org/milletvane/internal/store/faultfs"
 )
 
 // Instances of two builds talk to one another, and a build may start on the incarnation file of another. These tests hold
@@ -210,8 +210,8 @@
 		}
 		return hex.EncodeToString(b)
 	}
-	diskWith := func(file []byte) *faulty.FS {
-		d := faulty.New(1)
+	diskWith := func(file []byte) *faultfs.FS {
+		d := faultfs.New(1)
 		if file == nil {
 			return d
 		}
@@ -238,10 +238,10 @@
 		above uint64
 		now   time.Duration
 	}{{0, 0}, {0, -time.Second}, {41, 0}, {0, 1999999 * time.Nanosecond}, {0, 1_700_000_000_123 * time.Millisecond}, {1<<63 + 5, time.Hour}} {
-		fmt.Fprintf(&all, "empty disk above %d now %d: %s\n", c.above, c.now, next(faulty.New(1), c.above, c.now))
+		fmt.Fprintf(&all, "empty disk above %d now %d: %s\n", c.above, c.now, next(faultfs.New(1), c.above, c.now))
 	}
 	file := unhex(t, "0000018bcfe5687b 83bc284f")
-	d := faulty.New(1)
+	d := faultfs.New(1)
 	next(d, 0, 1_700_000_000_123*time.Millisecond)
 	written, err := d.ReadFile("d/incarnation")
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"example.org/milletvane/internal/peer/peertest"
 	"example.org/milletvane/internal/peer/simnet"
 	"example.org/milletvane/internal/standin"
-	"example.org/milletvane/internal/store/faulty"
+	"example.org/milletvane/internal/store/faultfs"
 )
 
 type simRig struct{ *simnet.Network }
@@ -201,7 +201,7 @@
 // A life's number is above all before it, whatever becomes of the disk and the clock.
 func TestIncarnationsNeverRecur(t *testing.T) {
 	const year = 365 * 24 * time.Hour
-	d := faulty.New(1)
+	d := faultfs.New(1)
 	last := uint64(0)
 	next := func(now time.Duration) uint64 {
 		t.Helper()
@@ -227,7 +227,7 @@
 		last = n
 		d.Crash()
 	}
-	d = faulty.New(2) // another disk under the same name
+	d = faultfs.New(2) // another disk under the same name
 	if n := next(51 * year); n <= last {
 		t.Errorf("an empty disk begins with %d, after %d", n, last)
 	}
--- a/internal/store/faulty/disk.go
+++ b/internal/store/faultfs/disk.go
@@ -1,5 +1,5 @@
-// Package faulty has a disk in memory that loses power and goes wrong on purpose. Tests and experiments put it under stores.
-package faulty
+// Package faultfs has a disk in memory that loses power and goes wrong on purpose. Tests and experiments put it under stores.
+package faultfs
 
 import (
 	"errors"
--- a/internal/store/format_test.go
+++ b/internal/store/format_test.go
@@ -14,7 +14,7 @@
 	"testing"
 
 	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faulty"
+	"example.org/milletvane/internal/store/faultfs"
 )
 
 // The files of a log outlive the build that wrote them: the next build has to read them, and to write the same bytes, as
@@ -151,9 +151,9 @@
 	return f
 }
 
-func diskOf(t *testing.T, f formatFiles) *faulty.FS {
+func diskOf(t *testing.T, f formatFiles) *faultfs.FS {
 	t.Helper()
-	d := faulty.New(1)
+	d := faultfs.New(1)
 	if err := d.MkdirAll(formatDir); err != nil {
 		t.Fatal(err)
 	}
@@ -253,7 +253,7 @@
 // write has the files that a script leaves in a new log.
 func write(t *testing.T, opts store.Options, script ...formatScript) formatFiles {
 	t.Helper()
-	d := faulty.New(1)
+	d := faultfs.New(1)
 	j, _, err := store.Open(d, formatDir, opts)
 	if err != nil {
 		t.Fatal(err)
@@ -423,7 +423,7 @@
 
 // The bounds of a record and of a segment, in bytes, are what they were.
 func TestBoundsStayAsTheyAre(t *testing.T) {
-	d := faulty.New(1)
+	d := faultfs.New(1)
 	j, _, err := store.Open(d, formatDir, store.Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faulty"
+	"example.org/milletvane/internal/store/faultfs"
 	"example.org/milletvane/internal/store/waltest"
 )
 
@@ -31,7 +31,7 @@
 }
 func (r *diskRig) Crash() {}
 
-type faultyRig struct{ *faulty.FS }
+type faultyRig struct{ *faultfs.FS }
 
 func (r faultyRig) Open() (store.Log, *store.RecoveredLog, error) {
 	return asStore(store.Open(r.FS, "d", small))
@@ -48,13 +48,13 @@
 	for name, rig := range map[string]func(*testing.T, uint64) waltest.Rig{
 		"memory": func(*testing.T, uint64) waltest.Rig { return &memoryRig{} },
 		"disk":   func(t *testing.T, _ uint64) waltest.Rig { return &diskRig{filepath.Join(t.TempDir(), "d")} },
-		"lossy":  func(_ *testing.T, seed uint64) waltest.Rig { return faultyRig{faulty.New(seed)} },
+		"lossy":  func(_ *testing.T, seed uint64) waltest.Rig { return faultyRig{faultfs.New(seed)} },
 	} {
 		t.Run(name, func(t *testing.T) { waltest.Run(t, rig) })
 	}
 }
 
-func journal(t *testing.T, d *faulty.FS) (*store.FileLog, *store.RecoveredLog) {
+func journal(t *testing.T, d *faultfs.FS) (*store.FileLog, *store.RecoveredLog) {
 	t.Helper()
 	j, held, err := store.Open(d, "d", small)
 	if err != nil {
@@ -75,7 +75,7 @@
 // Power is lost in the middle of writes: what was acknowledged is held, what was not is there whole or not at all.
 func TestPowerLossDuringWrites(t *testing.T) {
 	for seed := range uint64(150) {
-		d, rnd := faulty.New(seed), rand.New(rand.NewPCG(seed, 2))
+		d, rnd := faultfs.New(seed), rand.New(rand.NewPCG(seed, 2))
 		acked := 0
 		for range 4 {
 			j, held := journal(t, d)
@@ -112,13 +112,13 @@
 
 // A sync that failed is never taken for a success, not even if the next one would succeed.
 func TestAFailedSyncEndsTheStore(t *testing.T) {
-	d := faulty.New(1)
+	d := faultfs.New(1)
 	j, _ := journal(t, d)
 	mustAppend(t, j, "one")
 	d.FailNextSyncs(1)
 	var broken *store.WriteFailedError
 	for range 3 {
-		if _, err := j.Append([]byte("two")); !errors.As(err, &broken) || !errors.Is(err, faulty.ErrIO) || broken.Retryable() {
+		if _, err := j.Append([]byte("two")); !errors.As(err, &broken) || !errors.Is(err, faultfs.ErrIO) || broken.Retryable() {
 			t.Fatalf("after a failed sync: %v", err)
 		}
 	}
@@ -134,7 +134,7 @@
 // A full disk refuses new records and nothing else; when there is room again, it takes them.
 func TestAFullDiskRefusesAndGoesOn(t *testing.T) {
 	for room := range 60 {
-		d := faulty.New(uint64(room))
+		d := faultfs.New(uint64(room))
 		j, _ := journal(t, d)
 		mustAppend(t, j, "one", "two")
 		d.SetFreeBytes(room)
@@ -161,7 +161,7 @@
 func TestDamageIsFoundAndPutAside(t *testing.T) {
 	const size = 100
 	for at := 0; at < 26*size; at += 3 {
-		d := faulty.New(1)
+		d := faultfs.New(1)
 		j, _ := journal(t, d)
 		for i := range 6 {
 			mustAppend(t, j, string(make([]byte, size-28))+fmt.Sprint(i))
@@ -190,7 +190,7 @@
 // A damaged state is found too.
 func TestADamagedStateIsFound(t *testing.T) {
 	for at := range 60 {
-		d := faulty.New(1)
+		d := faultfs.New(1)
 		j, _ := journal(t, d)
 		mustAppend(t, j, "one", "two")
 		if err := j.Snapshot(2, make([]byte, 30)); err != nil {
@@ -208,7 +208,7 @@
 
 // A disk that stalls holds up those who append, and loses nothing; another store goes on.
 func TestAStallHoldsUpOneStore(t *testing.T) {
-	d, other := faulty.New(1), faulty.New(2)
+	d, other := faultfs.New(1), faultfs.New(2)
 	j, _ := journal(t, d)
 	k, _ := journal(t, other)
 	release := d.Stall()
@@ -233,7 +233,7 @@
 // A disk that says yes to a sync and keeps nothing can't be found out alone: what is held is shorter, and never wrong.
 func TestLostSyncedWritesLeaveAnOlderStore(t *testing.T) {
 	for seed := range uint64(50) {
-		d := faulty.New(seed)
+		d := faultfs.New(seed)
 		j, _ := journal(t, d)
 		mustAppend(t, j, long(1), long(2))
 		d.LoseSynced(true)
