--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -18,7 +18,7 @@
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/fault"
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/store"
+	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/rules"
 )
 
@@ -40,7 +40,7 @@
 	Priorities       int           // of tiers; 0: nothing is shed
 	MinAdmittedRatio float64       // part of the lowest tier that is let in whatever happens
 	WarmupDuration   time.Duration // a server that started is cold for this long
-	FS               store.FS      // nil: the system's
+	FS               wal.FS        // nil: the system's
 	// Connect is the network to the others; nil: sockets, with Listen, Members and Key.
 	Connect func(peer.Options) (peer.Transport, error)
 	Clock   func() time.Duration
@@ -51,7 +51,7 @@
 type Cluster struct {
 	opts  Options
 	lives *peer.Incarnations
-	store store.Log // nil: its files were damaged, or the disk is no good; the program goes on without
+	store wal.Log // nil: its files were damaged, or the disk is no good; the program goes on without
 	peers peer.Transport
 
 	mu       sync.Mutex
@@ -80,7 +80,7 @@
 // gateway from starting; a life that can't be numbered does.
 func Start(o Options) (*Cluster, error) {
 	if o.FS == nil {
-		o.FS = store.OSFS{}
+		o.FS = wal.OSFS{}
 	}
 	c := &Cluster{opts: o, began: o.Clock(), servers: map[string]discovery.Endpoint{}, dirty: make(chan struct{}, 1),
 		answers: map[string]*answer{}, lists: map[string][]discovery.Endpoint{}, decided: make(chan recovery.Decision, 64)}
@@ -128,10 +128,10 @@
 
 // load reads the list that the disk holds.
 func (c *Cluster) load() (v recovery.PeerState) {
-	j, held, err := store.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
-	if damage := new(store.CorruptionError); errors.As(err, &damage) && damage.QuarantineDir != "" {
+	j, held, err := wal.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), wal.Options{Logger: c.opts.Logger})
+	if damage := new(wal.CorruptionError); errors.As(err, &damage) && damage.QuarantineDir != "" {
 		fault.Log(c.opts.Logger, err)
-		j, held, err = store.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), store.Options{Logger: c.opts.Logger})
+		j, held, err = wal.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), wal.Options{Logger: c.opts.Logger})
 	}
 	if err != nil {
 		fault.Log(c.opts.Logger, err)
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -14,7 +14,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/store/faultfs"
+	"example.org/milletvane/internal/wal/faultfs"
 	"example.org/milletvane/rules"
 )
 
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -21,8 +21,8 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faultfs"
+	"example.org/milletvane/internal/wal"
+	"example.org/milletvane/internal/wal/faultfs"
 	"example.org/milletvane/rules"
 )
 
@@ -302,7 +302,7 @@
 
 // stored notes the records that a disk holds.
 func (x *exchange) stored(disk *faultfs.FS) {
-	s, held, err := store.Open(disk, filepath.Join("d", "lists"), store.Options{Logger: slog.New(slog.DiscardHandler)})
+	s, held, err := wal.Open(disk, filepath.Join("d", "lists"), wal.Options{Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		x.t.Fatal(err)
 	}
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -12,7 +12,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/peer"
 	"example.org/milletvane/internal/peer/simnet"
-	"example.org/milletvane/internal/store/faultfs"
+	"example.org/milletvane/internal/wal/faultfs"
 )
 
 // soak is a fleet in simulated time: instances as they are, on disks and links that fail by a seed.
--- a/internal/fault/walk_test.go
+++ b/internal/fault/walk_test.go
@@ -18,18 +18,18 @@
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/internal/fault"
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/store"
+	"example.org/milletvane/internal/wal"
 )
 
 // all are the error types of the packages in walked, one of each.
 var all = []fault.Error{
-	&store.NoSpaceError{Dir: "d", Err: io.ErrShortWrite}, &store.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
-	&store.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &store.ClosedError{Dir: "d"}, &store.TooLargeError{Bytes: 2, Most: 1},
+	&wal.NoSpaceError{Dir: "d", Err: io.ErrShortWrite}, &wal.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
+	&wal.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &wal.ClosedError{Dir: "d"}, &wal.TooLargeError{Bytes: 2, Most: 1},
 	&operator.KeyError{File: "f", Reason: "r"},
 	&peer.BindError{Addr: "a", Err: io.ErrShortWrite}, &peer.IncarnationError{File: "f", Err: io.ErrShortWrite},
 }
 
-var walked = []string{"config/operator", "internal/peer", "internal/store"}
+var walked = []string{"config/operator", "internal/peer", "internal/wal"}
 
 // Every error type of these packages is explained, and is found through the errors that wrap it.
 func TestEveryErrorTypeIsExplained(t *testing.T) {
--- a/internal/peer/format_test.go
+++ b/internal/peer/format_test.go
@@ -25,8 +25,8 @@
 	"example.org/milletvane/internal/peer"
 	"example.org/milletvane/internal/peer/peertest"
 	"example.org/milletvane/internal/peer/simnet"
-	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faultfs"
+	"example.org/milletvane/internal/wal"
+	"example.org/milletvane/internal/wal/faultfs"
 )
 
 // Instances of two builds talk to one another, and a build may start on the incarnation file of another. These tests hold
@@ -203,7 +203,7 @@
 
 // The incarnation file has the bytes that stand in testdata; whatever stands in it, the next number is as ever.
 func TestTheIncarnationFileKeepsItsFormat(t *testing.T) {
-	content := func(d store.FS) string {
+	content := func(d wal.FS) string {
 		b, err := d.ReadFile("d/incarnation")
 		if err != nil {
 			return "none"
@@ -222,7 +222,7 @@
 		w.Write(file)
 		return d
 	}
-	next := func(d store.FS, above uint64, now time.Duration) string {
+	next := func(d wal.FS, above uint64, now time.Duration) string {
 		i, err := peer.OpenIncarnations(d, "d")
 		if err != nil {
 			return incarnationOutcome(err)
@@ -281,7 +281,7 @@
 
 // failingFS fails one of the calls that write an incarnation, by its number.
 type failingFS struct {
-	store.FS
+	wal.FS
 	at, call int
 	err      error
 }
@@ -303,7 +303,7 @@
 	return f.FS.ReadFile(name)
 }
 
-func (f *failingFS) Create(name string) (store.File, error) {
+func (f *failingFS) Create(name string) (wal.File, error) {
 	if err := f.fails(); err != nil {
 		return nil, err
 	}
@@ -326,7 +326,7 @@
 }
 
 type failingFile struct {
-	store.File
+	wal.File
 	fs *failingFS
 }
 
--- a/internal/peer/incarnation.go
+++ b/internal/peer/incarnation.go
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
-	"example.org/milletvane/internal/store"
+	"example.org/milletvane/internal/wal"
 )
 
 // Incarnations numbers the lives of an instance. A number is on the disk before it is used, so that no two lives share one;
 // it is the time in milliseconds where that is later, so that an empty disk under an old name begins above its old lives.
 type Incarnations struct {
-	fs   store.FS
+	fs   wal.FS
 	name string // of the file
 
 	mu   sync.Mutex
@@ -31,13 +31,13 @@
 func (e *IncarnationError) Error() string   { return e.Problem() + ": " + e.Err.Error() }
 func (e *IncarnationError) Unwrap() error   { return e.Err }
 func (e *IncarnationError) Problem() string { return "no incarnation could be written to " + e.File }
-func (e *IncarnationError) Retryable() bool { return store.IsFull(e.Err) }
+func (e *IncarnationError) Retryable() bool { return wal.IsFull(e.Err) }
 func (e *IncarnationError) Remedy() string {
 	return "see that the folder can be written, then start again"
 }
 
 // OpenIncarnations reads the last one from a folder. What can't be read counts as none: peers tell, then.
-func OpenIncarnations(disk store.FS, dir string) (*Incarnations, error) {
+func OpenIncarnations(disk wal.FS, dir string) (*Incarnations, error) {
 	i := &Incarnations{fs: disk, name: filepath.Join(dir, "incarnation")}
 	if err := disk.MkdirAll(dir); err != nil {
 		return nil, &IncarnationError{i.name, err}
@@ -60,7 +60,7 @@
 	n := max(i.last+1, above+1, uint64(max(now.Milliseconds(), 0)))
 	b := binary.BigEndian.AppendUint64(nil, n)
 	b = binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b))
-	if err := store.Replace(i.fs, i.name, b); err != nil {
+	if err := wal.Replace(i.fs, i.name, b); err != nil {
 		return 0, &IncarnationError{i.name, err}
 	}
 	i.last = n
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"example.org/milletvane/internal/peer/peertest"
 	"example.org/milletvane/internal/peer/simnet"
 	"example.org/milletvane/internal/standin"
-	"example.org/milletvane/internal/store/faultfs"
+	"example.org/milletvane/internal/wal/faultfs"
 )
 
 type simRig struct{ *simnet.Network }
--- a/internal/peer/process_test.go
+++ b/internal/peer/process_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/store"
+	"example.org/milletvane/internal/wal"
 )
 
 // childEnv tells a child process who it is.
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal([]byte(text), &c); err != nil {
 		return err
 	}
-	lives, err := peer.OpenIncarnations(store.OSFS{}, c.Dir)
+	lives, err := peer.OpenIncarnations(wal.OSFS{}, c.Dir)
 	if err != nil {
 		return err
 	}
--- a/internal/store/faultfs/disk.go
+++ b/internal/wal/faultfs/disk.go
@@ -11,13 +11,13 @@
 	"sync"
 	"syscall"
 
-	"example.org/milletvane/internal/store"
+	"example.org/milletvane/internal/wal"
 )
 
 // ErrIO is what a disk that fails says.
 var ErrIO = errors.New("input/output error")
 
-// FS is a store.FS. Without faults it keeps all that was synced through Crash, and of the rest whatever chance leaves.
+// FS is a wal.FS. Without faults it keeps all that was synced through Crash, and of the rest whatever chance leaves.
 type FS struct {
 	mu    sync.Mutex
 	rnd   *rand.Rand
@@ -149,7 +149,7 @@
 	d.ops = append(d.ops, op)
 }
 
-// MkdirAll implements store.FS.
+// MkdirAll implements wal.FS.
 func (d *FS) MkdirAll(dir string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// List implements store.FS.
+// List implements wal.FS.
 func (d *FS) List(dir string) (names []string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,7 +173,7 @@
 	return names, nil
 }
 
-// ReadFile implements store.FS.
+// ReadFile implements wal.FS.
 func (d *FS) ReadFile(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,8 +184,8 @@
 	return slices.Clone(n.data), nil
 }
 
-// Create implements store.FS.
-func (d *FS) Create(name string) (store.File, error) {
+// Create implements wal.FS.
+func (d *FS) Create(name string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.room == 0 {
@@ -196,8 +196,8 @@
 	return &file{d, n}, nil
 }
 
-// Append implements store.FS.
-func (d *FS) Append(name string) (store.File, error) {
+// Append implements wal.FS.
+func (d *FS) Append(name string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.names[name]
@@ -207,7 +207,7 @@
 	return &file{d, n}, nil
 }
 
-// Rename implements store.FS, of a file or a folder.
+// Rename implements wal.FS, of a file or a folder.
 func (d *FS) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// Remove implements store.FS.
+// Remove implements wal.FS.
 func (d *FS) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// SyncDir implements store.FS.
+// SyncDir implements wal.FS.
 func (d *FS) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -274,7 +274,7 @@
 	n *inode
 }
 
-// Write implements store.File.
+// Write implements wal.File.
 func (f *file) Write(b []byte) (int, error) {
 	f.d.mu.Lock()
 	stalled := f.d.stalled
@@ -296,7 +296,7 @@
 	return n, nil
 }
 
-// Truncate implements store.File.
+// Truncate implements wal.File.
 func (f *file) Truncate(size int64) error {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
@@ -306,7 +306,7 @@
 	return nil
 }
 
-// Sync implements store.File.
+// Sync implements wal.File.
 func (f *file) Sync() error {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
@@ -319,5 +319,5 @@
 	return nil
 }
 
-// Close implements store.File.
+// Close implements wal.File.
 func (f *file) Close() error { return nil }
--- a/internal/store/format_test.go
+++ b/internal/wal/format_test.go
@@ -1,4 +1,4 @@
-package store_test
+package wal_test
 
 import (
 	"crypto/sha256"
@@ -13,8 +13,8 @@
 	"syscall"
 	"testing"
 
-	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faultfs"
+	"example.org/milletvane/internal/wal"
+	"example.org/milletvane/internal/wal/faultfs"
 )
 
 // The files of a log outlive the build that wrote them: the next build has to read them, and to write the same bytes, as
@@ -136,7 +136,7 @@
 	return hex.EncodeToString(d[:8])
 }
 
-func filesOn(t *testing.T, fs store.FS, dir string) formatFiles {
+func filesOn(t *testing.T, fs wal.FS, dir string) formatFiles {
 	t.Helper()
 	f := formatFiles{}
 	names, err := fs.List(dir)
@@ -171,11 +171,11 @@
 
 // outcome names what kind of error one is, with what it says of the files.
 func outcome(err error) string {
-	var full *store.NoSpaceError
-	var broken *store.WriteFailedError
-	var damage *store.CorruptionError
-	var closed *store.ClosedError
-	var large *store.TooLargeError
+	var full *wal.NoSpaceError
+	var broken *wal.WriteFailedError
+	var damage *wal.CorruptionError
+	var closed *wal.ClosedError
+	var large *wal.TooLargeError
 	switch {
 	case err == nil:
 		return "ok"
@@ -194,7 +194,7 @@
 }
 
 // recoveredText names what an open log had in it, field by field.
-func recoveredText(held *store.RecoveredLog) string {
+func recoveredText(held *wal.RecoveredLog) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "snapshot %d %s\n", held.SnapshotNumber, hex.EncodeToString(held.Snapshot))
 	for _, r := range held.Records {
@@ -209,10 +209,10 @@
 }
 
 // reopen opens a log, appends one record and closes it, and says what came of each step.
-func reopen(t *testing.T, fs store.FS, opts store.Options) string {
+func reopen(t *testing.T, fs wal.FS, opts wal.Options) string {
 	t.Helper()
 	var b strings.Builder
-	j, held, err := store.Open(fs, formatDir, opts)
+	j, held, err := wal.Open(fs, formatDir, opts)
 	fmt.Fprintf(&b, "open %s\n", outcome(err))
 	if err == nil {
 		fmt.Fprintf(&b, "%sfiles\n%s", recoveredText(held), filesOn(t, fs, formatDir).digests())
@@ -220,7 +220,7 @@
 		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, outcome(err), outcome(j.Close()))
 	}
 	fmt.Fprintf(&b, "files\n%s", filesOn(t, fs, formatDir).digests())
-	var damage *store.CorruptionError
+	var damage *wal.CorruptionError
 	if errors.As(err, &damage) && damage.QuarantineDir != "" {
 		fmt.Fprintf(&b, "moved files\n%s", filesOn(t, fs, damage.QuarantineDir).digests())
 	}
@@ -228,10 +228,10 @@
 }
 
 // formatScript is what a case does to a log.
-type formatScript func(t *testing.T, j store.Log)
+type formatScript func(t *testing.T, j wal.Log)
 
 func appends(records ...string) formatScript {
-	return func(t *testing.T, j store.Log) {
+	return func(t *testing.T, j wal.Log) {
 		t.Helper()
 		for _, r := range records {
 			if _, err := j.Append([]byte(r)); err != nil {
@@ -242,7 +242,7 @@
 }
 
 func snapshotAt(upTo uint64, state string) formatScript {
-	return func(t *testing.T, j store.Log) {
+	return func(t *testing.T, j wal.Log) {
 		t.Helper()
 		if err := j.Snapshot(upTo, []byte(state)); err != nil {
 			t.Fatal(err)
@@ -251,10 +251,10 @@
 }
 
 // write has the files that a script leaves in a new log.
-func write(t *testing.T, opts store.Options, script ...formatScript) formatFiles {
+func write(t *testing.T, opts wal.Options, script ...formatScript) formatFiles {
 	t.Helper()
 	d := faultfs.New(1)
-	j, _, err := store.Open(d, formatDir, opts)
+	j, _, err := wal.Open(d, formatDir, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -280,7 +280,7 @@
 	secondSegment = "journal-0000000000000002" // of the cases with short segments
 )
 
-func withSegments(bytes int64) store.Options {
+func withSegments(bytes int64) wal.Options {
 	opts := small
 	opts.SegmentBytes = bytes
 	return opts
@@ -289,7 +289,7 @@
 // formatCase is a log as a script writes it, changed then as a fault would.
 type formatCase struct {
 	name   string
-	opts   store.Options
+	opts   wal.Options
 	script []formatScript
 	change func(f formatFiles)
 }
@@ -393,7 +393,7 @@
 func TestFilesOnTheSystemsDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	script := []formatScript{appends("the first of some records", "the second", "the third"), snapshotAt(2, "two")}
-	j, _, err := store.Open(store.OSFS{}, dir, withSegments(64))
+	j, _, err := wal.Open(wal.OSFS{}, dir, withSegments(64))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -403,10 +403,10 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := filesOn(t, store.OSFS{}, dir).text(), write(t, withSegments(64), script...).text(); got != want {
+	if got, want := filesOn(t, wal.OSFS{}, dir).text(), write(t, withSegments(64), script...).text(); got != want {
 		t.Errorf("on the system's disk:\n%s\nin memory:\n%s", got, want)
 	}
-	for _, name := range append(filesOn(t, store.OSFS{}, dir).names(), ".") {
+	for _, name := range append(filesOn(t, wal.OSFS{}, dir).names(), ".") {
 		info, err := os.Stat(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -424,7 +424,7 @@
 // The bounds of a record and of a segment, in bytes, are what they were.
 func TestBoundsStayAsTheyAre(t *testing.T) {
 	d := faultfs.New(1)
-	j, _, err := store.Open(d, formatDir, store.Options{})
+	j, _, err := wal.Open(d, formatDir, wal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -433,7 +433,7 @@
 		n, err := j.Append(make([]byte, size))
 		fmt.Fprintf(&b, "append %d bytes: %d %s\n", size, n, outcome(err))
 	}
-	fmt.Fprintf(&b, "close %s\n%s", outcome(j.Close()), reopen(t, d, store.Options{}))
+	fmt.Fprintf(&b, "close %s\n%s", outcome(j.Close()), reopen(t, d, wal.Options{}))
 	compare(t, "bounds", b.String())
 }
 
@@ -473,7 +473,7 @@
 
 // faultyFS fails calls of a file system by their number, and keeps the names of all calls.
 type faultyFS struct {
-	store.FS
+	wal.FS
 	calls []string
 	fails func(call int) error
 }
@@ -504,7 +504,7 @@
 	return f.FS.ReadFile(name)
 }
 
-func (f *faultyFS) Create(name string) (store.File, error) {
+func (f *faultyFS) Create(name string) (wal.File, error) {
 	if err := f.call("create " + filepath.Base(name)); err != nil {
 		return nil, err
 	}
@@ -512,7 +512,7 @@
 	return &faultyFile{w, f}, err
 }
 
-func (f *faultyFS) Append(name string) (store.File, error) {
+func (f *faultyFS) Append(name string) (wal.File, error) {
 	if err := f.call("append " + filepath.Base(name)); err != nil {
 		return nil, err
 	}
@@ -542,7 +542,7 @@
 }
 
 type faultyFile struct {
-	store.File
+	wal.File
 	fs *faultyFS
 }
 
@@ -572,9 +572,9 @@
 func TestEveryFailedCallEndsAsBefore(t *testing.T) {
 	t.Parallel()
 	opts := withSegments(64)
-	script := func(t *testing.T, fs store.FS) string {
+	script := func(t *testing.T, fs wal.FS) string {
 		var b strings.Builder
-		j, held, err := store.Open(fs, formatDir, opts)
+		j, held, err := wal.Open(fs, formatDir, opts)
 		fmt.Fprintf(&b, "open %s\n", outcome(err))
 		if err != nil {
 			return b.String()
--- a/internal/store/open.go
+++ b/internal/wal/open.go
@@ -1,4 +1,4 @@
-package store
+package wal
 
 import (
 	"encoding/binary"
--- a/internal/store/process_test.go
+++ b/internal/wal/process_test.go
@@ -1,4 +1,4 @@
-package store_test
+package wal_test
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"syscall"
 	"testing"
 
-	"example.org/milletvane/internal/store"
+	"example.org/milletvane/internal/wal"
 )
 
 // childDir names the store of a child process; childLimit the most that it may write to one file.
@@ -45,7 +45,7 @@
 	if limit != "" {
 		opts.SegmentBytes = 1 << 30
 	}
-	j, held, err := store.Open(store.OSFS{}, dir, opts)
+	j, held, err := wal.Open(wal.OSFS{}, dir, opts)
 	if err != nil {
 		fmt.Println("error", err)
 		return 1
@@ -66,7 +66,7 @@
 				mu.Lock() // numbers follow the order of appends, and a record tells its number
 				next++
 				n, err := j.Append([]byte(long(next)))
-				var full *store.NoSpaceError
+				var full *wal.NoSpaceError
 				if errors.As(err, &full) {
 					next--
 					fmt.Println("full", next)
--- a/internal/store/store.go
+++ b/internal/wal/store.go
@@ -1,9 +1,9 @@
-// Package store keeps records on disk through power loss: a journal in segments, with snapshots that let old segments go.
+// Package wal keeps records on disk through power loss: a journal in segments, with snapshots that let old segments go.
 //
 // A record is acknowledged, that is Append returns without an error, only once it is on the disk. A sync that failed is
 // never taken for a success later: the store takes nothing more. What a torn write left at the journal's end was never
 // acknowledged, and is cut. Whatever else does not fit is damage: the store does not open and puts its files aside.
-package store
+package wal
 
 // Log keeps records in order. Its methods may be called from any goroutine.
 type Log interface {
--- a/internal/store/store_test.go
+++ b/internal/wal/store_test.go
@@ -1,4 +1,4 @@
-package store_test
+package wal_test
 
 import (
 	"errors"
@@ -12,32 +12,32 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/store"
-	"example.org/milletvane/internal/store/faultfs"
-	"example.org/milletvane/internal/store/waltest"
+	"example.org/milletvane/internal/wal"
+	"example.org/milletvane/internal/wal/faultfs"
+	"example.org/milletvane/internal/wal/waltest"
 )
 
-var small = store.Options{SegmentBytes: 8 << 10, Logger: slog.New(slog.DiscardHandler)}
+var small = wal.Options{SegmentBytes: 8 << 10, Logger: slog.New(slog.DiscardHandler)}
 
-type memoryRig struct{ m store.MemoryLog }
+type memoryRig struct{ m wal.MemoryLog }
 
-func (r *memoryRig) Open() (store.Log, *store.RecoveredLog, error) { return &r.m, r.m.Open(), nil }
-func (r *memoryRig) Crash()                                        {}
+func (r *memoryRig) Open() (wal.Log, *wal.RecoveredLog, error) { return &r.m, r.m.Open(), nil }
+func (r *memoryRig) Crash()                                    {}
 
 type diskRig struct{ dir string }
 
-func (r *diskRig) Open() (store.Log, *store.RecoveredLog, error) {
-	return asStore(store.Open(store.OSFS{}, r.dir, small))
+func (r *diskRig) Open() (wal.Log, *wal.RecoveredLog, error) {
+	return asStore(wal.Open(wal.OSFS{}, r.dir, small))
 }
 func (r *diskRig) Crash() {}
 
 type faultyRig struct{ *faultfs.FS }
 
-func (r faultyRig) Open() (store.Log, *store.RecoveredLog, error) {
-	return asStore(store.Open(r.FS, "d", small))
+func (r faultyRig) Open() (wal.Log, *wal.RecoveredLog, error) {
+	return asStore(wal.Open(r.FS, "d", small))
 }
 
-func asStore(j *store.FileLog, h *store.RecoveredLog, err error) (store.Log, *store.RecoveredLog, error) {
+func asStore(j *wal.FileLog, h *wal.RecoveredLog, err error) (wal.Log, *wal.RecoveredLog, error) {
 	if err != nil {
 		return nil, nil, err
 	}
@@ -54,16 +54,16 @@
 	}
 }
 
-func journal(t *testing.T, d *faultfs.FS) (*store.FileLog, *store.RecoveredLog) {
+func journal(t *testing.T, d *faultfs.FS) (*wal.FileLog, *wal.RecoveredLog) {
 	t.Helper()
-	j, held, err := store.Open(d, "d", small)
+	j, held, err := wal.Open(d, "d", small)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return j, held
 }
 
-func mustAppend(t *testing.T, j *store.FileLog, texts ...string) {
+func mustAppend(t *testing.T, j *wal.FileLog, texts ...string) {
 	t.Helper()
 	for _, text := range texts {
 		if _, err := j.Append([]byte(text)); err != nil {
@@ -116,7 +116,7 @@
 	j, _ := journal(t, d)
 	mustAppend(t, j, "one")
 	d.FailNextSyncs(1)
-	var broken *store.WriteFailedError
+	var broken *wal.WriteFailedError
 	for range 3 {
 		if _, err := j.Append([]byte("two")); !errors.As(err, &broken) || !errors.Is(err, faultfs.ErrIO) || broken.Retryable() {
 			t.Fatalf("after a failed sync: %v", err)
@@ -138,7 +138,7 @@
 		j, _ := journal(t, d)
 		mustAppend(t, j, "one", "two")
 		d.SetFreeBytes(room)
-		var full *store.NoSpaceError
+		var full *wal.NoSpaceError
 		for range 3 {
 			if _, err := j.Append([]byte("a record that is longer than the room")); !errors.As(err, &full) || !full.Retryable() {
 				t.Fatalf("room %d: %v", room, err)
@@ -171,8 +171,8 @@
 		if !d.FlipBit("journal", -1-at) {
 			t.Fatal("nothing to flip")
 		}
-		_, _, err := store.Open(d, "d", small)
-		var damage *store.CorruptionError
+		_, _, err := wal.Open(d, "d", small)
+		var damage *wal.CorruptionError
 		if !errors.As(err, &damage) || damage.Retryable() || damage.QuarantineDir == "" {
 			t.Fatalf("a bit %d bytes from the end: %v", at, err)
 		}
@@ -199,8 +199,8 @@
 		if !d.FlipBit("state", at) {
 			continue
 		}
-		var damage *store.CorruptionError
-		if _, _, err := store.Open(d, "d", small); !errors.As(err, &damage) {
+		var damage *wal.CorruptionError
+		if _, _, err := wal.Open(d, "d", small); !errors.As(err, &damage) {
 			t.Fatalf("a bit at %d of the state: %v", at, err)
 		}
 	}
@@ -239,8 +239,8 @@
 		d.LoseSynced(true)
 		mustAppend(t, j, long(3), long(4))
 		d.Crash()
-		j, held, err := store.Open(d, "d", small)
-		var damage *store.CorruptionError
+		j, held, err := wal.Open(d, "d", small)
+		var damage *wal.CorruptionError
 		if errors.As(err, &damage) {
 			continue // what it lost was in the middle of what it kept
 		}
@@ -263,7 +263,7 @@
 func BenchmarkAppend(b *testing.B) {
 	for _, at := range []int{1, 32} {
 		b.Run(fmt.Sprint(at), func(b *testing.B) {
-			j, _, err := store.Open(store.OSFS{}, filepath.Join(b.TempDir(), "d"), store.Options{Logger: slog.New(slog.DiscardHandler)})
+			j, _, err := wal.Open(wal.OSFS{}, filepath.Join(b.TempDir(), "d"), wal.Options{Logger: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/waltest/contract.go
+++ b/internal/wal/waltest/contract.go
@@ -10,13 +10,13 @@
 	"sync"
 	"testing"
 
-	"example.org/milletvane/internal/store"
+	"example.org/milletvane/internal/wal"
 )
 
 // Rig is one store with what it stands on.
 type Rig interface {
 	// Open opens the store and returns what it holds.
-	Open() (store.Log, *store.RecoveredLog, error)
+	Open() (wal.Log, *wal.RecoveredLog, error)
 	// Crash ends it as a loss of power does. The Store that was open is not used again.
 	Crash()
 }
@@ -36,7 +36,7 @@
 	})
 }
 
-func open(t *testing.T, r Rig) (store.Log, *store.RecoveredLog) {
+func open(t *testing.T, r Rig) (wal.Log, *wal.RecoveredLog) {
 	t.Helper()
 	s, held, err := r.Open()
 	if err != nil {
@@ -144,15 +144,15 @@
 
 func bounds(t *testing.T, r Rig) {
 	s, _ := open(t, r)
-	var large *store.TooLargeError
-	if _, err := s.Append(make([]byte, store.MaxRecordBytes+1)); !errors.As(err, &large) {
+	var large *wal.TooLargeError
+	if _, err := s.Append(make([]byte, wal.MaxRecordBytes+1)); !errors.As(err, &large) {
 		t.Errorf("a record too large: %v", err)
 	}
 	if n, err := s.Append(nil); n != 1 || err != nil {
 		t.Errorf("an empty record: %d, %v", n, err)
 	}
 	s.Close()
-	var closed *store.ClosedError
+	var closed *wal.ClosedError
 	if _, err := s.Append(nil); !errors.As(err, &closed) {
 		t.Errorf("after Close: %v", err)
 	}
@@ -173,7 +173,7 @@
 		switch rnd.IntN(10) {
 		case 0:
 			r.Crash()
-			var held *store.RecoveredLog
+			var held *wal.RecoveredLog
 			s, held = open(t, r)
 			if int(held.LastNumber()) != len(want) || int(held.SnapshotNumber)+len(held.Records) != len(want) {
 				t.Fatalf("seed %d: holds up to %d and %d records, acknowledged were %d", seed, held.SnapshotNumber, len(held.Records), len(want))
