--- a/internal/peer/format_test.go
+++ b/internal/peer/format_test.go
@@ -23,7 +23,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/peer/peertest"
+	"example.org/milletvane/internal/peer/membershiptest"
 	"example.org/milletvane/internal/peer/simnet"
 	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/internal/wal/faultfs"
@@ -379,7 +379,7 @@
 // message as one packet that is no more than its own bytes.
 func TestSocketsCarryPacketsAsTheyAre(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
-	var box peertest.Inbox
+	var box membershiptest.Inbox
 	a := r.Start(peer.Options{Name: "a", Incarnation: 0x0102030405060708, OnMessage: box.Receive})
 	host, text, err := net.SplitHostPort(freeAddr(t))
 	if err != nil {
@@ -407,7 +407,7 @@
 		t.Fatal(err)
 	}
 	const want = "010101" + "61" + "0102030405060708" + "68656c6c6f" // head, name, incarnation, body
-	peertest.Until(t, r, "the packet and the metadata are there", func() bool {
+	membershiptest.Until(t, r, "the packet and the metadata are there", func() bool {
 		a.Send("b", []byte("hello"))
 		meta, got := plain.state("a")
 		return meta == "0102030405060708" && slices.Contains(got, want)
@@ -420,7 +420,7 @@
 			t.Errorf("b has incarnation %d, want 7", m.Incarnation)
 		}
 	}
-	peertest.Until(t, r, "a has what b sends", func() bool {
+	membershiptest.Until(t, r, "a has what b sends", func() bool {
 		for _, m := range list.Members() {
 			if m.Name == "a" {
 				if err := list.SendBestEffort(m, rawMessage("b", 7, "raw")); err != nil {
--- a/internal/peer/peertest/contract.go
+++ b/internal/peer/membershiptest/contract.go
@@ -1,6 +1,6 @@
-// Package peertest is the contract of transports: one suite that every implementation has to pass. A new one joins by one
+// Package membershiptest is the contract of transports: one suite that every implementation has to pass. A new one joins by one
 // call of Run.
-package peertest
+package membershiptest
 
 import (
 	"bytes"
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/peer/peertest"
+	"example.org/milletvane/internal/peer/membershiptest"
 	"example.org/milletvane/internal/peer/simnet"
 	"example.org/milletvane/internal/standin"
 	"example.org/milletvane/internal/wal/faultfs"
@@ -118,18 +118,20 @@
 func (r socketRig) Advance(d time.Duration) { time.Sleep(d) }
 
 func TestContract(t *testing.T) {
-	for name, rig := range map[string]func(t *testing.T) peertest.Rig{
-		"in order": func(*testing.T) peertest.Rig { return simRig{simnet.New(1, simnet.Faults{MinDelay: time.Millisecond})} },
-		"disordered": func(*testing.T) peertest.Rig {
+	for name, rig := range map[string]func(t *testing.T) membershiptest.Rig{
+		"in order": func(*testing.T) membershiptest.Rig {
+			return simRig{simnet.New(1, simnet.Faults{MinDelay: time.Millisecond})}
+		},
+		"disordered": func(*testing.T) membershiptest.Rig {
 			return simRig{simnet.New(2, simnet.Faults{MaxDelay: 300 * time.Millisecond, LossRate: 0.2, DuplicateRate: 0.2})}
 		},
-		"sockets": func(t *testing.T) peertest.Rig {
+		"sockets": func(t *testing.T) membershiptest.Rig {
 			return socketRig{t, &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}, true}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			peertest.Run(t, rig)
+			membershiptest.Run(t, rig)
 		})
 	}
 }
@@ -137,10 +139,10 @@
 // An instance with another key, or none, is not heard and hears nothing.
 func TestWhoHasNoKeyIsNotHeard(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
-	var a, b peertest.Inbox
+	var a, b membershiptest.Inbox
 	ta := r.Start(peer.Options{Name: "a", Incarnation: 1, OnMessage: a.Receive})
 	tb := r.Start(peer.Options{Name: "b", Incarnation: 1, OnMessage: b.Receive})
-	var heard peertest.Inbox
+	var heard membershiptest.Inbox
 	for _, k := range [][]byte{nil, []byte("fedcba9876543210")} {
 		g, err := peer.Listen(peer.GossipOptions{Options: peer.Options{Name: "mallory", Incarnation: 1, OnMessage: heard.Receive},
 			Bind: freeAddr(t), Join: []string{r.links.addrs["a"]}, Key: k, Probe: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
@@ -150,7 +152,7 @@
 		defer g.Close()
 	}
 	n := 0
-	peertest.Until(t, r, "a and b talk", func() bool {
+	membershiptest.Until(t, r, "a and b talk", func() bool {
 		ta.Send("b", []byte("x"))
 		tb.Send("a", []byte("x"))
 		n++
