--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -17,7 +17,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/fault"
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/rules"
 )
@@ -42,7 +42,7 @@
 	WarmupDuration   time.Duration // a server that started is cold for this long
 	FS               wal.FS        // nil: the system's
 	// Connect is the network to the others; nil: sockets, with Listen, Members and Key.
-	Connect func(peer.Options) (peer.Transport, error)
+	Connect func(membership.Options) (membership.Transport, error)
 	Clock   func() time.Duration
 	Logger  *slog.Logger
 }
@@ -50,9 +50,9 @@
 // Cluster is one instance's part.
 type Cluster struct {
 	opts  Options
-	lives *peer.Incarnations
+	lives *membership.Incarnations
 	store wal.Log // nil: its files were damaged, or the disk is no good; the program goes on without
-	peers peer.Transport
+	peers membership.Transport
 
 	mu       sync.Mutex
 	began    time.Duration
@@ -89,7 +89,7 @@
 	}
 	disk := c.load()
 	var err error
-	if c.lives, err = peer.OpenIncarnations(o.FS, o.Dir); err != nil {
+	if c.lives, err = membership.OpenIncarnations(o.FS, o.Dir); err != nil {
 		return nil, err
 	}
 	life, err := c.lives.Next(0, c.began)
@@ -105,15 +105,15 @@
 	c.recovery = recovery.New(set)
 	c.handle(recovery.Startup{Disk: disk})
 	if o.Connect == nil {
-		o.Connect = func(p peer.Options) (peer.Transport, error) {
-			g, err := peer.Listen(peer.GossipOptions{Options: p, Bind: o.Listen, Join: join, Key: o.Key, Logger: o.Logger})
+		o.Connect = func(p membership.Options) (membership.Transport, error) {
+			g, err := membership.Listen(membership.GossipOptions{Options: p, Bind: o.Listen, Join: join, Key: o.Key, Logger: o.Logger})
 			if err != nil {
 				return nil, err // not a Transport that holds a nil pointer
 			}
 			return g, nil
 		}
 	}
-	g, err := o.Connect(peer.Options{Name: o.Name, Incarnation: life, OnMessage: c.receive, BumpIncarnation: func(above uint64) (uint64, error) {
+	g, err := o.Connect(membership.Options{Name: o.Name, Incarnation: life, OnMessage: c.receive, BumpIncarnation: func(above uint64) (uint64, error) {
 		o.Logger.Warn("peers remember a later life than this disk does: it is older than they saw", "life", above)
 		return c.lives.Next(above, o.Clock())
 	}})
@@ -354,7 +354,7 @@
 }
 
 // receive takes a message of a peer.
-func (c *Cluster) receive(from peer.Message) {
+func (c *Cluster) receive(from membership.Message) {
 	var m message
 	if json.Unmarshal(from.Payload, &m) != nil {
 		return
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -13,7 +13,7 @@
 
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/wal/faultfs"
 	"example.org/milletvane/rules"
 )
@@ -194,7 +194,7 @@
 		whole := false
 		for i := range 2 * len(parts) {
 			b := parts[(i*7+3)%len(parts)]
-			if len(b) > peer.MaxBodyBytes {
+			if len(b) > membership.MaxBodyBytes {
 				t.Fatalf("a part of %d bytes", len(b))
 			}
 			m := message{}
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -20,7 +20,7 @@
 	"example.org/milletvane/internal/cluster/loadshed"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/internal/wal/faultfs"
 	"example.org/milletvane/rules"
@@ -35,14 +35,14 @@
 
 // recorder is a transport that keeps what an instance sends, and through which a test has it receive.
 type recorder struct {
-	receive func(peer.Message)
+	receive func(membership.Message)
 	sent    map[string][]string
 }
 
-func (r *recorder) Send(to string, body []byte)    { r.sent[to] = append(r.sent[to], string(body)) }
-func (r *recorder) Members() []peer.Member         { return nil }
-func (r *recorder) Counts() map[string]peer.Counts { return nil }
-func (r *recorder) Close() error                   { return nil }
+func (r *recorder) Send(to string, body []byte)          { r.sent[to] = append(r.sent[to], string(body)) }
+func (r *recorder) Members() []membership.Member         { return nil }
+func (r *recorder) Counts() map[string]membership.Counts { return nil }
+func (r *recorder) Close() error                         { return nil }
 
 // exchange is what some instances send, store and conclude from what they receive, line by line.
 type exchange struct {
@@ -69,7 +69,7 @@
 		FS:     disk,
 		Clock:  func() time.Duration { return x.now },
 		Logger: slog.New(slog.DiscardHandler),
-		Connect: func(o peer.Options) (peer.Transport, error) {
+		Connect: func(o membership.Options) (membership.Transport, error) {
 			x.links.receive = o.OnMessage
 			return x.links, nil
 		},
@@ -83,7 +83,7 @@
 
 // receive has the instance take a message.
 func (x *exchange) receive(from, body string) {
-	x.links.receive(peer.Message{From: from, Incarnation: 1, Payload: []byte(body)})
+	x.links.receive(membership.Message{From: from, Incarnation: 1, Payload: []byte(body)})
 }
 
 // flush notes what was sent since the last call. Equal messages in a row count as one: how often peers are asked is a matter
@@ -185,7 +185,7 @@
 	}
 	digest := x.lastSent("tier")
 
-	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", peer.MaxBodyBytes)}
+	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", membership.MaxBodyBytes)}
 	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListDelta, Version: 10, Servers: []engine.Server{long}})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"example.org/milletvane/internal/discovery"
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 )
 
 // Messages between instances are JSON, each within a datagram. A list goes in parts; asking again brings those that were lost.
@@ -52,7 +52,7 @@
 func (m message) parts(servers []discovery.Endpoint) [][]byte {
 	m.Kind, m.Servers = part, nil
 	frame, _ := json.Marshal(m)
-	room := peer.MaxBodyBytes - len(frame) - 64 // the numbers that are not set yet, and the list's brackets
+	room := membership.MaxBodyBytes - len(frame) - 64 // the numbers that are not set yet, and the list's brackets
 	var groups [][]discovery.Endpoint
 	size := room + 1
 	for _, s := range servers {
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -10,8 +10,8 @@
 
 	"example.org/milletvane/internal/cluster/recovery"
 	"example.org/milletvane/internal/discovery"
-	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/peer/simnet"
+	"example.org/milletvane/internal/membership"
+	"example.org/milletvane/internal/membership/simnet"
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
@@ -57,7 +57,7 @@
 	}
 	c, err := Start(Options{Name: name, Peers: others, Dir: "d", PeerTimeout: 2 * time.Second, WarmupDuration: 20 * time.Second, FS: s.disks[name],
 		Clock: func() time.Duration { return soakBase + s.net.Now }, Logger: slog.New(slog.DiscardHandler),
-		Connect: func(o peer.Options) (peer.Transport, error) { return s.net.Listen(o), nil }})
+		Connect: func(o membership.Options) (membership.Transport, error) { return s.net.Listen(o), nil }})
 	if err != nil {
 		return err
 	}
--- a/internal/fault/walk_test.go
+++ b/internal/fault/walk_test.go
@@ -17,7 +17,7 @@
 
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/internal/fault"
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/wal"
 )
 
@@ -26,10 +26,10 @@
 	&wal.NoSpaceError{Dir: "d", Err: io.ErrShortWrite}, &wal.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
 	&wal.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &wal.ClosedError{Dir: "d"}, &wal.TooLargeError{Bytes: 2, Most: 1},
 	&operator.KeyError{File: "f", Reason: "r"},
-	&peer.BindError{Addr: "a", Err: io.ErrShortWrite}, &peer.IncarnationError{File: "f", Err: io.ErrShortWrite},
+	&membership.BindError{Addr: "a", Err: io.ErrShortWrite}, &membership.IncarnationError{File: "f", Err: io.ErrShortWrite},
 }
 
-var walked = []string{"config/operator", "internal/peer", "internal/wal"}
+var walked = []string{"config/operator", "internal/membership", "internal/wal"}
 
 // Every error type of these packages is explained, and is found through the errors that wrap it.
 func TestEveryErrorTypeIsExplained(t *testing.T) {
--- a/internal/peer/format_test.go
+++ b/internal/membership/format_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package membership_test
 
 import (
 	"bytes"
@@ -22,9 +22,9 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/peer/membershiptest"
-	"example.org/milletvane/internal/peer/simnet"
+	"example.org/milletvane/internal/membership"
+	"example.org/milletvane/internal/membership/membershiptest"
+	"example.org/milletvane/internal/membership/simnet"
 	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/internal/wal/faultfs"
 )
@@ -80,8 +80,8 @@
 // takes says what an endpoint makes of packets, one after another, field by field.
 func takes(own uint64, raise func(uint64) (uint64, error), packets ...[]byte) string {
 	var b strings.Builder
-	e := peer.NewEndpoint(peer.Options{Name: "a", Incarnation: own,
-		OnMessage: func(m peer.Message) {
+	e := membership.NewEndpoint(membership.Options{Name: "a", Incarnation: own,
+		OnMessage: func(m membership.Message) {
 			fmt.Fprintf(&b, "message from %q incarnation %d body %x\n", m.From, m.Incarnation, m.Payload)
 		},
 		BumpIncarnation: func(above uint64) (uint64, error) {
@@ -116,10 +116,10 @@
 		incarnation uint64
 		body        string
 	}{{"b", 7, "body"}, {"gateway-17.zone", 0x0102030405060708, "\x00\xff"}, {"b", 0, ""}, {strings.Repeat("n", 128), 1<<64 - 1, strings.Repeat("x", 1100)}} {
-		e := peer.NewEndpoint(peer.Options{Name: c.name, Incarnation: c.incarnation})
+		e := membership.NewEndpoint(membership.Options{Name: c.name, Incarnation: c.incarnation})
 		fmt.Fprintf(&written, "message %x\n", e.Wrap([]byte(c.body)))
 	}
-	e := peer.NewEndpoint(peer.Options{Name: "a", Incarnation: 3})
+	e := membership.NewEndpoint(membership.Options{Name: "a", Incarnation: 3})
 	e.Seen("b", 0x0a0b0c0d0e0f1011)
 	_, reply := e.Take(rawMessage("b", 5, "of an earlier life"))
 	fmt.Fprintf(&written, "remembered %x\n", reply)
@@ -196,8 +196,8 @@
 		}
 		fmt.Fprintf(&all, "%x: cuts %s flips %s\n", base, shortDigest(cuts.String()), shortDigest(flips.String()))
 	}
-	o := peer.NewEndpoint(peer.Options{}).Options()
-	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.QueueMost, peer.MaxBodyBytes, o.Pace(1000))
+	o := membership.NewEndpoint(membership.Options{}).Options()
+	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.QueueMost, membership.MaxBodyBytes, o.Pace(1000))
 	compare(t, "packets.taken", all.String())
 }
 
@@ -223,7 +223,7 @@
 		return d
 	}
 	next := func(d wal.FS, above uint64, now time.Duration) string {
-		i, err := peer.OpenIncarnations(d, "d")
+		i, err := membership.OpenIncarnations(d, "d")
 		if err != nil {
 			return incarnationOutcome(err)
 		}
@@ -272,7 +272,7 @@
 
 // incarnationOutcome names an error without its text.
 func incarnationOutcome(err error) string {
-	var failed *peer.IncarnationError
+	var failed *membership.IncarnationError
 	if !errors.As(err, &failed) {
 		return "other error"
 	}
@@ -380,7 +380,7 @@
 func TestSocketsCarryPacketsAsTheyAre(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
 	var box membershiptest.Inbox
-	a := r.Start(peer.Options{Name: "a", Incarnation: 0x0102030405060708, OnMessage: box.Receive})
+	a := r.Start(membership.Options{Name: "a", Incarnation: 0x0102030405060708, OnMessage: box.Receive})
 	host, text, err := net.SplitHostPort(freeAddr(t))
 	if err != nil {
 		t.Fatal(err)
@@ -450,8 +450,8 @@
 	names := []string{"a", "b", "c", "d"}
 	nodes := map[string]*simnet.Node{}
 	start := func(name string, incarnation uint64) {
-		o := peer.Options{Name: name, Incarnation: incarnation, BytesPerSecond: []int{0, 2000, 20000}[rnd(3)], QueueMost: []int{0, 2, 8}[rnd(3)],
-			OnMessage: func(m peer.Message) {
+		o := membership.Options{Name: name, Incarnation: incarnation, BytesPerSecond: []int{0, 2000, 20000}[rnd(3)], QueueMost: []int{0, 2, 8}[rnd(3)],
+			OnMessage: func(m membership.Message) {
 				fmt.Fprintf(&b, "%d %s from %s incarnation %d body %x\n", n.Now, name, m.From, m.Incarnation, m.Payload)
 			}}
 		if rnd(2) == 0 {
@@ -484,9 +484,9 @@
 		for _, m := range nodes[from].Members() {
 			state := "alive"
 			switch m.State {
-			case peer.Suspect:
+			case membership.Suspect:
 				state = "suspect"
-			case peer.Gone:
+			case membership.Gone:
 				state = "gone"
 			}
 			fmt.Fprintf(&b, "%d %s knows %s incarnation %d %s\n", n.Now, from, m.Name, m.Incarnation, state)
--- a/internal/peer/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,4 +1,4 @@
-package peer
+package membership
 
 import (
 	"bytes"
--- a/internal/peer/membershiptest/contract.go
+++ b/internal/membership/membershiptest/contract.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 )
 
 // Rig is a network of instances.
 type Rig interface {
 	// Start starts an instance, or its next life under the same name.
-	Start(o peer.Options) peer.Transport
+	Start(o membership.Options) membership.Transport
 	// Cut stops what goes from one instance to another, or has it go again.
 	Cut(from, to string, cut bool)
 	// Advance lets time go by.
@@ -25,11 +25,11 @@
 // Inbox keeps what an instance receives.
 type Inbox struct {
 	mu  sync.Mutex
-	all []peer.Message
+	all []membership.Message
 }
 
-// Receive is for peer.Options.
-func (i *Inbox) Receive(m peer.Message) {
+// Receive is for membership.Options.
+func (i *Inbox) Receive(m membership.Message) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.all = append(i.all, m)
@@ -83,12 +83,12 @@
 }
 
 // fleet starts instances a, b, c and on, in their first lives, and waits until all know all.
-func fleet(t *testing.T, r Rig, n int) (ts []peer.Transport, boxes []*Inbox) {
+func fleet(t *testing.T, r Rig, n int) (ts []membership.Transport, boxes []*Inbox) {
 	t.Helper()
 	for i := range n {
 		box := &Inbox{}
 		boxes = append(boxes, box)
-		ts = append(ts, r.Start(peer.Options{Name: name(i), Incarnation: 1, OnMessage: box.Receive}))
+		ts = append(ts, r.Start(membership.Options{Name: name(i), Incarnation: 1, OnMessage: box.Receive}))
 	}
 	Until(t, r, "all know all", func() bool {
 		for _, tr := range ts {
@@ -103,13 +103,13 @@
 
 func name(i int) string { return string(rune('a' + i)) }
 
-func stateOf(tr peer.Transport, name string) peer.State {
+func stateOf(tr membership.Transport, name string) membership.State {
 	for _, m := range tr.Members() {
 		if m.Name == name {
 			return m.State
 		}
 	}
-	return peer.Gone
+	return membership.Gone
 }
 
 func messages(t *testing.T, r Rig) {
@@ -143,7 +143,7 @@
 	for i := range burst {
 		ts[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
 	}
-	ts[0].Send("b", make([]byte, peer.MaxBodyBytes+1))
+	ts[0].Send("b", make([]byte, membership.MaxBodyBytes+1))
 	Until(t, r, "c hears in spite of b's queue", func() bool {
 		ts[0].Send("c", []byte("on"))
 		return boxes[2].has("a", "on")
@@ -189,14 +189,14 @@
 	ts, boxes := fleet(t, r, 3)
 	ts[1].Close()
 	box := &Inbox{}
-	b := r.Start(peer.Options{Name: "b", Incarnation: 9, OnMessage: box.Receive})
+	b := r.Start(membership.Options{Name: "b", Incarnation: 9, OnMessage: box.Receive})
 	Until(t, r, "b is heard in its ninth life", func() bool {
 		b.Send("a", []byte("nine"))
 		b.Send("c", []byte("nine"))
 		return boxes[0].From("b", 9) > 0 && boxes[2].From("b", 9) > 0
 	})
 	b.Close()
-	b = r.Start(peer.Options{Name: "b", Incarnation: 4, OnMessage: box.Receive})
+	b = r.Start(membership.Options{Name: "b", Incarnation: 4, OnMessage: box.Receive})
 	Until(t, r, "messages of an old life are counted", func() bool {
 		b.Send("a", []byte("four"))
 		return ts[0].Counts()["b"].Old > 2
@@ -207,7 +207,7 @@
 	b.Close()
 	var mu sync.Mutex
 	var remembered []uint64
-	b = r.Start(peer.Options{Name: "b", Incarnation: 5, OnMessage: box.Receive, BumpIncarnation: func(above uint64) (uint64, error) {
+	b = r.Start(membership.Options{Name: "b", Incarnation: 5, OnMessage: box.Receive, BumpIncarnation: func(above uint64) (uint64, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		remembered = append(remembered, above)
@@ -228,16 +228,16 @@
 	ts, boxes := fleet(t, r, 4)
 	ts[2].Close()
 	Until(t, r, "c is gone for all", func() bool {
-		return stateOf(ts[0], "c") == peer.Gone && stateOf(ts[1], "c") == peer.Gone && stateOf(ts[3], "c") == peer.Gone
+		return stateOf(ts[0], "c") == membership.Gone && stateOf(ts[1], "c") == membership.Gone && stateOf(ts[3], "c") == membership.Gone
 	})
-	if s := stateOf(ts[0], "b"); s == peer.Gone {
+	if s := stateOf(ts[0], "b"); s == membership.Gone {
 		t.Error("b is gone with c")
 	}
 	box := &Inbox{}
-	c := r.Start(peer.Options{Name: "c", Incarnation: 2, OnMessage: box.Receive})
+	c := r.Start(membership.Options{Name: "c", Incarnation: 2, OnMessage: box.Receive})
 	Until(t, r, "c is back for all", func() bool {
 		c.Send("a", []byte("back"))
 		ts[0].Send("c", []byte("welcome"))
-		return stateOf(ts[0], "c") == peer.Alive && stateOf(ts[3], "c") == peer.Alive && boxes[0].From("c", 2) > 0 && box.has("a", "welcome")
+		return stateOf(ts[0], "c") == membership.Alive && stateOf(ts[3], "c") == membership.Alive && boxes[0].From("c", 2) > 0 && box.has("a", "welcome")
 	})
 }
--- a/internal/peer/packet.go
+++ b/internal/membership/packet.go
@@ -1,4 +1,4 @@
-package peer
+package membership
 
 import "encoding/binary"
 
--- a/internal/peer/peer.go
+++ b/internal/membership/peer.go
@@ -1,7 +1,7 @@
-// Package peer has instances know of one another and talk: who is there, in which of its lives, and small messages between
+// Package membership has instances know of one another and talk: who is there, in which of its lives, and small messages between
 // them. Delay, loss, doubles, other orders and links cut one way are the normal case. Nothing here waits for a peer: what a
 // link can't take is dropped and counted.
-package peer
+package membership
 
 import (
 	"sync"
--- a/internal/peer/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package membership_test
 
 import (
 	"errors"
@@ -13,16 +13,16 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"example.org/milletvane/internal/peer"
-	"example.org/milletvane/internal/peer/membershiptest"
-	"example.org/milletvane/internal/peer/simnet"
+	"example.org/milletvane/internal/membership"
+	"example.org/milletvane/internal/membership/membershiptest"
+	"example.org/milletvane/internal/membership/simnet"
 	"example.org/milletvane/internal/standin"
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
 type simRig struct{ *simnet.Network }
 
-func (r simRig) Start(o peer.Options) peer.Transport { return r.Listen(o) }
+func (r simRig) Start(o membership.Options) membership.Transport { return r.Listen(o) }
 
 // links are what goes over real sockets between instances, and what of it is cut.
 type links struct {
@@ -44,7 +44,7 @@
 
 // cutWire is a wire of one instance that takes nothing on links that are cut.
 type cutWire struct {
-	peer.Wire
+	membership.Wire
 	from  string
 	links *links
 }
@@ -84,7 +84,7 @@
 	return addr
 }
 
-func (r socketRig) Start(o peer.Options) peer.Transport {
+func (r socketRig) Start(o membership.Options) membership.Transport {
 	r.links.mu.Lock()
 	addr := r.links.addrs[o.Name]
 	if addr == "" {
@@ -96,12 +96,12 @@
 		join = append(join, a)
 	}
 	r.links.mu.Unlock()
-	opts := peer.GossipOptions{Options: o, Bind: addr, Join: join, Key: key, Probe: 100 * time.Millisecond,
+	opts := membership.GossipOptions{Options: o, Bind: addr, Join: join, Key: key, Probe: 100 * time.Millisecond,
 		Logger: slog.New(slog.DiscardHandler)}
 	if r.cuts {
-		opts.Wrap = func(w peer.Wire) peer.Wire { return cutWire{w, o.Name, r.links} }
+		opts.Wrap = func(w membership.Wire) membership.Wire { return cutWire{w, o.Name, r.links} }
 	}
-	g, err := peer.Listen(opts)
+	g, err := membership.Listen(opts)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -140,11 +140,11 @@
 func TestWhoHasNoKeyIsNotHeard(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
 	var a, b membershiptest.Inbox
-	ta := r.Start(peer.Options{Name: "a", Incarnation: 1, OnMessage: a.Receive})
-	tb := r.Start(peer.Options{Name: "b", Incarnation: 1, OnMessage: b.Receive})
+	ta := r.Start(membership.Options{Name: "a", Incarnation: 1, OnMessage: a.Receive})
+	tb := r.Start(membership.Options{Name: "b", Incarnation: 1, OnMessage: b.Receive})
 	var heard membershiptest.Inbox
 	for _, k := range [][]byte{nil, []byte("fedcba9876543210")} {
-		g, err := peer.Listen(peer.GossipOptions{Options: peer.Options{Name: "mallory", Incarnation: 1, OnMessage: heard.Receive},
+		g, err := membership.Listen(membership.GossipOptions{Options: membership.Options{Name: "mallory", Incarnation: 1, OnMessage: heard.Receive},
 			Bind: freeAddr(t), Join: []string{r.links.addrs["a"]}, Key: k, Probe: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
@@ -171,10 +171,10 @@
 func TestBadAddressesAndKeysAreExplained(t *testing.T) {
 	taken, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer taken.Close()
-	for _, o := range []peer.GossipOptions{{Bind: "x"}, {Bind: taken.Addr().String()}, {Bind: "127.0.0.1:0", Key: []byte("short")}} {
+	for _, o := range []membership.GossipOptions{{Bind: "x"}, {Bind: taken.Addr().String()}, {Bind: "127.0.0.1:0", Key: []byte("short")}} {
 		o.Name = "a"
-		var bad *peer.BindError
-		if _, err := peer.Listen(o); !errors.As(err, &bad) {
+		var bad *membership.BindError
+		if _, err := membership.Listen(o); !errors.As(err, &bad) {
 			t.Errorf("%+v: %v", o.Bind, err)
 		}
 	}
@@ -182,14 +182,14 @@
 
 // Packets that are none are counted and do no harm.
 func FuzzPackets(f *testing.F) {
-	e := peer.NewEndpoint(peer.Options{Name: "b", Incarnation: 7})
+	e := membership.NewEndpoint(membership.Options{Name: "b", Incarnation: 7})
 	f.Add(e.Wrap([]byte("body")))
 	f.Add([]byte{1, 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got := 0
-		a := peer.NewEndpoint(peer.Options{Name: "a", OnMessage: func(m peer.Message) {
+		a := membership.NewEndpoint(membership.Options{Name: "a", OnMessage: func(m membership.Message) {
 			got++
-			if len(m.Payload) > peer.MaxBodyBytes || m.From == "" {
+			if len(m.Payload) > membership.MaxBodyBytes || m.From == "" {
 				t.Errorf("took %+v", m)
 			}
 		}})
@@ -207,7 +207,7 @@
 	last := uint64(0)
 	next := func(now time.Duration) uint64 {
 		t.Helper()
-		i, err := peer.OpenIncarnations(d, "d")
+		i, err := membership.OpenIncarnations(d, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -234,8 +234,8 @@
 		t.Errorf("an empty disk begins with %d, after %d", n, last)
 	}
 	d.SetFreeBytes(0)
-	i, _ := peer.OpenIncarnations(d, "d")
-	var none *peer.IncarnationError
+	i, _ := membership.OpenIncarnations(d, "d")
+	var none *membership.IncarnationError
 	if _, err := i.Next(0, 52*year); !errors.As(err, &none) || !none.Retryable() {
 		t.Errorf("on a full disk: %v", err)
 	}
@@ -248,7 +248,7 @@
 
 // countWire counts what an instance sends.
 type countWire struct {
-	peer.Wire
+	membership.Wire
 	bytes *atomic.Int64
 }
 
@@ -263,11 +263,11 @@
 	for _, talks := range []bool{false, true} {
 		b.Run(fmt.Sprint("talks ", talks), func(b *testing.B) {
 			var bytes atomic.Int64
-			var all []*peer.Gossip
+			var all []*membership.Gossip
 			var join []string
 			for i := range 20 {
-				g, err := peer.Listen(peer.GossipOptions{Options: peer.Options{Name: fmt.Sprint("n", i), Incarnation: 1}, Bind: "127.0.0.1:0",
-					Join: join, Key: key, Logger: slog.New(slog.DiscardHandler), Wrap: func(w peer.Wire) peer.Wire { return countWire{w, &bytes} }})
+				g, err := membership.Listen(membership.GossipOptions{Options: membership.Options{Name: fmt.Sprint("n", i), Incarnation: 1}, Bind: "127.0.0.1:0",
+					Join: join, Key: key, Logger: slog.New(slog.DiscardHandler), Wrap: func(w membership.Wire) membership.Wire { return countWire{w, &bytes} }})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -299,8 +299,8 @@
 // One that starts a little before its peers knows them soon after they are there, at the pace that gateways have.
 func TestMembersThatStartTogetherMeetSoon(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
-	start := func(name, at, other string) *peer.Gossip {
-		g, err := peer.Listen(peer.GossipOptions{Options: peer.Options{Name: name, Incarnation: 1}, Bind: at, Join: []string{other},
+	start := func(name, at, other string) *membership.Gossip {
+		g, err := membership.Listen(membership.GossipOptions{Options: membership.Options{Name: name, Incarnation: 1}, Bind: at, Join: []string{other},
 			Key: key, Logger: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/peer/process_test.go
+++ b/internal/membership/process_test.go
@@ -1,4 +1,4 @@
-package peer_test
+package membership_test
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/wal"
 )
 
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal([]byte(text), &c); err != nil {
 		return err
 	}
-	lives, err := peer.OpenIncarnations(wal.OSFS{}, c.Dir)
+	lives, err := membership.OpenIncarnations(wal.OSFS{}, c.Dir)
 	if err != nil {
 		return err
 	}
@@ -65,9 +65,9 @@
 	for _, a := range c.Addrs {
 		join = append(join, a)
 	}
-	g, err := peer.Listen(peer.GossipOptions{Bind: c.Addrs[c.Name], Join: join, Key: key, Probe: 100 * time.Millisecond,
-		Logger: slog.New(slog.DiscardHandler), Wrap: func(w peer.Wire) peer.Wire { return cutWire{w, c.Name, l} },
-		Options: peer.Options{Name: c.Name, Incarnation: life, OnMessage: func(m peer.Message) {
+	g, err := membership.Listen(membership.GossipOptions{Bind: c.Addrs[c.Name], Join: join, Key: key, Probe: 100 * time.Millisecond,
+		Logger: slog.New(slog.DiscardHandler), Wrap: func(w membership.Wire) membership.Wire { return cutWire{w, c.Name, l} },
+		Options: membership.Options{Name: c.Name, Incarnation: life, OnMessage: func(m membership.Message) {
 			mu.Lock()
 			defer mu.Unlock()
 			h := all[m.From]
--- a/internal/peer/simnet/simnet.go
+++ b/internal/membership/simnet/simnet.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"example.org/milletvane/internal/peer"
+	"example.org/milletvane/internal/membership"
 )
 
 // Faults are those of every link. Parts are between 0 and 1.
@@ -49,7 +49,7 @@
 
 // Node is one instance's Transport.
 type Node struct {
-	*peer.Endpoint
+	*membership.Endpoint
 	net    *Network
 	closed bool
 	heard  map[string]time.Duration
@@ -58,11 +58,11 @@
 }
 
 // Listen starts an instance. One of the same name that runs is over.
-func (n *Network) Listen(o peer.Options) *Node {
+func (n *Network) Listen(o membership.Options) *Node {
 	if old := n.nodes[o.Name]; old != nil {
 		old.closed = true
 	}
-	node := &Node{Endpoint: peer.NewEndpoint(o), net: n, heard: map[string]time.Duration{}, free: map[string]time.Duration{}, beatAt: n.Now}
+	node := &Node{Endpoint: membership.NewEndpoint(o), net: n, heard: map[string]time.Duration{}, free: map[string]time.Duration{}, beatAt: n.Now}
 	n.nodes[o.Name] = node
 	return node
 }
@@ -156,9 +156,9 @@
 	}
 }
 
-// Send implements peer.Transport.
+// Send implements membership.Transport.
 func (d *Node) Send(to string, body []byte) {
-	if d.closed || len(body) > peer.MaxBodyBytes || d.net.nodes[to] == nil {
+	if d.closed || len(body) > membership.MaxBodyBytes || d.net.nodes[to] == nil {
 		d.Dropped(to)
 		return
 	}
@@ -178,10 +178,10 @@
 	d.net.put(d.Options().Name, to, b)
 }
 
-// Members implements peer.Transport.
-func (d *Node) Members() (list []peer.Member) {
+// Members implements membership.Transport.
+func (d *Node) Members() (list []membership.Member) {
 	for _, name := range d.net.names() {
-		m := peer.Member{Name: name, Incarnation: d.Life(name)}
+		m := membership.Member{Name: name, Incarnation: d.Life(name)}
 		at, heard := d.heard[name]
 		switch {
 		case name == d.Options().Name:
@@ -189,16 +189,16 @@
 		case !heard:
 			continue
 		case d.net.Now-at > d.net.GoneAfter:
-			m.State = peer.Gone
+			m.State = membership.Gone
 		case d.net.Now-at > d.net.SuspectAfter:
-			m.State = peer.Suspect
+			m.State = membership.Suspect
 		}
 		list = append(list, m)
 	}
 	return list
 }
 
-// Close implements peer.Transport.
+// Close implements membership.Transport.
 func (d *Node) Close() error {
 	d.closed = true
 	return nil
