--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,7 +21,7 @@
 	"example.org/milletvane/internal/drive"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/follow"
-	"example.org/milletvane/internal/handover"
+	"example.org/milletvane/internal/hotrestart"
 	"example.org/milletvane/internal/line/backend"
 	"example.org/milletvane/internal/line/front"
 	"example.org/milletvane/internal/metrics"
@@ -55,8 +55,8 @@
 	tiers   *metrics.PriorityCounters // nil: none are named
 	bans    *ban.Store
 	serving atomic.Bool // clients' connections are taken, and no stop has been asked for
-	desk    *handover.StateDir
-	before  *handover.Snapshot // of the process that this one follows; nil: there is none
+	desk    *hotrestart.StateDir
+	before  *hotrestart.Snapshot // of the process that this one follows; nil: there is none
 }
 
 // Option changes what New takes by default.
@@ -259,7 +259,7 @@
 	conns.SetBudget(g.config.Limits.ForClients() + config.OnTheirWay)
 	g.lines.Connect(g.engine, conns)
 	if g.config.Passed > 0 {
-		if err := handover.PrepareListener(g.config.Passed, g.config.Listen); err != nil {
+		if err := hotrestart.PrepareListener(g.config.Passed, g.config.Listen); err != nil {
 			return fmt.Errorf("%s: %w", config.EnvPassed, err)
 		}
 	}
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -7,7 +7,7 @@
 
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/handover"
+	"example.org/milletvane/internal/hotrestart"
 	"example.org/milletvane/internal/line/front"
 )
 
@@ -23,11 +23,11 @@
 // the configuration's.
 func (g *Gateway) takeUp() {
 	if g.config.Passed == 0 {
-		g.desk = handover.NewStateDir("", handover.Process{}, g.logger)
+		g.desk = hotrestart.NewStateDir("", hotrestart.Process{}, g.logger)
 		return
 	}
 	now := time.Now()
-	g.desk = handover.NewStateDir(g.config.State, handover.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
+	g.desk = hotrestart.NewStateDir(g.config.State, hotrestart.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
 	r, ok := g.desk.ReadPredecessor(now)
 	if !ok {
 		return
@@ -78,7 +78,7 @@
 	g.engine.Post(engine.StateRequested{Deliver: func(s engine.State) { said <- s }})
 	select {
 	case s := <-said:
-		g.desk.Write(handover.Snapshot{WrittenAt: time.Now(), Ready: ready, KnownServers: g.bans.Known(), State: s})
+		g.desk.Write(hotrestart.Snapshot{WrittenAt: time.Now(), Ready: ready, KnownServers: g.bans.Known(), State: s})
 	case <-watching.Done():
 	}
 }
--- a/internal/handover/record_test.go
+++ b/internal/hotrestart/record_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"log/slog"
--- a/internal/handover/socket.go
+++ b/internal/hotrestart/socket.go
@@ -1,6 +1,6 @@
-// Package handover is what one process of a gateway passes to the next while both run: the clients' listening socket,
+// Package hotrestart is what one process of a gateway passes to the next while both run: the clients' listening socket,
 // and what was learned. It decides nothing of either.
-package handover
+package hotrestart
 
 import (
 	"fmt"
