--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -15,7 +15,6 @@
 	"example.org/milletvane/config"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/internal/admin"
-	"example.org/milletvane/internal/ban"
 	"example.org/milletvane/internal/cluster"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/drive"
@@ -24,6 +23,7 @@
 	"example.org/milletvane/internal/hotrestart"
 	"example.org/milletvane/internal/line/backend"
 	"example.org/milletvane/internal/line/front"
+	"example.org/milletvane/internal/maintenance"
 	"example.org/milletvane/internal/metrics"
 	natsbackend "example.org/milletvane/internal/nats/backend"
 	"example.org/milletvane/internal/nats/codec"
@@ -53,7 +53,7 @@
 	cluster atomic.Pointer[cluster.Cluster] // while it runs; nil: there is none
 	figures *metrics.Registry
 	tiers   *metrics.PriorityCounters // nil: none are named
-	bans    *ban.Store
+	bans    *maintenance.Store
 	serving atomic.Bool // clients' connections are taken, and no stop has been asked for
 	desk    *hotrestart.StateDir
 	before  *hotrestart.Snapshot // of the process that this one follows; nil: there is none
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	g.bans = ban.New(c.State, g.logger)
+	g.bans = maintenance.New(c.State, g.logger)
 	g.bans.OnChange(func(id string, out bool, done func()) {
 		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
 	})
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"example.org/milletvane/internal/ban"
+	"example.org/milletvane/internal/maintenance"
 )
 
 const (
@@ -125,9 +125,9 @@
 		w.Write([]byte("out\n"))
 	case err == nil:
 		w.Write([]byte("in\n"))
-	case errors.Is(err, ban.ErrUnknownServer):
+	case errors.Is(err, maintenance.ErrUnknownServer):
 		http.Error(w, err.Error(), http.StatusNotFound)
-	case errors.Is(err, ban.ErrNotApplied):
+	case errors.Is(err, maintenance.ErrNotApplied):
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
 		s.options.Logger.Error("server by hand", "server", id, "out", out, "err", err)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/ban"
+	"example.org/milletvane/internal/maintenance"
 )
 
 const patience = 20 * time.Second
@@ -33,9 +33,9 @@
 		SetMaintenance: func(_ context.Context, id string, out bool) error {
 			switch {
 			case id == "unlisted":
-				return ban.ErrUnknownServer
+				return maintenance.ErrUnknownServer
 			case id == "late":
-				return ban.ErrNotApplied
+				return maintenance.ErrNotApplied
 			case id == "broken":
 				return errors.New("no disk")
 			}
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/ban"
+	"example.org/milletvane/internal/maintenance"
 )
 
 var updateFormats = flag.Bool("update", false, "write the answers of today to testdata")
@@ -90,9 +90,9 @@
 			called = append(called, fmt.Sprintf("%q out=%t deadline=%t", id, out, ok && left > 0 && left <= 900*time.Millisecond))
 			switch id {
 			case "unlisted":
-				return fmt.Errorf("wrapped: %w", ban.ErrUnknownServer)
+				return fmt.Errorf("wrapped: %w", maintenance.ErrUnknownServer)
 			case "late":
-				return ban.ErrNotApplied
+				return maintenance.ErrNotApplied
 			case "broken":
 				return errors.New("no disk")
 			}
--- a/internal/ban/ban.go
+++ b/internal/maintenance/ban.go
@@ -1,6 +1,6 @@
-// Package ban keeps the servers that staff took out by hand: a small file each in a folder, which outlives the process
+// Package maintenance keeps the servers that staff took out by hand: a small file each in a folder, which outlives the process
 // and is shared with the one that follows it. It decides nothing of what a ban means; the engine does.
-package ban
+package maintenance
 
 import (
 	"context"
--- a/internal/ban/ban_test.go
+++ b/internal/maintenance/ban_test.go
@@ -1,4 +1,4 @@
-package ban
+package maintenance
 
 import (
 	"context"
