--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,8 +17,8 @@
 	"example.org/milletvane/internal/admin"
 	"example.org/milletvane/internal/cluster"
 	"example.org/milletvane/internal/discovery"
-	"example.org/milletvane/internal/drive"
 	"example.org/milletvane/internal/engine"
+	"example.org/milletvane/internal/eventloop"
 	"example.org/milletvane/internal/follow"
 	"example.org/milletvane/internal/hotrestart"
 	"example.org/milletvane/internal/line/backend"
@@ -36,7 +36,7 @@
 type Gateway struct {
 	config config.Config
 	logger *slog.Logger
-	engine *drive.Loop
+	engine *eventloop.Loop
 	lines  *backend.Backend
 	nats   *natsbackend.Backend // nil: off
 	nat    *operator.NATS
@@ -105,7 +105,7 @@
 			g.tiers, ranks = metrics.NewPriorityCounters(n), func(class, _ string) int { return by[class] }
 		}
 	}
-	g.engine = drive.New(engine.New(engine.Options{
+	g.engine = eventloop.New(engine.New(engine.Options{
 		PriorityOf: ranks, PriorityCounters: g.tiers,
 		MaxSockets: c.Limits.ForClients(), MaxIdleClients: c.Limits.Idle(), Classes: classes, RetryAfter: c.Rules.MaxRetryAfter, DefaultTimeout: c.Node.LongestWait, AnswerGrace: c.Node.AnswerSlack,
 		ConnectionsOutliveGateway: c.Node.Pass, FlowRetention: c.Rules.FlowRetention, ReportsMessageDelay: c.Node.TellsDelay, MessageLatencyObjective: c.Node.MessageAim, CanPollLoad: c.Node.Probes, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerBy, DrainTimeout: c.Drain,
--- a/internal/drive/drive.go
+++ b/internal/eventloop/drive.go
@@ -1,6 +1,6 @@
-// Package drive runs an engine in real time: one goroutine hands it the events that were posted and tells it when something
+// Package eventloop runs an engine in real time: one goroutine hands it the events that were posted and tells it when something
 // is due. It is all that the engine itself may not have: a queue, a timer and a clock. It decides nothing.
-package drive
+package eventloop
 
 import (
 	"context"
--- a/internal/purity/purity_test.go
+++ b/internal/purity/purity_test.go
@@ -107,7 +107,7 @@
 			return 4
 		case p == "config", p == "internal/follow", p == "internal/cluster":
 			return 3
-		case p == "config/operator", p == "internal/hotrestart", p == "internal/discovery", p == "internal/drive", p == "internal/wire":
+		case p == "config/operator", p == "internal/hotrestart", p == "internal/discovery", p == "internal/eventloop", p == "internal/wire":
 			return 2
 		case p == "internal/model", p == "internal/engine", p == "internal/nats/session", p == "internal/settings":
 			return 1
