--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -33,7 +33,7 @@
 	case rules.Send:
 		e.onSend(a)
 	case rules.Reject:
-		if r, ok := e.requests.Get(slot.Handle(a.ID)); ok && r.phase == waiting {
+		if r, ok := e.requests.Get(slotmap.Handle(a.ID)); ok && r.phase == waiting {
 			e.counts.refused++
 			r.class.Declined.Add(1)
 			if a.ShedByFleet {
@@ -45,11 +45,11 @@
 			e.free(r)
 		}
 	case rules.Fail:
-		if r, ok := e.requests.Get(slot.Handle(a.ID)); ok && r.phase == waiting {
+		if r, ok := e.requests.Get(slotmap.Handle(a.ID)); ok && r.phase == waiting {
 			e.fail(r)
 		}
 	case rules.Migrate:
-		if r, ok := e.requests.Get(slot.Handle(a.ID)); ok && r.phase == open {
+		if r, ok := e.requests.Get(slotmap.Handle(a.ID)); ok && r.phase == open {
 			e.move(r, rules.Cancelled)
 		}
 	case rules.PollLoad:
@@ -79,7 +79,7 @@
 }
 
 func (e *Engine) onSend(a rules.Send) {
-	r, ok := e.requests.Get(slot.Handle(a.ID))
+	r, ok := e.requests.Get(slotmap.Handle(a.ID))
 	if !ok || r.phase != waiting || r.link != nil {
 		e.tell(rules.AttemptEnded{ID: a.ID, Server: a.Server, Result: rules.NotSent, Answered: true})
 		return
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"example.org/milletvane/internal/metrics"
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
 // ClientHandle ties a client to its slot. A front embeds it in its clients and leaves it alone.
-type ClientHandle struct{ id slot.Handle }
+type ClientHandle struct{ id slotmap.Handle }
 
 // Client is the front's end of a connection. The engine calls it from its own goroutine; no method may
 // wait for the peer. Refuse, Fail and Close are final: the client sends no Left after them. After Move it sends
@@ -31,7 +31,7 @@
 
 // Attempt is one try of a request at a server.
 type Attempt struct {
-	RequestID      slot.Handle
+	RequestID      slotmap.Handle
 	Number         int
 	Server         rules.ServerID
 	Addr           string
@@ -98,31 +98,31 @@
 		Request Request
 	}
 	// ServerDraining says that the server of an open connection has told that it drains, ahead of the list.
-	ServerDraining struct{ RequestID slot.Handle }
+	ServerDraining struct{ RequestID slotmap.Handle }
 	// ClientDisconnected says that a client ended its connection.
 	ClientDisconnected struct{ Client Client }
 	// ProtocolViolated says that the front turned a client away for what it sent.
 	ProtocolViolated struct{ Client Client }
 	// AttemptEstablished says that a connection stands at its server.
 	AttemptEstablished struct {
-		RequestID slot.Handle
+		RequestID slotmap.Handle
 		Number    int
 		Elapsed   time.Duration
 	}
 	// AttemptEnded is the end of an attempt, or of the connection that it set up.
 	AttemptEnded struct {
-		RequestID slot.Handle
+		RequestID slotmap.Handle
 		Number    int
 		Result    rules.Result
 	}
 	// ConnectionLoad tells the present load of an open connection.
 	ConnectionLoad struct {
-		RequestID slot.Handle
+		RequestID slotmap.Handle
 		Load      float64
 	}
 	// MessageAnswered tells how long an open connection's line took to be returned.
 	MessageAnswered struct {
-		RequestID slot.Handle
+		RequestID slotmap.Handle
 		Delay     time.Duration
 	}
 	// EndpointList brings news of the servers.
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"example.org/milletvane/internal/metrics"
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -185,7 +185,7 @@
 				links = append(links, w.link)
 			}
 			waits, stands := 0, 0
-			w.e.requests.All(func(_ slot.Handle, r *request) bool {
+			w.e.requests.All(func(_ slotmap.Handle, r *request) bool {
 				switch r.phase {
 				case waiting:
 					waits++
--- a/internal/engine/delay.go
+++ b/internal/engine/delay.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -52,9 +52,9 @@
 type meter struct {
 	line     time.Duration // of the last line that was returned
 	lineAt   time.Duration
-	lineOf   slot.Handle
+	lineOf   slotmap.Handle
 	waiting  time.Duration // of the oldest line that was not, at the last look
-	waiterOf slot.Handle
+	waiterOf slotmap.Handle
 
 	load     float64 // as last reported
 	piled    time.Duration
@@ -97,7 +97,7 @@
 
 // tellDelay tells the rules of slow messages at a server: once a second while they are over a third of the
 // shortest wanted time, and once more when they are back under.
-func (e *Engine) tellDelay(id rules.ServerID, s *server, holder slot.Handle) {
+func (e *Engine) tellDelay(id rules.ServerID, s *server, holder slotmap.Handle) {
 	m := &s.meter
 	if e.now-m.toldAt < delayTold {
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,7 +10,7 @@
 
 	"example.org/milletvane/internal/deadline"
 	"example.org/milletvane/internal/metrics"
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -48,7 +48,7 @@
 
 type due struct {
 	kind dueKind
-	id   slot.Handle
+	id   slotmap.Handle
 	ref  int64
 }
 
@@ -62,20 +62,20 @@
 	ready atomic.Bool
 
 	now       time.Duration
-	requests  *slot.Map[*request]
-	named     map[string]slot.Handle // requests by their clients' names for them
-	openings  int                    // of the requests, those that have asked for nothing
+	requests  *slotmap.Map[*request]
+	named     map[string]slotmap.Handle // requests by their clients' names for them
+	openings  int                       // of the requests, those that have asked for nothing
 	classes   map[string]bool
 	deadlines deadline.Queue[due]
 	servers   map[rules.ServerID]*server
 	names     map[string]rules.ServerID
-	banned    map[string]bool        // names of servers that are out by hand, listed or not
-	unnamed   metrics.ClassCounters  // for what the settings do not name; nobody reads it
-	listed    bool                   // a list has come
-	version   int64                  // of the list
-	heirs     map[string]slot.Handle // connections of the process before, by their clients' names for them
-	came      map[string]bool        // of these, those whose packets have come here
-	queue     []rules.Event          // outcomes that follow at once from actions
+	banned    map[string]bool           // names of servers that are out by hand, listed or not
+	unnamed   metrics.ClassCounters     // for what the settings do not name; nobody reads it
+	listed    bool                      // a list has come
+	version   int64                     // of the list
+	heirs     map[string]slotmap.Handle // connections of the process before, by their clients' names for them
+	came      map[string]bool           // of these, those whose packets have come here
+	queue     []rules.Event             // outcomes that follow at once from actions
 	stage     stage
 	stoppedAt time.Duration
 	answerBy  time.Duration // what waits at the stop is answered by then
@@ -103,10 +103,10 @@
 		classes[c] = true
 	}
 	return &Engine{
-		opts: opts, classes: classes, named: map[string]slot.Handle{}, rules: balancer, backend: backend, prober: prober,
-		requests: slot.New[*request](opts.MaxSockets),
+		opts: opts, classes: classes, named: map[string]slotmap.Handle{}, rules: balancer, backend: backend, prober: prober,
+		requests: slotmap.New[*request](opts.MaxSockets),
 		servers:  map[rules.ServerID]*server{}, names: map[string]rules.ServerID{}, banned: map[string]bool{},
-		heirs: map[string]slot.Handle{}, came: map[string]bool{},
+		heirs: map[string]slotmap.Handle{}, came: map[string]bool{},
 	}
 }
 
--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -45,7 +45,7 @@
 		s := e.servers[id]
 		st.Servers = append(st.Servers, Server{Name: s.name, Addr: s.addr, Server: s.entry})
 	}
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if s := e.servers[r.server]; s != nil && r.name != "" && (r.phase == open || r.phase == inherited) {
 			f := r.flow
 			f.ID, f.Server, f.Load = r.name, s.name, r.load
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -5,7 +5,7 @@
 
 	"example.org/milletvane/internal/deadline"
 	"example.org/milletvane/internal/metrics"
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -20,7 +20,7 @@
 )
 
 type request struct {
-	id     slot.Handle
+	id     slotmap.Handle
 	name   string // as its client calls it; empty: nothing
 	client Client
 	phase  phase
@@ -86,7 +86,7 @@
 	}
 	var oldest *request
 	if e.openings > 0 {
-		e.requests.All(func(_ slot.Handle, r *request) bool {
+		e.requests.All(func(_ slotmap.Handle, r *request) bool {
 			if r.phase == opening && r != besides && (oldest == nil || r.answer.At() < oldest.answer.At()) {
 				oldest = r
 			}
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -122,7 +122,7 @@
 	if len(servers) == 0 {
 		return
 	}
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == open && slices.Contains(servers, r.server) {
 			if m, ok := r.client.(DrainObserver); ok {
 				m.ServerDraining()
@@ -167,7 +167,7 @@
 // replace takes the attempts back that wait at a server and has the rules send them elsewhere.
 func (e *Engine) replace(id rules.ServerID) {
 	var at []*request
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == waiting && r.server == id && r.link != nil && !r.carried {
 			at = append(at, r)
 		}
@@ -182,7 +182,7 @@
 
 // holds reports whether a connection is open at a server.
 func (e *Engine) holds(id rules.ServerID) (held bool) {
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		held = r.phase == open && r.server == id
 		return !held
 	})
@@ -214,8 +214,8 @@
 		s.meter.waiting, s.meter.waiterOf = 0, 0
 	}
 	var silent []*request
-	holders := map[rules.ServerID]slot.Handle{}
-	e.requests.All(func(id slot.Handle, r *request) bool {
+	holders := map[rules.ServerID]slotmap.Handle{}
+	e.requests.All(func(id slotmap.Handle, r *request) bool {
 		if r.phase != open {
 			return true
 		}
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -42,7 +42,7 @@
 	e.opts.Logger.Info("stopping", "connections", e.requests.Len(), "answer_by", within, "drain", e.opts.DrainTimeout)
 	e.deadlines.Add(e.now+e.opts.DrainTimeout, due{kind: dueEnd})
 	e.tell(rules.Shutdown{Deadline: e.answerBy})
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == waiting {
 			e.hurry(r)
 		}
@@ -67,7 +67,7 @@
 }
 
 func (e *Engine) moveAll() {
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == open {
 			e.move(r, rules.Cancelled)
 		}
@@ -79,7 +79,7 @@
 // time is for the rest of lines that MOVE has to wait for.
 func (e *Engine) onClosing() {
 	e.stage = closing
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == opening {
 			e.close(r)
 		}
@@ -91,7 +91,7 @@
 // end answers all that is still owed an answer. Connections that came up since Stop are moved, or left to
 // the gateway that takes them up.
 func (e *Engine) end() {
-	e.requests.All(func(_ slot.Handle, r *request) bool {
+	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		switch r.phase {
 		case opening:
 			e.close(r)
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -1,7 +1,7 @@
 package engine
 
 import (
-	"example.org/milletvane/internal/slot"
+	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/rules"
 )
 
@@ -13,7 +13,7 @@
 // traced is what tells a request and a server in the trace.
 func (e *Engine) traced(id rules.RequestID, server rules.ServerID) []any {
 	var name string
-	if r, ok := e.requests.Get(slot.Handle(id)); ok {
+	if r, ok := e.requests.Get(slotmap.Handle(id)); ok {
 		name = r.name
 		if server == 0 {
 			server = r.server
--- a/internal/purity/purity_test.go
+++ b/internal/purity/purity_test.go
@@ -19,11 +19,11 @@
 // pure are the packages that decide, with what they may import of this module.
 var pure = map[string][]string{
 	"rules":                      nil,
-	"internal/slot":              nil,
+	"internal/slotmap":           nil,
 	"internal/deadline":          nil,
 	"internal/discovery/refresh": nil,
 	"internal/metrics":           nil,
-	"internal/engine":            {"rules", "internal/slot", "internal/deadline", "internal/metrics"},
+	"internal/engine":            {"rules", "internal/slotmap", "internal/deadline", "internal/metrics"},
 	"internal/line/codec":        nil,
 	"internal/nats/codec":        nil,
 	"internal/nats/session":      {"internal/nats/codec"},
--- a/internal/slot/slot.go
+++ b/internal/slotmap/slot.go
@@ -1,6 +1,6 @@
-// Package slot keeps things in a table of numbered slots. A number holds the slot's generation too, so
+// Package slotmap keeps things in a table of numbered slots. A number holds the slot's generation too, so
 // that one kept past the end of its thing is recognised as stale and never reaches the slot's next tenant.
-package slot
+package slotmap
 
 // Handle numbers a tenant of a table: the slot in the low half, its generation in the high one. 0 is never given.
 type Handle uint32
--- a/internal/slot/slot_test.go
+++ b/internal/slotmap/slot_test.go
@@ -1,4 +1,4 @@
-package slot
+package slotmap
 
 import (
 	"flag"
