--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/milletvane/internal/deadline"
 	"example.org/milletvane/internal/metrics"
 	"example.org/milletvane/internal/slotmap"
+	"example.org/milletvane/internal/timerqueue"
 	"example.org/milletvane/rules"
 )
 
@@ -66,7 +66,7 @@
 	named     map[string]slotmap.Handle // requests by their clients' names for them
 	openings  int                       // of the requests, those that have asked for nothing
 	classes   map[string]bool
-	deadlines deadline.Queue[due]
+	deadlines timerqueue.Queue[due]
 	servers   map[rules.ServerID]*server
 	names     map[string]rules.ServerID
 	banned    map[string]bool           // names of servers that are out by hand, listed or not
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"example.org/milletvane/internal/deadline"
 	"example.org/milletvane/internal/metrics"
 	"example.org/milletvane/internal/slotmap"
+	"example.org/milletvane/internal/timerqueue"
 	"example.org/milletvane/rules"
 )
 
@@ -31,15 +31,15 @@
 
 	carried  bool
 	deadline time.Duration
-	answer   *deadline.Timer[due] // the end of its opening, or of its wait
+	answer   *timerqueue.Timer[due] // the end of its opening, or of its wait
 	attempts int
 	link     ActiveAttempt // the attempt that is out or open
 	server   rules.ServerID
 	sent     time.Duration
-	timeout  *deadline.Timer[due]
+	timeout  *timerqueue.Timer[due]
 }
 
-func (e *Engine) rearm(it **deadline.Timer[due], at time.Duration, d due) {
+func (e *Engine) rearm(it **timerqueue.Timer[due], at time.Duration, d due) {
 	e.deadlines.Remove(*it)
 	*it = e.deadlines.Add(at, d)
 }
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -8,14 +8,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"example.org/milletvane/internal/deadline"
+	"example.org/milletvane/internal/timerqueue"
 )
 
 // World is simulated time. It is not safe for concurrent use; runs with other seeds are Worlds of their own.
 type World struct {
 	seed  uint64
 	now   time.Duration
-	tasks deadline.Queue[func()]
+	tasks timerqueue.Queue[func()]
 }
 
 // New returns a World at time 0.
@@ -28,7 +28,7 @@
 func (w *World) Waiting() int { return w.tasks.Len() }
 
 // Event is one that is to come.
-type Event = deadline.Timer[func()]
+type Event = timerqueue.Timer[func()]
 
 // At has f called at a time, behind what was to happen then already. A time that has gone by is now.
 func (w *World) At(at time.Duration, f func()) *Event { return w.tasks.Add(max(at, w.now), f) }
--- a/internal/nats/backend/hub.go
+++ b/internal/nats/backend/hub.go
@@ -4,16 +4,16 @@
 	"sync"
 	"time"
 
-	"example.org/milletvane/internal/deadline"
 	"example.org/milletvane/internal/nats/codec"
 	"example.org/milletvane/internal/reactor"
+	"example.org/milletvane/internal/timerqueue"
 )
 
 // Hub is what the sessions of one loop share: their deadlines, and connections to nodes for requests that go elsewhere than
 // their session. The loop alone uses it.
 type Hub struct {
 	loop   *reactor.Loop
-	queue  deadline.Queue[func()]
+	queue  timerqueue.Queue[func()]
 	timer  *time.Timer
 	armed  time.Duration // 0: not
 	shared map[sharedKey]*Leg
@@ -21,7 +21,7 @@
 }
 
 // Timer is something due later.
-type Timer = deadline.Timer[func()]
+type Timer = timerqueue.Timer[func()]
 
 type hubs struct {
 	mu  sync.Mutex
--- a/internal/deadline/deadline.go
+++ b/internal/timerqueue/deadline.go
@@ -1,5 +1,5 @@
-// Package deadline keeps everything that is to happen at a time in one ordered structure.
-package deadline
+// Package timerqueue keeps everything that is to happen at a time in one ordered structure.
+package timerqueue
 
 import (
 	"container/heap"
--- a/internal/deadline/deadline_test.go
+++ b/internal/timerqueue/deadline_test.go
@@ -1,4 +1,4 @@
-package deadline
+package timerqueue
 
 import (
 	"flag"
