--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -16,8 +16,8 @@
 	"example.org/milletvane/internal/cluster/recovery"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/fault"
 	"example.org/milletvane/internal/membership"
+	"example.org/milletvane/internal/operr"
 	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/rules"
 )
@@ -130,11 +130,11 @@
 func (c *Cluster) load() (v recovery.PeerState) {
 	j, held, err := wal.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), wal.Options{Logger: c.opts.Logger})
 	if damage := new(wal.CorruptionError); errors.As(err, &damage) && damage.QuarantineDir != "" {
-		fault.Log(c.opts.Logger, err)
+		operr.Log(c.opts.Logger, err)
 		j, held, err = wal.Open(c.opts.FS, filepath.Join(c.opts.Dir, "lists"), wal.Options{Logger: c.opts.Logger})
 	}
 	if err != nil {
-		fault.Log(c.opts.Logger, err)
+		operr.Log(c.opts.Logger, err)
 		return v
 	}
 	c.store = j
@@ -334,8 +334,8 @@
 	if err == nil {
 		return true
 	}
-	fault.Log(c.opts.Logger, err)
-	x := fault.Of(err)
+	operr.Log(c.opts.Logger, err)
+	x := operr.Of(err)
 	return x != nil && x.Retryable()
 }
 
--- a/internal/fault/fault.go
+++ b/internal/operr/fault.go
@@ -1,6 +1,6 @@
-// Package fault says what errors have to tell, in one form for all packages: what failed, whether it may be tried again, and
+// Package operr says what errors have to tell, in one form for all packages: what failed, whether it may be tried again, and
 // what an operator can do. The log and operators' calls print just that.
-package fault
+package operr
 
 import (
 	"errors"
--- a/internal/fault/walk_test.go
+++ b/internal/operr/walk_test.go
@@ -1,4 +1,4 @@
-package fault_test
+package operr_test
 
 import (
 	"bytes"
@@ -16,13 +16,13 @@
 	"testing"
 
 	"example.org/milletvane/config/operator"
-	"example.org/milletvane/internal/fault"
 	"example.org/milletvane/internal/membership"
+	"example.org/milletvane/internal/operr"
 	"example.org/milletvane/internal/wal"
 )
 
 // all are the error types of the packages in walked, one of each.
-var all = []fault.Error{
+var all = []operr.Error{
 	&wal.NoSpaceError{Dir: "d", Err: io.ErrShortWrite}, &wal.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
 	&wal.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &wal.ClosedError{Dir: "d"}, &wal.TooLargeError{Bytes: 2, Most: 1},
 	&operator.KeyError{File: "f", Reason: "r"},
@@ -40,11 +40,11 @@
 			t.Errorf("%T: %q, failed %q, do %q", x, x.Error(), x.Problem(), x.Remedy())
 		}
 		wrapped := fmt.Errorf("at the edge: %w", errors.Join(io.EOF, x))
-		if got := fault.Of(wrapped); got != x {
+		if got := operr.Of(wrapped); got != x {
 			t.Errorf("%T: found %v", x, got)
 		}
 		var out bytes.Buffer
-		fault.Log(slog.New(slog.NewTextHandler(&out, nil)), wrapped)
+		operr.Log(slog.New(slog.NewTextHandler(&out, nil)), wrapped)
 		if line := out.String(); !strings.Contains(line, "failed=") || !strings.Contains(line, "do=") || !strings.Contains(line, "again=") {
 			t.Errorf("%T is logged as %s", x, line)
 		}
@@ -79,8 +79,8 @@
 
 func TestOtherErrorsAreLoggedToo(t *testing.T) {
 	var out bytes.Buffer
-	fault.Log(slog.New(slog.NewTextHandler(&out, nil)), io.EOF)
-	if !strings.Contains(out.String(), "EOF") || fault.Of(io.EOF) != nil {
+	operr.Log(slog.New(slog.NewTextHandler(&out, nil)), io.EOF)
+	if !strings.Contains(out.String(), "EOF") || operr.Of(io.EOF) != nil {
 		t.Errorf("logged as %s", out.String())
 	}
 }
