--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -80,7 +80,7 @@
 	for _, o := range options {
 		o(g)
 	}
-	balancer, err := rules.New(c.Rules)
+	decider, err := rules.New(c.Rules)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
@@ -110,7 +110,7 @@
 		MaxSockets: c.Limits.ForClients(), MaxIdleClients: c.Limits.Idle(), Classes: classes, RetryAfter: c.Rules.MaxRetryAfter, DefaultTimeout: c.Node.LongestWait, AnswerGrace: c.Node.AnswerSlack,
 		ConnectionsOutliveGateway: c.Node.Pass, FlowRetention: c.Rules.FlowRetention, ReportsMessageDelay: c.Node.TellsDelay, MessageLatencyObjective: c.Node.MessageAim, CanPollLoad: c.Node.Probes, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerBy, DrainTimeout: c.Drain,
 		Metrics: g.figures, Logger: g.logger, Trace: g.logger.Enabled(context.Background(), slog.LevelDebug),
-	}, balancer, g, attempts))
+	}, decider, g, attempts))
 	g.lines = attempts
 	if n := g.nat; n != nil {
 		g.nats = natsbackend.New(g.natsOptions(n))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -90,7 +90,7 @@
 type counts struct{ taken, up, refused, failed, rejected, closed, moved, left, ended int }
 
 // New returns an engine that starts attempts with backend and, where Options allow it, asks for loads with prober.
-func New(opts Options, balancer *rules.Balancer, backend Backend, prober LoadPoller) *Engine {
+func New(opts Options, decider *rules.Balancer, backend Backend, prober LoadPoller) *Engine {
 	if opts.Logger == nil {
 		opts.Logger = slog.Default()
 	}
@@ -103,7 +103,7 @@
 		classes[c] = true
 	}
 	return &Engine{
-		opts: opts, classes: classes, named: map[string]slotmap.Handle{}, rules: balancer, backend: backend, prober: prober,
+		opts: opts, classes: classes, named: map[string]slotmap.Handle{}, rules: decider, backend: backend, prober: prober,
 		requests: slotmap.New[*request](opts.MaxSockets),
 		servers:  map[rules.ServerID]*server{}, names: map[string]rules.ServerID{}, banned: map[string]bool{},
 		heirs: map[string]slotmap.Handle{}, came: map[string]bool{},
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -95,7 +95,7 @@
 
 func newWorld(t *testing.T, servers int, change func(*Options)) *world {
 	w := &world{t: t, now: time.Hour}
-	balancer, err := rules.New(rules.Settings{
+	decider, err := rules.New(rules.Settings{
 		Gateways: 1, MaxAttempts: 2, DrainGrace: 500 * time.Millisecond,
 		MaxRetryAfter: 2 * time.Second,
 		Classes:       []rules.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond}},
@@ -109,7 +109,7 @@
 	if change != nil {
 		change(&opts)
 	}
-	w.e = New(opts, balancer, w, w)
+	w.e = New(opts, decider, w, w)
 	w.e.Start(w.now)
 	list := EndpointList{Mode: rules.ListCached}
 	for i := range servers {
