--- a/rules/rules.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package rules makes the decisions of a gateway that balances long-lived connections. Its interface,
+// Package balancer makes the decisions of a gateway that balances long-lived connections. Its interface,
 // that is settings, events and actions, is api.go; the lookup table is maglev.go; all else that decides
 // is in this file.
 //
@@ -6,7 +6,7 @@
 // of its key's hash, so gateways agree without shared state. Each exception is a further lookup in the
 // same table. A Balancer does no I/O, reads no clock, starts no goroutine and keeps no global state: the
 // same events give the same actions.
-package rules
+package balancer
 
 import (
 	"math"
--- a/rules/digest_test.go
+++ b/balancer/digest_test.go
@@ -1,4 +1,4 @@
-package rules_test
+package balancer_test
 
 import (
 	"crypto/sha256"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 // The digests keep the decisions as they are. Each stream draws settings, a fleet and its faults from a seed,
@@ -120,7 +120,7 @@
 
 // host is a server of a stream: what the list says of it and how it fares.
 type host struct {
-	rules.Server
+	balancer.Server
 	condition condition
 	others    float64 // load by other gateways, as a part of what it can do
 	capacity  float64 // connections from this gateway that make up its whole load
@@ -129,9 +129,9 @@
 
 // connection is an attempt that has not ended.
 type connection struct {
-	request     rules.Request
+	request     balancer.Request
 	attempt     int
-	server      rules.ServerID
+	server      balancer.ServerID
 	established bool
 	left        bool // its client disconnected, or it is to migrate
 }
@@ -146,19 +146,19 @@
 type stream struct {
 	t        *testing.T
 	rnd      *rand.Rand
-	settings rules.Settings
-	balancer *rules.Balancer
+	settings balancer.Settings
+	balancer *balancer.Balancer
 	now      time.Duration
 
 	hosts       []*host
-	hostByID    map[rules.ServerID]*host
-	nextHost    rules.ServerID
+	hostByID    map[balancer.ServerID]*host
+	nextHost    balancer.ServerID
 	listed      bool
-	pastLists   []rules.EndpointList
-	nextRequest rules.RequestID
-	requests    map[rules.RequestID]rules.Request
-	attempts    map[rules.RequestID]int
-	mayHaveRun  map[rules.RequestID]bool
+	pastLists   []balancer.EndpointList
+	nextRequest balancer.RequestID
+	requests    map[balancer.RequestID]balancer.Request
+	attempts    map[balancer.RequestID]int
+	mayHaveRun  map[balancer.RequestID]bool
 	live        []*connection // in order of their sends
 	reactions   []reaction    // by time
 	jammed      bool          // what all set-ups share answers nothing
@@ -178,9 +178,9 @@
 	t.Helper()
 	s := &stream{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 31)), now: time.Hour, hash: sha256.New(), coverage: coverage{},
-		hostByID: map[rules.ServerID]*host{}, nextHost: 100,
-		requests: map[rules.RequestID]rules.Request{},
-		attempts: map[rules.RequestID]int{}, mayHaveRun: map[rules.RequestID]bool{},
+		hostByID: map[balancer.ServerID]*host{}, nextHost: 100,
+		requests: map[balancer.RequestID]balancer.Request{},
+		attempts: map[balancer.RequestID]int{}, mayHaveRun: map[balancer.RequestID]bool{},
 	}
 	s.grain = []time.Duration{0, 1, 10, 50}[s.rnd.IntN(4)] * time.Millisecond
 	s.settings = s.drawSettings()
@@ -214,11 +214,11 @@
 
 // Settings.
 
-func (s *stream) drawSettings() rules.Settings {
+func (s *stream) drawSettings() balancer.Settings {
 	rnd := s.rnd
 	pick := func(values ...time.Duration) time.Duration { return values[rnd.IntN(len(values))] }
 	figure := func(values ...float64) float64 { return values[rnd.IntN(len(values))] }
-	set := rules.Settings{
+	set := balancer.Settings{
 		Seed: rnd.Uint64(), Gateways: []int{0, 1, 2, 3, 10, 80, 300}[rnd.IntN(7)],
 		MaxAttempts:        []int{0, 2, 3, 5}[rnd.IntN(4)],
 		FlowRetention:      pick(0, 2*time.Second, 10*time.Second, 11*time.Minute),
@@ -233,31 +233,31 @@
 		set.RetryBudgetWindow = pick(time.Second, 5*time.Second)
 		set.RetryBudgetMin, set.RetryBudgetRatio = figure(0, 3, 8), figure(0.05, 0.1, 0.6)
 	}
-	set.Classes = []rules.Class{
-		{Name: "idempotent", Idempotency: rules.Idempotent, PriorityWeight: figure(0, 1, 3),
+	set.Classes = []balancer.Class{
+		{Name: "idempotent", Idempotency: balancer.Idempotent, PriorityWeight: figure(0, 1, 3),
 			SetupLatencyObjective:   pick(0, 150*time.Millisecond),
 			MessageLatencyObjective: pick(0, 60*time.Millisecond, 90*time.Millisecond)},
-		{Name: "with key", Idempotency: rules.WithIdempotencyKey,
-			DedupScope: rules.DedupScope(rnd.IntN(3)), PriorityWeight: figure(1, 8),
+		{Name: "with key", Idempotency: balancer.WithIdempotencyKey,
+			DedupScope: balancer.DedupScope(rnd.IntN(3)), PriorityWeight: figure(1, 8),
 			DedupWindow:           pick(time.Second, 10*time.Second),
 			SetupLatencyObjective: pick(0, 100*time.Millisecond)},
-		{Name: "non-idempotent", Idempotency: rules.NonIdempotent,
+		{Name: "non-idempotent", Idempotency: balancer.NonIdempotent,
 			PriorityWeight: figure(0, 0.5, 2), Timeout: time.Second},
-		{Name: "with key everywhere", Idempotency: rules.WithIdempotencyKey,
-			DedupScope: rules.DedupScopeAll, PriorityWeight: 1,
+		{Name: "with key everywhere", Idempotency: balancer.WithIdempotencyKey,
+			DedupScope: balancer.DedupScopeAll, PriorityWeight: 1,
 			DedupWindow:             pick(700*time.Millisecond, 4*time.Second),
 			MessageLatencyObjective: pick(0, 45*time.Millisecond, 120*time.Millisecond)},
 	}
 	if s.oneIn(2) {
-		set.Tenants = []rules.Tenant{{Name: "small", ConnectionQuota: figure(2, 20)},
+		set.Tenants = []balancer.Tenant{{Name: "small", ConnectionQuota: figure(2, 20)},
 			{Name: "large", ConnectionQuota: 500}, {Name: "free"}}
 	}
 	return set
 }
 
-func (s *stream) newBalancer() *rules.Balancer {
+func (s *stream) newBalancer() *balancer.Balancer {
 	s.t.Helper()
-	b, err := rules.New(s.settings)
+	b, err := balancer.New(s.settings)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -285,14 +285,14 @@
 
 func (s *stream) addHost() *host {
 	h := &host{
-		Server: rules.Server{
+		Server: balancer.Server{
 			ID: s.nextHost, Zone: fmt.Sprint("zone ", s.rnd.IntN(2)), Cell: s.rnd.IntN(3),
 			Capacity: []float64{1, 1, 1, 0, 0.3, 2.5}[s.rnd.IntN(6)],
 		},
 		others:   s.rnd.Float64() * 0.7,
 		capacity: 5 + 60*s.rnd.Float64(),
 	}
-	s.nextHost += rules.ServerID(1 + s.rnd.IntN(5))
+	s.nextHost += balancer.ServerID(1 + s.rnd.IntN(5))
 	s.hosts = append(s.hosts, h)
 	s.hostByID[h.ID] = h
 	return h
@@ -300,7 +300,7 @@
 
 // start feeds the first list, for some streams only after requests that have to wait for it.
 func (s *stream) start() {
-	mode := rules.ListMode(s.rnd.IntN(3))
+	mode := balancer.ListMode(s.rnd.IntN(3))
 	if s.oneIn(4) {
 		for range 1 + s.rnd.IntN(6) {
 			s.sendRequest(s.drawRequest())
@@ -314,16 +314,16 @@
 	}
 }
 
-func (s *stream) entries() []rules.Server {
-	var list []rules.Server
+func (s *stream) entries() []balancer.Server {
+	var list []balancer.Server
 	for _, h := range s.hosts {
 		list = append(list, h.Server)
 	}
 	return list
 }
 
-func (s *stream) feedList(mode rules.ListMode, servers []rules.Server) {
-	list := rules.EndpointList{Mode: mode, Servers: servers}
+func (s *stream) feedList(mode balancer.ListMode, servers []balancer.Server) {
+	list := balancer.EndpointList{Mode: mode, Servers: servers}
 	if len(s.pastLists) < 6 {
 		s.pastLists = append(s.pastLists, list)
 	}
@@ -358,7 +358,7 @@
 	s.reactions = slices.Insert(s.reactions, i, reaction{at, run})
 }
 
-func (s *stream) feed(what string, event rules.Event) {
+func (s *stream) feed(what string, event balancer.Event) {
 	s.coverage[what]++
 	s.add(0, uint64(s.now))
 	actions := slices.Clone(s.balancer.Handle(s.now, event))
@@ -386,21 +386,21 @@
 	return 0
 }
 
-func (s *stream) digest(a rules.Action) {
+func (s *stream) digest(a balancer.Action) {
 	switch a := a.(type) {
-	case rules.Send:
+	case balancer.Send:
 		s.add(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout), uint64(a.ConnectTimeout))
-	case rules.Reject:
+	case balancer.Reject:
 		s.add(2, uint64(a.ID), uint64(a.RetryAfter), bit(a.ShedByFleet))
-	case rules.Fail:
+	case balancer.Fail:
 		s.add(3, uint64(a.ID))
-	case rules.Migrate:
+	case balancer.Migrate:
 		s.add(4, uint64(a.ID))
-	case rules.PollLoad:
+	case balancer.PollLoad:
 		s.add(5, uint64(a.Server))
-	case rules.SetTimer:
+	case balancer.SetTimer:
 		s.add(6, uint64(a.After), uint64(a.Ref))
-	case rules.Log:
+	case balancer.Log:
 		s.add(7)
 	default:
 		s.t.Errorf("an action of a kind that the digest does not know: %T", a)
@@ -418,8 +418,8 @@
 	s.digestSnapshot(s.balancer.Snapshot())
 }
 
-func (s *stream) digestSnapshot(l rules.Snapshot) {
-	mean := func(m rules.WeightedMean) { s.add(9, math.Float64bits(m.Value), math.Float64bits(m.Weight)) }
+func (s *stream) digestSnapshot(l balancer.Snapshot) {
+	mean := func(m balancer.WeightedMean) { s.add(9, math.Float64bits(m.Value), math.Float64bits(m.Weight)) }
 	mean(l.MeanLoad)
 	mean(l.ConnectionCapacity)
 	if l.ConnectionCapacity.Weight > 0 {
@@ -428,7 +428,7 @@
 	for _, m := range l.ClassLoads {
 		mean(m)
 	}
-	present := map[rules.ServerID]bool{}
+	present := map[balancer.ServerID]bool{}
 	for _, k := range l.Servers {
 		present[k.ID] = true
 		s.add(10, uint64(k.ID), uint64(k.Started), math.Float64bits(k.LoadLimit), uint64(k.LimitLoweredAt),
@@ -446,7 +446,7 @@
 		}
 	}
 	for _, h := range s.hosts {
-		if h.State == rules.Removed && !present[h.ID] {
+		if h.State == balancer.Removed && !present[h.ID] {
 			s.coverage["forgotten server"]++
 		}
 	}
@@ -454,20 +454,20 @@
 
 // Reactions to actions.
 
-func (s *stream) react(a rules.Action, cause string) {
+func (s *stream) react(a balancer.Action, cause string) {
 	switch a := a.(type) {
-	case rules.Send:
+	case balancer.Send:
 		s.coverage["send"]++
 		s.onSend(a)
-	case rules.Reject:
+	case balancer.Reject:
 		s.coverage["reject"]++
 		s.onReject(a)
-	case rules.Fail:
+	case balancer.Fail:
 		s.coverage["fail"]++
-	case rules.Migrate:
+	case balancer.Migrate:
 		s.coverage["migrate"]++
 		s.onMigrate(a)
-	case rules.PollLoad:
+	case balancer.PollLoad:
 		s.coverage["poll load"]++
 		if cause == "timer fired" {
 			s.coverage["poll load on a timer"]++
@@ -475,7 +475,7 @@
 		if !s.oneIn(5) {
 			s.later(s.upTo(130*time.Millisecond), func() { s.reportLoad(a.Server) })
 		}
-	case rules.SetTimer:
+	case balancer.SetTimer:
 		s.coverage["set timer"]++
 		after := max(a.After, 0)
 		if s.oneIn(4) {
@@ -484,15 +484,15 @@
 		asked := s.balancer
 		s.later(after, func() {
 			if s.balancer == asked {
-				s.feed("timer fired", rules.TimerFired{Ref: a.Ref})
+				s.feed("timer fired", balancer.TimerFired{Ref: a.Ref})
 			}
 		})
-	case rules.Log:
+	case balancer.Log:
 		s.coverage["log line"]++
 	}
 }
 
-func (s *stream) onReject(a rules.Reject) {
+func (s *stream) onReject(a balancer.Reject) {
 	if a.ShedByFleet {
 		s.coverage["reject for fleet load shedding"]++
 	}
@@ -508,32 +508,32 @@
 }
 
 // comeAgain sends a client's next request, of the same key and group.
-func (s *stream) comeAgain(r rules.Request) {
+func (s *stream) comeAgain(r balancer.Request) {
 	s.nextRequest++
 	r.ID, r.Reconnecting, r.MidFlow, r.OwnerKnown = s.nextRequest, !s.oneIn(4), false, false
 	s.sendRequest(r)
 }
 
-func (s *stream) onMigrate(a rules.Migrate) {
+func (s *stream) onMigrate(a balancer.Migrate) {
 	i := slices.IndexFunc(s.live, func(c *connection) bool { return c.request.ID == a.ID })
 	if i < 0 {
 		return // a connection adopted from a process before, of which this driver lost sight
 	}
 	c := s.live[i]
-	if h := s.hostByID[c.server]; h.State == rules.Draining {
+	if h := s.hostByID[c.server]; h.State == balancer.Draining {
 		s.coverage["migrate off a drained server"]++
 	} else {
 		s.coverage["migrate for slow messages"]++
 	}
 	c.left = true
-	s.later(s.upTo(200*time.Millisecond), func() { s.end(c, rules.OK, true) })
+	s.later(s.upTo(200*time.Millisecond), func() { s.end(c, balancer.OK, true) })
 	if !s.oneIn(8) {
 		s.later(s.upTo(700*time.Millisecond), func() { s.comeAgain(c.request) })
 	}
 }
 
 // onSend starts an attempt and draws how it goes on.
-func (s *stream) onSend(a rules.Send) {
+func (s *stream) onSend(a balancer.Send) {
 	r, h := s.requests[a.ID], s.hostByID[a.Server]
 	c := &connection{request: r, attempt: s.attempts[a.ID], server: a.Server}
 	s.attempts[a.ID]++
@@ -545,7 +545,7 @@
 	if limit == 0 {
 		limit = time.Second
 	}
-	fail := func(after time.Duration, result rules.Result) {
+	fail := func(after time.Duration, result balancer.Result) {
 		s.later(after, func() { s.end(c, result, false) })
 	}
 	fate := h.condition
@@ -554,31 +554,31 @@
 	}
 	switch {
 	case s.jammed || fate == hanging:
-		fail(limit, rules.TimedOut)
+		fail(limit, balancer.TimedOut)
 	case fate == crashed:
-		fail(setUp, rules.ConnectFailed)
+		fail(setUp, balancer.ConnectFailed)
 	case fate == full, s.flaky && s.oneIn(2):
-		fail(setUp, rules.Rejected)
+		fail(setUp, balancer.Rejected)
 	case fate == failing:
-		fail(setUp, []rules.Result{rules.Errored, rules.Reset}[s.rnd.IntN(2)])
+		fail(setUp, []balancer.Result{balancer.Errored, balancer.Reset}[s.rnd.IntN(2)])
 	case s.oneIn(60):
-		fail(0, rules.NotSent)
+		fail(0, balancer.NotSent)
 	case s.oneIn(60):
-		fail(setUp, rules.Cancelled)
+		fail(setUp, balancer.Cancelled)
 	case s.oneIn(25):
-		fail(setUp, rules.Errored)
+		fail(setUp, balancer.Errored)
 	case setUp > limit:
-		fail(limit, rules.TimedOut)
+		fail(limit, balancer.TimedOut)
 	case s.oneIn(30) && a.ConnectTimeout > 0: // stands too late to carry anything
-		fail(a.ConnectTimeout, rules.NotSent)
+		fail(a.ConnectTimeout, balancer.NotSent)
 	case s.oneIn(12): // a short answer
-		s.later(setUp, func() { s.end(c, rules.OK, true) })
+		s.later(setUp, func() { s.end(c, balancer.OK, true) })
 	default:
 		s.later(setUp, func() { s.establish(c) })
 	}
 }
 
-func (s *stream) coverSend(a rules.Send, c *connection, h *host) {
+func (s *stream) coverSend(a balancer.Send, c *connection, h *host) {
 	if c.attempt > 0 {
 		s.coverage["retry"]++
 		if s.mayHaveRun[a.ID] {
@@ -594,7 +594,7 @@
 	if c.request.MidFlow {
 		s.coverage["send of a mid-flow request"]++
 	}
-	if h.State == rules.Draining {
+	if h.State == balancer.Draining {
 		s.coverage["send to a draining server"]++
 	}
 }
@@ -604,25 +604,25 @@
 		return
 	}
 	c.established = true
-	s.feed("established", rules.AttemptEstablished{ID: c.request.ID, Attempt: c.attempt, Server: c.server,
+	s.feed("established", balancer.AttemptEstablished{ID: c.request.ID, Attempt: c.attempt, Server: c.server,
 		Elapsed: s.upTo(90 * time.Millisecond)})
 	life := s.upTo([]time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}[s.rnd.IntN(3)])
 	s.later(life, func() {
-		result := rules.OK
+		result := balancer.OK
 		switch s.rnd.IntN(12) {
 		case 0:
-			result = rules.Reset
+			result = balancer.Reset
 		case 1:
-			result = rules.Cancelled
+			result = balancer.Cancelled
 		case 2:
-			result = rules.Errored
+			result = balancer.Errored
 		}
 		s.end(c, result, !s.oneIn(10))
 	})
 }
 
 // end ends an attempt that has not ended yet.
-func (s *stream) end(c *connection, result rules.Result, answered bool) {
+func (s *stream) end(c *connection, result balancer.Result, answered bool) {
 	i := slices.Index(s.live, c)
 	if i < 0 {
 		return
@@ -633,7 +633,7 @@
 	if !result.NeverRan() {
 		s.mayHaveRun[c.request.ID] = true
 	}
-	s.feed("ended", rules.AttemptEnded{ID: c.request.ID, Attempt: c.attempt,
+	s.feed("ended", balancer.AttemptEnded{ID: c.request.ID, Attempt: c.attempt,
 		Server: c.server, Result: result,
 		Elapsed: s.upTo(300 * time.Millisecond), Answered: answered || c.left})
 }
@@ -666,7 +666,7 @@
 		s.changeList()
 	case dice < 90:
 		s.feed("fleet load shedding",
-			rules.FleetShedLevel{Level: []float64{0, 0, 0.3, 1, 1.4}[s.rnd.IntN(5)]})
+			balancer.FleetShedLevel{Level: []float64{0, 0, 0.3, 1, 1.4}[s.rnd.IntN(5)]})
 	case dice < 92:
 		s.reinstate(s.anyHost())
 	case dice < 93:
@@ -694,11 +694,11 @@
 
 func isEstablished(c *connection) bool { return c.established }
 
-func (s *stream) drawRequest() rules.Request {
+func (s *stream) drawRequest() balancer.Request {
 	s.nextRequest++
 	class := []string{"idempotent", "idempotent", "idempotent", "with key", "non-idempotent",
 		"with key everywhere", "not in the settings"}[s.rnd.IntN(7)]
-	r := rules.Request{
+	r := balancer.Request{
 		ID: s.nextRequest, Class: class,
 		Timeout: 50*time.Millisecond +
 			s.upTo([]time.Duration{150 * time.Millisecond, 3 * time.Second}[s.rnd.IntN(2)]),
@@ -718,7 +718,7 @@
 }
 
 // drawMidFlow is a request of which some server holds the connection already.
-func (s *stream) drawMidFlow() rules.Request {
+func (s *stream) drawMidFlow() balancer.Request {
 	r := s.drawRequest()
 	r.MidFlow = true
 	if s.oneIn(2) {
@@ -727,7 +727,7 @@
 	return r
 }
 
-func (s *stream) sendRequest(r rules.Request) {
+func (s *stream) sendRequest(r balancer.Request) {
 	s.requests[r.ID] = r
 	s.feed("request", r)
 }
@@ -752,12 +752,12 @@
 	} else {
 		h.delay = s.upTo(50 * time.Millisecond)
 	}
-	s.feed("message delay", rules.MessageDelay{ID: c.request.ID, Server: c.server, Delay: h.delay})
+	s.feed("message delay", balancer.MessageDelay{ID: c.request.ID, Server: c.server, Delay: h.delay})
 }
 
 func (s *stream) changeLoad() {
 	if c := s.anyLive(isEstablished); c != nil {
-		s.feed("load changed", rules.LoadChanged{ID: c.request.ID, Load: 100 + 5000*s.rnd.Float64()})
+		s.feed("load changed", balancer.LoadChanged{ID: c.request.ID, Load: 100 + 5000*s.rnd.Float64()})
 	}
 }
 
@@ -767,19 +767,19 @@
 		return
 	}
 	c.left = true
-	s.feed("client disconnected", rules.ClientDisconnected{ID: c.request.ID})
-	s.later(s.upTo(50*time.Millisecond), func() { s.end(c, rules.Cancelled, true) })
+	s.feed("client disconnected", balancer.ClientDisconnected{ID: c.request.ID})
+	s.later(s.upTo(50*time.Millisecond), func() { s.end(c, balancer.Cancelled, true) })
 }
 
 func (s *stream) endOne() {
 	if c := s.anyLive(isEstablished); c != nil {
 		s.end(c,
-			[]rules.Result{rules.OK, rules.OK, rules.Cancelled, rules.Reset}[s.rnd.IntN(4)], true)
+			[]balancer.Result{balancer.OK, balancer.OK, balancer.Cancelled, balancer.Reset}[s.rnd.IntN(4)], true)
 	}
 }
 
 // reportLoad feeds what a server says of its load, with all gateways' connections unless it does not say.
-func (s *stream) reportLoad(id rules.ServerID) {
+func (s *stream) reportLoad(id balancer.ServerID) {
 	h := s.hostByID[id]
 	held := 0
 	for _, c := range s.live {
@@ -787,7 +787,7 @@
 			held++
 		}
 	}
-	report := rules.LoadReport{Server: id, Utilization: h.others + float64(held)/h.capacity}
+	report := balancer.LoadReport{Server: id, Utilization: h.others + float64(held)/h.capacity}
 	if h.condition == slow {
 		report.Utilization += 0.5
 	}
@@ -819,7 +819,7 @@
 func (s *stream) resetAll(h *host, within time.Duration) {
 	for _, c := range s.live {
 		if c.server == h.ID {
-			s.later(s.upTo(within), func() { s.end(c, rules.Reset, c.established) })
+			s.later(s.upTo(within), func() { s.end(c, balancer.Reset, c.established) })
 		}
 	}
 }
@@ -834,7 +834,7 @@
 	for _, c := range slices.Clone(s.live) {
 		if c.server == h.ID && c.established && told < 3 {
 			told++
-			s.feed("message delay", rules.MessageDelay{ID: c.request.ID, Server: h.ID, Delay: h.delay})
+			s.feed("message delay", balancer.MessageDelay{ID: c.request.ID, Server: h.ID, Delay: h.delay})
 		}
 	}
 	if s.oneIn(3) {
@@ -850,35 +850,35 @@
 	case 0:
 		h = s.addHost()
 	case 1, 2:
-		h.State, h.Evacuate = rules.Draining, s.oneIn(2)
+		h.State, h.Evacuate = balancer.Draining, s.oneIn(2)
 		defer s.midFlowAfter(h)
 	case 3:
-		h.State = rules.Removed
+		h.State = balancer.Removed
 		defer s.midFlowAfter(h)
 		s.resetAll(h, time.Second)
 	case 4, 5, 6:
-		h.State, h.Evacuate = rules.Ready, false
+		h.State, h.Evacuate = balancer.Ready, false
 	case 7:
 		s.reboot(h)
 	case 8:
 		h.Capacity = []float64{0, -1, 0.5, 3, math.NaN(), math.Inf(1)}[s.rnd.IntN(6)]
 	case 9: // nothing new
-		s.feedList(rules.ListDelta, nil)
+		s.feedList(balancer.ListDelta, nil)
 		return
 	case 10: // an old list, or an empty one
 		old := s.pastLists[s.rnd.IntN(len(s.pastLists))]
 		s.feedList(
-			[]rules.ListMode{rules.ListComplete, rules.ListCached}[s.rnd.IntN(2)], old.Servers)
+			[]balancer.ListMode{balancer.ListComplete, balancer.ListCached}[s.rnd.IntN(2)], old.Servers)
 		return
 	case 11:
-		s.feedList(rules.ListComplete, s.entries())
+		s.feedList(balancer.ListComplete, s.entries())
 		return
 	}
 	if s.oneIn(5) {
-		s.feedList(rules.ListComplete, s.entries())
+		s.feedList(balancer.ListComplete, s.entries())
 		return
 	}
-	s.feedList(rules.ListDelta, []rules.Server{h.Server})
+	s.feedList(balancer.ListDelta, []balancer.Server{h.Server})
 }
 
 // midFlowAfter sends requests of a server that has just left the table, around the times up to which it may
@@ -903,22 +903,22 @@
 
 // reboot restarts a server's process.
 func (s *stream) reboot(h *host) {
-	h.Started, h.State, h.Evacuate, h.condition = s.now, rules.Ready, false, healthy
+	h.Started, h.State, h.Evacuate, h.condition = s.now, balancer.Ready, false, healthy
 	s.resetAll(h, 100*time.Millisecond)
 }
 
 // reinstate has staff put a server back into use, for some after a restart.
 func (s *stream) reinstate(h *host) {
-	s.feed("server reinstated", rules.ServerReinstated{Server: h.ID})
+	s.feed("server reinstated", balancer.ServerReinstated{Server: h.ID})
 	if s.oneIn(2) {
 		s.reboot(h)
-		s.feedList(rules.ListDelta, []rules.Server{h.Server})
+		s.feedList(balancer.ListDelta, []balancer.Server{h.Server})
 	}
 }
 
 // oddEvent feeds what comes late, twice, or of what is not known.
 func (s *stream) oddEvent() {
-	known := rules.RequestID(1 + s.rnd.IntN(int(s.nextRequest)+1))
+	known := balancer.RequestID(1 + s.rnd.IntN(int(s.nextRequest)+1))
 	unknown := s.nextRequest + 1000
 	server := s.anyHost().ID
 	switch s.rnd.IntN(9) {
@@ -928,21 +928,21 @@
 		}
 	case 1:
 		s.feed("established",
-			rules.AttemptEstablished{ID: known, Attempt: s.rnd.IntN(3), Server: server + 50})
+			balancer.AttemptEstablished{ID: known, Attempt: s.rnd.IntN(3), Server: server + 50})
 	case 2:
-		s.feed("ended", rules.AttemptEnded{ID: known, Attempt: 7, Server: server, Result: rules.Reset})
+		s.feed("ended", balancer.AttemptEnded{ID: known, Attempt: 7, Server: server, Result: balancer.Reset})
 	case 3:
-		s.feed("client disconnected", rules.ClientDisconnected{ID: unknown})
+		s.feed("client disconnected", balancer.ClientDisconnected{ID: unknown})
 	case 4:
-		s.feed("timer fired", rules.TimerFired{Ref: 77})
+		s.feed("timer fired", balancer.TimerFired{Ref: 77})
 	case 5:
-		s.feed("load changed", rules.LoadChanged{ID: unknown, Load: 5})
+		s.feed("load changed", balancer.LoadChanged{ID: unknown, Load: 5})
 	case 6:
-		s.feed("message delay", rules.MessageDelay{ID: unknown, Server: 1, Delay: time.Second})
+		s.feed("message delay", balancer.MessageDelay{ID: unknown, Server: 1, Delay: time.Second})
 	case 7:
-		s.feed("load report", rules.LoadReport{Server: 1, Utilization: 1})
+		s.feed("load report", balancer.LoadReport{Server: 1, Utilization: 1})
 	case 8:
-		s.feed("server reinstated", rules.ServerReinstated{Server: 1})
+		s.feed("server reinstated", balancer.ServerReinstated{Server: 1})
 	}
 }
 
@@ -959,7 +959,7 @@
 	}
 	s.settings.Seed++
 	s.balancer = s.newBalancer()
-	s.feedList([]rules.ListMode{rules.ListComplete, rules.ListCached}[s.rnd.IntN(2)], s.entries())
+	s.feedList([]balancer.ListMode{balancer.ListComplete, balancer.ListCached}[s.rnd.IntN(2)], s.entries())
 	s.balancer.Restore(s.now, snapshot)
 	s.digestSnapshot(s.balancer.Snapshot())
 	inherited := s.live
@@ -970,16 +970,16 @@
 		}
 		c.attempt, s.attempts[c.request.ID] = 0, 1
 		s.live = append(s.live, c)
-		s.feed("adopted connection", rules.AdoptedConnection{Request: c.request, Server: c.server})
+		s.feed("adopted connection", balancer.AdoptedConnection{Request: c.request, Server: c.server})
 		life := s.upTo(20 * time.Second)
-		s.later(life, func() { s.end(c, rules.OK, true) })
+		s.later(life, func() { s.end(c, balancer.OK, true) })
 	}
 	s.feed("adopted connection",
-		rules.AdoptedConnection{Request: rules.Request{ID: s.nextRequest + 5000}, Server: 1})
+		balancer.AdoptedConnection{Request: balancer.Request{ID: s.nextRequest + 5000}, Server: 1})
 }
 
 // spoil puts figures into a snapshot that have to be passed over or bounded.
-func (s *stream) spoil(l *rules.Snapshot) {
+func (s *stream) spoil(l *balancer.Snapshot) {
 	l.MeanLoad.Value = math.NaN()
 	l.ConnectionCapacity.Weight = 1e9
 	if s.oneIn(2) {
@@ -1007,12 +1007,12 @@
 func (s *stream) lastQuarter() {
 	switch s.rnd.IntN(6) {
 	case 0:
-		s.feed("shutdown", rules.Shutdown{Deadline: s.now + s.upTo(time.Second)})
+		s.feed("shutdown", balancer.Shutdown{Deadline: s.now + s.upTo(time.Second)})
 	case 1, 2:
 		for _, h := range s.hosts[:(len(s.hosts)+1)/2] {
-			h.State = rules.Removed
+			h.State = balancer.Removed
 		}
-		s.feedList(rules.ListDelta, s.entries())
+		s.feedList(balancer.ListDelta, s.entries())
 		s.wait(8 * time.Second)
 		s.now += 9*time.Minute + s.upTo(time.Minute)
 		s.wait(time.Second) // the timers are late, and all else that was due
--- a/rules/figures_test.go
+++ b/balancer/figures_test.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 import (
 	"fmt"
--- a/rules/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package rules
+package balancer
 
 // This file is the gateway's memory: what it knows of servers and requests, and the sums over them. It
 // decides nothing.
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -10,9 +10,9 @@
 	"os"
 	"runtime/debug"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/wire"
-	"example.org/milletvane/rules"
 )
 
 func main() {
@@ -54,7 +54,7 @@
 
 // instance is one gateway's decisions, with the clock of its list where that has to be asked for.
 type instance struct {
-	rules *rules.Balancer
+	rules *balancer.Balancer
 	list  *refresh.Scheduler // nil: changes come by themselves
 }
 
@@ -64,7 +64,7 @@
 // asked appends what the clock of the list answers an event with.
 func (i *instance) asked(reply []byte, n int, call refresh.Poll) []byte {
 	if call.Delay > 0 {
-		return wire.AppendAction(reply, n, rules.SetTimer{After: call.Delay, Ref: refAsk})
+		return wire.AppendAction(reply, n, balancer.SetTimer{After: call.Delay, Ref: refAsk})
 	}
 	return wire.AppendWatch(reply, n)
 }
@@ -79,7 +79,7 @@
 	}()
 	switch {
 	case ev.Start != nil:
-		b, err := rules.New(ev.Start.Rules)
+		b, err := balancer.New(ev.Start.Rules)
 		if err != nil {
 			delete(instances, ev.Instance)
 			return wire.AppendBroken(reply, ev.Instance, err.Error())
@@ -103,10 +103,10 @@
 			}
 			return reply
 		}
-		if t, ok := ev.Rules.(rules.TimerFired); ok && t.Ref == refAsk {
+		if t, ok := ev.Rules.(balancer.TimerFired); ok && t.Ref == refAsk {
 			return wire.AppendWatch(reply, ev.Instance)
 		}
-		if l, ok := ev.Rules.(rules.EndpointList); ok && l.Mode != rules.ListCached && i.list != nil {
+		if l, ok := ev.Rules.(balancer.EndpointList); ok && l.Mode != balancer.ListCached && i.list != nil {
 			// The simulator goes on with a watch by itself: what comes is taken note of, and no call follows.
 			i.list.Handle(batch.Now, refresh.ListReceived{Complete: true})
 		}
--- a/config/config.go
+++ b/config/config.go
@@ -12,10 +12,10 @@
 	"strconv"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/settings"
-	"example.org/milletvane/rules"
 )
 
 // The environment's keys.
@@ -80,7 +80,7 @@
 	State     string // a folder for what the next process should know; empty: there is none
 	Limits    Limits
 	Known     *discovery.EndpointList // the list as last held; nil: none
-	Rules     rules.Settings
+	Rules     balancer.Settings
 	List      refresh.Settings
 	Node      settings.Node
 	AnswerBy  time.Duration // from a planned stop until all that waits has its answer
@@ -200,7 +200,7 @@
 			return fmt.Errorf("seed: %q is not 64 bits of hex", f.Seed)
 		}
 	}
-	if _, err := rules.New(*set); err != nil {
+	if _, err := balancer.New(*set); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Rules = *set
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -12,6 +12,7 @@
 	"sync/atomic"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/config"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/internal/admin"
@@ -29,7 +30,6 @@
 	"example.org/milletvane/internal/nats/codec"
 	natsfront "example.org/milletvane/internal/nats/front"
 	"example.org/milletvane/internal/reactor"
-	"example.org/milletvane/rules"
 )
 
 // Gateway is one balancer.
@@ -80,7 +80,7 @@
 	for _, o := range options {
 		o(g)
 	}
-	decider, err := rules.New(c.Rules)
+	decider, err := balancer.New(c.Rules)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
@@ -186,7 +186,7 @@
 	if said != "" {
 		g.logger.Info("weights", "by", said)
 	}
-	if l.Mode != rules.ListDelta || len(l.Servers) > 0 {
+	if l.Mode != balancer.ListDelta || len(l.Servers) > 0 {
 		g.engine.Post(l)
 	}
 	at, ok := g.follow.Again()
@@ -297,9 +297,9 @@
 		}
 	}
 	// The rules start with the list as last held; a newer one is asked for meanwhile.
-	stored := engine.EndpointList{Mode: rules.ListCached}
+	stored := engine.EndpointList{Mode: balancer.ListCached}
 	if g.config.Known != nil {
-		stored = g.config.Known.EngineList(rules.ListCached)
+		stored = g.config.Known.EngineList(balancer.ListCached)
 	}
 	// Before any client: no server is used that staff took out, and what the process before knows is known.
 	g.bans.Sync()
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/cluster"
 	"example.org/milletvane/internal/cluster/loadshed"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 func (g *Gateway) clusterOptions() cluster.Options {
@@ -69,7 +69,7 @@
 			}
 			l := stored
 			if hint != nil {
-				l = hint.EngineList(rules.ListCached)
+				l = hint.EngineList(balancer.ListCached)
 			}
 			g.post(l)
 		})
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/cluster/loadshed"
 	"example.org/milletvane/internal/cluster/recovery"
 	"example.org/milletvane/internal/discovery"
@@ -19,7 +20,6 @@
 	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/operr"
 	"example.org/milletvane/internal/wal"
-	"example.org/milletvane/rules"
 )
 
 const (
@@ -262,21 +262,21 @@
 
 // UpdateEndpoints takes note of a list that discovery has told, before the engine hears of it.
 func (c *Cluster) UpdateEndpoints(l engine.EndpointList) {
-	if l.Mode != rules.ListComplete && l.Mode != rules.ListDelta {
+	if l.Mode != balancer.ListComplete && l.Mode != balancer.ListDelta {
 		return
 	}
 	c.mu.Lock()
-	if l.Mode == rules.ListComplete {
+	if l.Mode == balancer.ListComplete {
 		c.servers = map[string]discovery.Endpoint{}
 	}
 	for _, s := range l.Servers {
-		if s.State == rules.Removed {
+		if s.State == balancer.Removed {
 			delete(c.servers, s.Name)
 		} else {
 			c.servers[s.Name] = discovery.NewEndpointList(0, []engine.Server{s}).Endpoints[0]
 		}
 	}
-	changed := l.Mode == rules.ListComplete || len(l.Servers) > 0
+	changed := l.Mode == balancer.ListComplete || len(l.Servers) > 0
 	if l.Version > 0 {
 		c.version = l.Version
 	}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/wal/faultfs"
-	"example.org/milletvane/rules"
 )
 
 // logs is a log that a test reads.
@@ -92,10 +92,10 @@
 }
 
 func list(version int64, n int) engine.EndpointList {
-	l := engine.EndpointList{Mode: rules.ListComplete, Version: version}
+	l := engine.EndpointList{Mode: balancer.ListComplete, Version: version}
 	for i := range n {
 		id := fmt.Sprintf("s-%08x", i+1)
-		l.Servers = append(l.Servers, engine.Server{Name: id, Addr: fmt.Sprintf("10.0.0.%d:5000", i%250), Server: rules.Server{ID: discovery.ServerID(id), Zone: "oviedo", Capacity: 1.5}})
+		l.Servers = append(l.Servers, engine.Server{Name: id, Addr: fmt.Sprintf("10.0.0.%d:5000", i%250), Server: balancer.Server{ID: discovery.ServerID(id), Zone: "oviedo", Capacity: 1.5}})
 	}
 	return l
 }
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -17,13 +17,13 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/cluster/loadshed"
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/internal/wal/faultfs"
-	"example.org/milletvane/rules"
 )
 
 var updateFormats = flag.Bool("update", false, "write testdata/exchange.txt anew")
@@ -131,7 +131,7 @@
 func formatServers(n int) (all []engine.Server) {
 	for i := range n {
 		id := fmt.Sprintf("s-%08x", i+1)
-		all = append(all, engine.Server{Name: id, Addr: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Server: rules.Server{
+		all = append(all, engine.Server{Name: id, Addr: fmt.Sprintf("10.1.%d.%d:5000", i/250, i%250), Server: balancer.Server{
 			ID:       discovery.ServerID(id),
 			Zone:     []string{"oviedo", "gijón", "a<b>&\"c\"", ""}[i%4],
 			Cell:     i % 3,
@@ -162,7 +162,7 @@
 
 	x.now += 700 * time.Millisecond
 	servers := formatServers(15)
-	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 8, Servers: servers})
+	a.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListComplete, Version: 8, Servers: servers})
 	x.recover(a)
 	x.flush()
 	x.save(a)
@@ -170,10 +170,10 @@
 	x.receive("c", `{"k":"ask"}`)
 	x.flush()
 
-	servers[3].State, servers[4].State = rules.Removed, rules.Draining
+	servers[3].State, servers[4].State = balancer.Removed, balancer.Draining
 	added := engine.Server{Name: "server \u2028 \U0001f600 \t", Addr: "[::1]:5000"}
-	added.Server = rules.Server{Cell: -1, Capacity: -0.5, Started: time.Millisecond}
-	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListDelta, Version: 9, Servers: []engine.Server{servers[3], servers[4], added}})
+	added.Server = balancer.Server{Cell: -1, Capacity: -0.5, Started: time.Millisecond}
+	a.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListDelta, Version: 9, Servers: []engine.Server{servers[3], servers[4], added}})
 	x.save(a)
 	x.now += time.Second
 	x.receive("c", `{"k":"ask","later":[1]}`)
@@ -186,17 +186,17 @@
 	digest := x.lastSent("tier")
 
 	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", membership.MaxBodyBytes)}
-	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListDelta, Version: 10, Servers: []engine.Server{long}})
+	a.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListDelta, Version: 10, Servers: []engine.Server{long}})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
-	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 11, Servers: formatServers(1800)})
+	a.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListComplete, Version: 11, Servers: formatServers(1800)})
 	x.receive("b", `{"k":"ask"}`)
 	x.flush()
 	servers = formatServers(800)
 	for i := range servers {
 		servers[i].Addr += strings.Repeat("0", i*i%61)
 	}
-	a.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 12, Servers: servers})
+	a.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListComplete, Version: 12, Servers: servers})
 	x.receive("b", `{"k":"ask"}`)
 	x.digest()
 	a.Close()
@@ -230,7 +230,7 @@
 	disk = faultfs.New(3)
 	b := x.start("b", disk)
 	for version := range int64(64) {
-		b.UpdateEndpoints(engine.EndpointList{Mode: rules.ListComplete, Version: 100 + version, Servers: formatServers(2)})
+		b.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListComplete, Version: 100 + version, Servers: formatServers(2)})
 		x.save(b)
 	}
 	b.Close()
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
-	"example.org/milletvane/rules"
 )
 
 // broken are the ways in which a watch may end besides silences.
@@ -92,7 +92,7 @@
 						time.Sleep(time.Millisecond) // 0 stands for not yet
 						p.start(nil)
 						for l := range p.told {
-							if script.first != "" && l.Mode == rules.ListComplete && l.Version < 7 {
+							if script.first != "" && l.Mode == balancer.ListComplete && l.Version < 7 {
 								t.Errorf("went by a list of version %d", l.Version)
 							}
 							if l.Version == 8 {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 const (
@@ -141,9 +141,9 @@
 		w.overdue = false
 		w.logger.Info("list told again", "addr", w.asked, "version", m.Version)
 	}
-	mode := rules.ListDelta
+	mode := balancer.ListDelta
 	if m.Complete {
-		mode = rules.ListComplete
+		mode = balancer.ListComplete
 	}
 	if m.Complete || len(m.Endpoints) > 0 {
 		w.logger.Info("list", "version", m.Version, "full", m.Complete, "servers", len(m.Endpoints))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,8 +14,8 @@
 
 	"pgregory.net/rapid"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
-	"example.org/milletvane/rules"
 )
 
 func TestMain(m *testing.M) {
@@ -81,7 +81,7 @@
 				if c.taken {
 					want = 1
 				}
-				if l := <-p.told; l.Mode != rules.ListComplete || len(l.Servers) != want {
+				if l := <-p.told; l.Mode != balancer.ListComplete || len(l.Servers) != want {
 					t.Errorf("told %+v, want %d servers", l, want)
 				}
 			})
@@ -110,12 +110,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := m.EngineList(rules.ListDelta)
-	first := rules.Server{ID: 1, Zone: "a", Cell: 3, State: rules.Draining, Capacity: 1.5, Started: 1700000000123 * time.Millisecond}
+	l := m.EngineList(balancer.ListDelta)
+	first := balancer.Server{ID: 1, Zone: "a", Cell: 3, State: balancer.Draining, Capacity: 1.5, Started: 1700000000123 * time.Millisecond}
 	if l.Servers[0].Server != first || l.Servers[0].Name != "s-00000001" || l.Servers[0].Addr != "127.0.0.1:1" {
 		t.Errorf("read as %+v", l.Servers[0])
 	}
-	for i, want := range []rules.ServerState{rules.Draining, rules.Removed, rules.Ready, rules.Draining} {
+	for i, want := range []balancer.ServerState{balancer.Draining, balancer.Removed, balancer.Ready, balancer.Draining} {
 		if got := l.Servers[i].State; got != want {
 			t.Errorf("server %d is in state %d, want %d", i, got, want)
 		}
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 var updateFormats = flag.Bool("update", false, "write what is sent and decoded today to testdata")
@@ -59,22 +59,22 @@
 func writeList(w io.Writer, l engine.EndpointList) {
 	mode := "other"
 	switch l.Mode {
-	case rules.ListDelta:
+	case balancer.ListDelta:
 		mode = "changes"
-	case rules.ListComplete:
+	case balancer.ListComplete:
 		mode = "complete"
-	case rules.ListCached:
+	case balancer.ListCached:
 		mode = "stored"
 	}
 	fmt.Fprintf(w, "list mode=%s version=%d servers=%d\n", mode, l.Version, len(l.Servers))
 	for _, s := range l.Servers {
 		state := "other"
 		switch s.State {
-		case rules.Ready:
+		case balancer.Ready:
 			state = "ready"
-		case rules.Draining:
+		case balancer.Draining:
 			state = "draining"
-		case rules.Removed:
+		case balancer.Removed:
 			state = "gone"
 		}
 		fmt.Fprintf(w, "server name=%q addr=%q id=%d zone=%q cell=%d state=%s capacity=%g started=%d clear=%t\n",
@@ -142,7 +142,7 @@
 				s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMS)
 		}
 		encode(t, &got, m)
-		writeList(&got, m.EngineList(rules.ListComplete))
+		writeList(&got, m.EngineList(balancer.ListComplete))
 		got.WriteByte('\n')
 	}
 	checkGolden(t, "decoded.txt", got.Bytes())
@@ -163,10 +163,10 @@
 	var got bytes.Buffer
 	encode(t, &got, NewEndpointList(0, nil))
 	encode(t, &got, NewEndpointList(77, []engine.Server{
-		{Name: "s-5be2a07c", Addr: "10.1.2.3:7000", Server: rules.Server{ID: 1, Zone: "a", Cell: 3, State: rules.Ready,
+		{Name: "s-5be2a07c", Addr: "10.1.2.3:7000", Server: balancer.Server{ID: 1, Zone: "a", Cell: 3, State: balancer.Ready,
 			Capacity: 1.5, Started: 1700000000123*time.Millisecond + 999*time.Microsecond, Evacuate: true}},
-		{Name: "b", Server: rules.Server{State: rules.Draining}},
-		{Name: "c", Server: rules.Server{State: rules.Removed, Cell: -1, Capacity: -2, Started: -1}},
+		{Name: "b", Server: balancer.Server{State: balancer.Draining}},
+		{Name: "c", Server: balancer.Server{State: balancer.Removed, Cell: -1, Capacity: -2, Started: -1}},
 	}))
 	checkGolden(t, "encoded.txt", got.Bytes())
 }
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -9,8 +9,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 // EndpointList is a list of servers in discovery's form.
@@ -48,13 +48,13 @@
 
 // ServerID is a server's number: the same on every balancer and after every restart, whatever lists came
 // before. An id that ends in 32 bits of hex, as s-5be2a07c, holds its number already; others are hashed.
-func ServerID(id string) rules.ServerID {
+func ServerID(id string) balancer.ServerID {
 	if hex := id[strings.LastIndexByte(id, '-')+1:]; len(hex) == 8 {
 		if n, err := strconv.ParseUint(hex, 16, 32); err == nil {
-			return rules.ServerID(n)
+			return balancer.ServerID(n)
 		}
 	}
-	return rules.ServerID(xxhash.Sum64String(id))
+	return balancer.ServerID(xxhash.Sum64String(id))
 }
 
 // NewEndpointList is the list in discovery's form again, as a watch goes on from it.
@@ -62,7 +62,7 @@
 	m := &EndpointList{Version: version, Complete: true}
 	for _, s := range servers {
 		state := "in_service"
-		if s.State != rules.Ready {
+		if s.State != balancer.Ready {
 			state = "terminating"
 		}
 		m.Endpoints = append(m.Endpoints, Endpoint{ID: s.Name, Addr: s.Addr, Zone: s.Zone, Cell: s.Cell, State: state,
@@ -72,18 +72,18 @@
 }
 
 // EngineList is the engine's form of the list.
-func (m *EndpointList) EngineList(mode rules.ListMode) engine.EndpointList {
+func (m *EndpointList) EngineList(mode balancer.ListMode) engine.EndpointList {
 	l := engine.EndpointList{Mode: mode, Version: m.Version, Servers: make([]engine.Server, 0, len(m.Endpoints))}
 	for _, s := range m.Endpoints {
 		// What is in no known state wants nothing new for all that is known.
-		state := rules.Draining
+		state := balancer.Draining
 		switch s.State {
 		case "in_service":
-			state = rules.Ready
+			state = balancer.Ready
 		case "terminated":
-			state = rules.Removed
+			state = balancer.Removed
 		}
-		l.Servers = append(l.Servers, engine.Server{Name: s.ID, Addr: s.Addr, Server: rules.Server{
+		l.Servers = append(l.Servers, engine.Server{Name: s.ID, Addr: s.Addr, Server: balancer.Server{
 			ID: ServerID(s.ID), Zone: s.Zone, Cell: s.Cell, State: state, Capacity: s.Weight,
 			Started: time.Duration(s.StartedMS) * time.Millisecond, // the engine's clock is Unix time
 		}})
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -14,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 // service is discovery, or an agent, at the other end of pipes, in a bubble whose time goes on when nothing else does.
@@ -285,7 +285,7 @@
 			}
 			p.start(&EndpointList{Version: 9, Endpoints: []Endpoint{{ID: "s-00000001"}}})
 			l := <-p.told
-			if l.Mode != rules.ListComplete || l.Servers[0].Name != "s-00000003" {
+			if l.Mode != balancer.ListComplete || l.Servers[0].Name != "s-00000003" {
 				t.Errorf("pushed %v: told %+v", pushed, l)
 			}
 		})
--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 // tell shows an event to the rules and carries out their actions.
-func (e *Engine) tell(ev rules.Event) {
+func (e *Engine) tell(ev balancer.Event) {
 	e.queue = append(e.queue, ev)
 	if len(e.queue) > 1 {
 		return // called from an action; the loop below gets to it
@@ -28,11 +28,11 @@
 	e.queue = e.queue[:0]
 }
 
-func (e *Engine) act(a rules.Action) {
+func (e *Engine) act(a balancer.Action) {
 	switch a := a.(type) {
-	case rules.Send:
+	case balancer.Send:
 		e.onSend(a)
-	case rules.Reject:
+	case balancer.Reject:
 		if r, ok := e.requests.Get(slotmap.Handle(a.ID)); ok && r.phase == waiting {
 			e.counts.refused++
 			r.class.Declined.Add(1)
@@ -44,29 +44,29 @@
 			r.client.Reject(a.RetryAfter)
 			e.free(r)
 		}
-	case rules.Fail:
+	case balancer.Fail:
 		if r, ok := e.requests.Get(slotmap.Handle(a.ID)); ok && r.phase == waiting {
 			e.fail(r)
 		}
-	case rules.Migrate:
+	case balancer.Migrate:
 		if r, ok := e.requests.Get(slotmap.Handle(a.ID)); ok && r.phase == open {
-			e.move(r, rules.Cancelled)
+			e.move(r, balancer.Cancelled)
 		}
-	case rules.PollLoad:
+	case balancer.PollLoad:
 		if s := e.servers[a.Server]; s != nil {
 			s.meter.askedAt = e.now
 			e.prober.PollLoad(a.Server, s.addr)
 		}
-	case rules.SetTimer:
+	case balancer.SetTimer:
 		e.deadlines.Add(e.now+max(a.After, 0), due{kind: dueWake, ref: a.Ref})
-	case rules.Log:
+	case balancer.Log:
 		e.opts.Logger.Info("rules", "text", a.Text)
 	}
 }
 
 // move sends an open connection's client away politely; its attempt ends with the result. Its slot is kept until
 // it has been told.
-func (e *Engine) move(r *request, result rules.Result) {
+func (e *Engine) move(r *request, result balancer.Result) {
 	e.counts.moved++
 	r.phase, r.link = leaving, nil
 	within := r.client.Migrate()
@@ -74,14 +74,14 @@
 		within = moveWithin
 	}
 	e.rearm(&r.answer, e.now+within, due{kind: dueMove, id: r.id})
-	e.tell(rules.AttemptEnded{ID: rules.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
+	e.tell(balancer.AttemptEnded{ID: balancer.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
 		Elapsed: e.now - r.sent, Answered: true})
 }
 
-func (e *Engine) onSend(a rules.Send) {
+func (e *Engine) onSend(a balancer.Send) {
 	r, ok := e.requests.Get(slotmap.Handle(a.ID))
 	if !ok || r.phase != waiting || r.link != nil {
-		e.tell(rules.AttemptEnded{ID: a.ID, Server: a.Server, Result: rules.NotSent, Answered: true})
+		e.tell(balancer.AttemptEnded{ID: a.ID, Server: a.Server, Result: balancer.NotSent, Answered: true})
 		return
 	}
 	wait := r.deadline - e.now
@@ -91,14 +91,14 @@
 	e.send(r, a.Server, wait, a.ConnectTimeout)
 }
 
-func (e *Engine) send(r *request, to rules.ServerID, wait, begin time.Duration) {
+func (e *Engine) send(r *request, to balancer.ServerID, wait, begin time.Duration) {
 	s := e.servers[to]
 	r.attempts++
 	r.server, r.sent = to, e.now
 	if s == nil || wait <= 0 {
-		result := rules.ConnectFailed // it left the list, and its address with it
+		result := balancer.ConnectFailed // it left the list, and its address with it
 		if s != nil {
-			result = rules.TimedOut
+			result = balancer.TimedOut
 		}
 		e.outcome(r, result)
 		return
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -4,9 +4,9 @@
 	"log/slog"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/metrics"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 // ClientHandle ties a client to its slot. A front embeds it in its clients and leaves it alone.
@@ -33,7 +33,7 @@
 type Attempt struct {
 	RequestID      slotmap.Handle
 	Number         int
-	Server         rules.ServerID
+	Server         balancer.ServerID
 	Addr           string
 	Client         Client
 	Timeout        time.Duration // that the attempt is given
@@ -71,7 +71,7 @@
 type Server struct {
 	Name string
 	Addr string
-	rules.Server
+	balancer.Server
 }
 
 // Event is what the engine is told.
@@ -91,7 +91,7 @@
 		Client  Client
 		Request Request
 	}
-	// UnaryRequestReceived brings a request without a connection of its own: its final answer ends it. Ended with rules.OK says that
+	// UnaryRequestReceived brings a request without a connection of its own: its final answer ends it. Ended with balancer.OK says that
 	// its server has given that.
 	UnaryRequestReceived struct {
 		Client  Client
@@ -113,7 +113,7 @@
 	AttemptEnded struct {
 		RequestID slotmap.Handle
 		Number    int
-		Result    rules.Result
+		Result    balancer.Result
 	}
 	// ConnectionLoad tells the present load of an open connection.
 	ConnectionLoad struct {
@@ -127,7 +127,7 @@
 	}
 	// EndpointList brings news of the servers.
 	EndpointList struct {
-		Mode    rules.ListMode
+		Mode    balancer.ListMode
 		Version int64 // as discovery numbers its lists; 0: it does not
 		Servers []Server
 	}
@@ -137,7 +137,7 @@
 		InMaintenance bool
 		Done          func()
 	}
-	// FleetShedLevel tells what the fleet sheds, as rules.FleetShedLevel.
+	// FleetShedLevel tells what the fleet sheds, as balancer.FleetShedLevel.
 	FleetShedLevel struct{ Level float64 }
 	// Shutdown begins the end: what comes is still served, until AnswerBy has gone by where connections end with this
 	// gateway, and else until Drain has.
--- a/internal/engine/ask_test.go
+++ b/internal/engine/ask_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 // mover is a client that its front can take elsewhere.
@@ -21,7 +21,7 @@
 	w := newWorld(t, 1, nil)
 	w.ask(w.client("x"))
 	w.expect("send a1/0")
-	w.ended(w.link, rules.OK)
+	w.ended(w.link, balancer.OK)
 	w.pass(10 * time.Second)
 	w.expect()
 	w.held(0)
@@ -31,15 +31,15 @@
 	w := newWorld(t, 2, nil)
 	w.ask(w.client("x"))
 	first := w.link
-	w.ended(first, rules.ConnectFailed)
+	w.ended(first, balancer.ConnectFailed)
 	second := w.link
 	if second == first || second.a.Addr == first.a.Addr {
 		t.Fatalf("then tried %+v", second.a)
 	}
 	w.did = nil
-	w.ended(first, rules.OK) // late: its attempt is over
+	w.ended(first, balancer.OK) // late: its attempt is over
 	w.held(1)
-	w.ended(second, rules.OK)
+	w.ended(second, balancer.OK)
 	w.pass(10 * time.Second)
 	w.expect()
 	w.held(0)
@@ -51,7 +51,7 @@
 	w.ask(w.client("x"))
 	w.link.up = true // it can't be abandoned any more
 	w.pass(3100 * time.Millisecond)
-	w.ended(w.link, rules.OK)
+	w.ended(w.link, balancer.OK)
 	w.expect("send a1/0")
 	w.held(0)
 }
@@ -77,8 +77,8 @@
 	w.tell(ServerDraining{RequestID: l.a.RequestID})
 	w.expect("leaves m")
 	entry := func(started time.Duration) EndpointList {
-		return EndpointList{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
-			Server: rules.Server{ID: l.a.Server, Started: started}}}}
+		return EndpointList{Mode: balancer.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
+			Server: balancer.Server{ID: l.a.Server, Started: started}}}}
 	}
 	w.tell(entry(0)) // the list is late: it still calls it ready
 	for i := range 4 {
@@ -86,16 +86,16 @@
 		if w.link.a.Server == l.a.Server {
 			t.Error("sent to a server that leaves")
 		}
-		w.ended(w.link, rules.OK)
+		w.ended(w.link, balancer.OK)
 	}
 	w.tell(entry(w.now)) // a new start
-	if s := w.e.servers[l.a.Server]; s.leaving || s.state != rules.Ready {
+	if s := w.e.servers[l.a.Server]; s.leaving || s.state != balancer.Ready {
 		t.Error("a server that started anew is still taken to leave")
 	}
 }
 
 func TestMoversAreToldOfTheListsWord(t *testing.T) {
-	for _, state := range []rules.ServerState{rules.Draining, rules.Removed} {
+	for _, state := range []balancer.ServerState{balancer.Draining, balancer.Removed} {
 		w := newWorld(t, 2, nil)
 		m := &mover{fakeClient{w: w, name: "m"}}
 		w.tell(ClientConnected{Client: m})
@@ -103,8 +103,8 @@
 		l := w.link
 		w.wentUp(l)
 		w.did = nil
-		w.tell(EndpointList{Mode: rules.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
-			Server: rules.Server{ID: l.a.Server, State: state}}}})
+		w.tell(EndpointList{Mode: balancer.ListDelta, Servers: []Server{{Name: "s" + l.a.Addr[1:], Addr: l.a.Addr,
+			Server: balancer.Server{ID: l.a.Server, State: state}}}})
 		if n := len(w.did); n == 0 || w.did[n-1] != "leaves m" {
 			t.Errorf("state %d: did %q", state, w.did)
 		}
--- a/internal/engine/banned_test.go
+++ b/internal/engine/banned_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/metrics"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 func (w *world) ban(name string, out bool) {
@@ -23,9 +23,9 @@
 	}
 }
 
-func (w *world) entry(id rules.ServerID, state rules.ServerState, started time.Duration) {
-	w.tell(EndpointList{Mode: rules.ListDelta, Servers: []Server{{Name: fmt.Sprint("s", id), Addr: fmt.Sprint("a", id),
-		Server: rules.Server{ID: id, State: state, Started: started}}}})
+func (w *world) entry(id balancer.ServerID, state balancer.ServerState, started time.Duration) {
+	w.tell(EndpointList{Mode: balancer.ListDelta, Servers: []Server{{Name: fmt.Sprint("s", id), Addr: fmt.Sprint("a", id),
+		Server: balancer.Server{ID: id, State: state, Started: started}}}})
 }
 
 // sentTo lists the servers that some requests go to.
@@ -34,7 +34,7 @@
 	for i := range n {
 		w.tell(UnaryRequestReceived{Client: w.client("x"), Request: Request{Class: "c", Key: fmt.Sprint(i), Timeout: 3 * time.Second}})
 		to[w.link.a.Addr]++
-		w.ended(w.link, rules.OK)
+		w.ended(w.link, balancer.OK)
 	}
 	w.did = nil
 	return to
@@ -46,11 +46,11 @@
 	w.ban("s2", true)
 	for name, news := range map[string]func(){
 		"nothing":    func() {},
-		"ready":      func() { w.entry(2, rules.Ready, 0) },
-		"drained":    func() { w.entry(2, rules.Draining, 0) },
-		"restarted":  func() { w.entry(2, rules.Ready, w.now) },
-		"gone":       func() { w.entry(2, rules.Removed, 0) },
-		"back":       func() { w.entry(2, rules.Removed, 0); w.entry(2, rules.Ready, w.now) },
+		"ready":      func() { w.entry(2, balancer.Ready, 0) },
+		"drained":    func() { w.entry(2, balancer.Draining, 0) },
+		"restarted":  func() { w.entry(2, balancer.Ready, w.now) },
+		"gone":       func() { w.entry(2, balancer.Removed, 0) },
+		"back":       func() { w.entry(2, balancer.Removed, 0); w.entry(2, balancer.Ready, w.now) },
 		"called out": func() { w.ban("s2", true) },
 	} {
 		news()
@@ -59,13 +59,13 @@
 			t.Errorf("%s: %d sent to a server that is out", name, to["a2"])
 		}
 	}
-	w.entry(2, rules.Ready, 0)
+	w.entry(2, balancer.Ready, 0)
 	w.ban("s2", false)
 	w.pass(time.Second)
 	if to := w.sentTo(40); to["a2"] == 0 {
 		t.Error("nothing sent to a server that is back")
 	}
-	w.entry(2, rules.Draining, 0)
+	w.entry(2, balancer.Draining, 0)
 	w.ban("s2", true)
 	w.ban("s2", false)
 	if to := w.sentTo(40); to["a2"] > 0 {
@@ -77,7 +77,7 @@
 func TestBanBeforeTheList(t *testing.T) {
 	w := newWorld(t, 2, nil)
 	w.ban("s3", true)
-	w.entry(3, rules.Ready, 0)
+	w.entry(3, balancer.Ready, 0)
 	if to := w.sentTo(40); to["a3"] > 0 {
 		t.Error("sent to a server that was out before it was listed")
 	}
@@ -95,7 +95,7 @@
 			w.wentUp(w.link)
 		}
 		w.ban("s1", true)
-		w.ended(cut, rules.Reset)
+		w.ended(cut, balancer.Reset)
 		if k := w.state().Balancer.Servers[0]; k.FailureScore == 0 {
 			t.Fatal("nothing was held against it to begin with")
 		}
@@ -110,17 +110,17 @@
 // but one that still holds a connection from before has not been restarted.
 func TestReturnedServerIsCold(t *testing.T) {
 	w := newWorld(t, 2, nil)
-	w.entry(1, rules.Ready, time.Minute)
+	w.entry(1, balancer.Ready, time.Minute)
 	w.ban("s1", true)
 	w.ban("s1", false)
 	if got := w.e.servers[1].shown().Started; got != w.now {
 		t.Errorf("taken to have started at %v, it is %v", got, w.now)
 	}
-	w.entry(1, rules.Ready, time.Minute) // still late
+	w.entry(1, balancer.Ready, time.Minute) // still late
 	if got := w.e.servers[1].shown().Started; got != w.now {
 		t.Errorf("an old start moved it to %v", got)
 	}
-	w.entry(1, rules.Ready, 2*time.Minute)
+	w.entry(1, balancer.Ready, 2*time.Minute)
 	if got := w.e.servers[1].shown().Started; got != 2*time.Minute {
 		t.Errorf("the list's start is not gone by: %v", got)
 	}
@@ -166,7 +166,7 @@
 			case 4:
 				if len(links) > 0 {
 					w.ended(links[rapid.IntRange(0, len(links)-1).Draw(rt, "link")],
-						rules.Result(rapid.IntRange(int(rules.Errored), int(rules.Cancelled)).Draw(rt, "result")))
+						balancer.Result(rapid.IntRange(int(balancer.Errored), int(balancer.Cancelled)).Draw(rt, "result")))
 				}
 			case 5:
 				w.pass(time.Duration(rapid.IntRange(1, 2000).Draw(rt, "ms")) * time.Millisecond)
--- a/internal/engine/delay.go
+++ b/internal/engine/delay.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 // LoadReport is what a server says of its load.
@@ -18,13 +18,13 @@
 
 // LoadPoller asks servers for their load. A report comes back as Probed, or not at all.
 type LoadPoller interface {
-	PollLoad(rules.ServerID, string)
-	Forget(rules.ServerID) // nothing more is asked of it
+	PollLoad(balancer.ServerID, string)
+	Forget(balancer.ServerID) // nothing more is asked of it
 }
 
 // LoadReported brings a server's report.
 type LoadReported struct {
-	Server rules.ServerID
+	Server balancer.ServerID
 	Report LoadReport
 }
 
@@ -97,7 +97,7 @@
 
 // tellDelay tells the rules of slow messages at a server: once a second while they are over a third of the
 // shortest wanted time, and once more when they are back under.
-func (e *Engine) tellDelay(id rules.ServerID, s *server, holder slotmap.Handle) {
+func (e *Engine) tellDelay(id balancer.ServerID, s *server, holder slotmap.Handle) {
 	m := &s.meter
 	if e.now-m.toldAt < delayTold {
 		return
@@ -115,11 +115,11 @@
 		of = holder
 	}
 	m.slow, m.toldAt = slow, e.now
-	e.tell(rules.MessageDelay{ID: rules.RequestID(of), Server: id, Delay: d})
+	e.tell(balancer.MessageDelay{ID: balancer.RequestID(of), Server: id, Delay: d})
 }
 
 // probe asks a server for its load while this gateway has connections there.
-func (e *Engine) probe(id rules.ServerID, s *server) {
+func (e *Engine) probe(id balancer.ServerID, s *server) {
 	every := probeEvery
 	if m := &s.meter; m.reportAt > 0 && m.load < easyLoad {
 		every = probeEasy
--- a/internal/engine/digest_fakes_test.go
+++ b/internal/engine/digest_fakes_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 // client is the simulation's end of a connection, or of a request without one.
@@ -119,7 +119,7 @@
 	case n < 35:
 		s.after(0, func() { s.end(a, pick(s, failures...)) })
 	case s.isAnswerOnly(sent.Client):
-		s.after(delay, func() { s.end(a, rules.OK) })
+		s.after(delay, func() { s.end(a, balancer.OK) })
 	default:
 		s.after(delay, func() { s.establish(a) })
 	}
@@ -132,7 +132,7 @@
 }
 
 // PollLoad implements engine.LoadPoller: most servers report after a while.
-func (s *simulation) PollLoad(server rules.ServerID, addr string) {
+func (s *simulation) PollLoad(server balancer.ServerID, addr string) {
 	s.transcript.call("probe", field{"server", int(server)}, field{"addr", addr})
 	if !s.oneIn(6) {
 		s.after(s.between(0, 120*time.Millisecond), func() { s.report(server) })
@@ -140,7 +140,7 @@
 }
 
 // Forget implements engine.LoadPoller.
-func (s *simulation) Forget(server rules.ServerID) {
+func (s *simulation) Forget(server balancer.ServerID) {
 	s.transcript.call("forget", field{"server", int(server)})
 }
 
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/metrics"
-	"example.org/milletvane/rules"
 )
 
 const (
@@ -28,7 +28,7 @@
 	fewFlows            = 2
 )
 
-var failures = []rules.Result{rules.Errored, rules.Rejected, rules.TimedOut, rules.ConnectFailed, rules.ConnectFailed, rules.Reset}
+var failures = []balancer.Result{balancer.Errored, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed, balancer.ConnectFailed, balancer.Reset}
 
 // simulation draws what surrounds an engine, and records what the engine does to it. All of it runs in one goroutine on a
 // clock of its own.
@@ -67,7 +67,7 @@
 // listedServer is a server as discovery would list it now.
 type listedServer struct {
 	id       int
-	state    rules.ServerState
+	state    balancer.ServerState
 	started  time.Duration
 	capacity float64
 	addr     int
@@ -80,7 +80,7 @@
 // up as old. Only at the end of a seed, where nothing depends on the order any more, all are given up at once.
 type predecessor struct {
 	flows   []engine.Flow
-	learned rules.Snapshot
+	learned balancer.Snapshot
 	isKnown bool
 }
 
@@ -91,7 +91,7 @@
 	s.isListed, s.tellsBacklog = !s.oneIn(12), s.oneIn(4)
 	s.drawServers()
 	settings := s.drawSettings()
-	policy, err := rules.New(settings)
+	policy, err := balancer.New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,9 +102,9 @@
 
 func (s *simulation) drawServers() {
 	for i := range serversDrawn {
-		s.servers = append(s.servers, listedServer{id: i + 1, state: rules.Removed})
+		s.servers = append(s.servers, listedServer{id: i + 1, state: balancer.Removed})
 		if i < 1+s.random.IntN(serversDrawn) {
-			s.servers[i].state = rules.Ready
+			s.servers[i].state = balancer.Ready
 		}
 		s.servers[i].started = s.drawStart()
 		s.servers[i].capacity = pick(s, 0, 0, 1, 2, 0.5)
@@ -120,17 +120,17 @@
 	return pick(s, 0, 0, s.now, s.now-s.between(0, 20*time.Second), s.now-time.Hour)
 }
 
-func (s *simulation) drawSettings() rules.Settings {
-	return rules.Settings{
+func (s *simulation) drawSettings() balancer.Settings {
+	return balancer.Settings{
 		Seed:     s.random.Uint64(),
 		Gateways: 1 + s.random.IntN(4),
-		Classes: []rules.Class{
-			{Name: "interactive", Idempotency: rules.Idempotent, PriorityWeight: 4, SetupLatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond},
-			{Name: "bulk", Idempotency: rules.WithIdempotencyKey, DedupScope: pick(s, rules.DedupScopeAll, rules.DedupScopeZone, rules.DedupScopeCell),
+		Classes: []balancer.Class{
+			{Name: "interactive", Idempotency: balancer.Idempotent, PriorityWeight: 4, SetupLatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond},
+			{Name: "bulk", Idempotency: balancer.WithIdempotencyKey, DedupScope: pick(s, balancer.DedupScopeAll, balancer.DedupScopeZone, balancer.DedupScopeCell),
 				DedupWindow: s.between(100*time.Millisecond, 2*time.Second), Timeout: pick(s, 0, 2*time.Second)},
-			{Name: "strict", Idempotency: rules.NonIdempotent, PriorityWeight: 2},
+			{Name: "strict", Idempotency: balancer.NonIdempotent, PriorityWeight: 2},
 		},
-		Tenants:               []rules.Tenant{{Name: "tenant-1", ConnectionQuota: pick(s, 0.0, 2, 20)}, {Name: "tenant-2"}},
+		Tenants:               []balancer.Tenant{{Name: "tenant-1", ConnectionQuota: pick(s, 0.0, 2, 20)}, {Name: "tenant-2"}},
 		OverQuotaWeightFactor: pick(s, 0, 0.25),
 		MaxAttempts:           1 + s.random.IntN(4),
 		FlowRetention:         pick(s, 0, 2*time.Second, 6*time.Second),
@@ -147,7 +147,7 @@
 	}
 }
 
-func (s *simulation) drawOptions(settings rules.Settings) engine.Options {
+func (s *simulation) drawOptions(settings balancer.Settings) engine.Options {
 	o := engine.Options{
 		MaxSockets:                pick(s, 2, 3, 5, 10, 24, socketsForManyFlows, socketsForManyFlows, 100),
 		MaxIdleClients:            pick(s, 0, 0, 1, 3, 12),
@@ -184,7 +184,7 @@
 	s.engine.Start(s.now)
 	s.step("start")
 	if s.isListed && !s.oneIn(4) {
-		s.list(rules.ListCached)
+		s.list(balancer.ListCached)
 	}
 	stopAt := stepsPerSeed - 1 - s.random.IntN(stepsPerSeed/3)
 	stopsWithArrivals := s.oneIn(2)
@@ -238,9 +238,9 @@
 		{2, s.serverLeaving},
 		{4, s.load},
 		{5, s.answered},
-		{3, func() { s.report(rules.ServerID(1 + s.random.IntN(serversDrawn+1))) }},
+		{3, func() { s.report(balancer.ServerID(1 + s.random.IntN(serversDrawn+1))) }},
 		{6, s.changeServer},
-		{2, func() { s.list(pick(s, rules.ListComplete, rules.ListComplete, rules.ListCached)) }},
+		{2, func() { s.list(pick(s, balancer.ListComplete, balancer.ListComplete, balancer.ListCached)) }},
 		{2, s.tell},
 		{3, s.inherit},
 		{3, s.ban},
@@ -469,7 +469,7 @@
 }
 
 // end ends an attempt that is out.
-func (s *simulation) end(a *attempt, result rules.Result) {
+func (s *simulation) end(a *attempt, result balancer.Result) {
 	if a.abandoned || a.ended {
 		return
 	}
@@ -479,10 +479,10 @@
 
 func (s *simulation) endEstablished(a *attempt) {
 	a.ended = true
-	s.handleEnded(a, pick(s, rules.OK, rules.OK, rules.Reset, rules.Cancelled, rules.Errored))
+	s.handleEnded(a, pick(s, balancer.OK, balancer.OK, balancer.Reset, balancer.Cancelled, balancer.Errored))
 }
 
-func (s *simulation) handleEnded(a *attempt, result rules.Result) {
+func (s *simulation) handleEnded(a *attempt, result balancer.Result) {
 	s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: a.sent.Number, Result: result})
 }
 
@@ -531,7 +531,7 @@
 		}
 	case 1:
 		a.ended = true
-		s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: number, Result: rules.Reset})
+		s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: number, Result: balancer.Reset})
 	case 2:
 		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: 7})
 	case 3:
@@ -544,18 +544,18 @@
 func (s *simulation) serverName(id int) string { return fmt.Sprint("server-", id) }
 
 func (s *simulation) entry(l listedServer) engine.Server {
-	return engine.Server{Name: s.serverName(l.id), Addr: fmt.Sprintf("addr-%d-%d", l.id, l.addr), Server: rules.Server{
-		ID: rules.ServerID(l.id), Zone: fmt.Sprint("zone-", l.id%2), Cell: l.id % 3, State: l.state, Capacity: l.capacity,
+	return engine.Server{Name: s.serverName(l.id), Addr: fmt.Sprintf("addr-%d-%d", l.id, l.addr), Server: balancer.Server{
+		ID: balancer.ServerID(l.id), Zone: fmt.Sprint("zone-", l.id%2), Cell: l.id % 3, State: l.state, Capacity: l.capacity,
 		Started: l.started,
 	}}
 }
 
 // list brings a whole list: those that are gone may be listed as such, or left out.
-func (s *simulation) list(mode rules.ListMode) {
+func (s *simulation) list(mode balancer.ListMode) {
 	event := engine.EndpointList{Mode: mode, Version: int64(s.random.IntN(50))}
 	if !s.oneIn(8) {
 		for _, l := range s.servers {
-			if l.state != rules.Removed && !s.oneIn(10) || l.state == rules.Removed && s.oneIn(4) {
+			if l.state != balancer.Removed && !s.oneIn(10) || l.state == balancer.Removed && s.oneIn(4) {
 				event.Servers = append(event.Servers, s.entry(l))
 			}
 		}
@@ -571,16 +571,16 @@
 
 // changeServer changes one or two servers and lists what has changed.
 func (s *simulation) changeServer() {
-	event := engine.EndpointList{Mode: rules.ListDelta}
+	event := engine.EndpointList{Mode: balancer.ListDelta}
 	for range 1 + s.random.IntN(2) {
 		l := &s.servers[s.random.IntN(serversDrawn)]
 		switch s.random.IntN(6) {
 		case 0, 1, 2:
-			l.state = rules.Ready
+			l.state = balancer.Ready
 		case 3:
-			l.state = rules.Draining
+			l.state = balancer.Draining
 		case 4:
-			l.state = rules.Removed
+			l.state = balancer.Removed
 		case 5:
 			l.started, l.addr = s.drawStart(), s.random.IntN(5)
 		}
@@ -595,7 +595,7 @@
 }
 
 // report brings a server's report of its load, which changes now and then.
-func (s *simulation) report(server rules.ServerID) {
+func (s *simulation) report(server balancer.ServerID) {
 	report := engine.LoadReport{Utilization: s.drawLoad(), HasUtilization: !s.oneIn(10)}
 	if i := int(server) - 1; i < len(s.servers) {
 		if s.oneIn(25) {
@@ -658,7 +658,7 @@
 	}})
 }
 
-func (s *simulation) recordLearned(l rules.Snapshot) {
+func (s *simulation) recordLearned(l balancer.Snapshot) {
 	s.transcript.call("learned", field{"load", l.MeanLoad.Value}, field{"weight", l.MeanLoad.Weight}, field{"bears", l.ConnectionCapacity.Value},
 		field{"weight", l.ConnectionCapacity.Weight})
 	for _, c := range l.ClassLoads {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/metrics"
 	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/internal/timerqueue"
-	"example.org/milletvane/rules"
 )
 
 const (
@@ -55,7 +55,7 @@
 // Engine runs a gateway's core.
 type Engine struct {
 	opts    Options
-	rules   *rules.Balancer
+	rules   *balancer.Balancer
 	backend Backend
 	prober  LoadPoller
 
@@ -67,15 +67,15 @@
 	openings  int                       // of the requests, those that have asked for nothing
 	classes   map[string]bool
 	deadlines timerqueue.Queue[due]
-	servers   map[rules.ServerID]*server
-	names     map[string]rules.ServerID
+	servers   map[balancer.ServerID]*server
+	names     map[string]balancer.ServerID
 	banned    map[string]bool           // names of servers that are out by hand, listed or not
 	unnamed   metrics.ClassCounters     // for what the settings do not name; nobody reads it
 	listed    bool                      // a list has come
 	version   int64                     // of the list
 	heirs     map[string]slotmap.Handle // connections of the process before, by their clients' names for them
 	came      map[string]bool           // of these, those whose packets have come here
-	queue     []rules.Event             // outcomes that follow at once from actions
+	queue     []balancer.Event          // outcomes that follow at once from actions
 	stage     stage
 	stoppedAt time.Duration
 	answerBy  time.Duration // what waits at the stop is answered by then
@@ -90,7 +90,7 @@
 type counts struct{ taken, up, refused, failed, rejected, closed, moved, left, ended int }
 
 // New returns an engine that starts attempts with backend and, where Options allow it, asks for loads with prober.
-func New(opts Options, decider *rules.Balancer, backend Backend, prober LoadPoller) *Engine {
+func New(opts Options, decider *balancer.Balancer, backend Backend, prober LoadPoller) *Engine {
 	if opts.Logger == nil {
 		opts.Logger = slog.Default()
 	}
@@ -105,7 +105,7 @@
 	return &Engine{
 		opts: opts, classes: classes, named: map[string]slotmap.Handle{}, rules: decider, backend: backend, prober: prober,
 		requests: slotmap.New[*request](opts.MaxSockets),
-		servers:  map[rules.ServerID]*server{}, names: map[string]rules.ServerID{}, banned: map[string]bool{},
+		servers:  map[balancer.ServerID]*server{}, names: map[string]balancer.ServerID{}, banned: map[string]bool{},
 		heirs: map[string]slotmap.Handle{}, came: map[string]bool{},
 	}
 }
@@ -165,7 +165,7 @@
 	case ConnectionLoad:
 		if r, ok := e.requests.Get(ev.RequestID); ok {
 			r.load = ev.Load
-			e.tell(rules.LoadChanged{ID: rules.RequestID(ev.RequestID), Load: ev.Load})
+			e.tell(balancer.LoadChanged{ID: balancer.RequestID(ev.RequestID), Load: ev.Load})
 		}
 	case MessageAnswered:
 		if r, ok := e.requests.Get(ev.RequestID); ok {
@@ -177,7 +177,7 @@
 		if s := e.servers[ev.Server]; s != nil {
 			s.meter.report(e.now, ev.Report)
 			if ev.Report.HasUtilization {
-				e.tell(rules.LoadReport{Server: ev.Server, Utilization: ev.Report.Utilization, Connections: ev.Report.Connections})
+				e.tell(balancer.LoadReport{Server: ev.Server, Utilization: ev.Report.Utilization, Connections: ev.Report.Connections})
 			}
 		}
 	case EndpointList:
@@ -189,7 +189,7 @@
 	case MaintenanceChanged:
 		e.onBanned(ev)
 	case FleetShedLevel:
-		e.tell(rules.FleetShedLevel{Level: ev.Level})
+		e.tell(balancer.FleetShedLevel{Level: ev.Level})
 	case Shutdown:
 		e.onStop()
 	}
@@ -206,7 +206,7 @@
 		r, _ := e.requests.Get(d.id)
 		switch d.kind {
 		case dueWake:
-			e.tell(rules.TimerFired{Ref: d.ref})
+			e.tell(balancer.TimerFired{Ref: d.ref})
 		case dueAttempt:
 			if r != nil {
 				e.onTimeout(r)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 // world is an engine with scripted parts on a clock of its own. Everything that the engine does to its
@@ -59,11 +59,11 @@
 	w.link = &fakeLink{w: w, a: a}
 	return w.link
 }
-func (w *world) PollLoad(_ rules.ServerID, at string) { w.note("probe %s", at) }
-func (w *world) Forget(id rules.ServerID)             { w.note("forget %d", id) }
-func (w *world) note(format string, args ...any)      { w.did = append(w.did, fmt.Sprintf(format, args...)) }
-func (w *world) tell(ev Event)                        { w.e.Handle(w.now, ev) }
-func (w *world) ended(l *fakeLink, r rules.Result) {
+func (w *world) PollLoad(_ balancer.ServerID, at string) { w.note("probe %s", at) }
+func (w *world) Forget(id balancer.ServerID)             { w.note("forget %d", id) }
+func (w *world) note(format string, args ...any)         { w.did = append(w.did, fmt.Sprintf(format, args...)) }
+func (w *world) tell(ev Event)                           { w.e.Handle(w.now, ev) }
+func (w *world) ended(l *fakeLink, r balancer.Result) {
 	w.tell(AttemptEnded{l.a.RequestID, l.a.Number, r})
 }
 func (w *world) wentUp(l *fakeLink) {
@@ -95,10 +95,10 @@
 
 func newWorld(t *testing.T, servers int, change func(*Options)) *world {
 	w := &world{t: t, now: time.Hour}
-	decider, err := rules.New(rules.Settings{
+	decider, err := balancer.New(balancer.Settings{
 		Gateways: 1, MaxAttempts: 2, DrainGrace: 500 * time.Millisecond,
 		MaxRetryAfter: 2 * time.Second,
-		Classes:       []rules.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond}},
+		Classes:       []balancer.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -111,10 +111,10 @@
 	}
 	w.e = New(opts, decider, w, w)
 	w.e.Start(w.now)
-	list := EndpointList{Mode: rules.ListCached}
+	list := EndpointList{Mode: balancer.ListCached}
 	for i := range servers {
 		list.Servers = append(list.Servers, Server{Name: fmt.Sprint("s", i+1), Addr: fmt.Sprint("a", i+1),
-			Server: rules.Server{ID: rules.ServerID(i + 1)}})
+			Server: balancer.Server{ID: balancer.ServerID(i + 1)}})
 	}
 	w.tell(list)
 	return w
@@ -145,8 +145,8 @@
 	w.wentUp(w.link)
 	w.pass(time.Minute)
 	w.expect()
-	w.ended(w.link, rules.OK)
-	w.ended(w.link, rules.OK) // a stale number does nothing
+	w.ended(w.link, balancer.OK)
+	w.ended(w.link, balancer.OK) // a stale number does nothing
 	w.held(0)
 	if n := w.e.deadlines.Len(); n > 3 { // the regular looks and the rules' own
 		t.Errorf("%d deadlines are left", n)
@@ -176,12 +176,12 @@
 	w := newWorld(t, 2, nil)
 	w.arrive(w.client("x"), Request{Key: "k"})
 	first := w.link
-	w.ended(first, rules.Rejected)
+	w.ended(first, balancer.Rejected)
 	if w.link == first || w.link.a.Addr == first.a.Addr || w.link.a.Number != 1 {
 		t.Fatalf("then tried %+v", w.link.a)
 	}
 	w.did = nil
-	w.ended(w.link, rules.Rejected)
+	w.ended(w.link, balancer.Rejected)
 	w.expect("refuse x")
 	w.held(0)
 }
@@ -197,7 +197,7 @@
 	w.wentUp(l) // too late
 	w.held(0)
 	w.arrive(w.client("y"), Request{Key: "k"}) // takes the slot over under another number
-	w.ended(l, rules.Reset)
+	w.ended(l, balancer.Reset)
 	w.held(1)
 }
 
@@ -211,12 +211,12 @@
 		}
 		w.did = nil
 		w.wentUp(w.link)
-		w.ended(w.link, rules.Cancelled)
+		w.ended(w.link, balancer.Cancelled)
 	}
 	w.arrive(w.client("x"), Request{Key: "k", Owner: "s9"})
 	w.expect("fail x")
 	w.arrive(w.client("y"), Request{Key: "k", Owner: "s1"})
-	w.ended(w.link, rules.ConnectFailed)
+	w.ended(w.link, balancer.ConnectFailed)
 	w.expect("send a1/0", "fail y")
 	w.held(0)
 }
@@ -247,7 +247,7 @@
 	w.tell(ClientConnected{Client: w.client("z")}) // what was asked for is never given up
 	w.expect("refuse z")
 	w.held(2)
-	w.ended(w.link, rules.OK)
+	w.ended(w.link, balancer.OK)
 	w.tell(ClientConnected{Client: w.client("quiet")})
 	w.pass(2900 * time.Millisecond)
 	w.expect("close quiet")
@@ -271,8 +271,8 @@
 	w.expect("send a1/0", "abandon a1/0")
 	w.arrive(w.client("taken"), Request{ID: "1"}) // still, by mid
 	w.expect("fail taken")
-	w.ended(w.link, rules.Errored)
-	w.ended(w.link, rules.Errored)
+	w.ended(w.link, balancer.Errored)
+	w.ended(w.link, balancer.Errored)
 	w.did = nil
 	w.arrive(w.client("y"), Request{ID: "1"})
 	w.expect("send a1/0")
@@ -307,18 +307,18 @@
 	w.link.asked = w.now
 	w.pass(10 * time.Second)
 	w.expect("send a1/0", "move x", "close x")
-	w.ended(w.link, rules.Reset)
+	w.ended(w.link, balancer.Reset)
 	w.held(0)
 }
 
 // A server that leaves the list is sent nothing more, and a full list implies who has left.
 func TestFullListRemoves(t *testing.T) {
 	w := newWorld(t, 2, nil)
-	w.tell(EndpointList{Mode: rules.ListComplete, Servers: []Server{{Name: "s2", Addr: "b2", Server: rules.Server{ID: 2}}}})
+	w.tell(EndpointList{Mode: balancer.ListComplete, Servers: []Server{{Name: "s2", Addr: "b2", Server: balancer.Server{ID: 2}}}})
 	for i := range 8 {
 		w.arrive(w.client("x"), Request{Key: fmt.Sprint(i)})
-		w.ended(w.link, rules.Errored)
-		w.ended(w.link, rules.Errored)
+		w.ended(w.link, balancer.Errored)
+		w.ended(w.link, balancer.Errored)
 	}
 	if s := strings.Join(w.did, " "); !strings.HasPrefix(s, "forget 1 ") || strings.Contains(s, "send a") {
 		t.Errorf("did %q", w.did)
@@ -381,13 +381,13 @@
 	w.arrive(w.client("x"), Request{Key: "k"})
 	first := w.link.a.Addr
 	w.wentUp(w.link)
-	server := rules.ServerID(first[1] - '0')
+	server := balancer.ServerID(first[1] - '0')
 	w.tell(LoadReported{Server: server, Report: LoadReport{Utilization: 2, HasUtilization: true}})
 	w.arrive(w.client("y"), Request{Key: "k"})
 	if w.link.a.Addr == first {
 		t.Error("sent to a server that had just reported twice what it can do")
 	}
-	w.ended(w.link, rules.OK)
+	w.ended(w.link, balancer.OK)
 	w.tell(LoadReported{Server: server, Report: LoadReport{Utilization: 0.1, HasUtilization: true}})
 	w.arrive(w.client("z"), Request{Key: "k"})
 	if w.link.a.Addr != first {
--- a/internal/engine/inherit.go
+++ b/internal/engine/inherit.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 // State is what an engine passes to the one of the process that follows.
 type State struct {
-	Version  int64          // of the list
-	Servers  []Server       // as listed
-	Balancer rules.Snapshot `json:"Learned"`
+	Version  int64             // of the list
+	Servers  []Server          // as listed
+	Balancer balancer.Snapshot `json:"Learned"`
 	Flows    []Flow
 }
 
@@ -79,7 +79,7 @@
 			return
 		}
 		e.heirs[f.ID] = r.id
-		e.tell(rules.AdoptedConnection{Request: rules.Request{ID: rules.RequestID(r.id), Class: f.Class, Key: f.Key, Group: f.Group,
+		e.tell(balancer.AdoptedConnection{Request: balancer.Request{ID: balancer.RequestID(r.id), Class: f.Class, Key: f.Key, Group: f.Group,
 			Load: f.Load}, Server: id})
 	}
 	for name := range e.heirs {
@@ -91,19 +91,19 @@
 }
 
 // disinherit gives up what is held of a connection of the process before, and tells where it was.
-func (e *Engine) disinherit(name string) (at rules.ServerID, ok bool) {
+func (e *Engine) disinherit(name string) (at balancer.ServerID, ok bool) {
 	r, ok := e.requests.Get(e.heirs[name])
 	delete(e.heirs, name)
 	if !ok {
 		return 0, false
 	}
 	e.free(r)
-	e.tell(rules.AttemptEnded{ID: rules.RequestID(r.id), Server: r.server, Result: rules.Cancelled, Answered: true})
+	e.tell(balancer.AttemptEnded{ID: balancer.RequestID(r.id), Server: r.server, Result: balancer.Cancelled, Answered: true})
 	return r.server, true
 }
 
 // claim finds the server of a connection whose packets come from the process before.
-func (e *Engine) claim(name string) (at rules.ServerID, ok bool) {
+func (e *Engine) claim(name string) (at balancer.ServerID, ok bool) {
 	if _, ok := e.heirs[name]; !ok {
 		return 0, false
 	}
--- a/internal/engine/inherit_test.go
+++ b/internal/engine/inherit_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/metrics"
-	"example.org/milletvane/rules"
 )
 
 // state asks an engine for what it would pass on.
@@ -51,7 +51,7 @@
 		t.Errorf("a third process would learn of %d", n)
 	}
 	// One that came has ended: a record that was written before must not bring it back.
-	w.ended(w.link, rules.OK)
+	w.ended(w.link, balancer.OK)
 	w.tell(PredecessorState{State: st})
 	w.held(5)
 	// One ended at the old process; the last never comes.
@@ -70,7 +70,7 @@
 	st := old.state()
 	w := newWorld(t, 2, nil)
 	leaves := old.link.a.Server
-	w.entry(leaves, rules.Draining, 0)
+	w.entry(leaves, balancer.Draining, 0)
 	w.tell(PredecessorState{State: st, First: true})
 	w.arrive(w.client("x"), Request{ID: "1", Key: "k", MidFlow: true})
 	if w.link.a.Server == leaves {
@@ -83,7 +83,7 @@
 	old := newWorld(t, 2, nil)
 	old.arrive(old.client("x"), Request{ID: "1", Key: "k"})
 	old.wentUp(old.link)
-	for id := rules.ServerID(1); id <= 2; id++ {
+	for id := balancer.ServerID(1); id <= 2; id++ {
 		old.tell(LoadReported{Server: id, Report: LoadReport{Utilization: 3, HasUtilization: true}})
 	}
 	st := old.state()
@@ -101,7 +101,7 @@
 		t.Errorf("%d limits were taken over, not 2", n)
 	}
 	w = newWorld(t, 2, nil)
-	w.entry(1, rules.Ready, time.Minute)
+	w.entry(1, balancer.Ready, time.Minute)
 	w.tell(PredecessorState{State: st, First: true})
 	if n := limits(w); n != 1 {
 		t.Errorf("%d limits were taken over, not 1", n)
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/metrics"
 	"example.org/milletvane/internal/slotmap"
 	"example.org/milletvane/internal/timerqueue"
-	"example.org/milletvane/rules"
 )
 
 type phase uint8
@@ -34,7 +34,7 @@
 	answer   *timerqueue.Timer[due] // the end of its opening, or of its wait
 	attempts int
 	link     ActiveAttempt // the attempt that is out or open
-	server   rules.ServerID
+	server   balancer.ServerID
 	sent     time.Duration
 	timeout  *timerqueue.Timer[due]
 }
@@ -153,8 +153,8 @@
 		q.Timeout = min(q.Timeout, max(e.answerBy-e.now, lateWait))
 	}
 	r.phase, r.deadline = waiting, e.now+q.Timeout
-	req := rules.Request{
-		ID: rules.RequestID(r.id), Class: q.Class, Tenant: q.Tenant, Key: q.Key, Group: q.Group,
+	req := balancer.Request{
+		ID: balancer.RequestID(r.id), Class: q.Class, Tenant: q.Tenant, Key: q.Key, Group: q.Group,
 		Timeout: q.Timeout, Load: q.Load, Reconnecting: q.Reconnecting, MidFlow: q.MidFlow,
 	}
 	if e.opts.PriorityOf != nil {
@@ -199,7 +199,7 @@
 
 // carry takes up a connection that is open at a server since before this gateway ran. There is nothing to
 // decide: the line goes to that server, and the rules are told whom it holds.
-func (e *Engine) carry(r *request, req rules.Request, at string) {
+func (e *Engine) carry(r *request, req balancer.Request, at string) {
 	id, known := e.names[at]
 	r.carried, r.deadline = true, max(r.deadline, e.now+carriedFor)
 	e.rearm(&r.answer, r.deadline+e.opts.AnswerGrace, due{kind: dueAnswer, id: r.id})
@@ -208,7 +208,7 @@
 		e.fail(r)
 		return
 	}
-	e.tell(rules.AdoptedConnection{Request: req, Server: id})
+	e.tell(balancer.AdoptedConnection{Request: req, Server: id})
 	e.send(r, id, r.deadline-e.now, 0)
 }
 
@@ -238,13 +238,13 @@
 	if r.phase != waiting && r.phase != open {
 		return
 	}
-	id := rules.RequestID(r.id)
+	id := balancer.RequestID(r.id)
 	if r.phase == waiting && !r.carried {
-		e.tell(rules.ClientDisconnected{ID: id})
+		e.tell(balancer.ClientDisconnected{ID: id})
 	}
 	if r.link != nil {
 		r.link.Cancel()
-		e.tell(rules.AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: r.server, Result: rules.Cancelled,
+		e.tell(balancer.AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: r.server, Result: balancer.Cancelled,
 			Elapsed: e.now - r.sent, Answered: true})
 	}
 }
@@ -260,10 +260,10 @@
 	e.deadlines.Remove(r.answer)
 	e.deadlines.Remove(r.timeout)
 	if !r.carried {
-		e.tell(rules.AttemptEstablished{ID: rules.RequestID(r.id), Attempt: ev.Number, Server: r.server, Elapsed: ev.Elapsed})
+		e.tell(balancer.AttemptEstablished{ID: balancer.RequestID(r.id), Attempt: ev.Number, Server: r.server, Elapsed: ev.Elapsed})
 	}
 	if e.stage == closing && r.phase == open { // it came up as it was to be given up
-		e.move(r, rules.Cancelled)
+		e.move(r, balancer.Cancelled)
 	}
 }
 
@@ -276,17 +276,17 @@
 }
 
 // outcome reports the end of a request's attempt. What was open is over with it; else the rules go on.
-func (e *Engine) outcome(r *request, result rules.Result) {
+func (e *Engine) outcome(r *request, result balancer.Result) {
 	e.deadlines.Remove(r.timeout)
 	r.link = nil
 	// What has no connection of its own is over with its answer.
-	settled := r.phase == open || result == rules.OK
-	out := rules.AttemptEnded{ID: rules.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
+	settled := r.phase == open || result == balancer.OK
+	out := balancer.AttemptEnded{ID: balancer.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
 		Elapsed: e.now - r.sent, Answered: settled || r.carried}
-	if result == rules.OK && r.phase == waiting && !r.carried {
+	if result == balancer.OK && r.phase == waiting && !r.carried {
 		// To the rules an answer is as good as a connection that stands: they tell a fault of one server from one that
 		// all share by how many stand.
-		e.tell(rules.AttemptEstablished{ID: out.ID, Attempt: out.Attempt, Server: r.server, Elapsed: out.Elapsed})
+		e.tell(balancer.AttemptEstablished{ID: out.ID, Attempt: out.Attempt, Server: r.server, Elapsed: out.Elapsed})
 		r.class.Succeeded.Add(1)
 	}
 	switch {
@@ -303,7 +303,7 @@
 func (e *Engine) onTimeout(r *request) {
 	// The attempt is closed before the rules hear of it: two at once are never out.
 	if r.link != nil && r.phase == waiting && r.link.Cancel() {
-		e.outcome(r, rules.TimedOut)
+		e.outcome(r, balancer.TimedOut)
 	}
 }
 
--- a/internal/engine/server.go
+++ b/internal/engine/server.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 type server struct {
@@ -14,9 +14,9 @@
 
 	meter meter
 
-	state   rules.ServerState // as the rules were last told
-	entry   rules.Server      // as listed
-	leaving bool              // it has said that it drains, whatever the list says, until it starts anew
+	state   balancer.ServerState // as the rules were last told
+	entry   balancer.Server      // as listed
+	leaving bool                 // it has said that it drains, whatever the list says, until it starts anew
 
 	banned      bool          // out by hand
 	bannedStart time.Duration // its start as it was known when it was taken out
@@ -24,23 +24,23 @@
 }
 
 // shown is a server's entry as the rules are to see it: what the list cannot know, or is late to tell, goes over it.
-func (s *server) shown() rules.Server {
+func (s *server) shown() balancer.Server {
 	n := s.entry
-	if (s.leaving || s.banned) && n.State == rules.Ready {
-		n.State = rules.Draining
+	if (s.leaving || s.banned) && n.State == balancer.Ready {
+		n.State = balancer.Draining
 	}
 	n.Started, n.Evacuate = max(n.Started, s.coldSince), s.banned
 	return n
 }
 
 func (e *Engine) onList(ev EndpointList) {
-	list := rules.EndpointList{Mode: ev.Mode}
+	list := balancer.EndpointList{Mode: ev.Mode}
 	if ev.Version > 0 {
 		e.version = ev.Version
 	}
-	var drained []rules.ServerID
-	if ev.Mode == rules.ListComplete || ev.Mode == rules.ListCached {
-		listed := make(map[rules.ServerID]bool, len(ev.Servers))
+	var drained []balancer.ServerID
+	if ev.Mode == balancer.ListComplete || ev.Mode == balancer.ListCached {
+		listed := make(map[balancer.ServerID]bool, len(ev.Servers))
 		for _, s := range ev.Servers {
 			listed[s.ID] = true
 		}
@@ -58,7 +58,7 @@
 			// Both would be one server to the rules. The first stays: which one it is must not change.
 			e.opts.Logger.Error("two servers share a number", "server", n.Name, "taken_by", s.name)
 			continue
-		case n.State == rules.Removed:
+		case n.State == balancer.Removed:
 			if s != nil {
 				e.forget(n.ID, s)
 				drained = append(drained, n.ID)
@@ -80,7 +80,7 @@
 		}
 		s.entry = n.Server
 		shown := s.shown()
-		if s.state == rules.Ready && shown.State == rules.Draining {
+		if s.state == balancer.Ready && shown.State == balancer.Draining {
 			drained = append(drained, n.ID)
 		}
 		s.state = shown.State
@@ -89,16 +89,16 @@
 	e.tell(list)
 	e.tellMovers(drained)
 	e.countServers()
-	if ev.Mode == rules.ListComplete || len(e.servers) > 0 {
+	if ev.Mode == balancer.ListComplete || len(e.servers) > 0 {
 		e.listed = true
 		e.ready.Store(true)
 	}
 }
 
 // onLeaving takes a server's own word that it drains. The rules hear of it as from the list.
-func (e *Engine) onLeaving(id rules.ServerID) {
+func (e *Engine) onLeaving(id balancer.ServerID) {
 	s := e.servers[id]
-	if s == nil || s.leaving || s.state != rules.Ready {
+	if s == nil || s.leaving || s.state != balancer.Ready {
 		return
 	}
 	s.leaving = true
@@ -106,19 +106,19 @@
 }
 
 // show tells the rules of a server anew, and the clients that can be moved if it leaves.
-func (e *Engine) show(id rules.ServerID, s *server) {
+func (e *Engine) show(id balancer.ServerID, s *server) {
 	was := s.state
 	shown := s.shown()
 	s.state = shown.State
-	e.tell(rules.EndpointList{Mode: rules.ListDelta, Servers: []rules.Server{shown}})
-	if was == rules.Ready && s.state == rules.Draining {
-		e.tellMovers([]rules.ServerID{id})
+	e.tell(balancer.EndpointList{Mode: balancer.ListDelta, Servers: []balancer.Server{shown}})
+	if was == balancer.Ready && s.state == balancer.Draining {
+		e.tellMovers([]balancer.ServerID{id})
 	}
 }
 
 // tellMovers tells the clients whose servers leave. Those that can't be moved by their front are sent away by the
 // server itself.
-func (e *Engine) tellMovers(servers []rules.ServerID) {
+func (e *Engine) tellMovers(servers []balancer.ServerID) {
 	if len(servers) == 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 				if s.entry.Started == s.bannedStart && !e.holds(id) {
 					s.coldSince = e.now
 				}
-				e.tell(rules.ServerReinstated{Server: id})
+				e.tell(balancer.ServerReinstated{Server: id})
 			}
 			e.show(id, s)
 			if ev.InMaintenance {
@@ -165,7 +165,7 @@
 }
 
 // replace takes the attempts back that wait at a server and has the rules send them elsewhere.
-func (e *Engine) replace(id rules.ServerID) {
+func (e *Engine) replace(id balancer.ServerID) {
 	var at []*request
 	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == waiting && r.server == id && r.link != nil && !r.carried {
@@ -175,13 +175,13 @@
 	})
 	for _, r := range at {
 		if r.link.Cancel() {
-			e.outcome(r, rules.Cancelled)
+			e.outcome(r, balancer.Cancelled)
 		}
 	}
 }
 
 // holds reports whether a connection is open at a server.
-func (e *Engine) holds(id rules.ServerID) (held bool) {
+func (e *Engine) holds(id balancer.ServerID) (held bool) {
 	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		held = r.phase == open && r.server == id
 		return !held
@@ -201,7 +201,7 @@
 	e.opts.Metrics.Ejected.Store(int64(avoided))
 }
 
-func (e *Engine) forget(id rules.ServerID, s *server) {
+func (e *Engine) forget(id balancer.ServerID, s *server) {
 	e.prober.Forget(id)
 	delete(e.servers, id)
 	delete(e.names, s.name)
@@ -214,7 +214,7 @@
 		s.meter.waiting, s.meter.waiterOf = 0, 0
 	}
 	var silent []*request
-	holders := map[rules.ServerID]slotmap.Handle{}
+	holders := map[balancer.ServerID]slotmap.Handle{}
 	e.requests.All(func(id slotmap.Handle, r *request) bool {
 		if r.phase != open {
 			return true
@@ -231,7 +231,7 @@
 	})
 	for _, r := range silent {
 		e.opts.Logger.Warn("moved a client off a silent server", "server", r.server)
-		e.move(r, rules.Reset)
+		e.move(r, balancer.Reset)
 	}
 	if !e.opts.ReportsMessageDelay || e.opts.MessageLatencyObjective <= 0 {
 		return
--- a/internal/engine/stop.go
+++ b/internal/engine/stop.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 // stage is how far the engine's life has come. Stages follow in this order; closing is passed over where packets pass through.
@@ -23,7 +23,7 @@
 const lateWait = 150 * time.Millisecond
 
 // order lists the servers by number.
-func (e *Engine) order() []rules.ServerID { return slices.Sorted(maps.Keys(e.servers)) }
+func (e *Engine) order() []balancer.ServerID { return slices.Sorted(maps.Keys(e.servers)) }
 
 // onStop begins the end. New connections keep coming for a while and are served. Where packets pass
 // through, open connections stay as they are, since another gateway takes them up; else their clients are
@@ -41,7 +41,7 @@
 	e.answerBy = e.now + within
 	e.opts.Logger.Info("stopping", "connections", e.requests.Len(), "answer_by", within, "drain", e.opts.DrainTimeout)
 	e.deadlines.Add(e.now+e.opts.DrainTimeout, due{kind: dueEnd})
-	e.tell(rules.Shutdown{Deadline: e.answerBy})
+	e.tell(balancer.Shutdown{Deadline: e.answerBy})
 	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == waiting {
 			e.hurry(r)
@@ -69,7 +69,7 @@
 func (e *Engine) moveAll() {
 	e.requests.All(func(_ slotmap.Handle, r *request) bool {
 		if r.phase == open {
-			e.move(r, rules.Cancelled)
+			e.move(r, balancer.Cancelled)
 		}
 		return true
 	})
--- a/internal/engine/stop_test.go
+++ b/internal/engine/stop_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 // What waits at a stop is answered before the platform may end the program, whatever its deadline and wherever it waits: at
@@ -128,7 +128,7 @@
 	}
 	w.did = nil
 	w.tell(AttemptEstablished{RequestID: old.a.RequestID})
-	w.ended(old, rules.Reset)
+	w.ended(old, balancer.Reset)
 	w.tell(ConnectionLoad{RequestID: old.a.RequestID, Load: 9})
 	w.tell(MessageAnswered{RequestID: old.a.RequestID, Delay: time.Minute})
 	w.tell(ServerDraining{RequestID: old.a.RequestID})
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -1,8 +1,8 @@
 package engine
 
 import (
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/rules"
 )
 
 // The trace follows each request through a gateway, by its client's name for it, and with the logs of all gateways
@@ -11,7 +11,7 @@
 func (e *Engine) trace(msg string, args ...any) { e.opts.Logger.Debug(msg, args...) }
 
 // traced is what tells a request and a server in the trace.
-func (e *Engine) traced(id rules.RequestID, server rules.ServerID) []any {
+func (e *Engine) traced(id balancer.RequestID, server balancer.ServerID) []any {
 	var name string
 	if r, ok := e.requests.Get(slotmap.Handle(id)); ok {
 		name = r.name
@@ -22,7 +22,7 @@
 	return []any{"id", id, "name", name, "server", e.serverName(server)}
 }
 
-func (e *Engine) serverName(id rules.ServerID) string {
+func (e *Engine) serverName(id balancer.ServerID) string {
 	if s := e.servers[id]; s != nil {
 		return s.name
 	}
@@ -30,25 +30,25 @@
 }
 
 // traceEvent logs what the rules are told.
-func (e *Engine) traceEvent(ev rules.Event) {
+func (e *Engine) traceEvent(ev balancer.Event) {
 	switch ev := ev.(type) {
-	case rules.Request:
+	case balancer.Request:
 		e.trace("asked", append(e.traced(ev.ID, ev.Owner), "class", ev.Class, "group", ev.Group, "key", ev.Key, "wait", ev.Timeout,
 			"stray", ev.MidFlow, "returned", ev.Reconnecting)...)
-	case rules.AdoptedConnection:
+	case balancer.AdoptedConnection:
 		e.trace("carried", append(e.traced(ev.ID, ev.Server), "class", ev.Class, "group", ev.Group)...)
-	case rules.AttemptEstablished:
+	case balancer.AttemptEstablished:
 		e.trace("up", append(e.traced(ev.ID, ev.Server), "after", ev.Elapsed)...)
-	case rules.AttemptEnded:
+	case balancer.AttemptEnded:
 		e.trace("outcome", append(e.traced(ev.ID, ev.Server), "attempt", ev.Attempt, "result", ev.Result.String(), "after", ev.Elapsed,
 			"settled", ev.Answered)...)
-	case rules.ClientDisconnected:
+	case balancer.ClientDisconnected:
 		e.trace("expired", e.traced(ev.ID, 0)...)
-	case rules.MessageDelay:
+	case balancer.MessageDelay:
 		e.trace("slow", "server", e.serverName(ev.Server), "delay", ev.Delay)
-	case rules.LoadReport:
+	case balancer.LoadReport:
 		e.trace("report", "server", e.serverName(ev.Server), "load", ev.Utilization, "held", ev.Connections)
-	case rules.EndpointList:
+	case balancer.EndpointList:
 		for _, s := range ev.Servers {
 			e.trace("told", "server", e.serverName(s.ID), "number", s.ID, "state", int(s.State), "started", s.Started, "weight", s.Capacity,
 				"zone", s.Zone)
@@ -57,21 +57,21 @@
 }
 
 // traceAction logs what the rules decide.
-func (e *Engine) traceAction(a rules.Action) {
+func (e *Engine) traceAction(a balancer.Action) {
 	switch a := a.(type) {
-	case rules.Send:
+	case balancer.Send:
 		var cold int64 // the server's age in milliseconds; 0: it started long ago
 		if s := e.servers[a.Server]; s != nil && s.shown().Started > 0 {
 			cold = (e.now - s.shown().Started).Milliseconds()
 		}
 		e.trace("send", append(e.traced(a.ID, a.Server), "timeout", a.Timeout, "age_ms", cold)...)
-	case rules.Reject:
+	case balancer.Reject:
 		e.trace("refuse", append(e.traced(a.ID, 0), "after", a.RetryAfter)...)
-	case rules.Fail:
+	case balancer.Fail:
 		e.trace("fail", e.traced(a.ID, 0)...)
-	case rules.Migrate:
+	case balancer.Migrate:
 		e.trace("move", e.traced(a.ID, 0)...)
-	case rules.PollLoad:
+	case balancer.PollLoad:
 		e.trace("ask", "server", e.serverName(a.Server))
 	}
 }
--- a/internal/engine/trace_test.go
+++ b/internal/engine/trace_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 // A request's name leads through all that was done with it.
@@ -17,7 +17,7 @@
 	})
 	w.arrive(w.client("a"), Request{ID: "7f3a", Key: "k"})
 	first := w.link
-	w.ended(first, rules.ConnectFailed)
+	w.ended(first, balancer.ConnectFailed)
 	if w.link == first {
 		t.Fatal("there was no second attempt")
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/placement"
-	"example.org/milletvane/rules"
 )
 
 // none is the weight of a node that a plan gives nothing: too little for a slot in any table. 0 would be taken as 1.
@@ -41,7 +41,7 @@
 	if p != f.plan || zone != f.zone {
 		f.plan, f.zone, f.now = p, zone, "another"
 	}
-	return f.list(rules.ListDelta, nil)
+	return f.list(balancer.ListDelta, nil)
 }
 
 // Again is when Look has something to do: a node is warm then. ok is false where none is cold.
@@ -50,17 +50,17 @@
 // Look returns the list that follows from the time alone.
 func (f *Follower) Look(now time.Duration) (engine.EndpointList, string) {
 	f.at = now
-	return f.list(rules.ListDelta, nil)
+	return f.list(balancer.ListDelta, nil)
 }
 
 // Apply takes in a list and returns it with the weights to go by, and a word where what is gone by has changed.
 func (f *Follower) Apply(now time.Duration, l engine.EndpointList) (engine.EndpointList, string) {
 	f.at = now
-	if f.servers == nil || l.Mode != rules.ListDelta {
+	if f.servers == nil || l.Mode != balancer.ListDelta {
 		f.servers = map[string]engine.Server{}
 	}
 	for _, s := range l.Servers {
-		if s.State == rules.Removed {
+		if s.State == balancer.Removed {
 			delete(f.servers, s.Name)
 		} else {
 			f.servers[s.Name] = s
@@ -70,7 +70,7 @@
 }
 
 // list is what is to be told: what came, and in place of changed weights all servers.
-func (f *Follower) list(mode rules.ListMode, came []engine.Server) (engine.EndpointList, string) {
+func (f *Follower) list(mode balancer.ListMode, came []engine.Server) (engine.EndpointList, string) {
 	weights, by := f.weights()
 	said := ""
 	if by != f.now {
@@ -80,7 +80,7 @@
 	f.now = by
 	out := engine.EndpointList{Mode: mode}
 	for _, s := range came {
-		if s.State == rules.Removed {
+		if s.State == balancer.Removed {
 			out.Servers = append(out.Servers, s)
 		} else if !changed {
 			out.Servers = append(out.Servers, weighed(s, weights))
@@ -115,7 +115,7 @@
 		if cold && (f.again == 0 || warm < f.again) {
 			f.again = warm
 		}
-		if !listed || cold || s.State != rules.Ready {
+		if !listed || cold || s.State != balancer.Ready {
 			lost = append(lost, id)
 		}
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -8,14 +8,14 @@
 
 	"pgregory.net/rapid"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/placement"
-	"example.org/milletvane/rules"
 )
 
-func server(i int, zone string, state rules.ServerState) engine.Server {
-	return engine.Server{Name: fmt.Sprint("n", i), Server: rules.Server{ID: rules.ServerID(i), Zone: zone, State: state, Capacity: 7}}
+func server(i int, zone string, state balancer.ServerState) engine.Server {
+	return engine.Server{Name: fmt.Sprint("n", i), Server: balancer.Server{ID: balancer.ServerID(i), Zone: zone, State: state, Capacity: 7}}
 }
 
 // plan is for n1 and n2 in a, n3 in b: clients of a bring 90, of which 30 go to b; clients of b bring 20.
@@ -33,11 +33,11 @@
 type told map[string]float64
 
 func (t told) take(l engine.EndpointList) {
-	if l.Mode != rules.ListDelta {
+	if l.Mode != balancer.ListDelta {
 		clear(t)
 	}
 	for _, s := range l.Servers {
-		if t[s.Name] = s.Capacity; s.State == rules.Removed {
+		if t[s.Name] = s.Capacity; s.State == balancer.Removed {
 			delete(t, s.Name)
 		}
 	}
@@ -55,16 +55,16 @@
 		}
 	}
 	f.SetPlan(0, plan(), "a")
-	all := engine.EndpointList{Mode: rules.ListComplete, Servers: []engine.Server{server(1, "a", rules.Ready), server(2, "a", rules.Ready), server(3, "b", rules.Ready)}}
+	all := engine.EndpointList{Mode: balancer.ListComplete, Servers: []engine.Server{server(1, "a", balancer.Ready), server(2, "a", balancer.Ready), server(3, "b", balancer.Ready)}}
 	step(all, "plan 4", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.EndpointList{Mode: rules.ListDelta}, "", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Draining)}}, "plan 4 after the loss of node n1",
+	step(engine.EndpointList{Mode: balancer.ListDelta}, "", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
+	step(engine.EndpointList{Mode: balancer.ListDelta, Servers: []engine.Server{server(1, "a", balancer.Draining)}}, "plan 4 after the loss of node n1",
 		map[string]float64{"n1": none, "n2": 50, "n3": 40})
-	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(1, "a", rules.Removed)}}, "", map[string]float64{"n2": 50, "n3": 40})
-	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(3, "b", rules.Draining)}}, "nominal weights: plan 4 has no word for the loss of n1, n3",
+	step(engine.EndpointList{Mode: balancer.ListDelta, Servers: []engine.Server{server(1, "a", balancer.Removed)}}, "", map[string]float64{"n2": 50, "n3": 40})
+	step(engine.EndpointList{Mode: balancer.ListDelta, Servers: []engine.Server{server(3, "b", balancer.Draining)}}, "nominal weights: plan 4 has no word for the loss of n1, n3",
 		map[string]float64{"n2": 7, "n3": 7})
 	step(all, "plan 4", map[string]float64{"n1": 40, "n2": 20, "n3": 30})
-	step(engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(9, "b", rules.Ready)}}, "nominal weights: plan 4 does not know node n9",
+	step(engine.EndpointList{Mode: balancer.ListDelta, Servers: []engine.Server{server(9, "b", balancer.Ready)}}, "nominal weights: plan 4 does not know node n9",
 		map[string]float64{"n1": 7, "n2": 7, "n3": 7, "n9": 7})
 	l, _ := f.SetPlan(0, nil, "")
 	know.take(l)
@@ -82,17 +82,17 @@
 		a.SetPlan(0, p, zone)
 		b.SetPlan(0, p, zone)
 		ka, kb := told{}, told{}
-		states := map[int]rules.ServerState{}
+		states := map[int]balancer.ServerState{}
 		zones := map[int]string{1: "a", 2: "a", 3: "b", 4: "b"}
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			i := rapid.IntRange(1, 4).Draw(t, "node")
-			states[i] = rules.ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
-			l, _ := a.Apply(0, engine.EndpointList{Mode: rules.ListDelta, Servers: []engine.Server{server(i, zones[i], states[i])}})
+			states[i] = balancer.ServerState(rapid.IntRange(0, 2).Draw(t, "state"))
+			l, _ := a.Apply(0, engine.EndpointList{Mode: balancer.ListDelta, Servers: []engine.Server{server(i, zones[i], states[i])}})
 			ka.take(l)
 		}
-		whole := engine.EndpointList{Mode: rules.ListComplete}
+		whole := engine.EndpointList{Mode: balancer.ListComplete}
 		for i := 4; i > 0; i-- {
-			if s, known := states[i]; known && s != rules.Removed {
+			if s, known := states[i]; known && s != balancer.Removed {
 				whole.Servers = append(whole.Servers, server(i, zones[i], s))
 			}
 		}
@@ -107,11 +107,11 @@
 // A plan for 14 nodes met by a list of 9 that it has no word for: the list's own weights, and the log says why.
 func TestPlanForAnotherFleet(t *testing.T) {
 	p := &operator.Plan{Version: 1, Load: map[string]int64{}, Flows: []placement.Flow{{Class: "x", From: "a", To: "a", Load: 14}}}
-	l := engine.EndpointList{Mode: rules.ListComplete}
+	l := engine.EndpointList{Mode: balancer.ListComplete}
 	for i := range 14 {
 		p.Load[fmt.Sprint("n", i)] = 1
 		if i < 9 {
-			l.Servers = append(l.Servers, server(i, "a", rules.Ready))
+			l.Servers = append(l.Servers, server(i, "a", balancer.Ready))
 		}
 	}
 	var f Follower
@@ -126,10 +126,10 @@
 func TestColdNodesAreLostUntilWarm(t *testing.T) {
 	f := Follower{Cold: 10 * time.Second}
 	f.SetPlan(time.Hour, plan(), "a")
-	fresh := server(1, "a", rules.Ready)
+	fresh := server(1, "a", balancer.Ready)
 	fresh.Started = time.Hour - 4*time.Second
 	know := told{}
-	l, said := f.Apply(time.Hour, engine.EndpointList{Mode: rules.ListComplete, Servers: []engine.Server{fresh, server(2, "a", rules.Ready), server(3, "b", rules.Ready)}})
+	l, said := f.Apply(time.Hour, engine.EndpointList{Mode: balancer.ListComplete, Servers: []engine.Server{fresh, server(2, "a", balancer.Ready), server(3, "b", balancer.Ready)}})
 	know.take(l)
 	if at, ok := f.Again(); said != "plan 4 after the loss of node n1" || know["n1"] != none || !ok || at != time.Hour+6*time.Second {
 		t.Fatalf("%q, %v, again at %v", said, know, at)
--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 var update = flag.Bool("update", false, "write the expected files in testdata anew")
@@ -58,19 +58,19 @@
 		State: engine.State{
 			Version: 41,
 			Servers: []engine.Server{
-				{Name: "s-1", Addr: "127.0.0.1:1", Server: rules.Server{
-					ID: 1, Zone: "bilbao", Cell: 3, State: rules.Draining, Capacity: 1.5, Started: time.Hour, Evacuate: true,
+				{Name: "s-1", Addr: "127.0.0.1:1", Server: balancer.Server{
+					ID: 1, Zone: "bilbao", Cell: 3, State: balancer.Draining, Capacity: 1.5, Started: time.Hour, Evacuate: true,
 				}},
-				{Name: "s-2", Addr: "[::1]:2", Server: rules.Server{ID: 4294967295}},
+				{Name: "s-2", Addr: "[::1]:2", Server: balancer.Server{ID: 4294967295}},
 			},
-			Balancer: rules.Snapshot{
-				Servers: []rules.ServerSnapshot{{
+			Balancer: balancer.Snapshot{
+				Servers: []balancer.ServerSnapshot{{
 					ID: 1, Started: 2 * time.Hour, LoadLimit: 5.25, LimitLoweredAt: 3 * time.Second, PausedUntil: 4 * time.Second,
 					EjectedUntil: 5 * time.Second, Ejections: 6, FailureScore: 0.1, FailureScoreAt: 7 * time.Second,
 				}, {ID: 2}},
-				ClassLoads:         []rules.WeightedMean{{Value: 1e21, Weight: 1e-7}, {Value: 3, Weight: 4}},
-				MeanLoad:           rules.WeightedMean{Value: 20000, Weight: 3},
-				ConnectionCapacity: rules.WeightedMean{Value: 12.5, Weight: 0.5},
+				ClassLoads:         []balancer.WeightedMean{{Value: 1e21, Weight: 1e-7}, {Value: 3, Weight: 4}},
+				MeanLoad:           balancer.WeightedMean{Value: 20000, Weight: 3},
+				ConnectionCapacity: balancer.WeightedMean{Value: 12.5, Weight: 0.5},
 			},
 			Flows: []engine.Flow{
 				{ID: "9b", Class: "c", Key: "k", Group: "g", Server: "s-1", Load: 12.75},
--- a/internal/hotrestart/record_test.go
+++ b/internal/hotrestart/record_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/rules"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -22,8 +22,8 @@
 func sample(now time.Time) Snapshot {
 	return Snapshot{WrittenAt: now.UTC(), Ready: true, KnownServers: []string{"s-1", "gone/%2F"}, State: engine.State{
 		Version:  41,
-		Servers:  []engine.Server{{Name: "s-1", Addr: "127.0.0.1:1", Server: rules.Server{ID: 1, State: rules.Draining, Started: time.Hour}}},
-		Balancer: rules.Snapshot{MeanLoad: rules.WeightedMean{Value: 20000, Weight: 3}, Servers: []rules.ServerSnapshot{{ID: 1, LoadLimit: 5}}},
+		Servers:  []engine.Server{{Name: "s-1", Addr: "127.0.0.1:1", Server: balancer.Server{ID: 1, State: balancer.Draining, Started: time.Hour}}},
+		Balancer: balancer.Snapshot{MeanLoad: balancer.WeightedMean{Value: 20000, Weight: 3}, Servers: []balancer.ServerSnapshot{{ID: 1, LoadLimit: 5}}},
 		Flows:    []engine.Flow{{ID: "9b", Class: "c", Key: "k", Server: "s-1", Load: 12}},
 	}}
 }
--- a/internal/line/backend/backend.go
+++ b/internal/line/backend/backend.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/reactor"
-	"example.org/milletvane/rules"
 )
 
 // Client is what an attempt needs of a client's connection, beyond what the engine does.
@@ -38,7 +38,7 @@
 	options Options
 	events  Poster
 	conns   *reactor.Group
-	probes  map[rules.ServerID]*probe // the engine's goroutine alone uses it
+	probes  map[balancer.ServerID]*probe // the engine's goroutine alone uses it
 }
 
 // Options are what a Backend goes by.
@@ -54,7 +54,7 @@
 	if o.Forwards == nil {
 		o.Forwards = new(atomic.Int64)
 	}
-	return &Backend{options: o, probes: map[rules.ServerID]*probe{}}
+	return &Backend{options: o, probes: map[balancer.ServerID]*probe{}}
 }
 
 // Connect sets where events go and which loops carry the connections.
--- a/internal/line/backend/late_test.go
+++ b/internal/line/backend/late_test.go
@@ -9,10 +9,10 @@
 
 	"golang.org/x/sys/unix"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/line/codec"
 	"example.org/milletvane/internal/reactor"
-	"example.org/milletvane/rules"
 )
 
 // quiet is a client of which an attempt needs its line alone.
@@ -89,7 +89,7 @@
 			if n, err := server.Read(buf); n > 0 || err != io.EOF {
 				t.Errorf("%q was sent on late, %v", buf[:n], err)
 			}
-			if e, ok := event(t, got).(engine.AttemptEnded); !ok || e.Result != rules.ConnectFailed {
+			if e, ok := event(t, got).(engine.AttemptEnded); !ok || e.Result != balancer.ConnectFailed {
 				t.Errorf("told %+v", e)
 			}
 		} else if n, err := server.Read(buf); n == 0 {
@@ -110,12 +110,12 @@
 	b := New(Options{})
 	b.Connect(got, g)
 	b.Send(engine.Attempt{Addr: "127.0.0.1:1", Client: &quiet{}, Timeout: patience, ConnectTimeout: patience})
-	if e, ok := event(t, got).(engine.AttemptEnded); !ok || e.Result != rules.ConnectFailed {
+	if e, ok := event(t, got).(engine.AttemptEnded); !ok || e.Result != balancer.ConnectFailed {
 		t.Errorf("refused: told %+v", e)
 	}
 	full := crowded(t)
 	b.Send(engine.Attempt{Addr: full, Client: &quiet{}, Timeout: patience, ConnectTimeout: 50 * time.Millisecond})
-	if e, ok := event(t, got).(engine.AttemptEnded); !ok || e.Result != rules.ConnectFailed {
+	if e, ok := event(t, got).(engine.AttemptEnded); !ok || e.Result != balancer.ConnectFailed {
 		t.Errorf("silent: told %+v", e)
 	}
 }
--- a/internal/line/backend/link.go
+++ b/internal/line/backend/link.go
@@ -3,11 +3,11 @@
 import (
 	"bytes"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/line/codec"
 	"example.org/milletvane/internal/reactor"
 	"example.org/milletvane/internal/relay"
-	"example.org/milletvane/rules"
 )
 
 // Link is an attempt, and the server's side of the connection that it sets up.
@@ -30,7 +30,7 @@
 func (l *Link) OnOpen(c *reactor.Conn, err error) {
 	late := l.attempt.ConnectTimeout > 0 && l.Age() > l.attempt.ConnectTimeout // the loop may have been held up, and the dial's time with it
 	if err != nil || late {
-		l.finish(rules.ConnectFailed)
+		l.finish(balancer.ConnectFailed)
 		return
 	}
 	if l.Step(relay.Dialing, relay.Pending) { // one that is given up meanwhile carries nothing
@@ -49,7 +49,7 @@
 }
 
 // finish ends an attempt that is not up, once.
-func (l *Link) finish(result rules.Result) {
+func (l *Link) finish(result balancer.Result) {
 	if l.Cancel() {
 		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 	}
@@ -81,24 +81,24 @@
 		l.written()
 		// What breaks before the last byte is written never ran; what breaks after may have.
 		if c.Waiting() > 0 {
-			l.finish(rules.ConnectFailed)
+			l.finish(balancer.ConnectFailed)
 		} else {
-			l.finish(rules.Reset)
+			l.finish(balancer.Reset)
 		}
 	case relay.Up:
-		result := rules.Reset
+		result := balancer.Reset
 		switch l.last {
 		case codec.WordBye:
-			result = rules.OK
+			result = balancer.OK
 		case codec.WordMove:
-			result = rules.Cancelled
+			result = balancer.Cancelled
 		}
 		l.ended(result, reactor.WasReset(err))
 	}
 }
 
 // ended is the end of an open connection from the server's side.
-func (l *Link) ended(result rules.Result, reset bool) {
+func (l *Link) ended(result balancer.Result, reset bool) {
 	if l.Finish() == relay.Over {
 		return
 	}
@@ -127,7 +127,7 @@
 		if len(b) < codec.MaxLine {
 			return 0
 		}
-		l.finish(rules.Errored)
+		l.finish(balancer.Errored)
 		return len(b)
 	}
 	line := b[:i+1]
@@ -138,11 +138,11 @@
 		l.open(line)
 		return len(line)
 	case codec.WordBusy:
-		l.finish(rules.Rejected)
+		l.finish(balancer.Rejected)
 	case codec.WordMove:
-		l.finish(rules.Cancelled)
+		l.finish(balancer.Cancelled)
 	default:
-		l.finish(rules.Errored)
+		l.finish(balancer.Errored)
 	}
 	return len(b)
 }
--- a/internal/line/backend/probe.go
+++ b/internal/line/backend/probe.go
@@ -7,9 +7,9 @@
 	"os"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/line/codec"
-	"example.org/milletvane/rules"
 )
 
 // probeFor bounds a probe: a report that comes later says nothing of now.
@@ -20,13 +20,13 @@
 
 // probe is one server's connection for probes. Its goroutine ends when asks is closed.
 type probe struct {
-	server rules.ServerID
+	server balancer.ServerID
 	addr   string
 	asks   chan struct{}
 }
 
 // PollLoad implements engine.LoadPoller. One probe a server is out at a time, and one more may wait.
-func (b *Backend) PollLoad(id rules.ServerID, addr string) {
+func (b *Backend) PollLoad(id balancer.ServerID, addr string) {
 	p := b.probes[id]
 	if p != nil && p.addr != addr {
 		b.Forget(id)
@@ -44,7 +44,7 @@
 }
 
 // Forget implements engine.LoadPoller.
-func (b *Backend) Forget(id rules.ServerID) {
+func (b *Backend) Forget(id balancer.ServerID) {
 	if p := b.probes[id]; p != nil {
 		close(p.asks)
 		delete(b.probes, id)
--- a/internal/model/change.go
+++ b/internal/model/change.go
@@ -5,15 +5,15 @@
 	"slices"
 	"time"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 // This file is what happens to nodes: drains, restarts and the word of them.
 
-func (m *machine) entry() rules.Server {
-	s := rules.Server{ID: m.id, Capacity: 1}
+func (m *machine) entry() balancer.Server {
+	s := balancer.Server{ID: m.id, Capacity: 1}
 	if m.draining {
-		s.State = rules.Draining
+		s.State = balancer.Draining
 	}
 	if !m.warm {
 		s.Started = m.started
@@ -26,12 +26,12 @@
 	entry := m.entry()
 	f.World.After(f.site.Lag, func() {
 		for _, g := range f.gateways {
-			if entry.State != rules.Draining {
+			if entry.State != balancer.Draining {
 				delete(g.told, entry.ID)
 			} else if _, known := g.told[entry.ID]; !known {
 				g.told[entry.ID] = f.World.Now()
 			}
-			g.tell(rules.EndpointList{Mode: rules.ListDelta, Servers: []rules.Server{entry}})
+			g.tell(balancer.EndpointList{Mode: balancer.ListDelta, Servers: []balancer.Server{entry}})
 		}
 	})
 }
@@ -48,7 +48,7 @@
 	for _, r := range held {
 		f.Cut++
 		c := r.client
-		r.over(rules.Reset)
+		r.over(balancer.Reset)
 		f.again(c, 0)
 	}
 }
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -8,20 +8,20 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 // Site is what a run plays.
 type Site struct {
-	Rules    rules.Settings // Gateways of these; Seed is each one's own
-	Nodes    []Kind         // one each; ids count from 1
-	Delay    time.Duration  // one way between gateways and nodes
-	Lag      time.Duration  // until a gateway is told of a change of a node
-	Arrivals float64        // clients a second
-	Life     time.Duration  // that a client wants its connection, in the mean
-	Load     float64        // of a connection in cores of reference, in the mean
-	Rejoin   time.Duration  // until a client that was cut off comes again
-	Slack    time.Duration  // after a request's deadline an answer still counts this long
+	Rules    balancer.Settings // Gateways of these; Seed is each one's own
+	Nodes    []Kind            // one each; ids count from 1
+	Delay    time.Duration     // one way between gateways and nodes
+	Lag      time.Duration     // until a gateway is told of a change of a node
+	Arrivals float64           // clients a second
+	Life     time.Duration     // that a client wants its connection, in the mean
+	Load     float64           // of a connection in cores of reference, in the mean
+	Rejoin   time.Duration     // until a client that was cut off comes again
+	Slack    time.Duration     // after a request's deadline an answer still counts this long
 }
 
 // Tally is what came of a run.
@@ -52,7 +52,7 @@
 
 type machine struct {
 	*Node
-	id       rules.ServerID
+	id       balancer.ServerID
 	draining bool
 	since    time.Duration // the drain, or the restart
 	open     map[*call]bool
@@ -60,10 +60,10 @@
 
 type gateway struct {
 	fleet    *Fleet
-	balancer *rules.Balancer
-	calls    map[rules.RequestID]*call
-	last     rules.RequestID
-	told     map[rules.ServerID]time.Duration // of a drain that holds
+	balancer *balancer.Balancer
+	calls    map[balancer.RequestID]*call
+	last     balancer.RequestID
+	told     map[balancer.ServerID]time.Duration // of a drain that holds
 }
 
 type client struct {
@@ -76,7 +76,7 @@
 type call struct {
 	gateway  *gateway
 	client   *client
-	id       rules.RequestID
+	id       balancer.RequestID
 	deadline time.Duration
 	attempts int
 	at       *machine // of the attempt that is out or open
@@ -99,20 +99,20 @@
 		if err != nil {
 			return nil, err
 		}
-		f.nodes = append(f.nodes, &machine{Node: n, id: rules.ServerID(i + 1), open: map[*call]bool{}})
+		f.nodes = append(f.nodes, &machine{Node: n, id: balancer.ServerID(i + 1), open: map[*call]bool{}})
 	}
-	list := rules.EndpointList{Mode: rules.ListComplete}
+	list := balancer.EndpointList{Mode: balancer.ListComplete}
 	for _, m := range f.nodes {
 		list.Servers = append(list.Servers, m.entry())
 	}
 	for i := range max(s.Rules.Gateways, 1) {
 		set := s.Rules
 		set.Seed = uint64(i) + 1
-		b, err := rules.New(set)
+		b, err := balancer.New(set)
 		if err != nil {
 			return nil, err
 		}
-		g := &gateway{fleet: f, balancer: b, calls: map[rules.RequestID]*call{}, told: map[rules.ServerID]time.Duration{}}
+		g := &gateway{fleet: f, balancer: b, calls: map[balancer.RequestID]*call{}, told: map[balancer.ServerID]time.Duration{}}
 		f.gateways = append(f.gateways, g)
 		g.tell(list)
 	}
@@ -174,7 +174,7 @@
 			f.breaks("request %d has no answer %v after its deadline", r.id, f.site.Slack)
 		}
 	})
-	g.tell(rules.Request{ID: r.id, Class: class.Name, Key: c.key, Timeout: class.Timeout, Load: c.load * 1e6, Reconnecting: c.back})
+	g.tell(balancer.Request{ID: r.id, Class: class.Name, Key: c.key, Timeout: class.Timeout, Load: c.load * 1e6, Reconnecting: c.back})
 }
 
 // again has a client come back.
@@ -183,41 +183,41 @@
 	f.World.After(max(after, f.site.Rejoin), func() { f.ask(c) })
 }
 
-func (g *gateway) tell(ev rules.Event) {
+func (g *gateway) tell(ev balancer.Event) {
 	// Actions are valid until the next call alone.
 	for _, a := range slices.Clone(g.balancer.Handle(g.fleet.World.Now(), ev)) {
 		g.act(a)
 	}
 }
 
-func (g *gateway) act(a rules.Action) {
+func (g *gateway) act(a balancer.Action) {
 	f := g.fleet
 	switch a := a.(type) {
-	case rules.Send:
+	case balancer.Send:
 		g.send(a)
-	case rules.Reject:
+	case balancer.Reject:
 		if r := g.answer(a.ID); r != nil {
 			f.Refused++
 			f.again(r.client, a.RetryAfter)
 		}
-	case rules.Fail:
+	case balancer.Fail:
 		if r := g.answer(a.ID); r != nil {
 			f.Failed++
 			f.again(r.client, 0)
 		}
-	case rules.Migrate:
+	case balancer.Migrate:
 		if r := g.calls[a.ID]; r != nil && r.open {
 			f.Moved++
-			r.over(rules.Cancelled)
+			r.over(balancer.Cancelled)
 			f.again(r.client, 0)
 		}
-	case rules.SetTimer:
-		f.World.After(a.After, func() { g.tell(rules.TimerFired{Ref: a.Ref}) })
+	case balancer.SetTimer:
+		f.World.After(a.After, func() { g.tell(balancer.TimerFired{Ref: a.Ref}) })
 	}
 }
 
 // answer takes a request's final answer, which may come once.
-func (g *gateway) answer(id rules.RequestID) *call {
+func (g *gateway) answer(id balancer.RequestID) *call {
 	r := g.calls[id]
 	if r == nil || r.answered || r.at != nil {
 		g.fleet.breaks("request %d is answered twice, or while an attempt is out", id)
@@ -228,7 +228,7 @@
 	return r
 }
 
-func (g *gateway) send(a rules.Send) {
+func (g *gateway) send(a balancer.Send) {
 	f, now := g.fleet, g.fleet.World.Now()
 	r := g.calls[a.ID]
 	if r == nil || r.at != nil || r.answered {
@@ -248,7 +248,7 @@
 		wait = min(wait, a.Timeout)
 	}
 	n := r.attempts
-	r.timeout = f.World.After(wait, func() { r.over(rules.TimedOut) })
+	r.timeout = f.World.After(wait, func() { r.over(balancer.TimedOut) })
 	f.World.After(f.site.Delay, func() { r.reach(n) })
 }
 
@@ -276,9 +276,9 @@
 		case verdict == Taken && m.since == begun && m.Up():
 			r.up()
 		case verdict == Full:
-			r.over(rules.Rejected)
+			r.over(balancer.Rejected)
 		default:
-			r.over(rules.ConnectFailed)
+			r.over(balancer.ConnectFailed)
 		}
 	})
 }
@@ -289,12 +289,12 @@
 	r.open, r.answered = true, true
 	r.at.open[r] = true
 	f.Up++
-	r.leave = f.World.At(r.client.end, func() { r.over(rules.OK) })
-	r.gateway.tell(rules.AttemptEstablished{ID: r.id, Attempt: r.attempts - 1, Server: r.at.id, Elapsed: f.World.Now() - r.sent})
+	r.leave = f.World.At(r.client.end, func() { r.over(balancer.OK) })
+	r.gateway.tell(balancer.AttemptEstablished{ID: r.id, Attempt: r.attempts - 1, Server: r.at.id, Elapsed: f.World.Now() - r.sent})
 }
 
 // over ends an attempt, or the connection that it set up.
-func (r *call) over(result rules.Result) {
+func (r *call) over(result balancer.Result) {
 	f, m := r.gateway.fleet, r.at
 	if m == nil {
 		return
@@ -310,5 +310,5 @@
 	if was {
 		delete(r.gateway.calls, r.id)
 	}
-	r.gateway.tell(rules.AttemptEnded{ID: r.id, Attempt: r.attempts - 1, Server: m.id, Result: result, Elapsed: f.World.Now() - r.sent, Answered: was})
+	r.gateway.tell(balancer.AttemptEnded{ID: r.id, Attempt: r.attempts - 1, Server: m.id, Result: result, Elapsed: f.World.Now() - r.sent, Answered: was})
 }
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 func site(nodes, gateways int) Site {
 	s := Site{
-		Rules: rules.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
+		Rules: balancer.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
 			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
-			Classes: []rules.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second}}},
+			Classes: []balancer.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second}}},
 		Delay: time.Millisecond, Lag: time.Second, Arrivals: float64(nodes), Life: 30 * time.Second, Load: 0.03,
 		Rejoin: 200 * time.Millisecond, Slack: 50 * time.Millisecond,
 	}
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -5,11 +5,11 @@
 	"strings"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/nats/codec"
 	"example.org/milletvane/internal/reactor"
 	"example.org/milletvane/internal/relay"
-	"example.org/milletvane/rules"
 )
 
 // Owner is a session's place at a node, as an attempt's client. But for the engine's methods, all are called on the loop of
@@ -76,20 +76,20 @@
 }
 
 // Server is the node's number.
-func (l *Leg) Server() rules.ServerID { return l.attempt.Server }
+func (l *Leg) Server() balancer.ServerID { return l.attempt.Server }
 
 // Up reports whether the leg stands. The loop alone may rely on it.
 func (l *Leg) Up() bool { return l.Phase() == relay.Up }
 
 // finish ends a leg that does not stand, once.
-func (l *Leg) finish(result rules.Result) {
+func (l *Leg) finish(result balancer.Result) {
 	if !l.Cancel() {
 		return
 	}
 	if l.owner != nil {
 		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 	} else {
-		l.fall(rules.ConnectFailed)
+		l.fall(balancer.ConnectFailed)
 	}
 }
 
@@ -97,12 +97,12 @@
 func (l *Leg) End() {
 	if l.Finish() != relay.Over {
 		l.Conn().Close()
-		l.fall(rules.Reset)
+		l.fall(balancer.Reset)
 	}
 }
 
 // GiveUp ends a leg that does not stand, for a reason that is not the node's.
-func (l *Leg) GiveUp() { l.finish(rules.Cancelled) }
+func (l *Leg) GiveUp() { l.finish(balancer.Cancelled) }
 
 // broken is the end of a leg that stands by the node's doing.
 func (l *Leg) broken() {
@@ -110,15 +110,15 @@
 		return
 	}
 	l.Conn().Abort(false)
-	l.fall(rules.Reset)
+	l.fall(balancer.Reset)
 	if l.owner != nil {
-		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: rules.Reset})
+		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: balancer.Reset})
 		l.owner.Ended(l)
 	}
 }
 
 // fall ends what hangs on the leg.
-func (l *Leg) fall(result rules.Result) {
+func (l *Leg) fall(result balancer.Result) {
 	l.hub.Cancel(l.pinger)
 	tries := l.tries
 	l.tries = nil
@@ -136,7 +136,7 @@
 // OnOpen implements reactor.Handler. The node speaks first.
 func (l *Leg) OnOpen(_ *reactor.Conn, err error) {
 	if err != nil {
-		l.finish(rules.ConnectFailed)
+		l.finish(balancer.ConnectFailed)
 		return
 	}
 	l.Step(relay.Dialing, relay.Pending)
@@ -148,9 +148,9 @@
 	case l.Up():
 		l.broken()
 	case !l.info || c.Waiting() > 0:
-		l.finish(rules.ConnectFailed) // the opening is not out
+		l.finish(balancer.ConnectFailed) // the opening is not out
 	default:
-		l.finish(rules.Reset)
+		l.finish(balancer.Reset)
 	}
 }
 
@@ -169,7 +169,7 @@
 		var err error
 		if *f, n, err = codec.Parse(b[taken:], limits); err != nil {
 			flush()
-			l.finish(rules.Errored)
+			l.finish(balancer.Errored)
 			l.broken()
 			return len(b)
 		}
@@ -211,7 +211,7 @@
 	case codec.Info:
 		info, err := codec.ParseInfo(f.Body)
 		if err != nil {
-			l.finish(rules.Errored)
+			l.finish(balancer.Errored)
 			l.broken()
 			return
 		}
@@ -234,7 +234,7 @@
 		return
 	}
 	if info.LameDuck { // it would turn the session away as soon as it is set up
-		l.finish(rules.Rejected)
+		l.finish(balancer.Rejected)
 		return
 	}
 	// All of it in one write: the PONG confirms what stands before the PING.
@@ -343,13 +343,13 @@
 			l.owner.Denied(l, text)
 			return
 		}
-		l.finish(rules.Errored)
+		l.finish(balancer.Errored)
 		l.broken()
 	case strings.HasPrefix(lower, "maximum connections"), strings.HasPrefix(lower, "server shutdown"):
-		l.finish(rules.Rejected)
+		l.finish(balancer.Rejected)
 		l.broken()
 	default:
-		l.finish(rules.Errored)
+		l.finish(balancer.Errored)
 		l.broken()
 	}
 }
--- a/internal/nats/backend/try.go
+++ b/internal/nats/backend/try.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/nats/codec"
 	"example.org/milletvane/internal/reactor"
-	"example.org/milletvane/rules"
 )
 
 // Asker is a request, as an attempt's client. But for the engine's methods, all are called on the loop of Conn.
@@ -16,7 +16,7 @@
 	engine.Client
 	Conn() *reactor.Conn
 	// Leg is the session's own leg, if that stands at the node and takes new messages; nil: another is to be used.
-	Leg(rules.ServerID) *Leg
+	Leg(balancer.ServerID) *Leg
 	// Identity is the CONNECT under which requests go to other nodes, as a frame.
 	Identity() []byte
 	// Publication is what to publish. It is not changed while the request is open.
@@ -67,7 +67,7 @@
 }
 
 // finish ends the try without an answer.
-func (t *Try) finish(result rules.Result) {
+func (t *Try) finish(result balancer.Result) {
 	if t.done() {
 		t.backend.events.Post(engine.AttemptEnded{RequestID: t.attempt.RequestID, Number: t.attempt.Number, Result: result})
 	}
@@ -91,7 +91,7 @@
 	l := t.backend.sharedLeg(t)
 	switch {
 	case l == nil: // the node is not to blame
-		t.finish(rules.NotSent)
+		t.finish(balancer.NotSent)
 	case l.Up():
 		t.send(l)
 	default:
@@ -142,7 +142,7 @@
 	delete(l.tries, t.sid)
 	if t.done() {
 		t.asker.Answered(f)
-		t.backend.events.Post(engine.AttemptEnded{RequestID: t.attempt.RequestID, Number: t.attempt.Number, Result: rules.OK})
+		t.backend.events.Post(engine.AttemptEnded{RequestID: t.attempt.RequestID, Number: t.attempt.Number, Result: balancer.OK})
 	}
 }
 
@@ -184,7 +184,7 @@
 		within = min(within, c)
 	}
 	l.Begin(func() *reactor.Conn { return b.conns.Dial(key.addr, within, l, t.asker.Conn()) })
-	l.pinger = h.After(sharedWithin, func() { l.finish(rules.ConnectFailed) })
+	l.pinger = h.After(sharedWithin, func() { l.finish(balancer.ConnectFailed) })
 	return l
 }
 
@@ -211,13 +211,13 @@
 	})
 }
 
-func (s *sharedState) fall(l *Leg, result rules.Result) {
+func (s *sharedState) fall(l *Leg, result balancer.Result) {
 	if l.hub.shared[s.key] == l {
 		delete(l.hub.shared, s.key)
 	}
 	waiting := s.waiting
 	s.waiting = nil
 	for _, t := range waiting {
-		t.finish(rules.ConnectFailed)
+		t.finish(balancer.ConnectFailed)
 	}
 }
--- a/internal/nats/front/ask.go
+++ b/internal/nats/front/ask.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/nats/backend"
 	"example.org/milletvane/internal/nats/codec"
 	"example.org/milletvane/internal/reactor"
-	"example.org/milletvane/rules"
 )
 
 // ask is a request of a session's: a message with a reply subject on a subject of a class. The engine holds it as a client
@@ -140,7 +140,7 @@
 }
 
 // Leg implements backend.Asker.
-func (a *ask) Leg(server rules.ServerID) *backend.Leg {
+func (a *ask) Leg(server balancer.ServerID) *backend.Leg {
 	p := a.session.cur
 	if p == nil || p.handing || p.quits || !p.leg.Up() || p.leg.Server() != server {
 		return nil
--- a/internal/purity/purity_test.go
+++ b/internal/purity/purity_test.go
@@ -18,20 +18,20 @@
 
 // pure are the packages that decide, with what they may import of this module.
 var pure = map[string][]string{
-	"rules":                      nil,
+	"balancer":                   nil,
 	"internal/slotmap":           nil,
 	"internal/timerqueue":        nil,
 	"internal/discovery/refresh": nil,
 	"internal/metrics":           nil,
-	"internal/engine":            {"rules", "internal/slotmap", "internal/timerqueue", "internal/metrics"},
+	"internal/engine":            {"balancer", "internal/slotmap", "internal/timerqueue", "internal/metrics"},
 	"internal/line/codec":        nil,
 	"internal/nats/codec":        nil,
 	"internal/nats/session":      {"internal/nats/codec"},
 	"placement":                  nil,
-	"internal/model":             {"internal/timerqueue", "rules"},
+	"internal/model":             {"internal/timerqueue", "balancer"},
 	"internal/cluster/recovery":  nil,
 	"internal/cluster/loadshed":  nil,
-	"internal/follow":            {"config/operator", "internal/engine", "placement", "rules"},
+	"internal/follow":            {"config/operator", "internal/engine", "placement", "balancer"},
 }
 
 // outside are packages that reach outside the program, or whose goroutines would.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings turns the platform's settings, given as path=value pairs, into rules.Settings. The
+// Package settings turns the platform's settings, given as path=value pairs, into balancer.Settings. The
 // simulator's wire and the program's configuration use the same names and units, so both come through here.
 package settings
 
@@ -12,11 +12,11 @@
 	"strings"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
-	"example.org/milletvane/rules"
 )
 
-// Pairs are settings by path, such as classes.0.name. Absent ones give zero, whose meaning rules.Settings
+// Pairs are settings by path, such as classes.0.name. Absent ones give zero, whose meaning balancer.Settings
 // states.
 type Pairs map[string]string
 
@@ -27,21 +27,21 @@
 const maxItems = 10_000
 
 var (
-	effects = map[string]rules.Idempotency{
-		"": rules.NonIdempotent, "idempotent": rules.Idempotent, "deduplicated": rules.WithIdempotencyKey, "at_most_once": rules.NonIdempotent,
+	effects = map[string]balancer.Idempotency{
+		"": balancer.NonIdempotent, "idempotent": balancer.Idempotent, "deduplicated": balancer.WithIdempotencyKey, "at_most_once": balancer.NonIdempotent,
 	}
-	scopes = map[string]rules.DedupScope{
-		"": rules.DedupScopeCell, "all": rules.DedupScopeAll, "zone": rules.DedupScopeZone, "cell": rules.DedupScopeCell,
+	scopes = map[string]balancer.DedupScope{
+		"": balancer.DedupScopeCell, "all": balancer.DedupScopeAll, "zone": balancer.DedupScopeZone, "cell": balancer.DedupScopeCell,
 	}
 )
 
 // Rules reads the settings that the rules are told.
-func (p Pairs) Rules() (*rules.Settings, error) {
+func (p Pairs) Rules() (*balancer.Settings, error) {
 	d := decoder{p: p}
 	if d.float("rules.start_capacity") > 1 { // of no use to the rules, but a contradiction
 		d.fail("rules.start_capacity", "a share, between 0 and 1")
 	}
-	s := &rules.Settings{
+	s := &balancer.Settings{
 		Seed:                  uint64(d.integer("init_seed")),
 		Gateways:              int(d.integer("replicas_of_me")),
 		OverQuotaWeightFactor: d.float("over_share_worth"),
@@ -70,7 +70,7 @@
 		if !ok {
 			d.fail(at+"group", "a known group")
 		}
-		c := rules.Class{
+		c := balancer.Class{
 			Name: p[at+"name"], Idempotency: effect, DedupScope: scope,
 			DedupWindow: d.time(at + "window_ns"), PriorityWeight: d.float(at + "worth"),
 			SetupLatencyObjective: d.time(at + "slo_ns"), Timeout: d.time(at + "give_up_ns"),
@@ -83,7 +83,7 @@
 	quotas := d.floats("family_info.tenant_quota_connections")
 	for i := range d.count("tenants") {
 		at := "tenants." + strconv.Itoa(i) + "."
-		t := rules.Tenant{Name: p[at+"name"]}
+		t := balancer.Tenant{Name: p[at+"name"]}
 		if i < len(quotas) {
 			t.ConnectionQuota = quotas[i]
 		}
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -14,9 +14,9 @@
 	"testing/iotest"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/wire"
-	"example.org/milletvane/rules"
 )
 
 var update = flag.Bool("update", false, "write the files in testdata anew")
@@ -69,7 +69,7 @@
 
 func (w *fieldWriter) duration(name string, d time.Duration) { w.add(name, d.Nanoseconds()) }
 
-func (w *fieldWriter) request(r rules.Request) {
+func (w *fieldWriter) request(r balancer.Request) {
 	w.add("id", int64(r.ID))
 	w.add("class", r.Class)
 	w.add("tenant", r.Tenant)
@@ -84,7 +84,7 @@
 	w.add("rank", r.Priority)
 }
 
-func (w *fieldWriter) servers(l rules.EndpointList) {
+func (w *fieldWriter) servers(l balancer.EndpointList) {
 	w.add("mode", listMode(l.Mode))
 	for _, s := range l.Servers {
 		w.WriteString(" [server")
@@ -99,82 +99,82 @@
 	}
 }
 
-func listMode(m rules.ListMode) string {
+func listMode(m balancer.ListMode) string {
 	switch m {
-	case rules.ListDelta:
+	case balancer.ListDelta:
 		return "Partial"
-	case rules.ListComplete:
+	case balancer.ListComplete:
 		return "Complete"
-	case rules.ListCached:
+	case balancer.ListCached:
 		return "Persisted"
 	default:
 		return "unknown"
 	}
 }
 
-func serverState(s rules.ServerState) string {
+func serverState(s balancer.ServerState) string {
 	switch s {
-	case rules.Ready:
+	case balancer.Ready:
 		return "IN"
-	case rules.Draining:
+	case balancer.Draining:
 		return "LAME"
-	case rules.Removed:
+	case balancer.Removed:
 		return "OUT"
 	default:
 		return "unknown"
 	}
 }
 
-func result(r rules.Result) string {
+func result(r balancer.Result) string {
 	switch r {
-	case rules.OK:
+	case balancer.OK:
 		return "100"
-	case rules.Errored:
+	case balancer.Errored:
 		return "301"
-	case rules.Rejected:
+	case balancer.Rejected:
 		return "302"
-	case rules.TimedOut:
+	case balancer.TimedOut:
 		return "303"
-	case rules.ConnectFailed:
+	case balancer.ConnectFailed:
 		return "304"
-	case rules.Reset:
+	case balancer.Reset:
 		return "305"
-	case rules.Cancelled:
+	case balancer.Cancelled:
 		return "306"
-	case rules.NotSent:
+	case balancer.NotSent:
 		return "307"
 	default:
 		return "unknown"
 	}
 }
 
-func effect(e rules.Idempotency) string {
+func effect(e balancer.Idempotency) string {
 	switch e {
-	case rules.Idempotent:
+	case balancer.Idempotent:
 		return "idempotent"
-	case rules.WithIdempotencyKey:
+	case balancer.WithIdempotencyKey:
 		return "deduplicated"
-	case rules.NonIdempotent:
+	case balancer.NonIdempotent:
 		return "at_most_once"
 	default:
 		return "unknown"
 	}
 }
 
-func scope(s rules.DedupScope) string {
+func scope(s balancer.DedupScope) string {
 	switch s {
-	case rules.DedupScopeAll:
+	case balancer.DedupScopeAll:
 		return "all"
-	case rules.DedupScopeZone:
+	case balancer.DedupScopeZone:
 		return "zone"
-	case rules.DedupScopeCell:
+	case balancer.DedupScopeCell:
 		return "cell"
 	default:
 		return "unknown"
 	}
 }
 
-func (w *fieldWriter) settings(s rules.Settings) {
+func (w *fieldWriter) settings(s balancer.Settings) {
 	w.add("seed", s.Seed)
 	w.add("gateways", s.Gateways)
 	w.add("over share worth", s.OverQuotaWeightFactor)
@@ -238,32 +238,32 @@
 	}
 	switch e := ev.Rules.(type) {
 	case nil:
-	case rules.EndpointList:
+	case balancer.EndpointList:
 		w.WriteString(" list")
 		w.servers(e)
-	case rules.Request:
+	case balancer.Request:
 		w.WriteString(" request")
 		w.request(e)
-	case rules.AdoptedConnection:
+	case balancer.AdoptedConnection:
 		w.WriteString(" carried")
 		w.request(e.Request)
 		w.add("server", int64(e.Server))
-	case rules.AttemptEstablished:
+	case balancer.AttemptEstablished:
 		w.WriteString(" opened")
 		w.add("id", int64(e.ID))
 		w.add("attempt", e.Attempt)
 		w.add("server", int64(e.Server))
 		w.duration("elapsed", e.Elapsed)
-	case rules.LoadChanged:
+	case balancer.LoadChanged:
 		w.WriteString(" load")
 		w.add("id", int64(e.ID))
 		w.add("load", e.Load)
-	case rules.MessageDelay:
+	case balancer.MessageDelay:
 		w.WriteString(" delay")
 		w.add("id", int64(e.ID))
 		w.add("server", int64(e.Server))
 		w.duration("delay", e.Delay)
-	case rules.AttemptEnded:
+	case balancer.AttemptEnded:
 		w.WriteString(" result")
 		w.add("id", int64(e.ID))
 		w.add("attempt", e.Attempt)
@@ -271,10 +271,10 @@
 		w.add("result", result(e.Result))
 		w.duration("elapsed", e.Elapsed)
 		w.add("settled", e.Answered)
-	case rules.ClientDisconnected:
+	case balancer.ClientDisconnected:
 		w.WriteString(" expired")
 		w.add("id", int64(e.ID))
-	case rules.TimerFired:
+	case balancer.TimerFired:
 		w.WriteString(" timer")
 		w.add("ref", e.Ref)
 	default:
@@ -561,21 +561,21 @@
 	for _, instance := range []int{0, 4, 1<<31 - 1} {
 		for _, a := range []struct {
 			name   string
-			action rules.Action
+			action balancer.Action
 		}{
-			{"send", rules.Send{ID: 1, Server: 2, Timeout: 3 * time.Millisecond, ConnectTimeout: 9 * time.Millisecond}},
-			{"send, largest", rules.Send{ID: 1<<32 - 1, Server: 1<<32 - 1, Timeout: 1<<63 - 1}},
-			{"send, zero", rules.Send{}},
-			{"reject", rules.Reject{ID: 1, RetryAfter: time.Millisecond}},
-			{"reject, shed", rules.Reject{ID: 1, RetryAfter: 1, ShedByFleet: true}},
-			{"reject, at once", rules.Reject{ID: 1}},
-			{"fail", rules.Fail{ID: 1}},
-			{"migrate", rules.Migrate{ID: 1}},
-			{"timer", rules.SetTimer{After: time.Millisecond, Ref: 2}},
-			{"timer, negative", rules.SetTimer{After: -1, Ref: -2}},
-			{"log", rules.Log{Text: "one line"}},
-			{"log, several lines", rules.Log{Text: "one\ntwo\r\nthree\rfour\n"}},
-			{"log, empty", rules.Log{}},
+			{"send", balancer.Send{ID: 1, Server: 2, Timeout: 3 * time.Millisecond, ConnectTimeout: 9 * time.Millisecond}},
+			{"send, largest", balancer.Send{ID: 1<<32 - 1, Server: 1<<32 - 1, Timeout: 1<<63 - 1}},
+			{"send, zero", balancer.Send{}},
+			{"reject", balancer.Reject{ID: 1, RetryAfter: time.Millisecond}},
+			{"reject, shed", balancer.Reject{ID: 1, RetryAfter: 1, ShedByFleet: true}},
+			{"reject, at once", balancer.Reject{ID: 1}},
+			{"fail", balancer.Fail{ID: 1}},
+			{"migrate", balancer.Migrate{ID: 1}},
+			{"timer", balancer.SetTimer{After: time.Millisecond, Ref: 2}},
+			{"timer, negative", balancer.SetTimer{After: -1, Ref: -2}},
+			{"log", balancer.Log{Text: "one line"}},
+			{"log, several lines", balancer.Log{Text: "one\ntwo\r\nthree\rfour\n"}},
+			{"log, empty", balancer.Log{}},
 		} {
 			add(fmt.Sprint(a.name, " at ", instance), wire.AppendAction([]byte("before\n"), instance, a.action))
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,9 +13,9 @@
 	"strings"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/settings"
-	"example.org/milletvane/rules"
 )
 
 // Event is one line of a batch for one instance. Exactly one of Start, Stop, Unlisted and Rules is set.
@@ -24,12 +24,12 @@
 	Start    *Start
 	Stop     bool
 	Unlisted bool // a call for the list failed, or the watch broke
-	Rules    rules.Event
+	Rules    balancer.Event
 }
 
 // Start is what a new instance goes by.
 type Start struct {
-	Rules rules.Settings
+	Rules balancer.Settings
 	Asks  bool // the list has to be asked for; else changes come by themselves
 	List  refresh.Settings
 }
@@ -172,8 +172,8 @@
 
 // record gathers the fields that events share.
 type record struct {
-	req     rules.Request
-	server  rules.ServerID
+	req     balancer.Request
+	server  balancer.ServerID
 	attempt int
 	elapsed time.Duration
 	outcome int
@@ -214,9 +214,9 @@
 func (r *Reader) field(f *fields, rec *record) {
 	switch string(f.key) {
 	case "ticket":
-		rec.req.ID = rules.RequestID(f.integer(1 << 32))
+		rec.req.ID = balancer.RequestID(f.integer(1 << 32))
 	case "backend":
-		rec.server = rules.ServerID(f.integer(1 << 32))
+		rec.server = balancer.ServerID(f.integer(1 << 32))
 	case "priority":
 		rec.req.Class = r.name(f.value)
 	case "customer":
@@ -254,13 +254,13 @@
 	}
 }
 
-var results = map[int]rules.Result{
-	100: rules.OK, 301: rules.Errored, 302: rules.Rejected, 303: rules.TimedOut,
-	304: rules.ConnectFailed, 305: rules.Reset, 306: rules.Cancelled, 307: rules.NotSent,
+var results = map[int]balancer.Result{
+	100: balancer.OK, 301: balancer.Errored, 302: balancer.Rejected, 303: balancer.TimedOut,
+	304: balancer.ConnectFailed, 305: balancer.Reset, 306: balancer.Cancelled, 307: balancer.NotSent,
 }
 
-var modes = map[string]rules.ListMode{
-	"Partial": rules.ListDelta, "Complete": rules.ListComplete, "Persisted": rules.ListCached,
+var modes = map[string]balancer.ListMode{
+	"Partial": balancer.ListDelta, "Complete": balancer.ListComplete, "Persisted": balancer.ListCached,
 }
 
 func (r *Reader) build(kind string, rec *record, ev *Event) (known bool, err error) {
@@ -281,20 +281,20 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Rules = rules.EndpointList{Mode: mode, Servers: servers}
+		ev.Rules = balancer.EndpointList{Mode: mode, Servers: servers}
 	case "new_request":
 		ev.Rules = rec.req
 	case "carried":
-		ev.Rules = rules.AdoptedConnection{Request: rec.req, Server: rec.server}
+		ev.Rules = balancer.AdoptedConnection{Request: rec.req, Server: rec.server}
 	case "opened":
-		ev.Rules = rules.AttemptEstablished{ID: id, Attempt: rec.attempt, Server: rec.server, Elapsed: rec.elapsed}
+		ev.Rules = balancer.AttemptEstablished{ID: id, Attempt: rec.attempt, Server: rec.server, Elapsed: rec.elapsed}
 	case "update_of":
 		switch rec.topic {
 		case 1:
-			ev.Rules = rules.LoadChanged{ID: id, Load: rec.value}
+			ev.Rules = balancer.LoadChanged{ID: id, Load: rec.value}
 		case 2:
 			delay := time.Duration(rec.value * float64(time.Millisecond))
-			ev.Rules = rules.MessageDelay{ID: id, Server: rec.server, Delay: delay}
+			ev.Rules = balancer.MessageDelay{ID: id, Server: rec.server, Delay: delay}
 		default:
 			return false, nil
 		}
@@ -303,12 +303,12 @@
 		if !ok {
 			return false, r.errorf("result: unknown outcome %d", rec.outcome)
 		}
-		ev.Rules = rules.AttemptEnded{ID: id, Attempt: rec.attempt, Server: rec.server, Result: result,
+		ev.Rules = balancer.AttemptEnded{ID: id, Attempt: rec.attempt, Server: rec.server, Result: result,
 			Elapsed: rec.elapsed, Answered: rec.settled}
 	case "expired":
-		ev.Rules = rules.ClientDisconnected{ID: id}
+		ev.Rules = balancer.ClientDisconnected{ID: id}
 	case "timer":
-		ev.Rules = rules.TimerFired{Ref: rec.ref}
+		ev.Rules = balancer.TimerFired{Ref: rec.ref}
 	case "checked", "message": // answers to what the rules never ask or say
 		return false, nil
 	default:
@@ -317,11 +317,11 @@
 	return true, nil
 }
 
-var states = map[string]rules.ServerState{"IN": rules.Ready, "LAME": rules.Draining, "OUT": rules.Removed}
+var states = map[string]balancer.ServerState{"IN": balancer.Ready, "LAME": balancer.Draining, "OUT": balancer.Removed}
 
 // servers reads the n list entries that follow an update line.
-func (r *Reader) servers(n int) ([]rules.Server, error) {
-	var list []rules.Server
+func (r *Reader) servers(n int) ([]balancer.Server, error) {
+	var list []balancer.Server
 	for range n {
 		line, err := r.next()
 		if err != nil {
@@ -331,11 +331,11 @@
 		if word := f.word(); string(word) != "row" {
 			return nil, r.errorf("update: expected row, found %q", word)
 		}
-		s, seen := rules.Server{}, false
+		s, seen := balancer.Server{}, false
 		for f.next() {
 			switch string(f.key) {
 			case "backend":
-				s.ID, seen = rules.ServerID(f.integer(1<<32)), true
+				s.ID, seen = balancer.ServerID(f.integer(1<<32)), true
 			case "rack_zone":
 				s.Zone = r.name(f.value)
 			case "cell":
@@ -431,7 +431,7 @@
 }
 
 // AppendAction appends the wire's line for an action of an instance.
-func AppendAction(b []byte, instance int, a rules.Action) []byte {
+func AppendAction(b []byte, instance int, a balancer.Action) []byte {
 	head := func(word string) {
 		b = append(b, word...)
 		b = strconv.AppendInt(append(b, " relay="...), int64(instance), 10)
@@ -441,26 +441,26 @@
 		b = strconv.AppendInt(b, v, 10)
 	}
 	switch a := a.(type) {
-	case rules.Send:
+	case balancer.Send:
 		head("hand_off")
 		pair("ticket", int64(a.ID))
 		pair("backend", int64(a.Server))
 		pair("limit_ns", int64(a.Timeout))
-	case rules.Reject:
+	case balancer.Reject:
 		head("shed")
 		pair("ticket", int64(a.ID))
 		pair("backoff_ns", int64(a.RetryAfter))
-	case rules.Fail:
+	case balancer.Fail:
 		head("respond_error")
 		pair("ticket", int64(a.ID))
-	case rules.Migrate:
+	case balancer.Migrate:
 		head("rebalance")
 		pair("ticket", int64(a.ID))
-	case rules.SetTimer:
+	case balancer.SetTimer:
 		head("wake_at")
 		pair("sleep_for_ns", int64(a.After))
 		pair("ref", a.Ref)
-	case rules.Log:
+	case balancer.Log:
 		head("emit")
 		b = append(append(b, " message="...), oneLine(a.Text)...)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/rules"
+	"example.org/milletvane/balancer"
 )
 
 const ms = time.Millisecond
@@ -23,22 +23,22 @@
 }
 
 func TestReadsEveryEvent(t *testing.T) {
-	for line, want := range map[string]rules.Event{
+	for line, want := range map[string]balancer.Event{
 		"new_request relay=3 ticket=7 customer=c weight_hint_ns=2000 grace_ns=3000000 group=g priority=p " +
-			"partition_key=k stray=1 returned=true retry=0 unknown=x": rules.Request{ID: 7, Tenant: "c", Load: 2, Reconnecting: true,
+			"partition_key=k stray=1 returned=true retry=0 unknown=x": balancer.Request{ID: 7, Tenant: "c", Load: 2, Reconnecting: true,
 			Timeout: 3 * ms, Group: "g", Class: "p", Key: "k", MidFlow: true},
-		"carried relay=3 ticket=8 backend=5 priority=p": rules.AdoptedConnection{
-			Request: rules.Request{ID: 8, Class: "p"}, Server: 5},
-		"opened relay=3 ticket=7 seq_no=1 backend=5 elapsed_ns=9000000": rules.AttemptEstablished{
+		"carried relay=3 ticket=8 backend=5 priority=p": balancer.AdoptedConnection{
+			Request: balancer.Request{ID: 8, Class: "p"}, Server: 5},
+		"opened relay=3 ticket=7 seq_no=1 backend=5 elapsed_ns=9000000": balancer.AttemptEstablished{
 			ID: 7, Attempt: 1, Server: 5, Elapsed: 9 * ms},
-		"update_of relay=3 ticket=7 value=0.5 topic=1 backend=5": rules.LoadChanged{ID: 7, Load: 0.5},
-		"update_of relay=3 ticket=7 value=120.5 topic=2 backend=5": rules.MessageDelay{
+		"update_of relay=3 ticket=7 value=0.5 topic=1 backend=5": balancer.LoadChanged{ID: 7, Load: 0.5},
+		"update_of relay=3 ticket=7 value=120.5 topic=2 backend=5": balancer.MessageDelay{
 			ID: 7, Server: 5, Delay: 120*ms + 500*time.Microsecond},
-		"result relay=3 ticket=7 seq_no=0 backend=5 outcome=305 settled=1 stats=a:1,b:2": rules.AttemptEnded{
-			ID: 7, Server: 5, Result: rules.Reset, Answered: true},
-		"expired relay=3 ticket=7":                     rules.ClientDisconnected{ID: 7},
-		"timer relay=3 ref=77":                         rules.TimerFired{Ref: 77},
-		"update relay=3 mode=Complete rev=5 rows_in=0": rules.EndpointList{Mode: rules.ListComplete},
+		"result relay=3 ticket=7 seq_no=0 backend=5 outcome=305 settled=1 stats=a:1,b:2": balancer.AttemptEnded{
+			ID: 7, Server: 5, Result: balancer.Reset, Answered: true},
+		"expired relay=3 ticket=7":                     balancer.ClientDisconnected{ID: 7},
+		"timer relay=3 ref=77":                         balancer.TimerFired{Ref: 77},
+		"update relay=3 mode=Complete rev=5 rows_in=0": balancer.EndpointList{Mode: balancer.ListComplete},
 	} {
 		got := read(t, "mark t_ns=5\n"+line+"\nover_to_you\n")
 		if len(got) != 1 || got[0].Instance != 3 || !reflect.DeepEqual(got[0].Rules, want) {
@@ -51,8 +51,8 @@
 	got := read(t, "mark t_ns=5\nupdate relay=1 mode=Persisted rev=41 rows_in=2\n"+
 		"row backend=5 rack_zone=a machine=m cell=2 mode=IN capacity_hint=1.5 up_since_ns=61\n"+
 		"row backend=6 mode=LAME\nover_to_you\n")
-	want := rules.EndpointList{Mode: rules.ListCached, Servers: []rules.Server{
-		{ID: 5, Zone: "a", Cell: 2, Capacity: 1.5, Started: 61}, {ID: 6, State: rules.Draining}}}
+	want := balancer.EndpointList{Mode: balancer.ListCached, Servers: []balancer.Server{
+		{ID: 5, Zone: "a", Cell: 2, Capacity: 1.5, Started: 61}, {ID: 6, State: balancer.Draining}}}
 	if len(got) != 1 || !reflect.DeepEqual(got[0].Rules, want) {
 		t.Errorf("got %+v", got)
 	}
@@ -67,14 +67,14 @@
 		"rules.extra_free=5.0 rules.budget_share=0.1 rules.ratio_span_ns=5000000 rules.gone_is_advice=true "+
 		"rules.ask_within_ns=4000000 "+
 		"tenants.count=2 tenants.0.name=t tenants.0.portion=0.5 tenants.1.name=u\nover_to_you\n")
-	want := &rules.Settings{
+	want := &balancer.Settings{
 		Seed: 9, Gateways: 3, MaxAttempts: 4, MaxRetryAfter: 2 * ms,
 		RetryBudgetMin: 5, RetryBudgetRatio: 0.1, RetryBudgetWindow: 5 * ms, RemovalIsAdvisory: true,
-		Classes: []rules.Class{
-			{Name: "a", Idempotency: rules.WithIdempotencyKey, DedupScope: rules.DedupScopeZone, DedupWindow: 5 * ms, PriorityWeight: 2, MessageLatencyObjective: ms},
-			{Name: "b", Idempotency: rules.NonIdempotent, DedupScope: rules.DedupScopeCell, MessageLatencyObjective: 2 * ms},
+		Classes: []balancer.Class{
+			{Name: "a", Idempotency: balancer.WithIdempotencyKey, DedupScope: balancer.DedupScopeZone, DedupWindow: 5 * ms, PriorityWeight: 2, MessageLatencyObjective: ms},
+			{Name: "b", Idempotency: balancer.NonIdempotent, DedupScope: balancer.DedupScopeCell, MessageLatencyObjective: 2 * ms},
 		},
-		Tenants: []rules.Tenant{{Name: "t", ConnectionQuota: 7.5}, {Name: "u"}},
+		Tenants: []balancer.Tenant{{Name: "t", ConnectionQuota: 7.5}, {Name: "u"}},
 	}
 	if len(got) != 1 || !reflect.DeepEqual(&got[0].Start.Rules, want) {
 		t.Errorf("got  %+v\nwant %+v", got[0].Start.Rules, want)
@@ -122,7 +122,7 @@
 	r := NewReader(strings.NewReader("mark t_ns=5\nnew_request relay=1 ticket=1 partition_key=" + key +
 		"\nover_to_you\n\nmark t_ns=6\nover_to_you\n"))
 	var b Batch
-	if err := r.Read(&b); err != nil || b.Events[0].Rules.(rules.Request).Key != key {
+	if err := r.Read(&b); err != nil || b.Events[0].Rules.(balancer.Request).Key != key {
 		t.Fatalf("a long line: %v", err)
 	}
 	if err := r.Read(&b); err != nil || b.Now != 6 || len(b.Events) != 0 {
@@ -134,13 +134,13 @@
 }
 
 func TestPrintsEveryAction(t *testing.T) {
-	for want, a := range map[string]rules.Action{
-		"hand_off relay=4 ticket=1 backend=2 limit_ns=3000000": rules.Send{ID: 1, Server: 2, Timeout: 3 * ms},
-		"shed relay=4 ticket=1 backoff_ns=1000000":             rules.Reject{ID: 1, RetryAfter: ms},
-		"respond_error relay=4 ticket=1":                       rules.Fail{ID: 1},
-		"rebalance relay=4 ticket=1":                           rules.Migrate{ID: 1},
-		"wake_at relay=4 sleep_for_ns=1000000 ref=2":           rules.SetTimer{After: ms, Ref: 2},
-		"emit relay=4 message=one line":                        rules.Log{Text: "one\nline"},
+	for want, a := range map[string]balancer.Action{
+		"hand_off relay=4 ticket=1 backend=2 limit_ns=3000000": balancer.Send{ID: 1, Server: 2, Timeout: 3 * ms},
+		"shed relay=4 ticket=1 backoff_ns=1000000":             balancer.Reject{ID: 1, RetryAfter: ms},
+		"respond_error relay=4 ticket=1":                       balancer.Fail{ID: 1},
+		"rebalance relay=4 ticket=1":                           balancer.Migrate{ID: 1},
+		"wake_at relay=4 sleep_for_ns=1000000 ref=2":           balancer.SetTimer{After: ms, Ref: 2},
+		"emit relay=4 message=one line":                        balancer.Log{Text: "one\nline"},
 	} {
 		if got := string(AppendAction(nil, 4, a)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
