--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -99,7 +99,7 @@
 								break
 							}
 						}
-						if counts := time.Duration(broke.Load()) + max(news, script.away) + refresh.ToldAfter; p.at() > counts {
+						if counts := time.Duration(broke.Load()) + max(news, script.away) + refresh.MaxNotificationDelay; p.at() > counts {
 							t.Errorf("known at %v, it counts as told at %v", p.at(), counts)
 						}
 					})
