--- a/gateway/crossing_retry_test.go
+++ b/gateway/crossing_retry_test.go
@@ -160,7 +160,7 @@
 	client, server := p.ask()
 	kept, other := p.ask()
 	p.service.set(strings.Replace(listOf(2, p.conf.addrs...), "in_service", "terminating", 1))
-	p.log("msg=list version=2")
+	p.log(`msg="endpoint list updated" version=2`)
 	other.send("UP r\r\n")
 	kept.expect("UP r\r\n")
 	server.reset()
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -22,7 +22,7 @@
 	"example.org/milletvane/internal/engine"
 )
 
-var updateFormats = flag.Bool("update", false, "write what is sent and decoded today to testdata")
+var updateFormats = flag.Bool("update", false, "rewrite the golden files in testdata")
 
 // checkGolden compares text with a file under testdata, byte for byte.
 func checkGolden(t *testing.T, name string, got []byte) {
@@ -55,8 +55,9 @@
 	}
 }
 
-// writeList writes a list as the engine gets it, field by field.
-func writeList(w io.Writer, l engine.EndpointList) {
+// writeList writes a list as the engine gets it, field by field. The text does not follow the names in the code, so that the
+// golden files stay as they are.
+func writeList(w *bytes.Buffer, l engine.EndpointList) {
 	mode := "other"
 	switch l.Mode {
 	case balancer.ListDelta:
@@ -149,7 +150,7 @@
 }
 
 // encode writes a list in discovery's form, as it is stored and sent to peers.
-func encode(t *testing.T, w io.Writer, m *EndpointList) {
+func encode(t *testing.T, w *bytes.Buffer, m *EndpointList) {
 	t.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -158,30 +159,35 @@
 	fmt.Fprintf(w, "json %s\n", text)
 }
 
-// What a list that the engine holds is in discovery's form.
+// Lists of the engine are encoded in discovery's form.
 func TestEncodeGolden(t *testing.T) {
 	var got bytes.Buffer
 	encode(t, &got, NewEndpointList(0, nil))
 	encode(t, &got, NewEndpointList(77, []engine.Server{
-		{Name: "s-5be2a07c", Addr: "10.1.2.3:7000", Server: balancer.Server{ID: 1, Zone: "a", Cell: 3, State: balancer.Ready,
-			Capacity: 1.5, Started: 1700000000123*time.Millisecond + 999*time.Microsecond, Evacuate: true}},
+		{Name: "s-5be2a07c", Addr: "10.1.2.3:7000", Server: balancer.Server{
+			ID: 1, Zone: "a", Cell: 3, State: balancer.Ready,
+			Capacity: 1.5, Started: 1700000000123*time.Millisecond + 999*time.Microsecond, Evacuate: true,
+		}},
 		{Name: "b", Server: balancer.Server{State: balancer.Draining}},
 		{Name: "c", Server: balancer.Server{State: balancer.Removed, Cell: -1, Capacity: -2, Started: -1}},
 	}))
 	checkGolden(t, "encoded.txt", got.Bytes())
 }
 
-// Servers have the numbers that they had: other gateways and stored state go by them.
+// Servers keep their numbers: other gateways and stored state depend on them.
 func TestServerNumbersGolden(t *testing.T) {
 	var got bytes.Buffer
-	for _, id := range []string{"", "-", "s-5be2a07c", "s-5BE2A07C", "5be2a07c", "a-b-5be2a07c", "s-5be2a07c-", "s-00000000", "s-ffffffff",
-		"s-5be2a07", "s-5be2a07cc", "s-zzzzzzzz", "s-+be2a07c", "s-0x5be2a0", "s-1_000_00", "node-7", "node-8", "é", "\x00", strings.Repeat("x", 300)} {
+	for _, id := range []string{
+		"", "-", "s-5be2a07c", "s-5BE2A07C", "5be2a07c", "a-b-5be2a07c", "s-5be2a07c-", "s-00000000", "s-ffffffff",
+		"s-5be2a07", "s-5be2a07cc", "s-zzzzzzzz", "s-+be2a07c", "s-0x5be2a0", "s-1_000_00", "node-7", "node-8", "é", "\x00",
+		strings.Repeat("x", 300),
+	} {
 		fmt.Fprintf(&got, "%q %d\n", id, uint64(ServerID(id)))
 	}
 	checkGolden(t, "numbers.txt", got.Bytes())
 }
 
-// transcript is what went over the wire and came of it, in its order.
+// transcript records requests, answers and the lists that were passed on, in their order.
 type transcript struct {
 	mu     sync.Mutex
 	text   bytes.Buffer
@@ -204,7 +210,7 @@
 	}
 }
 
-// close ends the transcript: what comes after the script's last step is no part of it.
+// close ends the transcript: what comes after the script's last step is not recorded.
 func (r *transcript) close() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -237,6 +243,9 @@
 	addrs  []string
 }
 
+// drain reads until the watcher hangs up.
+func drain(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
+
 // serve accepts until the listener is closed. Connections are served one at a time, as the watcher has one.
 func (s *scripted) serve(name string, l net.Listener) {
 	for {
@@ -249,7 +258,7 @@
 		number := s.conns
 		s.record.mu.Unlock()
 		s.wg.Go(func() {
-			defer c.Close()
+			defer func() { _ = c.Close() }() // the watcher may have closed its end
 			s.serveConn(name, number, c)
 		})
 	}
@@ -277,27 +286,26 @@
 		switch {
 		case !more:
 			s.end.Do(func() { close(s.done) })
-			io.Copy(io.Discard, c) // until the watcher ends
+			drain(c)
 			return
 		case st.moved:
 			s.record.write("the address changes\n")
 			s.move()
-			io.Copy(io.Discard, c)
+			drain(c)
 			return
 		case st.hang:
 			s.record.write("no answer\n")
-			io.Copy(io.Discard, c)
+			drain(c)
 			return
 		}
 		s.record.write("answer %q\n", st.raw)
-		io.WriteString(c, st.raw)
-		if st.shut {
+		if _, err := io.WriteString(c, st.raw); err != nil || st.shut {
 			return
 		}
 	}
 }
 
-// session returns what a watcher sends and posts while a script answers.
+// session returns the transcript of a watcher while a script answers it.
 func session(t *testing.T, set refresh.Settings, known *EndpointList, steps []step) []byte {
 	t.Helper()
 	s := &scripted{record: &transcript{}, steps: make(chan step, len(steps)), done: make(chan struct{})}
@@ -342,13 +350,15 @@
 	cancel()
 	<-ran
 	for _, l := range listeners {
-		l.Close()
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	s.wg.Wait()
 	return got
 }
 
-// Each request as it is sent, what is posted of each answer, and which request follows.
+// Each request as it is sent, what is passed on of each answer, and which request follows.
 func TestRequestsGolden(t *testing.T) {
 	const complete = `{"version":41,"full":true,"servers":[{"id":"s-00000001","addr":"10.0.0.1:1","state":"in_service"}]}`
 	const delta = `{"version":42,"full":false,"servers":[{"id":"s-00000002","state":"terminating"}]}`
--- a/internal/discovery/refresh/scheduler.go
+++ b/internal/discovery/refresh/scheduler.go
@@ -47,6 +47,9 @@
 // Version returns the version of the list that is held; ok is false if there is none.
 func (s *Scheduler) Version() (version int64, ok bool) { return s.version, s.hasList }
 
+// Age returns for how long it has not been confirmed that the list held is up to date.
+func (s *Scheduler) Age(now time.Duration) time.Duration { return now - s.confirmedAt }
+
 // Accepts reports whether a received list, complete or a delta, may be applied. A list older than the one held, or a delta
 // without a list to apply it to, may not: its sender lags, was rolled back, or is another. Handle then polls for the
 // complete list, which is accepted whatever its version.
