--- a/Makefile
+++ b/Makefile
@@ -9,12 +9,13 @@
 test: lint
 	go test -race -count=1 ./...
 
-# Formatters, vet and the linters of .golangci.yml. What is not linted yet is printed first.
+# Formatters, vet and the linters of .golangci.yml. What is not linted yet is printed first. The cache is this checkout's
+# own, since the linter's findings hold absolute paths.
 lint: $(GOLANGCI_LINT)
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "gofmt would change: $$unformatted" >&2; exit 1; fi
 	go vet ./...
 	@echo "not linted yet:"; sed -n '/# unfinished begin/,/# unfinished end/s/^ *- /  /p' .golangci.yml
-	$(GOLANGCI_LINT) run ./...
+	GOLANGCI_LINT_CACHE=$(CURDIR)/.tools/cache $(GOLANGCI_LINT) run ./...
 
 # The linter's version is pinned in a module of its own.
 $(GOLANGCI_LINT): tools/go.mod tools/go.sum
--- /dev/null
+++ b/internal/archtest/layers_test.go
@@ -0,0 +1,64 @@
+package archtest
+
+import (
+	"path"
+	"strings"
+	"testing"
+)
+
+// layer returns the layer of a package. A package of a layer above 0 imports only packages of lower layers.
+func layer(packagePath string) int {
+	switch {
+	case strings.HasPrefix(packagePath, "cmd/"):
+		return 9
+	case packagePath == "internal/command", packagePath == "internal/lab":
+		return 8
+	case packagePath == "gateway":
+		return 7
+	case packagePath == "internal/standin":
+		return 6
+	case strings.HasSuffix(packagePath, "/front"):
+		return 5
+	case strings.HasSuffix(packagePath, "/backend"):
+		return 4
+	}
+	switch packagePath {
+	case "config", "internal/follow", "internal/cluster":
+		return 3
+	case "config/operator", "internal/hotrestart", "internal/discovery", "internal/eventloop", "internal/wire":
+		return 2
+	case "internal/admin", "internal/model", "internal/engine", "internal/nats/session", "internal/settings":
+		return 1
+	}
+	return 0
+}
+
+func TestImportsPointToLowerLayers(t *testing.T) {
+	for from, imported := range packageImports(t) {
+		for _, to := range imported {
+			if layer(from) > 0 && layer(to) >= layer(from) {
+				t.Errorf("%s imports %s, which is not in a lower layer", from, to)
+			}
+		}
+	}
+}
+
+func TestProtocolsAreIndependentOfEachOther(t *testing.T) {
+	for from, imported := range packageImports(t) {
+		for _, to := range imported {
+			one, other := protocol(from), protocol(to)
+			if one != "" && other != "" && one != other {
+				t.Errorf("%s imports %s, which is another protocol", from, to)
+			}
+		}
+	}
+}
+
+// protocol returns the directory of the client protocol that a package belongs to, or "".
+func protocol(packagePath string) string {
+	directory := path.Dir(packagePath)
+	if directory == "internal/line" || directory == "internal/nats" {
+		return directory
+	}
+	return ""
+}
