--- a/internal/maintenance/format_test.go
+++ b/internal/maintenance/format_test.go
@@ -8,7 +8,6 @@
 	"errors"
 	"flag"
 	"fmt"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
@@ -89,7 +88,7 @@
 	var b bytes.Buffer
 	for _, out := range []bool{true, true, false, false} {
 		for _, id := range formatIDs {
-			err := p.Set(context.Background(), id, out)
+			err := p.Set(t.Context(), id, out)
 			fmt.Fprintf(&b, "set %s out=%t: unknown %t, other fault %t\n", short(id), out, errors.Is(err, ErrUnknownServer),
 				err != nil && !errors.Is(err, ErrUnknownServer))
 		}
@@ -131,7 +130,7 @@
 		p := newProcess(dir)
 		p.Sync()
 		fmt.Fprintf(&b, "== %s\n", c.name)
-		for id, out := range p.out { // one at most
+		for id, out := range p.inMaintenance { // one at most
 			fmt.Fprintf(&b, "  taken up: %s out=%t\n", short(id), out)
 		}
 		for _, id := range p.Known() {
@@ -154,7 +153,7 @@
 	p := newProcess(dir)
 	state := func() []string {
 		list := []string{}
-		for id, out := range p.out {
+		for id, out := range p.inMaintenance {
 			list = append(list, fmt.Sprintf("%s %t", id, out))
 		}
 		slices.Sort(list)
@@ -178,7 +177,7 @@
 	}
 	p.Sync()
 	check("no folder", "s-1 false", "s-2 false", "s-3 false")
-	p.call(t, "s-1", true)
+	p.set(t, "s-1", true)
 	check("out again", "s-1 true", "s-2 false", "s-3 false")
 	if text, err := os.ReadFile(filepath.Join(dir, fileOf("s-1"))); err != nil || string(text) != "s-1" {
 		t.Errorf("the file holds %q, %v", text, err)
@@ -191,31 +190,31 @@
 	dir := filepath.Join(parent, "state")
 	p := newProcess(dir)
 	p.AddKnown([]string{"s-1"})
-	p.call(t, "s-1", true)
+	p.set(t, "s-1", true)
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ended, end := context.WithCancel(context.Background())
+	ended, end := context.WithCancel(t.Context())
 	end()
-	slow := New("", slog.New(slog.DiscardHandler))
+	slow := New("", discardLogger)
 	slow.OnChange(func(string, bool, func()) {})
 	slow.AddKnown([]string{"s-1"})
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
-		{p.Set(context.Background(), "s-9", true), "no server of this id was ever listed"},
+		{p.Set(t.Context(), "s-9", true), "no server of this id was ever listed"},
 		{slow.Set(ended, "s-1", true), "not in force yet, call again"},
-		{p.Set(context.Background(), "s-1", false), "the ban's file stays: remove DIR/" + fileOf("s-1") + ": not a directory"},
+		{p.Set(t.Context(), "s-1", false), "the ban's file stays: remove DIR/" + fileOf("s-1") + ": not a directory"},
 	} {
 		if c.err == nil || strings.ReplaceAll(c.err.Error(), dir, "DIR") != c.want {
 			t.Errorf("%v, want %s", c.err, c.want)
 		}
 	}
-	if !p.out["s-1"] {
+	if !p.inMaintenance["s-1"] {
 		t.Error("a call that failed changed what is in force")
 	}
 }
