--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -215,11 +215,7 @@
 	if c.serving == 0 {
 		c.serving = now
 	}
-	c.opts.Logger.Info("recovered", "list", d.Source.String(), "version", d.Version, "from", d.Peers, "avoid", d.Excluded, "all_cold", d.ColdStart,
-		"alone", d.Isolated, "after", now-c.began)
-	for _, w := range d.Warnings {
-		c.opts.Logger.Warn("recovery", "text", w)
-	}
+	c.log(d, now)
 	if d.Source == recovery.FromDiscovery || d.Source == recovery.FromNowhere {
 		return nil
 	}
@@ -245,6 +241,22 @@
 	return hint
 }
 
+// log prints a decision with its warnings.
+func (c *Cluster) log(d recovery.Decision, now time.Duration) {
+	c.opts.Logger.Info("recovery decided", "source", d.Source.String(), "version", d.Version, "peers", d.Peers,
+		"excluded", d.Excluded, "cold_start", d.ColdStart, "isolated", d.Isolated, "elapsed", now-c.began)
+	for _, w := range d.Warnings {
+		switch w := w.(type) {
+		case recovery.ClockBehindDisk:
+			c.opts.Logger.Warn("clock is behind the stored endpoint list", "offset", w.Offset)
+		case recovery.PeerClockSkew:
+			c.opts.Logger.Warn("peer clock differs", "peer", w.Peer, "offset", w.Offset)
+		case recovery.ConflictingLists:
+			c.opts.Logger.Warn("endpoint lists of one version differ", "version", w.Version)
+		}
+	}
+}
+
 func firstOf(names []string) string {
 	if len(names) == 0 {
 		return ""
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -134,7 +134,7 @@
 			t.Errorf("a server counts as started at %d, power came back at %d", m.Endpoints[7].StartedMS, before)
 		}
 	}
-	if !f.logs["c"].has("list=peers") || !f.logs["a"].has(`list="own disk"`) {
+	if !f.logs["c"].has("source=peers") || !f.logs["a"].has("source=disk") {
 		t.Error("the log does not say whose list is gone by")
 	}
 }
--- a/internal/cluster/recovery/digest_test.go
+++ b/internal/cluster/recovery/digest_test.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"encoding/hex"
 	"flag"
 	"fmt"
 	"hash"
@@ -31,13 +32,13 @@
 
 // Every decision, with its exact time, over drawn event streams is the one that the digests in testdata record. They
 // cover every field that callers read; of warnings the number, as their wording is log text.
-func TestDecisionsOverDrawnStreamsMatchTheirDigests(t *testing.T) {
+func TestStreamDecisionDigests(t *testing.T) {
 	checkDigests(t, "streams.txt", streamSeeds, drawStream)
 }
 
 // The same for instances that ask one another, with links that lose and delay, restarts, clocks that differ and one
 // instance that reports what it likes.
-func TestDecisionsOfDrawnFleetsMatchTheirDigests(t *testing.T) {
+func TestFleetDecisionDigests(t *testing.T) {
 	checkDigests(t, "fleets.txt", fleetSeeds, drawFleet)
 }
 
@@ -93,7 +94,7 @@
 	decisions int
 }
 
-func (o *transcript) digest() string { return fmt.Sprintf("%x", o.sum.Sum(nil)[:8]) }
+func (o *transcript) digest() string { return hex.EncodeToString(o.sum.Sum(nil)[:8]) }
 
 func (o *transcript) number(n uint64) { o.buf = binary.BigEndian.AppendUint64(o.buf, n) }
 
@@ -318,8 +319,10 @@
 	r.set.WarmupDuration = time.Duration(1+r.IntN(3)) * time.Second
 	fleet := make([]*instance, n)
 	for i, name := range slices.Sorted(slices.Values(r.set.Peers)) {
-		fleet[i] = &instance{name: name, holds: r.state(epoch), starts: epoch + time.Duration(r.IntN(4000))*time.Millisecond,
-			listed: epoch + time.Duration(3000+r.IntN(7000))*time.Millisecond, reports: n > 3 && i == 0 && r.IntN(2) == 0}
+		fleet[i] = &instance{
+			name: name, holds: r.state(epoch), starts: epoch + time.Duration(r.IntN(4000))*time.Millisecond,
+			listed: epoch + time.Duration(3000+r.IntN(7000))*time.Millisecond, reports: n > 3 && i == 0 && r.IntN(2) == 0,
+		}
 		if r.IntN(3) == 0 {
 			fleet[i].offset = time.Duration(r.IntN(6000)-3000) * time.Millisecond
 		}
--- a/internal/cluster/recovery/recovery_test.go
+++ b/internal/cluster/recovery/recovery_test.go
@@ -5,265 +5,375 @@
 	"fmt"
 	"os"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
+	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 )
 
-const (
-	sec = time.Second
-	now = 1_700_000_000 * sec
-)
+const now = 1_700_000_000 * time.Second
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.seed", "11")
-	flag.Set("rapid.nofailfile", "true")
+	for name, value := range map[string]string{"rapid.seed": "11", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(2)
+		}
+	}
 	os.Exit(m.Run())
 }
 
-func settings(peers int) Settings {
-	s := Settings{Name: "me", PeerTimeout: 2 * sec, WarmupDuration: 20 * sec, MaxClockSkew: sec}
+func testSettings(peers int) Settings {
+	s := Settings{Name: "me", PeerTimeout: 2 * time.Second, WarmupDuration: 20 * time.Second, MaxClockSkew: time.Second}
 	for i := range peers {
-		s.Peers = append(s.Peers, fmt.Sprint("p", i))
+		s.Peers = append(s.Peers, peerName(i))
 	}
 	return s
 }
 
-func voice(version int64, up time.Duration, servers ...Server) PeerState {
-	return PeerState{Version: version, Hash: uint64(version) * 7, Servers: servers, UpdatedAt: now - 60*sec, Uptime: up}
+func peerName(i int) string { return fmt.Sprint("p", i) }
+
+// holding is the state of an instance with a list of a version. Lists of one version are the same.
+func holding(version int64, servers ...Server) PeerState {
+	return PeerState{Version: version, Hash: uint64(version) * 7, Servers: servers, UpdatedAt: now - time.Minute}
+}
+
+func servers(ids ...string) []Server {
+	var all []Server
+	for _, id := range ids {
+		all = append(all, Server{ID: id})
+	}
+	return all
 }
 
-// decide tells a Recovery of the disk and of peers, the first of them p0, and lets its time pass.
-func decide(t *testing.T, set Settings, disk PeerState, peers ...PeerState) Decision {
+// decide returns the first decision of an instance with a disk and peers, of which the first is p0. It fails the test
+// where the decision comes early, late or twice, or where discovery does not end the recovery.
+func decide(t *testing.T, settings Settings, disk PeerState, peers ...PeerState) Decision {
 	t.Helper()
-	r := New(set)
-	d, ok := r.Handle(now, Startup{disk})
-	for i, v := range peers {
+	r := New(settings)
+	decision, ok := r.Handle(now, Startup{disk})
+	for i, state := range peers {
 		if ok {
 			t.Fatal("decided before all peers had answered")
 		}
-		d, ok = r.Handle(now+sec, PeerReport{fmt.Sprint("p", i), now + sec, v})
+		decision, ok = r.Handle(now+time.Second, PeerReport{peerName(i), now + time.Second, state})
 	}
 	if !ok {
-		if d, ok = r.Handle(now+set.PeerTimeout-1, Tick{}); ok {
-			t.Fatal("decided before its time")
+		if _, ok = r.Handle(now+settings.PeerTimeout-1, Tick{}); ok {
+			t.Fatal("decided before the peers' time was up")
 		}
-		d, ok = r.Handle(now+set.PeerTimeout, Tick{})
+		decision, ok = r.Handle(now+settings.PeerTimeout, Tick{})
 	}
 	if !ok {
 		t.Fatal("not decided in time")
 	}
-	if _, again := r.Handle(now+100*sec, Tick{}); again {
+	if _, again := r.Handle(now+100*time.Second, Tick{}); again {
 		t.Fatal("decided twice")
 	}
-	if _, again := r.Handle(now+100*sec, DiscoveryUpdate{}); !again {
-		t.Fatal("discovery's word changes nothing")
+	if _, again := r.Handle(now+100*time.Second, DiscoveryUpdate{}); !again {
+		t.Fatal("no decision on discovery's update")
 	}
-	if _, again := r.Handle(now+100*sec, PeerReport{"p0", now, voice(7, 0)}); again {
-		t.Fatal("decided after discovery's word")
+	if _, again := r.Handle(now+100*time.Second, PeerReport{"p0", now, holding(7)}); again {
+		t.Fatal("decided after discovery's update")
 	}
-	return d
+	return decision
 }
 
-func TestWhoseListIsGoneBy(t *testing.T) {
-	other := voice(42, 0)
-	other.Hash = 1
-	for name, c := range map[string]struct {
-		disk   PeerState
-		peers  []PeerState
-		source Source
-		want   int64
-		from   string
-	}{
-		"nobody and nothing":               {PeerState{}, nil, FromNowhere, 0, ""},
-		"own disk alone":                   {voice(41, 0), nil, FromDisk, 41, ""},
-		"a newer one of two peers":         {voice(41, 0), []PeerState{voice(43, 0), voice(43, 0), voice(41, 0)}, FromPeers, 43, "p0 p1"},
-		"an older one of two peers":        {voice(41, 0), []PeerState{voice(40, 0), voice(40, 0)}, FromPeers, 40, "p0 p1"},
-		"the own one, which a peer holds":  {voice(41, 0), []PeerState{voice(41, 0), voice(40, 0), voice(40, 0)}, FromDisk, 41, ""},
-		"a liar among five":                {voice(41, 0), []PeerState{voice(999, 0), voice(41, 0), voice(41, 0), voice(41, 0)}, FromDisk, 41, ""},
-		"a liar beside an empty disk":      {PeerState{}, []PeerState{voice(999, 0), voice(41, 0), voice(41, 0)}, FromPeers, 41, "p1 p2"},
-		"one peer beside an empty disk":    {PeerState{}, []PeerState{voice(41, 0)}, FromPeers, 41, "p0"},
-		"two that contradict, none agrees": {PeerState{}, []PeerState{voice(41, 0), voice(42, 0)}, FromNowhere, 0, ""},
-		"one newer peer alone":             {voice(41, 0), []PeerState{voice(99, 0)}, FromDisk, 41, ""},
-		"one version in two forms":         {voice(42, 0), []PeerState{other, other}, FromPeers, 42, "p0 p1"},
-	} {
-		d := decide(t, settings(max(len(c.peers), 1)), c.disk, c.peers...)
-		if d.Source != c.source || d.Version != c.want || strings.Join(d.Peers, " ") != c.from || d.Isolated != (len(c.peers) == 0) {
-			t.Errorf("%s: %v %d of %q, alone %v", name, d.Source, d.Version, d.Peers, d.Isolated)
-		}
-		if name == "one version in two forms" && len(d.Warnings) != 1 {
-			t.Errorf("%s: warned of %q", name, d.Warnings)
-		}
+var otherForm = PeerState{Version: 42, Hash: 1}
+
+var listSelectionTests = []struct {
+	name     string
+	disk     PeerState
+	peers    []PeerState
+	source   Source
+	version  int64
+	from     []string
+	warnings []Warning
+}{
+	{name: "neither disk nor peers", source: FromNowhere},
+	{name: "disk alone", disk: holding(41), source: FromDisk, version: 41},
+	{
+		name: "two peers with a newer list", disk: holding(41),
+		peers:  []PeerState{holding(43), holding(43), holding(41)},
+		source: FromPeers, version: 43, from: []string{"p0", "p1"},
+	},
+	{
+		name: "two peers with an older list", disk: holding(41),
+		peers:  []PeerState{holding(40), holding(40)},
+		source: FromPeers, version: 40, from: []string{"p0", "p1"},
+	},
+	{
+		name: "disk's list at one peer", disk: holding(41),
+		peers:  []PeerState{holding(41), holding(40), holding(40)},
+		source: FromDisk, version: 41,
+	},
+	{
+		name: "one faulty peer among four", disk: holding(41),
+		peers:  []PeerState{holding(999), holding(41), holding(41), holding(41)},
+		source: FromDisk, version: 41,
+	},
+	{
+		name:   "one faulty peer beside an empty disk",
+		peers:  []PeerState{holding(999), holding(41), holding(41)},
+		source: FromPeers, version: 41, from: []string{"p1", "p2"},
+	},
+	{
+		name:   "one peer beside an empty disk",
+		peers:  []PeerState{holding(41)},
+		source: FromPeers, version: 41, from: []string{"p0"},
+	},
+	{
+		name:   "two peers that disagree beside an empty disk",
+		peers:  []PeerState{holding(41), holding(42)},
+		source: FromNowhere,
+	},
+	{
+		name: "one peer with a newer list", disk: holding(41),
+		peers:  []PeerState{holding(99)},
+		source: FromDisk, version: 41,
+	},
+	{
+		name: "one version in two forms", disk: holding(42),
+		peers:  []PeerState{otherForm, otherForm},
+		source: FromPeers, version: 42, from: []string{"p0", "p1"},
+		warnings: []Warning{ConflictingLists{Version: 42}},
+	},
+}
+
+func TestListSelection(t *testing.T) {
+	for _, test := range listSelectionTests {
+		t.Run(test.name, func(t *testing.T) {
+			got := decide(t, testSettings(max(len(test.peers), 1)), test.disk, test.peers...)
+			if got.Source != test.source || got.Version != test.version || got.Isolated != (len(test.peers) == 0) {
+				t.Errorf("source %v, version %d, isolated %t", got.Source, got.Version, got.Isolated)
+			}
+			if diff := cmp.Diff(test.from, got.Peers); diff != "" {
+				t.Errorf("peers (-want +got):\n%s", diff)
+			}
+			if diff := cmp.Diff(test.warnings, got.Warnings); diff != "" {
+				t.Errorf("warnings (-want +got):\n%s", diff)
+			}
+		})
 	}
 }
 
-// Power was lost unless peers have served on; one that says so alone is not believed beside others.
-func TestPowerLossIsToldFromALoneRestart(t *testing.T) {
-	for _, c := range []struct {
-		up      []time.Duration
-		allCold bool
+// All instances lost power unless peers have served on. A single one that reports so is not believed beside others.
+func TestColdStartDetection(t *testing.T) {
+	for _, test := range []struct {
+		uptimes   []time.Duration
+		coldStart bool
 	}{
-		{nil, true}, {[]time.Duration{0, 0, 0}, true}, {[]time.Duration{60 * sec}, false},
-		{[]time.Duration{60 * sec, 60 * sec, 0}, false}, {[]time.Duration{99 * sec, 0, 0, 0}, true},
-		{[]time.Duration{99 * sec, 0}, true}, {[]time.Duration{5 * sec, 5 * sec}, true},
+		{nil, true},
+		{[]time.Duration{0, 0, 0}, true},
+		{[]time.Duration{60 * time.Second}, false},
+		{[]time.Duration{60 * time.Second, 60 * time.Second, 0}, false},
+		{[]time.Duration{99 * time.Second, 0, 0, 0}, true},
+		{[]time.Duration{99 * time.Second, 0}, true},
+		{[]time.Duration{5 * time.Second, 5 * time.Second}, true},
 	} {
-		var peers []PeerState
-		for _, up := range c.up {
-			peers = append(peers, voice(41, up))
-		}
-		if d := decide(t, settings(max(len(peers), 1)), voice(41, 0), peers...); d.ColdStart != c.allCold {
-			t.Errorf("peers up for %v: all cold %v", c.up, d.ColdStart)
-		}
+		t.Run(fmt.Sprint(test.uptimes), func(t *testing.T) {
+			var peers []PeerState
+			for _, uptime := range test.uptimes {
+				state := holding(41)
+				state.Uptime = uptime
+				peers = append(peers, state)
+			}
+			got := decide(t, testSettings(max(len(peers), 1)), holding(41), peers...)
+			if got.ColdStart != test.coldStart {
+				t.Errorf("cold start %t, want %t", got.ColdStart, test.coldStart)
+			}
+		})
 	}
 }
 
-func TestStarts(t *testing.T) {
-	at := func(s time.Duration) Server { return Server{"s", now - s} }
-	for _, c := range []struct {
+func TestStartTimes(t *testing.T) {
+	ago := func(d time.Duration) Server { return Server{"s", now - d} }
+	for _, test := range []struct {
 		name  string
 		disk  []Server
 		peers []Server
-		want  time.Duration // ago; 0: none
+		want  time.Duration // ago; 0: no start time
 	}{
-		{"own disk", []Server{at(9 * sec)}, nil, 9 * sec},
-		{"two peers saw a later one", []Server{at(90 * sec)}, []Server{at(5 * sec), at(6 * sec), at(90 * sec)}, 6 * sec},
-		{"one alone says it just started", []Server{at(90 * sec)}, []Server{at(1), at(90 * sec), at(90 * sec)}, 90 * sec},
-		{"one alone says it is warm", []Server{at(5 * sec)}, []Server{at(900 * sec), at(5 * sec)}, 5 * sec},
-		{"ahead of the clock", nil, []Server{at(-60 * sec), at(-60 * sec)}, 0},
+		{"disk alone", []Server{ago(9 * time.Second)}, nil, 9 * time.Second},
+		{
+			"two peers observed a later start",
+			[]Server{ago(90 * time.Second)},
+			[]Server{ago(5 * time.Second), ago(6 * time.Second), ago(90 * time.Second)},
+			6 * time.Second,
+		},
+		{
+			"a single peer reports a later start",
+			[]Server{ago(90 * time.Second)},
+			[]Server{ago(1), ago(90 * time.Second), ago(90 * time.Second)},
+			90 * time.Second,
+		},
+		{
+			"a single peer reports an earlier start",
+			[]Server{ago(5 * time.Second)},
+			[]Server{ago(900 * time.Second), ago(5 * time.Second)},
+			5 * time.Second,
+		},
+		{"ahead of the clock", nil, []Server{ago(-60 * time.Second), ago(-60 * time.Second)}, 0},
 	} {
-		var peers []PeerState
-		for _, s := range c.peers {
-			peers = append(peers, voice(41, 0, s))
-		}
-		d := decide(t, settings(max(len(peers), 1)), voice(41, 0, c.disk...), peers...)
-		want := now - c.want
-		if c.want == 0 {
-			want = 0
-		}
-		if d.StartTimes["s"] != want {
-			t.Errorf("%s: started %v ago", c.name, now-d.StartTimes["s"])
-		}
+		t.Run(test.name, func(t *testing.T) {
+			var peers []PeerState
+			for _, s := range test.peers {
+				peers = append(peers, holding(41, s))
+			}
+			got := decide(t, testSettings(max(len(peers), 1)), holding(41, test.disk...), peers...)
+			want := now - test.want
+			if test.want == 0 {
+				want = 0
+			}
+			if got.StartTimes["s"] != want {
+				t.Errorf("started %v ago, want %v", now-got.StartTimes["s"], test.want)
+			}
+		})
 	}
 }
 
-func TestClocksThatJumpedAreNamed(t *testing.T) {
-	r := New(settings(1))
-	disk := voice(41, 0)
-	disk.UpdatedAt = now + 3600*sec
+func TestClockWarnings(t *testing.T) {
+	r := New(testSettings(1))
+	disk := holding(41)
+	disk.UpdatedAt = now + time.Hour
 	r.Handle(now, Startup{disk})
-	d, ok := r.Handle(now, PeerReport{"p0", now - 3600*sec, voice(41, 0)})
-	if !ok || len(d.Warnings) != 2 || !strings.Contains(d.Warnings[0], "jumped back") || !strings.Contains(d.Warnings[1], "p0") {
-		t.Errorf("warned of %q", d.Warnings)
+	got, ok := r.Handle(now, PeerReport{"p0", now - time.Hour, holding(41)})
+	if !ok {
+		t.Fatal("not decided")
+	}
+	want := []Warning{ClockBehindDisk{Offset: time.Hour}, PeerClockSkew{Peer: "p0", Offset: -time.Hour}}
+	if diff := cmp.Diff(want, got.Warnings); diff != "" {
+		t.Errorf("warnings (-want +got):\n%s", diff)
 	}
 }
 
-// Discovery's word ends the wait at once; strangers and echoes of this instance do not.
-func TestDiscoveryEndsTheWait(t *testing.T) {
-	r := New(settings(2))
-	r.Handle(now, Startup{voice(41, 0)})
-	for _, stranger := range []string{"me", "mallory"} {
-		if _, ok := r.Handle(now, PeerReport{stranger, now, voice(9, 0)}); ok {
-			t.Fatal("a stranger counts")
+// Discovery's update ends the wait for peers at once. Reports under the instance's own name or a foreign one don't.
+func TestDiscoveryUpdateEndsPeerTimeout(t *testing.T) {
+	r := New(testSettings(2))
+	r.Handle(now, Startup{holding(41)})
+	for _, name := range []string{"me", "mallory"} {
+		if _, ok := r.Handle(now, PeerReport{name, now, holding(9)}); ok {
+			t.Fatalf("decided on a report from %q", name)
 		}
 	}
 	if d, ok := r.Handle(now+1, DiscoveryUpdate{}); !ok || d.Source != FromDiscovery || d.Version != 0 {
-		t.Errorf("%v: %+v", ok, d)
+		t.Errorf("decided %t: source %v, version %d", ok, d.Source, d.Version)
 	}
 }
 
-// Whatever one peer says, in whatever order answers come, the decision is that of the others with it silent or honest: its
-// list is never brought in, no start is moved, and a power loss is not talked away.
-func TestOneLiarChangesNothing(t *testing.T) {
+// Whatever a single peer reports, and in whatever order reports come, its list is not used, no start time changes, and a
+// loss of power is not denied.
+func TestSingleFaultyPeerHasNoInfluence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(3, 6).Draw(t, "peers")
-		set := settings(n)
-		honest := func(label string) PeerState {
-			var servers []Server
-			for i := range 4 {
-				servers = append(servers, Server{fmt.Sprint("s", i), now - time.Duration(1+i)*sec})
-			}
-			return voice(rapid.Int64Range(40, 42).Draw(t, label), 0, servers...)
-		}
-		lie := func() PeerState {
-			v := PeerState{Version: rapid.Int64Range(0, 1<<40).Draw(t, "version"), Hash: rapid.Uint64().Draw(t, "hash"),
-				Uptime: time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "up")), UpdatedAt: now}
-			for i := range 6 {
-				v.Servers = append(v.Servers, Server{fmt.Sprint("s", i), time.Duration(rapid.Int64Range(0, int64(2*now)).Draw(t, "start"))})
-			}
-			return v
+		settings := testSettings(rapid.IntRange(3, 6).Draw(t, "peers"))
+		disk := drawCorrectState(t, "disk")
+		reports := map[string]PeerState{}
+		var correct []PeerState
+		for _, name := range settings.Peers[1:] {
+			reports[name] = drawCorrectState(t, name)
+			correct = append(correct, reports[name])
 		}
-		disk, voices := honest("disk"), []PeerState{}
-		for i := range n - 1 {
-			voices = append(voices, honest(fmt.Sprint("v", i)))
-		}
-		told := map[string]PeerState{}
-		for i, v := range voices {
-			told[fmt.Sprint("p", i)] = v
-		}
-		liar := lie()
-		told[fmt.Sprint("p", n-1)] = liar
-		r := New(set)
-		d, ok := r.Handle(now, Startup{disk})
-		for _, name := range rapid.Permutation(slices.Clone(set.Peers)).Draw(t, "order") {
-			d, ok = r.Handle(now+1, PeerReport{name, now + 1, told[name]})
+		faulty := drawFaultyState(t)
+		reports[settings.Peers[0]] = faulty
+
+		r := New(settings)
+		decision, ok := r.Handle(now, Startup{disk})
+		for _, name := range rapid.Permutation(slices.Clone(settings.Peers)).Draw(t, "order") {
+			decision, ok = r.Handle(now+1, PeerReport{name, now + 1, reports[name]})
 		}
 		if !ok {
 			t.Fatal("not decided")
 		}
-		if d.Version == liar.Version && d.Hash == liar.Hash && !slices.ContainsFunc(append(voices, disk), func(v PeerState) bool {
-			return v.Version == liar.Version && v.Hash == liar.Hash
-		}) {
-			t.Fatalf("goes by the liar's list: %+v", d)
+		sameList := func(s PeerState) bool { return s.Version == faulty.Version && s.Hash == faulty.Hash }
+		if decision.Version == faulty.Version && decision.Hash == faulty.Hash &&
+			!slices.ContainsFunc(append(correct, disk), sameList) {
+			t.Fatalf("uses the faulty peer's list: %+v", decision)
 		}
-		if !d.ColdStart {
-			t.Fatal("the liar talked the power loss away")
+		if !decision.ColdStart {
+			t.Fatal("the faulty peer's uptime hides the loss of power")
 		}
-		for i := range 6 {
+		for i := range faultyServers {
 			want := time.Duration(0)
-			if i < 4 {
-				want = now - time.Duration(1+i)*sec
+			if i < correctServers {
+				want = now - time.Duration(1+i)*time.Second
 			}
-			if got := d.StartTimes[fmt.Sprint("s", i)]; got != want {
-				t.Fatalf("s%d started at %v, not %v", i, got, want)
+			if got := decision.StartTimes[serverName(i)]; got != want {
+				t.Fatalf("%s started at %v, not %v", serverName(i), got, want)
 			}
 		}
 	})
 }
 
-// Beside one peer with a newer list, which nobody else confirms, the own disk's is gone by without the servers that have
-// left by it, up to half; a second peer that agrees brings the newer one in, also after the decision.
-func TestOneNewerPeerTakesServersAway(t *testing.T) {
-	list := func(ids ...string) (all []Server) {
-		for _, id := range ids {
-			all = append(all, Server{ID: id})
-		}
-		return all
+const (
+	correctServers = 4
+	faultyServers  = 6
+)
+
+func serverName(i int) string { return fmt.Sprint("s", i) }
+
+func drawCorrectState(t *rapid.T, label string) PeerState {
+	var list []Server
+	for i := range correctServers {
+		list = append(list, Server{serverName(i), now - time.Duration(1+i)*time.Second})
+	}
+	return holding(rapid.Int64Range(40, 42).Draw(t, label), list...)
+}
+
+func drawFaultyState(t *rapid.T) PeerState {
+	state := PeerState{
+		Version:   rapid.Int64Range(0, 1<<40).Draw(t, "version"),
+		Hash:      rapid.Uint64().Draw(t, "hash"),
+		Uptime:    time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "uptime")),
+		UpdatedAt: now,
+	}
+	for i := range faultyServers {
+		started := time.Duration(rapid.Int64Range(0, int64(2*now)).Draw(t, "start"))
+		state.Servers = append(state.Servers, Server{serverName(i), started})
 	}
-	for _, c := range []struct {
-		peer  []Server
-		avoid string
+	return state
+}
+
+// Beside one peer with a newer list that nobody confirms, the disk's list is used without the servers that the newer one
+// lacks, up to half of them. A second peer with the newer list brings it in, also after the first decision.
+func TestSingleNewerPeerExcludesServers(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		peer     []Server
+		excluded []string
 	}{
-		{list("a", "b", "c"), "d"}, {list("a", "b", "c", "d", "e"), ""}, {list("a", "b"), "c d"}, {list("a"), ""}, {list("x"), ""}, {nil, ""},
+		{"one left", servers("a", "b", "c"), []string{"d"}},
+		{"one joined", servers("a", "b", "c", "d", "e"), nil},
+		{"half left", servers("a", "b"), []string{"c", "d"}},
+		{"more than half left", servers("a"), nil},
+		{"all replaced", servers("x"), nil},
+		{"none listed", nil, nil},
 	} {
-		r := New(settings(3))
-		r.Handle(now, Startup{voice(41, 0, list("a", "b", "c", "d")...)})
-		r.Handle(now, PeerReport{"p0", now, voice(42, 0, c.peer...)})
-		d, ok := r.Handle(now+2*sec, Tick{})
-		if !ok || d.Source != FromDisk || strings.Join(d.Excluded, " ") != c.avoid {
-			t.Errorf("beside one that holds %v: %v, avoids %q", c.peer, d.Source, d.Excluded)
-		}
-		if d, ok = r.Handle(now+3*sec, PeerReport{"p1", now, voice(42, 0, c.peer...)}); !ok || d.Source != FromPeers || d.Version != 42 {
-			t.Errorf("beside two that hold %v: %v %+v", c.peer, ok, d)
-		}
-		if _, ok = r.Handle(now+3*sec, PeerReport{"p2", now, voice(42, 0, c.peer...)}); ok {
-			t.Error("a third that says the same is news")
-		}
-	}
-	// Where another agrees with the own disk, one newer peer alone takes nothing away.
-	if d := decide(t, settings(2), voice(41, 0, list("a", "b")...), voice(42, 0, list("a")...), voice(41, 0, list("a", "b")...)); len(d.Excluded) > 0 {
-		t.Errorf("avoids %q", d.Excluded)
+		t.Run(test.name, func(t *testing.T) {
+			r := New(testSettings(3))
+			r.Handle(now, Startup{holding(41, servers("a", "b", "c", "d")...)})
+			r.Handle(now, PeerReport{"p0", now, holding(42, test.peer...)})
+			d, ok := r.Handle(now+2*time.Second, Tick{})
+			if !ok || d.Source != FromDisk {
+				t.Errorf("decided %t, source %v", ok, d.Source)
+			}
+			if diff := cmp.Diff(test.excluded, d.Excluded); diff != "" {
+				t.Errorf("excluded (-want +got):\n%s", diff)
+			}
+			d, ok = r.Handle(now+3*time.Second, PeerReport{"p1", now, holding(42, test.peer...)})
+			if !ok || d.Source != FromPeers || d.Version != 42 {
+				t.Errorf("with a second peer: decided %t, source %v, version %d", ok, d.Source, d.Version)
+			}
+			if _, ok = r.Handle(now+3*time.Second, PeerReport{"p2", now, holding(42, test.peer...)}); ok {
+				t.Error("decided again on a third peer with the same list")
+			}
+		})
 	}
+	t.Run("disk's list confirmed", func(t *testing.T) {
+		newer, same := holding(42, servers("a")...), holding(41, servers("a", "b")...)
+		if d := decide(t, testSettings(2), holding(41, servers("a", "b")...), newer, same); len(d.Excluded) > 0 {
+			t.Errorf("excludes %q", d.Excluded)
+		}
+	})
 }
