--- a/balancer/ask_test.go
+++ b/balancer/ask_test.go
@@ -9,7 +9,7 @@
 	w := newWorld(t, set, n)
 	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
 	asks := find[PollLoad](w.last)
-	if len(asks) != askWidth || len(find[Send](w.last)) != 0 {
+	if len(asks) != maxPolledServers || len(find[Send](w.last)) != 0 {
 		t.Fatalf("%d asked, %d sent to before any told of its load", len(asks), len(find[Send](w.last)))
 	}
 	return w, asks
@@ -33,7 +33,7 @@
 
 // Where those asked are full others are asked, and a request is refused only when all have said no.
 func TestFullServersLeadToOthers(t *testing.T) {
-	w, asks := asking(t, askRounds*askWidth)
+	w, asks := asking(t, maxPollRounds*maxPolledServers)
 	seen := map[ServerID]bool{}
 	for round := 1; len(asks) > 0; round++ {
 		for _, a := range asks {
@@ -44,11 +44,11 @@
 			w.feed(LoadReport{Server: a.Server, Utilization: 1.5, Connections: 30})
 		}
 		asks = find[PollLoad](w.last)
-		if round > askRounds {
+		if round > maxPollRounds {
 			t.Fatal("asks without end")
 		}
 	}
-	if n := len(find[Reject](w.last)); n != 1 || len(seen) != askRounds*askWidth {
+	if n := len(find[Reject](w.last)); n != 1 || len(seen) != maxPollRounds*maxPolledServers {
 		t.Errorf("%d refusals after %d servers were asked", n, len(seen))
 	}
 }
@@ -60,8 +60,8 @@
 	if len(find[Send](w.last)) != 0 {
 		t.Fatal("the entry's word was not waited for")
 	}
-	w.now += askFor
-	w.feed(TimerFired{Ref: refOnce})
+	w.now += loadPollTimeout
+	w.feed(TimerFired{Ref: oneShotTimer})
 	if s := find[Send](w.last); len(s) != 1 || s[0].Server != asks[1].Server {
 		t.Errorf("sent %v, want one to %v", s, asks[1])
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -16,69 +16,69 @@
 
 // The constants. None comes from a deployment; where a figure was measured, docs/design.md has it.
 const (
-	housekeeping = 250 * time.Millisecond // between looks at what has come due
-	holdFor      = 500 * time.Millisecond // a request waits this long for the first list
-	answerMargin = 20 * time.Millisecond  // but is answered this long before its deadline
-	drainPart    = 9                      // tenths of the drain grace in which strays are still sent
-	lookupsMost  = 160                    // in a search for an alternate: more cost more than they find,
-	lookupsNear  = 8                      // and in a group's, that it stays together, or for a cold server
-	maxPast      = 2                      // tables kept for strays
-
-	boundOver  = 0.5 // a server takes this share over its part of the load before keys overflow,
-	boundSlack = 4.0 // and this many mean connections more
-	holdFrom   = 0.3 // times the part that a request may fill: pressure from which some are refused
-	returnOver = 4   // entries after its own that a client returns over
-	keepLeast  = 0.5 // part of a limit that the least worthy may fill
-
-	delayFor    = 2500 * time.Millisecond // word of slow messages holds this long; it comes once a second
-	fullFor     = time.Second             // a server that turned a connection away gets none this long
-	cutTo       = 0.85                    // to this part of its load a slow server's limit falls, or lower
-	cutToLeast  = 0.5                     // with the growth of its delay, and to this at the least
-	cutEvery    = time.Second             // at most, so that one word is not counted for each connection
-	growAfter   = 1500 * time.Millisecond // a limit grows when this long nothing spoke against it,
-	growShare   = 0.1                     // by this share a second
-	forgetOver  = 4.0                     // and is forgotten at this multiple of a fair part of the load
-	reportFull  = 0.7                     // reported load at which a server is well used,
-	reportOver  = 0.8                     // from which its limit falls to that,
-	reportRoom  = 0.6                     // and under which it rises to that,
-	reportMost  = 0.85                    // up to which a server is given more,
-	reportLeast = 0.1                     // as if this had been reported at the least
-	groupShare  = 0.05                    // of all connections that a group is guessed to have,
-	groupPrior  = 2.0                     // a guess that weighs as much as this many connections seen
-	groupCost   = 4.0                     // mean connections that a new group is taken to cost a server
-	groupMoved  = 2 * groupCost           // the same, shared by its members, where moves rank connections
-	moveShare   = 1.0                     // of a slow server's connections a second, where all have room,
-	moveLeast   = 5.0                     // or of this many: a few are moved soon
-	moveWhole   = 0.8                     // part of the choice whom to move that all of a group share
-	triedMost   = 1.5                     // set-ups tried for each that stands; what is over is shed
-
-	evidenceHalf = 3 * time.Second // evidence halves in this time
-	strikeLimit  = 1.0             // and ejects a server here; strikes are in weighOutcome
-	ejectFor     = 5 * time.Second // the first ejection; each that follows doubles it,
-	ejectDoubled = 2               // this often
-	maxEjected   = 0.5             // where a larger share looks bad, the cause is shared: trust the list
-
-	retrySpan  = 10 * time.Second // where no budget of further attempts is stated, in this span
-	retryFree  = 10.0             // so many are allowed in any case,
-	retryShare = 0.2              // and for each request taken so many more; never more than this
-
-	coldSafety = 0.6 // part of a cold server's budget that is used
-	coldGroup  = 0.1 // part of the requests that are counted on at one server at the least
-	coldApart  = 0.5 // of the time between two of a gateway's connections to one, two are this far apart
-	coldRoom   = 6.0 // connections that a server is held to bear at least
-
-	reportFor = time.Second            // a report is placed by for so long
-	askFor    = 100 * time.Millisecond // and is waited for so long
-	askWidth  = 2                      // servers are asked at once for a request,
-	askRounds = 3                      // and so often
-
-	tryWithin  = time.Second // a server back by hand is first tried within this, each gateway at its time
-	clearShare = 0.5         // of its connections leave a server that is out by hand, at each look
-
-	forgetAfter = 10 * time.Minute // a server gone so long is forgotten
+	sweepInterval    = 250 * time.Millisecond // between looks at what has come due
+	firstListTimeout = 500 * time.Millisecond // a request waits this long for the first list
+	answerMargin     = 20 * time.Millisecond  // but is answered this long before its deadline
+	drainGraceTenths = 9                      // tenths of the drain grace in which strays are still sent
+	maxLookups       = 160                    // in a search for an alternate: more cost more than they find,
+	maxNearLookups   = 8                      // and in a group's, that it stays together, or for a cold server
+	maxPastTables    = 2                      // tables kept for strays
+
+	loadBoundRatio     = 0.5 // a server takes this share over its part of the load before keys overflow,
+	loadBoundSlack     = 4.0 // and this many mean connections more
+	slowRatioThreshold = 0.3 // times the part that a request may fill: pressure from which some are refused
+	reconnectSpread    = 4   // entries after its own that a client returns over
+	minLimitRatio      = 0.5 // part of a limit that the least worthy may fill
+
+	messageDelayTTL     = 2500 * time.Millisecond // word of slow messages holds this long; it comes once a second
+	rejectedPause       = time.Second             // a server that turned a connection away gets none this long
+	limitCutRatio       = 0.85                    // to this part of its load a slow server's limit falls, or lower
+	minLimitCutRatio    = 0.5                     // with the growth of its delay, and to this at the least
+	limitCutInterval    = time.Second             // at most, so that one word is not counted for each connection
+	limitGrowthDelay    = 1500 * time.Millisecond // a limit grows when this long nothing spoke against it,
+	limitGrowthRatio    = 0.1                     // by this share a second
+	limitDropFactor     = 4.0                     // and is forgotten at this multiple of a fair part of the load
+	targetUtilization   = 0.7                     // reported load at which a server is well used,
+	highUtilization     = 0.8                     // from which its limit falls to that,
+	lowUtilization      = 0.6                     // and under which it rises to that,
+	maxUtilization      = 0.85                    // up to which a server is given more,
+	minUtilization      = 0.1                     // as if this had been reported at the least
+	groupPriorRatio     = 0.05                    // of all connections that a group is guessed to have,
+	groupPriorWeight    = 2.0                     // a guess that weighs as much as this many connections seen
+	newGroupCost        = 4.0                     // mean connections that a new group is taken to cost a server
+	movedGroupCost      = 2 * newGroupCost        // the same, shared by its members, where moves rank connections
+	migrationRatio      = 1.0                     // of a slow server's connections a second, where all have room,
+	minMigratable       = 5.0                     // or of this many: a few are moved soon
+	groupMigrationRatio = 0.8                     // part of the choice whom to move that all of a group share
+	maxSetupRatio       = 1.5                     // set-ups tried for each that stands; what is over is shed
+
+	evidenceHalfLife     = 3 * time.Second // evidence halves in this time
+	ejectionScore        = 1.0             // and ejects a server here; strikes are in weighOutcome
+	baseEjectionDuration = 5 * time.Second // the first ejection; each that follows doubles it,
+	maxEjectionDoublings = 2               // this often
+	maxEjectionRatio     = 0.5             // where a larger share looks bad, the cause is shared: trust the list
+
+	defaultRetryBudgetWindow = 10 * time.Second // where no budget of further attempts is stated, in this span
+	defaultRetryBudgetMin    = 10.0             // so many are allowed in any case,
+	maxRetryBudgetRatio      = 0.2              // and for each request taken so many more; never more than this
+
+	warmupBudgetRatio     = 0.6 // part of a cold server's budget that is used
+	minWarmupArrivalRatio = 0.1 // part of the requests that are counted on at one server at the least
+	warmupSpacingRatio    = 0.5 // of the time between two of a gateway's connections to one, two are this far apart
+	minWarmConnections    = 6.0 // connections that a server is held to bear at least
+
+	loadReportTTL    = time.Second            // a report is placed by for so long
+	loadPollTimeout  = 100 * time.Millisecond // and is waited for so long
+	maxPolledServers = 2                      // servers are asked at once for a request,
+	maxPollRounds    = 3                      // and so often
+
+	reinstatementSpread = time.Second // a server back by hand is first tried within this, each gateway at its time
+	evacuationRatio     = 0.5         // of its connections leave a server that is out by hand, at each look
+
+	removedServerRetention = 10 * time.Minute // a server gone so long is forgotten
 )
 
-const refHousekeeping, refOnce = 1, 2 // of timers
+const sweepTimer, oneShotTimer = 1, 2 // of timers
 
 // Handle takes one event and returns what to do, valid until the next call. Time never runs backwards.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
@@ -87,7 +87,7 @@
 	if !b.started {
 		b.started = true
 		b.began = b.now
-		b.act(SetTimer{After: housekeeping, Ref: refHousekeeping})
+		b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
 	}
 	switch ev := ev.(type) {
 	case EndpointList:
@@ -112,7 +112,7 @@
 	case ServerReinstated:
 		if s := b.servers[ev.Server]; s != nil {
 			b.renew(s)
-			s.tryAt = b.now + time.Duration(b.rand()*float64(tryWithin))
+			s.tryAt = b.now + time.Duration(b.rand()*float64(reinstatementSpread))
 		}
 	case FleetShedLevel:
 		b.shed = ev.Level
@@ -208,11 +208,11 @@
 	}
 	if b.table != nil && b.set.FlowRetention > 0 {
 		b.past = append(b.past, pastTable{b.table, b.members, b.now + b.set.FlowRetention})
-		if len(b.past) > maxPast {
-			b.past = slices.Delete(b.past, 0, len(b.past)-maxPast)
+		if len(b.past) > maxPastTables {
+			b.past = slices.Delete(b.past, 0, len(b.past)-maxPastTables)
 		}
 	}
-	b.table, b.shares, b.members, b.weight = buildTable(shares), shares, members, max(weight, leastWeight)
+	b.table, b.shares, b.members, b.weight = buildTable(shares), shares, members, max(weight, minTotalWeight)
 }
 
 // Cold servers.
@@ -231,13 +231,13 @@
 // to it however many gateways there are and however seldom each comes by. It could hurt where much of the
 // fleet is cold and little else has room.
 func (b *Balancer) admitCold(r *request, s *server) bool {
-	rate := coldSafety * max(b.set.ColdOverloadFactor, 1) * b.fullConnections(s) /
+	rate := warmupBudgetRatio * max(b.set.ColdOverloadFactor, 1) * b.fullConnections(s) /
 		b.set.WarmupDuration.Seconds() / float64(b.set.Gateways)
-	share := max(lookupsNear*s.Capacity/b.weight, coldGroup) // more where one group is most of all
-	tries := max(b.arrivals()*share, s.coldTried.value(b.now)*math.Ln2/evidenceHalf.Seconds())
+	share := max(maxNearLookups*s.Capacity/b.weight, minWarmupArrivalRatio) // more where one group is most of all
+	tries := max(b.arrivals()*share, s.coldTried.value(b.now)*math.Ln2/evidenceHalfLife.Seconds())
 	s.coldTried.add(b.now, 1)
 	// in a burst the rate is learned too late
-	apart := min(coldApart/rate, b.set.ColdOverloadDuration.Seconds())
+	apart := min(warmupSpacingRatio/rate, b.set.ColdOverloadDuration.Seconds())
 	if (b.now-s.coldAt).Seconds() < apart || fraction(mix(uint64(r.ID), uint64(s.ID))) >= rate/tries {
 		return false
 	}
@@ -248,10 +248,10 @@
 // arrivals is how many requests come a second, of late. As many more are counted as make a burst, in which
 // each gateway has one request and knows of no other, spend no more than a cold server bears in TipTime.
 func (b *Balancer) arrivals() float64 {
-	span := evidenceHalf.Seconds() / math.Ln2
-	more := max(coldSafety*span/b.set.ColdOverloadDuration.Seconds()-1, 0)
-	age := max(b.now-b.began, evidenceHalf/30)
-	seen := 1 - math.Exp2(-float64(age)/float64(evidenceHalf)) // of the span, by a young process
+	span := evidenceHalfLife.Seconds() / math.Ln2
+	more := max(warmupBudgetRatio*span/b.set.ColdOverloadDuration.Seconds()-1, 0)
+	age := max(b.now-b.began, evidenceHalfLife/30)
+	seen := 1 - math.Exp2(-float64(age)/float64(evidenceHalfLife)) // of the span, by a young process
 	came := b.came.value(b.now)
 	return max(came/seen, came+more) / span
 }
@@ -298,7 +298,7 @@
 // begin bounds the time until an attempt is under way. It guards against connections that come up late: to a
 // server that drains by then, or drains now and takes strays, or behind the window of a keyed request.
 func (b *Balancer) begin(r *request, s *server) time.Duration {
-	most := b.set.DrainGrace * drainPart / 10
+	most := b.set.DrainGrace * drainGraceTenths / 10
 	if s.State != Ready {
 		most -= b.now - s.told
 	}
@@ -327,9 +327,9 @@
 // budget is that of further attempts: the stated one, but for a share above the module's own, or its own.
 func (b *Balancer) budget() (span time.Duration, free, share float64) {
 	if b.set.RetryBudgetWindow > 0 {
-		return b.set.RetryBudgetWindow, b.set.RetryBudgetMin, min(b.set.RetryBudgetRatio, retryShare)
+		return b.set.RetryBudgetWindow, b.set.RetryBudgetMin, min(b.set.RetryBudgetRatio, maxRetryBudgetRatio)
 	}
-	return retrySpan, retryFree, retryShare
+	return defaultRetryBudgetWindow, defaultRetryBudgetMin, maxRetryBudgetRatio
 }
 
 // hurry gives no request that waits longer than until the program's end.
@@ -337,7 +337,7 @@
 	for _, r := range b.requests {
 		r.deadline, r.heldUntil = min(r.deadline, by), min(r.heldUntil, by-answerMargin)
 	}
-	b.act(SetTimer{After: max(by-answerMargin-b.now, 0), Ref: refOnce})
+	b.act(SetTimer{After: max(by-answerMargin-b.now, 0), Ref: oneShotTimer})
 }
 
 // holdOrAnswer disposes of a request that no server may take now. Only the first list is waited for: what
@@ -349,9 +349,9 @@
 	}
 	b.waiting = append(b.waiting, r)
 	if r.heldUntil == 0 {
-		wait := max(min(holdFor, r.deadline-answerMargin-b.now), 0)
+		wait := max(min(firstListTimeout, r.deadline-answerMargin-b.now), 0)
 		r.heldUntil = b.now + wait
-		b.act(SetTimer{After: wait, Ref: refOnce})
+		b.act(SetTimer{After: wait, Ref: oneShotTimer})
 	}
 }
 
@@ -375,29 +375,29 @@
 
 // ask has servers asked for their load on behalf of a request, which waits for that.
 func (b *Balancer) ask(r *request, of []*server) {
-	r.asked, r.heldUntil = of, b.now+askFor
+	r.asked, r.heldUntil = of, b.now+loadPollTimeout
 	r.asks++
 	for _, s := range of {
-		if b.now-s.askedAt > askFor || s.askedAt == 0 {
+		if b.now-s.askedAt > loadPollTimeout || s.askedAt == 0 {
 			s.askedAt = b.now
 			b.act(PollLoad{Server: s.ID})
 		}
 	}
 	b.waiting = append(b.waiting, r)
-	b.act(SetTimer{After: askFor, Ref: refOnce})
+	b.act(SetTimer{After: loadPollTimeout, Ref: oneShotTimer})
 }
 
 // unknown reports whether nothing is known of a server's load, and it is to be asked before it is sent to.
 func (b *Balancer) unknown(s *server) bool {
 	return b.set.CanPollLoad && s.ejected == 0 && b.coldAge(s) == 1 && !b.toldOf(s) &&
-		(s.askedAt == 0 || b.now-s.askedAt > reportFor)
+		(s.askedAt == 0 || b.now-s.askedAt > loadReportTTL)
 }
 
 // strain ranks a server by its own word; one that says nothing comes last. One that was not asked serves
 // where all that were are full: a refusal was measured to cost more.
 func (b *Balancer) strain(s *server) float64 {
 	switch load := b.loadWith(s); {
-	case !b.set.CanPollLoad || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= reportRoom:
+	case !b.set.CanPollLoad || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= lowUtilization:
 		return 0
 	case b.toldOf(s):
 		return load
@@ -505,21 +505,21 @@
 		return e // it loads whoever holds it already, and no report tells who that is
 	}
 	unit := b.unit()
-	part := (1 + boundOver) * (b.totalLoad() + unit) / b.weight
+	part := (1 + loadBoundRatio) * (b.totalLoad() + unit) / b.weight
 	keep := b.precedence(r)
 	if r.chance(1) < b.throttle() {
 		return nil
 	}
-	shed := r.chance(1) < (b.pressure-holdFrom*keep)/(1-holdFrom*keep)
+	shed := r.chance(1) < (b.pressure-slowRatioThreshold*keep)/(1-slowRatioThreshold*keep)
 	var best *server
 	var ask []*server
 	least := math.Inf(1)
 	if r.Reconnecting && !b.vouches(b.entry(r, first)) {
-		first += 1 + int(mix(uint64(r.ID), keySeed)%returnOver)
+		first += 1 + int(mix(uint64(r.ID), keySeed)%reconnectSpread)
 	}
-	most := lookupsMost
+	most := maxLookups
 	if shed || r.Group != "" {
-		most = lookupsNear
+		most = maxNearLookups
 	}
 	for i := range most + 1 {
 		j := i - 1
@@ -542,10 +542,10 @@
 		}
 		cost := r.chance(s.ID) * unit
 		if r.Group != "" && s.groups[r.Group] == 0 { // do not spread scarce room over many groups
-			cost += groupCost * unit
+			cost += newGroupCost * unit
 		}
-		if r.asks < askRounds && b.unknown(s) {
-			if len(ask) < askWidth && !slices.Contains(ask, s) {
+		if r.asks < maxPollRounds && b.unknown(s) {
+			if len(ask) < maxPolledServers && !slices.Contains(ask, s) {
 				ask = append(ask, s)
 			}
 			continue
@@ -554,11 +554,11 @@
 			continue
 		}
 		bad += b.strain(s)
-		if b.loadOf(s)+unit > part*s.Capacity+boundSlack*unit {
+		if b.loadOf(s)+unit > part*s.Capacity+loadBoundSlack*unit {
 			bad++
 		}
 		if b.coldAge(s) < 1 {
-			if bad < 2 && i <= lookupsNear && b.admitCold(r, s) {
+			if bad < 2 && i <= maxNearLookups && b.admitCold(r, s) {
 				return s
 			}
 			continue
@@ -604,7 +604,7 @@
 	}
 	stood := b.stood.value(b.now)
 	tried := stood + b.failed.value(b.now)
-	return (tried - triedMost*(stood+1)) / (tried + 1)
+	return (tried - maxSetupRatio*(stood+1)) / (tried + 1)
 }
 
 // entry is the server of a request's j-th lookup: 0 is the ordinary path.
@@ -620,8 +620,8 @@
 	}
 	held := float64(b.held)
 	fleet := (held + 1) * float64(b.set.Gateways)
-	share := (float64(b.groups[r.Group]) + groupPrior*groupShare) / (held + groupPrior)
-	bound := (1+boundOver)*fleet/float64(len(b.members)) + boundSlack
+	share := (float64(b.groups[r.Group]) + groupPriorWeight*groupPriorRatio) / (held + groupPriorWeight)
+	bound := (1+loadBoundRatio)*fleet/float64(len(b.members)) + loadBoundSlack
 	return max(share*fleet/bound, 1)
 }
 
@@ -640,7 +640,7 @@
 		top = max(top, b.set.Classes[c].PriorityWeight/b.loadOfClass(c))
 	}
 	worth := b.worth(r)
-	return keepLeast + (1-keepLeast)*min(worth/max(top, 1e-12), 1)
+	return minLimitRatio + (1-minLimitRatio)*min(worth/max(top, 1e-12), 1)
 }
 
 // strayServer is the server that is known to hold a stray, or a guess while a past table is in force: the one
@@ -663,7 +663,7 @@
 }
 
 func (b *Balancer) takesStrays(s *server) bool {
-	return s.State == Ready || s.State == Draining && b.now-s.told < b.set.DrainGrace*drainPart/10
+	return s.State == Ready || s.State == Draining && b.now-s.told < b.set.DrainGrace*drainGraceTenths/10
 }
 
 // mayTry reports whether the list and the class's effect allow an attempt at a server.
@@ -693,7 +693,7 @@
 // the growth of the delay tells how far over that is.
 func (b *Balancer) onDelay(s *server, delay time.Duration) {
 	last, since := s.delay, b.now-s.delayAt
-	if since > delayFor {
+	if since > messageDelayTTL {
 		last = 0
 	}
 	s.delay, s.delayAt = delay, b.now
@@ -701,11 +701,11 @@
 	case delay <= b.aim/3: // the word that it is over
 		s.pausedUntil = 0
 	case last > 0 && delay < last: // it drains at this load
-		b.lowerLimit(s, 1, delayFor)
+		b.lowerLimit(s, 1, messageDelayTTL)
 	case last > 0 && since > 0:
-		b.lowerLimit(s, cutTo/(1+float64(delay-last)/float64(since)), delayFor)
+		b.lowerLimit(s, limitCutRatio/(1+float64(delay-last)/float64(since)), messageDelayTTL)
 	default:
-		b.lowerLimit(s, cutTo, delayFor)
+		b.lowerLimit(s, limitCutRatio, messageDelayTTL)
 	}
 }
 
@@ -719,7 +719,7 @@
 func (b *Balancer) onReport(s *server, ev LoadReport) {
 	load := ev.Utilization
 	s.load, s.reportAt, s.sent, s.each = load, b.now, 0, 0
-	if ev.Connections > 0 && load > reportLeast {
+	if ev.Connections > 0 && load > minUtilization {
 		s.each = load / ev.Connections
 		if b.coldAge(s) == 1 {
 			b.bears.add(1 / s.each / s.Capacity)
@@ -727,13 +727,13 @@
 	}
 	least := b.unit() / float64(b.set.Gateways)
 	switch {
-	case load > reportOver:
-		limit := max(b.loadOf(s)*reportFull/load, least)
+	case load > highUtilization:
+		limit := max(b.loadOf(s)*targetUtilization/load, least)
 		if s.limit == 0 || limit < s.limit {
 			s.limit, s.cutAt = limit, b.now
 		}
-	case load < reportRoom && s.limit > 0:
-		s.limit = max(s.limit, (b.loadOf(s)+least)*reportFull/max(load, reportLeast))
+	case load < lowUtilization && s.limit > 0:
+		s.limit = max(s.limit, (b.loadOf(s)+least)*targetUtilization/max(load, minUtilization))
 	}
 }
 
@@ -746,13 +746,13 @@
 // passes by itself within a second, since the limit grows back more slowly than it falls.
 func (b *Balancer) lowerLimit(s *server, factor float64, hold time.Duration) {
 	s.pausedUntil = max(s.pausedUntil, b.now+hold)
-	if s.limit == 0 || b.now-s.cutAt >= cutEvery {
+	if s.limit == 0 || b.now-s.cutAt >= limitCutInterval {
 		load := b.loadOf(s)
 		if s.limit > 0 {
 			load = min(load, s.limit)
 		}
 		// Where a gateway holds few of a server's connections, it hears of few chances to cut.
-		factor = max(factor-(1-factor)/float64(max(len(s.open), 1)), cutToLeast)
+		factor = max(factor-(1-factor)/float64(max(len(s.open), 1)), minLimitCutRatio)
 		s.limit, s.cutAt = max(load*factor, b.unit()/float64(b.set.Gateways)), b.now
 	}
 }
@@ -762,20 +762,20 @@
 // a limit that no new group fits in would keep it out for minutes where connections are few.
 func (b *Balancer) hasRoom(s *server, load, part float64) bool {
 	if b.set.CanPollLoad && b.toldOf(s) {
-		return b.loadWith(s) <= reportMost
+		return b.loadWith(s) <= maxUtilization
 	}
 	return s.limit == 0 || b.now >= s.pausedUntil &&
-		(b.loadOf(s)+load <= part*s.limit || len(s.open) == 0 && b.now-s.cutAt > growAfter)
+		(b.loadOf(s)+load <= part*s.limit || len(s.open) == 0 && b.now-s.cutAt > limitGrowthDelay)
 }
 
 // growLimit lets a limit grow while nothing speaks against it, and forgets one that no longer binds.
 func (b *Balancer) growLimit(s *server) {
-	if b.now-s.cutAt <= growAfter {
+	if b.now-s.cutAt <= limitGrowthDelay {
 		return
 	}
 	fair := b.totalLoad() * s.Capacity / b.weight
-	s.limit += growShare * max(s.limit, fair, b.unit()/float64(b.set.Gateways)) * housekeeping.Seconds()
-	if s.limit > forgetOver*fair+2*boundSlack*b.unit() {
+	s.limit += limitGrowthRatio * max(s.limit, fair, b.unit()/float64(b.set.Gateways)) * sweepInterval.Seconds()
+	if s.limit > limitDropFactor*fair+2*loadBoundSlack*b.unit() {
 		s.limit = 0
 	}
 }
@@ -791,14 +791,14 @@
 	case OK, Cancelled, NotSent:
 		return
 	case Rejected:
-		b.lowerLimit(s, 1, fullFor)
+		b.lowerLimit(s, 1, rejectedPause)
 		strike = 0.25
 	case ConnectFailed:
 		strike = 1
 	case TimedOut, Errored: // work piles up there, or nothing answers
 		b.failed.add(b.now, 1)
 		if b.throttle() <= 0 {
-			b.lowerLimit(s, cutTo, 0)
+			b.lowerLimit(s, limitCutRatio, 0)
 		}
 		strike = 0.5
 	case Reset:
@@ -808,28 +808,28 @@
 		}
 	}
 	if s.probation || s.doubted > 0 && !s.proven && result != Rejected {
-		strike = strikeLimit
+		strike = ejectionScore
 	}
-	if s.strikes.add(b.now, strike) < strikeLimit || s.ejected > 0 || s.State != Ready {
+	if s.strikes.add(b.now, strike) < ejectionScore || s.ejected > 0 || s.State != Ready {
 		return
 	}
 	ready, bad := 0.0, 0.0
 	for _, o := range b.order {
 		if o.State == Ready {
 			ready++
-			if o.ejected > 0 || o.strikes.value(b.now) > strikeLimit/2 {
+			if o.ejected > 0 || o.strikes.value(b.now) > ejectionScore/2 {
 				bad++
 			}
 		}
 	}
-	if bad > maxEjected*ready {
+	if bad > maxEjectionRatio*ready {
 		return
 	}
 	if s.doubted > 0 { // the list was right
 		b.confirmGone(s)
 		return
 	}
-	s.ejected = b.now + ejectFor<<min(s.ejections, ejectDoubled)
+	s.ejected = b.now + baseEjectionDuration<<min(s.ejections, maxEjectionDoublings)
 	s.ejections++
 	s.strikes, s.probation = fading{}, false
 	b.logf("server %d out of the table for %v", s.ID, s.ejected-b.now)
@@ -838,8 +838,8 @@
 // Time.
 
 func (b *Balancer) onTimer(ev TimerFired) {
-	if ev.Ref == refHousekeeping {
-		b.act(SetTimer{After: housekeeping, Ref: refHousekeeping})
+	if ev.Ref == sweepTimer {
+		b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
 		slow := 0
 		for _, s := range b.order {
 			if b.now < s.pausedUntil {
@@ -856,7 +856,7 @@
 		}
 		b.forget()
 		b.pressure = float64(slow) / float64(max(b.held, 1))
-		if shedding := b.pressure > holdFrom || b.throttle() > 0; shedding != b.shedding {
+		if shedding := b.pressure > slowRatioThreshold || b.throttle() > 0; shedding != b.shedding {
 			b.shedding = shedding
 			b.logf("shedding %v: %.0f%% of own connections are on slow servers, %.1f set-ups failed of late",
 				shedding, 100*b.pressure, b.failed.value(b.now))
@@ -879,7 +879,7 @@
 		return
 	}
 	b.sound()
-	s.moves += moveShare * b.room() * max(float64(len(s.open)+1), moveLeast) * housekeeping.Seconds()
+	s.moves += migrationRatio * b.room() * max(float64(len(s.open)+1), minMigratable) * sweepInterval.Seconds()
 	for ; s.moves >= 1; s.moves-- {
 		var pick *request
 		for _, r := range s.open {
@@ -898,7 +898,7 @@
 // stays is the chance that decides which connections are the last to be moved off a server, alike at every
 // gateway. A group's members go together, as what it costs the server is paid until the last has gone.
 func (r *request) stays(s *server) float64 {
-	return moveWhole*fraction(mix(r.hash, uint64(s.ID))) + (1-moveWhole)*r.chance(s.ID)
+	return groupMigrationRatio*fraction(mix(r.hash, uint64(s.ID))) + (1-groupMigrationRatio)*r.chance(s.ID)
 }
 
 // room is the part of the table's weight that can take more, of servers that told their loads if they can.
@@ -921,7 +921,7 @@
 func (b *Balancer) sound() {
 	b.refresh()
 	s := b.members[int(b.rand()*float64(len(b.members)))]
-	if b.set.CanPollLoad && b.soundAt < b.now && !b.toldOf(s) && b.now-s.askedAt > reportFor {
+	if b.set.CanPollLoad && b.soundAt < b.now && !b.toldOf(s) && b.now-s.askedAt > loadReportTTL {
 		b.soundAt, s.askedAt = b.now, b.now
 		b.act(PollLoad{Server: s.ID})
 	}
@@ -930,7 +930,7 @@
 // clear moves the connections off a server that staff took out, a part of them at each look while others have
 // room. It guards against the cut that each would suffer when the server is restarted.
 func (b *Balancer) clear(s *server) {
-	n := int(math.Ceil(clearShare * b.room() * float64(len(s.open))))
+	n := int(math.Ceil(evacuationRatio * b.room() * float64(len(s.open))))
 	for _, r := range s.open {
 		if n > 0 && r.opened && !r.over {
 			b.act(Migrate{ID: r.ID})
@@ -953,7 +953,7 @@
 		}
 	}
 	if r.Group != "" && r.server != nil {
-		load += groupMoved * b.unit() / float64(r.server.groups[r.Group])
+		load += movedGroupCost * b.unit() / float64(r.server.groups[r.Group])
 	}
 	return worth / load
 }
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -31,7 +31,7 @@
 				w.b.came, s.coldAt, s.Started, s.coldTried = fading{}, 0, w.b.now-sec, fading{}
 				w.b.came.add(w.b.now, 1)
 				id++
-				for j := range lookupsNear {
+				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 &&
 						w.b.admitCold(&request{Request: Request{ID: id}}, s) {
 						sent++
@@ -39,7 +39,7 @@
 					}
 				}
 			}
-			limit := set.ColdOverloadFactor * coldRoom / set.WarmupDuration.Seconds() * tip.Seconds()
+			limit := set.ColdOverloadFactor * minWarmConnections / set.WarmupDuration.Seconds() * tip.Seconds()
 			if mean := float64(sent) / bursts; mean > 1.2*limit || mean < 0.2*limit {
 				t.Errorf("%d gateways, %v: %.2f in a burst, the limit is %.2f", gateways, tip, mean, limit)
 			}
@@ -104,7 +104,7 @@
 	f.failures = between(0, 0.3, "turned away")
 	weight, each := between(0.5, 4, "weight"), between(1.5, 20, "allowed a second")
 	bears := each * f.set.WarmupDuration.Seconds() / f.set.ColdOverloadFactor / weight
-	f.n = max(each, coldRoom*f.set.ColdOverloadFactor/f.set.WarmupDuration.Seconds()) *
+	f.n = max(each, minWarmConnections*f.set.ColdOverloadFactor/f.set.WarmupDuration.Seconds()) *
 		f.set.ColdOverloadDuration.Seconds()
 	f.rnd = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	f.cold = ServerID(100 + warm)
--- a/balancer/daily_test.go
+++ b/balancer/daily_test.go
@@ -36,7 +36,7 @@
 	for range 20 {
 		w.feed(LoadReport{Server: w.b.order[1].ID, Utilization: 0.25, Connections: 10})
 	}
-	if got := w.b.fullConnections(s); before != coldRoom || got < 0.6*40 || got > 40 {
+	if got := w.b.fullConnections(s); before != minWarmConnections || got < 0.6*40 || got > 40 {
 		t.Errorf("held to bear %v, then %v with reports of 10 at a quarter", before, got)
 	}
 	s.Started = w.now
@@ -54,7 +54,7 @@
 	back := w.b.order[2].ID
 	w.feed(ServerReinstated{Server: back})
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: back, Capacity: 1, Started: w.now}}})
-	w.wait(tryWithin)
+	w.wait(reinstatementSpread)
 	to := 0
 	for i := range 20 {
 		w.feed(Request{ID: RequestID(500 + i), Class: "safe", Key: fmt.Sprint(i), Timeout: 2 * sec})
@@ -90,7 +90,7 @@
 				w.b.now, s.Started = w.now, w.now // stays as cold
 				w.b.came.add(w.now, 1)
 				id := RequestID(g*1000 + i + 1)
-				for j := range lookupsNear {
+				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 && time.Duration(i)*f.every >= 10*sec &&
 						w.b.admitCold(&request{Request: Request{ID: id}}, s) {
 						sent++
@@ -98,7 +98,7 @@
 				}
 			}
 		}
-		budget := coldSafety * 3 * coldRoom / 2 * span.Seconds()
+		budget := warmupBudgetRatio * 3 * minWarmConnections / 2 * span.Seconds()
 		if n := float64(sent); n > 1.3*budget || n < 0.15*budget {
 			t.Errorf("%d gateways, a request every %v: %d sent of %.1f", f.gateways, f.every, sent, budget)
 		}
--- a/balancer/figures_test.go
+++ b/balancer/figures_test.go
@@ -168,9 +168,9 @@
 				feed(LoadReport{
 					Server: server, Utilization: rnd.Float64() * 3, Connections: float64(rnd.IntN(60))})
 			case 8:
-				feed(TimerFired{Ref: refHousekeeping})
+				feed(TimerFired{Ref: sweepTimer})
 			case 9:
-				feed(TimerFired{Ref: refOnce})
+				feed(TimerFired{Ref: oneShotTimer})
 			}
 			if i%20 > 0 {
 				continue
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -13,7 +13,7 @@
 	ConnectionCapacity WeightedMean     `json:"Bears"`   // connections that a warm server of weight 1 bears
 }
 
-const limitMost = 1e15
+const maxLoadLimit = 1e15
 
 // WeightedMean is a mean and its weight.
 type WeightedMean struct {
@@ -51,7 +51,7 @@
 	}
 	for _, s := range b.order {
 		limit := s.limit
-		if !(limit < limitMost) { // grown while no server was ready: it binds nothing
+		if !(limit < maxLoadLimit) { // grown while no server was ready: it binds nothing
 			limit = 0
 		}
 		l.Servers = append(l.Servers, ServerSnapshot{
@@ -80,14 +80,14 @@
 		if s == nil || s.Started != k.Started {
 			continue
 		}
-		if k.LoadLimit >= 0 && k.LoadLimit < limitMost {
+		if k.LoadLimit >= 0 && k.LoadLimit < maxLoadLimit {
 			s.limit = k.LoadLimit
 		}
 		// Nothing lasts longer than it would have from now on.
 		s.cutAt = min(k.LimitLoweredAt, b.now)
-		s.pausedUntil = min(k.PausedUntil, b.now+delayFor)
+		s.pausedUntil = min(k.PausedUntil, b.now+messageDelayTTL)
 		s.ejections = max(k.Ejections, 0)
-		s.ejected = min(k.EjectedUntil, b.now+ejectFor<<ejectDoubled)
+		s.ejected = min(k.EjectedUntil, b.now+baseEjectionDuration<<maxEjectionDoublings)
 		s.strikes = fading{k.FailureScore, min(k.FailureScoreAt, b.now)}
 	}
 	for _, s := range b.order {
--- a/balancer/move_test.go
+++ b/balancer/move_test.go
@@ -16,7 +16,7 @@
 		w.feed(LoadReport{Server: a.Server, Utilization: 0.3, Connections: 20})
 	}
 	w.feed(AttemptEstablished{ID: 1, Server: at, Elapsed: 10 * ms})
-	w.wait(2 * reportFor) // what the others said is old by now
+	w.wait(2 * loadReportTTL) // what the others said is old by now
 	return w, 1, at
 }
 
@@ -29,7 +29,7 @@
 		for range 12 {
 			w.feed(LoadReport{Server: at, Utilization: 1.4, Connections: 40})
 			w.feed(MessageDelay{ID: id, Server: at, Delay: sec / 2})
-			did := w.wait(housekeeping)
+			did := w.wait(sweepInterval)
 			for _, a := range find[PollLoad](did) {
 				if a.Server == at {
 					t.Fatal("the slow server was asked for room")
@@ -57,7 +57,7 @@
 			for range 12 {
 				w.feed(LoadReport{Server: at, Utilization: 1.4, Connections: 40})
 				w.feed(MessageDelay{ID: id, Server: at, Delay: sec / 2})
-				did := w.wait(housekeeping)
+				did := w.wait(sweepInterval)
 				for _, a := range find[PollLoad](did) {
 					w.feed(LoadReport{Server: a.Server, Utilization: 0.2, Connections: 10})
 				}
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -182,7 +182,7 @@
 	for _, s := range d.b.order {
 		most = max(most, len(s.open))
 	}
-	full := max(float64(most*d.set.Gateways)*4, coldRoom*float64(d.set.Gateways))
+	full := max(float64(most*d.set.Gateways)*4, minWarmConnections*float64(d.set.Gateways))
 	allowed := d.set.ColdOverloadFactor * full * tipTime.Seconds() / d.set.WarmupDuration.Seconds() /
 		float64(d.set.Gateways)
 	if float64(n) > allowed+3 { // under one connection chance decides; another test holds the sum
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -112,8 +112,8 @@
 // wait lets time pass with the housekeeping timer.
 func (w *world) wait(d time.Duration) (all []Action) {
 	for end := w.now + d; w.now < end; {
-		w.now += min(housekeeping, end-w.now)
-		all = append(all, w.feed(TimerFired{Ref: refHousekeeping})...)
+		w.now += min(sweepInterval, end-w.now)
+		all = append(all, w.feed(TimerFired{Ref: sweepTimer})...)
 	}
 	return all
 }
@@ -217,11 +217,11 @@
 	if len(find[Send](w.last))+len(find[Reject](w.last)) > 0 || len(find[SetTimer](w.last)) != 2 {
 		t.Fatalf("not held: %+v", w.last)
 	}
-	if got := w.wait(holdFor - 10*ms); len(find[Reject](got)) > 0 {
+	if got := w.wait(firstListTimeout - 10*ms); len(find[Reject](got)) > 0 {
 		t.Fatalf("answered early: %+v", got)
 	}
 	w.now += 10 * ms
-	got := find[Reject](w.feed(TimerFired{Ref: refOnce}))
+	got := find[Reject](w.feed(TimerFired{Ref: oneShotTimer}))
 	if len(got) != 1 || got[0].ID != id {
 		t.Fatalf("when its time is up: %+v", w.last)
 	}
@@ -271,7 +271,7 @@
 	w.request("safe", "g")
 	wakes := 0
 	for _, a := range find[SetTimer](w.wait(sec)) {
-		if a.Ref == refOnce {
+		if a.Ref == oneShotTimer {
 			wakes++
 		}
 	}
@@ -440,7 +440,7 @@
 			t.Fatal("sent to an ejected server")
 		}
 	}
-	logs := find[Log](w.wait(ejectFor + sec))
+	logs := find[Log](w.wait(baseEjectionDuration + sec))
 	if len(logs) != 1 || !strings.Contains(logs[0].Text, "back") {
 		t.Errorf("log lines at its return: %+v", logs)
 	}
@@ -769,7 +769,7 @@
 	for _, id := range ids[:28] {
 		w.feed(MessageDelay{ID: id, Server: w.b.requests[id].server.ID, Delay: 60 * ms})
 	}
-	w.wait(housekeeping)
+	w.wait(sweepInterval)
 	sent := map[string]int{}
 	for i := range 200 {
 		class := []string{"safe", "dear"}[i%2]
@@ -784,7 +784,7 @@
 			w.feed(MessageDelay{ID: id, Server: r.server.ID, Delay: 10 * ms})
 		}
 	}
-	w.wait(housekeeping)
+	w.wait(sweepInterval)
 	if w.request("safe", "after"); len(find[Send](w.last)) != 1 {
 		t.Errorf("after the jam: %+v", w.last)
 	}
@@ -934,7 +934,7 @@
 		if got := float64(len(l.further)); got < least {
 			t.Errorf("%+v: %v further attempts, %.0f at least were wanted", budget, got, least)
 		}
-		if kept := len(w.b.taken.tallies) + len(w.b.further.tallies); kept > 2*windowPart {
+		if kept := len(w.b.taken.tallies) + len(w.b.further.tallies); kept > 2*maxWindowBuckets {
 			t.Errorf("%d moments kept", kept)
 		}
 	}
@@ -952,9 +952,9 @@
 		}
 		least, most := 99_000, 100_000
 		if late { // what leaves late is counted for longer, by a part of the span at most
-			least, most = most, most+100_000/windowPart+2
+			least, most = most, most+100_000/maxWindowBuckets+2
 		}
-		if len(w.tallies) > windowPart+1 || w.total < least || w.total > most {
+		if len(w.tallies) > maxWindowBuckets+1 || w.total < least || w.total > most {
 			t.Errorf("late %v: %d moments kept for %d", late, len(w.tallies), w.total)
 		}
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -57,7 +57,7 @@
 }
 
 // leastWeight stands for the sum of capacities where no server is in the table, as before any placement.
-const leastWeight = 1e-9
+const minTotalWeight = 1e-9
 
 type pastTable struct {
 	table   table
@@ -153,7 +153,7 @@
 	if f.sum == 0 {
 		return 0
 	}
-	return f.sum * math.Exp2(-float64(now-f.at)/float64(evidenceHalf))
+	return f.sum * math.Exp2(-float64(now-f.at)/float64(evidenceHalfLife))
 }
 
 func (f *fading) add(now time.Duration, v float64) float64 {
@@ -175,12 +175,12 @@
 	n         int
 }
 
-const windowPart = 4096
+const maxWindowBuckets = 4096
 
 func (w *window) add(now time.Duration) {
 	w.trim(now)
 	w.total++
-	if n := len(w.tallies); n > 0 && now-w.tallies[n-1].first <= w.span/windowPart {
+	if n := len(w.tallies); n > 0 && now-w.tallies[n-1].first <= w.span/maxWindowBuckets {
 		last := &w.tallies[n-1]
 		last.n++
 		if w.late {
@@ -211,7 +211,7 @@
 // undo takes back one that was counted at a time.
 func (w *window) undo(at time.Duration) {
 	for i := range w.tallies {
-		if u := &w.tallies[i]; u.first <= at && at <= u.first+w.span/windowPart && u.n > 0 {
+		if u := &w.tallies[i]; u.first <= at && at <= u.first+w.span/maxWindowBuckets && u.n > 0 {
 			u.n--
 			w.total--
 			return
@@ -224,7 +224,7 @@
 	b := &Balancer{
 		set: set, random: set.Seed,
 		classes: map[string]int{}, servers: map[ServerID]*server{}, requests: map[RequestID]*request{},
-		weight: leastWeight,
+		weight: minTotalWeight,
 	}
 	b.set.Gateways = max(set.Gateways, 1)
 	b.set.MaxAttempts = max(set.MaxAttempts, 1)
@@ -427,7 +427,7 @@
 func (b *Balancer) unheard(s *server) bool { return s.reportAt < s.askedAt }
 
 // toldOf reports whether a server's own word of its load is young enough to place by.
-func (b *Balancer) toldOf(s *server) bool { return s.reportAt > 0 && b.now-s.reportAt <= reportFor }
+func (b *Balancer) toldOf(s *server) bool { return s.reportAt > 0 && b.now-s.reportAt <= loadReportTTL }
 
 func (b *Balancer) update(e Server) {
 	if !(e.Capacity > 0) || math.IsInf(e.Capacity, 1) {
@@ -465,7 +465,7 @@
 // from what they hold: that is all they bear where the fleet is full, and too few where it is not.
 func (b *Balancer) fullConnections(s *server) float64 {
 	if b.bears.weight > 0 {
-		return max(b.bears.value*s.Capacity, coldRoom)
+		return max(b.bears.value*s.Capacity, minWarmConnections)
 	}
 	held, weight := 0.0, 1e-9
 	for _, o := range b.members {
@@ -474,21 +474,21 @@
 			weight += o.Capacity
 		}
 	}
-	return max(held*float64(b.set.Gateways)/weight*s.Capacity, coldRoom)
+	return max(held*float64(b.set.Gateways)/weight*s.Capacity, minWarmConnections)
 }
 
 // forget drops servers that are long gone and hold nothing, so that a fleet whose machines get new ids does
 // not grow the memory. One in doubt that nothing was sent to for that long is taken for gone.
 func (b *Balancer) forget() {
-	if b.now-b.forgotAt < forgetAfter/10 {
+	if b.now-b.forgotAt < removedServerRetention/10 {
 		return
 	}
 	b.forgotAt = b.now
 	b.order = slices.DeleteFunc(b.order, func(s *server) bool {
-		if s.doubted > 0 && len(s.open) == 0 && b.now-s.doubted > forgetAfter {
+		if s.doubted > 0 && len(s.open) == 0 && b.now-s.doubted > removedServerRetention {
 			b.confirmGone(s)
 		}
-		old := s.State == Removed && len(s.open) == 0 && b.now-s.told > max(forgetAfter, b.set.FlowRetention)
+		old := s.State == Removed && len(s.open) == 0 && b.now-s.told > max(removedServerRetention, b.set.FlowRetention)
 		if old {
 			delete(b.servers, s.ID)
 		}
--- a/balancer/stop_test.go
+++ b/balancer/stop_test.go
@@ -26,7 +26,7 @@
 	w.request("safe", "")
 	w.feed(Shutdown{Deadline: w.now + 200*ms})
 	w.now += 200 * ms
-	w.feed(TimerFired{Ref: refOnce})
+	w.feed(TimerFired{Ref: oneShotTimer})
 	if r := find[Reject](w.last); len(r) != 1 {
 		t.Errorf("held for a list: %+v", w.last)
 	}
