--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -458,7 +458,7 @@
 	}
 	b.weighOutcome(s, ev.Result, opened, held)
 	if ev.Result == NotSent && ev.Attempt > 0 { // it was never made
-		b.further.undo(r.sent)
+		b.further.remove(r.sent)
 	}
 	switch {
 	case ev.Answered || r.over:
@@ -831,7 +831,7 @@
 	}
 	s.ejected = b.now + baseEjectionDuration<<min(s.ejections, maxEjectionDoublings)
 	s.ejections++
-	s.strikes, s.probation = fading{}, false
+	s.strikes, s.probation = decayingCounter{}, false
 	b.logf("server %d out of the table for %v", s.ID, s.ejected-b.now)
 }
 
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -28,7 +28,7 @@
 			w.b.began = w.now - time.Hour
 			for range bursts * gateways { // one world stands for all: nothing of the last request is left
 				w.b.now += ms
-				w.b.came, s.coldAt, s.Started, s.coldTried = fading{}, 0, w.b.now-sec, fading{}
+				w.b.came, s.coldAt, s.Started, s.coldTried = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
 				w.b.came.add(w.b.now, 1)
 				id++
 				for j := range maxNearLookups {
@@ -63,7 +63,7 @@
 	sent := 0
 	for id := range bursts * members {
 		w.b.now += ms
-		w.b.came, s.coldAt, s.Started, s.coldTried = fading{}, 0, w.b.now-sec, fading{}
+		w.b.came, s.coldAt, s.Started, s.coldTried = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
 		w.b.came.add(w.b.now, 1)
 		if w.b.admitCold(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
 			sent++
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -34,20 +34,20 @@
 	FailureScoreAt time.Duration `json:"StrikesAt"`
 }
 
-func (m mean) figure() WeightedMean { return WeightedMean{m.value, m.weight} }
+func (m ewma) weightedMean() WeightedMean { return WeightedMean{m.value, m.weight} }
 
-func (f WeightedMean) mean() mean {
+func (f WeightedMean) ewma() ewma {
 	if !(f.Weight >= 0 && f.Weight <= 1e6) || !(f.Value >= 0 && f.Value <= 1e18) {
-		return mean{} // no mean of ours
+		return ewma{} // no mean of ours
 	}
-	return mean{f.Value, f.Weight}
+	return ewma{f.Value, f.Weight}
 }
 
 // Snapshot returns what the Balancer has learned.
 func (b *Balancer) Snapshot() Snapshot {
-	l := Snapshot{MeanLoad: b.anyLoad.figure(), ConnectionCapacity: b.bears.figure()}
+	l := Snapshot{MeanLoad: b.anyLoad.weightedMean(), ConnectionCapacity: b.bears.weightedMean()}
 	for _, m := range b.loads {
-		l.ClassLoads = append(l.ClassLoads, m.figure())
+		l.ClassLoads = append(l.ClassLoads, m.weightedMean())
 	}
 	for _, s := range b.order {
 		limit := s.limit
@@ -69,10 +69,10 @@
 // told of drains counts as told long ago.
 func (b *Balancer) Restore(now time.Duration, l Snapshot) {
 	b.now = max(b.now, now)
-	b.anyLoad, b.bears = l.MeanLoad.mean(), l.ConnectionCapacity.mean()
+	b.anyLoad, b.bears = l.MeanLoad.ewma(), l.ConnectionCapacity.ewma()
 	if len(l.ClassLoads) == len(b.loads) {
 		for i, f := range l.ClassLoads {
-			b.loads[i] = f.mean()
+			b.loads[i] = f.ewma()
 		}
 	}
 	for _, k := range l.Servers {
@@ -88,7 +88,7 @@
 		s.pausedUntil = min(k.PausedUntil, b.now+messageDelayTTL)
 		s.ejections = max(k.Ejections, 0)
 		s.ejected = min(k.EjectedUntil, b.now+baseEjectionDuration<<maxEjectionDoublings)
-		s.strikes = fading{k.FailureScore, min(k.FailureScoreAt, b.now)}
+		s.strikes = decayingCounter{k.FailureScore, min(k.FailureScoreAt, b.now)}
 	}
 	for _, s := range b.order {
 		if s.State != Ready {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -934,7 +934,7 @@
 		if got := float64(len(l.further)); got < least {
 			t.Errorf("%+v: %v further attempts, %.0f at least were wanted", budget, got, least)
 		}
-		if kept := len(w.b.taken.tallies) + len(w.b.further.tallies); kept > 2*maxWindowBuckets {
+		if kept := len(w.b.taken.buckets) + len(w.b.further.buckets); kept > 2*maxWindowBuckets {
 			t.Errorf("%d moments kept", kept)
 		}
 	}
@@ -944,7 +944,7 @@
 // never made does not count.
 func TestBudgetMemoryIsBounded(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		w := window{span: sec, late: late}
+		w := slidingWindow{length: sec, inclusive: late}
 		now := time.Duration(0)
 		for range 300_000 {
 			w.add(now)
@@ -954,14 +954,14 @@
 		if late { // what leaves late is counted for longer, by a part of the span at most
 			least, most = most, most+100_000/maxWindowBuckets+2
 		}
-		if len(w.tallies) > maxWindowBuckets+1 || w.total < least || w.total > most {
-			t.Errorf("late %v: %d moments kept for %d", late, len(w.tallies), w.total)
+		if len(w.buckets) > maxWindowBuckets+1 || w.total < least || w.total > most {
+			t.Errorf("late %v: %d moments kept for %d", late, len(w.buckets), w.total)
 		}
 	}
-	w := window{span: sec, late: true}
+	w := slidingWindow{length: sec, inclusive: true}
 	w.add(sec)
 	w.add(2 * sec)
-	w.undo(sec)
+	w.remove(sec)
 	if n := w.count(2 * sec); n != 1 {
 		t.Errorf("%d counted, one was made", n)
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -36,24 +36,24 @@
 	requests map[RequestID]*request
 	waiting  []*request // held for want of a list, in order of arrival
 
-	sum        sum            // of all connections and attempts
+	sum        loadSum        // of all connections and attempts
 	held       int            // connections and attempts
 	groups     map[string]int // the same by group
 	tenants    map[string]int
-	tenantHeld []float64     // the same by tenant
-	loads      []mean        // known loads by class
-	anyLoad    mean          // and all together
-	bears      mean          // connections that a warm server's reports say it bears, for a weight of 1
-	taken      window        // requests
-	further    window        // attempts beyond each request's first
-	came       fading        // requests
-	stood      fading        // set-ups
-	failed     fading        // set-ups that timed out or ended in an error
-	forgotAt   time.Duration // when the last look for servers to forget was
-	shedding   bool          // as last logged
-	shed       float64       // level of what the fleet sheds
-	pressure   float64       // part of the connections that are on slow servers
-	soundAt    time.Duration // when a server was last asked for room for moves
+	tenantHeld []float64       // the same by tenant
+	loads      []ewma          // known loads by class
+	anyLoad    ewma            // and all together
+	bears      ewma            // connections that a warm server's reports say it bears, for a weight of 1
+	taken      slidingWindow   // requests
+	further    slidingWindow   // attempts beyond each request's first
+	came       decayingCounter // requests
+	stood      decayingCounter // set-ups
+	failed     decayingCounter // set-ups that timed out or ended in an error
+	forgotAt   time.Duration   // when the last look for servers to forget was
+	shedding   bool            // as last logged
+	shed       float64         // level of what the fleet sheds
+	pressure   float64         // part of the connections that are on slow servers
+	soundAt    time.Duration   // when a server was last asked for room for moves
 }
 
 // leastWeight stands for the sum of capacities where no server is in the table, as before any placement.
@@ -73,10 +73,10 @@
 	proven  bool          // and yet it had a good connection then or since
 	open    []*request    // connections and attempts here
 	pending int           // of these, attempts not yet open
-	sum     sum
+	sum     loadSum
 	groups  map[string]int // connections by group
 
-	strikes     fading
+	strikes     decayingCounter
 	ejections   int
 	ejected     time.Duration // until then; 0: not ejected
 	probation   bool          // back from ejection; one attempt at a time until one stands
@@ -93,9 +93,9 @@
 	askedAt  time.Duration // 0: never
 	sent     int           // attempts since the last report
 
-	coldTried fading        // lookups that came by it while it was cold
-	coldAt    time.Duration // when a connection was last sent to it on a cold server's budget
-	tryAt     time.Duration // back by hand and untried: tried from then on; 0: nothing to try
+	coldTried decayingCounter // lookups that came by it while it was cold
+	coldAt    time.Duration   // when a connection was last sent to it on a cold server's budget
+	tryAt     time.Duration   // back by hand and untried: tried from then on; 0: nothing to try
 }
 
 type request struct {
@@ -121,13 +121,13 @@
 	ranAt      time.Duration
 }
 
-// sum adds up loads.
-type sum struct {
+// loadSum adds up loads.
+type loadSum struct {
 	known   float64
 	unknown []int // connections of unknown load, by class
 }
 
-func (s *sum) add(class int, load float64, sign int) {
+func (s *loadSum) add(class int, load float64, sign int) {
 	if load > 0 {
 		s.known += float64(sign) * load
 	} else {
@@ -135,84 +135,84 @@
 	}
 }
 
-// mean is a moving average.
-type mean struct{ value, weight float64 }
+// ewma is a moving average.
+type ewma struct{ value, weight float64 }
 
-func (m *mean) add(v float64) {
+func (m *ewma) add(v float64) {
 	m.weight = min(m.weight+1, 50)
 	m.value += (v - m.value) / m.weight
 }
 
-// fading is a sum that halves in evidenceHalf.
-type fading struct {
+// decayingCounter is a sum that halves in evidenceHalf.
+type decayingCounter struct {
 	sum float64
 	at  time.Duration
 }
 
-func (f *fading) value(now time.Duration) float64 {
+func (f *decayingCounter) value(now time.Duration) float64 {
 	if f.sum == 0 {
 		return 0
 	}
 	return f.sum * math.Exp2(-float64(now-f.at)/float64(evidenceHalfLife))
 }
 
-func (f *fading) add(now time.Duration, v float64) float64 {
+func (f *decayingCounter) add(now time.Duration, v float64) float64 {
 	f.sum, f.at = f.value(now)+v, now
 	return f.sum
 }
 
-// window counts what happened within the last span. Moments closer than a windowPart of the span are kept
+// slidingWindow counts what happened within the last span. Moments closer than a windowPart of the span are kept
 // as one tally, so that memory is bounded.
-type window struct {
-	span    time.Duration
-	late    bool    // what is a span old counts still, and a tally leaves with its last moment, not its first
-	tallies []tally // in order of time
-	total   int
+type slidingWindow struct {
+	length    time.Duration
+	inclusive bool     // what is a span old counts still, and a tally leaves with its last moment, not its first
+	buckets   []bucket // in order of time
+	total     int
 }
 
-type tally struct {
-	first, at time.Duration // at: when it leaves the window, less the span
-	n         int
+type bucket struct {
+	first, last time.Duration // at: when it leaves the window, less the span
+	count       int
 }
 
 const maxWindowBuckets = 4096
 
-func (w *window) add(now time.Duration) {
+func (w *slidingWindow) add(now time.Duration) {
 	w.trim(now)
 	w.total++
-	if n := len(w.tallies); n > 0 && now-w.tallies[n-1].first <= w.span/maxWindowBuckets {
-		last := &w.tallies[n-1]
-		last.n++
-		if w.late {
-			last.at = now
+	if n := len(w.buckets); n > 0 && now-w.buckets[n-1].first <= w.length/maxWindowBuckets {
+		last := &w.buckets[n-1]
+		last.count++
+		if w.inclusive {
+			last.last = now
 		}
 		return
 	}
-	w.tallies = append(w.tallies, tally{now, now, 1})
+	w.buckets = append(w.buckets, bucket{now, now, 1})
 }
 
-func (w *window) count(now time.Duration) int {
+func (w *slidingWindow) count(now time.Duration) int {
 	w.trim(now)
 	return w.total
 }
 
 // trim forgets what has left the window.
-func (w *window) trim(now time.Duration) {
-	until := now - w.span
-	if w.late {
+func (w *slidingWindow) trim(now time.Duration) {
+	until := now - w.length
+	if w.inclusive {
 		until--
 	}
-	for len(w.tallies) > 0 && w.tallies[0].at <= until {
-		w.total -= w.tallies[0].n
-		w.tallies = w.tallies[1:]
+	for len(w.buckets) > 0 && w.buckets[0].last <= until {
+		w.total -= w.buckets[0].count
+		w.buckets = w.buckets[1:]
 	}
 }
 
-// undo takes back one that was counted at a time.
-func (w *window) undo(at time.Duration) {
-	for i := range w.tallies {
-		if u := &w.tallies[i]; u.first <= at && at <= u.first+w.span/maxWindowBuckets && u.n > 0 {
-			u.n--
+// remove takes back one that was counted at a time.
+func (w *slidingWindow) remove(at time.Duration) {
+	for i := range w.buckets {
+		if u := &w.buckets[i]; u.first <= at && at <= u.first+w.length/maxWindowBuckets && u.count > 0 {
+			u.count--
 			w.total--
 			return
 		}
@@ -246,7 +246,7 @@
 		}
 	}
 	span, _, _ := b.budget()
-	b.taken, b.further = window{span: span}, window{span: span, late: true}
+	b.taken, b.further = slidingWindow{length: span}, slidingWindow{length: span, inclusive: true}
 	b.set.Classes = slices.Clone(set.Classes)
 	for i, c := range b.set.Classes {
 		if _, twice := b.classes[c.Name]; twice {
@@ -269,7 +269,7 @@
 		}
 	}
 	b.sum.unknown = make([]int, len(b.set.Classes))
-	b.loads = make([]mean, len(b.set.Classes))
+	b.loads = make([]ewma, len(b.set.Classes))
 	b.groups = map[string]int{}
 	b.tenants, b.tenantHeld = map[string]int{}, make([]float64, len(set.Tenants))
 	for i, t := range set.Tenants {
@@ -380,7 +380,7 @@
 
 func (b *Balancer) totalLoad() float64 { return b.load(&b.sum) }
 
-func (b *Balancer) load(s *sum) float64 {
+func (b *Balancer) load(s *loadSum) float64 {
 	load := s.known
 	for c, n := range s.unknown {
 		if n > 0 {
@@ -435,7 +435,7 @@
 	}
 	s := b.servers[e.ID]
 	if s == nil {
-		s = &server{Server: e, sum: sum{unknown: make([]int, len(b.set.Classes))},
+		s = &server{Server: e, sum: loadSum{unknown: make([]int, len(b.set.Classes))},
 			groups: map[string]int{}, told: b.now}
 		if e.State != Removed { // one first heard of as gone was never there to be in doubt
 			s.State = Ready
@@ -457,7 +457,7 @@
 
 // renew forgets what was learned of a server's process.
 func (b *Balancer) renew(s *server) {
-	s.drained, s.strikes, s.ejected, s.ejections, s.probation = false, fading{}, 0, 0, false
+	s.drained, s.strikes, s.ejected, s.ejections, s.probation = false, decayingCounter{}, 0, 0, false
 	s.limit, s.pausedUntil = 0, 0
 }
 
