--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -86,7 +86,7 @@
 	b.actions = b.actions[:0]
 	if !b.started {
 		b.started = true
-		b.began = b.now
+		b.startedAt = b.now
 		b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
 	}
 	switch ev := ev.(type) {
@@ -112,10 +112,10 @@
 	case ServerReinstated:
 		if s := b.servers[ev.Server]; s != nil {
 			b.renew(s)
-			s.tryAt = b.now + time.Duration(b.rand()*float64(reinstatementSpread))
+			s.trialAt = b.now + time.Duration(b.rand()*float64(reinstatementSpread))
 		}
 	case FleetShedLevel:
-		b.shed = ev.Level
+		b.fleetShedLevel = ev.Level
 	case Shutdown:
 		b.hurry(ev.Deadline)
 	case AttemptEnded:
@@ -137,7 +137,7 @@
 		for _, e := range ev.Servers {
 			listed[e.ID] = true
 		}
-		for _, s := range b.order {
+		for _, s := range b.sortedServers {
 			if !listed[s.ID] {
 				b.setState(s, Removed)
 			}
@@ -149,8 +149,8 @@
 	if n := b.doubts(); n > doubts {
 		b.logf("list calls %d servers gone, in doubt until their outcomes tell", n-doubts)
 	}
-	b.listed = b.listed || ev.Mode == ListComplete || len(ev.Servers) > 0
-	b.stale = true
+	b.hasList = b.hasList || ev.Mode == ListComplete || len(ev.Servers) > 0
+	b.tableIsStale = true
 	b.serveWaiting()
 }
 
@@ -161,27 +161,27 @@
 // change when the true one comes. It costs an attempt where a server is gone and no connection told of it. A
 // drain binds until a new start, whatever an old list says later.
 func (b *Balancer) setState(s *server, state ServerState) {
-	if b.set.RemovalIsAdvisory {
+	if b.settings.RemovalIsAdvisory {
 		switch {
-		case s.drained && state == Ready:
+		case s.hasDrained && state == Ready:
 			return
-		case state == Removed && s.State == Ready && s.ejected == 0:
-			if s.doubted == 0 {
-				s.doubted, s.proven = b.now, len(s.open) > s.pending
+		case state == Removed && s.State == Ready && s.ejectedUntil == 0:
+			if s.removalSuspectedAt == 0 {
+				s.removalSuspectedAt, s.confirmedAlive = b.now, len(s.inFlight) > s.pendingAttempts
 			}
 			return
 		}
 	}
-	if state != Ready && s.State == Ready || b.set.RemovalIsAdvisory && state == Draining && !s.drained {
-		s.told = b.now
+	if state != Ready && s.State == Ready || b.settings.RemovalIsAdvisory && state == Draining && !s.hasDrained {
+		s.unavailableSince = b.now
 	}
-	s.drained = s.drained && state != Ready || state == Draining
-	s.State, s.doubted = state, 0
+	s.hasDrained = s.hasDrained && state != Ready || state == Draining
+	s.State, s.removalSuspectedAt = state, 0
 }
 
 // confirmGone takes a server in doubt for gone.
 func (b *Balancer) confirmGone(s *server) {
-	s.State, s.told, s.doubted, b.stale = Removed, b.now, 0, true
+	s.State, s.unavailableSince, s.removalSuspectedAt, b.tableIsStale = Removed, b.now, 0, true
 	b.logf("server %d is gone, as listed", s.ID)
 }
 
@@ -189,40 +189,40 @@
 // before for strays. It waits for the next placement, since most changes of a list come in a run and a
 // gateway among many places few connections between them.
 func (b *Balancer) refresh() {
-	if !b.stale {
+	if !b.tableIsStale {
 		return
 	}
-	b.stale = false
-	var shares []share
+	b.tableIsStale = false
+	var shares []weightedServer
 	var members []*server
 	weight := 0.0
-	for _, s := range b.order {
+	for _, s := range b.sortedServers {
 		if s.State == Ready {
-			shares = append(shares, share{s.ID, s.Capacity})
+			shares = append(shares, weightedServer{s.ID, s.Capacity})
 			members = append(members, s)
 			weight += s.Capacity
 		}
 	}
-	if slices.Equal(shares, b.shares) {
+	if slices.Equal(shares, b.tableWeights) {
 		return // nothing that the table depends on has changed
 	}
-	if b.table != nil && b.set.FlowRetention > 0 {
-		b.past = append(b.past, pastTable{b.table, b.members, b.now + b.set.FlowRetention})
-		if len(b.past) > maxPastTables {
-			b.past = slices.Delete(b.past, 0, len(b.past)-maxPastTables)
+	if b.table != nil && b.settings.FlowRetention > 0 {
+		b.pastTables = append(b.pastTables, pastTable{b.table, b.tableServers, b.now + b.settings.FlowRetention})
+		if len(b.pastTables) > maxPastTables {
+			b.pastTables = slices.Delete(b.pastTables, 0, len(b.pastTables)-maxPastTables)
 		}
 	}
-	b.table, b.shares, b.members, b.weight = buildTable(shares), shares, members, max(weight, minTotalWeight)
+	b.table, b.tableWeights, b.tableServers, b.totalWeight = buildTable(shares), shares, members, max(weight, minTotalWeight)
 }
 
 // Cold servers.
 
 // coldAge is how much of its warm-up a server has behind it: 1 is warm.
 func (b *Balancer) coldAge(s *server) float64 {
-	if s.Started <= 0 || b.now-s.Started >= b.set.WarmupDuration {
+	if s.Started <= 0 || b.now-s.Started >= b.settings.WarmupDuration {
 		return 1
 	}
-	return max(float64(b.now-s.Started)/float64(b.set.WarmupDuration), 0)
+	return max(float64(b.now-s.Started)/float64(b.settings.WarmupDuration), 0)
 }
 
 // admitCold reports whether a cold server's budget allows one more connection. It guards against gateways
@@ -231,17 +231,17 @@
 // to it however many gateways there are and however seldom each comes by. It could hurt where much of the
 // fleet is cold and little else has room.
 func (b *Balancer) admitCold(r *request, s *server) bool {
-	rate := warmupBudgetRatio * max(b.set.ColdOverloadFactor, 1) * b.fullConnections(s) /
-		b.set.WarmupDuration.Seconds() / float64(b.set.Gateways)
-	share := max(maxNearLookups*s.Capacity/b.weight, minWarmupArrivalRatio) // more where one group is most of all
-	tries := max(b.arrivals()*share, s.coldTried.value(b.now)*math.Ln2/evidenceHalfLife.Seconds())
-	s.coldTried.add(b.now, 1)
+	rate := warmupBudgetRatio * max(b.settings.ColdOverloadFactor, 1) * b.fullConnections(s) /
+		b.settings.WarmupDuration.Seconds() / float64(b.settings.Gateways)
+	share := max(maxNearLookups*s.Capacity/b.totalWeight, minWarmupArrivalRatio) // more where one group is most of all
+	tries := max(b.arrivals()*share, s.warmupLookups.value(b.now)*math.Ln2/evidenceHalfLife.Seconds())
+	s.warmupLookups.add(b.now, 1)
 	// in a burst the rate is learned too late
-	apart := min(warmupSpacingRatio/rate, b.set.ColdOverloadDuration.Seconds())
-	if (b.now-s.coldAt).Seconds() < apart || fraction(mix(uint64(r.ID), uint64(s.ID))) >= rate/tries {
+	apart := min(warmupSpacingRatio/rate, b.settings.ColdOverloadDuration.Seconds())
+	if (b.now-s.warmupSentAt).Seconds() < apart || fraction(mix(uint64(r.ID), uint64(s.ID))) >= rate/tries {
 		return false
 	}
-	s.coldAt = b.now
+	s.warmupSentAt = b.now
 	return true
 }
 
@@ -249,10 +249,10 @@
 // each gateway has one request and knows of no other, spend no more than a cold server bears in TipTime.
 func (b *Balancer) arrivals() float64 {
 	span := evidenceHalfLife.Seconds() / math.Ln2
-	more := max(warmupBudgetRatio*span/b.set.ColdOverloadDuration.Seconds()-1, 0)
-	age := max(b.now-b.began, evidenceHalfLife/30)
+	more := max(warmupBudgetRatio*span/b.settings.ColdOverloadDuration.Seconds()-1, 0)
+	age := max(b.now-b.startedAt, evidenceHalfLife/30)
 	seen := 1 - math.Exp2(-float64(age)/float64(evidenceHalfLife)) // of the span, by a young process
-	came := b.came.value(b.now)
+	came := b.recentRequests.value(b.now)
 	return max(came/seen, came+more) / span
 }
 
@@ -262,9 +262,9 @@
 	if b.requests[ev.ID] != nil {
 		return
 	}
-	b.taken.add(b.now)
-	b.came.add(b.now, 1)
-	if class, ok := b.classes[ev.Class]; ok && ev.Load > 0 {
+	b.admitted.add(b.now)
+	b.recentRequests.add(b.now, 1)
+	if class, ok := b.classIndex[ev.Class]; ok && ev.Load > 0 {
 		b.learnLoad(class, ev.Load)
 	}
 	b.serve(b.newRequest(ev))
@@ -272,38 +272,38 @@
 
 // serve places a request that has no attempt out: a send, a place among the waiting, or its final answer.
 func (b *Balancer) serve(r *request) {
-	hopeless := r.mayHaveRun && b.set.Classes[r.class].Idempotency == NonIdempotent
-	if hopeless || b.now >= r.deadline-answerMargin || r.attempts >= b.set.MaxAttempts ||
+	hopeless := r.mayHaveRun && b.settings.Classes[r.classIndex].Idempotency == NonIdempotent
+	if hopeless || b.now >= r.deadline-answerMargin || r.attempts >= b.settings.MaxAttempts ||
 		r.attempts > 0 && !b.mayRetry() || b.isShed(r) {
 		b.answer(r)
 		return
 	}
 	s := b.place(r)
 	if s == nil {
-		if len(r.asked) == 0 {
+		if len(r.polled) == 0 {
 			b.holdOrAnswer(r)
 		}
 		return
 	}
 	if r.attempts > 0 {
-		b.further.add(b.now)
+		b.retries.add(b.now)
 	}
 	b.attach(r, s)
 	r.attempts++
-	r.sent = b.now
-	r.tried = append(r.tried, s.ID)
+	r.sentAt = b.now
+	r.triedServers = append(r.triedServers, s.ID)
 	b.act(Send{ID: r.ID, Server: s.ID, Timeout: b.timeout(r), ConnectTimeout: b.begin(r, s)})
 }
 
 // begin bounds the time until an attempt is under way. It guards against connections that come up late: to a
 // server that drains by then, or drains now and takes strays, or behind the window of a keyed request.
 func (b *Balancer) begin(r *request, s *server) time.Duration {
-	most := b.set.DrainGrace * drainGraceTenths / 10
+	most := b.settings.DrainGrace * drainGraceTenths / 10
 	if s.State != Ready {
-		most -= b.now - s.told
+		most -= b.now - s.unavailableSince
 	}
-	c := b.set.Classes[r.class]
-	if left := r.ranAt + c.DedupWindow - b.now; r.mayHaveRun && c.Idempotency == WithIdempotencyKey &&
+	c := b.settings.Classes[r.classIndex]
+	if left := r.firstRanAt + c.DedupWindow - b.now; r.mayHaveRun && c.Idempotency == WithIdempotencyKey &&
 		(most == 0 || left < most) {
 		most = left
 	}
@@ -313,7 +313,7 @@
 // isShed reports whether the fleet sheds a request. Which clients of the rank at the cut those are is alike
 // at every gateway: one who comes again elsewhere is answered alike. What a server holds is never shed.
 func (b *Balancer) isShed(r *request) bool {
-	return !r.MidFlow && r.chance(2) < b.shed-float64(r.Priority)
+	return !r.MidFlow && r.chance(2) < b.fleetShedLevel-float64(r.Priority)
 }
 
 // mayRetry reports whether the budget covers one more attempt beyond a request's first. It guards against
@@ -321,13 +321,13 @@
 // span that ends with an attempt. It could hurt where many servers are down and most first attempts fail.
 func (b *Balancer) mayRetry() bool {
 	_, free, share := b.budget()
-	return float64(b.further.count(b.now)+1) <= free+share*float64(b.taken.count(b.now))
+	return float64(b.retries.count(b.now)+1) <= free+share*float64(b.admitted.count(b.now))
 }
 
 // budget is that of further attempts: the stated one, but for a share above the module's own, or its own.
 func (b *Balancer) budget() (span time.Duration, free, share float64) {
-	if b.set.RetryBudgetWindow > 0 {
-		return b.set.RetryBudgetWindow, b.set.RetryBudgetMin, min(b.set.RetryBudgetRatio, maxRetryBudgetRatio)
+	if b.settings.RetryBudgetWindow > 0 {
+		return b.settings.RetryBudgetWindow, b.settings.RetryBudgetMin, min(b.settings.RetryBudgetRatio, maxRetryBudgetRatio)
 	}
 	return defaultRetryBudgetWindow, defaultRetryBudgetMin, maxRetryBudgetRatio
 }
@@ -335,7 +335,7 @@
 // hurry gives no request that waits longer than until the program's end.
 func (b *Balancer) hurry(by time.Duration) {
 	for _, r := range b.requests {
-		r.deadline, r.heldUntil = min(r.deadline, by), min(r.heldUntil, by-answerMargin)
+		r.deadline, r.waitUntil = min(r.deadline, by), min(r.waitUntil, by-answerMargin)
 	}
 	b.act(SetTimer{After: max(by-answerMargin-b.now, 0), Ref: oneShotTimer})
 }
@@ -343,14 +343,14 @@
 // holdOrAnswer disposes of a request that no server may take now. Only the first list is waited for: what
 // else keeps a request out lasts longer than a client should wait for word of it.
 func (b *Balancer) holdOrAnswer(r *request) {
-	if b.listed || r.heldUntil > 0 && b.now >= r.heldUntil {
+	if b.hasList || r.waitUntil > 0 && b.now >= r.waitUntil {
 		b.answer(r)
 		return
 	}
 	b.waiting = append(b.waiting, r)
-	if r.heldUntil == 0 {
+	if r.waitUntil == 0 {
 		wait := max(min(firstListTimeout, r.deadline-answerMargin-b.now), 0)
-		r.heldUntil = b.now + wait
+		r.waitUntil = b.now + wait
 		b.act(SetTimer{After: wait, Ref: oneShotTimer})
 	}
 }
@@ -361,11 +361,11 @@
 	b.waiting = nil
 	for _, r := range held {
 		switch {
-		case r.over:
-		case b.now < r.heldUntil && slices.ContainsFunc(r.asked, b.unheard):
+		case r.finished:
+		case b.now < r.waitUntil && slices.ContainsFunc(r.polled, b.unheard):
 			b.waiting = append(b.waiting, r)
 		default:
-			r.asked = nil
+			r.polled = nil
 			b.serve(r)
 		}
 	}
@@ -375,11 +375,11 @@
 
 // ask has servers asked for their load on behalf of a request, which waits for that.
 func (b *Balancer) ask(r *request, of []*server) {
-	r.asked, r.heldUntil = of, b.now+loadPollTimeout
-	r.asks++
+	r.polled, r.waitUntil = of, b.now+loadPollTimeout
+	r.pollRounds++
 	for _, s := range of {
-		if b.now-s.askedAt > loadPollTimeout || s.askedAt == 0 {
-			s.askedAt = b.now
+		if b.now-s.polledAt > loadPollTimeout || s.polledAt == 0 {
+			s.polledAt = b.now
 			b.act(PollLoad{Server: s.ID})
 		}
 	}
@@ -389,15 +389,15 @@
 
 // unknown reports whether nothing is known of a server's load, and it is to be asked before it is sent to.
 func (b *Balancer) unknown(s *server) bool {
-	return b.set.CanPollLoad && s.ejected == 0 && b.coldAge(s) == 1 && !b.toldOf(s) &&
-		(s.askedAt == 0 || b.now-s.askedAt > loadReportTTL)
+	return b.settings.CanPollLoad && s.ejectedUntil == 0 && b.coldAge(s) == 1 && !b.toldOf(s) &&
+		(s.polledAt == 0 || b.now-s.polledAt > loadReportTTL)
 }
 
 // strain ranks a server by its own word; one that says nothing comes last. One that was not asked serves
 // where all that were are full: a refusal was measured to cost more.
 func (b *Balancer) strain(s *server) float64 {
 	switch load := b.loadWith(s); {
-	case !b.set.CanPollLoad || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= lowUtilization:
+	case !b.settings.CanPollLoad || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= lowUtilization:
 		return 0
 	case b.toldOf(s):
 		return load
@@ -408,10 +408,10 @@
 // answer gives the final answer: a refusal where the class's effect allows it, else a failure. Clients are
 // told to come back spread over the second half of the time that they follow.
 func (b *Balancer) answer(r *request) {
-	c := b.set.Classes[r.class]
+	c := b.settings.Classes[r.classIndex]
 	if !r.mayHaveRun || c.Idempotency == Idempotent ||
 		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupScopeAll {
-		after := time.Duration((1 - b.rand()/2) * float64(b.set.MaxRetryAfter))
+		after := time.Duration((1 - b.rand()/2) * float64(b.settings.MaxRetryAfter))
 		b.act(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShed(r)})
 	} else {
 		b.act(Fail{ID: r.ID})
@@ -423,10 +423,10 @@
 // given up sooner was measured to be work lost at servers that are busy with the set-ups of others.
 func (b *Balancer) timeout(r *request) time.Duration {
 	left := r.deadline - b.now
-	if r.attempts >= b.set.MaxAttempts {
+	if r.attempts >= b.settings.MaxAttempts {
 		return left
 	}
-	aim := b.set.Classes[r.class].SetupLatencyObjective
+	aim := b.settings.Classes[r.classIndex].SetupLatencyObjective
 	if aim == 0 {
 		aim = r.Timeout / 3
 	}
@@ -435,14 +435,14 @@
 
 func (b *Balancer) onOpened(ev AttemptEstablished) {
 	r := b.requests[ev.ID]
-	if r == nil || r.server == nil || r.server.ID != ev.Server || r.opened || ev.Attempt != r.attempts-1 {
+	if r == nil || r.server == nil || r.server.ID != ev.Server || r.established || ev.Attempt != r.attempts-1 {
 		return
 	}
-	r.opened = true
-	r.server.pending--
-	b.stood.add(b.now, 1)
-	r.server.strikes.sum /= 2
-	r.server.probation, r.server.proven = false, true
+	r.established = true
+	r.server.pendingAttempts--
+	b.recentEstablished.add(b.now, 1)
+	r.server.failureScore.sum /= 2
+	r.server.onProbation, r.server.confirmedAlive = false, true
 }
 
 func (b *Balancer) onOutcome(ev AttemptEnded) {
@@ -450,18 +450,18 @@
 	if r == nil || r.server == nil || r.server.ID != ev.Server || ev.Attempt != r.attempts-1 {
 		return
 	}
-	s, held, opened := r.server, len(r.server.open), r.opened
+	s, held, opened := r.server, len(r.server.inFlight), r.established
 	b.detach(r)
-	r.opened = false
+	r.established = false
 	if !ev.Result.NeverRan() && !r.mayHaveRun {
-		r.mayHaveRun, r.ranOn, r.ranAt = true, s, r.sent
+		r.mayHaveRun, r.firstRanOn, r.firstRanAt = true, s, r.sentAt
 	}
 	b.weighOutcome(s, ev.Result, opened, held)
 	if ev.Result == NotSent && ev.Attempt > 0 { // it was never made
-		b.further.remove(r.sent)
+		b.retries.remove(r.sentAt)
 	}
 	switch {
-	case ev.Answered || r.over:
+	case ev.Answered || r.finished:
 		b.end(r)
 	default:
 		b.serve(r)
@@ -505,12 +505,12 @@
 		return e // it loads whoever holds it already, and no report tells who that is
 	}
 	unit := b.unit()
-	part := (1 + loadBoundRatio) * (b.totalLoad() + unit) / b.weight
+	part := (1 + loadBoundRatio) * (b.totalLoad() + unit) / b.totalWeight
 	keep := b.precedence(r)
 	if r.chance(1) < b.throttle() {
 		return nil
 	}
-	shed := r.chance(1) < (b.pressure-slowRatioThreshold*keep)/(1-slowRatioThreshold*keep)
+	shed := r.chance(1) < (b.slowRatio-slowRatioThreshold*keep)/(1-slowRatioThreshold*keep)
 	var best *server
 	var ask []*server
 	least := math.Inf(1)
@@ -531,20 +531,20 @@
 			continue // what is shed for the load of warm servers may still fit a cold one's budget
 		}
 		bad := 0.0
-		if slices.Contains(r.tried, s.ID) {
+		if slices.Contains(r.triedServers, s.ID) {
 			bad += 4
 		}
-		if s.ejected > 0 {
+		if s.ejectedUntil > 0 {
 			bad += 8
 		}
-		if (s.probation || s.doubted > 0 && !s.proven) && s.pending > 0 { // let one stand first
+		if (s.onProbation || s.removalSuspectedAt > 0 && !s.confirmedAlive) && s.pendingAttempts > 0 { // let one stand first
 			bad += 2
 		}
 		cost := r.chance(s.ID) * unit
-		if r.Group != "" && s.groups[r.Group] == 0 { // do not spread scarce room over many groups
+		if r.Group != "" && s.groupConnections[r.Group] == 0 { // do not spread scarce room over many groups
 			cost += newGroupCost * unit
 		}
-		if r.asks < maxPollRounds && b.unknown(s) {
+		if r.pollRounds < maxPollRounds && b.unknown(s) {
 			if len(ask) < maxPolledServers && !slices.Contains(ask, s) {
 				ask = append(ask, s)
 			}
@@ -584,9 +584,9 @@
 	if r.attempts > 0 || r.MidFlow {
 		return nil
 	}
-	for _, s := range b.members {
-		if s.tryAt > 0 && b.now >= s.tryAt && s.State == Ready {
-			s.tryAt = 0
+	for _, s := range b.tableServers {
+		if s.trialAt > 0 && b.now >= s.trialAt && s.State == Ready {
+			s.trialAt = 0
 			return s
 		}
 	}
@@ -599,16 +599,18 @@
 // set-up, and no server's limit is cut for a time-out. It holds for any failure of set-ups that ejections do
 // not end. It could hurt where a gateway reaches few servers, until the others are ejected.
 func (b *Balancer) throttle() float64 {
-	if b.failed.sum == 0 {
+	if b.recentFailures.sum == 0 {
 		return 0
 	}
-	stood := b.stood.value(b.now)
-	tried := stood + b.failed.value(b.now)
+	stood := b.recentEstablished.value(b.now)
+	tried := stood + b.recentFailures.value(b.now)
 	return (tried - maxSetupRatio*(stood+1)) / (tried + 1)
 }
 
 // entry is the server of a request's j-th lookup: 0 is the ordinary path.
-func (b *Balancer) entry(r *request, j int) *server { return b.members[b.table.at(r.hash, j)] }
+func (b *Balancer) entry(r *request, j int) *server {
+	return b.tableServers[b.table.at(r.placementHash, j)]
+}
 
 // parts is over how many entries a group is spread: as many as its members need, of a server's bound each.
 // It guards against a hot group that no gateway sees whole, as each holds a few of its members; how many
@@ -618,16 +620,16 @@
 	if r.Group == "" {
 		return 1
 	}
-	held := float64(b.held)
-	fleet := (held + 1) * float64(b.set.Gateways)
-	share := (float64(b.groups[r.Group]) + groupPriorWeight*groupPriorRatio) / (held + groupPriorWeight)
-	bound := (1+loadBoundRatio)*fleet/float64(len(b.members)) + loadBoundSlack
+	held := float64(b.connections)
+	fleet := (held + 1) * float64(b.settings.Gateways)
+	share := (float64(b.groupConnections[r.Group]) + groupPriorWeight*groupPriorRatio) / (held + groupPriorWeight)
+	bound := (1+loadBoundRatio)*fleet/float64(len(b.tableServers)) + loadBoundSlack
 	return max(share*fleet/bound, 1)
 }
 
 // vouches reports whether this gateway has connections at a server and nothing speaks against it.
 func (b *Balancer) vouches(s *server) bool {
-	return len(s.open) > s.pending && s.ejected == 0 && b.now >= s.pausedUntil
+	return len(s.inFlight) > s.pendingAttempts && s.ejectedUntil == 0 && b.now >= s.pausedUntil
 }
 
 // precedence is the part of a server's limit that a request may fill: all for what earns most for its
@@ -636,8 +638,8 @@
 // then.
 func (b *Balancer) precedence(r *request) float64 {
 	top := 0.0
-	for c := range b.set.Classes[:len(b.set.Classes)-1] {
-		top = max(top, b.set.Classes[c].PriorityWeight/b.loadOfClass(c))
+	for c := range b.settings.Classes[:len(b.settings.Classes)-1] {
+		top = max(top, b.settings.Classes[c].PriorityWeight/b.loadOfClass(c))
 	}
 	worth := b.worth(r)
 	return minLimitRatio + (1-minLimitRatio)*min(worth/max(top, 1e-12), 1)
@@ -650,11 +652,11 @@
 	if s := b.servers[r.Owner]; r.OwnerKnown && s != nil && b.takesStrays(s) {
 		return s
 	}
-	for _, p := range b.past {
-		if b.now > p.until {
+	for _, p := range b.pastTables {
+		if b.now > p.expiresAt {
 			continue
 		}
-		s := p.members[p.table.at(r.hash, 0)]
+		s := p.servers[p.table.at(r.placementHash, 0)]
 		if b.coldAge(s) == 1 && b.takesStrays(s) {
 			return s
 		}
@@ -663,7 +665,7 @@
 }
 
 func (b *Balancer) takesStrays(s *server) bool {
-	return s.State == Ready || s.State == Draining && b.now-s.told < b.set.DrainGrace*drainGraceTenths/10
+	return s.State == Ready || s.State == Draining && b.now-s.unavailableSince < b.settings.DrainGrace*drainGraceTenths/10
 }
 
 // mayTry reports whether the list and the class's effect allow an attempt at a server.
@@ -671,18 +673,18 @@
 	if s.State != Ready {
 		return false
 	}
-	c := b.set.Classes[r.class]
+	c := b.settings.Classes[r.classIndex]
 	if !r.mayHaveRun || c.Idempotency == Idempotent {
 		return true
 	}
-	if c.Idempotency == NonIdempotent || b.now-r.ranAt >= c.DedupWindow {
+	if c.Idempotency == NonIdempotent || b.now-r.firstRanAt >= c.DedupWindow {
 		return false
 	}
 	switch c.DedupScope {
 	case DedupScopeZone:
-		return s.Zone == r.ranOn.Zone
+		return s.Zone == r.firstRanOn.Zone
 	case DedupScopeCell:
-		return s.Cell == r.ranOn.Cell
+		return s.Cell == r.firstRanOn.Cell
 	}
 	return true
 }
@@ -692,13 +694,13 @@
 // onDelay takes word of slow messages. Work piles up where a server is asked for more than it can do, so
 // the growth of the delay tells how far over that is.
 func (b *Balancer) onDelay(s *server, delay time.Duration) {
-	last, since := s.delay, b.now-s.delayAt
+	last, since := s.messageDelay, b.now-s.messageDelayAt
 	if since > messageDelayTTL {
 		last = 0
 	}
-	s.delay, s.delayAt = delay, b.now
+	s.messageDelay, s.messageDelayAt = delay, b.now
 	switch {
-	case delay <= b.aim/3: // the word that it is over
+	case delay <= b.messageObjective/3: // the word that it is over
 		s.pausedUntil = 0
 	case last > 0 && delay < last: // it drains at this load
 		b.lowerLimit(s, 1, messageDelayTTL)
@@ -718,22 +720,22 @@
 // hurt where reports are wrong by more than lies between reportRoom and reportOver.
 func (b *Balancer) onReport(s *server, ev LoadReport) {
 	load := ev.Utilization
-	s.load, s.reportAt, s.sent, s.each = load, b.now, 0, 0
+	s.utilization, s.reportedAt, s.sentSinceReport, s.connectionUtilization = load, b.now, 0, 0
 	if ev.Connections > 0 && load > minUtilization {
-		s.each = load / ev.Connections
+		s.connectionUtilization = load / ev.Connections
 		if b.coldAge(s) == 1 {
-			b.bears.add(1 / s.each / s.Capacity)
+			b.connectionCapacity.add(1 / s.connectionUtilization / s.Capacity)
 		}
 	}
-	least := b.unit() / float64(b.set.Gateways)
+	least := b.unit() / float64(b.settings.Gateways)
 	switch {
 	case load > highUtilization:
 		limit := max(b.loadOf(s)*targetUtilization/load, least)
-		if s.limit == 0 || limit < s.limit {
-			s.limit, s.cutAt = limit, b.now
+		if s.loadLimit == 0 || limit < s.loadLimit {
+			s.loadLimit, s.limitLoweredAt = limit, b.now
 		}
-	case load < lowUtilization && s.limit > 0:
-		s.limit = max(s.limit, (b.loadOf(s)+least)*targetUtilization/max(load, minUtilization))
+	case load < lowUtilization && s.loadLimit > 0:
+		s.loadLimit = max(s.loadLimit, (b.loadOf(s)+least)*targetUtilization/max(load, minUtilization))
 	}
 }
 
@@ -746,14 +748,14 @@
 // passes by itself within a second, since the limit grows back more slowly than it falls.
 func (b *Balancer) lowerLimit(s *server, factor float64, hold time.Duration) {
 	s.pausedUntil = max(s.pausedUntil, b.now+hold)
-	if s.limit == 0 || b.now-s.cutAt >= limitCutInterval {
+	if s.loadLimit == 0 || b.now-s.limitLoweredAt >= limitCutInterval {
 		load := b.loadOf(s)
-		if s.limit > 0 {
-			load = min(load, s.limit)
+		if s.loadLimit > 0 {
+			load = min(load, s.loadLimit)
 		}
 		// Where a gateway holds few of a server's connections, it hears of few chances to cut.
-		factor = max(factor-(1-factor)/float64(max(len(s.open), 1)), minLimitCutRatio)
-		s.limit, s.cutAt = max(load*factor, b.unit()/float64(b.set.Gateways)), b.now
+		factor = max(factor-(1-factor)/float64(max(len(s.inFlight), 1)), minLimitCutRatio)
+		s.loadLimit, s.limitLoweredAt = max(load*factor, b.unit()/float64(b.settings.Gateways)), b.now
 	}
 }
 
@@ -761,22 +763,22 @@
 // limit. One that holds nothing from here takes one in any case, as nothing more is heard of it otherwise and
 // a limit that no new group fits in would keep it out for minutes where connections are few.
 func (b *Balancer) hasRoom(s *server, load, part float64) bool {
-	if b.set.CanPollLoad && b.toldOf(s) {
+	if b.settings.CanPollLoad && b.toldOf(s) {
 		return b.loadWith(s) <= maxUtilization
 	}
-	return s.limit == 0 || b.now >= s.pausedUntil &&
-		(b.loadOf(s)+load <= part*s.limit || len(s.open) == 0 && b.now-s.cutAt > limitGrowthDelay)
+	return s.loadLimit == 0 || b.now >= s.pausedUntil &&
+		(b.loadOf(s)+load <= part*s.loadLimit || len(s.inFlight) == 0 && b.now-s.limitLoweredAt > limitGrowthDelay)
 }
 
 // growLimit lets a limit grow while nothing speaks against it, and forgets one that no longer binds.
 func (b *Balancer) growLimit(s *server) {
-	if b.now-s.cutAt <= limitGrowthDelay {
+	if b.now-s.limitLoweredAt <= limitGrowthDelay {
 		return
 	}
-	fair := b.totalLoad() * s.Capacity / b.weight
-	s.limit += limitGrowthRatio * max(s.limit, fair, b.unit()/float64(b.set.Gateways)) * sweepInterval.Seconds()
-	if s.limit > limitDropFactor*fair+2*loadBoundSlack*b.unit() {
-		s.limit = 0
+	fair := b.totalLoad() * s.Capacity / b.totalWeight
+	s.loadLimit += limitGrowthRatio * max(s.loadLimit, fair, b.unit()/float64(b.settings.Gateways)) * sweepInterval.Seconds()
+	if s.loadLimit > limitDropFactor*fair+2*loadBoundSlack*b.unit() {
+		s.loadLimit = 0
 	}
 }
 
@@ -796,7 +798,7 @@
 	case ConnectFailed:
 		strike = 1
 	case TimedOut, Errored: // work piles up there, or nothing answers
-		b.failed.add(b.now, 1)
+		b.recentFailures.add(b.now, 1)
 		if b.throttle() <= 0 {
 			b.lowerLimit(s, limitCutRatio, 0)
 		}
@@ -807,17 +809,17 @@
 			strike = 2 / float64(1+held)
 		}
 	}
-	if s.probation || s.doubted > 0 && !s.proven && result != Rejected {
+	if s.onProbation || s.removalSuspectedAt > 0 && !s.confirmedAlive && result != Rejected {
 		strike = ejectionScore
 	}
-	if s.strikes.add(b.now, strike) < ejectionScore || s.ejected > 0 || s.State != Ready {
+	if s.failureScore.add(b.now, strike) < ejectionScore || s.ejectedUntil > 0 || s.State != Ready {
 		return
 	}
 	ready, bad := 0.0, 0.0
-	for _, o := range b.order {
+	for _, o := range b.sortedServers {
 		if o.State == Ready {
 			ready++
-			if o.ejected > 0 || o.strikes.value(b.now) > ejectionScore/2 {
+			if o.ejectedUntil > 0 || o.failureScore.value(b.now) > ejectionScore/2 {
 				bad++
 			}
 		}
@@ -825,14 +827,14 @@
 	if bad > maxEjectionRatio*ready {
 		return
 	}
-	if s.doubted > 0 { // the list was right
+	if s.removalSuspectedAt > 0 { // the list was right
 		b.confirmGone(s)
 		return
 	}
-	s.ejected = b.now + baseEjectionDuration<<min(s.ejections, maxEjectionDoublings)
+	s.ejectedUntil = b.now + baseEjectionDuration<<min(s.ejections, maxEjectionDoublings)
 	s.ejections++
-	s.strikes, s.probation = decayingCounter{}, false
-	b.logf("server %d out of the table for %v", s.ID, s.ejected-b.now)
+	s.failureScore, s.onProbation = decayingCounter{}, false
+	b.logf("server %d out of the table for %v", s.ID, s.ejectedUntil-b.now)
 }
 
 // Time.
@@ -841,25 +843,25 @@
 	if ev.Ref == sweepTimer {
 		b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
 		slow := 0
-		for _, s := range b.order {
+		for _, s := range b.sortedServers {
 			if b.now < s.pausedUntil {
-				slow += len(s.open)
+				slow += len(s.inFlight)
 			}
-			if s.ejected > 0 && b.now >= s.ejected {
-				s.ejected, s.probation = 0, true
+			if s.ejectedUntil > 0 && b.now >= s.ejectedUntil {
+				s.ejectedUntil, s.onProbation = 0, true
 				b.logf("server %d back in the table", s.ID)
 			}
-			if s.limit > 0 {
+			if s.loadLimit > 0 {
 				b.growLimit(s)
 			}
 			b.moveAway(s)
 		}
 		b.forget()
-		b.pressure = float64(slow) / float64(max(b.held, 1))
-		if shedding := b.pressure > slowRatioThreshold || b.throttle() > 0; shedding != b.shedding {
-			b.shedding = shedding
+		b.slowRatio = float64(slow) / float64(max(b.connections, 1))
+		if shedding := b.slowRatio > slowRatioThreshold || b.throttle() > 0; shedding != b.isShedding {
+			b.isShedding = shedding
 			b.logf("shedding %v: %.0f%% of own connections are on slow servers, %.1f set-ups failed of late",
-				shedding, 100*b.pressure, b.failed.value(b.now))
+				shedding, 100*b.slowRatio, b.recentFailures.value(b.now))
 		}
 	}
 	b.serveWaiting()
@@ -874,38 +876,38 @@
 		b.clear(s)
 		return
 	}
-	if s.delay < b.aim || b.now >= s.pausedUntil || s.State != Ready || b.throttle() > 0 {
-		s.moves = 0
+	if s.messageDelay < b.messageObjective || b.now >= s.pausedUntil || s.State != Ready || b.throttle() > 0 {
+		s.migrationCredit = 0
 		return
 	}
 	b.sound()
-	s.moves += migrationRatio * b.room() * max(float64(len(s.open)+1), minMigratable) * sweepInterval.Seconds()
-	for ; s.moves >= 1; s.moves-- {
+	s.migrationCredit += migrationRatio * b.room() * max(float64(len(s.inFlight)+1), minMigratable) * sweepInterval.Seconds()
+	for ; s.migrationCredit >= 1; s.migrationCredit-- {
 		var pick *request
-		for _, r := range s.open {
-			if r.opened && !r.over && !b.isShed(r) && (pick == nil || b.worth(r) < b.worth(pick)) {
+		for _, r := range s.inFlight {
+			if r.established && !r.finished && !b.isShed(r) && (pick == nil || b.worth(r) < b.worth(pick)) {
 				pick = r
 			}
 		}
-		if pick == nil || b.loadOf(s)-(1-pick.stays(s))*b.unit() <= s.limit {
+		if pick == nil || b.loadOf(s)-(1-pick.stays(s))*b.unit() <= s.loadLimit {
 			break
 		}
 		b.act(Migrate{ID: pick.ID})
-		pick.over = true
+		pick.finished = true
 	}
 }
 
 // stays is the chance that decides which connections are the last to be moved off a server, alike at every
 // gateway. A group's members go together, as what it costs the server is paid until the last has gone.
 func (r *request) stays(s *server) float64 {
-	return groupMigrationRatio*fraction(mix(r.hash, uint64(s.ID))) + (1-groupMigrationRatio)*r.chance(s.ID)
+	return groupMigrationRatio*fraction(mix(r.placementHash, uint64(s.ID))) + (1-groupMigrationRatio)*r.chance(s.ID)
 }
 
 // room is the part of the table's weight that can take more, of servers that told their loads if they can.
 func (b *Balancer) room() float64 {
 	free, all := 0.0, 0.0
-	for _, s := range b.members {
-		if b.set.CanPollLoad && !b.toldOf(s) {
+	for _, s := range b.tableServers {
+		if b.settings.CanPollLoad && !b.toldOf(s) {
 			continue
 		}
 		all += s.Capacity
@@ -920,9 +922,9 @@
 // few connections hears of the servers that hold them alone, and would find no room while others stand idle.
 func (b *Balancer) sound() {
 	b.refresh()
-	s := b.members[int(b.rand()*float64(len(b.members)))]
-	if b.set.CanPollLoad && b.soundAt < b.now && !b.toldOf(s) && b.now-s.askedAt > loadReportTTL {
-		b.soundAt, s.askedAt = b.now, b.now
+	s := b.tableServers[int(b.rand()*float64(len(b.tableServers)))]
+	if b.settings.CanPollLoad && b.sampledAt < b.now && !b.toldOf(s) && b.now-s.polledAt > loadReportTTL {
+		b.sampledAt, s.polledAt = b.now, b.now
 		b.act(PollLoad{Server: s.ID})
 	}
 }
@@ -930,11 +932,11 @@
 // clear moves the connections off a server that staff took out, a part of them at each look while others have
 // room. It guards against the cut that each would suffer when the server is restarted.
 func (b *Balancer) clear(s *server) {
-	n := int(math.Ceil(evacuationRatio * b.room() * float64(len(s.open))))
-	for _, r := range s.open {
-		if n > 0 && r.opened && !r.over {
+	n := int(math.Ceil(evacuationRatio * b.room() * float64(len(s.inFlight))))
+	for _, r := range s.inFlight {
+		if n > 0 && r.established && !r.finished {
 			b.act(Migrate{ID: r.ID})
-			r.over = true
+			r.finished = true
 			n--
 		}
 	}
@@ -944,16 +946,16 @@
 func (b *Balancer) worth(r *request) float64 {
 	load := r.load
 	if load == 0 {
-		load = b.loadOfClass(r.class)
+		load = b.loadOfClass(r.classIndex)
 	}
-	worth := b.set.Classes[r.class].PriorityWeight
-	if t, ok := b.tenants[r.Tenant]; ok && b.set.OverQuotaWeightFactor > 0 {
-		if q := b.set.Tenants[t].ConnectionQuota; q > 0 && b.tenantHeld[t]*float64(b.set.Gateways) >= q {
-			worth *= b.set.OverQuotaWeightFactor
+	worth := b.settings.Classes[r.classIndex].PriorityWeight
+	if t, ok := b.tenantIndex[r.Tenant]; ok && b.settings.OverQuotaWeightFactor > 0 {
+		if q := b.settings.Tenants[t].ConnectionQuota; q > 0 && b.tenantConnections[t]*float64(b.settings.Gateways) >= q {
+			worth *= b.settings.OverQuotaWeightFactor
 		}
 	}
 	if r.Group != "" && r.server != nil {
-		load += movedGroupCost * b.unit() / float64(r.server.groups[r.Group])
+		load += movedGroupCost * b.unit() / float64(r.server.groupConnections[r.Group])
 	}
 	return worth / load
 }
--- a/balancer/begin_test.go
+++ b/balancer/begin_test.go
@@ -29,7 +29,7 @@
 	}
 
 	w.b.refresh()
-	holder := w.b.members[0]
+	holder := w.b.tableServers[0]
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: holder.ID, State: Draining}}})
 	w.now += 300 * ms
 	w.feed(Request{ID: 900, Class: "safe", MidFlow: true, OwnerKnown: true, Owner: holder.ID, Timeout: sec})
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -25,11 +25,11 @@
 			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
 			w.b.refresh()
 			s := w.b.servers[900]
-			w.b.began = w.now - time.Hour
+			w.b.startedAt = w.now - time.Hour
 			for range bursts * gateways { // one world stands for all: nothing of the last request is left
 				w.b.now += ms
-				w.b.came, s.coldAt, s.Started, s.coldTried = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
-				w.b.came.add(w.b.now, 1)
+				w.b.recentRequests, s.warmupSentAt, s.Started, s.warmupLookups = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
+				w.b.recentRequests.add(w.b.now, 1)
 				id++
 				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 &&
@@ -57,14 +57,14 @@
 	w := newWorld(t, set, 80)
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
 	w.b.refresh()
-	w.b.began = w.now - time.Hour
-	w.b.bears.add(bears)
+	w.b.startedAt = w.now - time.Hour
+	w.b.connectionCapacity.add(bears)
 	s := w.b.servers[900]
 	sent := 0
 	for id := range bursts * members {
 		w.b.now += ms
-		w.b.came, s.coldAt, s.Started, s.coldTried = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
-		w.b.came.add(w.b.now, 1)
+		w.b.recentRequests, s.warmupSentAt, s.Started, s.warmupLookups = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
+		w.b.recentRequests.add(w.b.now, 1)
 		if w.b.admitCold(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
 			sent++
 		}
@@ -125,7 +125,7 @@
 		f.set.Seed = uint64(i) + 1
 		b := mustNew(nil, f.set)
 		b.Handle(coldStart-f.age, before)
-		b.bears.add(bears)
+		b.connectionCapacity.add(bears)
 		f.fleet = append(f.fleet, b)
 		f.told = append(f.told, coldStart+time.Duration(f.rnd.Float64()*late*1e9))
 	}
@@ -193,7 +193,7 @@
 		whole.Handle(coldStart, f.list)
 		whole.refresh()
 		hot := "h"
-		for whole.members[whole.table.at(hashKey(hot), 0)].ID < f.cold {
+		for whole.tableServers[whole.table.at(hashKey(hot), 0)].ID < f.cold {
 			hot += "h"
 		}
 		now, burst := coldStart-f.age, coldStart+3*sec
--- a/balancer/daily_test.go
+++ b/balancer/daily_test.go
@@ -31,10 +31,10 @@
 // not by the little that a quiet fleet holds.
 func TestColdBudgetFollowsReports(t *testing.T) {
 	w := newWorld(t, settings(), 4)
-	s := w.b.order[0]
+	s := w.b.sortedServers[0]
 	before := w.b.fullConnections(s)
 	for range 20 {
-		w.feed(LoadReport{Server: w.b.order[1].ID, Utilization: 0.25, Connections: 10})
+		w.feed(LoadReport{Server: w.b.sortedServers[1].ID, Utilization: 0.25, Connections: 10})
 	}
 	if got := w.b.fullConnections(s); before != minWarmConnections || got < 0.6*40 || got > 40 {
 		t.Errorf("held to bear %v, then %v with reports of 10 at a quarter", before, got)
@@ -51,7 +51,7 @@
 // A server that is put back is tried once, and not before its moment, whatever its cold budget allows.
 func TestReturnedServerIsTriedOnce(t *testing.T) {
 	w := newWorld(t, settings(), 4)
-	back := w.b.order[2].ID
+	back := w.b.sortedServers[2].ID
 	w.feed(ServerReinstated{Server: back})
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: back, Capacity: 1, Started: w.now}}})
 	w.wait(reinstatementSpread)
@@ -88,7 +88,7 @@
 			for i := 0; time.Duration(i)*f.every < 10*sec+span; i++ { // ten seconds ahead, to learn the rate
 				w.now += f.every
 				w.b.now, s.Started = w.now, w.now // stays as cold
-				w.b.came.add(w.now, 1)
+				w.b.recentRequests.add(w.now, 1)
 				id := RequestID(g*1000 + i + 1)
 				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 && time.Duration(i)*f.every >= 10*sec &&
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -45,21 +45,21 @@
 
 // Snapshot returns what the Balancer has learned.
 func (b *Balancer) Snapshot() Snapshot {
-	l := Snapshot{MeanLoad: b.anyLoad.weightedMean(), ConnectionCapacity: b.bears.weightedMean()}
-	for _, m := range b.loads {
+	l := Snapshot{MeanLoad: b.overallLoad.weightedMean(), ConnectionCapacity: b.connectionCapacity.weightedMean()}
+	for _, m := range b.classLoads {
 		l.ClassLoads = append(l.ClassLoads, m.weightedMean())
 	}
-	for _, s := range b.order {
-		limit := s.limit
+	for _, s := range b.sortedServers {
+		limit := s.loadLimit
 		if !(limit < maxLoadLimit) { // grown while no server was ready: it binds nothing
 			limit = 0
 		}
 		l.Servers = append(l.Servers, ServerSnapshot{
 			ID: s.ID, Started: s.Started,
-			LoadLimit: limit, LimitLoweredAt: s.cutAt,
+			LoadLimit: limit, LimitLoweredAt: s.limitLoweredAt,
 			PausedUntil:  s.pausedUntil,
-			EjectedUntil: s.ejected, Ejections: s.ejections,
-			FailureScore: s.strikes.sum, FailureScoreAt: s.strikes.at,
+			EjectedUntil: s.ejectedUntil, Ejections: s.ejections,
+			FailureScore: s.failureScore.sum, FailureScoreAt: s.failureScore.at,
 		})
 	}
 	return l
@@ -69,10 +69,10 @@
 // told of drains counts as told long ago.
 func (b *Balancer) Restore(now time.Duration, l Snapshot) {
 	b.now = max(b.now, now)
-	b.anyLoad, b.bears = l.MeanLoad.ewma(), l.ConnectionCapacity.ewma()
-	if len(l.ClassLoads) == len(b.loads) {
+	b.overallLoad, b.connectionCapacity = l.MeanLoad.ewma(), l.ConnectionCapacity.ewma()
+	if len(l.ClassLoads) == len(b.classLoads) {
 		for i, f := range l.ClassLoads {
-			b.loads[i] = f.ewma()
+			b.classLoads[i] = f.ewma()
 		}
 	}
 	for _, k := range l.Servers {
@@ -81,18 +81,18 @@
 			continue
 		}
 		if k.LoadLimit >= 0 && k.LoadLimit < maxLoadLimit {
-			s.limit = k.LoadLimit
+			s.loadLimit = k.LoadLimit
 		}
 		// Nothing lasts longer than it would have from now on.
-		s.cutAt = min(k.LimitLoweredAt, b.now)
+		s.limitLoweredAt = min(k.LimitLoweredAt, b.now)
 		s.pausedUntil = min(k.PausedUntil, b.now+messageDelayTTL)
 		s.ejections = max(k.Ejections, 0)
-		s.ejected = min(k.EjectedUntil, b.now+baseEjectionDuration<<maxEjectionDoublings)
-		s.strikes = decayingCounter{k.FailureScore, min(k.FailureScoreAt, b.now)}
+		s.ejectedUntil = min(k.EjectedUntil, b.now+baseEjectionDuration<<maxEjectionDoublings)
+		s.failureScore = decayingCounter{k.FailureScore, min(k.FailureScoreAt, b.now)}
 	}
-	for _, s := range b.order {
+	for _, s := range b.sortedServers {
 		if s.State != Ready {
-			s.told = min(s.told, b.now-b.set.DrainGrace)
+			s.unavailableSince = min(s.unavailableSince, b.now-b.settings.DrainGrace)
 		}
 	}
 }
--- a/balancer/maglev.go
+++ b/balancer/maglev.go
@@ -16,8 +16,8 @@
 	keySeed    uint64 = 0x6d617374687562c3
 )
 
-// share is one server's claim on the table.
-type share struct {
+// weightedServer is one server's claim on the table.
+type weightedServer struct {
 	id     ServerID
 	weight float64
 }
@@ -29,7 +29,7 @@
 // each at the first free slot of its own permutation; a server of lower weight sits some turns out, so
 // that turns are in proportion to weights. Counts are within one slot of that proportion for each
 // server and round.
-func buildTable(shares []share) table {
+func buildTable(shares []weightedServer) table {
 	if len(shares) == 0 {
 		return nil
 	}
--- a/balancer/maglev_test.go
+++ b/balancer/maglev_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-func fleet(n int, weight func(i int) float64) []share {
-	var shares []share
+func fleet(n int, weight func(i int) float64) []weightedServer {
+	var shares []weightedServer
 	for i := range n {
-		shares = append(shares, share{ServerID(1000 + 7919*i), weight(i)})
+		shares = append(shares, weightedServer{ServerID(1000 + 7919*i), weight(i)})
 	}
 	return shares
 }
--- a/balancer/near_test.go
+++ b/balancer/near_test.go
@@ -15,7 +15,7 @@
 	over := map[ServerID]bool{}
 	for n := range members {
 		w := newWorld(t, set, 80)
-		for i, s := range w.b.order {
+		for i, s := range w.b.sortedServers {
 			w.feed(LoadReport{Server: s.ID, Utilization: load(i, n), Connections: 20})
 		}
 		w.feed(Request{ID: RequestID(n + 1), Class: "safe", Key: fmt.Sprint("k", n), Group: group,
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -117,7 +117,7 @@
 			d.t.Fatalf("a send to server %d, %v after it was told to be in state %v", a.Server,
 				d.now-d.told[a.Server], s.State)
 		}
-		class := d.set.Classes[d.b.classes[f.Class]]
+		class := d.set.Classes[d.b.classIndex[f.Class]]
 		if len(f.ranOn) > 0 {
 			switch {
 			case class.Idempotency == NonIdempotent:
@@ -144,7 +144,7 @@
 			d.t.Fatalf("request %d is told to come back after %v", a.ID, a.RetryAfter)
 		}
 		f := d.answered(a.ID)
-		class := d.set.Classes[d.b.classes[f.Class]]
+		class := d.set.Classes[d.b.classIndex[f.Class]]
 		if len(f.ranOn) > 0 && class.Idempotency != Idempotent &&
 			(class.Idempotency == NonIdempotent || class.DedupScope != DedupScopeAll) {
 			d.t.Fatalf("request %d is refused though it may have run", a.ID)
@@ -179,8 +179,8 @@
 		}
 	}
 	most := 0
-	for _, s := range d.b.order {
-		most = max(most, len(s.open))
+	for _, s := range d.b.sortedServers {
+		most = max(most, len(s.inFlight))
 	}
 	full := max(float64(most*d.set.Gateways)*4, minWarmConnections*float64(d.set.Gateways))
 	allowed := d.set.ColdOverloadFactor * full * tipTime.Seconds() / d.set.WarmupDuration.Seconds() /
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -96,9 +96,9 @@
 		{0, 7 * load, 9 * load}, // bounded
 	} {
 		w.feed(LoadReport{Server: 100, Utilization: f.report})
-		if s.limit < f.least || s.limit > f.most {
+		if s.loadLimit < f.least || s.loadLimit > f.most {
 			t.Errorf("at a load of %.1f a report of %.2f makes the limit %.2f, want %.2f to %.2f",
-				load, f.report, s.limit, f.least, f.most)
+				load, f.report, s.loadLimit, f.least, f.most)
 		}
 	}
 	w.feed(LoadReport{Server: 999, Utilization: 2}) // one that is not listed
@@ -136,7 +136,7 @@
 // entry is the server where the ordinary path puts a key.
 func (w *world) entry(key string) ServerID {
 	w.b.refresh()
-	return w.b.members[w.b.table.at(hashKey(key), 0)].ID
+	return w.b.tableServers[w.b.table.at(hashKey(key), 0)].ID
 }
 
 // onTrial sends a group's first request to a server, and its next elsewhere as long as that one is out. It
@@ -395,7 +395,7 @@
 	w := newWorld(t, settings(), 5)
 	w.b.refresh()
 	before := w.b.table
-	members := w.b.members
+	members := w.b.tableServers
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
 	for i := range 40 {
 		group := fmt.Sprint("g", i)
@@ -417,13 +417,13 @@
 	w.b.refresh()
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
 	w.b.refresh()
-	past := len(w.b.past)
+	past := len(w.b.pastTables)
 	for range 3 {
 		w.feed(EndpointList{Mode: ListDelta})
 		w.b.refresh()
 	}
-	if past != 1 || len(w.b.past) != 1 {
-		t.Errorf("%d past tables, then %d", past, len(w.b.past))
+	if past != 1 || len(w.b.pastTables) != 1 {
+		t.Errorf("%d past tables, then %d", past, len(w.b.pastTables))
 	}
 }
 
@@ -446,7 +446,7 @@
 	}
 	first := w.onTrial("g", s)
 	w.feed(AttemptEnded{ID: first.ID, Server: s, Result: TimedOut, Elapsed: 300 * ms})
-	if w.b.servers[s].ejected == 0 {
+	if w.b.servers[s].ejectedUntil == 0 {
 		t.Error("it failed on probation and stays")
 	}
 }
@@ -460,8 +460,8 @@
 		}
 	}
 	out := 0
-	for _, s := range w.b.order {
-		if s.ejected > 0 {
+	for _, s := range w.b.sortedServers {
+		if s.ejectedUntil > 0 {
 			out++
 		}
 	}
@@ -479,7 +479,7 @@
 	for range 4 {
 		w.open("safe", "g")
 	}
-	if got := len(w.b.servers[s].open); got < 3 {
+	if got := len(w.b.servers[s].inFlight); got < 3 {
 		t.Fatalf("%d connections there", got)
 	}
 	moved := 0
@@ -512,7 +512,7 @@
 		t.Fatalf("sent to %d", w.sent().Server)
 	}
 	w.end(w.sent(), 0, TimedOut)
-	if limit := w.b.servers[s].limit; limit == 0 || limit >= load {
+	if limit := w.b.servers[s].loadLimit; limit == 0 || limit >= load {
 		t.Errorf("limit %v at a load of %v", limit, load)
 	}
 }
@@ -532,9 +532,9 @@
 		w.open("safe", "g")
 		w.open("dear", "g")
 	}
-	s := w.b.order[0]
+	s := w.b.sortedServers[0]
 	w.b.lowerLimit(s, 1, 0)
-	s.limit = 40
+	s.loadLimit = 40
 	if w.request("safe", "g"); len(find[Send](w.last)) > 0 {
 		t.Error("the less worthy filled what is kept")
 	}
@@ -550,8 +550,8 @@
 	for range 20 {
 		w.open("dear", "held")
 	}
-	s := w.b.order[0]
-	s.limit, s.cutAt = 22, w.now
+	s := w.b.sortedServers[0]
+	s.loadLimit, s.limitLoweredAt = 22, w.now
 	if w.request("dear", "new"); len(find[Send](w.last)) > 0 {
 		t.Error("a new group took the last room")
 	}
@@ -566,8 +566,8 @@
 		w.open("safe", "large")
 	}
 	small, _ := w.open("safe", "small")
-	s := w.b.order[0]
-	s.limit, s.cutAt, s.pausedUntil, s.delay, s.moves = 1, w.now, w.now+sec, sec, 1
+	s := w.b.sortedServers[0]
+	s.loadLimit, s.limitLoweredAt, s.pausedUntil, s.messageDelay, s.migrationCredit = 1, w.now, w.now+sec, sec, 1
 	w.b.moveAway(s)
 	got := find[Migrate](w.b.actions)
 	if len(got) == 0 || got[0].ID != small {
@@ -705,24 +705,24 @@
 func TestCarriedConnectionsCount(t *testing.T) {
 	w := newWorld(t, settings(), 3)
 	w.feed(AdoptedConnection{Request: Request{ID: 5, Class: "safe", Group: "g"}, Server: 101})
-	if got := len(w.b.servers[101].open); got != 1 {
+	if got := len(w.b.servers[101].inFlight); got != 1 {
 		t.Fatalf("%d connections at its server", got)
 	}
 	w.feed(AttemptEnded{ID: 5, Server: 101, Result: OK, Answered: true})
-	if got := len(w.b.servers[101].open); got != 0 {
+	if got := len(w.b.servers[101].inFlight); got != 0 {
 		t.Errorf("%d connections after its end", got)
 	}
 }
 
 func TestRestartClearsTheRecord(t *testing.T) {
 	w := newWorld(t, settings(), 3)
-	s := w.b.order[0]
+	s := w.b.sortedServers[0]
 	w.b.weighOutcome(s, ConnectFailed, false, 0)
-	if s.ejected == 0 {
+	if s.ejectedUntil == 0 {
 		t.Fatal("not ejected")
 	}
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: s.ID, Started: w.now}}})
-	if s.ejected != 0 || s.strikes.sum != 0 {
+	if s.ejectedUntil != 0 || s.failureScore.sum != 0 {
 		t.Error("the new process bears the old one's record")
 	}
 }
@@ -820,8 +820,8 @@
 		for i := range 400 {
 			b := mustNew(t, set)
 			b.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(1)})
-			s := b.order[0]
-			s.limit, s.cutAt = 0.5, 0
+			s := b.sortedServers[0]
+			s.loadLimit, s.limitLoweredAt = 0.5, 0
 			key := fmt.Sprint("k", i)
 			req := Request{ID: 1, Class: "safe", Key: key, Timeout: sec}
 			sent := len(find[Send](b.Handle(0, req))) == 1
@@ -934,7 +934,7 @@
 		if got := float64(len(l.further)); got < least {
 			t.Errorf("%+v: %v further attempts, %.0f at least were wanted", budget, got, least)
 		}
-		if kept := len(w.b.taken.buckets) + len(w.b.further.buckets); kept > 2*maxWindowBuckets {
+		if kept := len(w.b.admitted.buckets) + len(w.b.retries.buckets); kept > 2*maxWindowBuckets {
 			t.Errorf("%d moments kept", kept)
 		}
 	}
@@ -992,7 +992,7 @@
 		w := newWorld(t, adviceOnly(), 8)
 		at := map[string]ServerID{}
 		w.b.refresh()
-		shares := w.b.shares
+		shares := w.b.tableWeights
 		for i := range 30 {
 			group := fmt.Sprint("g", i)
 			_, at[group] = w.open("safe", group)
@@ -1014,12 +1014,12 @@
 		if moved > 8 {
 			t.Errorf("%s: %d of 30 groups moved", name, moved)
 		}
-		past := len(w.b.past)
+		past := len(w.b.pastTables)
 		w.feed(EndpointList{Mode: ListComplete, Servers: servers(8)})
-		if w.b.refresh(); !slices.Equal(w.b.shares, shares) {
+		if w.b.refresh(); !slices.Equal(w.b.tableWeights, shares) {
 			t.Errorf("%s: the true list left another table", name)
 		}
-		if name != "old" && len(w.b.past) != past {
+		if name != "old" && len(w.b.pastTables) != past {
 			t.Errorf("%s: the true list filled the table again", name)
 		}
 	}
@@ -1125,7 +1125,7 @@
 				}
 			}
 			w.wait(30 * sec)
-			most = max(most, len(w.b.order), len(w.b.servers))
+			most = max(most, len(w.b.sortedServers), len(w.b.servers))
 		}
 		if most > 200 {
 			t.Errorf("gone is advice: %v: %d servers remembered of 1200", advice, most)
@@ -1142,7 +1142,7 @@
 		w.now += 20 * ms
 		w.request("safe", fmt.Sprint("g", i))
 		for attempt := 0; len(find[Send](w.last)) == 1; attempt++ {
-			if sent++; attempt == 0 && i > 40 && w.b.servers[w.sent().Server].limit > 0 {
+			if sent++; attempt == 0 && i > 40 && w.b.servers[w.sent().Server].loadLimit > 0 {
 				cut++
 			}
 			w.end(w.sent(), attempt, TimedOut)
--- a/balancer/shed_test.go
+++ b/balancer/shed_test.go
@@ -13,7 +13,7 @@
 	set.Gateways, set.WarmupDuration = 300, sec/100
 	w := newWorld(t, set, 4)
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 4}}})
-	w.b.pressure = 1
+	w.b.slowRatio = 1
 	sent := 0
 	for i := range 200 {
 		w.now += 500 * ms
@@ -26,7 +26,7 @@
 			}
 			sent++
 		}
-		w.b.pressure = 1
+		w.b.slowRatio = 1
 	}
 	if sent == 0 {
 		t.Error("nothing went to the cold server, whose budget was whole")
@@ -58,7 +58,7 @@
 	w = newWorld(t, set, 4)
 	w.b.refresh()
 	for i, load := range []float64{0.2, 1.5} {
-		w.feed(LoadReport{Server: w.b.order[i].ID, Utilization: load, Connections: 10})
+		w.feed(LoadReport{Server: w.b.sortedServers[i].ID, Utilization: load, Connections: 10})
 	}
 	if got := w.b.room(); got != 0.5 {
 		t.Errorf("room is %v where one of two that told is full", got)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -13,112 +13,112 @@
 
 // Balancer is one gateway's decision maker. It is not safe for concurrent use.
 type Balancer struct {
-	set     Settings
-	classes map[string]int
-	aim     time.Duration // shortest message aim; 0: none stated
-
-	now     time.Duration
-	actions []Action
-	started bool
-	began   time.Duration // the first event
-	random  uint64
-
-	servers map[ServerID]*server
-	order   []*server // every server ever listed, by id
-	listed  bool      // a list has come
-	table   table
-	stale   bool // the list has changed since the table was filled
-	shares  []share
-	members []*server // the servers of the table's shares
-	weight  float64   // the sum of their capacities
-	past    []pastTable
+	settings         Settings
+	classIndex       map[string]int
+	messageObjective time.Duration // shortest message aim; 0: none stated
+
+	now         time.Duration
+	actions     []Action
+	started     bool
+	startedAt   time.Duration // the first event
+	randomState uint64
+
+	servers       map[ServerID]*server
+	sortedServers []*server // every server ever listed, by id
+	hasList       bool      // a list has come
+	table         table
+	tableIsStale  bool // the list has changed since the table was filled
+	tableWeights  []weightedServer
+	tableServers  []*server // the servers of the table's shares
+	totalWeight   float64   // the sum of their capacities
+	pastTables    []pastTable
 
 	requests map[RequestID]*request
 	waiting  []*request // held for want of a list, in order of arrival
 
-	sum        loadSum        // of all connections and attempts
-	held       int            // connections and attempts
-	groups     map[string]int // the same by group
-	tenants    map[string]int
-	tenantHeld []float64       // the same by tenant
-	loads      []ewma          // known loads by class
-	anyLoad    ewma            // and all together
-	bears      ewma            // connections that a warm server's reports say it bears, for a weight of 1
-	taken      slidingWindow   // requests
-	further    slidingWindow   // attempts beyond each request's first
-	came       decayingCounter // requests
-	stood      decayingCounter // set-ups
-	failed     decayingCounter // set-ups that timed out or ended in an error
-	forgotAt   time.Duration   // when the last look for servers to forget was
-	shedding   bool            // as last logged
-	shed       float64         // level of what the fleet sheds
-	pressure   float64         // part of the connections that are on slow servers
-	soundAt    time.Duration   // when a server was last asked for room for moves
+	load               loadSum        // of all connections and attempts
+	connections        int            // connections and attempts
+	groupConnections   map[string]int // the same by group
+	tenantIndex        map[string]int
+	tenantConnections  []float64       // the same by tenant
+	classLoads         []ewma          // known loads by class
+	overallLoad        ewma            // and all together
+	connectionCapacity ewma            // connections that a warm server's reports say it bears, for a weight of 1
+	admitted           slidingWindow   // requests
+	retries            slidingWindow   // attempts beyond each request's first
+	recentRequests     decayingCounter // requests
+	recentEstablished  decayingCounter // set-ups
+	recentFailures     decayingCounter // set-ups that timed out or ended in an error
+	evictedAt          time.Duration   // when the last look for servers to forget was
+	isShedding         bool            // as last logged
+	fleetShedLevel     float64         // level of what the fleet sheds
+	slowRatio          float64         // part of the connections that are on slow servers
+	sampledAt          time.Duration   // when a server was last asked for room for moves
 }
 
 // leastWeight stands for the sum of capacities where no server is in the table, as before any placement.
 const minTotalWeight = 1e-9
 
 type pastTable struct {
-	table   table
-	members []*server
-	until   time.Duration
+	table     table
+	servers   []*server
+	expiresAt time.Duration
 }
 
 type server struct {
 	Server
-	told    time.Duration // when it was learned that it drains or is gone
-	drained bool          // listed as draining since its start
-	doubted time.Duration // called gone since then, which is not believed yet; 0: not in doubt
-	proven  bool          // and yet it had a good connection then or since
-	open    []*request    // connections and attempts here
-	pending int           // of these, attempts not yet open
-	sum     loadSum
-	groups  map[string]int // connections by group
-
-	strikes     decayingCounter
-	ejections   int
-	ejected     time.Duration // until then; 0: not ejected
-	probation   bool          // back from ejection; one attempt at a time until one stands
-	pausedUntil time.Duration // takes nothing new before
-	delay       time.Duration // of messages, as last told
-	delayAt     time.Duration
-	moves       float64 // moves allowed and not yet made
-	limit       float64 // load that it is held able to bear from here; 0: not known
-	cutAt       time.Duration
-
-	load     float64       // as last reported
-	reportAt time.Duration // 0: never
-	each     float64       // load of one connection, by that report
-	askedAt  time.Duration // 0: never
-	sent     int           // attempts since the last report
-
-	coldTried decayingCounter // lookups that came by it while it was cold
-	coldAt    time.Duration   // when a connection was last sent to it on a cold server's budget
-	tryAt     time.Duration   // back by hand and untried: tried from then on; 0: nothing to try
+	unavailableSince   time.Duration // when it was learned that it drains or is gone
+	hasDrained         bool          // listed as draining since its start
+	removalSuspectedAt time.Duration // called gone since then, which is not believed yet; 0: not in doubt
+	confirmedAlive     bool          // and yet it had a good connection then or since
+	inFlight           []*request    // connections and attempts here
+	pendingAttempts    int           // of these, attempts not yet open
+	load               loadSum
+	groupConnections   map[string]int // connections by group
+
+	failureScore    decayingCounter
+	ejections       int
+	ejectedUntil    time.Duration // until then; 0: not ejected
+	onProbation     bool          // back from ejection; one attempt at a time until one stands
+	pausedUntil     time.Duration // takes nothing new before
+	messageDelay    time.Duration // of messages, as last told
+	messageDelayAt  time.Duration
+	migrationCredit float64 // moves allowed and not yet made
+	loadLimit       float64 // load that it is held able to bear from here; 0: not known
+	limitLoweredAt  time.Duration
+
+	utilization           float64       // as last reported
+	reportedAt            time.Duration // 0: never
+	connectionUtilization float64       // load of one connection, by that report
+	polledAt              time.Duration // 0: never
+	sentSinceReport       int           // attempts since the last report
+
+	warmupLookups decayingCounter // lookups that came by it while it was cold
+	warmupSentAt  time.Duration   // when a connection was last sent to it on a cold server's budget
+	trialAt       time.Duration   // back by hand and untried: tried from then on; 0: nothing to try
 }
 
 type request struct {
 	Request
-	class    int
-	hash     uint64 // of what places it
-	client   uint64 // of what tells its client from the others of its group
-	deadline time.Duration
-
-	heldUntil time.Duration // 0: never held
-	asked     []*server     // whose reports it waits for
-	asks      int           // rounds in which servers were asked for it
-	attempts  int
-	tried     []ServerID
-	server    *server // of the attempt that is out or open
-	sent      time.Duration
-	opened    bool
-	over      bool // answered, or the client is gone
-	load      float64
+	classIndex    int
+	placementHash uint64 // of what places it
+	clientHash    uint64 // of what tells its client from the others of its group
+	deadline      time.Duration
+
+	waitUntil    time.Duration // 0: never held
+	polled       []*server     // whose reports it waits for
+	pollRounds   int           // rounds in which servers were asked for it
+	attempts     int
+	triedServers []ServerID
+	server       *server // of the attempt that is out or open
+	sentAt       time.Duration
+	established  bool
+	finished     bool // answered, or the client is gone
+	load         float64
 	// The first attempt that may have run, for keyed and unsafe classes.
 	mayHaveRun bool
-	ranOn      *server
-	ranAt      time.Duration
+	firstRanOn *server
+	firstRanAt time.Duration
 }
 
 // loadSum adds up loads.
@@ -222,14 +222,14 @@
 // New returns a Balancer, or an error that names the setting it cannot work with.
 func New(set Settings) (*Balancer, error) {
 	b := &Balancer{
-		set: set, random: set.Seed,
-		classes: map[string]int{}, servers: map[ServerID]*server{}, requests: map[RequestID]*request{},
-		weight: minTotalWeight,
+		settings: set, randomState: set.Seed,
+		classIndex: map[string]int{}, servers: map[ServerID]*server{}, requests: map[RequestID]*request{},
+		totalWeight: minTotalWeight,
 	}
-	b.set.Gateways = max(set.Gateways, 1)
-	b.set.MaxAttempts = max(set.MaxAttempts, 1)
+	b.settings.Gateways = max(set.Gateways, 1)
+	b.settings.MaxAttempts = max(set.MaxAttempts, 1)
 	if set.ColdOverloadDuration == 0 {
-		b.set.ColdOverloadDuration = time.Second
+		b.settings.ColdOverloadDuration = time.Second
 	}
 	for _, f := range []struct {
 		name  string
@@ -246,34 +246,34 @@
 		}
 	}
 	span, _, _ := b.budget()
-	b.taken, b.further = slidingWindow{length: span}, slidingWindow{length: span, inclusive: true}
-	b.set.Classes = slices.Clone(set.Classes)
-	for i, c := range b.set.Classes {
-		if _, twice := b.classes[c.Name]; twice {
+	b.admitted, b.retries = slidingWindow{length: span}, slidingWindow{length: span, inclusive: true}
+	b.settings.Classes = slices.Clone(set.Classes)
+	for i, c := range b.settings.Classes {
+		if _, twice := b.classIndex[c.Name]; twice {
 			return nil, fmt.Errorf("rules: class %q is given twice", c.Name)
 		}
 		if c.SetupLatencyObjective < 0 || c.Timeout < 0 || c.DedupWindow < 0 ||
 			c.MessageLatencyObjective < 0 || c.PriorityWeight < 0 {
 			return nil, fmt.Errorf("rules: class %q has a negative figure", c.Name)
 		}
-		b.classes[c.Name] = i
-		if c.MessageLatencyObjective > 0 && (b.aim == 0 || c.MessageLatencyObjective < b.aim) {
-			b.aim = c.MessageLatencyObjective
+		b.classIndex[c.Name] = i
+		if c.MessageLatencyObjective > 0 && (b.messageObjective == 0 || c.MessageLatencyObjective < b.messageObjective) {
+			b.messageObjective = c.MessageLatencyObjective
 		}
 	}
 	// What no class describes is handled as the strictest kind.
-	b.set.Classes = append(b.set.Classes, Class{Idempotency: NonIdempotent})
-	for i := range b.set.Classes {
-		if c := &b.set.Classes[i]; c.PriorityWeight == 0 {
+	b.settings.Classes = append(b.settings.Classes, Class{Idempotency: NonIdempotent})
+	for i := range b.settings.Classes {
+		if c := &b.settings.Classes[i]; c.PriorityWeight == 0 {
 			c.PriorityWeight = 1
 		}
 	}
-	b.sum.unknown = make([]int, len(b.set.Classes))
-	b.loads = make([]ewma, len(b.set.Classes))
-	b.groups = map[string]int{}
-	b.tenants, b.tenantHeld = map[string]int{}, make([]float64, len(set.Tenants))
+	b.load.unknown = make([]int, len(b.settings.Classes))
+	b.classLoads = make([]ewma, len(b.settings.Classes))
+	b.groupConnections = map[string]int{}
+	b.tenantIndex, b.tenantConnections = map[string]int{}, make([]float64, len(set.Tenants))
 	for i, t := range set.Tenants {
-		b.tenants[t.Name] = i
+		b.tenantIndex[t.Name] = i
 	}
 	return b, nil
 }
@@ -281,7 +281,7 @@
 // IsEjected reports whether a server is out of use by the rules' own choice.
 func (b *Balancer) IsEjected(id ServerID) bool {
 	s := b.servers[id]
-	return s != nil && s.ejected > 0
+	return s != nil && s.ejectedUntil > 0
 }
 
 func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
@@ -291,12 +291,12 @@
 func byID(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
 
 func (b *Balancer) newRequest(ev Request) *request {
-	class, ok := b.classes[ev.Class]
+	class, ok := b.classIndex[ev.Class]
 	if !ok {
-		class = len(b.set.Classes) - 1
+		class = len(b.settings.Classes) - 1
 	}
-	r := &request{Request: ev, class: class, load: ev.Load, deadline: b.now + ev.Timeout}
-	r.hash, r.client = hashes(ev)
+	r := &request{Request: ev, classIndex: class, load: ev.Load, deadline: b.now + ev.Timeout}
+	r.placementHash, r.clientHash = hashes(ev)
 	b.requests[ev.ID] = r
 	return r
 }
@@ -304,24 +304,24 @@
 // chance is a number in [0, 1) that every gateway computes alike for a client and a server, or for the
 // client alone. Where a share of one connection is to be taken, it decides which clients those are.
 func (r *request) chance(of ServerID) float64 {
-	return fraction(mix(r.client, uint64(of)))
+	return fraction(mix(r.clientHash, uint64(of)))
 }
 
 func (b *Balancer) attach(r *request, s *server) {
 	r.server = s
-	s.open = append(s.open, r)
-	s.groups[r.Group]++
-	b.groups[r.Group]++
-	b.held++
-	s.pending++
-	s.sent++
+	s.inFlight = append(s.inFlight, r)
+	s.groupConnections[r.Group]++
+	b.groupConnections[r.Group]++
+	b.connections++
+	s.pendingAttempts++
+	s.sentSinceReport++
 	b.count(r, 1)
 }
 
 // doubts is the number of servers in doubt.
 func (b *Balancer) doubts() (n int) {
-	for _, s := range b.order {
-		if s.doubted > 0 {
+	for _, s := range b.sortedServers {
+		if s.removalSuspectedAt > 0 {
 			n++
 		}
 	}
@@ -334,34 +334,34 @@
 		return
 	}
 	b.count(r, -1)
-	b.held--
-	for _, groups := range []map[string]int{b.groups, s.groups} {
+	b.connections--
+	for _, groups := range []map[string]int{b.groupConnections, s.groupConnections} {
 		if groups[r.Group]--; groups[r.Group] == 0 {
 			delete(groups, r.Group)
 		}
 	}
-	if i := slices.Index(s.open, r); i >= 0 {
-		s.open = slices.Delete(s.open, i, i+1)
+	if i := slices.Index(s.inFlight, r); i >= 0 {
+		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
-	if !r.opened {
-		s.pending--
+	if !r.established {
+		s.pendingAttempts--
 	}
-	if len(s.open) == 0 {
-		s.sum.known = 0
+	if len(s.inFlight) == 0 {
+		s.load.known = 0
 	}
 	r.server = nil
 }
 
 func (b *Balancer) count(r *request, sign int) {
-	if t, ok := b.tenants[r.Tenant]; ok {
-		b.tenantHeld[t] += float64(sign)
+	if t, ok := b.tenantIndex[r.Tenant]; ok {
+		b.tenantConnections[t] += float64(sign)
 	}
-	r.server.sum.add(r.class, r.load, sign)
-	b.sum.add(r.class, r.load, sign)
+	r.server.load.add(r.classIndex, r.load, sign)
+	b.load.add(r.classIndex, r.load, sign)
 }
 
 func (b *Balancer) end(r *request) {
-	r.over = true
+	r.finished = true
 	if r.server == nil {
 		delete(b.requests, r.ID)
 	}
@@ -369,18 +369,18 @@
 
 // rand is the gateway's own random number in [0, 1), for jitter.
 func (b *Balancer) rand() float64 {
-	b.random = mix(b.random, keySeed)
-	return fraction(b.random)
+	b.randomState = mix(b.randomState, keySeed)
+	return fraction(b.randomState)
 }
 
 // fraction maps a hash to [0, 1).
 func fraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-func (b *Balancer) loadOf(s *server) float64 { return b.load(&s.sum) }
+func (b *Balancer) loadOf(s *server) float64 { return b.estimateLoad(&s.load) }
 
-func (b *Balancer) totalLoad() float64 { return b.load(&b.sum) }
+func (b *Balancer) totalLoad() float64 { return b.estimateLoad(&b.load) }
 
-func (b *Balancer) load(s *loadSum) float64 {
+func (b *Balancer) estimateLoad(s *loadSum) float64 {
 	load := s.known
 	for c, n := range s.unknown {
 		if n > 0 {
@@ -391,8 +391,8 @@
 }
 
 func (b *Balancer) learnLoad(class int, load float64) {
-	b.loads[class].add(load)
-	b.anyLoad.add(load)
+	b.classLoads[class].add(load)
+	b.overallLoad.add(load)
 }
 
 func (b *Balancer) onLoad(ev LoadChanged) {
@@ -400,7 +400,7 @@
 	if r == nil || !(ev.Load > 0) {
 		return
 	}
-	b.learnLoad(r.class, ev.Load)
+	b.learnLoad(r.classIndex, ev.Load)
 	if r.server != nil {
 		b.count(r, -1)
 		r.load = ev.Load
@@ -415,19 +415,23 @@
 		return
 	}
 	r := b.newRequest(ev.Request)
-	r.attempts, r.opened = 1, true
+	r.attempts, r.established = 1, true
 	b.attach(r, s)
-	s.pending--
+	s.pendingAttempts--
 }
 
 // loadWith is the load that a server would report with one connection more.
-func (b *Balancer) loadWith(s *server) float64 { return s.load + float64(s.sent+1)*s.each }
+func (b *Balancer) loadWith(s *server) float64 {
+	return s.utilization + float64(s.sentSinceReport+1)*s.connectionUtilization
+}
 
 // unheard reports whether a server was asked and has not told yet.
-func (b *Balancer) unheard(s *server) bool { return s.reportAt < s.askedAt }
+func (b *Balancer) unheard(s *server) bool { return s.reportedAt < s.polledAt }
 
 // toldOf reports whether a server's own word of its load is young enough to place by.
-func (b *Balancer) toldOf(s *server) bool { return s.reportAt > 0 && b.now-s.reportAt <= loadReportTTL }
+func (b *Balancer) toldOf(s *server) bool {
+	return s.reportedAt > 0 && b.now-s.reportedAt <= loadReportTTL
+}
 
 func (b *Balancer) update(e Server) {
 	if !(e.Capacity > 0) || math.IsInf(e.Capacity, 1) {
@@ -435,14 +439,14 @@
 	}
 	s := b.servers[e.ID]
 	if s == nil {
-		s = &server{Server: e, sum: loadSum{unknown: make([]int, len(b.set.Classes))},
-			groups: map[string]int{}, told: b.now}
+		s = &server{Server: e, load: loadSum{unknown: make([]int, len(b.settings.Classes))},
+			groupConnections: map[string]int{}, unavailableSince: b.now}
 		if e.State != Removed { // one first heard of as gone was never there to be in doubt
 			s.State = Ready
 		}
 		b.servers[e.ID] = s
-		i, _ := slices.BinarySearchFunc(b.order, s, byID)
-		b.order = slices.Insert(b.order, i, s)
+		i, _ := slices.BinarySearchFunc(b.sortedServers, s, byID)
+		b.sortedServers = slices.Insert(b.sortedServers, i, s)
 	} else if e.Started > s.Started {
 		b.renew(s) // a restart: what was known of the old process is void
 	}
@@ -457,38 +461,38 @@
 
 // renew forgets what was learned of a server's process.
 func (b *Balancer) renew(s *server) {
-	s.drained, s.strikes, s.ejected, s.ejections, s.probation = false, decayingCounter{}, 0, 0, false
-	s.limit, s.pausedUntil = 0, 0
+	s.hasDrained, s.failureScore, s.ejectedUntil, s.ejections, s.onProbation = false, decayingCounter{}, 0, 0, false
+	s.loadLimit, s.pausedUntil = 0, 0
 }
 
 // fullConnections guesses how many connections a server bears warm, from the reports of warm ones, or else
 // from what they hold: that is all they bear where the fleet is full, and too few where it is not.
 func (b *Balancer) fullConnections(s *server) float64 {
-	if b.bears.weight > 0 {
-		return max(b.bears.value*s.Capacity, minWarmConnections)
+	if b.connectionCapacity.weight > 0 {
+		return max(b.connectionCapacity.value*s.Capacity, minWarmConnections)
 	}
 	held, weight := 0.0, 1e-9
-	for _, o := range b.members {
+	for _, o := range b.tableServers {
 		if b.coldAge(o) == 1 {
-			held += float64(len(o.open))
+			held += float64(len(o.inFlight))
 			weight += o.Capacity
 		}
 	}
-	return max(held*float64(b.set.Gateways)/weight*s.Capacity, minWarmConnections)
+	return max(held*float64(b.settings.Gateways)/weight*s.Capacity, minWarmConnections)
 }
 
 // forget drops servers that are long gone and hold nothing, so that a fleet whose machines get new ids does
 // not grow the memory. One in doubt that nothing was sent to for that long is taken for gone.
 func (b *Balancer) forget() {
-	if b.now-b.forgotAt < removedServerRetention/10 {
+	if b.now-b.evictedAt < removedServerRetention/10 {
 		return
 	}
-	b.forgotAt = b.now
-	b.order = slices.DeleteFunc(b.order, func(s *server) bool {
-		if s.doubted > 0 && len(s.open) == 0 && b.now-s.doubted > removedServerRetention {
+	b.evictedAt = b.now
+	b.sortedServers = slices.DeleteFunc(b.sortedServers, func(s *server) bool {
+		if s.removalSuspectedAt > 0 && len(s.inFlight) == 0 && b.now-s.removalSuspectedAt > removedServerRetention {
 			b.confirmGone(s)
 		}
-		old := s.State == Removed && len(s.open) == 0 && b.now-s.told > max(removedServerRetention, b.set.FlowRetention)
+		old := s.State == Removed && len(s.inFlight) == 0 && b.now-s.unavailableSince > max(removedServerRetention, b.settings.FlowRetention)
 		if old {
 			delete(b.servers, s.ID)
 		}
@@ -514,16 +518,16 @@
 
 // unit is the load of one mean connection.
 func (b *Balancer) unit() float64 {
-	if b.anyLoad.weight > 0 {
-		return b.anyLoad.value
+	if b.overallLoad.weight > 0 {
+		return b.overallLoad.value
 	}
 	return 1
 }
 
 // loadOfClass is the load of one connection of a class, where its own is not known.
 func (b *Balancer) loadOfClass(c int) float64 {
-	if b.loads[c].weight > 0 {
-		return b.loads[c].value
+	if b.classLoads[c].weight > 0 {
+		return b.classLoads[c].value
 	}
 	return b.unit()
 }
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -13,11 +13,11 @@
 	worst, sum, runs := 0.0, 0.0, 0
 	for range 200 {
 		n := 9 + rng.IntN(12)
-		before, after := make([]share, n), make([]share, n)
+		before, after := make([]weightedServer, n), make([]weightedServer, n)
 		for i := range before {
 			w := 40 + rng.Float64()*80
-			before[i] = share{ServerID(i + 1), w}
-			after[i] = share{ServerID(i + 1), w}
+			before[i] = weightedServer{ServerID(i + 1), w}
+			after[i] = weightedServer{ServerID(i + 1), w}
 		}
 		for range 1 + rng.IntN(3) { // a new plan moves load between a few nodes
 			after[rng.IntN(n)].weight *= 0.7 + 0.6*rng.Float64()
