--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -91,47 +91,47 @@
 	}
 	switch ev := ev.(type) {
 	case EndpointList:
-		b.onList(ev)
+		b.onEndpointList(ev)
 	case Request:
 		b.onRequest(ev)
 	case AdoptedConnection:
-		b.onCarried(ev)
+		b.onAdoptedConnection(ev)
 	case AttemptEstablished:
-		b.onOpened(ev)
+		b.onAttemptEstablished(ev)
 	case LoadChanged:
-		b.onLoad(ev)
+		b.onLoadChanged(ev)
 	case MessageDelay:
 		if s := b.servers[ev.Server]; s != nil {
-			b.onDelay(s, ev.Delay)
+			b.onMessageDelay(s, ev.Delay)
 		}
 	case LoadReport:
 		if s := b.servers[ev.Server]; s != nil {
-			b.onReport(s, ev)
-			b.serveWaiting()
+			b.onLoadReport(s, ev)
+			b.dispatchWaiting()
 		}
 	case ServerReinstated:
 		if s := b.servers[ev.Server]; s != nil {
-			b.renew(s)
-			s.trialAt = b.now + time.Duration(b.rand()*float64(reinstatementSpread))
+			b.resetHealth(s)
+			s.trialAt = b.now + time.Duration(b.random()*float64(reinstatementSpread))
 		}
 	case FleetShedLevel:
 		b.fleetShedLevel = ev.Level
 	case Shutdown:
-		b.hurry(ev.Deadline)
+		b.capDeadlines(ev.Deadline)
 	case AttemptEnded:
-		b.onOutcome(ev)
+		b.onAttemptEnded(ev)
 	case ClientDisconnected:
-		b.onExpired(ev.ID)
+		b.onClientDisconnected(ev.ID)
 	case TimerFired:
-		b.onTimer(ev)
+		b.onTimerFired(ev)
 	}
 	return b.actions
 }
 
 // The list.
 
-func (b *Balancer) onList(ev EndpointList) {
-	doubts := b.doubts()
+func (b *Balancer) onEndpointList(ev EndpointList) {
+	doubts := b.suspectedRemovals()
 	if ev.Mode != ListDelta {
 		listed := make(map[ServerID]bool, len(ev.Servers))
 		for _, e := range ev.Servers {
@@ -144,14 +144,14 @@
 		}
 	}
 	for _, e := range ev.Servers {
-		b.update(e)
+		b.updateServer(e)
 	}
-	if n := b.doubts(); n > doubts {
+	if n := b.suspectedRemovals(); n > doubts {
 		b.logf("list calls %d servers gone, in doubt until their outcomes tell", n-doubts)
 	}
 	b.hasList = b.hasList || ev.Mode == ListComplete || len(ev.Servers) > 0
 	b.tableIsStale = true
-	b.serveWaiting()
+	b.dispatchWaiting()
 }
 
 // setState follows the list. Where only draining binds, a server that is called gone, or left out, is in
@@ -179,16 +179,16 @@
 	s.State, s.removalSuspectedAt = state, 0
 }
 
-// confirmGone takes a server in doubt for gone.
-func (b *Balancer) confirmGone(s *server) {
+// confirmRemoval takes a server in doubt for gone.
+func (b *Balancer) confirmRemoval(s *server) {
 	s.State, s.unavailableSince, s.removalSuspectedAt, b.tableIsStale = Removed, b.now, 0, true
 	b.logf("server %d is gone, as listed", s.ID)
 }
 
-// refresh fills the table anew from the ready servers where the list has changed since, and keeps the one
+// refreshTable fills the table anew from the ready servers where the list has changed since, and keeps the one
 // before for strays. It waits for the next placement, since most changes of a list come in a run and a
 // gateway among many places few connections between them.
-func (b *Balancer) refresh() {
+func (b *Balancer) refreshTable() {
 	if !b.tableIsStale {
 		return
 	}
@@ -217,24 +217,24 @@
 
 // Cold servers.
 
-// coldAge is how much of its warm-up a server has behind it: 1 is warm.
-func (b *Balancer) coldAge(s *server) float64 {
+// warmupProgress is how much of its warm-up a server has behind it: 1 is warm.
+func (b *Balancer) warmupProgress(s *server) float64 {
 	if s.Started <= 0 || b.now-s.Started >= b.settings.WarmupDuration {
 		return 1
 	}
 	return max(float64(b.now-s.Started)/float64(b.settings.WarmupDuration), 0)
 }
 
-// admitCold reports whether a cold server's budget allows one more connection. It guards against gateways
+// admitToWarmingServer reports whether a cold server's budget allows one more connection. It guards against gateways
 // that together push a fresh server over. The budget is a multiple of what fills the server over its warm-up,
 // at any age; a gateway's chance to use it is its part over the rate at which it tries, so that the sum keeps
 // to it however many gateways there are and however seldom each comes by. It could hurt where much of the
 // fleet is cold and little else has room.
-func (b *Balancer) admitCold(r *request, s *server) bool {
-	rate := warmupBudgetRatio * max(b.settings.ColdOverloadFactor, 1) * b.fullConnections(s) /
+func (b *Balancer) admitToWarmingServer(r *request, s *server) bool {
+	rate := warmupBudgetRatio * max(b.settings.ColdOverloadFactor, 1) * b.warmConnections(s) /
 		b.settings.WarmupDuration.Seconds() / float64(b.settings.Gateways)
 	share := max(maxNearLookups*s.Capacity/b.totalWeight, minWarmupArrivalRatio) // more where one group is most of all
-	tries := max(b.arrivals()*share, s.warmupLookups.value(b.now)*math.Ln2/evidenceHalfLife.Seconds())
+	tries := max(b.arrivalRate()*share, s.warmupLookups.value(b.now)*math.Ln2/evidenceHalfLife.Seconds())
 	s.warmupLookups.add(b.now, 1)
 	// in a burst the rate is learned too late
 	apart := min(warmupSpacingRatio/rate, b.settings.ColdOverloadDuration.Seconds())
@@ -245,9 +245,9 @@
 	return true
 }
 
-// arrivals is how many requests come a second, of late. As many more are counted as make a burst, in which
+// arrivalRate is how many requests come a second, of late. As many more are counted as make a burst, in which
 // each gateway has one request and knows of no other, spend no more than a cold server bears in TipTime.
-func (b *Balancer) arrivals() float64 {
+func (b *Balancer) arrivalRate() float64 {
 	span := evidenceHalfLife.Seconds() / math.Ln2
 	more := max(warmupBudgetRatio*span/b.settings.ColdOverloadDuration.Seconds()-1, 0)
 	age := max(b.now-b.startedAt, evidenceHalfLife/30)
@@ -265,23 +265,23 @@
 	b.admitted.add(b.now)
 	b.recentRequests.add(b.now, 1)
 	if class, ok := b.classIndex[ev.Class]; ok && ev.Load > 0 {
-		b.learnLoad(class, ev.Load)
+		b.observeLoad(class, ev.Load)
 	}
-	b.serve(b.newRequest(ev))
+	b.dispatch(b.newRequest(ev))
 }
 
-// serve places a request that has no attempt out: a send, a place among the waiting, or its final answer.
-func (b *Balancer) serve(r *request) {
+// dispatch places a request that has no attempt out: a send, a place among the waiting, or its final answer.
+func (b *Balancer) dispatch(r *request) {
 	hopeless := r.mayHaveRun && b.settings.Classes[r.classIndex].Idempotency == NonIdempotent
 	if hopeless || b.now >= r.deadline-answerMargin || r.attempts >= b.settings.MaxAttempts ||
-		r.attempts > 0 && !b.mayRetry() || b.isShed(r) {
+		r.attempts > 0 && !b.hasRetryBudget() || b.isShedByFleet(r) {
 		b.answer(r)
 		return
 	}
 	s := b.place(r)
 	if s == nil {
 		if len(r.polled) == 0 {
-			b.holdOrAnswer(r)
+			b.waitOrAnswer(r)
 		}
 		return
 	}
@@ -292,12 +292,12 @@
 	r.attempts++
 	r.sentAt = b.now
 	r.triedServers = append(r.triedServers, s.ID)
-	b.act(Send{ID: r.ID, Server: s.ID, Timeout: b.timeout(r), ConnectTimeout: b.begin(r, s)})
+	b.act(Send{ID: r.ID, Server: s.ID, Timeout: b.attemptTimeout(r), ConnectTimeout: b.connectTimeout(r, s)})
 }
 
-// begin bounds the time until an attempt is under way. It guards against connections that come up late: to a
+// connectTimeout bounds the time until an attempt is under way. It guards against connections that come up late: to a
 // server that drains by then, or drains now and takes strays, or behind the window of a keyed request.
-func (b *Balancer) begin(r *request, s *server) time.Duration {
+func (b *Balancer) connectTimeout(r *request, s *server) time.Duration {
 	most := b.settings.DrainGrace * drainGraceTenths / 10
 	if s.State != Ready {
 		most -= b.now - s.unavailableSince
@@ -310,39 +310,39 @@
 	return most
 }
 
-// isShed reports whether the fleet sheds a request. Which clients of the rank at the cut those are is alike
+// isShedByFleet reports whether the fleet sheds a request. Which clients of the rank at the cut those are is alike
 // at every gateway: one who comes again elsewhere is answered alike. What a server holds is never shed.
-func (b *Balancer) isShed(r *request) bool {
-	return !r.MidFlow && r.chance(2) < b.fleetShedLevel-float64(r.Priority)
+func (b *Balancer) isShedByFleet(r *request) bool {
+	return !r.MidFlow && r.clientFraction(2) < b.fleetShedLevel-float64(r.Priority)
 }
 
-// mayRetry reports whether the budget covers one more attempt beyond a request's first. It guards against
+// hasRetryBudget reports whether the budget covers one more attempt beyond a request's first. It guards against
 // faults that hit many and would multiply the load; where a budget is stated it also keeps to that, in any
 // span that ends with an attempt. It could hurt where many servers are down and most first attempts fail.
-func (b *Balancer) mayRetry() bool {
-	_, free, share := b.budget()
+func (b *Balancer) hasRetryBudget() bool {
+	_, free, share := b.retryBudget()
 	return float64(b.retries.count(b.now)+1) <= free+share*float64(b.admitted.count(b.now))
 }
 
-// budget is that of further attempts: the stated one, but for a share above the module's own, or its own.
-func (b *Balancer) budget() (span time.Duration, free, share float64) {
+// retryBudget is that of further attempts: the stated one, but for a share above the module's own, or its own.
+func (b *Balancer) retryBudget() (span time.Duration, free, share float64) {
 	if b.settings.RetryBudgetWindow > 0 {
 		return b.settings.RetryBudgetWindow, b.settings.RetryBudgetMin, min(b.settings.RetryBudgetRatio, maxRetryBudgetRatio)
 	}
 	return defaultRetryBudgetWindow, defaultRetryBudgetMin, maxRetryBudgetRatio
 }
 
-// hurry gives no request that waits longer than until the program's end.
-func (b *Balancer) hurry(by time.Duration) {
+// capDeadlines gives no request that waits longer than until the program's end.
+func (b *Balancer) capDeadlines(by time.Duration) {
 	for _, r := range b.requests {
 		r.deadline, r.waitUntil = min(r.deadline, by), min(r.waitUntil, by-answerMargin)
 	}
 	b.act(SetTimer{After: max(by-answerMargin-b.now, 0), Ref: oneShotTimer})
 }
 
-// holdOrAnswer disposes of a request that no server may take now. Only the first list is waited for: what
+// waitOrAnswer disposes of a request that no server may take now. Only the first list is waited for: what
 // else keeps a request out lasts longer than a client should wait for word of it.
-func (b *Balancer) holdOrAnswer(r *request) {
+func (b *Balancer) waitOrAnswer(r *request) {
 	if b.hasList || r.waitUntil > 0 && b.now >= r.waitUntil {
 		b.answer(r)
 		return
@@ -355,26 +355,26 @@
 	}
 }
 
-// serveWaiting looks again at the held requests.
-func (b *Balancer) serveWaiting() {
+// dispatchWaiting looks again at the held requests.
+func (b *Balancer) dispatchWaiting() {
 	held := b.waiting
 	b.waiting = nil
 	for _, r := range held {
 		switch {
 		case r.finished:
-		case b.now < r.waitUntil && slices.ContainsFunc(r.polled, b.unheard):
+		case b.now < r.waitUntil && slices.ContainsFunc(r.polled, b.awaitsReport):
 			b.waiting = append(b.waiting, r)
 		default:
 			r.polled = nil
-			b.serve(r)
+			b.dispatch(r)
 		}
 	}
 }
 
 // Reports.
 
-// ask has servers asked for their load on behalf of a request, which waits for that.
-func (b *Balancer) ask(r *request, of []*server) {
+// pollForRequest has servers asked for their load on behalf of a request, which waits for that.
+func (b *Balancer) pollForRequest(r *request, of []*server) {
 	r.polled, r.waitUntil = of, b.now+loadPollTimeout
 	r.pollRounds++
 	for _, s := range of {
@@ -387,19 +387,19 @@
 	b.act(SetTimer{After: loadPollTimeout, Ref: oneShotTimer})
 }
 
-// unknown reports whether nothing is known of a server's load, and it is to be asked before it is sent to.
-func (b *Balancer) unknown(s *server) bool {
-	return b.settings.CanPollLoad && s.ejectedUntil == 0 && b.coldAge(s) == 1 && !b.toldOf(s) &&
+// needsPoll reports whether nothing is known of a server's load, and it is to be asked before it is sent to.
+func (b *Balancer) needsPoll(s *server) bool {
+	return b.settings.CanPollLoad && s.ejectedUntil == 0 && b.warmupProgress(s) == 1 && !b.hasFreshReport(s) &&
 		(s.polledAt == 0 || b.now-s.polledAt > loadReportTTL)
 }
 
-// strain ranks a server by its own word; one that says nothing comes last. One that was not asked serves
+// loadRank ranks a server by its own word; one that says nothing comes last. One that was not asked serves
 // where all that were are full: a refusal was measured to cost more.
-func (b *Balancer) strain(s *server) float64 {
-	switch load := b.loadWith(s); {
-	case !b.settings.CanPollLoad || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= lowUtilization:
+func (b *Balancer) loadRank(s *server) float64 {
+	switch load := b.projectedUtilization(s); {
+	case !b.settings.CanPollLoad || b.needsPoll(s) || b.warmupProgress(s) < 1 || b.hasFreshReport(s) && load <= lowUtilization:
 		return 0
-	case b.toldOf(s):
+	case b.hasFreshReport(s):
 		return load
 	}
 	return 4
@@ -411,17 +411,17 @@
 	c := b.settings.Classes[r.classIndex]
 	if !r.mayHaveRun || c.Idempotency == Idempotent ||
 		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupScopeAll {
-		after := time.Duration((1 - b.rand()/2) * float64(b.settings.MaxRetryAfter))
-		b.act(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShed(r)})
+		after := time.Duration((1 - b.random()/2) * float64(b.settings.MaxRetryAfter))
+		b.act(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShedByFleet(r)})
 	} else {
 		b.act(Fail{ID: r.ID})
 	}
-	b.end(r)
+	b.finish(r)
 }
 
-// timeout is the time that the next attempt has: all in which a set-up is worth its full price. One that is
+// attemptTimeout is the time that the next attempt has: all in which a set-up is worth its full price. One that is
 // given up sooner was measured to be work lost at servers that are busy with the set-ups of others.
-func (b *Balancer) timeout(r *request) time.Duration {
+func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	left := r.deadline - b.now
 	if r.attempts >= b.settings.MaxAttempts {
 		return left
@@ -433,7 +433,7 @@
 	return min(aim, left)
 }
 
-func (b *Balancer) onOpened(ev AttemptEstablished) {
+func (b *Balancer) onAttemptEstablished(ev AttemptEstablished) {
 	r := b.requests[ev.ID]
 	if r == nil || r.server == nil || r.server.ID != ev.Server || r.established || ev.Attempt != r.attempts-1 {
 		return
@@ -445,7 +445,7 @@
 	r.server.onProbation, r.server.confirmedAlive = false, true
 }
 
-func (b *Balancer) onOutcome(ev AttemptEnded) {
+func (b *Balancer) onAttemptEnded(ev AttemptEnded) {
 	r := b.requests[ev.ID]
 	if r == nil || r.server == nil || r.server.ID != ev.Server || ev.Attempt != r.attempts-1 {
 		return
@@ -456,21 +456,21 @@
 	if !ev.Result.NeverRan() && !r.mayHaveRun {
 		r.mayHaveRun, r.firstRanOn, r.firstRanAt = true, s, r.sentAt
 	}
-	b.weighOutcome(s, ev.Result, opened, held)
+	b.scoreResult(s, ev.Result, opened, held)
 	if ev.Result == NotSent && ev.Attempt > 0 { // it was never made
 		b.retries.remove(r.sentAt)
 	}
 	switch {
 	case ev.Answered || r.finished:
-		b.end(r)
+		b.finish(r)
 	default:
-		b.serve(r)
+		b.dispatch(r)
 	}
 }
 
-func (b *Balancer) onExpired(id RequestID) {
+func (b *Balancer) onClientDisconnected(id RequestID) {
 	if r := b.requests[id]; r != nil {
-		b.end(r)
+		b.finish(r)
 	}
 }
 
@@ -488,33 +488,33 @@
 // The bound on a server's part of the load guards against hot groups, and holds against any uneven draw
 // of keys. It could hurt a group that is better kept whole, since each part costs the server it goes to.
 func (b *Balancer) place(r *request) *server {
-	b.refresh()
+	b.refreshTable()
 	if r.MidFlow && r.attempts == 0 {
-		if s := b.strayServer(r); s != nil {
+		if s := b.midFlowServer(r); s != nil {
 			return s
 		}
 	}
 	if b.table == nil {
 		return nil
 	}
-	if s := b.untried(r); s != nil {
+	if s := b.trialServer(r); s != nil {
 		return s
 	}
-	first := int(r.chance(0) * b.parts(r))
-	if e := b.entry(r, first); r.MidFlow && r.attempts == 0 && b.unknown(e) && b.mayTry(r, e) {
+	first := int(r.clientFraction(0) * b.groupShards(r))
+	if e := b.lookup(r, first); r.MidFlow && r.attempts == 0 && b.needsPoll(e) && b.isEligible(r, e) {
 		return e // it loads whoever holds it already, and no report tells who that is
 	}
-	unit := b.unit()
+	unit := b.meanLoad()
 	part := (1 + loadBoundRatio) * (b.totalLoad() + unit) / b.totalWeight
-	keep := b.precedence(r)
-	if r.chance(1) < b.throttle() {
+	keep := b.limitRatio(r)
+	if r.clientFraction(1) < b.shedRatio() {
 		return nil
 	}
-	shed := r.chance(1) < (b.slowRatio-slowRatioThreshold*keep)/(1-slowRatioThreshold*keep)
+	shed := r.clientFraction(1) < (b.slowRatio-slowRatioThreshold*keep)/(1-slowRatioThreshold*keep)
 	var best *server
 	var ask []*server
 	least := math.Inf(1)
-	if r.Reconnecting && !b.vouches(b.entry(r, first)) {
+	if r.Reconnecting && !b.isKnownHealthy(b.lookup(r, first)) {
 		first += 1 + int(mix(uint64(r.ID), keySeed)%reconnectSpread)
 	}
 	most := maxLookups
@@ -526,8 +526,8 @@
 		if i == 0 { // its own part of the group; then the others and their alternates
 			j = first
 		}
-		s := b.entry(r, j)
-		if !b.mayTry(r, s) || shed && b.coldAge(s) == 1 {
+		s := b.lookup(r, j)
+		if !b.isEligible(r, s) || shed && b.warmupProgress(s) == 1 {
 			continue // what is shed for the load of warm servers may still fit a cold one's budget
 		}
 		bad := 0.0
@@ -540,25 +540,25 @@
 		if (s.onProbation || s.removalSuspectedAt > 0 && !s.confirmedAlive) && s.pendingAttempts > 0 { // let one stand first
 			bad += 2
 		}
-		cost := r.chance(s.ID) * unit
+		cost := r.clientFraction(s.ID) * unit
 		if r.Group != "" && s.groupConnections[r.Group] == 0 { // do not spread scarce room over many groups
 			cost += newGroupCost * unit
 		}
-		if r.pollRounds < maxPollRounds && b.unknown(s) {
+		if r.pollRounds < maxPollRounds && b.needsPoll(s) {
 			if len(ask) < maxPolledServers && !slices.Contains(ask, s) {
 				ask = append(ask, s)
 			}
 			continue
 		}
-		if len(ask) > 0 || !b.hasRoom(s, cost, keep) {
+		if len(ask) > 0 || !b.hasCapacity(s, cost, keep) {
 			continue
 		}
-		bad += b.strain(s)
-		if b.loadOf(s)+unit > part*s.Capacity+loadBoundSlack*unit {
+		bad += b.loadRank(s)
+		if b.serverLoad(s)+unit > part*s.Capacity+loadBoundSlack*unit {
 			bad++
 		}
-		if b.coldAge(s) < 1 {
-			if bad < 2 && i <= maxNearLookups && b.admitCold(r, s) {
+		if b.warmupProgress(s) < 1 {
+			if bad < 2 && i <= maxNearLookups && b.admitToWarmingServer(r, s) {
 				return s
 			}
 			continue
@@ -571,16 +571,16 @@
 		}
 	}
 	if len(ask) > 0 {
-		b.ask(r, ask)
+		b.pollForRequest(r, ask)
 		return nil
 	}
 	return best
 }
 
-// untried is a server that staff put back and nothing has gone to since. One connection tells them and us
+// trialServer is a server that staff put back and nothing has gone to since. One connection tells them and us
 // that it serves, where a cold server's budget would have them wait; each gateway begins at another time, so
 // that together they stay within what the server bears.
-func (b *Balancer) untried(r *request) *server {
+func (b *Balancer) trialServer(r *request) *server {
 	if r.attempts > 0 || r.MidFlow {
 		return nil
 	}
@@ -593,12 +593,12 @@
 	return nil
 }
 
-// throttle is the part of requests that is shed since too few set-ups stand, wherever they are tried. It
+// shedRatio is the part of requests that is shed since too few set-ups stand, wherever they are tried. It
 // guards against a jam of what all set-ups share, as a store: asked for more than it can do it serves none
 // in time, and the clients' return keeps that up. While it sheds, nothing is moved, as each move is a
 // set-up, and no server's limit is cut for a time-out. It holds for any failure of set-ups that ejections do
 // not end. It could hurt where a gateway reaches few servers, until the others are ejected.
-func (b *Balancer) throttle() float64 {
+func (b *Balancer) shedRatio() float64 {
 	if b.recentFailures.sum == 0 {
 		return 0
 	}
@@ -607,16 +607,16 @@
 	return (tried - maxSetupRatio*(stood+1)) / (tried + 1)
 }
 
-// entry is the server of a request's j-th lookup: 0 is the ordinary path.
-func (b *Balancer) entry(r *request, j int) *server {
+// lookup is the server of a request's j-th lookup: 0 is the ordinary path.
+func (b *Balancer) lookup(r *request, j int) *server {
 	return b.tableServers[b.table.at(r.placementHash, j)]
 }
 
-// parts is over how many entries a group is spread: as many as its members need, of a server's bound each.
+// groupShards is over how many entries a group is spread: as many as its members need, of a server's bound each.
 // It guards against a hot group that no gateway sees whole, as each holds a few of its members; how many
 // there are in all is inferred from those held here, and from a guess as long as few connections are. It
 // could hurt where a group is taken for larger than it is, since each part costs the server it goes to.
-func (b *Balancer) parts(r *request) float64 {
+func (b *Balancer) groupShards(r *request) float64 {
 	if r.Group == "" {
 		return 1
 	}
@@ -627,29 +627,29 @@
 	return max(share*fleet/bound, 1)
 }
 
-// vouches reports whether this gateway has connections at a server and nothing speaks against it.
-func (b *Balancer) vouches(s *server) bool {
+// isKnownHealthy reports whether this gateway has connections at a server and nothing speaks against it.
+func (b *Balancer) isKnownHealthy(s *server) bool {
 	return len(s.inFlight) > s.pendingAttempts && s.ejectedUntil == 0 && b.now >= s.pausedUntil
 }
 
-// precedence is the part of a server's limit that a request may fill: all for what earns most for its
+// limitRatio is the part of a server's limit that a request may fill: all for what earns most for its
 // load, less for the rest. It guards against overload in which room goes to whoever asks first; as the
 // least worthy keep a part, none starves. It could hurt where loads are not known, as worth alone ranks
 // then.
-func (b *Balancer) precedence(r *request) float64 {
+func (b *Balancer) limitRatio(r *request) float64 {
 	top := 0.0
 	for c := range b.settings.Classes[:len(b.settings.Classes)-1] {
-		top = max(top, b.settings.Classes[c].PriorityWeight/b.loadOfClass(c))
+		top = max(top, b.settings.Classes[c].PriorityWeight/b.classLoad(c))
 	}
-	worth := b.worth(r)
+	worth := b.priorityPerLoad(r)
 	return minLimitRatio + (1-minLimitRatio)*min(worth/max(top, 1e-12), 1)
 }
 
-// strayServer is the server that is known to hold a stray, or a guess while a past table is in force: the one
+// midFlowServer is the server that is known to hold a stray, or a guess while a past table is in force: the one
 // where the ordinary path put its key then, also if that drains, within the grace. It guards against a reset
 // where gateways and servers change together. It could miss a connection that an alternate took.
-func (b *Balancer) strayServer(r *request) *server {
-	if s := b.servers[r.Owner]; r.OwnerKnown && s != nil && b.takesStrays(s) {
+func (b *Balancer) midFlowServer(r *request) *server {
+	if s := b.servers[r.Owner]; r.OwnerKnown && s != nil && b.acceptsMidFlow(s) {
 		return s
 	}
 	for _, p := range b.pastTables {
@@ -657,19 +657,19 @@
 			continue
 		}
 		s := p.servers[p.table.at(r.placementHash, 0)]
-		if b.coldAge(s) == 1 && b.takesStrays(s) {
+		if b.warmupProgress(s) == 1 && b.acceptsMidFlow(s) {
 			return s
 		}
 	}
 	return nil
 }
 
-func (b *Balancer) takesStrays(s *server) bool {
+func (b *Balancer) acceptsMidFlow(s *server) bool {
 	return s.State == Ready || s.State == Draining && b.now-s.unavailableSince < b.settings.DrainGrace*drainGraceTenths/10
 }
 
-// mayTry reports whether the list and the class's effect allow an attempt at a server.
-func (b *Balancer) mayTry(r *request, s *server) bool {
+// isEligible reports whether the list and the class's effect allow an attempt at a server.
+func (b *Balancer) isEligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
 	}
@@ -691,9 +691,9 @@
 
 // Health.
 
-// onDelay takes word of slow messages. Work piles up where a server is asked for more than it can do, so
+// onMessageDelay takes word of slow messages. Work piles up where a server is asked for more than it can do, so
 // the growth of the delay tells how far over that is.
-func (b *Balancer) onDelay(s *server, delay time.Duration) {
+func (b *Balancer) onMessageDelay(s *server, delay time.Duration) {
 	last, since := s.messageDelay, b.now-s.messageDelayAt
 	if since > messageDelayTTL {
 		last = 0
@@ -703,104 +703,104 @@
 	case delay <= b.messageObjective/3: // the word that it is over
 		s.pausedUntil = 0
 	case last > 0 && delay < last: // it drains at this load
-		b.lowerLimit(s, 1, messageDelayTTL)
+		b.lowerLoadLimit(s, 1, messageDelayTTL)
 	case last > 0 && since > 0:
-		b.lowerLimit(s, limitCutRatio/(1+float64(delay-last)/float64(since)), messageDelayTTL)
+		b.lowerLoadLimit(s, limitCutRatio/(1+float64(delay-last)/float64(since)), messageDelayTTL)
 	default:
-		b.lowerLimit(s, limitCutRatio, messageDelayTTL)
+		b.lowerLoadLimit(s, limitCutRatio, messageDelayTTL)
 	}
 }
 
-// onReport takes a server's word of its load. Its limit follows, to the load from here at which it would
+// onLoadReport takes a server's word of its load. Its limit follows, to the load from here at which it would
 // be well used, were all gateways to send it more or less alike.
 //
 // It guards against placing on until messages are slow, and against a limit that was cut at a bad moment
 // and kept long after, as limits grow slowly by themselves: a server at a sixth of its power was seen kept
 // out for ten seconds while clients were refused. It holds for whatever takes a server's power. It could
 // hurt where reports are wrong by more than lies between reportRoom and reportOver.
-func (b *Balancer) onReport(s *server, ev LoadReport) {
+func (b *Balancer) onLoadReport(s *server, ev LoadReport) {
 	load := ev.Utilization
 	s.utilization, s.reportedAt, s.sentSinceReport, s.connectionUtilization = load, b.now, 0, 0
 	if ev.Connections > 0 && load > minUtilization {
 		s.connectionUtilization = load / ev.Connections
-		if b.coldAge(s) == 1 {
+		if b.warmupProgress(s) == 1 {
 			b.connectionCapacity.add(1 / s.connectionUtilization / s.Capacity)
 		}
 	}
-	least := b.unit() / float64(b.settings.Gateways)
+	least := b.meanLoad() / float64(b.settings.Gateways)
 	switch {
 	case load > highUtilization:
-		limit := max(b.loadOf(s)*targetUtilization/load, least)
+		limit := max(b.serverLoad(s)*targetUtilization/load, least)
 		if s.loadLimit == 0 || limit < s.loadLimit {
 			s.loadLimit, s.limitLoweredAt = limit, b.now
 		}
 	case load < lowUtilization && s.loadLimit > 0:
-		s.loadLimit = max(s.loadLimit, (b.loadOf(s)+least)*targetUtilization/max(load, minUtilization))
+		s.loadLimit = max(s.loadLimit, (b.serverLoad(s)+least)*targetUtilization/max(load, minUtilization))
 	}
 }
 
-// lowerLimit lowers the load that a server is held able to bear, once a second at most, and gives it nothing
+// lowerLoadLimit lowers the load that a server is held able to bear, once a second at most, and gives it nothing
 // new for a while.
 //
 // It guards against overload that feeds itself: a server with work piled up serves none in time, drops
 // connections, and their return is more work. It holds for whatever takes a server's power: a hang, a
 // slow spell, a neighbour on the machine, a hot group, too few servers. It could hurt where slowness
 // passes by itself within a second, since the limit grows back more slowly than it falls.
-func (b *Balancer) lowerLimit(s *server, factor float64, hold time.Duration) {
+func (b *Balancer) lowerLoadLimit(s *server, factor float64, hold time.Duration) {
 	s.pausedUntil = max(s.pausedUntil, b.now+hold)
 	if s.loadLimit == 0 || b.now-s.limitLoweredAt >= limitCutInterval {
-		load := b.loadOf(s)
+		load := b.serverLoad(s)
 		if s.loadLimit > 0 {
 			load = min(load, s.loadLimit)
 		}
 		// Where a gateway holds few of a server's connections, it hears of few chances to cut.
 		factor = max(factor-(1-factor)/float64(max(len(s.inFlight), 1)), minLimitCutRatio)
-		s.loadLimit, s.limitLoweredAt = max(load*factor, b.unit()/float64(b.settings.Gateways)), b.now
+		s.loadLimit, s.limitLoweredAt = max(load*factor, b.meanLoad()/float64(b.settings.Gateways)), b.now
 	}
 }
 
-// hasRoom reports whether a server can take another connection of the given load within a part of its
+// hasCapacity reports whether a server can take another connection of the given load within a part of its
 // limit. One that holds nothing from here takes one in any case, as nothing more is heard of it otherwise and
 // a limit that no new group fits in would keep it out for minutes where connections are few.
-func (b *Balancer) hasRoom(s *server, load, part float64) bool {
-	if b.settings.CanPollLoad && b.toldOf(s) {
-		return b.loadWith(s) <= maxUtilization
+func (b *Balancer) hasCapacity(s *server, load, part float64) bool {
+	if b.settings.CanPollLoad && b.hasFreshReport(s) {
+		return b.projectedUtilization(s) <= maxUtilization
 	}
 	return s.loadLimit == 0 || b.now >= s.pausedUntil &&
-		(b.loadOf(s)+load <= part*s.loadLimit || len(s.inFlight) == 0 && b.now-s.limitLoweredAt > limitGrowthDelay)
+		(b.serverLoad(s)+load <= part*s.loadLimit || len(s.inFlight) == 0 && b.now-s.limitLoweredAt > limitGrowthDelay)
 }
 
-// growLimit lets a limit grow while nothing speaks against it, and forgets one that no longer binds.
-func (b *Balancer) growLimit(s *server) {
+// growLoadLimit lets a limit grow while nothing speaks against it, and forgets one that no longer binds.
+func (b *Balancer) growLoadLimit(s *server) {
 	if b.now-s.limitLoweredAt <= limitGrowthDelay {
 		return
 	}
 	fair := b.totalLoad() * s.Capacity / b.totalWeight
-	s.loadLimit += limitGrowthRatio * max(s.loadLimit, fair, b.unit()/float64(b.settings.Gateways)) * sweepInterval.Seconds()
-	if s.loadLimit > limitDropFactor*fair+2*loadBoundSlack*b.unit() {
+	s.loadLimit += limitGrowthRatio * max(s.loadLimit, fair, b.meanLoad()/float64(b.settings.Gateways)) * sweepInterval.Seconds()
+	if s.loadLimit > limitDropFactor*fair+2*loadBoundSlack*b.meanLoad() {
 		s.loadLimit = 0
 	}
 }
 
-// weighOutcome weighs an outcome against a server and, with enough evidence, ejects it: it is the last
+// scoreResult weighs an outcome against a server and, with enough evidence, ejects it: it is the last
 // resort for a set time. It guards against servers that are down or answer nothing before the list knows,
 // and holds for any fault of one server. A fault of something shared blames no one: where more than
 // maxEjected look bad, the list is trusted. It could hurt where that share is truly down, as keys then go on
 // to them.
-func (b *Balancer) weighOutcome(s *server, result Result, opened bool, held int) {
+func (b *Balancer) scoreResult(s *server, result Result, opened bool, held int) {
 	strike := 0.0
 	switch result {
 	case OK, Cancelled, NotSent:
 		return
 	case Rejected:
-		b.lowerLimit(s, 1, rejectedPause)
+		b.lowerLoadLimit(s, 1, rejectedPause)
 		strike = 0.25
 	case ConnectFailed:
 		strike = 1
 	case TimedOut, Errored: // work piles up there, or nothing answers
 		b.recentFailures.add(b.now, 1)
-		if b.throttle() <= 0 {
-			b.lowerLimit(s, limitCutRatio, 0)
+		if b.shedRatio() <= 0 {
+			b.lowerLoadLimit(s, limitCutRatio, 0)
 		}
 		strike = 0.5
 	case Reset:
@@ -828,7 +828,7 @@
 		return
 	}
 	if s.removalSuspectedAt > 0 { // the list was right
-		b.confirmGone(s)
+		b.confirmRemoval(s)
 		return
 	}
 	s.ejectedUntil = b.now + baseEjectionDuration<<min(s.ejections, maxEjectionDoublings)
@@ -839,7 +839,7 @@
 
 // Time.
 
-func (b *Balancer) onTimer(ev TimerFired) {
+func (b *Balancer) onTimerFired(ev TimerFired) {
 	if ev.Ref == sweepTimer {
 		b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
 		slow := 0
@@ -852,44 +852,44 @@
 				b.logf("server %d back in the table", s.ID)
 			}
 			if s.loadLimit > 0 {
-				b.growLimit(s)
+				b.growLoadLimit(s)
 			}
-			b.moveAway(s)
+			b.migrateFrom(s)
 		}
-		b.forget()
+		b.evictEndpoints()
 		b.slowRatio = float64(slow) / float64(max(b.connections, 1))
-		if shedding := b.slowRatio > slowRatioThreshold || b.throttle() > 0; shedding != b.isShedding {
+		if shedding := b.slowRatio > slowRatioThreshold || b.shedRatio() > 0; shedding != b.isShedding {
 			b.isShedding = shedding
 			b.logf("shedding %v: %.0f%% of own connections are on slow servers, %.1f set-ups failed of late",
 				shedding, 100*b.slowRatio, b.recentFailures.value(b.now))
 		}
 	}
-	b.serveWaiting()
+	b.dispatchWaiting()
 }
 
-// moveAway moves connections off a server whose messages miss every aim, a share a second, by the part of
+// migrateFrom moves connections off a server whose messages miss every aim, a share a second, by the part of
 // the fleet that has room, the ones that earn least for their load first. It guards against servers that
 // hang or slow with their connections on them, and lets an overloaded one drain. It could hurt where all
 // are overloaded: with no room elsewhere a move is a reconnect for nothing, hence the pace.
-func (b *Balancer) moveAway(s *server) {
-	if s.Evacuate && s.State == Draining && b.throttle() <= 0 {
-		b.clear(s)
+func (b *Balancer) migrateFrom(s *server) {
+	if s.Evacuate && s.State == Draining && b.shedRatio() <= 0 {
+		b.evacuate(s)
 		return
 	}
-	if s.messageDelay < b.messageObjective || b.now >= s.pausedUntil || s.State != Ready || b.throttle() > 0 {
+	if s.messageDelay < b.messageObjective || b.now >= s.pausedUntil || s.State != Ready || b.shedRatio() > 0 {
 		s.migrationCredit = 0
 		return
 	}
-	b.sound()
-	s.migrationCredit += migrationRatio * b.room() * max(float64(len(s.inFlight)+1), minMigratable) * sweepInterval.Seconds()
+	b.sampleCapacity()
+	s.migrationCredit += migrationRatio * b.freeCapacityRatio() * max(float64(len(s.inFlight)+1), minMigratable) * sweepInterval.Seconds()
 	for ; s.migrationCredit >= 1; s.migrationCredit-- {
 		var pick *request
 		for _, r := range s.inFlight {
-			if r.established && !r.finished && !b.isShed(r) && (pick == nil || b.worth(r) < b.worth(pick)) {
+			if r.established && !r.finished && !b.isShedByFleet(r) && (pick == nil || b.priorityPerLoad(r) < b.priorityPerLoad(pick)) {
 				pick = r
 			}
 		}
-		if pick == nil || b.loadOf(s)-(1-pick.stays(s))*b.unit() <= s.loadLimit {
+		if pick == nil || b.serverLoad(s)-(1-pick.migrationOrder(s))*b.meanLoad() <= s.loadLimit {
 			break
 		}
 		b.act(Migrate{ID: pick.ID})
@@ -897,42 +897,42 @@
 	}
 }
 
-// stays is the chance that decides which connections are the last to be moved off a server, alike at every
+// migrationOrder is the chance that decides which connections are the last to be moved off a server, alike at every
 // gateway. A group's members go together, as what it costs the server is paid until the last has gone.
-func (r *request) stays(s *server) float64 {
-	return groupMigrationRatio*fraction(mix(r.placementHash, uint64(s.ID))) + (1-groupMigrationRatio)*r.chance(s.ID)
+func (r *request) migrationOrder(s *server) float64 {
+	return groupMigrationRatio*fraction(mix(r.placementHash, uint64(s.ID))) + (1-groupMigrationRatio)*r.clientFraction(s.ID)
 }
 
-// room is the part of the table's weight that can take more, of servers that told their loads if they can.
-func (b *Balancer) room() float64 {
+// freeCapacityRatio is the part of the table's weight that can take more, of servers that told their loads if they can.
+func (b *Balancer) freeCapacityRatio() float64 {
 	free, all := 0.0, 0.0
 	for _, s := range b.tableServers {
-		if b.settings.CanPollLoad && !b.toldOf(s) {
+		if b.settings.CanPollLoad && !b.hasFreshReport(s) {
 			continue
 		}
 		all += s.Capacity
-		if b.hasRoom(s, 0, 1) {
+		if b.hasCapacity(s, 0, 1) {
 			free += s.Capacity
 		}
 	}
 	return free / max(all, 1e-9)
 }
 
-// sound asks one server a look whose load is not known, while clients are to be moved: a gateway that holds
+// sampleCapacity asks one server a look whose load is not known, while clients are to be moved: a gateway that holds
 // few connections hears of the servers that hold them alone, and would find no room while others stand idle.
-func (b *Balancer) sound() {
-	b.refresh()
-	s := b.tableServers[int(b.rand()*float64(len(b.tableServers)))]
-	if b.settings.CanPollLoad && b.sampledAt < b.now && !b.toldOf(s) && b.now-s.polledAt > loadReportTTL {
+func (b *Balancer) sampleCapacity() {
+	b.refreshTable()
+	s := b.tableServers[int(b.random()*float64(len(b.tableServers)))]
+	if b.settings.CanPollLoad && b.sampledAt < b.now && !b.hasFreshReport(s) && b.now-s.polledAt > loadReportTTL {
 		b.sampledAt, s.polledAt = b.now, b.now
 		b.act(PollLoad{Server: s.ID})
 	}
 }
 
-// clear moves the connections off a server that staff took out, a part of them at each look while others have
+// evacuate moves the connections off a server that staff took out, a part of them at each look while others have
 // room. It guards against the cut that each would suffer when the server is restarted.
-func (b *Balancer) clear(s *server) {
-	n := int(math.Ceil(evacuationRatio * b.room() * float64(len(s.inFlight))))
+func (b *Balancer) evacuate(s *server) {
+	n := int(math.Ceil(evacuationRatio * b.freeCapacityRatio() * float64(len(s.inFlight))))
 	for _, r := range s.inFlight {
 		if n > 0 && r.established && !r.finished {
 			b.act(Migrate{ID: r.ID})
@@ -942,11 +942,11 @@
 	}
 }
 
-// worth is what a connection earns for its load.
-func (b *Balancer) worth(r *request) float64 {
+// priorityPerLoad is what a connection earns for its load.
+func (b *Balancer) priorityPerLoad(r *request) float64 {
 	load := r.load
 	if load == 0 {
-		load = b.loadOfClass(r.classIndex)
+		load = b.classLoad(r.classIndex)
 	}
 	worth := b.settings.Classes[r.classIndex].PriorityWeight
 	if t, ok := b.tenantIndex[r.Tenant]; ok && b.settings.OverQuotaWeightFactor > 0 {
@@ -955,7 +955,7 @@
 		}
 	}
 	if r.Group != "" && r.server != nil {
-		load += movedGroupCost * b.unit() / float64(r.server.groupConnections[r.Group])
+		load += movedGroupCost * b.meanLoad() / float64(r.server.groupConnections[r.Group])
 	}
 	return worth / load
 }
--- a/balancer/begin_test.go
+++ b/balancer/begin_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("a repeat of what never ran: %+v", s)
 	}
 
-	w.b.refresh()
+	w.b.refreshTable()
 	holder := w.b.tableServers[0]
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: holder.ID, State: Draining}}})
 	w.now += 300 * ms
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -23,7 +23,7 @@
 			sent, id := 0, RequestID(0)
 			w := newWorld(t, set, members-1)
 			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
-			w.b.refresh()
+			w.b.refreshTable()
 			s := w.b.servers[900]
 			w.b.startedAt = w.now - time.Hour
 			for range bursts * gateways { // one world stands for all: nothing of the last request is left
@@ -33,7 +33,7 @@
 				id++
 				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 &&
-						w.b.admitCold(&request{Request: Request{ID: id}}, s) {
+						w.b.admitToWarmingServer(&request{Request: Request{ID: id}}, s) {
 						sent++
 						break
 					}
@@ -56,7 +56,7 @@
 	set.Gateways, set.ColdOverloadFactor, set.WarmupDuration = 300, 4, 21*sec
 	w := newWorld(t, set, 80)
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
-	w.b.refresh()
+	w.b.refreshTable()
 	w.b.startedAt = w.now - time.Hour
 	w.b.connectionCapacity.add(bears)
 	s := w.b.servers[900]
@@ -65,7 +65,7 @@
 		w.b.now += ms
 		w.b.recentRequests, s.warmupSentAt, s.Started, s.warmupLookups = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
 		w.b.recentRequests.add(w.b.now, 1)
-		if w.b.admitCold(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
+		if w.b.admitToWarmingServer(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
 			sent++
 		}
 	}
@@ -191,7 +191,7 @@
 		zipf := rapid.IntRange(6, 40).Draw(t, "groups")
 		whole := mustNew(nil, f.set)
 		whole.Handle(coldStart, f.list)
-		whole.refresh()
+		whole.refreshTable()
 		hot := "h"
 		for whole.tableServers[whole.table.at(hashKey(hot), 0)].ID < f.cold {
 			hot += "h"
--- a/balancer/daily_test.go
+++ b/balancer/daily_test.go
@@ -32,18 +32,18 @@
 func TestColdBudgetFollowsReports(t *testing.T) {
 	w := newWorld(t, settings(), 4)
 	s := w.b.sortedServers[0]
-	before := w.b.fullConnections(s)
+	before := w.b.warmConnections(s)
 	for range 20 {
 		w.feed(LoadReport{Server: w.b.sortedServers[1].ID, Utilization: 0.25, Connections: 10})
 	}
-	if got := w.b.fullConnections(s); before != minWarmConnections || got < 0.6*40 || got > 40 {
+	if got := w.b.warmConnections(s); before != minWarmConnections || got < 0.6*40 || got > 40 {
 		t.Errorf("held to bear %v, then %v with reports of 10 at a quarter", before, got)
 	}
 	s.Started = w.now
 	for range 20 {
 		w.feed(LoadReport{Server: s.ID, Utilization: 0.25, Connections: 1000})
 	}
-	if got := w.b.fullConnections(s); got > 40 {
+	if got := w.b.warmConnections(s); got > 40 {
 		t.Errorf("a cold server's own report made it %v", got)
 	}
 }
@@ -83,7 +83,7 @@
 		for g := range f.gateways {
 			w := newWorld(t, set, members-1)
 			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
-			w.b.refresh()
+			w.b.refreshTable()
 			s := w.b.servers[900]
 			for i := 0; time.Duration(i)*f.every < 10*sec+span; i++ { // ten seconds ahead, to learn the rate
 				w.now += f.every
@@ -92,7 +92,7 @@
 				id := RequestID(g*1000 + i + 1)
 				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 && time.Duration(i)*f.every >= 10*sec &&
-						w.b.admitCold(&request{Request: Request{ID: id}}, s) {
+						w.b.admitToWarmingServer(&request{Request: Request{ID: id}}, s) {
 						sent++
 					}
 				}
--- a/balancer/figures_test.go
+++ b/balancer/figures_test.go
@@ -178,9 +178,9 @@
 			if s := unsound(reflect.ValueOf(b), "b", map[uintptr]bool{}); s != "" {
 				t.Fatal(s)
 			}
-			for _, f := range []float64{b.throttle(), b.room(), b.arrivals()} {
+			for _, f := range []float64{b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate()} {
 				if math.IsNaN(f) || math.IsInf(f, 0) {
-					t.Fatalf("throttle %v, room %v, arrivals %v", b.throttle(), b.room(), b.arrivals())
+					t.Fatalf("throttle %v, room %v, arrivals %v", b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate())
 				}
 			}
 		}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	s := w.b.servers[100]
-	load := w.b.loadOf(s)
+	load := w.b.serverLoad(s)
 	for _, f := range []struct{ report, least, most float64 }{
 		{0.7, 0, 0},                     // nothing to say
 		{1.4, 0.49 * load, 0.51 * load}, // asked for twice what it should be
@@ -135,7 +135,7 @@
 
 // entry is the server where the ordinary path puts a key.
 func (w *world) entry(key string) ServerID {
-	w.b.refresh()
+	w.b.refreshTable()
 	return w.b.tableServers[w.b.table.at(hashKey(key), 0)].ID
 }
 
@@ -393,7 +393,7 @@
 
 func TestStrayAfterANewServerGoesToTheOldEntry(t *testing.T) {
 	w := newWorld(t, settings(), 5)
-	w.b.refresh()
+	w.b.refreshTable()
 	before := w.b.table
 	members := w.b.tableServers
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
@@ -414,13 +414,13 @@
 // Lists that change nothing must not push the table of the last real change out of memory.
 func TestUnchangedListKeepsThePast(t *testing.T) {
 	w := newWorld(t, settings(), 5)
-	w.b.refresh()
+	w.b.refreshTable()
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
-	w.b.refresh()
+	w.b.refreshTable()
 	past := len(w.b.pastTables)
 	for range 3 {
 		w.feed(EndpointList{Mode: ListDelta})
-		w.b.refresh()
+		w.b.refreshTable()
 	}
 	if past != 1 || len(w.b.pastTables) != 1 {
 		t.Errorf("%d past tables, then %d", past, len(w.b.pastTables))
@@ -506,7 +506,7 @@
 	for range 3 {
 		w.open("safe", "g")
 	}
-	load := w.b.loadOf(w.b.servers[s])
+	load := w.b.serverLoad(w.b.servers[s])
 	w.request("safe", "g")
 	if w.sent().Server != s {
 		t.Fatalf("sent to %d", w.sent().Server)
@@ -533,7 +533,7 @@
 		w.open("dear", "g")
 	}
 	s := w.b.sortedServers[0]
-	w.b.lowerLimit(s, 1, 0)
+	w.b.lowerLoadLimit(s, 1, 0)
 	s.loadLimit = 40
 	if w.request("safe", "g"); len(find[Send](w.last)) > 0 {
 		t.Error("the less worthy filled what is kept")
@@ -568,7 +568,7 @@
 	small, _ := w.open("safe", "small")
 	s := w.b.sortedServers[0]
 	s.loadLimit, s.limitLoweredAt, s.pausedUntil, s.messageDelay, s.migrationCredit = 1, w.now, w.now+sec, sec, 1
-	w.b.moveAway(s)
+	w.b.migrateFrom(s)
 	got := find[Migrate](w.b.actions)
 	if len(got) == 0 || got[0].ID != small {
 		t.Errorf("moved %+v, the lone member is %d", got, small)
@@ -584,7 +584,7 @@
 		w.feed(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Timeout: sec})
 	}
 	in, over := Request{Class: "safe", Tenant: "in"}, Request{Class: "safe", Tenant: "over"}
-	if a, b := w.b.worth(&request{Request: in}), w.b.worth(&request{Request: over}); b >= a {
+	if a, b := w.b.priorityPerLoad(&request{Request: in}), w.b.priorityPerLoad(&request{Request: over}); b >= a {
 		t.Errorf("worth %v within and %v over the quota", a, b)
 	}
 }
@@ -623,7 +623,7 @@
 		for _, w := range worlds {
 			w.now = start + 9*sec
 			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: start}}})
-			full += w.b.fullConnections(w.b.servers[900]) / float64(gateways)
+			full += w.b.warmConnections(w.b.servers[900]) / float64(gateways)
 		}
 		for i := range 5 {
 			for _, w := range worlds {
@@ -717,7 +717,7 @@
 func TestRestartClearsTheRecord(t *testing.T) {
 	w := newWorld(t, settings(), 3)
 	s := w.b.sortedServers[0]
-	w.b.weighOutcome(s, ConnectFailed, false, 0)
+	w.b.scoreResult(s, ConnectFailed, false, 0)
 	if s.ejectedUntil == 0 {
 		t.Fatal("not ejected")
 	}
@@ -797,14 +797,14 @@
 	set.Gateways = 200
 	b := mustNew(t, set)
 	b.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(80)})
-	b.refresh()
+	b.refreshTable()
 	for i := range 10 {
 		group := fmt.Sprint("g", i%2*i)
 		key := fmt.Sprint("k", i)
 		b.Handle(0, Request{ID: RequestID(i), Class: "safe", Group: group, Key: key, Timeout: sec})
 	}
-	hot := b.parts(&request{Request: Request{Group: "g0"}})
-	small := b.parts(&request{Request: Request{Group: "g1"}})
+	hot := b.groupShards(&request{Request: Request{Group: "g0"}})
+	small := b.groupShards(&request{Request: Request{Group: "g1"}})
 	if hot < 10 || small > hot/2 {
 		t.Errorf("half of all connections over %.1f entries, a tenth over %.1f", hot, small)
 	}
@@ -991,7 +991,7 @@
 	} {
 		w := newWorld(t, adviceOnly(), 8)
 		at := map[string]ServerID{}
-		w.b.refresh()
+		w.b.refreshTable()
 		shares := w.b.tableWeights
 		for i := range 30 {
 			group := fmt.Sprint("g", i)
@@ -1016,7 +1016,7 @@
 		}
 		past := len(w.b.pastTables)
 		w.feed(EndpointList{Mode: ListComplete, Servers: servers(8)})
-		if w.b.refresh(); !slices.Equal(w.b.tableWeights, shares) {
+		if w.b.refreshTable(); !slices.Equal(w.b.tableWeights, shares) {
 			t.Errorf("%s: the true list left another table", name)
 		}
 		if name != "old" && len(w.b.pastTables) != past {
--- a/balancer/shed_test.go
+++ b/balancer/shed_test.go
@@ -39,8 +39,8 @@
 	set.Gateways, set.CanPollLoad = 300, true
 	w := newWorld(t, set, 8)
 	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec, MidFlow: true})
-	w.b.refresh()
-	if s := find[Send](w.last); len(s) != 1 || s[0].Server != w.b.entry(w.b.requests[1], 0).ID {
+	w.b.refreshTable()
+	if s := find[Send](w.last); len(s) != 1 || s[0].Server != w.b.lookup(w.b.requests[1], 0).ID {
 		t.Errorf("sent %v", s)
 	}
 }
@@ -50,17 +50,17 @@
 func TestRoomIsOfThoseThatTold(t *testing.T) {
 	set := settings()
 	w := newWorld(t, set, 4)
-	w.b.refresh()
-	if got := w.b.room(); got != 1 {
+	w.b.refreshTable()
+	if got := w.b.freeCapacityRatio(); got != 1 {
 		t.Errorf("room is %v where all have room", got)
 	}
 	set.CanPollLoad = true
 	w = newWorld(t, set, 4)
-	w.b.refresh()
+	w.b.refreshTable()
 	for i, load := range []float64{0.2, 1.5} {
 		w.feed(LoadReport{Server: w.b.sortedServers[i].ID, Utilization: load, Connections: 10})
 	}
-	if got := w.b.room(); got != 0.5 {
+	if got := w.b.freeCapacityRatio(); got != 0.5 {
 		t.Errorf("room is %v where one of two that told is full", got)
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -245,7 +245,7 @@
 			return nil, fmt.Errorf("rules: %s is %v, not a figure of 0 or more", f.name, f.value)
 		}
 	}
-	span, _, _ := b.budget()
+	span, _, _ := b.retryBudget()
 	b.admitted, b.retries = slidingWindow{length: span}, slidingWindow{length: span, inclusive: true}
 	b.settings.Classes = slices.Clone(set.Classes)
 	for i, c := range b.settings.Classes {
@@ -288,7 +288,7 @@
 
 func (b *Balancer) logf(format string, args ...any) { b.act(Log{fmt.Sprintf(format, args...)}) }
 
-func byID(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
+func compareServerIDs(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
 
 func (b *Balancer) newRequest(ev Request) *request {
 	class, ok := b.classIndex[ev.Class]
@@ -296,14 +296,14 @@
 		class = len(b.settings.Classes) - 1
 	}
 	r := &request{Request: ev, classIndex: class, load: ev.Load, deadline: b.now + ev.Timeout}
-	r.placementHash, r.clientHash = hashes(ev)
+	r.placementHash, r.clientHash = requestHashes(ev)
 	b.requests[ev.ID] = r
 	return r
 }
 
-// chance is a number in [0, 1) that every gateway computes alike for a client and a server, or for the
+// clientFraction is a number in [0, 1) that every gateway computes alike for a client and a server, or for the
 // client alone. Where a share of one connection is to be taken, it decides which clients those are.
-func (r *request) chance(of ServerID) float64 {
+func (r *request) clientFraction(of ServerID) float64 {
 	return fraction(mix(r.clientHash, uint64(of)))
 }
 
@@ -315,11 +315,11 @@
 	b.connections++
 	s.pendingAttempts++
 	s.sentSinceReport++
-	b.count(r, 1)
+	b.addLoad(r, 1)
 }
 
-// doubts is the number of servers in doubt.
-func (b *Balancer) doubts() (n int) {
+// suspectedRemovals is the number of servers in doubt.
+func (b *Balancer) suspectedRemovals() (n int) {
 	for _, s := range b.sortedServers {
 		if s.removalSuspectedAt > 0 {
 			n++
@@ -333,7 +333,7 @@
 	if s == nil {
 		return
 	}
-	b.count(r, -1)
+	b.addLoad(r, -1)
 	b.connections--
 	for _, groups := range []map[string]int{b.groupConnections, s.groupConnections} {
 		if groups[r.Group]--; groups[r.Group] == 0 {
@@ -352,7 +352,7 @@
 	r.server = nil
 }
 
-func (b *Balancer) count(r *request, sign int) {
+func (b *Balancer) addLoad(r *request, sign int) {
 	if t, ok := b.tenantIndex[r.Tenant]; ok {
 		b.tenantConnections[t] += float64(sign)
 	}
@@ -360,15 +360,15 @@
 	b.load.add(r.classIndex, r.load, sign)
 }
 
-func (b *Balancer) end(r *request) {
+func (b *Balancer) finish(r *request) {
 	r.finished = true
 	if r.server == nil {
 		delete(b.requests, r.ID)
 	}
 }
 
-// rand is the gateway's own random number in [0, 1), for jitter.
-func (b *Balancer) rand() float64 {
+// random is the gateway's own random number in [0, 1), for jitter.
+func (b *Balancer) random() float64 {
 	b.randomState = mix(b.randomState, keySeed)
 	return fraction(b.randomState)
 }
@@ -376,7 +376,7 @@
 // fraction maps a hash to [0, 1).
 func fraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-func (b *Balancer) loadOf(s *server) float64 { return b.estimateLoad(&s.load) }
+func (b *Balancer) serverLoad(s *server) float64 { return b.estimateLoad(&s.load) }
 
 func (b *Balancer) totalLoad() float64 { return b.estimateLoad(&b.load) }
 
@@ -384,32 +384,32 @@
 	load := s.known
 	for c, n := range s.unknown {
 		if n > 0 {
-			load += float64(n) * b.loadOfClass(c)
+			load += float64(n) * b.classLoad(c)
 		}
 	}
 	return max(load, 0)
 }
 
-func (b *Balancer) learnLoad(class int, load float64) {
+func (b *Balancer) observeLoad(class int, load float64) {
 	b.classLoads[class].add(load)
 	b.overallLoad.add(load)
 }
 
-func (b *Balancer) onLoad(ev LoadChanged) {
+func (b *Balancer) onLoadChanged(ev LoadChanged) {
 	r := b.requests[ev.ID]
 	if r == nil || !(ev.Load > 0) {
 		return
 	}
-	b.learnLoad(r.classIndex, ev.Load)
+	b.observeLoad(r.classIndex, ev.Load)
 	if r.server != nil {
-		b.count(r, -1)
+		b.addLoad(r, -1)
 		r.load = ev.Load
-		b.count(r, 1)
+		b.addLoad(r, 1)
 	}
 }
 
-// onCarried takes in a connection that is older than this gateway.
-func (b *Balancer) onCarried(ev AdoptedConnection) {
+// onAdoptedConnection takes in a connection that is older than this gateway.
+func (b *Balancer) onAdoptedConnection(ev AdoptedConnection) {
 	s := b.servers[ev.Server]
 	if s == nil || b.requests[ev.ID] != nil {
 		return
@@ -420,20 +420,20 @@
 	s.pendingAttempts--
 }
 
-// loadWith is the load that a server would report with one connection more.
-func (b *Balancer) loadWith(s *server) float64 {
+// projectedUtilization is the load that a server would report with one connection more.
+func (b *Balancer) projectedUtilization(s *server) float64 {
 	return s.utilization + float64(s.sentSinceReport+1)*s.connectionUtilization
 }
 
-// unheard reports whether a server was asked and has not told yet.
-func (b *Balancer) unheard(s *server) bool { return s.reportedAt < s.polledAt }
+// awaitsReport reports whether a server was asked and has not told yet.
+func (b *Balancer) awaitsReport(s *server) bool { return s.reportedAt < s.polledAt }
 
-// toldOf reports whether a server's own word of its load is young enough to place by.
-func (b *Balancer) toldOf(s *server) bool {
+// hasFreshReport reports whether a server's own word of its load is young enough to place by.
+func (b *Balancer) hasFreshReport(s *server) bool {
 	return s.reportedAt > 0 && b.now-s.reportedAt <= loadReportTTL
 }
 
-func (b *Balancer) update(e Server) {
+func (b *Balancer) updateServer(e Server) {
 	if !(e.Capacity > 0) || math.IsInf(e.Capacity, 1) {
 		e.Capacity = 1
 	}
@@ -445,10 +445,10 @@
 			s.State = Ready
 		}
 		b.servers[e.ID] = s
-		i, _ := slices.BinarySearchFunc(b.sortedServers, s, byID)
+		i, _ := slices.BinarySearchFunc(b.sortedServers, s, compareServerIDs)
 		b.sortedServers = slices.Insert(b.sortedServers, i, s)
 	} else if e.Started > s.Started {
-		b.renew(s) // a restart: what was known of the old process is void
+		b.resetHealth(s) // a restart: what was known of the old process is void
 	}
 	state := e.State
 	e.State = s.State
@@ -459,21 +459,21 @@
 	b.setState(s, state)
 }
 
-// renew forgets what was learned of a server's process.
-func (b *Balancer) renew(s *server) {
+// resetHealth forgets what was learned of a server's process.
+func (b *Balancer) resetHealth(s *server) {
 	s.hasDrained, s.failureScore, s.ejectedUntil, s.ejections, s.onProbation = false, decayingCounter{}, 0, 0, false
 	s.loadLimit, s.pausedUntil = 0, 0
 }
 
-// fullConnections guesses how many connections a server bears warm, from the reports of warm ones, or else
+// warmConnections guesses how many connections a server bears warm, from the reports of warm ones, or else
 // from what they hold: that is all they bear where the fleet is full, and too few where it is not.
-func (b *Balancer) fullConnections(s *server) float64 {
+func (b *Balancer) warmConnections(s *server) float64 {
 	if b.connectionCapacity.weight > 0 {
 		return max(b.connectionCapacity.value*s.Capacity, minWarmConnections)
 	}
 	held, weight := 0.0, 1e-9
 	for _, o := range b.tableServers {
-		if b.coldAge(o) == 1 {
+		if b.warmupProgress(o) == 1 {
 			held += float64(len(o.inFlight))
 			weight += o.Capacity
 		}
@@ -481,16 +481,16 @@
 	return max(held*float64(b.settings.Gateways)/weight*s.Capacity, minWarmConnections)
 }
 
-// forget drops servers that are long gone and hold nothing, so that a fleet whose machines get new ids does
+// evictEndpoints drops servers that are long gone and hold nothing, so that a fleet whose machines get new ids does
 // not grow the memory. One in doubt that nothing was sent to for that long is taken for gone.
-func (b *Balancer) forget() {
+func (b *Balancer) evictEndpoints() {
 	if b.now-b.evictedAt < removedServerRetention/10 {
 		return
 	}
 	b.evictedAt = b.now
 	b.sortedServers = slices.DeleteFunc(b.sortedServers, func(s *server) bool {
 		if s.removalSuspectedAt > 0 && len(s.inFlight) == 0 && b.now-s.removalSuspectedAt > removedServerRetention {
-			b.confirmGone(s)
+			b.confirmRemoval(s)
 		}
 		old := s.State == Removed && len(s.inFlight) == 0 && b.now-s.unavailableSince > max(removedServerRetention, b.settings.FlowRetention)
 		if old {
@@ -500,8 +500,8 @@
 	})
 }
 
-// hashes are what places a request, of the group or else the client, and what tells its client from others.
-func hashes(ev Request) (place, client uint64) {
+// requestHashes are what places a request, of the group or else the client, and what tells its client from others.
+func requestHashes(ev Request) (place, client uint64) {
 	client = mix(uint64(ev.ID), keySeed) // without a key there is nothing to agree on
 	if ev.Key != "" {
 		client = hashKey(ev.Key)
@@ -516,18 +516,18 @@
 	return place, client
 }
 
-// unit is the load of one mean connection.
-func (b *Balancer) unit() float64 {
+// meanLoad is the load of one mean connection.
+func (b *Balancer) meanLoad() float64 {
 	if b.overallLoad.weight > 0 {
 		return b.overallLoad.value
 	}
 	return 1
 }
 
-// loadOfClass is the load of one connection of a class, where its own is not known.
-func (b *Balancer) loadOfClass(c int) float64 {
+// classLoad is the load of one connection of a class, where its own is not known.
+func (b *Balancer) classLoad(c int) float64 {
 	if b.classLoads[c].weight > 0 {
 		return b.classLoads[c].value
 	}
-	return b.unit()
+	return b.meanLoad()
 }
