--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -28,7 +28,8 @@
 			w.b.startedAt = w.now - time.Hour
 			for range bursts * gateways { // one world stands for all: nothing of the last request is left
 				w.b.now += ms
-				w.b.recentRequests, s.warmupSentAt, s.Started, s.warmupLookups = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
+				w.b.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
+				s.warmupSentAt, s.Started = 0, w.b.now-sec
 				w.b.recentRequests.add(w.b.now, 1)
 				id++
 				for j := range maxNearLookups {
@@ -39,7 +40,8 @@
 					}
 				}
 			}
-			limit := set.ColdOverloadFactor * minWarmConnections / set.WarmupDuration.Seconds() * tip.Seconds()
+			limit := set.ColdOverloadFactor * minWarmConnections /
+				set.WarmupDuration.Seconds() * tip.Seconds()
 			if mean := float64(sent) / bursts; mean > 1.2*limit || mean < 0.2*limit {
 				t.Errorf("%d gateways, %v: %.2f in a burst, the limit is %.2f", gateways, tip, mean, limit)
 			}
@@ -63,7 +65,8 @@
 	sent := 0
 	for id := range bursts * members {
 		w.b.now += ms
-		w.b.recentRequests, s.warmupSentAt, s.Started, s.warmupLookups = decayingCounter{}, 0, w.b.now-sec, decayingCounter{}
+		w.b.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
+		s.warmupSentAt, s.Started = 0, w.b.now-sec
 		w.b.recentRequests.add(w.b.now, 1)
 		if w.b.admitToWarmingServer(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
 			sent++
--- a/balancer/digest_test.go
+++ b/balancer/digest_test.go
@@ -774,7 +774,9 @@
 func (s *stream) endOne() {
 	if c := s.anyLive(isEstablished); c != nil {
 		s.end(c,
-			[]balancer.Result{balancer.OK, balancer.OK, balancer.Cancelled, balancer.Reset}[s.rnd.IntN(4)], true)
+			[]balancer.Result{
+				balancer.OK, balancer.OK, balancer.Cancelled, balancer.Reset,
+			}[s.rnd.IntN(4)], true)
 	}
 }
 
--- a/balancer/figures_test.go
+++ b/balancer/figures_test.go
@@ -180,7 +180,8 @@
 			}
 			for _, f := range []float64{b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate()} {
 				if math.IsNaN(f) || math.IsInf(f, 0) {
-					t.Fatalf("throttle %v, room %v, arrivals %v", b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate())
+					t.Fatalf("shed ratio %v, free capacity %v, arrivals %v",
+						b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate())
 				}
 			}
 		}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -567,7 +567,8 @@
 	}
 	small, _ := w.open("safe", "small")
 	s := w.b.sortedServers[0]
-	s.loadLimit, s.limitLoweredAt, s.pausedUntil, s.messageDelay, s.migrationCredit = 1, w.now, w.now+sec, sec, 1
+	s.loadLimit, s.limitLoweredAt, s.pausedUntil = 1, w.now, w.now+sec
+	s.messageDelay, s.migrationCredit = sec, 1
 	w.b.migrateFrom(s)
 	got := find[Migrate](w.b.actions)
 	if len(got) == 0 || got[0].ID != small {
@@ -584,7 +585,8 @@
 		w.feed(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Timeout: sec})
 	}
 	in, over := Request{Class: "safe", Tenant: "in"}, Request{Class: "safe", Tenant: "over"}
-	if a, b := w.b.priorityPerLoad(&request{Request: in}), w.b.priorityPerLoad(&request{Request: over}); b >= a {
+	a, b := w.b.priorityPerLoad(&request{Request: in}), w.b.priorityPerLoad(&request{Request: over})
+	if b >= a {
 		t.Errorf("worth %v within and %v over the quota", a, b)
 	}
 }
