--- a/balancer/api.go
+++ b/balancer/api.go
@@ -260,7 +260,7 @@
 	}
 
 	// Log adds a line to the gateway's log.
-	Log struct{ Text string }
+	Log struct{ Message string }
 )
 
 func (Send) action()     {}
--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -60,7 +60,7 @@
 	case balancer.SetTimer:
 		e.deadlines.Add(e.now+max(a.After, 0), due{kind: dueWake, ref: a.Ref})
 	case balancer.Log:
-		e.opts.Logger.Info("rules", "text", a.Text)
+		e.opts.Logger.Info("rules", "text", a.Message)
 	}
 }
 
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -573,8 +573,8 @@
 			{"migrate", balancer.Migrate{ID: 1}},
 			{"timer", balancer.SetTimer{After: time.Millisecond, Ref: 2}},
 			{"timer, negative", balancer.SetTimer{After: -1, Ref: -2}},
-			{"log", balancer.Log{Text: "one line"}},
-			{"log, several lines", balancer.Log{Text: "one\ntwo\r\nthree\rfour\n"}},
+			{"log", balancer.Log{Message: "one line"}},
+			{"log, several lines", balancer.Log{Message: "one\ntwo\r\nthree\rfour\n"}},
 			{"log, empty", balancer.Log{}},
 		} {
 			add(fmt.Sprint(a.name, " at ", instance), wire.AppendAction([]byte("before\n"), instance, a.action))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -462,7 +462,7 @@
 		pair("ref", a.Ref)
 	case balancer.Log:
 		head("emit")
-		b = append(append(b, " message="...), oneLine(a.Text)...)
+		b = append(append(b, " message="...), oneLine(a.Message)...)
 	}
 	return append(b, '\n')
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -140,7 +140,7 @@
 		"respond_error relay=4 ticket=1":                       balancer.Fail{ID: 1},
 		"rebalance relay=4 ticket=1":                           balancer.Migrate{ID: 1},
 		"wake_at relay=4 sleep_for_ns=1000000 ref=2":           balancer.SetTimer{After: ms, Ref: 2},
-		"emit relay=4 message=one line":                        balancer.Log{Text: "one\nline"},
+		"emit relay=4 message=one line":                        balancer.Log{Message: "one\nline"},
 	} {
 		if got := string(AppendAction(nil, 4, a)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
