--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,6 +1,10 @@
 package balancer
 
-import "time"
+import (
+	"log/slog"
+	"strings"
+	"time"
+)
 
 // ServerID names a server. It is the same at every gateway and survives a restart of the server's process.
 type ServerID uint32
@@ -260,7 +264,10 @@
 	}
 
 	// Log adds a line to the gateway's log.
-	Log struct{ Message string }
+	Log struct {
+		Message string // a constant
+		Attrs   []slog.Attr
+	}
 )
 
 func (Send) action()     {}
@@ -270,3 +277,13 @@
 func (PollLoad) action() {}
 func (SetTimer) action() {}
 func (Log) action()      {}
+
+// String returns the line as text: the message, then key=value for each attribute.
+func (l Log) String() string {
+	var text strings.Builder
+	text.WriteString(l.Message)
+	for _, a := range l.Attrs {
+		text.WriteString(" " + a.String())
+	}
+	return text.String()
+}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -9,6 +9,7 @@
 package balancer
 
 import (
+	"log/slog"
 	"math"
 	"slices"
 	"time"
@@ -147,7 +148,7 @@
 		b.updateServer(e)
 	}
 	if n := b.suspectedRemovals(); n > doubts {
-		b.logf("list calls %d servers gone, in doubt until their outcomes tell", n-doubts)
+		b.log("removals suspected", slog.Int("servers", n-doubts))
 	}
 	b.hasList = b.hasList || ev.Mode == ListComplete || len(ev.Servers) > 0
 	b.tableIsStale = true
@@ -182,7 +183,7 @@
 // confirmRemoval takes a server in doubt for gone.
 func (b *Balancer) confirmRemoval(s *server) {
 	s.State, s.unavailableSince, s.removalSuspectedAt, b.tableIsStale = Removed, b.now, 0, true
-	b.logf("server %d is gone, as listed", s.ID)
+	b.log("removal confirmed", serverAttr(s))
 }
 
 // refreshTable fills the table anew from the ready servers where the list has changed since, and keeps the one
@@ -834,7 +835,8 @@
 	s.ejectedUntil = b.now + baseEjectionDuration<<min(s.ejections, maxEjectionDoublings)
 	s.ejections++
 	s.failureScore, s.onProbation = decayingCounter{}, false
-	b.logf("server %d out of the table for %v", s.ID, s.ejectedUntil-b.now)
+	b.log("outlier ejected", serverAttr(s), slog.String("reason", result.String()),
+		slog.Duration("duration", s.ejectedUntil-b.now))
 }
 
 // Time.
@@ -849,7 +851,7 @@
 			}
 			if s.ejectedUntil > 0 && b.now >= s.ejectedUntil {
 				s.ejectedUntil, s.onProbation = 0, true
-				b.logf("server %d back in the table", s.ID)
+				b.log("outlier ejection ended", serverAttr(s))
 			}
 			if s.loadLimit > 0 {
 				b.growLoadLimit(s)
@@ -858,15 +860,29 @@
 		}
 		b.evictEndpoints()
 		b.slowRatio = float64(slow) / float64(max(b.connections, 1))
-		if shedding := b.slowRatio > slowRatioThreshold || b.shedRatio() > 0; shedding != b.isShedding {
-			b.isShedding = shedding
-			b.logf("shedding %v: %.0f%% of own connections are on slow servers, %.1f set-ups failed of late",
-				shedding, 100*b.slowRatio, b.recentFailures.value(b.now))
-		}
+		b.logShedding()
 	}
 	b.dispatchWaiting()
 }
 
+// logShedding logs when this gateway starts and stops to shed.
+func (b *Balancer) logShedding() {
+	shedding := b.slowRatio > slowRatioThreshold || b.shedRatio() > 0
+	if shedding == b.isShedding {
+		return
+	}
+	b.isShedding = shedding
+	message := "load shedding stopped"
+	if shedding {
+		message = "load shedding started"
+	}
+	b.log(message, slog.Float64("slow_ratio", roundTo(b.slowRatio, 100)),
+		slog.Float64("recent_failures", roundTo(b.recentFailures.value(b.now), 10)))
+}
+
+// roundTo rounds a value for the log to a part of 1.
+func roundTo(value, part float64) float64 { return math.Round(value*part) / part }
+
 // migrateFrom moves connections off a server whose messages miss every aim, a share a second, by the part of
 // the fleet that has room, the ones that earn least for their load first. It guards against servers that
 // hang or slow with their connections on them, and lets an overloaded one drain. It could hurt where all
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -43,6 +43,6 @@
 	// Output:
 	// balancer.SetTimer {After:250ms Ref:1}
 	// balancer.Send {ID:1 Server:13 Timeout:400ms ConnectTimeout:450ms}
-	// balancer.Log {Text:server 13 out of the table for 5s}
+	// balancer.Log outlier ejected server=13 reason=connect failed duration=5s
 	// balancer.Send {ID:1 Server:11 Timeout:400ms ConnectTimeout:450ms}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -6,6 +6,7 @@
 import (
 	"cmp"
 	"fmt"
+	"log/slog"
 	"math"
 	"slices"
 	"time"
@@ -286,7 +287,9 @@
 
 func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) logf(format string, args ...any) { b.act(Log{fmt.Sprintf(format, args...)}) }
+func (b *Balancer) log(message string, attrs ...slog.Attr) { b.act(Log{message, attrs}) }
+
+func serverAttr(s *server) slog.Attr { return slog.Uint64("server", uint64(s.ID)) }
 
 func compareServerIDs(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
 
--- a/internal/engine/act.go
+++ b/internal/engine/act.go
@@ -60,7 +60,11 @@
 	case balancer.SetTimer:
 		e.deadlines.Add(e.now+max(a.After, 0), due{kind: dueWake, ref: a.Ref})
 	case balancer.Log:
-		e.opts.Logger.Info("rules", "text", a.Message)
+		args := make([]any, len(a.Attrs))
+		for i, attr := range a.Attrs {
+			args[i] = attr
+		}
+		e.opts.Logger.Info(a.Message, args...)
 	}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -462,7 +462,7 @@
 		pair("ref", a.Ref)
 	case balancer.Log:
 		head("emit")
-		b = append(append(b, " message="...), oneLine(a.Message)...)
+		b = append(append(b, " message="...), oneLine(a.String())...)
 	}
 	return append(b, '\n')
 }
