--- a/balancer/digest_test.go
+++ b/balancer/digest_test.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"encoding/hex"
 	"flag"
 	"fmt"
 	"hash"
@@ -11,6 +12,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -40,7 +42,7 @@
 	t.Run("streams", func(t *testing.T) {
 		want := recordedDigests(t)
 		for first := 0; first < digestStreams; first += streamsPerGroup {
-			t.Run(fmt.Sprint(first), func(t *testing.T) {
+			t.Run(strconv.Itoa(first), func(t *testing.T) {
 				t.Parallel()
 				for seed := first; seed < first+streamsPerGroup; seed++ {
 					digests[seed], coverages[seed] = runStream(t, uint64(seed))
@@ -202,7 +204,7 @@
 		}
 	}
 	s.observe()
-	return fmt.Sprintf("%x", s.hash.Sum(nil)[:8]), s.coverage
+	return hex.EncodeToString(s.hash.Sum(nil)[:8]), s.coverage
 }
 
 func (s *stream) oneIn(n int) bool { return s.rnd.IntN(n) == 0 }
@@ -234,23 +236,34 @@
 		set.RetryBudgetMin, set.RetryBudgetRatio = figure(0, 3, 8), figure(0.05, 0.1, 0.6)
 	}
 	set.Classes = []balancer.Class{
-		{Name: "idempotent", Idempotency: balancer.Idempotent, PriorityWeight: figure(0, 1, 3),
+		{
+			Name: "idempotent", Idempotency: balancer.Idempotent, PriorityWeight: figure(0, 1, 3),
 			SetupLatencyObjective:   pick(0, 150*time.Millisecond),
-			MessageLatencyObjective: pick(0, 60*time.Millisecond, 90*time.Millisecond)},
-		{Name: "with key", Idempotency: balancer.WithIdempotencyKey,
+			MessageLatencyObjective: pick(0, 60*time.Millisecond, 90*time.Millisecond),
+		},
+		{
+			Name: "with key", Idempotency: balancer.WithIdempotencyKey,
 			DedupScope: balancer.DedupScope(rnd.IntN(3)), PriorityWeight: figure(1, 8),
 			DedupWindow:           pick(time.Second, 10*time.Second),
-			SetupLatencyObjective: pick(0, 100*time.Millisecond)},
-		{Name: "non-idempotent", Idempotency: balancer.NonIdempotent,
-			PriorityWeight: figure(0, 0.5, 2), Timeout: time.Second},
-		{Name: "with key everywhere", Idempotency: balancer.WithIdempotencyKey,
+			SetupLatencyObjective: pick(0, 100*time.Millisecond),
+		},
+		{
+			Name: "non-idempotent", Idempotency: balancer.NonIdempotent,
+			PriorityWeight: figure(0, 0.5, 2), Timeout: time.Second,
+		},
+		{
+			Name: "with key everywhere", Idempotency: balancer.WithIdempotencyKey,
 			DedupScope: balancer.DedupScopeAll, PriorityWeight: 1,
 			DedupWindow:             pick(700*time.Millisecond, 4*time.Second),
-			MessageLatencyObjective: pick(0, 45*time.Millisecond, 120*time.Millisecond)},
+			MessageLatencyObjective: pick(0, 45*time.Millisecond, 120*time.Millisecond),
+		},
 	}
 	if s.oneIn(2) {
-		set.Tenants = []balancer.Tenant{{Name: "small", ConnectionQuota: figure(2, 20)},
-			{Name: "large", ConnectionQuota: 500}, {Name: "free"}}
+		set.Tenants = []balancer.Tenant{
+			{Name: "small", ConnectionQuota: figure(2, 20)},
+			{Name: "large", ConnectionQuota: 500},
+			{Name: "free"},
+		}
 	}
 	return set
 }
@@ -563,7 +576,7 @@
 		fail(setUp, []balancer.Result{balancer.Errored, balancer.Reset}[s.rnd.IntN(2)])
 	case s.oneIn(60):
 		fail(0, balancer.NotSent)
-	case s.oneIn(60):
+	case s.rnd.IntN(60) == 0:
 		fail(setUp, balancer.Cancelled)
 	case s.oneIn(25):
 		fail(setUp, balancer.Errored)
@@ -604,8 +617,10 @@
 		return
 	}
 	c.established = true
-	s.feed("established", balancer.AttemptEstablished{ID: c.request.ID, Attempt: c.attempt, Server: c.server,
-		Elapsed: s.upTo(90 * time.Millisecond)})
+	s.feed("established", balancer.AttemptEstablished{
+		ID: c.request.ID, Attempt: c.attempt, Server: c.server,
+		Elapsed: s.upTo(90 * time.Millisecond),
+	})
 	life := s.upTo([]time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}[s.rnd.IntN(3)])
 	s.later(life, func() {
 		result := balancer.OK
@@ -628,14 +643,18 @@
 		return
 	}
 	s.live = slices.Delete(s.live, i, i+1)
-	s.coverage[[...]string{"ok", "errored", "full", "timed out", "connect failed", "reset", "cancelled",
-		"never sent"}[result]]++
+	s.coverage[[...]string{
+		"ok", "errored", "full", "timed out", "connect failed", "reset", "cancelled",
+		"never sent",
+	}[result]]++
 	if !result.NeverRan() {
 		s.mayHaveRun[c.request.ID] = true
 	}
-	s.feed("ended", balancer.AttemptEnded{ID: c.request.ID, Attempt: c.attempt,
+	s.feed("ended", balancer.AttemptEnded{
+		ID: c.request.ID, Attempt: c.attempt,
 		Server: c.server, Result: result,
-		Elapsed: s.upTo(300 * time.Millisecond), Answered: answered || c.left})
+		Elapsed: s.upTo(300 * time.Millisecond), Answered: answered || c.left,
+	})
 }
 
 // What the world does by itself.
@@ -696,8 +715,10 @@
 
 func (s *stream) drawRequest() balancer.Request {
 	s.nextRequest++
-	class := []string{"idempotent", "idempotent", "idempotent", "with key", "non-idempotent",
-		"with key everywhere", "not in the settings"}[s.rnd.IntN(7)]
+	class := []string{
+		"idempotent", "idempotent", "idempotent", "with key", "non-idempotent",
+		"with key everywhere", "not in the settings",
+	}[s.rnd.IntN(7)]
 	r := balancer.Request{
 		ID: s.nextRequest, Class: class,
 		Timeout: 50*time.Millisecond +
--- /dev/null
+++ b/balancer/lookup.go
@@ -0,0 +1,87 @@
+package balancer
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// maxPastTables bounds the tables that are kept for mid-flow requests.
+	maxPastTables = 2
+
+	// minTotalWeight stands for the sum of capacities while no server is in the table, as before any
+	// placement.
+	minTotalWeight = 1e-9
+
+	// groupPriorRatio is the part of all connections that a group is guessed to have, and groupPriorWeight
+	// the number of connections seen that outweighs the guess.
+	groupPriorRatio  = 0.05
+	groupPriorWeight = 2.0
+)
+
+// pastTable is a table that was replaced, which mid-flow requests may still have been placed by.
+type pastTable struct {
+	table     table
+	servers   []*server
+	expiresAt time.Duration
+}
+
+// refreshTable builds the table anew if the list has changed since, and keeps the one before for mid-flow
+// requests. It is called by the next placement and not with the list, since most changes of a list come in a
+// run and a gateway among many places few connections between them.
+func (b *Balancer) refreshTable() {
+	if !b.tableIsStale {
+		return
+	}
+	b.tableIsStale = false
+	var weights []weightedServer
+	var servers []*server
+	total := 0.0
+	for _, s := range b.sortedServers {
+		if s.State == Ready {
+			weights = append(weights, weightedServer{s.ID, s.Capacity})
+			servers = append(servers, s)
+			total += s.Capacity
+		}
+	}
+	if slices.Equal(weights, b.tableWeights) {
+		return // nothing that the table depends on has changed
+	}
+	b.keepPastTable()
+	b.table, b.tableWeights, b.tableServers = buildTable(weights), weights, servers
+	b.totalWeight = max(total, minTotalWeight)
+}
+
+func (b *Balancer) keepPastTable() {
+	if b.table == nil || b.settings.FlowRetention == 0 {
+		return
+	}
+	b.pastTables = append(b.pastTables, pastTable{b.table, b.tableServers, b.now + b.settings.FlowRetention})
+	if n := len(b.pastTables) - maxPastTables; n > 0 {
+		b.pastTables = slices.Delete(b.pastTables, 0, n)
+	}
+}
+
+// lookup returns the server of a request's n-th lookup in the table: 0 is its ordinary placement.
+func (b *Balancer) lookup(r *request, n int) *server {
+	return b.tableServers[b.table.at(r.placementHash, n)]
+}
+
+// groupShards is the number of lookups over which a group is spread: as many as its members need, with the
+// load bound of a server each. This protects from a hot group that no gateway sees whole, as each holds a few
+// of its members: how many there are in all is inferred from those here, and from a guess while there are
+// few. It costs if a group is taken for larger than it is, as each shard costs the server it is placed at.
+func (b *Balancer) groupShards(r *request) float64 {
+	if r.Group == "" {
+		return 1
+	}
+	held := float64(b.connections)
+	fleet := (held + 1) * float64(b.settings.Gateways)
+	members := float64(b.groupConnections[r.Group]) + groupPriorWeight*groupPriorRatio
+	ratio := members / (held + groupPriorWeight)
+	bound := (1+loadBoundRatio)*fleet/float64(len(b.tableServers)) + loadBoundSlack
+	return max(ratio*fleet/bound, 1)
+}
+
+// groupShard is the lookup that is the ordinary placement of a request: its client's shard of the group.
+func (b *Balancer) groupShard(r *request) int { return int(r.clientFraction(0) * b.groupShards(r)) }
--- /dev/null
+++ b/balancer/placement.go
@@ -0,0 +1,254 @@
+package balancer
+
+import "slices"
+
+const (
+	// maxLookups bounds the lookups of one search for an alternate: more cost more than they found.
+	maxLookups = 160
+
+	// maxNearLookups bounds the lookups for a member of a group, so that the group stays together, and those
+	// that may lead to a server that is warming up.
+	maxNearLookups = 8
+
+	// reconnectSpread is the number of lookups, from the second on, over which reconnecting clients spread if
+	// nothing shows that the server of the first serves.
+	reconnectSpread = 4
+
+	// loadBoundRatio and loadBoundSlack bound the load of a server before requests overflow to alternates: it
+	// may exceed its fair share by this ratio, and by this many mean connections more.
+	loadBoundRatio = 0.5
+	loadBoundSlack = 4.0
+
+	// newGroupCost is what the first member of a group is taken to cost a server, in mean connections.
+	newGroupCost = 4.0
+)
+
+// place returns the server for a request's next attempt: that of the first lookup that nothing speaks
+// against, or else the one with the best rank. It never returns one without capacity, nor one that is warming
+// up and has no budget left, and nil if there is no other. A request may then be waiting for load reports;
+// else it is to be rejected.
+func (b *Balancer) place(r *request) *server {
+	b.refreshTable()
+	if s := b.midFlowServer(r); s != nil {
+		return s
+	}
+	if b.table == nil {
+		return nil
+	}
+	if s := b.trialServer(r); s != nil {
+		return s
+	}
+	if s := b.unpolledEntry(r); s != nil {
+		return s
+	}
+	if b.shedsForFailures(r) {
+		return nil
+	}
+	return b.search(r)
+}
+
+// midFlowServer returns the server that is known to own a mid-flow request's connection. If none is, it
+// returns a guess while a past table is valid: the server where the ordinary placement was then, also if that
+// drains, within the grace. This protects connections from being reset when gateways and servers change
+// together. It can miss a connection that an alternate took.
+func (b *Balancer) midFlowServer(r *request) *server {
+	if !r.isFirstOfMidFlow() {
+		return nil
+	}
+	if s := b.servers[r.Owner]; r.OwnerKnown && s != nil && b.acceptsMidFlow(s) {
+		return s
+	}
+	for _, p := range b.pastTables {
+		if b.now > p.expiresAt {
+			continue
+		}
+		if s := p.servers[p.table.at(r.placementHash, 0)]; b.isWarm(s) && b.acceptsMidFlow(s) {
+			return s
+		}
+	}
+	return nil
+}
+
+// acceptsMidFlow reports whether mid-flow requests may be sent to a server.
+func (b *Balancer) acceptsMidFlow(s *server) bool {
+	return s.State == Ready || s.State == Draining && b.now-s.unavailableSince < b.usableDrainGrace()
+}
+
+// unpolledEntry returns the ordinary placement of a mid-flow request if that server's load is unknown: the
+// connection is a load on its owner already, and no report shows which server that is.
+func (b *Balancer) unpolledEntry(r *request) *server {
+	if !r.isFirstOfMidFlow() {
+		return nil
+	}
+	if s := b.lookup(r, b.groupShard(r)); b.needsPoll(s) && b.isEligible(r, s) {
+		return s
+	}
+	return nil
+}
+
+// placement is the state of one search for a server.
+type placement struct {
+	first       int     // the lookup that is tried before the others
+	lookups     int     // the others: from 0 on so many
+	meanLoad    float64 // of a connection
+	fairShare   float64 // load for each unit of capacity above which a server is over its fair share
+	limitRatio  float64 // part of a server's load limit that the request may fill
+	onlyWarming bool    // only a server that is warming up may take the request
+
+	toPoll   []*server // servers whose load is unknown
+	best     *server   // of those that something speaks against
+	bestRank rank
+}
+
+// newPlacement states the terms of a search.
+//
+// The bound on a server's share of the load protects from hot groups, and from any uneven draw of keys. It
+// costs if a group is better kept whole, as each shard costs the server it is placed at.
+func (b *Balancer) newPlacement(r *request) placement {
+	p := placement{
+		first:      b.groupShard(r),
+		lookups:    maxLookups,
+		meanLoad:   b.meanLoad(),
+		limitRatio: b.limitRatio(r),
+	}
+	p.fairShare = (1 + loadBoundRatio) * (b.totalLoad() + p.meanLoad) / b.totalWeight
+	p.onlyWarming = b.shedsForSlowness(r, p.limitRatio)
+	if r.Reconnecting && !b.isKnownHealthy(b.lookup(r, p.first)) {
+		p.first += 1 + int(mix(uint64(r.ID), keySeed)%reconnectSpread)
+	}
+	if p.onlyWarming || r.Group != "" {
+		p.lookups = maxNearLookups
+	}
+	return p
+}
+
+// search goes through the lookups of a request. The first server that nothing speaks against serves.
+func (b *Balancer) search(r *request) *server {
+	p := b.newPlacement(r)
+	if s := b.firstSuitable(r, &p); s != nil {
+		return s
+	}
+	if len(p.toPoll) > 0 {
+		b.pollForRequest(r, p.toPoll)
+		return nil
+	}
+	return p.best
+}
+
+// firstSuitable returns the first server that nothing speaks against, or nil. It notes in the placement which
+// servers are to be polled, and the best of the others.
+func (b *Balancer) firstSuitable(r *request, p *placement) *server {
+	for i := range p.lookups + 1 {
+		s := b.candidate(r, p, i)
+		switch {
+		case !b.isEligible(r, s), p.onlyWarming && b.isWarm(s):
+			continue
+		case r.pollRounds < maxPollRounds && b.needsPoll(s):
+			p.addToPoll(s)
+			continue
+		case len(p.toPoll) > 0, !b.hasCapacity(s, b.addedLoad(r, s, p), p.limitRatio):
+			continue
+		}
+		found := b.rankOf(r, s, p)
+		switch {
+		case !b.isWarm(s):
+			if found.suitsWarmup() && i <= maxNearLookups && b.admitToWarmingServer(r, s) {
+				return s
+			}
+		case found.isClear():
+			return s
+		case p.best == nil || found.less(p.bestRank):
+			p.best, p.bestRank = s, found
+		}
+	}
+	return nil
+}
+
+// candidate returns the server of the i-th step of a search: the client's own shard of its group comes first,
+// then the other shards and their alternates.
+func (b *Balancer) candidate(r *request, p *placement, i int) *server {
+	if i == 0 {
+		return b.lookup(r, p.first)
+	}
+	return b.lookup(r, i-1)
+}
+
+func (p *placement) addToPoll(s *server) {
+	if len(p.toPoll) < maxPolledServers && !slices.Contains(p.toPoll, s) {
+		p.toPoll = append(p.toPoll, s)
+	}
+}
+
+// addedLoad is the load that a request is taken to add to a server. The client's fraction stands for its
+// connection, so that limits of less than one connection are kept by chance. The first member of a group
+// costs more, so that scarce capacity is not spread over many groups.
+func (b *Balancer) addedLoad(r *request, s *server, p *placement) float64 {
+	added := r.clientFraction(uint64(s.ID)) * p.meanLoad
+	if r.Group != "" && s.groupConnections[r.Group] == 0 {
+		added += newGroupCost * p.meanLoad
+	}
+	return added
+}
+
+// rank says what speaks against a server for a request. Ranks are compared field by field, in this order.
+type rank struct {
+	objections    int     // two for an ejection, one for an earlier attempt, one if it did not answer a poll
+	awaitsFirst   bool    // the first attempt since its ejection or suspected removal is not established yet
+	overFairShare bool    // its load would exceed the bound on its share
+	utilization   float64 // by its load report, if that is above lowUtilization; 0: nothing speaks against it
+}
+
+func (b *Balancer) rankOf(r *request, s *server, p *placement) rank {
+	k := rank{
+		awaitsFirst:   (s.onProbation || s.awaitsConfirmation()) && s.pendingAttempts > 0,
+		overFairShare: b.serverLoad(s)+p.meanLoad > p.fairShare*s.Capacity+loadBoundSlack*p.meanLoad,
+	}
+	if slices.Contains(r.triedServers, s.ID) {
+		k.objections++
+	}
+	if s.ejectedUntil > 0 {
+		k.objections += 2
+	}
+	if !b.settings.CanPollLoad || b.needsPoll(s) || !b.isWarm(s) {
+		return k
+	}
+	if !b.hasFreshReport(s) { // polled and not answered: it serves if all that answered are full
+		k.objections++
+	} else if u := b.projectedUtilization(s); u > lowUtilization {
+		k.utilization = k.roundUtilization(u)
+	}
+	return k
+}
+
+// roundUtilization drops the digits of a utilization that are lost when it is added to the number which
+// stands for all else that speaks against the server. Servers whose utilizations differ by rounding errors
+// alone then tie, and the one that was looked up first is preferred.
+func (k rank) roundUtilization(u float64) float64 {
+	base := float64(4 * k.objections)
+	if k.awaitsFirst {
+		base += 2
+	}
+	if k.overFairShare {
+		base++
+	}
+	return base + u - base
+}
+
+// isClear reports whether nothing speaks against the server.
+func (k rank) isClear() bool { return k == rank{} }
+
+// suitsWarmup reports whether a server that is warming up may be sent a connection.
+func (k rank) suitsWarmup() bool { return k.objections == 0 && !k.awaitsFirst }
+
+// less reports whether less speaks against the server of k than against that of other.
+func (k rank) less(other rank) bool {
+	switch {
+	case k.objections != other.objections:
+		return k.objections < other.objections
+	case k.awaitsFirst != other.awaitsFirst:
+		return other.awaitsFirst
+	case k.overFairShare != other.overFairShare:
+		return other.overFairShare
+	}
+	return k.utilization < other.utilization
+}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -35,7 +35,7 @@
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	want := "broken relay=1 message=rules: class \"a\" is given twice\nyield\n"
+	want := "broken relay=1 message=balancer: class \"a\" is given twice\nyield\n"
 	if out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
