--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -141,12 +141,12 @@
 	for i := range p.lookups + 1 {
 		s := b.candidate(r, p, i)
 		switch {
-		case !b.isEligible(r, s), p.onlyWarming && b.isWarm(s):
+		case !b.isEligible(r, s), b.isShedFrom(s, p):
 			continue
-		case r.pollRounds < maxPollRounds && b.needsPoll(s):
+		case b.mustPollFirst(r, s):
 			p.addToPoll(s)
 			continue
-		case len(p.toPoll) > 0, !b.hasCapacity(s, b.addedLoad(r, s, p), p.limitRatio):
+		case len(p.toPoll) > 0, !b.hasCapacityFor(r, s, p):
 			continue
 		}
 		found := b.rankOf(r, s, p)
@@ -173,6 +173,20 @@
 	return b.lookup(r, i-1)
 }
 
+// isShedFrom reports whether the request is shed as far as a server is concerned: what is shed since warm
+// servers are slow may still fit the budget of one that is warming up.
+func (b *Balancer) isShedFrom(s *server, p *placement) bool { return p.onlyWarming && b.isWarm(s) }
+
+// mustPollFirst reports whether a server is to be polled before the request is sent to it.
+func (b *Balancer) mustPollFirst(r *request, s *server) bool {
+	return r.pollRounds < maxPollRounds && b.needsPoll(s)
+}
+
+// hasCapacityFor reports whether a server can take the request within its part of the load limit.
+func (b *Balancer) hasCapacityFor(r *request, s *server, p *placement) bool {
+	return b.hasCapacity(s, b.addedLoad(r, s, p), p.limitRatio)
+}
+
 func (p *placement) addToPoll(s *server) {
 	if len(p.toPoll) < maxPolledServers && !slices.Contains(p.toPoll, s) {
 		p.toPoll = append(p.toPoll, s)
@@ -189,66 +203,3 @@
 	}
 	return added
 }
-
-// rank says what speaks against a server for a request. Ranks are compared field by field, in this order.
-type rank struct {
-	objections    int     // two for an ejection, one for an earlier attempt, one if it did not answer a poll
-	awaitsFirst   bool    // the first attempt since its ejection or suspected removal is not established yet
-	overFairShare bool    // its load would exceed the bound on its share
-	utilization   float64 // by its load report, if that is above lowUtilization; 0: nothing speaks against it
-}
-
-func (b *Balancer) rankOf(r *request, s *server, p *placement) rank {
-	k := rank{
-		awaitsFirst:   (s.onProbation || s.awaitsConfirmation()) && s.pendingAttempts > 0,
-		overFairShare: b.serverLoad(s)+p.meanLoad > p.fairShare*s.Capacity+loadBoundSlack*p.meanLoad,
-	}
-	if slices.Contains(r.triedServers, s.ID) {
-		k.objections++
-	}
-	if s.ejectedUntil > 0 {
-		k.objections += 2
-	}
-	if !b.settings.CanPollLoad || b.needsPoll(s) || !b.isWarm(s) {
-		return k
-	}
-	if !b.hasFreshReport(s) { // polled and not answered: it serves if all that answered are full
-		k.objections++
-	} else if u := b.projectedUtilization(s); u > lowUtilization {
-		k.utilization = k.roundUtilization(u)
-	}
-	return k
-}
-
-// roundUtilization drops the digits of a utilization that are lost when it is added to the number which
-// stands for all else that speaks against the server. Servers whose utilizations differ by rounding errors
-// alone then tie, and the one that was looked up first is preferred.
-func (k rank) roundUtilization(u float64) float64 {
-	base := float64(4 * k.objections)
-	if k.awaitsFirst {
-		base += 2
-	}
-	if k.overFairShare {
-		base++
-	}
-	return base + u - base
-}
-
-// isClear reports whether nothing speaks against the server.
-func (k rank) isClear() bool { return k == rank{} }
-
-// suitsWarmup reports whether a server that is warming up may be sent a connection.
-func (k rank) suitsWarmup() bool { return k.objections == 0 && !k.awaitsFirst }
-
-// less reports whether less speaks against the server of k than against that of other.
-func (k rank) less(other rank) bool {
-	switch {
-	case k.objections != other.objections:
-		return k.objections < other.objections
-	case k.awaitsFirst != other.awaitsFirst:
-		return other.awaitsFirst
-	case k.overFairShare != other.overFairShare:
-		return other.overFairShare
-	}
-	return k.utilization < other.utilization
-}
