--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	s := w.b.servers[100]
-	load := w.b.loadOf(s)
+	load := w.b.serverLoad(s)
 	for _, f := range []struct{ report, least, most float64 }{
 		{0.7, 0, 0},                     // nothing to say
 		{1.4, 0.49 * load, 0.51 * load}, // asked for twice what it should be
@@ -96,9 +96,9 @@
 		{0, 7 * load, 9 * load}, // bounded
 	} {
 		w.feed(LoadReport{Server: 100, Utilization: f.report})
-		if s.limit < f.least || s.limit > f.most {
+		if s.loadLimit < f.least || s.loadLimit > f.most {
 			t.Errorf("at a load of %.1f a report of %.2f makes the limit %.2f, want %.2f to %.2f",
-				load, f.report, s.limit, f.least, f.most)
+				load, f.report, s.loadLimit, f.least, f.most)
 		}
 	}
 	w.feed(LoadReport{Server: 999, Utilization: 2}) // one that is not listed
@@ -112,8 +112,8 @@
 // wait lets time pass with the housekeeping timer.
 func (w *world) wait(d time.Duration) (all []Action) {
 	for end := w.now + d; w.now < end; {
-		w.now += min(housekeeping, end-w.now)
-		all = append(all, w.feed(TimerFired{Ref: refHousekeeping})...)
+		w.now += min(sweepInterval, end-w.now)
+		all = append(all, w.feed(TimerFired{Ref: sweepTimer})...)
 	}
 	return all
 }
@@ -135,8 +135,8 @@
 
 // entry is the server where the ordinary path puts a key.
 func (w *world) entry(key string) ServerID {
-	w.b.refresh()
-	return w.b.members[w.b.table.at(hashKey(key), 0)].ID
+	w.b.refreshTable()
+	return w.b.tableServers[w.b.table.at(hashKey(key), 0)].ID
 }
 
 // onTrial sends a group's first request to a server, and its next elsewhere as long as that one is out. It
@@ -217,11 +217,11 @@
 	if len(find[Send](w.last))+len(find[Reject](w.last)) > 0 || len(find[SetTimer](w.last)) != 2 {
 		t.Fatalf("not held: %+v", w.last)
 	}
-	if got := w.wait(holdFor - 10*ms); len(find[Reject](got)) > 0 {
+	if got := w.wait(firstListTimeout - 10*ms); len(find[Reject](got)) > 0 {
 		t.Fatalf("answered early: %+v", got)
 	}
 	w.now += 10 * ms
-	got := find[Reject](w.feed(TimerFired{Ref: refOnce}))
+	got := find[Reject](w.feed(TimerFired{Ref: oneShotTimer}))
 	if len(got) != 1 || got[0].ID != id {
 		t.Fatalf("when its time is up: %+v", w.last)
 	}
@@ -271,7 +271,7 @@
 	w.request("safe", "g")
 	wakes := 0
 	for _, a := range find[SetTimer](w.wait(sec)) {
-		if a.Ref == refOnce {
+		if a.Ref == oneShotTimer {
 			wakes++
 		}
 	}
@@ -393,9 +393,9 @@
 
 func TestStrayAfterANewServerGoesToTheOldEntry(t *testing.T) {
 	w := newWorld(t, settings(), 5)
-	w.b.refresh()
+	w.b.refreshTable()
 	before := w.b.table
-	members := w.b.members
+	members := w.b.tableServers
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
 	for i := range 40 {
 		group := fmt.Sprint("g", i)
@@ -414,16 +414,16 @@
 // Lists that change nothing must not push the table of the last real change out of memory.
 func TestUnchangedListKeepsThePast(t *testing.T) {
 	w := newWorld(t, settings(), 5)
-	w.b.refresh()
+	w.b.refreshTable()
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
-	w.b.refresh()
-	past := len(w.b.past)
+	w.b.refreshTable()
+	past := len(w.b.pastTables)
 	for range 3 {
 		w.feed(EndpointList{Mode: ListDelta})
-		w.b.refresh()
+		w.b.refreshTable()
 	}
-	if past != 1 || len(w.b.past) != 1 {
-		t.Errorf("%d past tables, then %d", past, len(w.b.past))
+	if past != 1 || len(w.b.pastTables) != 1 {
+		t.Errorf("%d past tables, then %d", past, len(w.b.pastTables))
 	}
 }
 
@@ -440,13 +440,13 @@
 			t.Fatal("sent to an ejected server")
 		}
 	}
-	logs := find[Log](w.wait(ejectFor + sec))
-	if len(logs) != 1 || !strings.Contains(logs[0].Text, "back") {
+	logs := find[Log](w.wait(baseEjectionDuration + sec))
+	if len(logs) != 1 || !strings.Contains(logs[0].Message, "ended") {
 		t.Errorf("log lines at its return: %+v", logs)
 	}
 	first := w.onTrial("g", s)
 	w.feed(AttemptEnded{ID: first.ID, Server: s, Result: TimedOut, Elapsed: 300 * ms})
-	if w.b.servers[s].ejected == 0 {
+	if w.b.servers[s].ejectedUntil == 0 {
 		t.Error("it failed on probation and stays")
 	}
 }
@@ -460,8 +460,8 @@
 		}
 	}
 	out := 0
-	for _, s := range w.b.order {
-		if s.ejected > 0 {
+	for _, s := range w.b.sortedServers {
+		if s.ejectedUntil > 0 {
 			out++
 		}
 	}
@@ -479,7 +479,7 @@
 	for range 4 {
 		w.open("safe", "g")
 	}
-	if got := len(w.b.servers[s].open); got < 3 {
+	if got := len(w.b.servers[s].inFlight); got < 3 {
 		t.Fatalf("%d connections there", got)
 	}
 	moved := 0
@@ -506,13 +506,13 @@
 	for range 3 {
 		w.open("safe", "g")
 	}
-	load := w.b.loadOf(w.b.servers[s])
+	load := w.b.serverLoad(w.b.servers[s])
 	w.request("safe", "g")
 	if w.sent().Server != s {
 		t.Fatalf("sent to %d", w.sent().Server)
 	}
 	w.end(w.sent(), 0, TimedOut)
-	if limit := w.b.servers[s].limit; limit == 0 || limit >= load {
+	if limit := w.b.servers[s].loadLimit; limit == 0 || limit >= load {
 		t.Errorf("limit %v at a load of %v", limit, load)
 	}
 }
@@ -532,9 +532,9 @@
 		w.open("safe", "g")
 		w.open("dear", "g")
 	}
-	s := w.b.order[0]
-	w.b.lowerLimit(s, 1, 0)
-	s.limit = 40
+	s := w.b.sortedServers[0]
+	w.b.lowerLoadLimit(s, 1, 0)
+	s.loadLimit = 40
 	if w.request("safe", "g"); len(find[Send](w.last)) > 0 {
 		t.Error("the less worthy filled what is kept")
 	}
@@ -550,8 +550,8 @@
 	for range 20 {
 		w.open("dear", "held")
 	}
-	s := w.b.order[0]
-	s.limit, s.cutAt = 22, w.now
+	s := w.b.sortedServers[0]
+	s.loadLimit, s.limitLoweredAt = 22, w.now
 	if w.request("dear", "new"); len(find[Send](w.last)) > 0 {
 		t.Error("a new group took the last room")
 	}
@@ -566,9 +566,10 @@
 		w.open("safe", "large")
 	}
 	small, _ := w.open("safe", "small")
-	s := w.b.order[0]
-	s.limit, s.cutAt, s.pausedUntil, s.delay, s.moves = 1, w.now, w.now+sec, sec, 1
-	w.b.moveAway(s)
+	s := w.b.sortedServers[0]
+	s.loadLimit, s.limitLoweredAt, s.pausedUntil = 1, w.now, w.now+sec
+	s.messageDelay, s.migrationCredit = sec, 1
+	w.b.migrateFrom(s)
 	got := find[Migrate](w.b.actions)
 	if len(got) == 0 || got[0].ID != small {
 		t.Errorf("moved %+v, the lone member is %d", got, small)
@@ -584,7 +585,8 @@
 		w.feed(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Timeout: sec})
 	}
 	in, over := Request{Class: "safe", Tenant: "in"}, Request{Class: "safe", Tenant: "over"}
-	if a, b := w.b.worth(&request{Request: in}), w.b.worth(&request{Request: over}); b >= a {
+	a, b := w.b.priorityPerLoad(&request{Request: in}), w.b.priorityPerLoad(&request{Request: over})
+	if b >= a {
 		t.Errorf("worth %v within and %v over the quota", a, b)
 	}
 }
@@ -623,7 +625,7 @@
 		for _, w := range worlds {
 			w.now = start + 9*sec
 			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: start}}})
-			full += w.b.fullConnections(w.b.servers[900]) / float64(gateways)
+			full += w.b.warmConnections(w.b.servers[900]) / float64(gateways)
 		}
 		for i := range 5 {
 			for _, w := range worlds {
@@ -705,24 +707,24 @@
 func TestCarriedConnectionsCount(t *testing.T) {
 	w := newWorld(t, settings(), 3)
 	w.feed(AdoptedConnection{Request: Request{ID: 5, Class: "safe", Group: "g"}, Server: 101})
-	if got := len(w.b.servers[101].open); got != 1 {
+	if got := len(w.b.servers[101].inFlight); got != 1 {
 		t.Fatalf("%d connections at its server", got)
 	}
 	w.feed(AttemptEnded{ID: 5, Server: 101, Result: OK, Answered: true})
-	if got := len(w.b.servers[101].open); got != 0 {
+	if got := len(w.b.servers[101].inFlight); got != 0 {
 		t.Errorf("%d connections after its end", got)
 	}
 }
 
 func TestRestartClearsTheRecord(t *testing.T) {
 	w := newWorld(t, settings(), 3)
-	s := w.b.order[0]
-	w.b.weighOutcome(s, ConnectFailed, false, 0)
-	if s.ejected == 0 {
+	s := w.b.sortedServers[0]
+	w.b.scoreResult(s, ConnectFailed, false, 0)
+	if s.ejectedUntil == 0 {
 		t.Fatal("not ejected")
 	}
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: s.ID, Started: w.now}}})
-	if s.ejected != 0 || s.strikes.sum != 0 {
+	if s.ejectedUntil != 0 || s.failureScore.sum != 0 {
 		t.Error("the new process bears the old one's record")
 	}
 }
@@ -769,7 +771,7 @@
 	for _, id := range ids[:28] {
 		w.feed(MessageDelay{ID: id, Server: w.b.requests[id].server.ID, Delay: 60 * ms})
 	}
-	w.wait(housekeeping)
+	w.wait(sweepInterval)
 	sent := map[string]int{}
 	for i := range 200 {
 		class := []string{"safe", "dear"}[i%2]
@@ -784,7 +786,7 @@
 			w.feed(MessageDelay{ID: id, Server: r.server.ID, Delay: 10 * ms})
 		}
 	}
-	w.wait(housekeeping)
+	w.wait(sweepInterval)
 	if w.request("safe", "after"); len(find[Send](w.last)) != 1 {
 		t.Errorf("after the jam: %+v", w.last)
 	}
@@ -797,14 +799,14 @@
 	set.Gateways = 200
 	b := mustNew(t, set)
 	b.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(80)})
-	b.refresh()
+	b.refreshTable()
 	for i := range 10 {
 		group := fmt.Sprint("g", i%2*i)
 		key := fmt.Sprint("k", i)
 		b.Handle(0, Request{ID: RequestID(i), Class: "safe", Group: group, Key: key, Timeout: sec})
 	}
-	hot := b.parts(&request{Request: Request{Group: "g0"}})
-	small := b.parts(&request{Request: Request{Group: "g1"}})
+	hot := b.groupShards(&request{Request: Request{Group: "g0"}})
+	small := b.groupShards(&request{Request: Request{Group: "g1"}})
 	if hot < 10 || small > hot/2 {
 		t.Errorf("half of all connections over %.1f entries, a tenth over %.1f", hot, small)
 	}
@@ -820,8 +822,8 @@
 		for i := range 400 {
 			b := mustNew(t, set)
 			b.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(1)})
-			s := b.order[0]
-			s.limit, s.cutAt = 0.5, 0
+			s := b.sortedServers[0]
+			s.loadLimit, s.limitLoweredAt = 0.5, 0
 			key := fmt.Sprint("k", i)
 			req := Request{ID: 1, Class: "safe", Key: key, Timeout: sec}
 			sent := len(find[Send](b.Handle(0, req))) == 1
@@ -934,7 +936,7 @@
 		if got := float64(len(l.further)); got < least {
 			t.Errorf("%+v: %v further attempts, %.0f at least were wanted", budget, got, least)
 		}
-		if kept := len(w.b.taken.tallies) + len(w.b.further.tallies); kept > 2*windowPart {
+		if kept := len(w.b.admitted.buckets) + len(w.b.retries.buckets); kept > 2*maxWindowBuckets {
 			t.Errorf("%d moments kept", kept)
 		}
 	}
@@ -944,7 +946,7 @@
 // never made does not count.
 func TestBudgetMemoryIsBounded(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		w := window{span: sec, late: late}
+		w := slidingWindow{length: sec, inclusive: late}
 		now := time.Duration(0)
 		for range 300_000 {
 			w.add(now)
@@ -952,16 +954,16 @@
 		}
 		least, most := 99_000, 100_000
 		if late { // what leaves late is counted for longer, by a part of the span at most
-			least, most = most, most+100_000/windowPart+2
+			least, most = most, most+100_000/maxWindowBuckets+2
 		}
-		if len(w.tallies) > windowPart+1 || w.total < least || w.total > most {
-			t.Errorf("late %v: %d moments kept for %d", late, len(w.tallies), w.total)
+		if len(w.buckets) > maxWindowBuckets+1 || w.total < least || w.total > most {
+			t.Errorf("late %v: %d moments kept for %d", late, len(w.buckets), w.total)
 		}
 	}
-	w := window{span: sec, late: true}
+	w := slidingWindow{length: sec, inclusive: true}
 	w.add(sec)
 	w.add(2 * sec)
-	w.undo(sec)
+	w.remove(sec)
 	if n := w.count(2 * sec); n != 1 {
 		t.Errorf("%d counted, one was made", n)
 	}
@@ -991,8 +993,8 @@
 	} {
 		w := newWorld(t, adviceOnly(), 8)
 		at := map[string]ServerID{}
-		w.b.refresh()
-		shares := w.b.shares
+		w.b.refreshTable()
+		shares := w.b.tableWeights
 		for i := range 30 {
 			group := fmt.Sprint("g", i)
 			_, at[group] = w.open("safe", group)
@@ -1014,12 +1016,12 @@
 		if moved > 8 {
 			t.Errorf("%s: %d of 30 groups moved", name, moved)
 		}
-		past := len(w.b.past)
+		past := len(w.b.pastTables)
 		w.feed(EndpointList{Mode: ListComplete, Servers: servers(8)})
-		if w.b.refresh(); !slices.Equal(w.b.shares, shares) {
+		if w.b.refreshTable(); !slices.Equal(w.b.tableWeights, shares) {
 			t.Errorf("%s: the true list left another table", name)
 		}
-		if name != "old" && len(w.b.past) != past {
+		if name != "old" && len(w.b.pastTables) != past {
 			t.Errorf("%s: the true list filled the table again", name)
 		}
 	}
@@ -1125,7 +1127,7 @@
 				}
 			}
 			w.wait(30 * sec)
-			most = max(most, len(w.b.order), len(w.b.servers))
+			most = max(most, len(w.b.sortedServers), len(w.b.servers))
 		}
 		if most > 200 {
 			t.Errorf("gone is advice: %v: %d servers remembered of 1200", advice, most)
@@ -1142,7 +1144,7 @@
 		w.now += 20 * ms
 		w.request("safe", fmt.Sprint("g", i))
 		for attempt := 0; len(find[Send](w.last)) == 1; attempt++ {
-			if sent++; attempt == 0 && i > 40 && w.b.servers[w.sent().Server].limit > 0 {
+			if sent++; attempt == 0 && i > 40 && w.b.servers[w.sent().Server].loadLimit > 0 {
 				cut++
 			}
 			w.end(w.sent(), attempt, TimedOut)
