--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,959 +1,195 @@
-// Package balancer makes the decisions of a gateway that balances long-lived connections. Its interface,
-// that is settings, events and actions, is api.go; the lookup table is maglev.go; all else that decides
-// is in this file.
+// Package balancer makes the decisions of a gateway that balances long-lived connections: events go in,
+// actions come out.
 //
-// Every gateway builds the same Maglev table from the server list and places a connection at the entry
-// of its key's hash, so gateways agree without shared state. Each exception is a further lookup in the
-// same table. A Balancer does no I/O, reads no clock, starts no goroutine and keeps no global state: the
-// same events give the same actions.
+// Every gateway builds the same Maglev table from the endpoint list and places a connection at the entry of
+// its key's hash, so gateways agree without shared state. Where that server cannot or should not serve,
+// further lookups of the same key in the same table give alternates. Servers that fail are ejected for a
+// time, slow servers get a load limit and lose connections, servers that have just started are sent no more
+// than a budget, and requests that exceed the capacity of all are rejected, by priority.
+//
+// A Balancer does no I/O, reads no clock, starts no goroutine and keeps no global state: the same events give
+// the same actions. Its host owns it, calls it from one goroutine at a time, passes the time with each event
+// and carries out the actions.
 package balancer
 
 import (
-	"math"
-	"slices"
+	"log/slog"
 	"time"
 )
 
-// The constants. None comes from a deployment; where a figure was measured, docs/design.md has it.
-const (
-	housekeeping = 250 * time.Millisecond // between looks at what has come due
-	holdFor      = 500 * time.Millisecond // a request waits this long for the first list
-	answerMargin = 20 * time.Millisecond  // but is answered this long before its deadline
-	drainPart    = 9                      // tenths of the drain grace in which strays are still sent
-	lookupsMost  = 160                    // in a search for an alternate: more cost more than they find,
-	lookupsNear  = 8                      // and in a group's, that it stays together, or for a cold server
-	maxPast      = 2                      // tables kept for strays
-
-	boundOver  = 0.5 // a server takes this share over its part of the load before keys overflow,
-	boundSlack = 4.0 // and this many mean connections more
-	holdFrom   = 0.3 // times the part that a request may fill: pressure from which some are refused
-	returnOver = 4   // entries after its own that a client returns over
-	keepLeast  = 0.5 // part of a limit that the least worthy may fill
-
-	delayFor    = 2500 * time.Millisecond // word of slow messages holds this long; it comes once a second
-	fullFor     = time.Second             // a server that turned a connection away gets none this long
-	cutTo       = 0.85                    // to this part of its load a slow server's limit falls, or lower
-	cutToLeast  = 0.5                     // with the growth of its delay, and to this at the least
-	cutEvery    = time.Second             // at most, so that one word is not counted for each connection
-	growAfter   = 1500 * time.Millisecond // a limit grows when this long nothing spoke against it,
-	growShare   = 0.1                     // by this share a second
-	forgetOver  = 4.0                     // and is forgotten at this multiple of a fair part of the load
-	reportFull  = 0.7                     // reported load at which a server is well used,
-	reportOver  = 0.8                     // from which its limit falls to that,
-	reportRoom  = 0.6                     // and under which it rises to that,
-	reportMost  = 0.85                    // up to which a server is given more,
-	reportLeast = 0.1                     // as if this had been reported at the least
-	groupShare  = 0.05                    // of all connections that a group is guessed to have,
-	groupPrior  = 2.0                     // a guess that weighs as much as this many connections seen
-	groupCost   = 4.0                     // mean connections that a new group is taken to cost a server
-	groupMoved  = 2 * groupCost           // the same, shared by its members, where moves rank connections
-	moveShare   = 1.0                     // of a slow server's connections a second, where all have room,
-	moveLeast   = 5.0                     // or of this many: a few are moved soon
-	moveWhole   = 0.8                     // part of the choice whom to move that all of a group share
-	triedMost   = 1.5                     // set-ups tried for each that stands; what is over is shed
-
-	evidenceHalf = 3 * time.Second // evidence halves in this time
-	strikeLimit  = 1.0             // and ejects a server here; strikes are in weighOutcome
-	ejectFor     = 5 * time.Second // the first ejection; each that follows doubles it,
-	ejectDoubled = 2               // this often
-	maxEjected   = 0.5             // where a larger share looks bad, the cause is shared: trust the list
-
-	retrySpan  = 10 * time.Second // where no budget of further attempts is stated, in this span
-	retryFree  = 10.0             // so many are allowed in any case,
-	retryShare = 0.2              // and for each request taken so many more; never more than this
-
-	coldSafety = 0.6 // part of a cold server's budget that is used
-	coldGroup  = 0.1 // part of the requests that are counted on at one server at the least
-	coldApart  = 0.5 // of the time between two of a gateway's connections to one, two are this far apart
-	coldRoom   = 6.0 // connections that a server is held to bear at least
-
-	reportFor = time.Second            // a report is placed by for so long
-	askFor    = 100 * time.Millisecond // and is waited for so long
-	askWidth  = 2                      // servers are asked at once for a request,
-	askRounds = 3                      // and so often
+// sweepInterval is the time between two sweeps, which do what is due at a time rather than by an event:
+// ejections end, load limits grow, connections migrate.
+const sweepInterval = 250 * time.Millisecond
 
-	tryWithin  = time.Second // a server back by hand is first tried within this, each gateway at its time
-	clearShare = 0.5         // of its connections leave a server that is out by hand, at each look
-
-	forgetAfter = 10 * time.Minute // a server gone so long is forgotten
+// References of timers.
+const (
+	sweepTimer   = 1 // the next sweep
+	oneShotTimer = 2 // a request has waited long enough
 )
 
-const refHousekeeping, refOnce = 1, 2 // of timers
-
-// Handle takes one event and returns what to do, valid until the next call. Time never runs backwards.
-func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
+// Balancer makes the decisions of one gateway. It is not safe for concurrent use.
+type Balancer struct {
+	settings         Settings
+	classIndex       map[string]int // index into settings.Classes by name
+	tenantIndex      map[string]int // index into settings.Tenants by name
+	messageObjective time.Duration  // shortest MessageLatencyObjective of all classes; 0: none stated
+
+	now         time.Duration
+	started     bool
+	startedAt   time.Duration // the first event
+	actions     []Action      // answers to the present event
+	randomState uint64
+
+	// The endpoint list.
+	servers       map[ServerID]*server
+	sortedServers []*server // every server of servers, by id
+	hasList       bool      // a list has come
+	evictedAt     time.Duration
+
+	// The lookup table.
+	table        table
+	tableIsStale bool // the list has changed since the table was built
+	tableWeights []weightedServer
+	tableServers []*server // the servers of tableWeights
+	totalWeight  float64   // the sum of their capacities
+	pastTables   []pastTable
+
+	// Requests.
+	requests map[RequestID]*request
+	waiting  []*request // for the first list or a load report, in order of arrival
+
+	// Connections and their loads. Connections include attempts that are not established yet.
+	connections        int
+	groupConnections   map[string]int
+	tenantConnections  []float64 // by index of the tenant
+	load               loadSum
+	classLoads         []ewma // known loads of connections by class
+	overallLoad        ewma   // and of all classes together
+	connectionCapacity ewma   // connections that a warm server of weight 1 can hold, by load reports
+
+	// Rates.
+	admitted          slidingWindow   // requests
+	retries           slidingWindow   // attempts after each request's first
+	recentRequests    decayingCounter // requests
+	recentEstablished decayingCounter // attempts that were established
+	recentFailures    decayingCounter // attempts that timed out or ended in an error
+
+	// Overload.
+	fleetShedLevel float64
+	slowRatio      float64       // part of the connections that are on slow servers
+	isShedding     bool          // as last logged
+	sampledAt      time.Duration // when a server was last polled for capacity to migrate to
+}
+
+// New returns a Balancer, or a *SettingError that names the setting it cannot work with.
+func New(settings Settings) (*Balancer, error) {
+	if err := settings.validate(); err != nil {
+		return nil, err
+	}
+	b := &Balancer{
+		settings:          settings.withDefaults(),
+		classIndex:        make(map[string]int, len(settings.Classes)),
+		tenantIndex:       make(map[string]int, len(settings.Tenants)),
+		randomState:       settings.Seed,
+		servers:           map[ServerID]*server{},
+		totalWeight:       minTotalWeight,
+		requests:          map[RequestID]*request{},
+		groupConnections:  map[string]int{},
+		tenantConnections: make([]float64, len(settings.Tenants)),
+	}
+	for i, c := range settings.Classes {
+		b.classIndex[c.Name] = i
+		if o := c.MessageLatencyObjective; o > 0 && (b.messageObjective == 0 || o < b.messageObjective) {
+			b.messageObjective = o
+		}
+	}
+	for i, t := range settings.Tenants {
+		b.tenantIndex[t.Name] = i
+	}
+	b.load = newLoadSum(len(b.settings.Classes))
+	b.classLoads = make([]ewma, len(b.settings.Classes))
+	budget := b.retryBudget()
+	b.admitted = slidingWindow{length: budget.window}
+	b.retries = slidingWindow{length: budget.window, inclusive: true}
+	return b, nil
+}
+
+// Handle takes one event and returns the actions that answer it, valid until the next call. now is the time
+// on the event clock; a time before that of the last event is taken as that time.
+func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = b.actions[:0]
-	if !b.started {
-		b.started = true
-		b.began = b.now
-		b.act(SetTimer{After: housekeeping, Ref: refHousekeeping})
-	}
-	switch ev := ev.(type) {
+	b.start()
+	switch ev := event.(type) {
 	case EndpointList:
-		b.onList(ev)
+		b.onEndpointList(ev)
 	case Request:
 		b.onRequest(ev)
 	case AdoptedConnection:
-		b.onCarried(ev)
+		b.onAdoptedConnection(ev)
 	case AttemptEstablished:
-		b.onOpened(ev)
+		b.onAttemptEstablished(ev)
 	case LoadChanged:
-		b.onLoad(ev)
+		b.onLoadChanged(ev)
 	case MessageDelay:
-		if s := b.servers[ev.Server]; s != nil {
-			b.onDelay(s, ev.Delay)
-		}
+		b.onMessageDelay(ev)
 	case LoadReport:
-		if s := b.servers[ev.Server]; s != nil {
-			b.onReport(s, ev)
-			b.serveWaiting()
-		}
+		b.onLoadReport(ev)
 	case ServerReinstated:
-		if s := b.servers[ev.Server]; s != nil {
-			b.renew(s)
-			s.tryAt = b.now + time.Duration(b.rand()*float64(tryWithin))
-		}
+		b.onServerReinstated(ev)
 	case FleetShedLevel:
-		b.shed = ev.Level
+		b.fleetShedLevel = ev.Level
 	case Shutdown:
-		b.hurry(ev.Deadline)
+		b.capDeadlines(ev.Deadline)
 	case AttemptEnded:
-		b.onOutcome(ev)
+		b.onAttemptEnded(ev)
 	case ClientDisconnected:
-		b.onExpired(ev.ID)
+		b.onClientDisconnected(ev)
 	case TimerFired:
-		b.onTimer(ev)
+		b.onTimerFired(ev)
 	}
 	return b.actions
 }
 
-// The list.
-
-func (b *Balancer) onList(ev EndpointList) {
-	doubts := b.doubts()
-	if ev.Mode != ListDelta {
-		listed := make(map[ServerID]bool, len(ev.Servers))
-		for _, e := range ev.Servers {
-			listed[e.ID] = true
-		}
-		for _, s := range b.order {
-			if !listed[s.ID] {
-				b.setState(s, Removed)
-			}
-		}
-	}
-	for _, e := range ev.Servers {
-		b.update(e)
-	}
-	if n := b.doubts(); n > doubts {
-		b.logf("list calls %d servers gone, in doubt until their outcomes tell", n-doubts)
-	}
-	b.listed = b.listed || ev.Mode == ListComplete || len(ev.Servers) > 0
-	b.stale = true
-	b.serveWaiting()
-}
-
-// setState follows the list. Where only draining binds, a server that is called gone, or left out, is in
-// doubt: it keeps its slots, since its own connections and outcomes tell more. One good outcome and it serves
-// as before; until then one attempt at a time may try it, and the first failure confirms the list, as does an
-// ejection at that time. It guards against lists that are wrong, empty or old, and spares the table a second
-// change when the true one comes. It costs an attempt where a server is gone and no connection told of it. A
-// drain binds until a new start, whatever an old list says later.
-func (b *Balancer) setState(s *server, state ServerState) {
-	if b.set.RemovalIsAdvisory {
-		switch {
-		case s.drained && state == Ready:
-			return
-		case state == Removed && s.State == Ready && s.ejected == 0:
-			if s.doubted == 0 {
-				s.doubted, s.proven = b.now, len(s.open) > s.pending
-			}
-			return
-		}
-	}
-	if state != Ready && s.State == Ready || b.set.RemovalIsAdvisory && state == Draining && !s.drained {
-		s.told = b.now
-	}
-	s.drained = s.drained && state != Ready || state == Draining
-	s.State, s.doubted = state, 0
-}
-
-// confirmGone takes a server in doubt for gone.
-func (b *Balancer) confirmGone(s *server) {
-	s.State, s.told, s.doubted, b.stale = Removed, b.now, 0, true
-	b.logf("server %d is gone, as listed", s.ID)
-}
-
-// refresh fills the table anew from the ready servers where the list has changed since, and keeps the one
-// before for strays. It waits for the next placement, since most changes of a list come in a run and a
-// gateway among many places few connections between them.
-func (b *Balancer) refresh() {
-	if !b.stale {
-		return
-	}
-	b.stale = false
-	var shares []share
-	var members []*server
-	weight := 0.0
-	for _, s := range b.order {
-		if s.State == Ready {
-			shares = append(shares, share{s.ID, s.Capacity})
-			members = append(members, s)
-			weight += s.Capacity
-		}
-	}
-	if slices.Equal(shares, b.shares) {
-		return // nothing that the table depends on has changed
-	}
-	if b.table != nil && b.set.FlowRetention > 0 {
-		b.past = append(b.past, pastTable{b.table, b.members, b.now + b.set.FlowRetention})
-		if len(b.past) > maxPast {
-			b.past = slices.Delete(b.past, 0, len(b.past)-maxPast)
-		}
-	}
-	b.table, b.shares, b.members, b.weight = buildTable(shares), shares, members, max(weight, leastWeight)
-}
-
-// Cold servers.
-
-// coldAge is how much of its warm-up a server has behind it: 1 is warm.
-func (b *Balancer) coldAge(s *server) float64 {
-	if s.Started <= 0 || b.now-s.Started >= b.set.WarmupDuration {
-		return 1
-	}
-	return max(float64(b.now-s.Started)/float64(b.set.WarmupDuration), 0)
-}
-
-// admitCold reports whether a cold server's budget allows one more connection. It guards against gateways
-// that together push a fresh server over. The budget is a multiple of what fills the server over its warm-up,
-// at any age; a gateway's chance to use it is its part over the rate at which it tries, so that the sum keeps
-// to it however many gateways there are and however seldom each comes by. It could hurt where much of the
-// fleet is cold and little else has room.
-func (b *Balancer) admitCold(r *request, s *server) bool {
-	rate := coldSafety * max(b.set.ColdOverloadFactor, 1) * b.fullConnections(s) /
-		b.set.WarmupDuration.Seconds() / float64(b.set.Gateways)
-	share := max(lookupsNear*s.Capacity/b.weight, coldGroup) // more where one group is most of all
-	tries := max(b.arrivals()*share, s.coldTried.value(b.now)*math.Ln2/evidenceHalf.Seconds())
-	s.coldTried.add(b.now, 1)
-	// in a burst the rate is learned too late
-	apart := min(coldApart/rate, b.set.ColdOverloadDuration.Seconds())
-	if (b.now-s.coldAt).Seconds() < apart || fraction(mix(uint64(r.ID), uint64(s.ID))) >= rate/tries {
-		return false
-	}
-	s.coldAt = b.now
-	return true
-}
-
-// arrivals is how many requests come a second, of late. As many more are counted as make a burst, in which
-// each gateway has one request and knows of no other, spend no more than a cold server bears in TipTime.
-func (b *Balancer) arrivals() float64 {
-	span := evidenceHalf.Seconds() / math.Ln2
-	more := max(coldSafety*span/b.set.ColdOverloadDuration.Seconds()-1, 0)
-	age := max(b.now-b.began, evidenceHalf/30)
-	seen := 1 - math.Exp2(-float64(age)/float64(evidenceHalf)) // of the span, by a young process
-	came := b.came.value(b.now)
-	return max(came/seen, came+more) / span
-}
-
-// Requests.
-
-func (b *Balancer) onRequest(ev Request) {
-	if b.requests[ev.ID] != nil {
-		return
-	}
-	b.taken.add(b.now)
-	b.came.add(b.now, 1)
-	if class, ok := b.classes[ev.Class]; ok && ev.Load > 0 {
-		b.learnLoad(class, ev.Load)
-	}
-	b.serve(b.newRequest(ev))
-}
-
-// serve places a request that has no attempt out: a send, a place among the waiting, or its final answer.
-func (b *Balancer) serve(r *request) {
-	hopeless := r.mayHaveRun && b.set.Classes[r.class].Idempotency == NonIdempotent
-	if hopeless || b.now >= r.deadline-answerMargin || r.attempts >= b.set.MaxAttempts ||
-		r.attempts > 0 && !b.mayRetry() || b.isShed(r) {
-		b.answer(r)
-		return
-	}
-	s := b.place(r)
-	if s == nil {
-		if len(r.asked) == 0 {
-			b.holdOrAnswer(r)
-		}
-		return
-	}
-	if r.attempts > 0 {
-		b.further.add(b.now)
-	}
-	b.attach(r, s)
-	r.attempts++
-	r.sent = b.now
-	r.tried = append(r.tried, s.ID)
-	b.act(Send{ID: r.ID, Server: s.ID, Timeout: b.timeout(r), ConnectTimeout: b.begin(r, s)})
-}
-
-// begin bounds the time until an attempt is under way. It guards against connections that come up late: to a
-// server that drains by then, or drains now and takes strays, or behind the window of a keyed request.
-func (b *Balancer) begin(r *request, s *server) time.Duration {
-	most := b.set.DrainGrace * drainPart / 10
-	if s.State != Ready {
-		most -= b.now - s.told
-	}
-	c := b.set.Classes[r.class]
-	if left := r.ranAt + c.DedupWindow - b.now; r.mayHaveRun && c.Idempotency == WithIdempotencyKey &&
-		(most == 0 || left < most) {
-		most = left
-	}
-	return most
-}
-
-// isShed reports whether the fleet sheds a request. Which clients of the rank at the cut those are is alike
-// at every gateway: one who comes again elsewhere is answered alike. What a server holds is never shed.
-func (b *Balancer) isShed(r *request) bool {
-	return !r.MidFlow && r.chance(2) < b.shed-float64(r.Priority)
-}
-
-// mayRetry reports whether the budget covers one more attempt beyond a request's first. It guards against
-// faults that hit many and would multiply the load; where a budget is stated it also keeps to that, in any
-// span that ends with an attempt. It could hurt where many servers are down and most first attempts fail.
-func (b *Balancer) mayRetry() bool {
-	_, free, share := b.budget()
-	return float64(b.further.count(b.now)+1) <= free+share*float64(b.taken.count(b.now))
-}
-
-// budget is that of further attempts: the stated one, but for a share above the module's own, or its own.
-func (b *Balancer) budget() (span time.Duration, free, share float64) {
-	if b.set.RetryBudgetWindow > 0 {
-		return b.set.RetryBudgetWindow, b.set.RetryBudgetMin, min(b.set.RetryBudgetRatio, retryShare)
-	}
-	return retrySpan, retryFree, retryShare
-}
-
-// hurry gives no request that waits longer than until the program's end.
-func (b *Balancer) hurry(by time.Duration) {
-	for _, r := range b.requests {
-		r.deadline, r.heldUntil = min(r.deadline, by), min(r.heldUntil, by-answerMargin)
-	}
-	b.act(SetTimer{After: max(by-answerMargin-b.now, 0), Ref: refOnce})
-}
-
-// holdOrAnswer disposes of a request that no server may take now. Only the first list is waited for: what
-// else keeps a request out lasts longer than a client should wait for word of it.
-func (b *Balancer) holdOrAnswer(r *request) {
-	if b.listed || r.heldUntil > 0 && b.now >= r.heldUntil {
-		b.answer(r)
-		return
-	}
-	b.waiting = append(b.waiting, r)
-	if r.heldUntil == 0 {
-		wait := max(min(holdFor, r.deadline-answerMargin-b.now), 0)
-		r.heldUntil = b.now + wait
-		b.act(SetTimer{After: wait, Ref: refOnce})
-	}
-}
-
-// serveWaiting looks again at the held requests.
-func (b *Balancer) serveWaiting() {
-	held := b.waiting
-	b.waiting = nil
-	for _, r := range held {
-		switch {
-		case r.over:
-		case b.now < r.heldUntil && slices.ContainsFunc(r.asked, b.unheard):
-			b.waiting = append(b.waiting, r)
-		default:
-			r.asked = nil
-			b.serve(r)
-		}
-	}
-}
-
-// Reports.
-
-// ask has servers asked for their load on behalf of a request, which waits for that.
-func (b *Balancer) ask(r *request, of []*server) {
-	r.asked, r.heldUntil = of, b.now+askFor
-	r.asks++
-	for _, s := range of {
-		if b.now-s.askedAt > askFor || s.askedAt == 0 {
-			s.askedAt = b.now
-			b.act(PollLoad{Server: s.ID})
-		}
-	}
-	b.waiting = append(b.waiting, r)
-	b.act(SetTimer{After: askFor, Ref: refOnce})
-}
-
-// unknown reports whether nothing is known of a server's load, and it is to be asked before it is sent to.
-func (b *Balancer) unknown(s *server) bool {
-	return b.set.CanPollLoad && s.ejected == 0 && b.coldAge(s) == 1 && !b.toldOf(s) &&
-		(s.askedAt == 0 || b.now-s.askedAt > reportFor)
-}
-
-// strain ranks a server by its own word; one that says nothing comes last. One that was not asked serves
-// where all that were are full: a refusal was measured to cost more.
-func (b *Balancer) strain(s *server) float64 {
-	switch load := b.loadWith(s); {
-	case !b.set.CanPollLoad || b.unknown(s) || b.coldAge(s) < 1 || b.toldOf(s) && load <= reportRoom:
-		return 0
-	case b.toldOf(s):
-		return load
-	}
-	return 4
-}
-
-// answer gives the final answer: a refusal where the class's effect allows it, else a failure. Clients are
-// told to come back spread over the second half of the time that they follow.
-func (b *Balancer) answer(r *request) {
-	c := b.set.Classes[r.class]
-	if !r.mayHaveRun || c.Idempotency == Idempotent ||
-		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupScopeAll {
-		after := time.Duration((1 - b.rand()/2) * float64(b.set.MaxRetryAfter))
-		b.act(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShed(r)})
-	} else {
-		b.act(Fail{ID: r.ID})
-	}
-	b.end(r)
-}
-
-// timeout is the time that the next attempt has: all in which a set-up is worth its full price. One that is
-// given up sooner was measured to be work lost at servers that are busy with the set-ups of others.
-func (b *Balancer) timeout(r *request) time.Duration {
-	left := r.deadline - b.now
-	if r.attempts >= b.set.MaxAttempts {
-		return left
-	}
-	aim := b.set.Classes[r.class].SetupLatencyObjective
-	if aim == 0 {
-		aim = r.Timeout / 3
-	}
-	return min(aim, left)
-}
-
-func (b *Balancer) onOpened(ev AttemptEstablished) {
-	r := b.requests[ev.ID]
-	if r == nil || r.server == nil || r.server.ID != ev.Server || r.opened || ev.Attempt != r.attempts-1 {
-		return
-	}
-	r.opened = true
-	r.server.pending--
-	b.stood.add(b.now, 1)
-	r.server.strikes.sum /= 2
-	r.server.probation, r.server.proven = false, true
-}
-
-func (b *Balancer) onOutcome(ev AttemptEnded) {
-	r := b.requests[ev.ID]
-	if r == nil || r.server == nil || r.server.ID != ev.Server || ev.Attempt != r.attempts-1 {
-		return
-	}
-	s, held, opened := r.server, len(r.server.open), r.opened
-	b.detach(r)
-	r.opened = false
-	if !ev.Result.NeverRan() && !r.mayHaveRun {
-		r.mayHaveRun, r.ranOn, r.ranAt = true, s, r.sent
-	}
-	b.weighOutcome(s, ev.Result, opened, held)
-	if ev.Result == NotSent && ev.Attempt > 0 { // it was never made
-		b.further.undo(r.sent)
-	}
-	switch {
-	case ev.Answered || r.over:
-		b.end(r)
-	default:
-		b.serve(r)
-	}
-}
-
-func (b *Balancer) onExpired(id RequestID) {
-	if r := b.requests[id]; r != nil {
-		b.end(r)
-	}
-}
-
-// Placement.
-
-// place finds the server for a request's next attempt: the ordinary path's entry, or the first alternate
-// against which nothing speaks. Where something speaks against each, the least bad one serves, but never
-// one without room or a cold one without budget; nil where none may be used, and the request is refused.
-//
-// Some are refused also while a good part of this gateway's own connections is on slow servers, the more the
-// larger that part is and the less they earn. What a gateway holds is a sample of the fleet, so this
-// guards against a jam of which each gateway sees little: clients that break off and return keep it up. It
-// holds against any overload, and could hurt where a few slow servers hold most of what it has.
-//
-// The bound on a server's part of the load guards against hot groups, and holds against any uneven draw
-// of keys. It could hurt a group that is better kept whole, since each part costs the server it goes to.
-func (b *Balancer) place(r *request) *server {
-	b.refresh()
-	if r.MidFlow && r.attempts == 0 {
-		if s := b.strayServer(r); s != nil {
-			return s
-		}
-	}
-	if b.table == nil {
-		return nil
-	}
-	if s := b.untried(r); s != nil {
-		return s
-	}
-	first := int(r.chance(0) * b.parts(r))
-	if e := b.entry(r, first); r.MidFlow && r.attempts == 0 && b.unknown(e) && b.mayTry(r, e) {
-		return e // it loads whoever holds it already, and no report tells who that is
-	}
-	unit := b.unit()
-	part := (1 + boundOver) * (b.totalLoad() + unit) / b.weight
-	keep := b.precedence(r)
-	if r.chance(1) < b.throttle() {
-		return nil
-	}
-	shed := r.chance(1) < (b.pressure-holdFrom*keep)/(1-holdFrom*keep)
-	var best *server
-	var ask []*server
-	least := math.Inf(1)
-	if r.Reconnecting && !b.vouches(b.entry(r, first)) {
-		first += 1 + int(mix(uint64(r.ID), keySeed)%returnOver)
-	}
-	most := lookupsMost
-	if shed || r.Group != "" {
-		most = lookupsNear
-	}
-	for i := range most + 1 {
-		j := i - 1
-		if i == 0 { // its own part of the group; then the others and their alternates
-			j = first
-		}
-		s := b.entry(r, j)
-		if !b.mayTry(r, s) || shed && b.coldAge(s) == 1 {
-			continue // what is shed for the load of warm servers may still fit a cold one's budget
-		}
-		bad := 0.0
-		if slices.Contains(r.tried, s.ID) {
-			bad += 4
-		}
-		if s.ejected > 0 {
-			bad += 8
-		}
-		if (s.probation || s.doubted > 0 && !s.proven) && s.pending > 0 { // let one stand first
-			bad += 2
-		}
-		cost := r.chance(s.ID) * unit
-		if r.Group != "" && s.groups[r.Group] == 0 { // do not spread scarce room over many groups
-			cost += groupCost * unit
-		}
-		if r.asks < askRounds && b.unknown(s) {
-			if len(ask) < askWidth && !slices.Contains(ask, s) {
-				ask = append(ask, s)
-			}
-			continue
-		}
-		if len(ask) > 0 || !b.hasRoom(s, cost, keep) {
-			continue
-		}
-		bad += b.strain(s)
-		if b.loadOf(s)+unit > part*s.Capacity+boundSlack*unit {
-			bad++
-		}
-		if b.coldAge(s) < 1 {
-			if bad < 2 && i <= lookupsNear && b.admitCold(r, s) {
-				return s
-			}
-			continue
-		}
-		if bad == 0 {
-			return s
-		}
-		if bad < least {
-			best, least = s, bad
-		}
-	}
-	if len(ask) > 0 {
-		b.ask(r, ask)
-		return nil
-	}
-	return best
-}
-
-// untried is a server that staff put back and nothing has gone to since. One connection tells them and us
-// that it serves, where a cold server's budget would have them wait; each gateway begins at another time, so
-// that together they stay within what the server bears.
-func (b *Balancer) untried(r *request) *server {
-	if r.attempts > 0 || r.MidFlow {
-		return nil
-	}
-	for _, s := range b.members {
-		if s.tryAt > 0 && b.now >= s.tryAt && s.State == Ready {
-			s.tryAt = 0
-			return s
-		}
-	}
-	return nil
-}
-
-// throttle is the part of requests that is shed since too few set-ups stand, wherever they are tried. It
-// guards against a jam of what all set-ups share, as a store: asked for more than it can do it serves none
-// in time, and the clients' return keeps that up. While it sheds, nothing is moved, as each move is a
-// set-up, and no server's limit is cut for a time-out. It holds for any failure of set-ups that ejections do
-// not end. It could hurt where a gateway reaches few servers, until the others are ejected.
-func (b *Balancer) throttle() float64 {
-	if b.failed.sum == 0 {
-		return 0
-	}
-	stood := b.stood.value(b.now)
-	tried := stood + b.failed.value(b.now)
-	return (tried - triedMost*(stood+1)) / (tried + 1)
-}
-
-// entry is the server of a request's j-th lookup: 0 is the ordinary path.
-func (b *Balancer) entry(r *request, j int) *server { return b.members[b.table.at(r.hash, j)] }
-
-// parts is over how many entries a group is spread: as many as its members need, of a server's bound each.
-// It guards against a hot group that no gateway sees whole, as each holds a few of its members; how many
-// there are in all is inferred from those held here, and from a guess as long as few connections are. It
-// could hurt where a group is taken for larger than it is, since each part costs the server it goes to.
-func (b *Balancer) parts(r *request) float64 {
-	if r.Group == "" {
-		return 1
-	}
-	held := float64(b.held)
-	fleet := (held + 1) * float64(b.set.Gateways)
-	share := (float64(b.groups[r.Group]) + groupPrior*groupShare) / (held + groupPrior)
-	bound := (1+boundOver)*fleet/float64(len(b.members)) + boundSlack
-	return max(share*fleet/bound, 1)
-}
-
-// vouches reports whether this gateway has connections at a server and nothing speaks against it.
-func (b *Balancer) vouches(s *server) bool {
-	return len(s.open) > s.pending && s.ejected == 0 && b.now >= s.pausedUntil
-}
-
-// precedence is the part of a server's limit that a request may fill: all for what earns most for its
-// load, less for the rest. It guards against overload in which room goes to whoever asks first; as the
-// least worthy keep a part, none starves. It could hurt where loads are not known, as worth alone ranks
-// then.
-func (b *Balancer) precedence(r *request) float64 {
-	top := 0.0
-	for c := range b.set.Classes[:len(b.set.Classes)-1] {
-		top = max(top, b.set.Classes[c].PriorityWeight/b.loadOfClass(c))
-	}
-	worth := b.worth(r)
-	return keepLeast + (1-keepLeast)*min(worth/max(top, 1e-12), 1)
-}
-
-// strayServer is the server that is known to hold a stray, or a guess while a past table is in force: the one
-// where the ordinary path put its key then, also if that drains, within the grace. It guards against a reset
-// where gateways and servers change together. It could miss a connection that an alternate took.
-func (b *Balancer) strayServer(r *request) *server {
-	if s := b.servers[r.Owner]; r.OwnerKnown && s != nil && b.takesStrays(s) {
-		return s
-	}
-	for _, p := range b.past {
-		if b.now > p.until {
-			continue
-		}
-		s := p.members[p.table.at(r.hash, 0)]
-		if b.coldAge(s) == 1 && b.takesStrays(s) {
-			return s
-		}
-	}
-	return nil
-}
-
-func (b *Balancer) takesStrays(s *server) bool {
-	return s.State == Ready || s.State == Draining && b.now-s.told < b.set.DrainGrace*drainPart/10
-}
-
-// mayTry reports whether the list and the class's effect allow an attempt at a server.
-func (b *Balancer) mayTry(r *request, s *server) bool {
-	if s.State != Ready {
-		return false
-	}
-	c := b.set.Classes[r.class]
-	if !r.mayHaveRun || c.Idempotency == Idempotent {
-		return true
-	}
-	if c.Idempotency == NonIdempotent || b.now-r.ranAt >= c.DedupWindow {
-		return false
-	}
-	switch c.DedupScope {
-	case DedupScopeZone:
-		return s.Zone == r.ranOn.Zone
-	case DedupScopeCell:
-		return s.Cell == r.ranOn.Cell
-	}
-	return true
-}
-
-// Health.
-
-// onDelay takes word of slow messages. Work piles up where a server is asked for more than it can do, so
-// the growth of the delay tells how far over that is.
-func (b *Balancer) onDelay(s *server, delay time.Duration) {
-	last, since := s.delay, b.now-s.delayAt
-	if since > delayFor {
-		last = 0
-	}
-	s.delay, s.delayAt = delay, b.now
-	switch {
-	case delay <= b.aim/3: // the word that it is over
-		s.pausedUntil = 0
-	case last > 0 && delay < last: // it drains at this load
-		b.lowerLimit(s, 1, delayFor)
-	case last > 0 && since > 0:
-		b.lowerLimit(s, cutTo/(1+float64(delay-last)/float64(since)), delayFor)
-	default:
-		b.lowerLimit(s, cutTo, delayFor)
-	}
-}
-
-// onReport takes a server's word of its load. Its limit follows, to the load from here at which it would
-// be well used, were all gateways to send it more or less alike.
-//
-// It guards against placing on until messages are slow, and against a limit that was cut at a bad moment
-// and kept long after, as limits grow slowly by themselves: a server at a sixth of its power was seen kept
-// out for ten seconds while clients were refused. It holds for whatever takes a server's power. It could
-// hurt where reports are wrong by more than lies between reportRoom and reportOver.
-func (b *Balancer) onReport(s *server, ev LoadReport) {
-	load := ev.Utilization
-	s.load, s.reportAt, s.sent, s.each = load, b.now, 0, 0
-	if ev.Connections > 0 && load > reportLeast {
-		s.each = load / ev.Connections
-		if b.coldAge(s) == 1 {
-			b.bears.add(1 / s.each / s.Capacity)
-		}
-	}
-	least := b.unit() / float64(b.set.Gateways)
-	switch {
-	case load > reportOver:
-		limit := max(b.loadOf(s)*reportFull/load, least)
-		if s.limit == 0 || limit < s.limit {
-			s.limit, s.cutAt = limit, b.now
-		}
-	case load < reportRoom && s.limit > 0:
-		s.limit = max(s.limit, (b.loadOf(s)+least)*reportFull/max(load, reportLeast))
-	}
-}
-
-// lowerLimit lowers the load that a server is held able to bear, once a second at most, and gives it nothing
-// new for a while.
-//
-// It guards against overload that feeds itself: a server with work piled up serves none in time, drops
-// connections, and their return is more work. It holds for whatever takes a server's power: a hang, a
-// slow spell, a neighbour on the machine, a hot group, too few servers. It could hurt where slowness
-// passes by itself within a second, since the limit grows back more slowly than it falls.
-func (b *Balancer) lowerLimit(s *server, factor float64, hold time.Duration) {
-	s.pausedUntil = max(s.pausedUntil, b.now+hold)
-	if s.limit == 0 || b.now-s.cutAt >= cutEvery {
-		load := b.loadOf(s)
-		if s.limit > 0 {
-			load = min(load, s.limit)
-		}
-		// Where a gateway holds few of a server's connections, it hears of few chances to cut.
-		factor = max(factor-(1-factor)/float64(max(len(s.open), 1)), cutToLeast)
-		s.limit, s.cutAt = max(load*factor, b.unit()/float64(b.set.Gateways)), b.now
-	}
-}
-
-// hasRoom reports whether a server can take another connection of the given load within a part of its
-// limit. One that holds nothing from here takes one in any case, as nothing more is heard of it otherwise and
-// a limit that no new group fits in would keep it out for minutes where connections are few.
-func (b *Balancer) hasRoom(s *server, load, part float64) bool {
-	if b.set.CanPollLoad && b.toldOf(s) {
-		return b.loadWith(s) <= reportMost
-	}
-	return s.limit == 0 || b.now >= s.pausedUntil &&
-		(b.loadOf(s)+load <= part*s.limit || len(s.open) == 0 && b.now-s.cutAt > growAfter)
-}
-
-// growLimit lets a limit grow while nothing speaks against it, and forgets one that no longer binds.
-func (b *Balancer) growLimit(s *server) {
-	if b.now-s.cutAt <= growAfter {
-		return
-	}
-	fair := b.totalLoad() * s.Capacity / b.weight
-	s.limit += growShare * max(s.limit, fair, b.unit()/float64(b.set.Gateways)) * housekeeping.Seconds()
-	if s.limit > forgetOver*fair+2*boundSlack*b.unit() {
-		s.limit = 0
-	}
-}
-
-// weighOutcome weighs an outcome against a server and, with enough evidence, ejects it: it is the last
-// resort for a set time. It guards against servers that are down or answer nothing before the list knows,
-// and holds for any fault of one server. A fault of something shared blames no one: where more than
-// maxEjected look bad, the list is trusted. It could hurt where that share is truly down, as keys then go on
-// to them.
-func (b *Balancer) weighOutcome(s *server, result Result, opened bool, held int) {
-	strike := 0.0
-	switch result {
-	case OK, Cancelled, NotSent:
-		return
-	case Rejected:
-		b.lowerLimit(s, 1, fullFor)
-		strike = 0.25
-	case ConnectFailed:
-		strike = 1
-	case TimedOut, Errored: // work piles up there, or nothing answers
-		b.failed.add(b.now, 1)
-		if b.throttle() <= 0 {
-			b.lowerLimit(s, cutTo, 0)
-		}
-		strike = 0.5
-	case Reset:
-		strike = 0.5
-		if opened { // one of many may be shed; all of them mean that the process is gone
-			strike = 2 / float64(1+held)
-		}
-	}
-	if s.probation || s.doubted > 0 && !s.proven && result != Rejected {
-		strike = strikeLimit
-	}
-	if s.strikes.add(b.now, strike) < strikeLimit || s.ejected > 0 || s.State != Ready {
-		return
-	}
-	ready, bad := 0.0, 0.0
-	for _, o := range b.order {
-		if o.State == Ready {
-			ready++
-			if o.ejected > 0 || o.strikes.value(b.now) > strikeLimit/2 {
-				bad++
-			}
-		}
-	}
-	if bad > maxEjected*ready {
-		return
-	}
-	if s.doubted > 0 { // the list was right
-		b.confirmGone(s)
+// start sets the first timer of the sweeps with the first event.
+func (b *Balancer) start() {
+	if b.started {
 		return
 	}
-	s.ejected = b.now + ejectFor<<min(s.ejections, ejectDoubled)
-	s.ejections++
-	s.strikes, s.probation = fading{}, false
-	b.logf("server %d out of the table for %v", s.ID, s.ejected-b.now)
+	b.started, b.startedAt = true, b.now
+	b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
 }
 
-// Time.
-
-func (b *Balancer) onTimer(ev TimerFired) {
-	if ev.Ref == refHousekeeping {
-		b.act(SetTimer{After: housekeeping, Ref: refHousekeeping})
-		slow := 0
-		for _, s := range b.order {
-			if b.now < s.pausedUntil {
-				slow += len(s.open)
-			}
-			if s.ejected > 0 && b.now >= s.ejected {
-				s.ejected, s.probation = 0, true
-				b.logf("server %d back in the table", s.ID)
-			}
-			if s.limit > 0 {
-				b.growLimit(s)
-			}
-			b.moveAway(s)
-		}
-		b.forget()
-		b.pressure = float64(slow) / float64(max(b.held, 1))
-		if shedding := b.pressure > holdFrom || b.throttle() > 0; shedding != b.shedding {
-			b.shedding = shedding
-			b.logf("shedding %v: %.0f%% of own connections are on slow servers, %.1f set-ups failed of late",
-				shedding, 100*b.pressure, b.failed.value(b.now))
-		}
+func (b *Balancer) onTimerFired(ev TimerFired) {
+	if ev.Ref == sweepTimer {
+		b.sweep()
 	}
-	b.serveWaiting()
+	b.dispatchWaiting()
 }
 
-// moveAway moves connections off a server whose messages miss every aim, a share a second, by the part of
-// the fleet that has room, the ones that earn least for their load first. It guards against servers that
-// hang or slow with their connections on them, and lets an overloaded one drain. It could hurt where all
-// are overloaded: with no room elsewhere a move is a reconnect for nothing, hence the pace.
-func (b *Balancer) moveAway(s *server) {
-	if s.Evacuate && s.State == Draining && b.throttle() <= 0 {
-		b.clear(s)
-		return
-	}
-	if s.delay < b.aim || b.now >= s.pausedUntil || s.State != Ready || b.throttle() > 0 {
-		s.moves = 0
-		return
-	}
-	b.sound()
-	s.moves += moveShare * b.room() * max(float64(len(s.open)+1), moveLeast) * housekeeping.Seconds()
-	for ; s.moves >= 1; s.moves-- {
-		var pick *request
-		for _, r := range s.open {
-			if r.opened && !r.over && !b.isShed(r) && (pick == nil || b.worth(r) < b.worth(pick)) {
-				pick = r
-			}
+// sweep does what has become due since the last sweep.
+func (b *Balancer) sweep() {
+	b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
+	onSlowServers := 0
+	for _, s := range b.sortedServers {
+		if b.now < s.pausedUntil {
+			onSlowServers += len(s.inFlight)
 		}
-		if pick == nil || b.loadOf(s)-(1-pick.stays(s))*b.unit() <= s.limit {
-			break
-		}
-		b.act(Migrate{ID: pick.ID})
-		pick.over = true
+		b.endEjection(s)
+		b.growLoadLimit(s)
+		b.migrateFrom(s)
 	}
+	b.evictEndpoints()
+	b.slowRatio = float64(onSlowServers) / float64(max(b.connections, 1))
+	b.logShedding()
 }
 
-// stays is the chance that decides which connections are the last to be moved off a server, alike at every
-// gateway. A group's members go together, as what it costs the server is paid until the last has gone.
-func (r *request) stays(s *server) float64 {
-	return moveWhole*fraction(mix(r.hash, uint64(s.ID))) + (1-moveWhole)*r.chance(s.ID)
-}
+func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
 
-// room is the part of the table's weight that can take more, of servers that told their loads if they can.
-func (b *Balancer) room() float64 {
-	free, all := 0.0, 0.0
-	for _, s := range b.members {
-		if b.set.CanPollLoad && !b.toldOf(s) {
-			continue
-		}
-		all += s.Capacity
-		if b.hasRoom(s, 0, 1) {
-			free += s.Capacity
-		}
-	}
-	return free / max(all, 1e-9)
-}
-
-// sound asks one server a look whose load is not known, while clients are to be moved: a gateway that holds
-// few connections hears of the servers that hold them alone, and would find no room while others stand idle.
-func (b *Balancer) sound() {
-	b.refresh()
-	s := b.members[int(b.rand()*float64(len(b.members)))]
-	if b.set.CanPollLoad && b.soundAt < b.now && !b.toldOf(s) && b.now-s.askedAt > reportFor {
-		b.soundAt, s.askedAt = b.now, b.now
-		b.act(PollLoad{Server: s.ID})
-	}
-}
-
-// clear moves the connections off a server that staff took out, a part of them at each look while others have
-// room. It guards against the cut that each would suffer when the server is restarted.
-func (b *Balancer) clear(s *server) {
-	n := int(math.Ceil(clearShare * b.room() * float64(len(s.open))))
-	for _, r := range s.open {
-		if n > 0 && r.opened && !r.over {
-			b.act(Migrate{ID: r.ID})
-			r.over = true
-			n--
-		}
-	}
-}
+func (b *Balancer) log(message string, attrs ...slog.Attr) { b.act(Log{message, attrs}) }
 
-// worth is what a connection earns for its load.
-func (b *Balancer) worth(r *request) float64 {
-	load := r.load
-	if load == 0 {
-		load = b.loadOfClass(r.class)
-	}
-	worth := b.set.Classes[r.class].PriorityWeight
-	if t, ok := b.tenants[r.Tenant]; ok && b.set.OverQuotaWeightFactor > 0 {
-		if q := b.set.Tenants[t].ConnectionQuota; q > 0 && b.tenantHeld[t]*float64(b.set.Gateways) >= q {
-			worth *= b.set.OverQuotaWeightFactor
-		}
-	}
-	if r.Group != "" && r.server != nil {
-		load += groupMoved * b.unit() / float64(r.server.groups[r.Group])
-	}
-	return worth / load
+// random returns this gateway's next random number in [0, 1), for jitter.
+func (b *Balancer) random() float64 {
+	b.randomState = mix(b.randomState, keySeed)
+	return fraction(b.randomState)
 }
--- a/balancer/daily_test.go
+++ b/balancer/daily_test.go
@@ -31,19 +31,19 @@
 // not by the little that a quiet fleet holds.
 func TestColdBudgetFollowsReports(t *testing.T) {
 	w := newWorld(t, settings(), 4)
-	s := w.b.order[0]
-	before := w.b.fullConnections(s)
+	s := w.b.sortedServers[0]
+	before := w.b.warmConnections(s)
 	for range 20 {
-		w.feed(LoadReport{Server: w.b.order[1].ID, Utilization: 0.25, Connections: 10})
+		w.feed(LoadReport{Server: w.b.sortedServers[1].ID, Utilization: 0.25, Connections: 10})
 	}
-	if got := w.b.fullConnections(s); before != coldRoom || got < 0.6*40 || got > 40 {
+	if got := w.b.warmConnections(s); before != minWarmConnections || got < 0.6*40 || got > 40 {
 		t.Errorf("held to bear %v, then %v with reports of 10 at a quarter", before, got)
 	}
 	s.Started = w.now
 	for range 20 {
 		w.feed(LoadReport{Server: s.ID, Utilization: 0.25, Connections: 1000})
 	}
-	if got := w.b.fullConnections(s); got > 40 {
+	if got := w.b.warmConnections(s); got > 40 {
 		t.Errorf("a cold server's own report made it %v", got)
 	}
 }
@@ -51,10 +51,10 @@
 // A server that is put back is tried once, and not before its moment, whatever its cold budget allows.
 func TestReturnedServerIsTriedOnce(t *testing.T) {
 	w := newWorld(t, settings(), 4)
-	back := w.b.order[2].ID
+	back := w.b.sortedServers[2].ID
 	w.feed(ServerReinstated{Server: back})
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: back, Capacity: 1, Started: w.now}}})
-	w.wait(tryWithin)
+	w.wait(reinstatementSpread)
 	to := 0
 	for i := range 20 {
 		w.feed(Request{ID: RequestID(500 + i), Class: "safe", Key: fmt.Sprint(i), Timeout: 2 * sec})
@@ -83,22 +83,22 @@
 		for g := range f.gateways {
 			w := newWorld(t, set, members-1)
 			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
-			w.b.refresh()
+			w.b.refreshTable()
 			s := w.b.servers[900]
 			for i := 0; time.Duration(i)*f.every < 10*sec+span; i++ { // ten seconds ahead, to learn the rate
 				w.now += f.every
 				w.b.now, s.Started = w.now, w.now // stays as cold
-				w.b.came.add(w.now, 1)
+				w.b.recentRequests.add(w.now, 1)
 				id := RequestID(g*1000 + i + 1)
-				for j := range lookupsNear {
+				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 && time.Duration(i)*f.every >= 10*sec &&
-						w.b.admitCold(&request{Request: Request{ID: id}}, s) {
+						w.b.admitToWarmingServer(&request{Request: Request{ID: id}}, s) {
 						sent++
 					}
 				}
 			}
 		}
-		budget := coldSafety * 3 * coldRoom / 2 * span.Seconds()
+		budget := warmupBudgetRatio * 3 * minWarmConnections / 2 * span.Seconds()
 		if n := float64(sent); n > 1.3*budget || n < 0.15*budget {
 			t.Errorf("%d gateways, a request every %v: %d sent of %.1f", f.gateways, f.every, sent, budget)
 		}
