--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -31,8 +31,8 @@
 			return
 		case <-tick.C:
 		}
-		var own loadshed.LocalCounts
-		own.Requests, own.Rejected, own.Shed = g.tiers.TakeCounts()
+		counts := g.tiers.TakeCounts()
+		own := loadshed.LocalCounts{Requests: counts.Offered, Rejected: counts.Rejected, Shed: counts.Shed}
 		level := c.UpdateLoad(own)
 		if level != last {
 			g.engine.Post(engine.FleetShedLevel{Level: level})
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -330,7 +330,8 @@
 			field{"declined", c.Declined.Load()}, field{"aborted", c.Aborted.Load()})
 	}
 	if s.tiers != nil {
-		asked, refused, cut := s.tiers.TakeCounts()
+		counts := s.tiers.TakeCounts()
+		asked, refused, cut := counts.Offered, counts.Rejected, counts.Shed
 		for rank := range ranksDrawn {
 			s.transcript.call("rank", field{"number", rank}, field{"asked", int64(asked[rank])},
 				field{"refused", int64(refused[rank])}, field{"cut", int64(cut[rank])})
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var updateFormats = flag.Bool("update", false, "write the figures' page of today to testdata")
+var updateFormats = flag.Bool("update", false, "rewrite the golden files in testdata")
 
 // checkGolden compares text with a file under testdata, byte for byte.
 func checkGolden(t *testing.T, name string, got []byte) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// The figures' page, for each kind of settings and with every figure at another value.
+// The metrics page, for each kind of settings and with every metric at another value.
 func TestPageGolden(t *testing.T) {
 	var got bytes.Buffer
 	for _, c := range []struct {
@@ -41,10 +41,10 @@
 		{"names that would break the form", []string{"a:b|c\nd", "e@f\rg h", "", "é.ü", "other"}},
 		{"a class twice", []string{"x", "y", "x"}},
 	} {
-		s := New(c.classes)
-		fmt.Fprintf(&got, "# %s: new\n%s", c.name, s.AppendStatsd(nil))
+		r := New(c.classes)
+		fmt.Fprintf(&got, "# %s: new\n%s", c.name, r.AppendStatsd(nil))
 		for i, name := range append([]string{"of no class", "other"}, c.classes...) {
-			class := s.Class(name)
+			class := r.Class(name)
 			if class == nil {
 				fmt.Fprintf(&got, "%q is not counted\n", name)
 				continue
@@ -53,35 +53,35 @@
 			class.Declined.Add(int64(100*i + 2))
 			class.Aborted.Add(int64(100*i + 3))
 		}
-		s.Forwards.Add(1 << 40)
-		s.Outstanding.Store(-5)
-		s.Discovered.Store(6)
-		s.Ejected.Store(7)
-		fmt.Fprintf(&got, "# %s: counted\n%s", c.name, s.AppendStatsd([]byte("before\n")))
+		r.Forwards.Add(1 << 40)
+		r.Outstanding.Store(-5)
+		r.Discovered.Store(6)
+		r.Ejected.Store(7)
+		fmt.Fprintf(&got, "# %s: counted\n%s", c.name, r.AppendStatsd([]byte("before\n")))
 	}
 	fmt.Fprintf(&got, "# prefix\n%s\n", Prefix)
 	checkGolden(t, "page.txt", got.Bytes())
 }
 
-// What is counted by rank, ranks out of range among them.
-func TestRankCountsGolden(t *testing.T) {
+// Requests counted by priority, with priorities out of range. The golden file keeps its older words.
+func TestPriorityCountsGolden(t *testing.T) {
 	var got bytes.Buffer
-	for _, ranks := range []int{1, 2, 5} {
-		counts := NewPriorityCounters(ranks)
-		for rank := -2; rank < ranks+3; rank++ {
-			for range rank + 3 {
-				counts.AddOffered(rank)
+	for _, priorities := range []int{1, 2, 5} {
+		counters := NewPriorityCounters(priorities)
+		for priority := -2; priority < priorities+3; priority++ {
+			for range priority + 3 {
+				counters.AddOffered(priority)
 			}
-			for range 2*rank + 6 {
-				counts.AddRejected(rank)
+			for range 2*priority + 6 {
+				counters.AddRejected(priority)
 			}
-			for range 3*rank + 9 {
-				counts.AddShed(rank)
+			for range 3*priority + 9 {
+				counters.AddShed(priority)
 			}
 		}
 		for range 2 {
-			asked, refused, cut := counts.TakeCounts()
-			fmt.Fprintf(&got, "ranks %d: asked %d refused %d cut %d\n", ranks, asked, refused, cut)
+			taken := counters.TakeCounts()
+			fmt.Fprintf(&got, "ranks %d: asked %d refused %d cut %d\n", priorities, taken.Offered, taken.Rejected, taken.Shed)
 		}
 	}
 	var none *PriorityCounters
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,25 +1,68 @@
 package metrics
 
-import "testing"
+import (
+	"testing"
 
-func TestForm(t *testing.T) {
-	s := New([]string{"plan-diario", "a:b|c\nd"})
-	s.Class("plan-diario").Succeeded.Add(812)
-	s.Class("a:b|c\nd").Aborted.Add(1)
-	s.Outstanding.Store(14)
-	s.Forwards.Add(3)
-	s.Discovered.Store(2)
-	s.Ejected.Store(1)
-	want := "edge_proxy.succeeded.plan-diario:812|c\nedge_proxy.declined.plan-diario:0|c\nedge_proxy.aborted.plan-diario:0|c\n" +
-		"edge_proxy.succeeded.a_b_c_d:0|c\nedge_proxy.declined.a_b_c_d:0|c\nedge_proxy.aborted.a_b_c_d:1|c\n" +
-		"edge_proxy.forwards:3|c\nedge_proxy.outstanding:14|g\nedge_proxy.discovered:2|g\nedge_proxy.ejected:1|g\n"
-	if got := string(s.AppendStatsd(nil)); got != want {
-		t.Errorf("got %s", got)
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestAppendStatsd(t *testing.T) {
+	r := New([]string{"plan-diario", "a:b|c\nd"})
+	r.Class("plan-diario").Succeeded.Add(812)
+	r.Class("a:b|c\nd").Aborted.Add(1)
+	r.Outstanding.Store(14)
+	r.Forwards.Add(3)
+	r.Discovered.Store(2)
+	r.Ejected.Store(1)
+	const want = "edge_proxy.succeeded.plan-diario:812|c\n" +
+		"edge_proxy.declined.plan-diario:0|c\n" +
+		"edge_proxy.aborted.plan-diario:0|c\n" +
+		"edge_proxy.succeeded.a_b_c_d:0|c\n" +
+		"edge_proxy.declined.a_b_c_d:0|c\n" +
+		"edge_proxy.aborted.a_b_c_d:1|c\n" +
+		"edge_proxy.forwards:3|c\n" +
+		"edge_proxy.outstanding:14|g\n" +
+		"edge_proxy.discovered:2|g\n" +
+		"edge_proxy.ejected:1|g\n"
+	if diff := cmp.Diff(want, string(r.AppendStatsd(nil))); diff != "" {
+		t.Errorf("page differs (-want +got):\n%s", diff)
+	}
+}
+
+func TestClass(t *testing.T) {
+	for name, c := range map[string]struct {
+		classes []string
+		class   string
+		counted bool
+	}{
+		"of the settings":    {classes: []string{"plan-diario"}, class: "plan-diario", counted: true},
+		"made up":            {classes: []string{"plan-diario"}, class: "a client's", counted: false},
+		"made up, with rest": {classes: []string{"plan-diario", "other"}, class: "a client's", counted: true},
+		"without classes":    {class: "any", counted: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if counters := New(c.classes).Class(c.class); (counters != nil) != c.counted {
+				t.Errorf("counters %p, want some: %v", counters, c.counted)
+			}
+		})
 	}
-	if s.Class("a client's") != nil {
-		t.Error("a client made up a name")
+	if r := New(nil); r.Class("any") != r.Class("another") {
+		t.Error("without classes two names are counted apart")
+	}
+}
+
+func TestTakeCounts(t *testing.T) {
+	c := NewPriorityCounters(2)
+	c.AddOffered(1)
+	c.AddOffered(1)
+	c.AddRejected(0)
+	c.AddShed(7) // out of range: the highest
+	want := PriorityCounts{Offered: []uint64{0, 2}, Rejected: []uint64{1, 0}, Shed: []uint64{0, 1}}
+	if diff := cmp.Diff(want, c.TakeCounts()); diff != "" {
+		t.Errorf("counts differ (-want +got):\n%s", diff)
 	}
-	if c := New(nil); c.Class("any") == nil || c.Class("any") != c.Class("other one") {
-		t.Error("without classes all requests count as one")
+	want = PriorityCounts{Offered: []uint64{0, 0}, Rejected: []uint64{0, 0}, Shed: []uint64{0, 0}}
+	if diff := cmp.Diff(want, c.TakeCounts()); diff != "" {
+		t.Errorf("taken twice (-want +got):\n%s", diff)
 	}
 }
--- /dev/null
+++ b/internal/metrics/statsd.go
@@ -0,0 +1,40 @@
+package metrics
+
+import "strconv"
+
+// Prefix begins the name of every metric.
+const Prefix = "edge_proxy."
+
+// Metric types of the statsd format.
+const (
+	statsdCounter = 'c'
+	statsdGauge   = 'g'
+)
+
+// AppendStatsd appends all metrics to b in the statsd format, one to a line, and returns the extended buffer. Counters are
+// totals since the start.
+func (r *Registry) AppendStatsd(b []byte) []byte {
+	for _, class := range r.classes {
+		b = appendMetric(b, "succeeded", class.label, class.counters.Succeeded.Load(), statsdCounter)
+		b = appendMetric(b, "declined", class.label, class.counters.Declined.Load(), statsdCounter)
+		b = appendMetric(b, "aborted", class.label, class.counters.Aborted.Load(), statsdCounter)
+	}
+	b = appendMetric(b, "forwards", "", r.Forwards.Load(), statsdCounter)
+	b = appendMetric(b, "outstanding", "", r.Outstanding.Load(), statsdGauge)
+	b = appendMetric(b, "discovered", "", r.Discovered.Load(), statsdGauge)
+	b = appendMetric(b, "ejected", "", r.Ejected.Load(), statsdGauge)
+	return b
+}
+
+// appendMetric appends one line; a label that is not empty is part of the name.
+func appendMetric(b []byte, name, label string, value int64, metricType byte) []byte {
+	b = append(b, Prefix...)
+	b = append(b, name...)
+	if label != "" {
+		b = append(b, '.')
+		b = append(b, label...)
+	}
+	b = append(b, ':')
+	b = strconv.AppendInt(b, value, 10)
+	return append(b, '|', metricType, '\n')
+}
