--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"flag"
 	"fmt"
 	"hash/crc32"
@@ -9,7 +10,6 @@
 	"path/filepath"
 	"regexp"
 	"slices"
-	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -22,8 +22,8 @@
 
 // The processes and times of the files in testdata. Process 1 runs on every machine.
 const (
-	writerBorn = 1790000000000000010
-	writerPID  = 1
+	writerStartedAt = 1790000000000000010
+	writerPID       = 1
 )
 
 var writtenAt = time.Date(2026, 9, 21, 14, 13, 20, 10, time.UTC)
@@ -49,8 +49,8 @@
 	}
 }
 
-// fullRecord has a value of its own in every field.
-func fullRecord() Snapshot {
+// fullSnapshot has a value of its own in every field.
+func fullSnapshot() Snapshot {
 	return Snapshot{
 		WrittenAt:    writtenAt,
 		Ready:        true,
@@ -80,8 +80,8 @@
 	}
 }
 
-// appendRecord prints a record field by field.
-func appendRecord(b *bytes.Buffer, r Snapshot) {
+// appendSnapshot prints a snapshot field by field.
+func appendSnapshot(b *bytes.Buffer, r Snapshot) {
 	fmt.Fprintf(b, "process born=%d pid=%d\n", r.Process.StartedAt, r.Process.PID)
 	fmt.Fprintf(b, "written=%s ready=%t\n", r.WrittenAt.Format(time.RFC3339Nano), r.Ready)
 	fmt.Fprintf(b, "known absent=%t %q\n", r.KnownServers == nil, r.KnownServers)
@@ -105,7 +105,8 @@
 	}
 }
 
-func fileOf(bornAt int64) string { return "state-" + strconv.FormatInt(bornAt, 10) }
+// writerFile is the file of the process that started at writerStartedAt.
+const writerFile = "state-1790000000000000010"
 
 func mustRead(t *testing.T, path string) []byte {
 	t.Helper()
@@ -116,7 +117,7 @@
 	return b
 }
 
-// put lays a file into a folder, as changed at a time.
+// put writes a file into a directory, as changed at a time.
 func put(t *testing.T, dir, name string, text []byte, changed time.Time) {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -128,7 +129,7 @@
 	}
 }
 
-// listing names the files of a folder.
+// listing names the files of a directory.
 func listing(t *testing.T, dir string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -148,13 +149,13 @@
 	return fmt.Appendf(nil, "%s %d %08x %d\n%s", word, version, sum, len(body), body)
 }
 
-// What is written is, byte for byte, what earlier builds wrote, in a file and a folder that nobody else may read.
+// What is written is, byte for byte, what earlier builds wrote, in a file and a directory that nobody else may read.
 func TestFormatWritten(t *testing.T) {
-	for name, r := range map[string]Snapshot{"full.state": fullRecord(), "zero.state": {}} {
+	for name, r := range map[string]Snapshot{"full.state": fullSnapshot(), "zero.state": {}} {
 		t.Run(name, func(t *testing.T) {
 			dir := filepath.Join(t.TempDir(), "a", "state")
-			NewStateDir(dir, Process{StartedAt: writerBorn, PID: writerPID}, quiet).Write(r)
-			path := filepath.Join(dir, fileOf(writerBorn))
+			NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger).Write(r)
+			path := filepath.Join(dir, writerFile)
 			checkGolden(t, name, mustRead(t, path))
 			for at, want := range map[string]os.FileMode{path: 0o600, dir: 0o700} {
 				info, err := os.Stat(at)
@@ -165,8 +166,8 @@
 					t.Errorf("%s has mode %o, want %o", filepath.Base(at), got, want)
 				}
 			}
-			if names := listing(t, dir); !slices.Equal(names, []string{fileOf(writerBorn)}) {
-				t.Errorf("the folder holds %q", names)
+			if names := listing(t, dir); !slices.Equal(names, []string{writerFile}) {
+				t.Errorf("the directory holds %q", names)
 			}
 		})
 	}
@@ -175,11 +176,11 @@
 // The first line is as the format states it for every body: the checksum has eight digits, the first of them zero at times.
 func TestFormatOfFirstLine(t *testing.T) {
 	dir := t.TempDir()
-	d := NewStateDir(dir, Process{StartedAt: writerBorn, PID: writerPID}, quiet)
+	d := NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger)
 	zeros := 0
 	for i := range 64 {
 		d.Write(Snapshot{State: engine.State{Version: int64(i)}})
-		text := mustRead(t, filepath.Join(dir, fileOf(writerBorn)))
+		text := mustRead(t, filepath.Join(dir, writerFile))
 		_, body, _ := strings.Cut(string(text), "\n")
 		if want := framed("milletvane-handover", 1, body); !bytes.Equal(text, want) {
 			t.Fatalf("wrote:\n%s\nwant:\n%s", text, want)
@@ -203,101 +204,152 @@
 			if name == "zero.state" {
 				now = time.Time{}
 			}
-			put(t, dir, fileOf(writerBorn), text, writtenAt)
-			r, ok := NewStateDir(dir, Process{StartedAt: writerBorn + 1, PID: os.Getpid()}, quiet).ReadPredecessor(now)
+			put(t, dir, writerFile, text, writtenAt)
+			r, ok := NewStateDir(dir, Process{StartedAt: writerStartedAt + 1, PID: os.Getpid()}, discardLogger).ReadPredecessor(now)
 			if !ok {
 				t.Fatal("was not taken up")
 			}
 			var b bytes.Buffer
-			appendRecord(&b, r)
+			appendSnapshot(&b, r)
 			checkGolden(t, strings.TrimSuffix(name, ".state")+".fields", b.Bytes())
-			NewStateDir(dir, Process{StartedAt: writerBorn, PID: writerPID}, quiet).Write(r)
-			if again := mustRead(t, filepath.Join(dir, fileOf(writerBorn))); !bytes.Equal(again, text) {
+			NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger).Write(r)
+			if again := mustRead(t, filepath.Join(dir, writerFile)); !bytes.Equal(again, text) {
 				t.Errorf("written again:\n%s\nwant:\n%s", again, text)
 			}
 		})
 	}
 }
 
-// Old, damaged and foreign files: which are taken up, and what becomes of each.
-func TestFormatReadForms(t *testing.T) {
-	const word = "milletvane-handover"
-	written := writtenAt.Format(time.RFC3339Nano)
+// readForm is a file in a state directory, and when it is read.
+type readForm struct {
+	name    string
+	file    string // "": state-10
+	text    []byte
+	now     time.Time // zero: writtenAt
+	changed time.Time // zero: writtenAt
+}
+
+const headerWord = "milletvane-handover"
+
+// shortBody is a snapshot with the least that is needed.
+var shortBody = `{"Process":{"Born":7,"PID":1},"Written":"` + writtenAt.Format(time.RFC3339Nano) + `"}`
+
+// shortForm is a file of shortBody in which a text has been replaced.
+func shortForm(from, to string) []byte {
+	return framed(headerWord, 1, strings.Replace(shortBody, from, to, 1))
+}
+
+// lowerKeys is a JSON text with its keys in lower case.
+func lowerKeys(body string) string {
+	return regexp.MustCompile(`"[A-Za-z]+":`).ReplaceAllStringFunc(body, strings.ToLower)
+}
+
+// bodyForms are files whose first line is as it should be, or may be.
+func bodyForms(t *testing.T) []readForm {
+	t.Helper()
 	whole := string(mustRead(t, filepath.Join("testdata", "full.state")))
 	_, wholeBody, _ := strings.Cut(whole, "\n")
-	short := `{"Process":{"Born":7,"PID":1},"Written":"` + written + `"}`
+	return []readForm{
+		{name: "short", text: framed(headerWord, 1, shortBody)},
+		{name: "unknown fields are passed over", text: shortForm(
+			`"Written"`,
+			`"Later":{"a":[1]},"Written"`,
+		)},
+		{name: "keys in lower case", text: framed(headerWord, 1, lowerKeys(wholeBody))},
+		{name: "null lists", text: shortForm(
+			`"Written"`,
+			`"Known":null,"State":{"Servers":null,"Flows":null,"Learned":{"Servers":null,"Classes":null}},"Written"`,
+		)},
+		{name: "empty lists", text: shortForm(
+			`"Written"`,
+			`"Known":[],"State":{"Servers":[],"Flows":[]},"Written"`,
+		)},
+		{name: "no process", text: shortForm(`"Process":{"Born":7,"PID":1},`, ``)},
+		{name: "process of number 0", text: shortForm(`"PID":1`, `"PID":0`)},
+		{name: "process that has ended", text: shortForm(`"PID":1`, `"PID":1073741824`)},
+		{name: "checksum without leading zeros", text: shortChecksum()},
+		{name: "more in the first line", text: []byte(strings.Replace(string(framed(headerWord, 1, shortBody)), "\n", " more\n", 1))},
+	}
+}
+
+// shortChecksum is a file whose checksum begins with a zero that is left out.
+func shortChecksum() []byte {
+	for i := 0; ; i++ {
+		text := string(shortForm(`{`, `{`+strings.Repeat(" ", i)))
+		if cut := strings.Replace(text, " 1 0", " 1 ", 1); cut != text {
+			return []byte(cut)
+		}
+	}
+}
+
+// damagedForms are files that are cut short, altered, too large or of another format.
+func damagedForms(t *testing.T) []readForm {
+	t.Helper()
 	const sizeLimit = 16 << 20
-	head := len(fmt.Sprintf("%s %d %08x %d\n", word, 1, 0, sizeLimit))
-	largest := framed(word, 1, short+strings.Repeat(" ", sizeLimit-head-len(short)))
-	var out bytes.Buffer
-	for _, c := range []struct {
-		name    string
-		file    string
-		text    []byte
-		now     time.Time
-		changed time.Time
-	}{
-		{name: "short", text: framed(word, 1, short)},
-		{name: "unknown fields are passed over", text: framed(word, 1, strings.Replace(short, `"Written"`, `"Later":{"a":[1]},"Written"`, 1))},
-		{name: "keys in lower case", text: framed(word, 1, regexp.MustCompile(`"[A-Za-z]+":`).ReplaceAllStringFunc(wholeBody, strings.ToLower))},
-		{name: "null lists", text: framed(word, 1, strings.Replace(short, `"Written"`, `"Known":null,"State":{"Servers":null,"Flows":null,"Learned":{"Servers":null,"Classes":null}},"Written"`, 1))},
-		{name: "empty lists", text: framed(word, 1, strings.Replace(short, `"Written"`, `"Known":[],"State":{"Servers":[],"Flows":[]},"Written"`, 1))},
-		{name: "no process", text: framed(word, 1, `{"Written":"`+written+`"}`)},
-		{name: "process of number 0", text: framed(word, 1, strings.Replace(short, `"PID":1`, `"PID":0`, 1))},
-		{name: "process that has ended", text: framed(word, 1, strings.Replace(short, `"PID":1`, `"PID":1073741824`, 1))},
-		{name: "checksum without leading zeros", text: func() []byte {
-			for i := 0; ; i++ {
-				text := string(framed(word, 1, strings.Replace(short, `{`, `{`+strings.Repeat(" ", i), 1)))
-				if cut := strings.Replace(text, " 1 0", " 1 ", 1); cut != text {
-					return []byte(cut)
-				}
-			}
-		}()},
-		{name: "more in the first line", text: []byte(strings.Replace(string(framed(word, 1, short)), "\n", " more\n", 1))},
+	whole := string(mustRead(t, filepath.Join("testdata", "full.state")))
+	head := len(fmt.Sprintf("%s %d %08x %d\n", headerWord, 1, 0, sizeLimit))
+	largest := framed(headerWord, 1, shortBody+strings.Repeat(" ", sizeLimit-head-len(shortBody)))
+	return []readForm{
 		{name: "empty", text: []byte{}},
-		{name: "no first line", text: []byte(word)},
-		{name: "first line alone", text: framed(word, 1, "")},
+		{name: "no first line", text: []byte(headerWord)},
+		{name: "first line alone", text: framed(headerWord, 1, "")},
 		{name: "cut short", text: []byte(whole[:len(whole)-1])},
 		{name: "one byte more", text: []byte(whole + "x")},
 		{name: "one bit changed", text: []byte(strings.Replace(whole, `"s-1"`, `"s-0"`, 1))},
-		{name: "other word", text: framed("milletvine-handover", 1, short)},
-		{name: "version 0", text: framed(word, 0, short)},
-		{name: "version 2", text: framed(word, 2, short)},
-		{name: "no JSON", text: framed(word, 1, "{")},
-		{name: "JSON of another form", text: framed(word, 1, `{"Written":7}`)},
-		{name: "list of names", text: framed(word, 1, `["s-1"]`)},
+		{name: "other word", text: framed("milletvine-handover", 1, shortBody)},
+		{name: "version 0", text: framed(headerWord, 0, shortBody)},
+		{name: "version 2", text: framed(headerWord, 2, shortBody)},
+		{name: "no JSON", text: framed(headerWord, 1, "{")},
+		{name: "JSON of another form", text: framed(headerWord, 1, `{"Written":7}`)},
+		{name: "list of names", text: framed(headerWord, 1, `["s-1"]`)},
 		{name: "as large as may be", text: largest},
 		{name: "larger than may be", text: append(slices.Clone(largest), ' ')},
-		{name: "written 10 s ago", text: framed(word, 1, short), now: writtenAt.Add(10 * time.Second)},
-		{name: "written over 10 s ago", text: framed(word, 1, short), now: writtenAt.Add(10*time.Second + 1)},
-		{name: "written 10 s ahead", text: framed(word, 1, short), now: writtenAt.Add(-10 * time.Second)},
-		{name: "written over 10 s ahead", text: framed(word, 1, short), now: writtenAt.Add(-10*time.Second - 1)},
-		{name: "changed a minute ago", text: framed(word, 1, short), changed: writtenAt.Add(-time.Minute)},
-		{name: "changed over a minute ago", text: framed(word, 1, short), changed: writtenAt.Add(-time.Minute - time.Millisecond)},
-		{name: "birth that is no number", file: "state-abc", text: framed(word, 1, short)},
-		{name: "birth of this process", file: "state-20", text: framed(word, 1, short)},
-		{name: "birth of this process with a zero", file: "state-020", text: framed(word, 1, short)},
-		{name: "birth after this process", file: "state-21", text: framed(word, 1, short)},
-		{name: "other prefix", file: "stat-10", text: framed(word, 1, short)},
-		{name: "put aside before", file: "bad-state-10", text: framed(word, 1, short)},
-	} {
-		dir := t.TempDir()
-		file, now, changed := c.file, c.now, c.changed
-		if file == "" {
-			file = "state-10"
-		}
-		if now.IsZero() {
-			now = writtenAt
-		}
-		if changed.IsZero() {
-			changed = writtenAt
-		}
-		put(t, dir, file, c.text, changed)
-		r, ok := NewStateDir(dir, Process{StartedAt: 20, PID: os.Getpid()}, quiet).ReadPredecessor(now)
-		fmt.Fprintf(&out, "== %s: taken up %t, left %q\n", c.name, ok, listing(t, dir))
-		if ok {
-			appendRecord(&out, r)
-		}
+	}
+}
+
+// placedForms are files of other ages and names.
+func placedForms() []readForm {
+	short := framed(headerWord, 1, shortBody)
+	return []readForm{
+		{name: "written 10 s ago", text: short, now: writtenAt.Add(10 * time.Second)},
+		{name: "written over 10 s ago", text: short, now: writtenAt.Add(10*time.Second + 1)},
+		{name: "written 10 s ahead", text: short, now: writtenAt.Add(-10 * time.Second)},
+		{name: "written over 10 s ahead", text: short, now: writtenAt.Add(-10*time.Second - 1)},
+		{name: "changed a minute ago", text: short, changed: writtenAt.Add(-time.Minute)},
+		{name: "changed over a minute ago", text: short, changed: writtenAt.Add(-time.Minute - time.Millisecond)},
+		{name: "birth that is no number", file: "state-abc", text: short},
+		{name: "birth of this process", file: "state-20", text: short},
+		{name: "birth of this process with a zero", file: "state-020", text: short},
+		{name: "birth after this process", file: "state-21", text: short},
+		{name: "other prefix", file: "stat-10", text: short},
+		{name: "put aside before", file: "bad-state-10", text: short},
+	}
+}
+
+// appendRead prints whether a file is taken up, what is left of it, and what was read.
+func appendRead(t *testing.T, b *bytes.Buffer, c readForm) {
+	t.Helper()
+	dir := t.TempDir()
+	file, now, changed := cmp.Or(c.file, "state-10"), c.now, c.changed
+	if now.IsZero() {
+		now = writtenAt
+	}
+	if changed.IsZero() {
+		changed = writtenAt
+	}
+	put(t, dir, file, c.text, changed)
+	s, ok := runningAt(dir, 20).ReadPredecessor(now)
+	fmt.Fprintf(b, "== %s: taken up %t, left %q\n", c.name, ok, listing(t, dir))
+	if ok {
+		appendSnapshot(b, s)
+	}
+}
+
+// Old, damaged and foreign files: which are taken up, and what becomes of each.
+func TestFormatReadForms(t *testing.T) {
+	var out bytes.Buffer
+	for _, c := range slices.Concat(bodyForms(t), damagedForms(t), placedForms()) {
+		appendRead(t, &out, c)
 	}
 	checkGolden(t, "forms.txt", out.Bytes())
 }
@@ -332,7 +384,7 @@
 			for name, text := range c.files {
 				put(t, dir, name, text, writtenAt)
 			}
-			d := NewStateDir(dir, Process{StartedAt: 20, PID: os.Getpid()}, quiet)
+			d := runningAt(dir, 20)
 			r, ok := d.ReadPredecessor(writtenAt)
 			if ok != (c.before > 0) || r.Process.StartedAt != c.before {
 				t.Errorf("follows %d (%t), want %d", r.Process.StartedAt, ok, c.before)
