--- a/config/config.go
+++ b/config/config.go
@@ -20,13 +20,13 @@
 
 // The environment's keys.
 const (
-	EnvName      = "PROXY_NAME"
-	EnvListen    = "PROXY_LISTEN"
-	EnvDiscovery = "PROXY_DISCOVERY"
-	EnvFile      = "PROXY_CONFIG"
-	EnvAdmin     = "PROXY_ADMIN_ADDR"
-	EnvPassed    = "PROXY_PASSED_SOCKET"
-	EnvState     = "TMPDIR"
+	EnvName            = "PROXY_NAME"
+	EnvListen          = "PROXY_LISTEN"
+	EnvDiscovery       = "PROXY_DISCOVERY"
+	EnvFile            = "PROXY_CONFIG"
+	EnvAdmin           = "PROXY_ADMIN_ADDR"
+	EnvInheritedSocket = "PROXY_PASSED_SOCKET"
+	EnvTempDir         = "TMPDIR"
 )
 
 // Defaults for what the configuration leaves out.
@@ -72,19 +72,19 @@
 
 // Config is a checked configuration.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // where operators call; empty: nowhere
-	Passed    int    // the descriptor of a listening socket that the platform holds; 0: there is none
-	State     string // a folder for what the next process should know; empty: there is none
-	Limits    Limits
-	Known     *discovery.EndpointList // the list as last held; nil: none
-	Rules     balancer.Settings
-	List      refresh.Settings
-	Node      settings.Node
-	AnswerBy  time.Duration // from a planned stop until all that waits has its answer
-	Drain     time.Duration // from a planned stop to the end
+	Name            string
+	Listen          string
+	Discovery       string
+	Admin           string // where operators call; empty: nowhere
+	InheritedSocket int    // the descriptor of a listening socket that the platform holds; 0: there is none
+	StateRoot       string // a folder for what the next process should know; empty: there is none
+	Limits          Limits
+	CachedList      *discovery.EndpointList // the list as last held; nil: none
+	Balancer        balancer.Settings
+	ListRefresh     refresh.Settings
+	Gateway         settings.Node
+	AnswerTimeout   time.Duration // from a planned stop until all that waits has its answer
+	DrainTimeout    time.Duration // from a planned stop to the end
 }
 
 // file is the form of the JSON.
@@ -147,16 +147,16 @@
 			return nil, err
 		}
 	}
-	if v := getenv(EnvPassed); v != "" {
+	if v := getenv(EnvInheritedSocket); v != "" {
 		fd, err := strconv.ParseUint(v, 10, 16)
 		if err != nil || fd < 3 {
-			return nil, fmt.Errorf("%s: %q is not the number of a descriptor from 3 on", EnvPassed, v)
+			return nil, fmt.Errorf("%s: %q is not the number of a descriptor from 3 on", EnvInheritedSocket, v)
 		}
-		c.Passed = int(fd)
+		c.InheritedSocket = int(fd)
 	}
-	if dir := getenv(EnvState); dir != "" {
+	if dir := getenv(EnvTempDir); dir != "" {
 		// Under the name and address, as a machine's folder for such files may serve several gateways.
-		c.State = filepath.Join(dir, "milletvane-"+plain(c.Name)+"-"+plain(c.Listen))
+		c.StateRoot = filepath.Join(dir, "milletvane-"+plain(c.Name)+"-"+plain(c.Listen))
 	}
 	c.Limits = Limits{
 		Cores: value(f.Limits.Cores, DefaultCores), MemoryMB: value(f.Limits.MemoryMB, DefaultMemoryMB),
@@ -178,7 +178,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		c.Known = known
+		c.CachedList = known
 	}
 	return c, c.settings(f)
 }
@@ -203,30 +203,30 @@
 	if _, err := balancer.New(*set); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.Rules = *set
-	if c.List, err = pairs.List(); err != nil {
+	c.Balancer = *set
+	if c.ListRefresh, err = pairs.List(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
-	c.List.Seed = set.Seed
-	if c.Node, err = pairs.Node(); err != nil {
+	c.ListRefresh.Seed = set.Seed
+	if c.Gateway, err = pairs.Node(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
-	if c.Node.LongestWait <= 0 {
-		c.Node.LongestWait = defaultLongestWait
+	if c.Gateway.LongestWait <= 0 {
+		c.Gateway.LongestWait = defaultLongestWait
 	}
-	c.Rules.CanPollLoad = c.Node.Probes
-	c.AnswerBy = min(c.Node.LongestWait, drainMost) + answerMore
-	c.Drain = min(c.Node.LongestWait, drainMost) + drainMore
-	if c.Node.Pass {
-		c.Drain = drainPass
+	c.Balancer.CanPollLoad = c.Gateway.Probes
+	c.AnswerTimeout = min(c.Gateway.LongestWait, drainMost) + answerMore
+	c.DrainTimeout = min(c.Gateway.LongestWait, drainMost) + drainMore
+	if c.Gateway.Pass {
+		c.DrainTimeout = drainPass
 	}
 	return nil
 }
 
-// FixedChanges lists the keys whose values in a new configuration are others, though they are fixed for a
+// ChangesNeedingRestart lists the keys whose values in a new configuration are others, though they are fixed for a
 // gateway's life. What the program is told anew with each start, the seed and the list, is not among them.
-func (c *Config) FixedChanges(to *Config) (keys []string) {
-	a, b, la, lb := c.Rules, to.Rules, c.List, to.List
+func (c *Config) ChangesNeedingRestart(to *Config) (keys []string) {
+	a, b, la, lb := c.Balancer, to.Balancer, c.ListRefresh, to.ListRefresh
 	a.Seed, b.Seed, la.Seed, lb.Seed = 0, 0, 0, 0
 	for _, k := range []struct {
 		key  string
@@ -236,7 +236,7 @@
 		{"listen", c.Listen == to.Listen},
 		{"admin_addr", c.Admin == to.Admin},
 		{"limits", c.Limits == to.Limits},
-		{"settings", reflect.DeepEqual(a, b) && la == lb && c.Node == to.Node},
+		{"settings", reflect.DeepEqual(a, b) && la == lb && c.Gateway == to.Gateway},
 	} {
 		if !k.same {
 			keys = append(keys, k.key)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -22,26 +22,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Rules.Seed != 0x8c1f30d27a5be964 || c.Rules.Gateways != 3 || c.Rules.MaxAttempts != 5 ||
-		c.List.LocalAgent || c.Rules.FlowRetention != 6449143*time.Microsecond || len(c.Rules.Classes) != 1 ||
-		c.Rules.Classes[0].MessageLatencyObjective != 60*time.Millisecond || c.Rules.MaxRetryAfter != 2*time.Second {
-		t.Errorf("rules read as %+v", c.Rules)
+	if c.Name != "n3" || c.Balancer.Seed != 0x8c1f30d27a5be964 || c.Balancer.Gateways != 3 || c.Balancer.MaxAttempts != 5 ||
+		c.ListRefresh.LocalAgent || c.Balancer.FlowRetention != 6449143*time.Microsecond || len(c.Balancer.Classes) != 1 ||
+		c.Balancer.Classes[0].MessageLatencyObjective != 60*time.Millisecond || c.Balancer.MaxRetryAfter != 2*time.Second {
+		t.Errorf("rules read as %+v", c.Balancer)
 	}
-	if n := c.Node; !n.Pass || !n.Probes || !n.TellsLoad || !n.TellsDelay || n.ConnectTimeout != 60*time.Millisecond ||
+	if n := c.Gateway; !n.Pass || !n.Probes || !n.TellsLoad || !n.TellsDelay || n.ConnectTimeout != 60*time.Millisecond ||
 		n.MessageAim != 60*time.Millisecond || n.LongestWait != 4800*time.Millisecond {
 		t.Errorf("node read as %+v", n)
 	}
-	if c.Known.Version != 41 || c.Limits.Connections() != 544 {
+	if c.CachedList.Version != 41 || c.Limits.Connections() != 544 {
 		t.Errorf("read as %+v", c)
 	}
 	// The platform ends the program 3.7 s after SIGTERM or later. Connections that end here are moved by then;
 	// those that pass through must not end before.
-	if c.Drain < 10*time.Second {
-		t.Errorf("where packets pass a stop takes %v", c.Drain)
+	if c.DrainTimeout < 10*time.Second {
+		t.Errorf("where packets pass a stop takes %v", c.DrainTimeout)
 	}
 	c, err = Parse([]byte(strings.Replace(good, `"pass"`, `"proxy"`, 1)), none)
-	if err != nil || c.Drain != 3500*time.Millisecond {
-		t.Errorf("%v: where connections end here a stop takes %v", err, c.Drain)
+	if err != nil || c.DrainTimeout != 3500*time.Millisecond {
+		t.Errorf("%v: where connections end here a stop takes %v", err, c.DrainTimeout)
 	}
 }
 
@@ -52,17 +52,17 @@
 		t.Errorf("%v: %+v", err, c) // discovery is the file's, which can be replaced
 	}
 	if c, err = Parse(nil, func(k string) string { return env[k] }); err != nil || c.Limits.Sockets != DefaultSockets ||
-		c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.Passed != 0 || c.State != "" {
+		c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 || c.StateRoot != "" {
 		t.Errorf("without a file: %v: %+v", err, c)
 	}
-	env[EnvAdmin], env[EnvPassed], env[EnvState] = "127.0.0.9:3", "3", "/tmp/x"
+	env[EnvAdmin], env[EnvInheritedSocket], env[EnvTempDir] = "127.0.0.9:3", "3", "/tmp/x"
 	c, err = Parse([]byte(strings.Replace(good, `"seed"`, `"admin_addr":"127.0.0.4:1","seed"`, 1)), func(k string) string { return env[k] })
-	if err != nil || c.Admin != "127.0.0.9:3" || c.Passed != 3 || c.State != "/tmp/x/milletvane-n9-127_0_0_9_1" {
+	if err != nil || c.Admin != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateRoot != "/tmp/x/milletvane-n9-127_0_0_9_1" {
 		t.Errorf("%v: %+v", err, c)
 	}
 	for _, fd := range []string{"x", "2", "-1", "3 "} {
-		env[EnvPassed] = fd
-		if _, err := Parse([]byte(good), func(k string) string { return env[k] }); err == nil || !strings.Contains(err.Error(), EnvPassed) {
+		env[EnvInheritedSocket] = fd
+		if _, err := Parse([]byte(good), func(k string) string { return env[k] }); err == nil || !strings.Contains(err.Error(), EnvInheritedSocket) {
 			t.Errorf("descriptor %q: %v", fd, err)
 		}
 	}
@@ -106,11 +106,11 @@
 	}
 	old := parse(good)
 	moved := strings.NewReplacer("127.0.2.1:8500", "127.0.2.9:1", "8c1f", "9c1f", `"version":41`, `"version":42`).Replace(good)
-	if keys := old.FixedChanges(parse(moved)); len(keys) > 0 {
+	if keys := old.ChangesNeedingRestart(parse(moved)); len(keys) > 0 {
 		t.Errorf("a new discovery, seed and list change %q", keys)
 	}
 	other := strings.NewReplacer(`"n3"`, `"n4"`, ".4:5000", ".4:5001", "1136", "1137", `"max_attempts":5`, `"max_attempts":4`)
-	if keys := old.FixedChanges(parse(other.Replace(good))); !slices.Equal(keys, []string{"name", "listen", "limits", "settings"}) {
+	if keys := old.ChangesNeedingRestart(parse(other.Replace(good))); !slices.Equal(keys, []string{"name", "listen", "limits", "settings"}) {
 		t.Errorf("named %q", keys)
 	}
 }
@@ -123,8 +123,8 @@
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"ask"}}`:  true,
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"push"}}`: false,
 	} {
-		if c, err := Parse([]byte(text), none); err != nil || c.List.LocalAgent == want {
-			t.Errorf("%s: %v, pushed %v", text, err, c.List.LocalAgent)
+		if c, err := Parse([]byte(text), none); err != nil || c.ListRefresh.LocalAgent == want {
+			t.Errorf("%s: %v, pushed %v", text, err, c.ListRefresh.LocalAgent)
 		}
 	}
 }
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -32,21 +32,21 @@
 
 // appendConfig prints a configuration field by field.
 func appendConfig(b *bytes.Buffer, c *Config) {
-	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin, c.Passed, c.State)
+	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, c.StateRoot)
 	l := c.Limits
 	fmt.Fprintf(b, "limits cores=%g memory_mb=%d sockets=%d admin=%d clients=%d idle=%d connections=%d\n",
 		l.Cores, l.MemoryMB, l.Sockets, l.Admin, l.ForClients(), l.Idle(), l.Connections())
-	fmt.Fprintf(b, "answer_by=%s drain=%s\n", c.AnswerBy, c.Drain)
-	if c.Known == nil {
+	fmt.Fprintf(b, "answer_by=%s drain=%s\n", c.AnswerTimeout, c.DrainTimeout)
+	if c.CachedList == nil {
 		fmt.Fprintf(b, "known: none\n")
 	} else {
-		fmt.Fprintf(b, "known version=%d full=%t\n", c.Known.Version, c.Known.Complete)
-		for _, s := range c.Known.Endpoints {
+		fmt.Fprintf(b, "known version=%d full=%t\n", c.CachedList.Version, c.CachedList.Complete)
+		for _, s := range c.CachedList.Endpoints {
 			fmt.Fprintf(b, "server id=%q addr=%q zone=%q kind=%q cell=%d state=%q weight=%g started_ms=%d\n",
 				s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMS)
 		}
 	}
-	r := c.Rules
+	r := c.Balancer
 	fmt.Fprintf(b, "seed=%016x gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
 		r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.FlowRetention, r.DrainGrace)
 	fmt.Fprintf(b, "cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t\n",
@@ -60,8 +60,8 @@
 		fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
 	}
 	fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%016x\n",
-		c.List.LocalAgent, c.List.Gateways, c.List.MaxPollInterval, c.List.DrainGrace, c.List.Seed)
-	n := c.Node
+		c.ListRefresh.LocalAgent, c.ListRefresh.Gateways, c.ListRefresh.MaxPollInterval, c.ListRefresh.DrainGrace, c.ListRefresh.Seed)
+	n := c.Gateway
 	fmt.Fprintf(b, "node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
 		n.ConnectTimeout, n.Pass, n.TellsDelay, n.TellsLoad, n.Probes, n.MessageAim, n.AnswerSlack, n.LongestWait)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -80,24 +80,24 @@
 	for _, o := range options {
 		o(g)
 	}
-	decider, err := balancer.New(c.Rules)
+	decider, err := balancer.New(c.Balancer)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	g.bans = maintenance.New(c.State, g.logger)
+	g.bans = maintenance.New(c.StateRoot, g.logger)
 	g.bans.OnChange(func(id string, out bool, done func()) {
 		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
 	})
 	g.takeUp()
 	g.clock = clock()
-	g.watcher = discovery.New(c.Discovery, c.List, g.clock, g.logger)
-	classes := make([]string, len(c.Rules.Classes))
-	for i, class := range c.Rules.Classes {
+	g.watcher = discovery.New(c.Discovery, c.ListRefresh, g.clock, g.logger)
+	classes := make([]string, len(c.Balancer.Classes))
+	for i, class := range c.Balancer.Classes {
 		classes[i] = class.Name
 	}
 	g.figures = metrics.New(classes)
 	attempts := backend.New(backend.Options{
-		ConnectTimeout: c.Node.ConnectTimeout, TellsLoad: c.Node.TellsLoad, TellsDelay: c.Node.TellsDelay, Forwards: &g.figures.Forwards,
+		ConnectTimeout: c.Gateway.ConnectTimeout, TellsLoad: c.Gateway.TellsLoad, TellsDelay: c.Gateway.TellsDelay, Forwards: &g.figures.Forwards,
 	})
 	var ranks func(class, tenant string) int
 	if g.member != nil {
@@ -107,15 +107,15 @@
 	}
 	g.engine = eventloop.New(engine.New(engine.Options{
 		PriorityOf: ranks, PriorityCounters: g.tiers,
-		MaxSockets: c.Limits.ForClients(), MaxIdleClients: c.Limits.Idle(), Classes: classes, RetryAfter: c.Rules.MaxRetryAfter, DefaultTimeout: c.Node.LongestWait, AnswerGrace: c.Node.AnswerSlack,
-		ConnectionsOutliveGateway: c.Node.Pass, FlowRetention: c.Rules.FlowRetention, ReportsMessageDelay: c.Node.TellsDelay, MessageLatencyObjective: c.Node.MessageAim, CanPollLoad: c.Node.Probes, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerBy, DrainTimeout: c.Drain,
+		MaxSockets: c.Limits.ForClients(), MaxIdleClients: c.Limits.Idle(), Classes: classes, RetryAfter: c.Balancer.MaxRetryAfter, DefaultTimeout: c.Gateway.LongestWait, AnswerGrace: c.Gateway.AnswerSlack,
+		ConnectionsOutliveGateway: c.Gateway.Pass, FlowRetention: c.Balancer.FlowRetention, ReportsMessageDelay: c.Gateway.TellsDelay, MessageLatencyObjective: c.Gateway.MessageAim, CanPollLoad: c.Gateway.Probes, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerTimeout, DrainTimeout: c.DrainTimeout,
 		Metrics: g.figures, Logger: g.logger, Trace: g.logger.Enabled(context.Background(), slog.LevelDebug),
 	}, decider, g, attempts))
 	g.lines = attempts
 	if n := g.nat; n != nil {
 		g.nats = natsbackend.New(g.natsOptions(n))
 	}
-	g.follow.Cold = c.Rules.WarmupDuration
+	g.follow.Cold = c.Balancer.WarmupDuration
 	g.usePlan(g.plan)
 	g.watcher.SetHandler(g.post)
 	return g, nil
@@ -157,7 +157,7 @@
 		plan = op.Plan
 	}
 	g.usePlan(plan)
-	kept := g.config.FixedChanges(&c)
+	kept := g.config.ChangesNeedingRestart(&c)
 	var member *operator.Cluster
 	if op != nil {
 		member = op.Cluster
@@ -242,7 +242,7 @@
 
 func (g *Gateway) natsOptions(n *operator.NATS) natsbackend.Options {
 	return natsbackend.Options{
-		ConnectTimeout: g.config.Node.ConnectTimeout, NodePort: n.NodePort, PingEvery: n.PingEvery,
+		ConnectTimeout: g.config.Gateway.ConnectTimeout, NodePort: n.NodePort, PingEvery: n.PingEvery,
 		MaxShared: n.MaxShared, Name: g.config.Name, Forwards: &g.figures.Forwards, Limits: codec.Limits{Payload: max(n.MaxPayload, nodePayload)},
 	}
 }
@@ -258,9 +258,9 @@
 	defer conns.Close()
 	conns.SetBudget(g.config.Limits.ForClients() + config.OnTheirWay)
 	g.lines.Connect(g.engine, conns)
-	if g.config.Passed > 0 {
-		if err := hotrestart.PrepareListener(g.config.Passed, g.config.Listen); err != nil {
-			return fmt.Errorf("%s: %w", config.EnvPassed, err)
+	if g.config.InheritedSocket > 0 {
+		if err := hotrestart.PrepareListener(g.config.InheritedSocket, g.config.Listen); err != nil {
+			return fmt.Errorf("%s: %w", config.EnvInheritedSocket, err)
 		}
 	}
 	if g.config.Admin != "" {
@@ -298,8 +298,8 @@
 	}
 	// The rules start with the list as last held; a newer one is asked for meanwhile.
 	stored := engine.EndpointList{Mode: balancer.ListCached}
-	if g.config.Known != nil {
-		stored = g.config.Known.EngineList(balancer.ListCached)
+	if g.config.CachedList != nil {
+		stored = g.config.CachedList.EngineList(balancer.ListCached)
 	}
 	// Before any client: no server is used that staff took out, and what the process before knows is known.
 	g.bans.Sync()
@@ -307,7 +307,7 @@
 		g.recoverWith(watching, &wg, c, stored)
 	} else {
 		g.post(stored)
-		wg.Go(func() { g.watcher.Run(watching, g.config.Known) })
+		wg.Go(func() { g.watcher.Run(watching, g.config.CachedList) })
 	}
 	if g.before != nil {
 		g.engine.Post(engine.PredecessorState{State: g.before.State, First: true})
@@ -317,13 +317,13 @@
 		return fmt.Errorf("listen %s: %w", g.config.Listen, err)
 	}
 	wg.Go(func() { g.bans.Run(watching) })
-	if g.config.Passed > 0 {
+	if g.config.InheritedSocket > 0 {
 		wg.Go(func() { g.handOver(ctx, watching, f) })
 	}
 	g.serving.Store(true)
 	defer context.AfterFunc(ctx, func() { g.serving.Store(false) })()
 	g.logger.Info("serving", "name", g.config.Name, "listen", f.Addr(), "discovery", g.config.Discovery,
-		"pass", g.config.Node.Pass, "connections", g.config.Limits.Connections())
+		"pass", g.config.Gateway.Pass, "connections", g.config.Limits.Connections())
 	g.engine.Run(ctx, g.clock)
 	f.Finish()
 	stopWatching()
@@ -336,8 +336,8 @@
 func (g *Gateway) Ready() bool { return g.serving.Load() && g.engine.Ready() }
 
 func (g *Gateway) listen(conns *reactor.Group) (*front.Front, error) {
-	if g.config.Passed > 0 {
-		return front.Take(g.config.Passed, g.config.Listen, g.engine, conns)
+	if g.config.InheritedSocket > 0 {
+		return front.Take(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
 	}
 	return front.Listen(g.config.Listen, g.engine, conns)
 }
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -17,7 +17,7 @@
 	m := g.member
 	_, ranks := m.Ranks()
 	return cluster.Options{Priorities: ranks, MinAdmittedRatio: m.Floor, Name: g.config.Name, Listen: m.Listen, Peers: m.Members, Key: m.Key, Dir: m.Dir, PeerTimeout: m.Wait,
-		WarmupDuration: g.config.Rules.WarmupDuration, Clock: g.clock, Logger: g.logger}
+		WarmupDuration: g.config.Balancer.WarmupDuration, Clock: g.clock, Logger: g.logger}
 }
 
 // shedWith tells the fleet what this gateway is asked for and refuses, and the engine what the fleet sheds.
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -22,20 +22,20 @@
 // takeUp reads what the process before has left, if the clients' socket is passed on. Its list goes over an older one of
 // the configuration's.
 func (g *Gateway) takeUp() {
-	if g.config.Passed == 0 {
+	if g.config.InheritedSocket == 0 {
 		g.desk = hotrestart.NewStateDir("", hotrestart.Process{}, g.logger)
 		return
 	}
 	now := time.Now()
-	g.desk = hotrestart.NewStateDir(g.config.State, hotrestart.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
+	g.desk = hotrestart.NewStateDir(g.config.StateRoot, hotrestart.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
 	r, ok := g.desk.ReadPredecessor(now)
 	if !ok {
 		return
 	}
 	g.before = &r
 	g.bans.AddKnown(r.KnownServers)
-	if known := g.config.Known; len(r.State.Servers) > 0 && (known == nil || r.State.Version > known.Version) {
-		g.config.Known = discovery.NewEndpointList(r.State.Version, r.State.Servers)
+	if known := g.config.CachedList; len(r.State.Servers) > 0 && (known == nil || r.State.Version > known.Version) {
+		g.config.CachedList = discovery.NewEndpointList(r.State.Version, r.State.Servers)
 	}
 	g.logger.Info("follows", "pid", r.Process.PID, "written", r.WrittenAt, "list", r.State.Version, "open", len(r.State.Flows))
 }
--- a/gateway/upgrade_test.go
+++ b/gateway/upgrade_test.go
@@ -68,7 +68,7 @@
 		p.t.Fatal(err)
 	}
 	r := &process{admin: freeAddr(p.t), done: make(chan error, 1)}
-	env := map[string]string{config.EnvPassed: strconv.Itoa(fd), config.EnvState: p.temp, config.EnvAdmin: r.admin}
+	env := map[string]string{config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: p.temp, config.EnvAdmin: r.admin}
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"settings":{"caps":{"max_attempts":2,"retry_after":true,
 	 "max_retry_after_ns":1000000000},"discovery":"ask","family_info":{"mode":"pass"},
 	 "classes":[{"name":"c","effect":"idempotent","group":"all","give_up_ns":100000000,"slo_ns":90000000000}]}}`,
@@ -233,7 +233,7 @@
 	}
 	defer unix.Close(other)
 	for name, fd := range map[string]int{"closed": 1 << 15, "another address": other} {
-		env := map[string]string{config.EnvPassed: strconv.Itoa(fd), config.EnvState: t.TempDir(),
+		env := map[string]string{config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: t.TempDir(),
 			config.EnvListen: freeAddr(t), config.EnvDiscovery: "127.0.0.1:1"}
 		c, err := config.Parse(nil, func(k string) string { return env[k] })
 		if err != nil {
@@ -243,7 +243,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := g.Run(context.Background()); err == nil || !strings.Contains(err.Error(), config.EnvPassed) {
+		if err := g.Run(context.Background()); err == nil || !strings.Contains(err.Error(), config.EnvInheritedSocket) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -109,7 +109,7 @@
 						}
 					}
 					_, err = fmt.Fprintf(out, "name=%s listen=%s discovery=%s admin_addr=%s passed_socket=%d classes=%d gateways=%d connections=%d drain=%v\n",
-						c.Name, c.Listen, c.Discovery, c.Admin, c.Passed, len(c.Rules.Classes), c.Rules.Gateways, c.Limits.Connections(), c.Drain)
+						c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, len(c.Balancer.Classes), c.Balancer.Gateways, c.Limits.Connections(), c.DrainTimeout)
 					return err
 				},
 			},
@@ -140,8 +140,8 @@
 	if file == "" {
 		return conf, nil, nil
 	}
-	classes := make([]string, len(conf.Rules.Classes))
-	for i, class := range conf.Rules.Classes {
+	classes := make([]string, len(conf.Balancer.Classes))
+	for i, class := range conf.Balancer.Classes {
 		classes[i] = class.Name
 	}
 	op, err := operator.Load(file, classes)
--- a/internal/lab/planrun.go
+++ b/internal/lab/planrun.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conf.Rules.Gateways = len(s.problem.Zones)
+	conf.Balancer.Gateways = len(s.problem.Zones)
 	var op *operator.Settings
 	if plan != nil {
 		op = &operator.Settings{Plan: &operator.PlanUse{Zone: zone, Plan: plan}}
