--- a/config/config.go
+++ b/config/config.go
@@ -51,24 +51,24 @@
 
 // OnTheirWay is how many of the program's own descriptors connections may have that are closed and linger. As many again
 // may be accepted and not counted yet.
-const OnTheirWay = 16
+const TransientSockets = 16
 
 // Limits are what the program may use.
 type Limits struct {
-	Cores    float64
-	MemoryMB int
-	Sockets  int
-	Admin    int // of Sockets, those set aside for operators
+	Cores        float64
+	MemoryMB     int
+	Sockets      int
+	AdminSockets int // of Sockets, those set aside for operators
 }
 
-// ForClients is how many descriptors clients and their servers may take.
-func (l Limits) ForClients() int { return l.Sockets - ownSockets - l.Admin }
+// ClientSockets is how many descriptors clients and their servers may take.
+func (l Limits) ClientSockets() int { return l.Sockets - ownSockets - l.AdminSockets }
 
-// Idle is how many of these clients may take that have asked for nothing. The rest is free for those that do.
-func (l Limits) Idle() int { return l.ForClients() / 4 }
+// MaxIdleClients is how many of these clients may take that have asked for nothing. The rest is free for those that do.
+func (l Limits) MaxIdleClients() int { return l.ClientSockets() / 4 }
 
-// Connections is how many clients may be served at once: each has a connection to its server too.
-func (l Limits) Connections() int { return l.ForClients() / 2 }
+// MaxConnections is how many clients may be served at once: each has a connection to its server too.
+func (l Limits) MaxConnections() int { return l.ClientSockets() / 2 }
 
 // Config is a checked configuration.
 type Config struct {
@@ -163,15 +163,15 @@
 		Sockets: value(f.Limits.Sockets, DefaultSockets),
 	}
 	if c.Admin != "" {
-		c.Limits.Admin = adminSockets
+		c.Limits.AdminSockets = adminSockets
 	}
 	switch {
 	case !(c.Limits.Cores > 0):
 		return nil, fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
 	case c.Limits.MemoryMB < 16:
 		return nil, fmt.Errorf("limits.memory_mb: %d is under 16", c.Limits.MemoryMB)
-	case c.Limits.ForClients() < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Limits.Sockets, c.Limits.Sockets-c.Limits.ForClients()+leastSockets)
+	case c.Limits.ClientSockets() < leastSockets:
+		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Limits.Sockets, c.Limits.Sockets-c.Limits.ClientSockets()+leastSockets)
 	}
 	if given(f.Known) {
 		known, err := discovery.Parse(f.Known)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -31,7 +31,7 @@
 		n.MessageAim != 60*time.Millisecond || n.LongestWait != 4800*time.Millisecond {
 		t.Errorf("node read as %+v", n)
 	}
-	if c.CachedList.Version != 41 || c.Limits.Connections() != 544 {
+	if c.CachedList.Version != 41 || c.Limits.MaxConnections() != 544 {
 		t.Errorf("read as %+v", c)
 	}
 	// The platform ends the program 3.7 s after SIGTERM or later. Connections that end here are moved by then;
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -35,7 +35,7 @@
 	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, c.StateRoot)
 	l := c.Limits
 	fmt.Fprintf(b, "limits cores=%g memory_mb=%d sockets=%d admin=%d clients=%d idle=%d connections=%d\n",
-		l.Cores, l.MemoryMB, l.Sockets, l.Admin, l.ForClients(), l.Idle(), l.Connections())
+		l.Cores, l.MemoryMB, l.Sockets, l.AdminSockets, l.ClientSockets(), l.MaxIdleClients(), l.MaxConnections())
 	fmt.Fprintf(b, "answer_by=%s drain=%s\n", c.AnswerTimeout, c.DrainTimeout)
 	if c.CachedList == nil {
 		fmt.Fprintf(b, "known: none\n")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -107,7 +107,7 @@
 	}
 	g.engine = eventloop.New(engine.New(engine.Options{
 		PriorityOf: ranks, PriorityCounters: g.tiers,
-		MaxSockets: c.Limits.ForClients(), MaxIdleClients: c.Limits.Idle(), Classes: classes, RetryAfter: c.Balancer.MaxRetryAfter, DefaultTimeout: c.Gateway.LongestWait, AnswerGrace: c.Gateway.AnswerSlack,
+		MaxSockets: c.Limits.ClientSockets(), MaxIdleClients: c.Limits.MaxIdleClients(), Classes: classes, RetryAfter: c.Balancer.MaxRetryAfter, DefaultTimeout: c.Gateway.LongestWait, AnswerGrace: c.Gateway.AnswerSlack,
 		ConnectionsOutliveGateway: c.Gateway.Pass, FlowRetention: c.Balancer.FlowRetention, ReportsMessageDelay: c.Gateway.TellsDelay, MessageLatencyObjective: c.Gateway.MessageAim, CanPollLoad: c.Gateway.Probes, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerTimeout, DrainTimeout: c.DrainTimeout,
 		Metrics: g.figures, Logger: g.logger, Trace: g.logger.Enabled(context.Background(), slog.LevelDebug),
 	}, decider, g, attempts))
@@ -256,7 +256,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	defer conns.Close()
-	conns.SetBudget(g.config.Limits.ForClients() + config.OnTheirWay)
+	conns.SetBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
 	g.lines.Connect(g.engine, conns)
 	if g.config.InheritedSocket > 0 {
 		if err := hotrestart.PrepareListener(g.config.InheritedSocket, g.config.Listen); err != nil {
@@ -323,7 +323,7 @@
 	g.serving.Store(true)
 	defer context.AfterFunc(ctx, func() { g.serving.Store(false) })()
 	g.logger.Info("serving", "name", g.config.Name, "listen", f.Addr(), "discovery", g.config.Discovery,
-		"pass", g.config.Gateway.Pass, "connections", g.config.Limits.Connections())
+		"pass", g.config.Gateway.Pass, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
 	f.Finish()
 	stopWatching()
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -109,7 +109,7 @@
 						}
 					}
 					_, err = fmt.Fprintf(out, "name=%s listen=%s discovery=%s admin_addr=%s passed_socket=%d classes=%d gateways=%d connections=%d drain=%v\n",
-						c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, len(c.Balancer.Classes), c.Balancer.Gateways, c.Limits.Connections(), c.DrainTimeout)
+						c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, len(c.Balancer.Classes), c.Balancer.Gateways, c.Limits.MaxConnections(), c.DrainTimeout)
 					return err
 				},
 			},
