--- a/config/config.go
+++ b/config/config.go
@@ -82,7 +82,7 @@
 	CachedList      *discovery.EndpointList // the list as last held; nil: none
 	Balancer        balancer.Settings
 	ListRefresh     refresh.Settings
-	Gateway         settings.Node
+	Gateway         settings.Gateway
 	AnswerTimeout   time.Duration // from a planned stop until all that waits has its answer
 	DrainTimeout    time.Duration // from a planned stop to the end
 }
@@ -191,7 +191,7 @@
 			return fmt.Errorf("settings: %w", err)
 		}
 	}
-	set, err := pairs.Rules()
+	set, err := pairs.Balancer()
 	if err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
@@ -204,20 +204,20 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.Balancer = *set
-	if c.ListRefresh, err = pairs.List(); err != nil {
+	if c.ListRefresh, err = pairs.ListRefresh(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	c.ListRefresh.Seed = set.Seed
-	if c.Gateway, err = pairs.Node(); err != nil {
+	if c.Gateway, err = pairs.Gateway(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
-	if c.Gateway.LongestWait <= 0 {
-		c.Gateway.LongestWait = defaultLongestWait
+	if c.Gateway.MaxClassTimeout <= 0 {
+		c.Gateway.MaxClassTimeout = defaultLongestWait
 	}
-	c.Balancer.CanPollLoad = c.Gateway.Probes
-	c.AnswerTimeout = min(c.Gateway.LongestWait, drainMost) + answerMore
-	c.DrainTimeout = min(c.Gateway.LongestWait, drainMost) + drainMore
-	if c.Gateway.Pass {
+	c.Balancer.CanPollLoad = c.Gateway.CanPollLoad
+	c.AnswerTimeout = min(c.Gateway.MaxClassTimeout, drainMost) + answerMore
+	c.DrainTimeout = min(c.Gateway.MaxClassTimeout, drainMost) + drainMore
+	if c.Gateway.ConnectionsOutliveGateway {
 		c.DrainTimeout = drainPass
 	}
 	return nil
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -27,8 +27,8 @@
 		c.Balancer.Classes[0].MessageLatencyObjective != 60*time.Millisecond || c.Balancer.MaxRetryAfter != 2*time.Second {
 		t.Errorf("rules read as %+v", c.Balancer)
 	}
-	if n := c.Gateway; !n.Pass || !n.Probes || !n.TellsLoad || !n.TellsDelay || n.ConnectTimeout != 60*time.Millisecond ||
-		n.MessageAim != 60*time.Millisecond || n.LongestWait != 4800*time.Millisecond {
+	if n := c.Gateway; !n.ConnectionsOutliveGateway || !n.CanPollLoad || !n.ReportsConnectionLoad || !n.ReportsMessageDelay || n.ConnectTimeout != 60*time.Millisecond ||
+		n.MessageLatencyObjective != 60*time.Millisecond || n.MaxClassTimeout != 4800*time.Millisecond {
 		t.Errorf("node read as %+v", n)
 	}
 	if c.CachedList.Version != 41 || c.Limits.MaxConnections() != 544 {
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -63,7 +63,7 @@
 		c.ListRefresh.LocalAgent, c.ListRefresh.Gateways, c.ListRefresh.MaxPollInterval, c.ListRefresh.DrainGrace, c.ListRefresh.Seed)
 	n := c.Gateway
 	fmt.Fprintf(b, "node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
-		n.ConnectTimeout, n.Pass, n.TellsDelay, n.TellsLoad, n.Probes, n.MessageAim, n.AnswerSlack, n.LongestWait)
+		n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad, n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
 }
 
 func appendResult(b *bytes.Buffer, c *Config, err error) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -97,7 +97,7 @@
 	}
 	g.figures = metrics.New(classes)
 	attempts := backend.New(backend.Options{
-		ConnectTimeout: c.Gateway.ConnectTimeout, TellsLoad: c.Gateway.TellsLoad, TellsDelay: c.Gateway.TellsDelay, Forwards: &g.figures.Forwards,
+		ConnectTimeout: c.Gateway.ConnectTimeout, TellsLoad: c.Gateway.ReportsConnectionLoad, TellsDelay: c.Gateway.ReportsMessageDelay, Forwards: &g.figures.Forwards,
 	})
 	var ranks func(class, tenant string) int
 	if g.member != nil {
@@ -107,8 +107,8 @@
 	}
 	g.engine = eventloop.New(engine.New(engine.Options{
 		PriorityOf: ranks, PriorityCounters: g.tiers,
-		MaxSockets: c.Limits.ClientSockets(), MaxIdleClients: c.Limits.MaxIdleClients(), Classes: classes, RetryAfter: c.Balancer.MaxRetryAfter, DefaultTimeout: c.Gateway.LongestWait, AnswerGrace: c.Gateway.AnswerSlack,
-		ConnectionsOutliveGateway: c.Gateway.Pass, FlowRetention: c.Balancer.FlowRetention, ReportsMessageDelay: c.Gateway.TellsDelay, MessageLatencyObjective: c.Gateway.MessageAim, CanPollLoad: c.Gateway.Probes, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerTimeout, DrainTimeout: c.DrainTimeout,
+		MaxSockets: c.Limits.ClientSockets(), MaxIdleClients: c.Limits.MaxIdleClients(), Classes: classes, RetryAfter: c.Balancer.MaxRetryAfter, DefaultTimeout: c.Gateway.MaxClassTimeout, AnswerGrace: c.Gateway.AnswerGrace,
+		ConnectionsOutliveGateway: c.Gateway.ConnectionsOutliveGateway, FlowRetention: c.Balancer.FlowRetention, ReportsMessageDelay: c.Gateway.ReportsMessageDelay, MessageLatencyObjective: c.Gateway.MessageLatencyObjective, CanPollLoad: c.Gateway.CanPollLoad, ReadyTimeout: readyWithin, AnswerTimeout: c.AnswerTimeout, DrainTimeout: c.DrainTimeout,
 		Metrics: g.figures, Logger: g.logger, Trace: g.logger.Enabled(context.Background(), slog.LevelDebug),
 	}, decider, g, attempts))
 	g.lines = attempts
@@ -323,7 +323,7 @@
 	g.serving.Store(true)
 	defer context.AfterFunc(ctx, func() { g.serving.Store(false) })()
 	g.logger.Info("serving", "name", g.config.Name, "listen", f.Addr(), "discovery", g.config.Discovery,
-		"pass", g.config.Gateway.Pass, "connections", g.config.Limits.MaxConnections())
+		"pass", g.config.Gateway.ConnectionsOutliveGateway, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
 	f.Finish()
 	stopWatching()
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -36,7 +36,7 @@
 
 // appendAll prints what the three readers make of pairs, field by field, or their faults.
 func appendAll(b *bytes.Buffer, p Pairs) {
-	if r, err := p.Rules(); err != nil {
+	if r, err := p.Balancer(); err != nil {
 		fmt.Fprintf(b, "rules: %v\n", err)
 	} else {
 		fmt.Fprintf(b, "rules seed=%d gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
@@ -51,16 +51,16 @@
 			fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
 		}
 	}
-	if l, err := p.List(); err != nil {
+	if l, err := p.ListRefresh(); err != nil {
 		fmt.Fprintf(b, "list: %v\n", err)
 	} else {
 		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", l.LocalAgent, l.Gateways, l.MaxPollInterval, l.DrainGrace, l.Seed)
 	}
-	if n, err := p.Node(); err != nil {
+	if n, err := p.Gateway(); err != nil {
 		fmt.Fprintf(b, "node: %v\n", err)
 	} else {
 		fmt.Fprintf(b, "node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
-			n.ConnectTimeout, n.Pass, n.TellsDelay, n.TellsLoad, n.Probes, n.MessageAim, n.AnswerSlack, n.LongestWait)
+			n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad, n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -35,8 +35,8 @@
 	}
 )
 
-// Rules reads the settings that the rules are told.
-func (p Pairs) Rules() (*balancer.Settings, error) {
+// Balancer reads the settings that the rules are told.
+func (p Pairs) Balancer() (*balancer.Settings, error) {
 	d := decoder{p: p}
 	if d.float("rules.start_capacity") > 1 { // of no use to the rules, but a contradiction
 		d.fail("rules.start_capacity", "a share, between 0 and 1")
@@ -92,9 +92,9 @@
 	return s, d.err
 }
 
-// List reads the settings that the clock of the list goes by. Where nothing says who has the list, it is asked for: an
+// ListRefresh reads the settings that the clock of the list goes by. Where nothing says who has the list, it is asked for: an
 // address is given, so there is something to ask.
-func (p Pairs) List() (refresh.Settings, error) {
+func (p Pairs) ListRefresh() (refresh.Settings, error) {
 	d := decoder{p: p}
 	s := refresh.Settings{
 		Gateways: int(d.integer("replicas_of_me")), MaxPollInterval: d.time("rules.ask_within_ns"),
@@ -208,43 +208,43 @@
 	return false, false
 }
 
-// Node is what a real balancer itself goes by; the rules are not told of it.
-type Node struct {
-	ConnectTimeout time.Duration // a connection to a server must stand within this; 0: no bound stated
-	Pass           bool          // connections outlive this balancer: their packets reach another one
-	TellsDelay     bool          // the rules want word of slow messages
-	TellsLoad      bool          // and of the connections' loads
-	Probes         bool          // servers may be asked for their load, and tell it
-	MessageAim     time.Duration // the shortest wanted message time; 0: none stated
-	AnswerSlack    time.Duration // a final answer may come this long after the client's deadline
-	LongestWait    time.Duration // the longest time that a class's clients wait
+// Gateway is what a real balancer itself goes by; the rules are not told of it.
+type Gateway struct {
+	ConnectTimeout            time.Duration // a connection to a server must stand within this; 0: no bound stated
+	ConnectionsOutliveGateway bool          // connections outlive this balancer: their packets reach another one
+	ReportsMessageDelay       bool          // the rules want word of slow messages
+	ReportsConnectionLoad     bool          // and of the connections' loads
+	CanPollLoad               bool          // servers may be asked for their load, and tell it
+	MessageLatencyObjective   time.Duration // the shortest wanted message time; 0: none stated
+	AnswerGrace               time.Duration // a final answer may come this long after the client's deadline
+	MaxClassTimeout           time.Duration // the longest time that a class's clients wait
 }
 
-// Node reads the settings that a real balancer goes by.
-func (p Pairs) Node() (Node, error) {
+// Gateway reads the settings that a real balancer goes by.
+func (p Pairs) Gateway() (Gateway, error) {
 	d := decoder{p: p}
-	n := Node{
-		ConnectTimeout: d.time("caps.connect_timeout_ns"),
-		TellsDelay:     d.boolean("family_info.tells_delay"),
-		TellsLoad:      d.boolean("family_info.tells_load"),
-		AnswerSlack:    d.time("rules.grace_to_answer_ns"),
+	n := Gateway{
+		ConnectTimeout:        d.time("caps.connect_timeout_ns"),
+		ReportsMessageDelay:   d.boolean("family_info.tells_delay"),
+		ReportsConnectionLoad: d.boolean("family_info.tells_load"),
+		AnswerGrace:           d.time("rules.grace_to_answer_ns"),
 	}
 	fields := strings.Split(p["reporting.fields"], ",")
-	n.Probes = d.boolean("caps.probes") && (slices.Contains(fields, "x0") || slices.Contains(fields, "x1"))
+	n.CanPollLoad = d.boolean("caps.probes") && (slices.Contains(fields, "x0") || slices.Contains(fields, "x1"))
 	switch p["family_info.mode"] {
 	case "pass":
-		n.Pass = true
+		n.ConnectionsOutliveGateway = true
 	case "", "proxy", null:
 	default:
 		d.fail("family_info.mode", "pass or proxy")
 	}
 	for _, aim := range d.times("family_info.message_aim_ns") {
-		if aim > 0 && (n.MessageAim == 0 || aim < n.MessageAim) {
-			n.MessageAim = aim
+		if aim > 0 && (n.MessageLatencyObjective == 0 || aim < n.MessageLatencyObjective) {
+			n.MessageLatencyObjective = aim
 		}
 	}
 	for i := range d.count("classes") {
-		n.LongestWait = max(n.LongestWait, d.time("classes."+strconv.Itoa(i)+".give_up_ns"))
+		n.MaxClassTimeout = max(n.MaxClassTimeout, d.time("classes."+strconv.Itoa(i)+".give_up_ns"))
 	}
 	return n, d.err
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -158,11 +158,11 @@
 	if ev.Instance < 0 {
 		return ev, false, r.errorf("create: relay is missing")
 	}
-	set, err := p.Rules()
+	set, err := p.Balancer()
 	if err != nil {
 		return ev, false, r.errorf("create: %v", err)
 	}
-	list, err := p.List()
+	list, err := p.ListRefresh()
 	if err != nil {
 		return ev, false, r.errorf("create: %v", err)
 	}
