--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -46,11 +46,11 @@
 		fmt.Fprintf(b, "nats listen=%q node_port=%d cluster=%t max_payload=%d control_line=%d max_subscriptions=%d max_requests=%d max_pending=%d\n",
 			n.Listen, n.NodePort, n.Cluster, n.MaxPayload, n.ControlLine, n.MaxSubscriptions, n.MaxRequests, n.MaxPending)
 		fmt.Fprintf(b, "nats ping_every=%s ping_clients=%s move_within=%s flush_within=%s max_shared=%d\n",
-			n.PingEvery, n.PingClients, n.MoveWithin, n.FlushWithin, n.MaxShared)
-		fmt.Fprintf(b, "session class=%q key=%s/%d group=%s/%d wait=%s\n", n.Session.Class, n.Session.Key.What, n.Session.Key.Token,
-			n.Session.Group.What, n.Session.Group.Token, n.Session.Wait)
+			n.PingInterval, n.ClientPingInterval, n.MigrationTimeout, n.FlushTimeout, n.MaxShared)
+		fmt.Fprintf(b, "session class=%q key=%s/%d group=%s/%d wait=%s\n", n.Session.Class, n.Session.Key.Kind, n.Session.Key.Token,
+			n.Session.Group.Kind, n.Session.Group.Token, n.Session.Timeout)
 		for _, r := range n.Requests {
-			fmt.Fprintf(b, "request subject=%q class=%q deadline=%s key=%s/%d line=%d\n", r.Subject, r.Class, r.Deadline, r.Key.What, r.Key.Token, r.Line)
+			fmt.Fprintf(b, "request subject=%q class=%q deadline=%s key=%s/%d line=%d\n", r.Subject, r.Class, r.Timeout, r.Key.Kind, r.Key.Token, r.Line)
 		}
 	}
 	if p := s.Placement; p != nil {
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -35,44 +35,44 @@
 
 // NATS switches the NATS client protocol on.
 type NATS struct {
-	Listen           string        // where clients connect
-	NodePort         int           // at which nodes speak NATS; 0: at their listed address
-	Cluster          bool          // the nodes pass messages on to each other
-	MaxPayload       int           // bytes
-	ControlLine      int           // bytes
-	MaxSubscriptions int           // a session
-	MaxRequests      int           // out at once, a session
-	MaxPending       int           // bytes that wait for one peer before its source is left unread
-	PingEvery        time.Duration // to nodes
-	PingClients      time.Duration // a client that answers none of two is closed
-	MoveWithin       time.Duration // a session has another node by then, or is closed
-	FlushWithin      time.Duration // an old node has handed over what it has queued by then
-	MaxShared        int           // connections to nodes for requests that left their session's node
-	Session          Session
-	Requests         []Request
+	Listen             string        // where clients connect
+	NodePort           int           // at which nodes speak NATS; 0: at their listed address
+	Cluster            bool          // the nodes pass messages on to each other
+	MaxPayload         int           // bytes
+	ControlLine        int           // bytes
+	MaxSubscriptions   int           // a session
+	MaxRequests        int           // out at once, a session
+	MaxPending         int           // bytes that wait for one peer before its source is left unread
+	PingInterval       time.Duration // to nodes
+	ClientPingInterval time.Duration // a client that answers none of two is closed
+	MigrationTimeout   time.Duration // a session has another node by then, or is closed
+	FlushTimeout       time.Duration // an old node has handed over what it has queued by then
+	MaxShared          int           // connections to nodes for requests that left their session's node
+	Session            Session
+	Requests           []RequestClass
 }
 
 // Session says what a client's CONNECT is to the rules.
 type Session struct {
-	Class string
-	Key   From
-	Group From
-	Wait  time.Duration // for a node
+	Class   string
+	Key     KeySource
+	Group   KeySource
+	Timeout time.Duration // for a node
 }
 
-// Request is a class of requests: PUB with a reply on a subject that the pattern takes in. The first that fits counts.
-type Request struct {
-	Subject  string
-	Class    string
-	Deadline time.Duration
-	Key      From
-	Line     int // in the file
+// RequestClass is a class of requests: PUB with a reply on a subject that the pattern takes in. The first that fits counts.
+type RequestClass struct {
+	Subject string
+	Class   string
+	Timeout time.Duration
+	Key     KeySource
+	Line    int // in the file
 }
 
-// From says where a key comes from: user, name, client (each its own), session (the session's key), or the token of a
+// KeySource says where a key comes from: user, name, client (each its own), session (the session's key), or the token of a
 // subject.
-type From struct {
-	What  string
+type KeySource struct {
+	Kind  string
 	Token int // of What "token", from 0
 }
 
@@ -156,20 +156,20 @@
 
 func readNATS(s *section, classes []string) *NATS {
 	n := &NATS{
-		Listen:           s.text("listen", ""),
-		NodePort:         s.integer("node-port", 0, 1, 65535),
-		Cluster:          s.boolean("cluster", false),
-		MaxPayload:       s.integer("max-payload", 1<<20, 1, 64<<20),
-		ControlLine:      s.integer("control-line", 4096, 512, 1<<20),
-		MaxSubscriptions: s.integer("max-subscriptions", 1000, 1, 1_000_000),
-		MaxRequests:      s.integer("max-requests", 1024, 1, 1_000_000),
-		MaxPending:       s.integer("max-pending", 64<<10, 4096, 64<<20),
-		PingEvery:        s.duration("ping-every", time.Second, 100*time.Millisecond, time.Minute),
-		PingClients:      s.duration("ping-clients", 30*time.Second, 50*time.Millisecond, time.Hour),
-		MoveWithin:       s.duration("move-within", 5*time.Second, 100*time.Millisecond, time.Minute),
-		FlushWithin:      s.duration("flush-within", 2*time.Second, 10*time.Millisecond, time.Minute),
-		MaxShared:        s.integer("max-shared", 64, 0, 10_000),
-		Session:          Session{Class: "", Key: From{What: "client"}, Wait: 2 * time.Second},
+		Listen:             s.text("listen", ""),
+		NodePort:           s.integer("node-port", 0, 1, 65535),
+		Cluster:            s.boolean("cluster", false),
+		MaxPayload:         s.integer("max-payload", 1<<20, 1, 64<<20),
+		ControlLine:        s.integer("control-line", 4096, 512, 1<<20),
+		MaxSubscriptions:   s.integer("max-subscriptions", 1000, 1, 1_000_000),
+		MaxRequests:        s.integer("max-requests", 1024, 1, 1_000_000),
+		MaxPending:         s.integer("max-pending", 64<<10, 4096, 64<<20),
+		PingInterval:       s.duration("ping-every", time.Second, 100*time.Millisecond, time.Minute),
+		ClientPingInterval: s.duration("ping-clients", 30*time.Second, 50*time.Millisecond, time.Hour),
+		MigrationTimeout:   s.duration("move-within", 5*time.Second, 100*time.Millisecond, time.Minute),
+		FlushTimeout:       s.duration("flush-within", 2*time.Second, 10*time.Millisecond, time.Minute),
+		MaxShared:          s.integer("max-shared", 64, 0, 10_000),
+		Session:            Session{Class: "", Key: KeySource{Kind: "client"}, Timeout: 2 * time.Second},
 	}
 	if n.Listen == "" {
 		s.fault(s.line, "listen", "is missing")
@@ -183,8 +183,8 @@
 		in.open(vals)
 		n.Session.Class = in.class(classes)
 		n.Session.Key = in.from("key", n.Session.Key, "user", "name", "client")
-		n.Session.Group = in.from("group", From{}, "user", "name")
-		n.Session.Wait = in.duration("wait", n.Session.Wait, 10*time.Millisecond, time.Minute)
+		n.Session.Group = in.from("group", KeySource{}, "user", "name")
+		n.Session.Timeout = in.duration("wait", n.Session.Timeout, 10*time.Millisecond, time.Minute)
 		in.close()
 	} else if len(classes) > 0 {
 		n.Session.Class = classes[0]
@@ -193,9 +193,9 @@
 	for _, f := range s.keys["request"] {
 		in := &section{file: s.file, path: s.path + ".request", line: f.line, faults: s.faults}
 		in.open(f.list[1:])
-		r := Request{Subject: in.text("subject", ""), Class: in.class(classes), Line: f.line,
-			Deadline: in.duration("deadline", time.Second, time.Millisecond, time.Hour),
-			Key:      in.from("key", From{What: "session"}, "session", "user", "token")}
+		r := RequestClass{Subject: in.text("subject", ""), Class: in.class(classes), Line: f.line,
+			Timeout: in.duration("deadline", time.Second, time.Millisecond, time.Hour),
+			Key:     in.from("key", KeySource{Kind: "session"}, "session", "user", "token")}
 		if r.Subject == "" {
 			in.fault(f.line, "subject", "is missing")
 		}
@@ -223,17 +223,17 @@
 }
 
 // from reads a word, or (token N) where that is allowed.
-func (s *section) from(key string, otherwise From, words ...string) From {
+func (s *section) from(key string, otherwise KeySource, words ...string) KeySource {
 	v, ok := s.one(key)
 	if !ok {
 		return otherwise
 	}
 	if w, ok := v.atom.(edn.Symbol); ok && w != "token" && slices.Contains(words, string(w)) {
-		return From{What: string(w)}
+		return KeySource{Kind: string(w)}
 	}
 	if slices.Contains(words, "token") && v.isList() && len(v.list) == 2 && v.list[0].atom == edn.Symbol("token") {
 		if n, ok := v.list[1].atom.(int64); ok && n >= 0 && n < 64 {
-			return From{What: "token", Token: int(n)}
+			return KeySource{Kind: "token", Token: int(n)}
 		}
 	}
 	s.fault(v.line, key, "%s is none of %v", v, words)
--- a/config/operator/operator_test.go
+++ b/config/operator/operator_test.go
@@ -27,10 +27,10 @@
 		t.Fatal(err)
 	}
 	n := s.NATS
-	if n.Listen != "127.0.0.1:4222" || !n.Cluster || n.MoveWithin != 3*time.Second || n.MaxPayload != 1<<20 ||
-		n.Session != (Session{Class: "sesion", Key: From{What: "user"}, Wait: time.Second}) || len(n.Requests) != 2 ||
-		n.Requests[0] != (Request{"plan.get.*", "plan-diario", 800 * time.Millisecond, From{"token", 2}, 7}) ||
-		n.Requests[1].Deadline != time.Second || n.Requests[1].Key.What != "session" {
+	if n.Listen != "127.0.0.1:4222" || !n.Cluster || n.MigrationTimeout != 3*time.Second || n.MaxPayload != 1<<20 ||
+		n.Session != (Session{Class: "sesion", Key: KeySource{Kind: "user"}, Timeout: time.Second}) || len(n.Requests) != 2 ||
+		n.Requests[0] != (RequestClass{"plan.get.*", "plan-diario", 800 * time.Millisecond, KeySource{"token", 2}, 7}) ||
+		n.Requests[1].Timeout != time.Second || n.Requests[1].Key.Kind != "session" {
 		t.Errorf("read as %+v", n)
 	}
 	if s, err := Parse("op.edn", []byte("; nothing\n"), nil); err != nil || s.NATS != nil {
--- a/internal/nats/front/ask.go
+++ b/internal/nats/front/ask.go
@@ -39,7 +39,7 @@
 	copied := make([]byte, 0, n+len(f.Body))
 	copied = append(append(append(copied, f.Subject...), f.Reply...), f.Body...)
 	a := &ask{session: s, subject: copied[:len(f.Subject):len(f.Subject)], reply: copied[len(f.Subject):n:n], body: copied[n:],
-		headers: f.Headers, until: time.Now().Add(r.Deadline)}
+		headers: f.Headers, until: time.Now().Add(r.Timeout)}
 	if s.leaving || len(s.asks) >= s.front.settings().MaxRequests {
 		a.status(codec.StatusRefused, "Too Many Requests", 0)
 		return true
@@ -49,7 +49,7 @@
 	}
 	s.asks[a] = struct{}{}
 	key := s.key
-	switch r.Key.What {
+	switch r.Key.Kind {
 	case "user":
 		key = s.options.User
 	case "token":
@@ -59,13 +59,13 @@
 		key = s.key
 	}
 	s.front.engine.Post(engine.UnaryRequestReceived{Client: a, Request: engine.Request{
-		Class: r.Class, Tenant: s.options.User, Key: key, Timeout: r.Deadline,
+		Class: r.Class, Tenant: s.options.User, Key: key, Timeout: r.Timeout,
 	}})
 	return true
 }
 
 // request is the class of requests on a subject; nil: it has none.
-func (s *Session) request(subject []byte) *operator.Request {
+func (s *Session) request(subject []byte) *operator.RequestClass {
 	for i := range s.front.settings().Requests {
 		if r := &s.front.settings().Requests[i]; codec.Match([]byte(r.Subject), subject) {
 			return r
--- a/internal/nats/front/move.go
+++ b/internal/nats/front/move.go
@@ -39,7 +39,7 @@
 func (s *Session) move() {
 	s.moving = true
 	cur := s.cur
-	s.giveUp = s.hub.After(s.front.settings().MoveWithin, func() { s.close(wordStale) })
+	s.giveUp = s.hub.After(s.front.settings().MigrationTimeout, func() { s.close(wordStale) })
 	if cur != nil {
 		s.hub.After(readUntil, func() {
 			if s.phase != over && s.cur == cur && s.moving {
@@ -98,7 +98,7 @@
 	s.conn.Pause()
 	old.leg.Conn().Send(s.subs.AppendEnds(nil))
 	old.leg.Ping(func() { s.handedOver(old) })
-	s.flush = s.hub.After(s.front.settings().FlushWithin, func() { s.handedOver(old) })
+	s.flush = s.hub.After(s.front.settings().FlushTimeout, func() { s.handedOver(old) })
 }
 
 // handedOver is called when the old node has nothing more for the client, or has no time left to say so.
--- a/internal/nats/front/place.go
+++ b/internal/nats/front/place.go
@@ -62,7 +62,7 @@
 		}
 	})
 	n := p.session.front.settings()
-	return n.MoveWithin + n.FlushWithin
+	return n.MigrationTimeout + n.FlushTimeout
 }
 
 // ServerDraining implements engine.DrainObserver.
--- a/internal/nats/front/session.go
+++ b/internal/nats/front/session.go
@@ -77,7 +77,7 @@
 
 // keepAsking finds a client that has vanished without a word: one that was not heard of is asked now and then.
 func (s *Session) keepAsking() {
-	s.keep = s.hub.After(s.front.settings().PingClients, func() {
+	s.keep = s.hub.After(s.front.settings().ClientPingInterval, func() {
 		switch {
 		case s.heard:
 			s.heard = false
@@ -259,13 +259,13 @@
 func (s *Session) arrive(p *place, returned bool) {
 	n := s.front.settings()
 	s.front.engine.Post(engine.RequestReceived{Client: p, Request: engine.Request{
-		Class: n.Session.Class, Tenant: s.options.User, Key: s.key, Group: s.from(n.Session.Group), Timeout: n.Session.Wait,
+		Class: n.Session.Class, Tenant: s.options.User, Key: s.key, Group: s.from(n.Session.Group), Timeout: n.Session.Timeout,
 		Reconnecting: returned,
 	}})
 }
 
-func (s *Session) from(w operator.From) string {
-	switch w.What {
+func (s *Session) from(w operator.KeySource) string {
+	switch w.Kind {
 	case "user":
 		return s.options.User
 	case "name":
