--- a/config/operator/cluster.go
+++ b/config/operator/cluster.go
@@ -13,19 +13,19 @@
 // Cluster has instances recover together: who they are, and the disk that lasts. It is for installations where instances may
 // talk; a platform without a disk or without talk leaves it out.
 type Cluster struct {
-	Listen  string            // IP:port for the other members, UDP and TCP
-	Members map[string]string // the others by name, with their IP:port
-	KeyFile string
-	Key     []byte        // 16, 24 or 32 bytes that all members share
-	Dir     string        // on a disk that lasts
-	Wait    time.Duration // for the others, after a start
-	Tiers   [][]string    // of classes, the highest first; under overload the lowest are shed first. Others are below all
-	Floor   float64       // part of the lowest tier that is let in whatever happens
+	Listen           string            // IP:port for the other members, UDP and TCP
+	Members          map[string]string // the others by name, with their IP:port
+	KeyFile          string
+	Key              []byte        // 16, 24 or 32 bytes that all members share
+	Dir              string        // on a disk that lasts
+	PeerTimeout      time.Duration // for the others, after a start
+	Tiers            [][]string    // of classes, the highest first; under overload the lowest are shed first. Others are below all
+	MinAdmittedRatio float64       // part of the lowest tier that is let in whatever happens
 }
 
 func readCluster(s *section, classes []string) *Cluster {
 	c := &Cluster{Listen: s.text("listen", ""), Members: map[string]string{}, KeyFile: s.text("key-file", ""), Dir: s.text("dir", ""),
-		Wait: s.duration("peers-within", 2*time.Second, 100*time.Millisecond, time.Minute)}
+		PeerTimeout: s.duration("peers-within", 2*time.Second, 100*time.Millisecond, time.Minute)}
 	for key, v := range map[string]string{"key-file": c.KeyFile, "dir": c.Dir} {
 		if v == "" {
 			s.fault(s.line, key, "is missing")
@@ -65,7 +65,7 @@
 		}
 		c.Tiers = append(c.Tiers, tier)
 	})
-	c.Floor = float64(s.integer("floor-percent", 0, 0, 100)) / 100
+	c.MinAdmittedRatio = float64(s.integer("floor-percent", 0, 0, 100)) / 100
 	if len(c.Members) == 0 {
 		s.fault(s.line, "member", "is missing")
 	}
@@ -81,9 +81,9 @@
 	return err == nil && n > 0
 }
 
-// Ranks are the tiers' numbers by class, from the lowest on, which is 0: that of classes that no tier names. n is how many
+// Priorities are the tiers' numbers by class, from the lowest on, which is 0: that of classes that no tier names. n is how many
 // there are; 0: no tiers are named.
-func (c *Cluster) Ranks() (by map[string]int, n int) {
+func (c *Cluster) Priorities() (by map[string]int, n int) {
 	if len(c.Tiers) == 0 {
 		return nil, 0
 	}
--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -85,7 +85,7 @@
 	}
 	if c := s.Cluster; c != nil {
 		fmt.Fprintf(b, "cluster listen=%q key_file=%q key=%q dir=%q wait=%s tiers=%q floor=%g\n",
-			c.Listen, c.KeyFile, c.Key, c.Dir, c.Wait, c.Tiers, c.Floor)
+			c.Listen, c.KeyFile, c.Key, c.Dir, c.PeerTimeout, c.Tiers, c.MinAdmittedRatio)
 		names := []string{}
 		for name := range c.Members {
 			names = append(names, name)
@@ -94,7 +94,7 @@
 		for _, name := range names {
 			fmt.Fprintf(b, "member %q %q\n", name, c.Members[name])
 		}
-		ranks, count := c.Ranks()
+		ranks, count := c.Priorities()
 		classes := []string{}
 		for class := range ranks {
 			classes = append(classes, class)
@@ -124,7 +124,7 @@
 			fmt.Fprintf(b, "%sflow %q %q %q %d\n", indent, f.Class, f.From, f.To, f.Load)
 		}
 	}
-	fmt.Fprintf(b, "version=%d list=%016x settings=%016x proven=%t\n", p.Version, p.List, p.Settings, p.Proven)
+	fmt.Fprintf(b, "version=%d list=%016x settings=%016x proven=%t\n", p.Version, p.ListHash, p.SettingsHash, p.Proven)
 	fmt.Fprintf(b, "goals uncarried=%d crossings=%d fullest=%d/%d moves=%d\n", p.Goals.Uncarried, p.Goals.Crossings, p.Goals.Fullest.Num,
 		p.Goals.Fullest.Den, p.Goals.Moves)
 	loads("", p.Load)
@@ -370,7 +370,7 @@
 // fullPlan has a value of its own in every field.
 func fullPlan() *Plan {
 	return &Plan{
-		Version: 3, List: 0x1f2e3d4c5b6a7988, Settings: 2, Proven: true,
+		Version: 3, ListHash: 0x1f2e3d4c5b6a7988, SettingsHash: 2, Proven: true,
 		Goals: placement.Goals{Uncarried: 1, Crossings: 2, Fullest: placement.Ratio{Num: 3, Den: 4}, Moves: 5},
 		Load:  map[string]int64{"a \"quoted\" \\ one": 1, "b": 2, "ümlaut\t<&>": 1000000000, "": 0},
 		Flows: []placement.Flow{{Class: "x", From: "z", To: "y", Load: 3}, {Class: "w", From: "y", To: "z", Load: 4}},
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -22,12 +22,12 @@
 type Settings struct {
 	NATS      *NATS
 	Placement *Placement
-	Plan      *PlanUse
+	Plan      *PlanSettings
 	Cluster   *Cluster
 }
 
-// PlanUse has a gateway go by a plan file.
-type PlanUse struct {
+// PlanSettings has a gateway go by a plan file.
+type PlanSettings struct {
 	File string
 	Zone string // of this gateway
 	Plan *Plan
@@ -130,7 +130,7 @@
 	if vals, line := top.values("plan"); line > 0 {
 		in := &section{file: file, path: "plan", line: line, faults: &faults}
 		in.open(vals)
-		s.Plan = &PlanUse{File: in.text("file", ""), Zone: in.text("zone", "")}
+		s.Plan = &PlanSettings{File: in.text("file", ""), Zone: in.text("zone", "")}
 		if s.Plan.File == "" {
 			in.fault(line, "file", "is missing")
 		}
--- a/config/operator/operator_test.go
+++ b/config/operator/operator_test.go
@@ -98,10 +98,10 @@
  (tier "informe-alta") (tier "ajuste-plan" "plan-diario"))`
 	s, err := Load(write("good.edn", good), nil)
 	if err != nil || s.Cluster == nil || string(s.Cluster.Key) != "0123456789abcdef" || s.Cluster.Members["n1"] != "10.0.0.5:7946" ||
-		s.Cluster.Wait != 2*time.Second || s.Cluster.Dir != "/var/lib/x" {
+		s.Cluster.PeerTimeout != 2*time.Second || s.Cluster.Dir != "/var/lib/x" {
 		t.Fatalf("%v: %+v", err, s)
 	}
-	if by, n := s.Cluster.Ranks(); n != 3 || by["informe-alta"] != 2 || by["plan-diario"] != 1 || by["serie-hecha"] != 0 {
+	if by, n := s.Cluster.Priorities(); n != 3 || by["informe-alta"] != 2 || by["plan-diario"] != 1 || by["serie-hecha"] != 0 {
 		t.Errorf("%d ranks: %v", n, by)
 	}
 	for _, c := range []struct{ from, to, want string }{
--- a/config/operator/planfile.go
+++ b/config/operator/planfile.go
@@ -18,8 +18,8 @@
 // Plan is a plan file: what each node is to carry, now and after losses, and what that was worked out from.
 type Plan struct {
 	Version       int64
-	List          uint64 // hash of the nodes that it is for
-	Settings      uint64 // hash of the placement settings
+	ListHash      uint64 // hash of the nodes that it is for
+	SettingsHash  uint64 // hash of the placement settings
 	Proven        bool
 	Goals         placement.Goals
 	Load          map[string]int64
@@ -40,7 +40,7 @@
 func (p *Plan) Marshal() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "; Worked out by milletvane plan solve. Changed by hand it is not taken.\n(format %d)\n(version %d)\n", PlanFormat, p.Version)
-	fmt.Fprintf(&b, "(made-for (list \"%016x\") (settings \"%016x\"))\n", p.List, p.Settings)
+	fmt.Fprintf(&b, "(made-for (list \"%016x\") (settings \"%016x\"))\n", p.ListHash, p.SettingsHash)
 	fmt.Fprintf(&b, "(goals (uncarried %d) (crossings %d) (fullest %d %d) (moves %d) (proven %t))\n", p.Goals.Uncarried, p.Goals.Crossings,
 		p.Goals.Fullest.Num, p.Goals.Fullest.Den, p.Goals.Moves, p.Proven)
 	loads := func(indent string, m map[string]int64) {
@@ -118,7 +118,7 @@
 	if vals, line := s.values("made-for"); line > 0 {
 		in := &section{file: file, path: "made-for", line: line, faults: &faults}
 		in.open(vals)
-		p.List, p.Settings = hash(in, "list"), hash(in, "settings")
+		p.ListHash, p.SettingsHash = hash(in, "list"), hash(in, "settings")
 		in.close()
 	}
 	if vals, line := s.values("goals"); line > 0 {
--- a/config/operator/planfile_test.go
+++ b/config/operator/planfile_test.go
@@ -9,7 +9,7 @@
 )
 
 func somePlan() *Plan {
-	return &Plan{Version: 3, List: 0x1f, Settings: 2, Proven: true, Goals: placement.Goals{Uncarried: 1, Crossings: 2, Fullest: placement.Ratio{Num: 3, Den: 4}, Moves: 5},
+	return &Plan{Version: 3, ListHash: 0x1f, SettingsHash: 2, Proven: true, Goals: placement.Goals{Uncarried: 1, Crossings: 2, Fullest: placement.Ratio{Num: 3, Den: 4}, Moves: 5},
 		Load: map[string]int64{"a \"quoted\" one": 1, "b": 2}, Flows: []placement.Flow{{Class: "x", From: "z", To: "y", Load: 3}},
 		Contingencies: []PlanContingency{{Name: "node b", Lost: []string{"b"}, Short: 2, Load: map[string]int64{"b": 0}, Flows: []placement.Flow{{Class: "x", From: "z", To: "z", Load: 1}}},
 			{Name: "zone z", Lost: []string{"a", "b"}, Short: 3, Load: map[string]int64{}}}}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,7 +40,7 @@
 	lines  *backend.Backend
 	nats   *natsbackend.Backend // nil: off
 	nat    *operator.NATS
-	plan   *operator.PlanUse
+	plan   *operator.PlanSettings
 	member *operator.Cluster    // nil: it recovers by itself
 	clock  func() time.Duration // Unix time, never backwards
 	follow struct {
@@ -101,7 +101,7 @@
 	})
 	var ranks func(class, tenant string) int
 	if g.member != nil {
-		if by, n := g.member.Ranks(); n > 0 {
+		if by, n := g.member.Priorities(); n > 0 {
 			g.tiers, ranks = metrics.NewPriorityCounters(n), func(class, _ string) int { return by[class] }
 		}
 	}
@@ -152,7 +152,7 @@
 	if err := g.reloadNATS(nat); err != nil {
 		return err
 	}
-	var plan *operator.PlanUse
+	var plan *operator.PlanSettings
 	if op != nil {
 		plan = op.Plan
 	}
@@ -171,11 +171,11 @@
 }
 
 // usePlan goes over to a plan, or to none.
-func (g *Gateway) usePlan(p *operator.PlanUse) {
+func (g *Gateway) usePlan(p *operator.PlanSettings) {
 	g.follow.Lock()
 	defer g.follow.Unlock()
 	if p == nil {
-		p = &operator.PlanUse{}
+		p = &operator.PlanSettings{}
 	}
 	l, said := g.follow.SetPlan(g.clock(), p.Plan, p.Zone)
 	g.followed(l, said)
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -15,8 +15,8 @@
 
 func (g *Gateway) clusterOptions() cluster.Options {
 	m := g.member
-	_, ranks := m.Ranks()
-	return cluster.Options{Priorities: ranks, MinAdmittedRatio: m.Floor, Name: g.config.Name, Listen: m.Listen, Peers: m.Members, Key: m.Key, Dir: m.Dir, PeerTimeout: m.Wait,
+	_, ranks := m.Priorities()
+	return cluster.Options{Priorities: ranks, MinAdmittedRatio: m.MinAdmittedRatio, Name: g.config.Name, Listen: m.Listen, Peers: m.Members, Key: m.Key, Dir: m.Dir, PeerTimeout: m.PeerTimeout,
 		WarmupDuration: g.config.Balancer.WarmupDuration, Clock: g.clock, Logger: g.logger}
 }
 
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -106,14 +106,14 @@
 		p.Nodes = append(p.Nodes, placement.Node{ID: m.ID, Zone: m.Zone, Model: m.Kind, Capacity: capacity})
 		fmt.Fprintf(h, "%q %q %q %d\n", m.ID, m.Zone, m.Kind, capacity)
 	}
-	made := &operator.Plan{List: h.Sum64()}
+	made := &operator.Plan{ListHash: h.Sum64()}
 	h.Reset()
 	fmt.Fprintf(h, "%v %v %v %v %v %v", op.Placement.Order, op.Placement.Capacity, p.Demands, p.Crossings, p.DefaultCost, op.Placement.Batches)
 	for _, k := range p.Constraints {
 		k.Line = 0 // a comment more is no other setting
 		fmt.Fprintf(h, "%+v", k)
 	}
-	made.Settings = h.Sum64()
+	made.SettingsHash = h.Sum64()
 	return p, op.Placement, made, nil
 }
 
@@ -201,9 +201,9 @@
 	switch {
 	case err != nil:
 		return err
-	case plan.List != made.List:
+	case plan.ListHash != made.ListHash:
 		return fmt.Errorf("%s: was made for another list of nodes", c.String("plan"))
-	case plan.Settings != made.Settings:
+	case plan.SettingsHash != made.SettingsHash:
 		return fmt.Errorf("%s: was made for other settings", c.String("plan"))
 	}
 	_, err = fmt.Fprintf(out, "version %d fits: %d nodes, %d losses considered\n", plan.Version, len(plan.Load), len(plan.Contingencies))
--- a/internal/lab/planrun.go
+++ b/internal/lab/planrun.go
@@ -123,7 +123,7 @@
 	conf.Balancer.Gateways = len(s.problem.Zones)
 	var op *operator.Settings
 	if plan != nil {
-		op = &operator.Settings{Plan: &operator.PlanUse{Zone: zone, Plan: plan}}
+		op = &operator.Settings{Plan: &operator.PlanSettings{Zone: zone, Plan: plan}}
 	}
 	g, err := gateway.New(*conf, gateway.WithLogger(logger), gateway.WithOperator(op))
 	if err != nil {
