--- a/config/operator/form.go
+++ b/config/operator/form.go
@@ -40,24 +40,24 @@
 	depthMost = 20
 )
 
-// Fault is something wrong in an operator file.
-type Fault struct {
-	File string
-	Line int
-	Key  string // the path of keys, as nats.request.deadline; empty: the file as a whole
-	Text string
+// FileError is something wrong in an operator file.
+type FileError struct {
+	File    string
+	Line    int
+	Key     string // the path of keys, as nats.request.deadline; empty: the file as a whole
+	Problem string
 }
 
-func (f Fault) Error() string {
+func (f FileError) Error() string {
 	if f.Key == "" {
-		return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Text)
+		return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Problem)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.Text)
+	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Key, f.Problem)
 }
 
 // read reads all forms of a file.
 func read(file string, text []byte) ([]form, error) {
-	fault := func(line int, text string) error { return Fault{File: file, Line: line, Text: text} }
+	fault := func(line int, text string) error { return FileError{File: file, Line: line, Problem: text} }
 	if len(text) > fileMost {
 		return nil, fault(1, fmt.Sprintf("is over %d bytes", fileMost))
 	}
@@ -173,7 +173,7 @@
 	file   string
 	path   string
 	line   int
-	faults *[]Fault
+	faults *[]FileError
 	keys   map[string][]form // what stands behind each key, and the key's own place
 	used   map[string]bool
 	order  []string
@@ -184,7 +184,7 @@
 	if key != "" {
 		path += "." + key
 	}
-	*s.faults = append(*s.faults, Fault{File: s.file, Line: line, Key: strings.TrimPrefix(path, "."), Text: fmt.Sprintf(format, args...)})
+	*s.faults = append(*s.faults, FileError{File: s.file, Line: line, Key: strings.TrimPrefix(path, "."), Problem: fmt.Sprintf(format, args...)})
 }
 
 // open takes a list apart. Keys that may come more than once are named.
--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -314,9 +314,9 @@
 // Each fault can be found among those that are joined, with its file, line and key apart.
 func TestFormatOfOneFault(t *testing.T) {
 	_, err := Parse("op.edn", change{"(cluster true)", "(cluster 1)"}.of(t, natsForm), nil)
-	var f Fault
-	if !errors.As(err, &f) || f.File != "op.edn" || f.Line != 4 || f.Key != "nats.cluster" || f.Text != "1 is not true or false" {
-		t.Errorf("%v is found as file %q, line %d, key %q, text %q", err, f.File, f.Line, f.Key, f.Text)
+	var f FileError
+	if !errors.As(err, &f) || f.File != "op.edn" || f.Line != 4 || f.Key != "nats.cluster" || f.Problem != "1 is not true or false" {
+		t.Errorf("%v is found as file %q, line %d, key %q, text %q", err, f.File, f.Line, f.Key, f.Problem)
 	}
 }
 
@@ -441,7 +441,7 @@
 		fmt.Fprintf(&b, "== %s\n", name)
 		p, err := ParsePlan("p", text)
 		if err != nil {
-			var f Fault
+			var f FileError
 			fmt.Fprintf(&b, "%v\nis a fault of the file: %t\n", err, errors.As(err, &f))
 			return
 		}
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var faults []Fault
+	var faults []FileError
 	top := &section{file: file, faults: &faults}
 	top.open(forms)
 	s := &Settings{}
@@ -146,7 +146,7 @@
 	if len(faults) == 0 {
 		return s, nil
 	}
-	slices.SortStableFunc(faults, func(a, b Fault) int { return a.Line - b.Line })
+	slices.SortStableFunc(faults, func(a, b FileError) int { return a.Line - b.Line })
 	errs := make([]error, len(faults))
 	for i, f := range faults {
 		errs[i] = f
--- a/config/operator/operator_test.go
+++ b/config/operator/operator_test.go
@@ -65,7 +65,7 @@
 	}
 	text := strings.NewReplacer("true", "1", `"3s"`, "3", "(token 2)", "(token x)").Replace(good)
 	_, err := Parse("op.edn", []byte(text), classes)
-	var f Fault
+	var f FileError
 	if !errors.As(err, &f) || strings.Count(err.Error(), "op.edn:") != 3 {
 		t.Errorf("three faults are told as %v", err)
 	}
--- a/config/operator/planfile.go
+++ b/config/operator/planfile.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	fault := func(line int, key, format string, args ...any) error {
-		return Fault{File: file, Line: line, Key: key, Text: fmt.Sprintf(format, args...)}
+		return FileError{File: file, Line: line, Key: key, Problem: fmt.Sprintf(format, args...)}
 	}
 	if len(forms) == 0 || !forms[0].named("format") || len(forms[0].list) != 2 {
 		return nil, fault(1, "format", "is missing: this is no plan file")
@@ -106,7 +106,7 @@
 	if want := fmt.Sprintf("%016x", xxhash.Sum64(text[:at])); sum != want {
 		return nil, fault(last.line, "sum", "%q is not that of the file: it was altered", sum)
 	}
-	var faults []Fault
+	var faults []FileError
 	s := &section{file: file, faults: &faults}
 	s.open(forms[1:len(forms)-1], "node", "flow", "contingency")
 	p := &Plan{Load: map[string]int64{}}
