--- a/config/operator/planfile.go
+++ b/config/operator/planfile.go
@@ -18,8 +18,8 @@
 // Plan is a plan file: what each node is to carry, now and after losses, and what that was worked out from.
 type Plan struct {
 	Version       int64
-	List          uint64 // hash of the nodes that it is for
-	Settings      uint64 // hash of the placement settings
+	ListHash      uint64 // hash of the nodes that it is for
+	SettingsHash  uint64 // hash of the placement settings
 	Proven        bool
 	Goals         placement.Goals
 	Load          map[string]int64
@@ -40,7 +40,7 @@
 func (p *Plan) Marshal() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "; Worked out by milletvane plan solve. Changed by hand it is not taken.\n(format %d)\n(version %d)\n", PlanFormat, p.Version)
-	fmt.Fprintf(&b, "(made-for (list \"%016x\") (settings \"%016x\"))\n", p.List, p.Settings)
+	fmt.Fprintf(&b, "(made-for (list \"%016x\") (settings \"%016x\"))\n", p.ListHash, p.SettingsHash)
 	fmt.Fprintf(&b, "(goals (uncarried %d) (crossings %d) (fullest %d %d) (moves %d) (proven %t))\n", p.Goals.Uncarried, p.Goals.Crossings,
 		p.Goals.Fullest.Num, p.Goals.Fullest.Den, p.Goals.Moves, p.Proven)
 	loads := func(indent string, m map[string]int64) {
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	fault := func(line int, key, format string, args ...any) error {
-		return Fault{File: file, Line: line, Key: key, Text: fmt.Sprintf(format, args...)}
+		return FileError{File: file, Line: line, Key: key, Problem: fmt.Sprintf(format, args...)}
 	}
 	if len(forms) == 0 || !forms[0].named("format") || len(forms[0].list) != 2 {
 		return nil, fault(1, "format", "is missing: this is no plan file")
@@ -106,7 +106,7 @@
 	if want := fmt.Sprintf("%016x", xxhash.Sum64(text[:at])); sum != want {
 		return nil, fault(last.line, "sum", "%q is not that of the file: it was altered", sum)
 	}
-	var faults []Fault
+	var faults []FileError
 	s := &section{file: file, faults: &faults}
 	s.open(forms[1:len(forms)-1], "node", "flow", "contingency")
 	p := &Plan{Load: map[string]int64{}}
@@ -118,7 +118,7 @@
 	if vals, line := s.values("made-for"); line > 0 {
 		in := &section{file: file, path: "made-for", line: line, faults: &faults}
 		in.open(vals)
-		p.List, p.Settings = hash(in, "list"), hash(in, "settings")
+		p.ListHash, p.SettingsHash = hash(in, "list"), hash(in, "settings")
 		in.close()
 	}
 	if vals, line := s.values("goals"); line > 0 {
