--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -353,16 +353,16 @@
 
 // UpdateLoad takes this instance's counts since the last call, by rank, tells the others of them, and returns the level of what
 // the fleet sheds. It is to be called every loadshed.ReportInterval.
-func (c *Cluster) UpdateLoad(own loadshed.LocalCounts) (level float64) {
+func (c *Cluster) UpdateLoad(own loadshed.LocalCounts) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d, level := c.tiers.Handle(c.opts.Clock(), own)
+	d := c.tiers.Update(c.opts.Clock(), own)
 	c.digests++
-	b, _ := json.Marshal(message{Kind: tier, Number: c.digests, Share: d.ShedRatio, Asked: d.RequestRates})
+	b, _ := json.Marshal(message{Kind: tier, Number: c.digests, Share: d.Report.ShedRatio, Asked: d.Report.RequestRates})
 	for name := range c.opts.Peers {
 		c.peers.Send(name, b)
 	}
-	return level
+	return d.Level
 }
 
 // receive takes a message of a peer.
@@ -380,7 +380,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if _, member := c.opts.Peers[from.From]; member && c.tiers != nil {
-			c.tiers.Handle(c.opts.Clock(), loadshed.PeerReport{Peer: from.From, Incarnation: from.Incarnation, Sequence: m.Number,
+			c.tiers.Receive(c.opts.Clock(), loadshed.PeerReport{Peer: from.From, Incarnation: from.Incarnation, Sequence: m.Number,
 				Report: loadshed.Report{ShedRatio: m.Share, RequestRates: m.Asked}})
 		}
 	}
--- a/internal/cluster/loadshed/digest_test.go
+++ b/internal/cluster/loadshed/digest_test.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
+	"encoding/hex"
 	"flag"
 	"fmt"
 	"hash"
@@ -31,14 +32,14 @@
 
 // What each instance tells the others and the level of what is shed, over drawn loads of fleets, are those that the digests
 // in testdata record, to the last bit of each figure.
-func TestLevelsOfDrawnFleetsMatchTheirDigests(t *testing.T) {
+func TestFleetLevelDigests(t *testing.T) {
 	checkDigests(t, "fleets.txt", fleetSeeds, func(seed uint64, out *transcript) {
 		newFleet(seed, 1, 1+int(seed%7)).run(shortTicks, out)
 	})
 }
 
 // The same over minutes.
-func TestLevelsOverMinutesMatchTheirDigests(t *testing.T) {
+func TestLongRunLevelDigests(t *testing.T) {
 	checkDigests(t, "minutes.txt", longSeeds, func(seed uint64, out *transcript) {
 		f := newFleet(seed, 2, 1+int(seed%3))
 		if seed%2 == 0 {
@@ -101,7 +102,7 @@
 	shedding int // levels above 0
 }
 
-func (o *transcript) digest() string { return fmt.Sprintf("%x", o.sum.Sum(nil)[:8]) }
+func (o *transcript) digest() string { return hex.EncodeToString(o.sum.Sum(nil)[:8]) }
 
 func (o *transcript) level(now time.Duration, instance int, told loadshed.Report, level float64) {
 	b := binary.BigEndian.AppendUint64(o.buf[:0], uint64(now))
@@ -230,7 +231,8 @@
 		own.Shed = append(own.Shed, uint64(asked*f.cut(i, k)))
 		own.Rejected = append(own.Rejected, uint64(asked*(1-f.cut(i, k))*refused))
 	}
-	told, level := f.all[i].Handle(f.now, own)
+	decision := f.all[i].Update(f.now, own)
+	told, level := decision.Report, decision.Level
 	out.level(f.now, i, told, level)
 	f.levels[i] = level
 	if f.claims && i == 0 {
@@ -268,7 +270,7 @@
 			later = append(later, m)
 			continue
 		}
-		f.all[m.to].Handle(f.now, m.told)
+		f.all[m.to].Receive(f.now, m.told)
 	}
 	f.queue = later
 }
