--- a/config/config.go
+++ b/config/config.go
@@ -20,13 +20,13 @@
 
 // The environment's keys.
 const (
-	EnvName      = "PROXY_NAME"
-	EnvListen    = "PROXY_LISTEN"
-	EnvDiscovery = "PROXY_DISCOVERY"
-	EnvFile      = "PROXY_CONFIG"
-	EnvAdmin     = "PROXY_ADMIN_ADDR"
-	EnvPassed    = "PROXY_PASSED_SOCKET"
-	EnvState     = "TMPDIR"
+	EnvName            = "PROXY_NAME"
+	EnvListen          = "PROXY_LISTEN"
+	EnvDiscovery       = "PROXY_DISCOVERY"
+	EnvFile            = "PROXY_CONFIG"
+	EnvAdmin           = "PROXY_ADMIN_ADDR"
+	EnvInheritedSocket = "PROXY_PASSED_SOCKET"
+	EnvTempDir         = "TMPDIR"
 )
 
 // Defaults for what the configuration leaves out.
@@ -51,40 +51,40 @@
 
 // OnTheirWay is how many of the program's own descriptors connections may have that are closed and linger. As many again
 // may be accepted and not counted yet.
-const OnTheirWay = 16
+const TransientSockets = 16
 
 // Limits are what the program may use.
 type Limits struct {
-	Cores    float64
-	MemoryMB int
-	Sockets  int
-	Admin    int // of Sockets, those set aside for operators
+	Cores        float64
+	MemoryMB     int
+	Sockets      int
+	AdminSockets int // of Sockets, those set aside for operators
 }
 
-// ForClients is how many descriptors clients and their servers may take.
-func (l Limits) ForClients() int { return l.Sockets - ownSockets - l.Admin }
+// ClientSockets is how many descriptors clients and their servers may take.
+func (l Limits) ClientSockets() int { return l.Sockets - ownSockets - l.AdminSockets }
 
-// Idle is how many of these clients may take that have asked for nothing. The rest is free for those that do.
-func (l Limits) Idle() int { return l.ForClients() / 4 }
+// MaxIdleClients is how many of these clients may take that have asked for nothing. The rest is free for those that do.
+func (l Limits) MaxIdleClients() int { return l.ClientSockets() / 4 }
 
-// Connections is how many clients may be served at once: each has a connection to its server too.
-func (l Limits) Connections() int { return l.ForClients() / 2 }
+// MaxConnections is how many clients may be served at once: each has a connection to its server too.
+func (l Limits) MaxConnections() int { return l.ClientSockets() / 2 }
 
 // Config is a checked configuration.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // where operators call; empty: nowhere
-	Passed    int    // the descriptor of a listening socket that the platform holds; 0: there is none
-	State     string // a folder for what the next process should know; empty: there is none
-	Limits    Limits
-	Known     *discovery.EndpointList // the list as last held; nil: none
-	Rules     balancer.Settings
-	List      refresh.Settings
-	Node      settings.Node
-	AnswerBy  time.Duration // from a planned stop until all that waits has its answer
-	Drain     time.Duration // from a planned stop to the end
+	Name            string
+	Listen          string
+	Discovery       string
+	Admin           string // where operators call; empty: nowhere
+	InheritedSocket int    // the descriptor of a listening socket that the platform holds; 0: there is none
+	StateRoot       string // a folder for what the next process should know; empty: there is none
+	Limits          Limits
+	CachedList      *discovery.EndpointList // the list as last held; nil: none
+	Balancer        balancer.Settings
+	ListRefresh     refresh.Settings
+	Gateway         settings.Gateway
+	AnswerTimeout   time.Duration // from a planned stop until all that waits has its answer
+	DrainTimeout    time.Duration // from a planned stop to the end
 }
 
 // file is the form of the JSON.
@@ -147,38 +147,38 @@
 			return nil, err
 		}
 	}
-	if v := getenv(EnvPassed); v != "" {
+	if v := getenv(EnvInheritedSocket); v != "" {
 		fd, err := strconv.ParseUint(v, 10, 16)
 		if err != nil || fd < 3 {
-			return nil, fmt.Errorf("%s: %q is not the number of a descriptor from 3 on", EnvPassed, v)
+			return nil, fmt.Errorf("%s: %q is not the number of a descriptor from 3 on", EnvInheritedSocket, v)
 		}
-		c.Passed = int(fd)
+		c.InheritedSocket = int(fd)
 	}
-	if dir := getenv(EnvState); dir != "" {
+	if dir := getenv(EnvTempDir); dir != "" {
 		// Under the name and address, as a machine's folder for such files may serve several gateways.
-		c.State = filepath.Join(dir, "milletvane-"+plain(c.Name)+"-"+plain(c.Listen))
+		c.StateRoot = filepath.Join(dir, "milletvane-"+plain(c.Name)+"-"+plain(c.Listen))
 	}
 	c.Limits = Limits{
 		Cores: value(f.Limits.Cores, DefaultCores), MemoryMB: value(f.Limits.MemoryMB, DefaultMemoryMB),
 		Sockets: value(f.Limits.Sockets, DefaultSockets),
 	}
 	if c.Admin != "" {
-		c.Limits.Admin = adminSockets
+		c.Limits.AdminSockets = adminSockets
 	}
 	switch {
 	case !(c.Limits.Cores > 0):
 		return nil, fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
 	case c.Limits.MemoryMB < 16:
 		return nil, fmt.Errorf("limits.memory_mb: %d is under 16", c.Limits.MemoryMB)
-	case c.Limits.ForClients() < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Limits.Sockets, c.Limits.Sockets-c.Limits.ForClients()+leastSockets)
+	case c.Limits.ClientSockets() < leastSockets:
+		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Limits.Sockets, c.Limits.Sockets-c.Limits.ClientSockets()+leastSockets)
 	}
 	if given(f.Known) {
 		known, err := discovery.Parse(f.Known)
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		c.Known = known
+		c.CachedList = known
 	}
 	return c, c.settings(f)
 }
@@ -191,7 +191,7 @@
 			return fmt.Errorf("settings: %w", err)
 		}
 	}
-	set, err := pairs.Rules()
+	set, err := pairs.Balancer()
 	if err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
@@ -203,30 +203,30 @@
 	if _, err := balancer.New(*set); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.Rules = *set
-	if c.List, err = pairs.List(); err != nil {
+	c.Balancer = *set
+	if c.ListRefresh, err = pairs.ListRefresh(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
-	c.List.Seed = set.Seed
-	if c.Node, err = pairs.Node(); err != nil {
+	c.ListRefresh.Seed = set.Seed
+	if c.Gateway, err = pairs.Gateway(); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
-	if c.Node.LongestWait <= 0 {
-		c.Node.LongestWait = defaultLongestWait
+	if c.Gateway.MaxClassTimeout <= 0 {
+		c.Gateway.MaxClassTimeout = defaultLongestWait
 	}
-	c.Rules.CanPollLoad = c.Node.Probes
-	c.AnswerBy = min(c.Node.LongestWait, drainMost) + answerMore
-	c.Drain = min(c.Node.LongestWait, drainMost) + drainMore
-	if c.Node.Pass {
-		c.Drain = drainPass
+	c.Balancer.CanPollLoad = c.Gateway.CanPollLoad
+	c.AnswerTimeout = min(c.Gateway.MaxClassTimeout, drainMost) + answerMore
+	c.DrainTimeout = min(c.Gateway.MaxClassTimeout, drainMost) + drainMore
+	if c.Gateway.ConnectionsOutliveGateway {
+		c.DrainTimeout = drainPass
 	}
 	return nil
 }
 
-// FixedChanges lists the keys whose values in a new configuration are others, though they are fixed for a
+// ChangesNeedingRestart lists the keys whose values in a new configuration are others, though they are fixed for a
 // gateway's life. What the program is told anew with each start, the seed and the list, is not among them.
-func (c *Config) FixedChanges(to *Config) (keys []string) {
-	a, b, la, lb := c.Rules, to.Rules, c.List, to.List
+func (c *Config) ChangesNeedingRestart(to *Config) (keys []string) {
+	a, b, la, lb := c.Balancer, to.Balancer, c.ListRefresh, to.ListRefresh
 	a.Seed, b.Seed, la.Seed, lb.Seed = 0, 0, 0, 0
 	for _, k := range []struct {
 		key  string
@@ -236,7 +236,7 @@
 		{"listen", c.Listen == to.Listen},
 		{"admin_addr", c.Admin == to.Admin},
 		{"limits", c.Limits == to.Limits},
-		{"settings", reflect.DeepEqual(a, b) && la == lb && c.Node == to.Node},
+		{"settings", reflect.DeepEqual(a, b) && la == lb && c.Gateway == to.Gateway},
 	} {
 		if !k.same {
 			keys = append(keys, k.key)
