--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -102,8 +102,9 @@
 	limiter := s.listener.(*connLimiter)
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	if n := len(limiter.conns); n > maxConnections {
-		t.Errorf("%d connections", n)
+	const limit = 16 // package config sets 20 descriptors aside: these, the listener and files
+	if n := len(limiter.conns); n > limit {
+		t.Errorf("%d connections, want at most %d", n, limit)
 	}
 }
 
@@ -128,3 +129,32 @@
 		t.Error("a connection was accepted after Close")
 	}
 }
+
+// Close does not wait for requests in progress, even if a connection waits for one of them to end.
+func TestCloseDuringRequests(t *testing.T) {
+	s := startServer(t)
+	release := make(chan struct{})
+	defer close(release)
+	s.block = release
+	for range maxConnections - 1 {
+		c := dial(t, s.Addr(), time.Now().Add(patience))
+		if _, err := io.WriteString(c, "POST /-/servers/blocked/disable HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for calls := 0; calls < maxConnections-1; calls += len(s.takeCalls()) {
+		time.Sleep(time.Millisecond)
+	}
+	dial(t, s.Addr(), time.Now().Add(patience))
+	time.Sleep(3 * minRequestTime) // the server accepts it and finds no place
+	closed := make(chan struct{})
+	go func() {
+		defer close(closed)
+		s.Close()
+	}()
+	select {
+	case <-closed:
+	case <-time.After(patience):
+		t.Fatal("Close does not return")
+	}
+}
--- a/internal/admin/service_test.go
+++ b/internal/admin/service_test.go
@@ -24,6 +24,7 @@
 type testServer struct {
 	*Server
 	ready atomic.Bool
+	block chan struct{} // SetMaintenance of the id "blocked" returns once it is closed
 
 	mu    sync.Mutex // guards calls
 	calls []maintenanceCall
@@ -66,6 +67,8 @@
 	switch id {
 	case "unlisted":
 		return fmt.Errorf("wrapped: %w", maintenance.ErrUnknownServer)
+	case "blocked":
+		<-s.block
 	case "late":
 		return maintenance.ErrNotApplied
 	case "broken":
