--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -120,11 +120,11 @@
 		w.logger.Info("endpoint list no longer stale", "version", list.Version, "addr", w.polledAddr)
 	}
 	if w.scheduler.Accepts(list.Version, list.Complete) {
+		w.handler(list.EngineList(list.mode()))
 		if list.Complete || len(list.Endpoints) > 0 {
 			w.logger.Info("endpoint list updated", "version", list.Version, "endpoints", len(list.Endpoints),
 				"complete", list.Complete)
 		}
-		w.handler(list.EngineList(list.mode()))
 	} else {
 		w.logger.Warn("endpoint list rejected", "version", list.Version, "complete", list.Complete, "addr", w.polledAddr,
 			"reason", "older than the list held, or changes without a list to apply them to")
