--- a/config/operator/operator_test.go
+++ b/config/operator/operator_test.go
@@ -27,10 +27,10 @@
 		t.Fatal(err)
 	}
 	n := s.NATS
-	if n.Listen != "127.0.0.1:4222" || !n.Cluster || n.MoveWithin != 3*time.Second || n.MaxPayload != 1<<20 ||
-		n.Session != (Session{Class: "sesion", Key: From{What: "user"}, Wait: time.Second}) || len(n.Requests) != 2 ||
-		n.Requests[0] != (Request{"plan.get.*", "plan-diario", 800 * time.Millisecond, From{"token", 2}, 7}) ||
-		n.Requests[1].Deadline != time.Second || n.Requests[1].Key.What != "session" {
+	if n.Listen != "127.0.0.1:4222" || !n.Cluster || n.MigrationTimeout != 3*time.Second || n.MaxPayload != 1<<20 ||
+		n.Session != (Session{Class: "sesion", Key: KeySource{Kind: "user"}, Timeout: time.Second}) || len(n.Requests) != 2 ||
+		n.Requests[0] != (RequestClass{"plan.get.*", "plan-diario", 800 * time.Millisecond, KeySource{"token", 2}, 7}) ||
+		n.Requests[1].Timeout != time.Second || n.Requests[1].Key.Kind != "session" {
 		t.Errorf("read as %+v", n)
 	}
 	if s, err := Parse("op.edn", []byte("; nothing\n"), nil); err != nil || s.NATS != nil {
@@ -65,7 +65,7 @@
 	}
 	text := strings.NewReplacer("true", "1", `"3s"`, "3", "(token 2)", "(token x)").Replace(good)
 	_, err := Parse("op.edn", []byte(text), classes)
-	var f Fault
+	var f FileError
 	if !errors.As(err, &f) || strings.Count(err.Error(), "op.edn:") != 3 {
 		t.Errorf("three faults are told as %v", err)
 	}
@@ -98,10 +98,10 @@
  (tier "informe-alta") (tier "ajuste-plan" "plan-diario"))`
 	s, err := Load(write("good.edn", good), nil)
 	if err != nil || s.Cluster == nil || string(s.Cluster.Key) != "0123456789abcdef" || s.Cluster.Members["n1"] != "10.0.0.5:7946" ||
-		s.Cluster.Wait != 2*time.Second || s.Cluster.Dir != "/var/lib/x" {
+		s.Cluster.PeerTimeout != 2*time.Second || s.Cluster.Dir != "/var/lib/x" {
 		t.Fatalf("%v: %+v", err, s)
 	}
-	if by, n := s.Cluster.Ranks(); n != 3 || by["informe-alta"] != 2 || by["plan-diario"] != 1 || by["serie-hecha"] != 0 {
+	if by, n := s.Cluster.Priorities(); n != 3 || by["informe-alta"] != 2 || by["plan-diario"] != 1 || by["serie-hecha"] != 0 {
 		t.Errorf("%d ranks: %v", n, by)
 	}
 	for _, c := range []struct{ from, to, want string }{
