--- a/internal/cluster/exchange_test.go
+++ b/internal/cluster/exchange_test.go
@@ -98,7 +98,7 @@
 	clear(x.transport.sent)
 }
 
-// recover has an instance go by what it has received.
+// recover returns the list that an instance uses after what it has received.
 func (x *exchange) recover(c *Cluster) *discovery.EndpointList {
 	ctx, cancel := context.WithTimeout(x.t.Context(), 10*time.Second)
 	defer cancel()
@@ -122,7 +122,7 @@
 	}
 }
 
-// updateLoad has an instance take its counts, and notes the level that it goes by.
+// updateLoad has an instance take its counts, and notes the level that results.
 func (x *exchange) updateLoad(c *Cluster, own loadshed.LocalCounts) {
 	x.now += loadshed.ReportInterval
 	x.printf("level %s %x", x.name, math.Float64bits(c.UpdateLoad(own)))
--- a/internal/cluster/loadshed/digest_test.go
+++ b/internal/cluster/loadshed/digest_test.go
@@ -30,8 +30,8 @@
 	epoch = 1_700_000_000 * time.Second
 )
 
-// What each instance tells the others and the level of what is shed, over drawn loads of fleets, are those that the digests
-// in testdata record, to the last bit of each figure.
+// The reports and levels of all instances over drawn loads of fleets are those that the digests in testdata record, to the
+// last bit of each figure.
 func TestFleetLevelDigests(t *testing.T) {
 	checkDigests(t, "fleets.txt", fleetSeeds, func(seed uint64, out *transcript) {
 		newFleet(seed, 1, 1+int(seed%7)).run(shortTicks, out)
@@ -44,7 +44,7 @@
 		f := newFleet(seed, 2, 1+int(seed%3))
 		if seed%2 == 0 {
 			f.steady = true
-			f.bears = f.sum() / 2
+			f.capacity = f.sum() / 2
 		}
 		f.run(longTicks, out)
 	})
@@ -104,13 +104,13 @@
 
 func (o *transcript) digest() string { return hex.EncodeToString(o.sum.Sum(nil)[:8]) }
 
-func (o *transcript) level(now time.Duration, instance int, told loadshed.Report, level float64) {
+func (o *transcript) level(now time.Duration, instance int, report loadshed.Report, level float64) {
 	b := binary.BigEndian.AppendUint64(o.buf[:0], uint64(now))
 	b = binary.BigEndian.AppendUint64(b, uint64(instance))
 	b = binary.BigEndian.AppendUint64(b, math.Float64bits(level))
-	b = binary.BigEndian.AppendUint64(b, math.Float64bits(told.ShedRatio))
-	b = binary.BigEndian.AppendUint64(b, uint64(len(told.RequestRates)))
-	for _, a := range told.RequestRates {
+	b = binary.BigEndian.AppendUint64(b, math.Float64bits(report.ShedRatio))
+	b = binary.BigEndian.AppendUint64(b, uint64(len(report.RequestRates)))
+	for _, a := range report.RequestRates {
 		b = binary.BigEndian.AppendUint64(b, math.Float64bits(a))
 	}
 	o.sum.Write(b)
@@ -120,28 +120,28 @@
 	}
 }
 
-// message is a digest on its way.
+// message is a report on its way.
 type message struct {
-	at   time.Duration
-	to   int
-	told loadshed.PeerReport
+	at     time.Duration
+	to     int
+	report loadshed.PeerReport
 }
 
-// fleet is some instances in front of servers that bear so many requests a second.
+// fleet is some instances in front of servers with a common capacity.
 type fleet struct {
 	*rand.Rand
-	set    loadshed.Settings
-	all    []*loadshed.Shedder
-	levels []float64
-	lives  []uint64
-	number uint64
-	now    time.Duration
-	load   []float64 // requests a second of each rank, at each instance
-	bears  float64   // requests a second, all instances together
-	queue  []message
-	steady bool // the load stays as it is, and no instance starts anew
-	exact  bool // ticks and delays are whole multiples of a tick: bounds on time are met to the nanosecond
-	claims bool // the first instance tells others what it likes
+	set          loadshed.Settings
+	all          []*loadshed.Shedder
+	levels       []float64
+	incarnations []uint64
+	number       uint64
+	now          time.Duration
+	load         []float64 // requests a second of each priority, at each instance
+	capacity     float64   // requests a second, all instances together
+	queue        []message
+	steady       bool // the load stays as it is, and no instance starts anew
+	exact        bool // ticks and delays are whole multiples of a tick: bounds on time are met to the nanosecond
+	faulty       bool // the first instance reports wrong figures
 }
 
 func newFleet(seed, stream uint64, n int) *fleet {
@@ -150,15 +150,15 @@
 	if f.IntN(2) == 0 {
 		f.set.MinAdmittedRatio = f.Float64() / 4
 	}
-	f.exact, f.claims = f.IntN(2) == 0, n > 2 && f.IntN(3) == 0
+	f.exact, f.faulty = f.IntN(2) == 0, n > 2 && f.IntN(3) == 0
 	for range n {
-		f.all, f.levels, f.lives = append(f.all, loadshed.New(f.set)), append(f.levels, 0), append(f.lives, 1)
+		f.all, f.levels, f.incarnations = append(f.all, loadshed.New(f.set)), append(f.levels, 0), append(f.incarnations, 1)
 	}
 	f.drawLoad()
 	return f
 }
 
-// drawLoad draws what instances are asked for from now on: less than servers bear, or up to four times as much.
+// drawLoad draws the load from now on, and the capacity of the servers: from a hundredth of the load to four times as much.
 func (f *fleet) drawLoad() {
 	f.load = make([]float64, f.set.Priorities)
 	for k := range f.load {
@@ -166,10 +166,10 @@
 			f.load[k] = f.Float64() * 100
 		}
 	}
-	f.bears = f.sum() * []float64{4, 1.2, 1.04, 1, 0.95, 0.7, 0.5, 0.25, 0.01}[f.IntN(9)]
+	f.capacity = f.sum() * []float64{4, 1.2, 1.04, 1, 0.95, 0.7, 0.5, 0.25, 0.01}[f.IntN(9)]
 }
 
-// sum is what all instances together are asked for, in requests a second.
+// sum is the load of all instances together, in requests a second.
 func (f *fleet) sum() (sum float64) {
 	for _, load := range f.load {
 		sum += load * float64(len(f.all))
@@ -190,12 +190,12 @@
 			f.now += time.Duration(f.IntN(40)-20) * time.Millisecond
 		}
 		f.deliver()
-		refused := f.refused()
+		rejected := f.rejected()
 		for i := range f.all {
 			if f.IntN(150) == 0 {
 				continue // it is late by a tick
 			}
-			f.tick(i, refused, out)
+			f.tick(i, rejected, out)
 		}
 		if tick%50 == 49 {
 			f.inject()
@@ -203,45 +203,45 @@
 	}
 }
 
-// restart begins another life of an instance.
+// restart begins another incarnation of an instance.
 func (f *fleet) restart(i int) {
 	f.all[i], f.levels[i] = loadshed.New(f.set), 0
-	f.lives[i]++
+	f.incarnations[i]++
 }
 
-// refused is the part of what all instances admit that servers can't take.
-func (f *fleet) refused() float64 {
+// rejected is the ratio of what all instances admit that the servers reject.
+func (f *fleet) rejected() float64 {
 	admitted := 0.0
 	for i := range f.all {
 		for k, load := range f.load {
-			admitted += load * (1 - f.cut(i, k))
+			admitted += load * (1 - f.shedRatio(i, k))
 		}
 	}
-	return max(1-f.bears/max(admitted, 1e-9), 0)
+	return max(1-f.capacity/max(admitted, 1e-9), 0)
 }
 
-// cut is the part of a rank that an instance sheds.
-func (f *fleet) cut(i, k int) float64 { return min(max(f.levels[i]-float64(k), 0), 1) }
+// shedRatio is the ratio of a priority that an instance sheds.
+func (f *fleet) shedRatio(i, k int) float64 { return min(max(f.levels[i]-float64(k), 0), 1) }
 
-func (f *fleet) tick(i int, refused float64, out *transcript) {
-	var own loadshed.LocalCounts
+func (f *fleet) tick(i int, rejected float64, out *transcript) {
+	var counts loadshed.LocalCounts
 	for k, load := range f.load {
-		asked := load * loadshed.ReportInterval.Seconds() * (0.8 + 0.4*f.Float64())
-		own.Requests = append(own.Requests, uint64(math.Round(asked)))
-		own.Shed = append(own.Shed, uint64(asked*f.cut(i, k)))
-		own.Rejected = append(own.Rejected, uint64(asked*(1-f.cut(i, k))*refused))
+		requests := load * loadshed.ReportInterval.Seconds() * (0.8 + 0.4*f.Float64())
+		counts.Requests = append(counts.Requests, uint64(math.Round(requests)))
+		counts.Shed = append(counts.Shed, uint64(requests*f.shedRatio(i, k)))
+		counts.Rejected = append(counts.Rejected, uint64(requests*(1-f.shedRatio(i, k))*rejected))
 	}
-	decision := f.all[i].Update(f.now, own)
-	told, level := decision.Report, decision.Level
-	out.level(f.now, i, told, level)
+	decision := f.all[i].Update(f.now, counts)
+	report, level := decision.Report, decision.Level
+	out.level(f.now, i, report, level)
 	f.levels[i] = level
-	if f.claims && i == 0 {
-		told = f.claim()
+	if f.faulty && i == 0 {
+		report = f.faultyReport()
 	}
 	f.number++
 	for to := range f.all {
 		if to != i && f.IntN(20) > 0 {
-			f.send(to, loadshed.PeerReport{Peer: peerName(i), Incarnation: f.lives[i], Sequence: f.number, Report: told})
+			f.send(to, loadshed.PeerReport{Peer: peerName(i), Incarnation: f.incarnations[i], Sequence: f.number, Report: report})
 		}
 	}
 }
@@ -249,7 +249,7 @@
 func peerName(i int) string { return "p" + strconv.Itoa(i) }
 
 // send queues a message; some come late, twice, or after a later one.
-func (f *fleet) send(to int, told loadshed.PeerReport) {
+func (f *fleet) send(to int, report loadshed.PeerReport) {
 	copies := 1
 	if f.IntN(30) == 0 {
 		copies = 2
@@ -259,7 +259,7 @@
 		if !f.exact {
 			delay = time.Duration(f.IntN(300)) * time.Millisecond
 		}
-		f.queue = append(f.queue, message{f.now + delay, to, told})
+		f.queue = append(f.queue, message{f.now + delay, to, report})
 	}
 }
 
@@ -270,13 +270,13 @@
 			later = append(later, m)
 			continue
 		}
-		f.all[m.to].Receive(f.now, m.told)
+		f.all[m.to].Receive(f.now, m.report)
 	}
 	f.queue = later
 }
 
-// claim is a digest that nothing bears out, or none at all.
-func (f *fleet) claim() loadshed.Report {
+// faultyReport is a report of wrong figures, or an invalid one.
+func (f *fleet) faultyReport() loadshed.Report {
 	d := loadshed.Report{ShedRatio: f.Float64()}
 	for range f.set.Priorities {
 		d.RequestRates = append(d.RequestRates, f.Float64()*1e6)
@@ -306,17 +306,17 @@
 	return d
 }
 
-// inject has an instance receive what is older than the rest: an earlier life of a peer, or an earlier number.
+// inject has an instance receive what is older than the rest: an earlier incarnation of a peer, or an earlier number.
 func (f *fleet) inject() {
 	to, from := f.IntN(len(f.all)), f.IntN(len(f.all))
-	life, number := f.lives[from], f.number
+	incarnation, number := f.incarnations[from], f.number
 	switch f.IntN(4) {
 	case 0:
-		life--
+		incarnation--
 	case 1:
 		number = uint64(f.IntN(int(f.number) + 1))
 	case 2:
 		number -= min(number, uint64(len(f.all)))
 	}
-	f.send(to, loadshed.PeerReport{Peer: peerName(from), Incarnation: life, Sequence: number, Report: f.claim()})
+	f.send(to, loadshed.PeerReport{Peer: peerName(from), Incarnation: incarnation, Sequence: number, Report: f.faultyReport()})
 }
--- a/internal/cluster/loadshed/loadshed_test.go
+++ b/internal/cluster/loadshed/loadshed_test.go
@@ -35,7 +35,7 @@
 // demand is a rate of requests a second, by priority.
 type demand [priorities]float64
 
-// overload is three times what the servers of these tests bear, at each instance.
+// overload is three times the capacity of these tests, at each instance.
 var overload = demand{80, 70, 30}
 
 // simulation is a fleet in front of servers with a common capacity. What is admitted beyond it is rejected, whatever its
