--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"slices"
@@ -28,10 +27,12 @@
 	fewFlows            = 2
 )
 
-var failures = []balancer.Result{balancer.Errored, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed, balancer.ConnectFailed, balancer.Reset}
+var failures = []balancer.Result{
+	balancer.Errored, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed, balancer.ConnectFailed, balancer.Reset,
+}
 
-// simulation draws what surrounds an engine, and records what the engine does to it. All of it runs in one goroutine on a
-// clock of its own.
+// simulation draws what surrounds an engine, and records what the engine does to it. All of it runs in one goroutine
+// on a clock of its own.
 type simulation struct {
 	t          *testing.T
 	random     *rand.Rand
@@ -74,10 +75,11 @@
 	load     float64 // that it reports
 }
 
-// predecessor is the process before, whose connections the engine takes over. The engine gives these up in the order of a
-// map, and with that its slots, whose order decides all that follows. So that this is no matter of chance, the simulation
-// takes at most one connection at a time out of the predecessor's state, and repeats the state before it would be given
-// up as old. Only at the end of a seed, where nothing depends on the order any more, all are given up at once.
+// predecessor is the process before, whose connections the engine takes over. The engine gives these up in the order
+// of a map, and with that its slots, whose order decides all that follows. So that this is no matter of chance, the
+// simulation takes at most one connection at a time out of the predecessor's state, and repeats the state before it
+// would be given up as old. Only at the end of a seed, where nothing depends on the order any more, all are given up
+// at once.
 type predecessor struct {
 	flows   []engine.Flow
 	learned balancer.Snapshot
@@ -86,7 +88,12 @@
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	t.Helper()
-	s := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 0x6d696c6c6574)), transcript: newTranscript(), now: startOfClock}
+	s := &simulation{
+		t:          t,
+		random:     rand.New(rand.NewPCG(seed, 0x6d696c6c6574)),
+		transcript: newTranscript(),
+		now:        startOfClock,
+	}
 	s.log = &logRecorder{transcript: s.transcript, counts: map[slog.Level]int{}}
 	s.isListed, s.tellsBacklog = !s.oneIn(12), s.oneIn(4)
 	s.drawServers()
@@ -125,12 +132,21 @@
 		Seed:     s.random.Uint64(),
 		Gateways: 1 + s.random.IntN(4),
 		Classes: []balancer.Class{
-			{Name: "interactive", Idempotency: balancer.Idempotent, PriorityWeight: 4, SetupLatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond},
-			{Name: "bulk", Idempotency: balancer.WithIdempotencyKey, DedupScope: pick(s, balancer.DedupScopeAll, balancer.DedupScopeZone, balancer.DedupScopeCell),
-				DedupWindow: s.between(100*time.Millisecond, 2*time.Second), Timeout: pick(s, 0, 2*time.Second)},
+			{
+				Name: "interactive", Idempotency: balancer.Idempotent, PriorityWeight: 4,
+				SetupLatencyObjective: 300 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond,
+			},
+			{
+				Name: "bulk", Idempotency: balancer.WithIdempotencyKey,
+				DedupScope:  pick(s, balancer.DedupScopeAll, balancer.DedupScopeZone, balancer.DedupScopeCell),
+				DedupWindow: s.between(100*time.Millisecond, 2*time.Second), Timeout: pick(s, 0, 2*time.Second),
+			},
 			{Name: "strict", Idempotency: balancer.NonIdempotent, PriorityWeight: 2},
 		},
-		Tenants:               []balancer.Tenant{{Name: "tenant-1", ConnectionQuota: pick(s, 0.0, 2, 20)}, {Name: "tenant-2"}},
+		Tenants: []balancer.Tenant{
+			{Name: "tenant-1", ConnectionQuota: pick(s, 0.0, 2, 20)},
+			{Name: "tenant-2"},
+		},
 		OverQuotaWeightFactor: pick(s, 0, 0.25),
 		MaxAttempts:           1 + s.random.IntN(4),
 		FlowRetention:         pick(s, 0, 2*time.Second, 6*time.Second),
@@ -342,385 +358,6 @@
 	s.transcript.step("over")
 }
 
-// Clients.
-
-func (s *simulation) newClient() *client {
-	s.nextClient++
-	if s.oneIn(3) {
-		m := &movableClient{client{simulation: s, number: s.nextClient}}
-		m.self = m
-		s.clients = append(s.clients, &m.client)
-		return &m.client
-	}
-	c := &client{simulation: s, number: s.nextClient}
-	c.self = c
-	s.clients = append(s.clients, c)
-	return c
-}
-
-func (s *simulation) accept() *client {
-	c := s.newClient()
-	event := engine.ClientConnected{Client: c.self}
-	if s.oneIn(2) {
-		event.Done = func() { s.transcript.call("done", field{"client", c.number}) }
-	}
-	s.handle("accepted", event)
-	return c
-}
-
-func (s *simulation) arrive(c *client) {
-	if c.gone && !s.oneIn(4) { // a line may cross the close
-		return
-	}
-	c.hasRequest = true
-	s.handle("arrived", engine.RequestReceived{Client: c.self, Request: s.drawRequest()})
-}
-
-// arriveLate brings the request of a client that was accepted some time ago, or seldom a second one.
-func (s *simulation) arriveLate() {
-	s.withClient(func(c *client) {
-		if !c.hasRequest || s.oneIn(6) {
-			s.arrive(c)
-		}
-	})
-}
-
-func (s *simulation) ask() {
-	c := s.newClient()
-	c.hasRequest, c.answerOnly = true, true
-	s.handle("asked", engine.UnaryRequestReceived{Client: c.self, Request: s.drawRequest()})
-}
-
-func (s *simulation) alive() {
-	s.withClient(func(c *client) { s.handle("alive", engine.ClientActive{Client: c.self}) })
-}
-
-func (s *simulation) leave(c *client) {
-	c.gone = true
-	s.handle("left", engine.ClientDisconnected{Client: c.self})
-}
-
-func (s *simulation) reject() {
-	s.withClient(func(c *client) {
-		c.gone = true
-		s.handle("rejected", engine.ProtocolViolated{Client: c.self})
-	})
-}
-
-// withClient draws one of the clients that are there, if there is one. One that has gone is drawn seldom.
-func (s *simulation) withClient(use func(*client)) {
-	if !s.oneIn(30) {
-		s.clients = slices.DeleteFunc(s.clients, func(c *client) bool { return c.gone })
-	}
-	if len(s.clients) > 0 {
-		use(s.clients[s.random.IntN(len(s.clients))])
-	}
-}
-
-func (s *simulation) drawRequest() engine.Request {
-	s.nextRequest++
-	q := engine.Request{
-		ID:           pick(s, "", fmt.Sprint("request-", s.nextRequest), fmt.Sprint("request-", max(1, s.nextRequest-s.random.IntN(12)))),
-		Class:        pick(s, "interactive", "interactive", "bulk", "bulk", "strict"),
-		Tenant:       pick(s, "", "tenant-1", "tenant-2"),
-		Key:          fmt.Sprint("key-", s.random.IntN(40)),
-		Group:        pick(s, "", "", fmt.Sprint("group-", s.random.IntN(4))),
-		Timeout:      pick(s, 0, time.Millisecond, 30*time.Millisecond, 300*time.Millisecond, time.Second, 3*time.Second, 10*time.Second),
-		Load:         pick(s, 0.0, 0, 50, 200, 1000, 20000), // whole numbers: sums of them are exact in any order
-		Reconnecting: s.oneIn(7),
-		MidFlow:      s.oneIn(10),
-	}
-	switch s.random.IntN(30) {
-	case 0, 1:
-		q.Class = "unlisted class"
-	case 2:
-		q.Key = ""
-	case 3, 4:
-		q.Owner = s.serverName(1 + s.random.IntN(serversDrawn+1))
-	}
-	if flows := s.predecessor.flows; len(flows) > 0 && (q.MidFlow || s.oneIn(10)) {
-		q.ID = flows[s.random.IntN(len(flows))].ID
-		q.MidFlow = !s.oneIn(5)
-	}
-	return q
-}
-
-// Attempts.
-
-// establish has an attempt's connection stand. The event may come a little later than that.
-func (s *simulation) establish(a *attempt) {
-	if a.abandoned {
-		return
-	}
-	a.established = true
-	elapsed := s.now - a.sentAt
-	s.after(s.drawCrossing(), func() {
-		s.handle("up", engine.AttemptEstablished{RequestID: a.sent.RequestID, Number: a.sent.Number, Elapsed: elapsed})
-		s.after(s.between(100*time.Millisecond, 12*time.Second), func() { s.endEstablished(a) })
-		if s.oneIn(3) {
-			s.after(s.between(0, 3*time.Second), func() { a.waitingFrom = s.now })
-		}
-	})
-}
-
-// drawCrossing is how long an event is on its way.
-func (s *simulation) drawCrossing() time.Duration {
-	return pick(s, 0, 0, 0, 0, 5*time.Millisecond, 80*time.Millisecond, time.Second, 2*time.Second)
-}
-
-// end ends an attempt that is out.
-func (s *simulation) end(a *attempt, result balancer.Result) {
-	if a.abandoned || a.ended {
-		return
-	}
-	a.ended = true
-	s.after(s.drawCrossing(), func() { s.handleEnded(a, result) })
-}
-
-func (s *simulation) endEstablished(a *attempt) {
-	a.ended = true
-	s.handleEnded(a, pick(s, balancer.OK, balancer.OK, balancer.Reset, balancer.Cancelled, balancer.Errored))
-}
-
-func (s *simulation) handleEnded(a *attempt, result balancer.Result) {
-	s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: a.sent.Number, Result: result})
-}
-
-// withEstablished draws one of the latest attempts that are established, if there is one.
-func (s *simulation) withEstablished(use func(*attempt)) {
-	var established []*attempt
-	for _, a := range s.attempts[max(0, len(s.attempts)-60):] {
-		if a.established && !a.ended {
-			established = append(established, a)
-		}
-	}
-	if len(established) > 0 {
-		use(established[s.random.IntN(len(established))])
-	}
-}
-
-func (s *simulation) serverLeaving() {
-	s.withEstablished(func(a *attempt) { s.handle("leaving", engine.ServerDraining{RequestID: a.sent.RequestID}) })
-}
-
-func (s *simulation) load() {
-	s.withEstablished(func(a *attempt) {
-		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: float64(s.random.IntN(5000))})
-	})
-}
-
-func (s *simulation) answered() {
-	s.withEstablished(func(a *attempt) {
-		a.waitingFrom = 0
-		s.handle("answered", engine.MessageAnswered{RequestID: a.sent.RequestID, Delay: pick(s,
-			s.between(0, 30*time.Millisecond), s.between(0, 30*time.Millisecond), s.between(0, 400*time.Millisecond))})
-	})
-}
-
-// stale brings an event of an attempt that may be long over.
-func (s *simulation) stale() {
-	if len(s.attempts) == 0 {
-		return
-	}
-	a := s.attempts[s.random.IntN(len(s.attempts))]
-	number := a.sent.Number + s.random.IntN(2)
-	switch s.random.IntN(4) {
-	case 0:
-		if a.established || a.abandoned {
-			s.handle("up", engine.AttemptEstablished{RequestID: a.sent.RequestID, Number: number})
-		}
-	case 1:
-		a.ended = true
-		s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: number, Result: balancer.Reset})
-	case 2:
-		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: 7})
-	case 3:
-		s.handle("answered", engine.MessageAnswered{RequestID: a.sent.RequestID, Delay: time.Second})
-	}
-}
-
-// Servers.
-
-func (s *simulation) serverName(id int) string { return fmt.Sprint("server-", id) }
-
-func (s *simulation) entry(l listedServer) engine.Server {
-	return engine.Server{Name: s.serverName(l.id), Addr: fmt.Sprintf("addr-%d-%d", l.id, l.addr), Server: balancer.Server{
-		ID: balancer.ServerID(l.id), Zone: fmt.Sprint("zone-", l.id%2), Cell: l.id % 3, State: l.state, Capacity: l.capacity,
-		Started: l.started,
-	}}
-}
-
-// list brings a whole list: those that are gone may be listed as such, or left out.
-func (s *simulation) list(mode balancer.ListMode) {
-	event := engine.EndpointList{Mode: mode, Version: int64(s.random.IntN(50))}
-	if !s.oneIn(8) {
-		for _, l := range s.servers {
-			if l.state != balancer.Removed && !s.oneIn(10) || l.state == balancer.Removed && s.oneIn(4) {
-				event.Servers = append(event.Servers, s.entry(l))
-			}
-		}
-	}
-	s.handleList(event)
-}
-
-func (s *simulation) handleList(event engine.EndpointList) {
-	if s.isListed {
-		s.handle("list", event)
-	}
-}
-
-// changeServer changes one or two servers and lists what has changed.
-func (s *simulation) changeServer() {
-	event := engine.EndpointList{Mode: balancer.ListDelta}
-	for range 1 + s.random.IntN(2) {
-		l := &s.servers[s.random.IntN(serversDrawn)]
-		switch s.random.IntN(6) {
-		case 0, 1, 2:
-			l.state = balancer.Ready
-		case 3:
-			l.state = balancer.Draining
-		case 4:
-			l.state = balancer.Removed
-		case 5:
-			l.started, l.addr = s.drawStart(), s.random.IntN(5)
-		}
-		event.Servers = append(event.Servers, s.entry(*l))
-	}
-	if s.oneIn(10) { // another server under a number that is taken
-		twin := s.entry(s.servers[s.random.IntN(serversDrawn)])
-		twin.Name = "twin"
-		event.Servers = append(event.Servers, twin)
-	}
-	s.handleList(event)
-}
-
-// report brings a server's report of its load, which changes now and then.
-func (s *simulation) report(server balancer.ServerID) {
-	report := engine.LoadReport{Utilization: s.drawLoad(), HasUtilization: !s.oneIn(10)}
-	if i := int(server) - 1; i < len(s.servers) {
-		if s.oneIn(25) {
-			s.servers[i].load = s.drawLoad()
-		}
-		report.Utilization = s.servers[i].load
-	}
-	if s.oneIn(2) {
-		report.Connections = float64(s.random.IntN(60))
-	}
-	if s.tellsBacklog && s.oneIn(2) {
-		report.Backlog, report.HasBacklog = s.between(0, 200*time.Millisecond), true
-	}
-	s.handle("probed", engine.LoadReported{Server: server, Report: report})
-}
-
-func (s *simulation) ban() {
-	id := 1 + s.random.IntN(serversDrawn+1)
-	event := engine.MaintenanceChanged{Name: s.serverName(id), InMaintenance: s.oneIn(2)}
-	if !s.oneIn(3) {
-		event.Done = func() { s.transcript.call("done", field{"banned", id}) }
-	}
-	s.handle("banned", event)
-	if event.InMaintenance {
-		s.after(s.between(0, 3*time.Second), func() {
-			s.handle("banned", engine.MaintenanceChanged{Name: s.serverName(id)})
-		})
-	}
-}
-
-func (s *simulation) shed() {
-	s.handle("shed", engine.FleetShedLevel{Level: pick(s, 0, 0, 0.5, 1.25)})
-}
-
-// Processes.
-
-func (s *simulation) stop() {
-	s.isStopping = true
-	s.handle("stop", engine.Shutdown{})
-	if s.oneIn(3) {
-		s.handle("stop", engine.Shutdown{}) // it is told once
-	}
-}
-
-// tell asks for the state, and records each field of it.
-func (s *simulation) tell() {
-	s.handle("tell", engine.StateRequested{Deliver: func(state engine.State) {
-		s.predecessor.learned = state.Balancer
-		s.transcript.call("state", field{"version", state.Version})
-		for _, e := range state.Servers {
-			s.transcript.call("state server", field{"name", e.Name}, field{"addr", e.Addr}, field{"id", int(e.ID)}, field{"zone", e.Zone},
-				field{"cell", e.Cell}, field{"state", int(e.State)}, field{"capacity", e.Capacity}, field{"started", e.Started},
-				field{"clear", e.Evacuate})
-		}
-		for _, f := range state.Flows {
-			s.transcript.call("state flow", field{"id", f.ID}, field{"class", f.Class}, field{"key", f.Key}, field{"group", f.Group},
-				field{"server", f.Server}, field{"load", f.Load})
-		}
-		s.recordLearned(state.Balancer)
-	}})
-}
-
-func (s *simulation) recordLearned(l balancer.Snapshot) {
-	s.transcript.call("learned", field{"load", l.MeanLoad.Value}, field{"weight", l.MeanLoad.Weight}, field{"bears", l.ConnectionCapacity.Value},
-		field{"weight", l.ConnectionCapacity.Weight})
-	for _, c := range l.ClassLoads {
-		s.transcript.call("learned class", field{"load", c.Value}, field{"weight", c.Weight})
-	}
-	for _, k := range l.Servers {
-		s.transcript.call("learned server", field{"id", int(k.ID)}, field{"started", k.Started}, field{"limit", k.LoadLimit},
-			field{"cut at", k.LimitLoweredAt}, field{"paused until", k.PausedUntil}, field{"ejected", k.EjectedUntil},
-			field{"ejections", k.Ejections}, field{"strikes", k.FailureScore}, field{"strikes at", k.FailureScoreAt})
-	}
-}
-
-// inherit brings the state of the process before: at first with all its connections, then with one less now and then.
-func (s *simulation) inherit() {
-	p := &s.predecessor
-	event := engine.PredecessorState{First: !p.isKnown}
-	if !p.isKnown {
-		s.drawFlows()
-		event.State.Balancer = p.learned
-	} else if len(p.flows) > 0 && s.oneIn(2) {
-		i := s.random.IntN(len(p.flows))
-		p.flows = slices.Delete(slices.Clone(p.flows), i, i+1)
-	}
-	s.handleInherit(event)
-	if event.First {
-		s.refreshPredecessor()
-	}
-}
-
-func (s *simulation) drawFlows() {
-	p := &s.predecessor
-	p.isKnown = true
-	most := fewFlows
-	if s.options.MaxSockets >= socketsForManyFlows {
-		most = manyFlows
-	}
-	for i := range 1 + s.random.IntN(most) {
-		p.flows = append(p.flows, engine.Flow{
-			ID: fmt.Sprint("flow-", i), Class: pick(s, "interactive", "bulk"), Key: fmt.Sprint("key-", s.random.IntN(40)),
-			Group: pick(s, "", "group-1"), Server: s.serverName(1 + s.random.IntN(serversDrawn)), Load: pick(s, 0.0, 300),
-		})
-	}
-	if len(p.flows) > 0 && s.oneIn(10) {
-		p.flows[0].ID = ""
-	}
-}
-
-func (s *simulation) handleInherit(event engine.PredecessorState) {
-	event.State.Flows = slices.Clone(s.predecessor.flows)
-	s.handle("inherit", event)
-}
-
-// refreshPredecessor repeats the state of the process before while it has more than one connection.
-func (s *simulation) refreshPredecessor() {
-	s.after(refreshBefore, func() {
-		if len(s.predecessor.flows) > 1 {
-			s.handleInherit(engine.PredecessorState{})
-			s.refreshPredecessor()
-		}
-	})
-}
-
 // Chance.
 
 func (s *simulation) between(low, high time.Duration) time.Duration {
--- a/internal/engine/digest_test.go
+++ b/internal/engine/digest_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// The tests in this file hold the engine to its behaviour, call by call. For each seed a simulation draws options, settings
-// and a stream of events, and everything that the engine does to its clients, attempts and prober goes into a transcript
-// with all arguments. The digests of the transcripts stand in testdata. A change that only moves or renames code leaves
-// them as they are; one that is meant to change behaviour writes them anew with
+// The tests in this file hold the engine to its behaviour, call by call. For each seed a simulation draws options,
+// settings and a stream of events, and everything that the engine does to its clients, attempts and prober goes into
+// a transcript with all arguments. The digests of the transcripts stand in testdata. A change that only moves or
+// renames code leaves them as they are; one that is meant to change behaviour writes them anew with
 //
 //	go test ./internal/engine -run TestEventStreamDigests -update
 //
@@ -59,7 +59,8 @@
 	}
 }
 
-// TestEventStreamDigestsAreStable runs some seeds again: a transcript that depends on chance would make a poor reference.
+// TestEventStreamDigestsAreStable runs some seeds again: a transcript that depends on chance would make a poor
+// reference.
 func TestEventStreamDigestsAreStable(t *testing.T) {
 	for seed := uint64(0); seed < digestSeeds; seed += 12 {
 		first, second := newSimulation(t, seed), newSimulation(t, seed)
@@ -105,7 +106,8 @@
 }
 
 // transcript is the canonical text of what an engine did: one line for each call that it made, between lines that say
-// which event it was given and how it stood after that. Its words belong to the test, and stay as the code's names change.
+// which event it was given and how it stood after that. Its words belong to the test, and stay as the code's names
+// change.
 type transcript struct {
 	hash   hash.Hash
 	line   []byte
@@ -149,8 +151,8 @@
 	t.hash.Write(t.line)
 }
 
-// sortForgets sorts each run of calls of Forget: the engine forgets the servers that a whole list leaves out in the order
-// of a map, which is chance. It is the only order of calls that the transcript gives up.
+// sortForgets sorts each run of calls of Forget: the engine forgets the servers that a whole list leaves out in the
+// order of a map, which is chance. It is the only order of calls that the transcript gives up.
 func (t *transcript) sortForgets() {
 	for start := 0; start < len(t.calls); start++ {
 		end := start
@@ -174,8 +176,8 @@
 	return b
 }
 
-// appendValue writes a value by its kind alone, not by its type's name. A sum's last digits may depend on the order in which
-// it was rounded, so figures are written without them.
+// appendValue writes a value by its kind alone, not by its type's name. A sum's last digits may depend on the order
+// in which it was rounded, so figures are written without them.
 func appendValue(b []byte, value any) []byte {
 	const digits = 9
 	switch v := value.(type) {
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -6,315 +6,214 @@
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/metrics"
 	"example.org/milletvane/internal/slotmap"
-	"example.org/milletvane/internal/timerqueue"
 )
 
+// Request is what a client asks for.
+type Request struct {
+	ID           string // the client's name for it, which no other open connection has; empty: none
+	Class        string
+	Tenant       string
+	Key          string        // of the client, for placement; empty: none
+	Group        string        // of clients that are placed together; empty: none
+	Timeout      time.Duration // that the client waits for its answer; 0: Options.DefaultTimeout
+	Load         float64       // in microseconds of work a second; 0: unknown
+	Reconnecting bool          // its client had a connection that broke or was migrated
+	MidFlow      bool          // these are packets of a connection that some server already holds
+	Owner        string        // the server that holds the connection since before this gateway started; empty: none
+}
+
+// phase is how far a request has come.
 type phase uint8
 
 const (
-	opening   phase = iota // has asked for nothing
-	waiting                // its final answer is owed
-	open                   // stands at a server
-	leaving                // is being told to move; the rules know it no more
-	inherited              // stands at the process before; only its server and its load are known
+	idle        phase = iota // its client is connected and has sent no request
+	pending                  // its final answer is owed
+	established              // it has a connection to a server
+	migrating                // its client was asked to leave; for the balancer it has ended
+	adoptable                // the process before holds its connection; only its server and its load are known
 )
 
+// request is a client with what it asked for, or a connection that the process before holds.
 type request struct {
-	id     slotmap.Handle
-	name   string // as its client calls it; empty: nothing
-	client Client
-	phase  phase
-	flow   Flow                   // what the process that follows must know of it
-	load   float64                // as last told
-	class  *metrics.ClassCounters // where its answer is counted, once it has asked
-	rank   int                    // of its tier
-
-	carried  bool
-	deadline time.Duration
-	answer   *timerqueue.Timer[due] // the end of its opening, or of its wait
-	attempts int
-	link     ActiveAttempt // the attempt that is out or open
-	server   balancer.ServerID
-	sent     time.Duration
-	timeout  *timerqueue.Timer[due]
-}
-
-func (e *Engine) rearm(it **timerqueue.Timer[due], at time.Duration, d due) {
-	e.deadlines.Remove(*it)
-	*it = e.deadlines.Add(at, d)
-}
-
-func (e *Engine) of(c Client) *request {
-	r, _ := e.requests.Get(c.Handle().id)
-	return r
-}
-
-// free gives up a slot and all that hangs on it.
-func (e *Engine) free(r *request) {
-	e.deadlines.Remove(r.answer)
-	e.deadlines.Remove(r.timeout)
-	e.requests.Remove(r.id)
-	if r.phase == opening {
-		e.openings--
-	}
-	e.countTaken()
-	if e.named[r.name] == r.id {
-		delete(e.named, r.name)
-	}
-}
-
-// countTaken reports how many requests are waiting and connections are open.
-func (e *Engine) countTaken() {
-	e.opts.Metrics.Outstanding.Store(int64(e.requests.Len() - e.openings - len(e.heirs)))
-}
-
-// close ends a connection that has asked for nothing.
-func (e *Engine) close(r *request) {
-	e.counts.closed++
-	r.client.Close()
-	e.free(r)
-}
-
-// room makes room for one more socket where there is none left: the connection that has been idle for longest
-// without a request makes place, if need be. It guards against clients that connect by hundreds and say
-// nothing, which else would keep out all others. What a client asked for is never given up for it. A new
-// client has besides nil; else it is the one that now asks for something.
-func (e *Engine) room(besides *request) bool {
-	tooIdle := besides == nil && e.opts.MaxIdleClients > 0 && e.openings >= e.opts.MaxIdleClients
-	if 2*e.requests.Len()-e.openings < e.opts.MaxSockets && !tooIdle {
-		return true
-	}
-	var oldest *request
-	if e.openings > 0 {
-		e.requests.All(func(_ slotmap.Handle, r *request) bool {
-			if r.phase == opening && r != besides && (oldest == nil || r.answer.At() < oldest.answer.At()) {
-				oldest = r
-			}
-			return true
-		})
+	handle   slotmap.Handle
+	clientID string // the client's name for it; empty: none
+	client   Client // nil while adoptable
+	phase    phase
+	flow     Flow    // what the next process has to know of it
+	load     float64 // as last reported
+	counters *metrics.ClassCounters
+	priority int
+
+	isSticky    bool // it belongs to the server that its client named, and goes nowhere else
+	deadline    time.Duration
+	answerTimer requestTimer // the end of its time: while idle, for its answer, or for its migration
+
+	attempts     int           // started so far
+	attempt      ActiveAttempt // the one that is pending or established; nil: none
+	server       balancer.ServerID
+	sentAt       time.Duration
+	attemptTimer requestTimer
+}
+
+func (r *request) id() balancer.RequestID { return balancer.RequestID(r.handle) }
+
+// attemptNumber is that of the last attempt started, counted from 0.
+func (r *request) attemptNumber() int { return r.attempts - 1 }
+
+func (e *Engine) onRequestReceived(ev RequestReceived) {
+	r := e.requestOf(ev.Client)
+	if r == nil || r.phase != idle {
+		return
 	}
-	if oldest == nil {
-		return false
+	r.counters = e.countersOf(ev.Request.Class)
+	switch {
+	case !e.requests.canServe(ev.Request):
+		e.failInvalid(r)
+	case !e.ensureServerSocket(r):
+		e.reject(r, e.options.RetryAfter)
+	default:
+		e.admitRequest(r, ev.Request)
 	}
-	e.close(oldest)
-	return true
 }
 
-func (e *Engine) onAccepted(c Client) {
-	if e.stage >= closing || !e.room(nil) {
-		e.counts.refused++
-		c.Reject(e.opts.RetryAfter)
+// onUnaryRequestReceived takes a request that comes together with its client. A socket is ensured here and, once
+// more, where the client is admitted: while the connections of the process before take more sockets than there are,
+// each time closes one idle client.
+func (e *Engine) onUnaryRequestReceived(ev UnaryRequestReceived) {
+	if !e.ensureClientSocket() {
+		e.rejectUnadmitted(ev.Client)
 		return
 	}
-	r := &request{client: c}
-	r.id, _ = e.requests.Insert(r) // there is a slot for each socket
-	e.openings++
-	c.Handle().id = r.id
-	r.answer = e.deadlines.Add(e.now+openingFor, due{kind: dueOpening, id: r.id})
+	e.admitClient(ev.Client)
+	e.onRequestReceived(RequestReceived(ev))
 }
 
-func (e *Engine) onArrived(ev RequestReceived) {
-	r := e.of(ev.Client)
-	if r == nil || r.phase != opening {
-		return
-	}
-	q := ev.Request
-	if r.class = e.opts.Metrics.Class(q.Class); r.class == nil {
-		r.class = &e.unnamed
-	}
-	if !e.usable(q) {
-		e.counts.rejected++
-		r.class.Aborted.Add(1)
-		r.client.Fail()
-		e.free(r)
-		return
-	}
-	if !e.room(r) { // for its server's side
-		e.counts.refused++
-		r.class.Declined.Add(1)
-		r.client.Reject(e.opts.RetryAfter)
-		e.free(r)
-		return
-	}
-	e.counts.taken++
-	if !e.listed && !e.toldNoList {
-		e.toldNoList = true
-		e.opts.Logger.Warn("no list of servers has come, requests wait or are refused")
-	}
-	if q.ID != "" {
-		r.name, e.named[q.ID] = q.ID, r.id
-	}
-	e.openings--
-	e.countTaken()
-	if q.Timeout <= 0 {
-		q.Timeout = e.opts.DefaultTimeout
-	}
-	if e.stage > serving { // nothing may be owed when the platform ends the program
-		q.Timeout = min(q.Timeout, max(e.answerBy-e.now, lateWait))
-	}
-	r.phase, r.deadline = waiting, e.now+q.Timeout
-	req := balancer.Request{
-		ID: balancer.RequestID(r.id), Class: q.Class, Tenant: q.Tenant, Key: q.Key, Group: q.Group,
-		Timeout: q.Timeout, Load: q.Load, Reconnecting: q.Reconnecting, MidFlow: q.MidFlow,
-	}
-	if e.opts.PriorityOf != nil {
-		req.Priority = e.opts.PriorityOf(q.Class, q.Tenant)
-	}
-	if r.rank = req.Priority; !q.MidFlow && q.Owner == "" {
-		e.opts.PriorityCounters.AddOffered(r.rank)
-	}
+// admitRequest has an idle client's request served.
+func (e *Engine) admitRequest(r *request, q Request) {
+	e.statistics.admitted++
+	e.warnWithoutEndpoints()
+	e.requests.activate(r, q.ID)
+	e.updateOutstanding()
+	q.Timeout = e.requestTimeout(q)
+	r.phase, r.deadline = pending, e.now+q.Timeout
 	r.flow, r.load = Flow{Class: q.Class, Key: q.Key, Group: q.Group}, q.Load
+	event := e.balancerRequest(r, q)
+	r.priority = event.Priority
+	if !q.MidFlow && q.Owner == "" {
+		e.options.PriorityCounters.AddOffered(r.priority)
+	}
 	if q.MidFlow {
-		req.Owner, req.OwnerKnown = e.claim(q.ID)
+		event.Owner, event.OwnerKnown = e.claimAdopted(q.ID)
 	}
 	if q.Owner != "" {
-		e.carry(r, req, q.Owner)
+		e.resumeAtOwner(r, event, q.Owner)
 		return
 	}
-	e.rearm(&r.answer, r.deadline+e.opts.AnswerGrace, due{kind: dueAnswer, id: r.id})
-	e.tell(req)
+	e.resetTimer(&r.answerTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
+	e.notify(event)
 }
 
-// onAsked takes a request that comes with its client.
-func (e *Engine) onAsked(ev UnaryRequestReceived) {
-	if !e.room(nil) {
-		e.counts.refused++
-		ev.Client.Reject(e.opts.RetryAfter)
-		return
+// requestTimeout is the time that a request is given. In a shutdown no answer may be owed when the platform ends the
+// program.
+func (e *Engine) requestTimeout(q Request) time.Duration {
+	timeout := q.Timeout
+	if timeout <= 0 {
+		timeout = e.options.DefaultTimeout
 	}
-	e.onAccepted(ev.Client)
-	e.onArrived(RequestReceived(ev))
-}
-
-// usable reports whether a request can be served. No server is shown one that it cannot use: what a server
-// turns away, or closes on, would count against it though it is sound. One whose client's name for it is taken
-// by an open one would be taken for that; only an open connection's packets come under their old name.
-func (e *Engine) usable(q Request) bool {
-	if len(e.classes) > 0 && !e.classes[q.Class] {
-		return false
+	if e.shutdown.stage > serving {
+		timeout = min(timeout, max(e.shutdown.answerDeadline-e.now, lateRequestTimeout))
 	}
-	_, taken := e.named[q.ID]
-	return !taken || q.MidFlow
+	return timeout
 }
 
-// carry takes up a connection that is open at a server since before this gateway ran. There is nothing to
-// decide: the line goes to that server, and the rules are told whom it holds.
-func (e *Engine) carry(r *request, req balancer.Request, at string) {
-	id, known := e.names[at]
-	r.carried, r.deadline = true, max(r.deadline, e.now+carriedFor)
-	e.rearm(&r.answer, r.deadline+e.opts.AnswerGrace, due{kind: dueAnswer, id: r.id})
-	if !known {
-		e.opts.Logger.Warn("connection from before the run at an unlisted server", "server", at)
-		e.fail(r)
-		return
+// balancerRequest is a request as the balancer gets to know it.
+func (e *Engine) balancerRequest(r *request, q Request) balancer.Request {
+	event := balancer.Request{
+		ID:           r.id(),
+		Class:        q.Class,
+		Tenant:       q.Tenant,
+		Key:          q.Key,
+		Group:        q.Group,
+		Timeout:      q.Timeout,
+		Load:         q.Load,
+		Reconnecting: q.Reconnecting,
+		MidFlow:      q.MidFlow,
+	}
+	if e.options.PriorityOf != nil {
+		event.Priority = e.options.PriorityOf(q.Class, q.Tenant)
 	}
-	e.tell(balancer.AdoptedConnection{Request: req, Server: id})
-	e.send(r, id, r.deadline-e.now, 0)
+	return event
 }
 
-// fail gives a final answer that promises nothing.
-func (e *Engine) fail(r *request) {
-	e.counts.failed++
-	r.class.Aborted.Add(1)
-	e.opts.PriorityCounters.AddRejected(r.rank)
-	r.client.Fail()
-	e.free(r)
+// reject answers that a request was not served and may be retried.
+func (e *Engine) reject(r *request, after time.Duration) {
+	e.statistics.rejected++
+	r.counters.Declined.Add(1)
+	r.client.Reject(after)
+	e.release(r)
 }
 
-func (e *Engine) onLeft(c Client) {
-	r := e.of(c)
-	if r == nil {
-		return
-	}
-	if r.phase == waiting || r.phase == open {
-		e.counts.left++
-	}
-	e.drop(r)
+// failInvalid answers a request that can't be served by any server.
+func (e *Engine) failInvalid(r *request) {
+	e.statistics.invalid++
+	r.counters.Aborted.Add(1)
+	r.client.Fail()
+	e.release(r)
 }
 
-// drop ends a request whose client is gone, and the attempt that is out for it.
-func (e *Engine) drop(r *request) {
-	e.free(r)
-	if r.phase != waiting && r.phase != open {
-		return
-	}
-	id := balancer.RequestID(r.id)
-	if r.phase == waiting && !r.carried {
-		e.tell(balancer.ClientDisconnected{ID: id})
-	}
-	if r.link != nil {
-		r.link.Cancel()
-		e.tell(balancer.AttemptEnded{ID: id, Attempt: r.attempts - 1, Server: r.server, Result: balancer.Cancelled,
-			Elapsed: e.now - r.sent, Answered: true})
-	}
+// fail gives a pending request its final answer, which promises nothing.
+func (e *Engine) fail(r *request) {
+	e.statistics.failed++
+	r.counters.Aborted.Add(1)
+	e.options.PriorityCounters.AddRejected(r.priority)
+	r.client.Fail()
+	e.release(r)
 }
 
-func (e *Engine) onUp(ev AttemptEstablished) {
-	r, ok := e.requests.Get(ev.RequestID)
-	if !ok || r.link == nil || r.attempts-1 != ev.Number || r.phase != waiting {
+// onAnswerOverdue answers a request in the balancer's place, which owes it an answer by its deadline. It should never
+// have to.
+func (e *Engine) onAnswerOverdue(r *request) {
+	if r.phase != pending {
 		return
 	}
-	e.counts.up++
-	r.class.Succeeded.Add(1)
-	r.phase = open
-	e.deadlines.Remove(r.answer)
-	e.deadlines.Remove(r.timeout)
-	if !r.carried {
-		e.tell(balancer.AttemptEstablished{ID: balancer.RequestID(r.id), Attempt: ev.Number, Server: r.server, Elapsed: ev.Elapsed})
-	}
-	if e.stage == closing && r.phase == open { // it came up as it was to be given up
-		e.move(r, balancer.Cancelled)
+	if r.attempt != nil && !r.attempt.Cancel() {
+		return // it is established: the event is on its way
 	}
+	e.options.Logger.Error("answer overdue", "attempts", r.attempts)
+	e.statistics.failed++
+	r.counters.Aborted.Add(1)
+	r.client.Fail()
+	e.abandon(r)
 }
 
-func (e *Engine) onEnded(ev AttemptEnded) {
-	r, ok := e.requests.Get(ev.RequestID)
-	if !ok || r.link == nil || r.attempts-1 != ev.Number {
+// abandon ends a request whose client is gone, together with its attempt.
+func (e *Engine) abandon(r *request) {
+	e.release(r)
+	if r.phase != pending && r.phase != established {
 		return
 	}
-	e.outcome(r, ev.Result)
-}
-
-// outcome reports the end of a request's attempt. What was open is over with it; else the rules go on.
-func (e *Engine) outcome(r *request, result balancer.Result) {
-	e.deadlines.Remove(r.timeout)
-	r.link = nil
-	// What has no connection of its own is over with its answer.
-	settled := r.phase == open || result == balancer.OK
-	out := balancer.AttemptEnded{ID: balancer.RequestID(r.id), Attempt: r.attempts - 1, Server: r.server, Result: result,
-		Elapsed: e.now - r.sent, Answered: settled || r.carried}
-	if result == balancer.OK && r.phase == waiting && !r.carried {
-		// To the rules an answer is as good as a connection that stands: they tell a fault of one server from one that
-		// all share by how many stand.
-		e.tell(balancer.AttemptEstablished{ID: out.ID, Attempt: out.Attempt, Server: r.server, Elapsed: out.Elapsed})
-		r.class.Succeeded.Add(1)
+	if r.phase == pending && !r.isSticky {
+		e.notify(balancer.ClientDisconnected{ID: r.id()})
 	}
-	switch {
-	case settled:
-		e.counts.ended++
-		e.free(r)
-	case r.carried:
-		e.opts.Logger.Warn("connection from before the run not taken up", "server", r.server, "result", result)
-		e.fail(r)
+	if r.attempt != nil {
+		r.attempt.Cancel()
+		e.notify(e.attemptEnded(r, balancer.Cancelled, true))
 	}
-	e.tell(out)
 }
 
-func (e *Engine) onTimeout(r *request) {
-	// The attempt is closed before the rules hear of it: two at once are never out.
-	if r.link != nil && r.phase == waiting && r.link.Cancel() {
-		e.outcome(r, balancer.TimedOut)
-	}
+// release removes a request with its timers.
+func (e *Engine) release(r *request) {
+	e.timers.Remove(r.answerTimer)
+	e.timers.Remove(r.attemptTimer)
+	e.requests.remove(r)
+	e.updateOutstanding()
 }
 
-// onOverdue guards the promise of one answer in time, should the rules ever owe it past the deadline.
-func (e *Engine) onOverdue(r *request) {
-	if r.link != nil && !r.link.Cancel() {
-		return // it is up; word of that is on its way
+func (e *Engine) onConnectionLoad(ev ConnectionLoad) {
+	r := e.requests.get(ev.RequestID)
+	if r == nil {
+		return
 	}
-	e.opts.Logger.Error("answer overdue", "attempts", r.attempts)
-	e.counts.failed++
-	r.class.Aborted.Add(1)
-	r.client.Fail()
-	e.drop(r)
+	r.load = ev.Load
+	e.notify(balancer.LoadChanged{ID: r.id(), Load: ev.Load})
 }
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -8,70 +8,75 @@
 // The trace follows each request through a gateway, by its client's name for it, and with the logs of all gateways
 // through the fleet. It is logged at level debug where Options.Trace is set.
 
-func (e *Engine) trace(msg string, args ...any) { e.opts.Logger.Debug(msg, args...) }
+func (e *Engine) trace(msg string, args ...any) { e.options.Logger.Debug(msg, args...) }
 
-// traced is what tells a request and a server in the trace.
-func (e *Engine) traced(id balancer.RequestID, server balancer.ServerID) []any {
-	var name string
-	if r, ok := e.requests.Get(slotmap.Handle(id)); ok {
-		name = r.name
+// traceRequest logs what concerns a request, at a server; 0: at the one of its last attempt.
+func (e *Engine) traceRequest(msg string, id balancer.RequestID, server balancer.ServerID, args ...any) {
+	clientID := ""
+	if r := e.requests.get(slotmap.Handle(id)); r != nil {
+		clientID = r.clientID
 		if server == 0 {
 			server = r.server
 		}
 	}
-	return []any{"id", id, "name", name, "server", e.serverName(server)}
+	e.trace(msg, append([]any{"request", id, "client", clientID, "server", e.serverName(server)}, args...)...)
 }
 
 func (e *Engine) serverName(id balancer.ServerID) string {
-	if s := e.servers[id]; s != nil {
+	if s := e.endpoints.byID[id]; s != nil {
 		return s.name
 	}
 	return ""
 }
 
-// traceEvent logs what the rules are told.
+// traceEvent logs what the balancer is notified of.
 func (e *Engine) traceEvent(ev balancer.Event) {
 	switch ev := ev.(type) {
 	case balancer.Request:
-		e.trace("asked", append(e.traced(ev.ID, ev.Owner), "class", ev.Class, "group", ev.Group, "key", ev.Key, "wait", ev.Timeout,
-			"stray", ev.MidFlow, "returned", ev.Reconnecting)...)
+		e.traceRequest("request received", ev.ID, ev.Owner, "class", ev.Class, "group", ev.Group, "key", ev.Key,
+			"timeout", ev.Timeout, "mid_flow", ev.MidFlow, "reconnecting", ev.Reconnecting)
 	case balancer.AdoptedConnection:
-		e.trace("carried", append(e.traced(ev.ID, ev.Server), "class", ev.Class, "group", ev.Group)...)
+		e.traceRequest("connection adopted", ev.ID, ev.Server, "class", ev.Class, "group", ev.Group)
 	case balancer.AttemptEstablished:
-		e.trace("up", append(e.traced(ev.ID, ev.Server), "after", ev.Elapsed)...)
+		e.traceRequest("attempt established", ev.ID, ev.Server, "elapsed", ev.Elapsed)
 	case balancer.AttemptEnded:
-		e.trace("outcome", append(e.traced(ev.ID, ev.Server), "attempt", ev.Attempt, "result", ev.Result.String(), "after", ev.Elapsed,
-			"settled", ev.Answered)...)
+		e.traceRequest("attempt ended", ev.ID, ev.Server, "attempt", ev.Attempt, "result", ev.Result.String(),
+			"elapsed", ev.Elapsed, "answered", ev.Answered)
 	case balancer.ClientDisconnected:
-		e.trace("expired", e.traced(ev.ID, 0)...)
+		e.traceRequest("client disconnected", ev.ID, 0)
 	case balancer.MessageDelay:
-		e.trace("slow", "server", e.serverName(ev.Server), "delay", ev.Delay)
+		e.trace("message delay reported", "server", e.serverName(ev.Server), "delay", ev.Delay)
 	case balancer.LoadReport:
-		e.trace("report", "server", e.serverName(ev.Server), "load", ev.Utilization, "held", ev.Connections)
+		e.trace("load reported", "server", e.serverName(ev.Server), "utilization", ev.Utilization,
+			"connections", ev.Connections)
 	case balancer.EndpointList:
 		for _, s := range ev.Servers {
-			e.trace("told", "server", e.serverName(s.ID), "number", s.ID, "state", int(s.State), "started", s.Started, "weight", s.Capacity,
-				"zone", s.Zone)
+			e.trace("endpoint updated", "server", e.serverName(s.ID), "id", s.ID, "state", int(s.State),
+				"started", s.Started, "weight", s.Capacity, "zone", s.Zone)
 		}
 	}
 }
 
-// traceAction logs what the rules decide.
+// traceAction logs what the balancer decides.
 func (e *Engine) traceAction(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
-		var cold int64 // the server's age in milliseconds; 0: it started long ago
-		if s := e.servers[a.Server]; s != nil && s.shown().Started > 0 {
-			cold = (e.now - s.shown().Started).Milliseconds()
-		}
-		e.trace("send", append(e.traced(a.ID, a.Server), "timeout", a.Timeout, "age_ms", cold)...)
+		e.traceRequest("attempt sent", a.ID, a.Server, "timeout", a.Timeout, "server_age_ms", e.serverAge(a.Server))
 	case balancer.Reject:
-		e.trace("refuse", append(e.traced(a.ID, 0), "after", a.RetryAfter)...)
+		e.traceRequest("request rejected", a.ID, 0, "retry_after", a.RetryAfter)
 	case balancer.Fail:
-		e.trace("fail", e.traced(a.ID, 0)...)
+		e.traceRequest("request failed", a.ID, 0)
 	case balancer.Migrate:
-		e.trace("move", e.traced(a.ID, 0)...)
+		e.traceRequest("client migrated", a.ID, 0)
 	case balancer.PollLoad:
-		e.trace("ask", "server", e.serverName(a.Server))
+		e.trace("load polled", "server", e.serverName(a.Server))
+	}
+}
+
+// serverAge is the time since a server's start, in milliseconds; 0: it started long ago.
+func (e *Engine) serverAge(id balancer.ServerID) int64 {
+	if s := e.endpoints.byID[id]; s != nil && s.effective().Started > 0 {
+		return (e.now - s.effective().Started).Milliseconds()
 	}
+	return 0
 }
