--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -56,10 +56,20 @@
 	case balancer.SetTimer:
 		e.setTimer(max(a.After, 0), timer{kind: balancerTimer, ref: a.Ref})
 	case balancer.Log:
-		e.options.Logger.Info("balancer", "text", a.Text)
+		e.log(a)
 	}
 }
 
+// log writes a line of the balancer's to the gateway's log. Logger.LogAttrs would want a context, which a package without I/O
+// has no use for.
+func (e *Engine) log(line balancer.Log) {
+	args := make([]any, len(line.Attrs))
+	for i, attr := range line.Attrs {
+		args[i] = attr
+	}
+	e.options.Logger.Info(line.Message, args...)
+}
+
 // requestIn returns the request that an action is about if it is in a phase; nil: it is not, or has ended.
 func (e *Engine) requestIn(id balancer.RequestID, p phase) *request {
 	if r := e.requests.get(slotmap.Handle(id)); r != nil && r.phase == p {
