--- a/internal/engine/digest_clients_test.go
+++ b/internal/engine/digest_clients_test.go
@@ -50,13 +50,13 @@
 	})
 }
 
-func (s *simulation) ask() {
+func (s *simulation) askUnary() {
 	c := s.newClient()
 	c.hasRequest, c.answerOnly = true, true
 	s.handle("asked", engine.UnaryRequestReceived{Client: c.self, Request: s.drawRequest()})
 }
 
-func (s *simulation) alive() {
+func (s *simulation) useClient() {
 	s.withClient(func(c *client) { s.handle("alive", engine.ClientActive{Client: c.self}) })
 }
 
--- a/internal/engine/digest_fakes_test.go
+++ b/internal/engine/digest_fakes_test.go
@@ -12,7 +12,7 @@
 
 // client is the simulation's end of a connection, or of a request without one.
 type client struct {
-	ticket     engine.ClientHandle
+	handle     engine.ClientHandle
 	simulation *simulation
 	self       engine.Client // this one, as the engine is given it
 	number     int
@@ -24,7 +24,7 @@
 // movableClient is one that its front can take to another server.
 type movableClient struct{ client }
 
-func (c *client) Handle() *engine.ClientHandle { return &c.ticket }
+func (c *client) Handle() *engine.ClientHandle { return &c.handle }
 
 func (c *client) Reject(after time.Duration) {
 	c.gone = true
--- a/internal/engine/digest_servers_test.go
+++ b/internal/engine/digest_servers_test.go
@@ -82,13 +82,13 @@
 	if s.oneIn(2) {
 		report.Connections = float64(s.random.IntN(60))
 	}
-	if s.tellsBacklog && s.oneIn(2) {
+	if s.reportsBacklog && s.oneIn(2) {
 		report.Backlog, report.HasBacklog = s.between(0, 200*time.Millisecond), true
 	}
 	s.handle("probed", engine.LoadReported{Server: server, Report: report})
 }
 
-func (s *simulation) ban() {
+func (s *simulation) changeMaintenance() {
 	id := 1 + s.random.IntN(serversDrawn+1)
 	event := engine.MaintenanceChanged{Name: s.serverName(id), InMaintenance: s.oneIn(2)}
 	if !s.oneIn(3) {
@@ -102,22 +102,22 @@
 	}
 }
 
-func (s *simulation) shed() {
+func (s *simulation) changeShedLevel() {
 	s.handle("shed", engine.FleetShedLevel{Level: pick(s, 0, 0, 0.5, 1.25)})
 }
 
-func (s *simulation) stop() {
-	s.isStopping = true
+func (s *simulation) shutDown() {
+	s.isShuttingDown = true
 	s.handle("stop", engine.Shutdown{})
 	if s.oneIn(3) {
-		s.handle("stop", engine.Shutdown{}) // it is told once
+		s.handle("stop", engine.Shutdown{}) // the second one is ignored
 	}
 }
 
-// tell asks for the state, and records each field of it.
-func (s *simulation) tell() {
+// requestState asks for the state, and records each field of it.
+func (s *simulation) requestState() {
 	s.handle("tell", engine.StateRequested{Deliver: func(state engine.State) {
-		s.predecessor.learned = state.Balancer
+		s.predecessor.snapshot = state.Balancer
 		s.transcript.call("state", field{"version", state.Version})
 		for _, e := range state.Servers {
 			s.transcript.call("state server", field{"name", e.Name}, field{"addr", e.Addr}, field{"id", int(e.ID)},
@@ -128,11 +128,11 @@
 			s.transcript.call("state flow", field{"id", f.ID}, field{"class", f.Class}, field{"key", f.Key},
 				field{"group", f.Group}, field{"server", f.Server}, field{"load", f.Load})
 		}
-		s.recordLearned(state.Balancer)
+		s.recordSnapshot(state.Balancer)
 	}})
 }
 
-func (s *simulation) recordLearned(l balancer.Snapshot) {
+func (s *simulation) recordSnapshot(l balancer.Snapshot) {
 	s.transcript.call("learned", field{"load", l.MeanLoad.Value}, field{"weight", l.MeanLoad.Weight},
 		field{"bears", l.ConnectionCapacity.Value}, field{"weight", l.ConnectionCapacity.Weight})
 	for _, c := range l.ClassLoads {
@@ -152,7 +152,7 @@
 	event := engine.PredecessorState{First: !p.isKnown}
 	if !p.isKnown {
 		s.drawFlows()
-		event.State.Balancer = p.learned
+		event.State.Balancer = p.snapshot
 	} else if len(p.flows) > 0 && s.oneIn(2) {
 		i := s.random.IntN(len(p.flows))
 		p.flows = slices.Delete(slices.Clone(p.flows), i, i+1)
@@ -192,7 +192,7 @@
 
 // refreshPredecessor repeats the state of the process before while it has more than one connection.
 func (s *simulation) refreshPredecessor() {
-	s.after(refreshBefore, func() {
+	s.after(predecessorRefreshDelay, func() {
 		if len(s.predecessor.flows) > 1 {
 			s.handleInherit(engine.PredecessorState{})
 			s.refreshPredecessor()
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	stepsPerSeed  = 160
-	serversDrawn  = 8
-	ranksDrawn    = 4
-	startOfClock  = 1000 * time.Hour
-	stopTimeLimit = 30 * time.Second // by then an engine that was stopped has ended
-	refreshBefore = 2500 * time.Millisecond
+	stepsPerSeed            = 160
+	serversDrawn            = 8
+	prioritiesDrawn         = 4
+	startOfClock            = 1000 * time.Hour
+	shutdownTimeLimit       = 30 * time.Second // by then an engine that was stopped has ended
+	predecessorRefreshDelay = 2500 * time.Millisecond
 
 	// With so many sockets the table of connections never fills up; see predecessor.
 	socketsForManyFlows = 64
@@ -34,28 +34,28 @@
 // simulation draws what surrounds an engine, and records what the engine does to it. All of it runs in one goroutine
 // on a clock of its own.
 type simulation struct {
-	t          *testing.T
-	random     *rand.Rand
-	transcript *transcript
-	engine     *engine.Engine
-	options    engine.Options
-	tiers      *metrics.PriorityCounters
-	log        *logRecorder
+	t                *testing.T
+	random           *rand.Rand
+	transcript       *transcript
+	engine           *engine.Engine
+	options          engine.Options
+	priorityCounters *metrics.PriorityCounters
+	log              *logRecorder
 
 	now       time.Duration
 	reactions []reaction // in order of time
 	sequence  int
 
-	clients     []*client
-	attempts    []*attempt
-	servers     []listedServer
-	predecessor predecessor
-	nextClient  int
-	nextRequest int
-	isStopping  bool
+	clients        []*client
+	attempts       []*attempt
+	servers        []listedServer
+	predecessor    predecessor
+	nextClient     int
+	nextRequest    int
+	isShuttingDown bool
 
-	isListed     bool // discovery lists servers in this seed
-	tellsBacklog bool // servers report the work that waits at them
+	isListed       bool // discovery lists servers in this seed
+	reportsBacklog bool // servers report the work that waits at them
 }
 
 // reaction is something that the surroundings do at a time.
@@ -81,9 +81,9 @@
 // would be given up as old. Only at the end of a seed, where nothing depends on the order any more, all are given up
 // at once.
 type predecessor struct {
-	flows   []engine.Flow
-	learned balancer.Snapshot
-	isKnown bool
+	flows    []engine.Flow
+	snapshot balancer.Snapshot
+	isKnown  bool
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -95,7 +95,7 @@
 		now:        startOfClock,
 	}
 	s.log = &logRecorder{transcript: s.transcript, counts: map[slog.Level]int{}}
-	s.isListed, s.tellsBacklog = !s.oneIn(12), s.oneIn(4)
+	s.isListed, s.reportsBacklog = !s.oneIn(12), s.oneIn(4)
 	s.drawServers()
 	settings := s.drawSettings()
 	policy, err := balancer.New(settings)
@@ -186,11 +186,11 @@
 	}
 	o.Metrics = metrics.New(o.Classes)
 	if s.oneIn(2) {
-		s.tiers = metrics.NewPriorityCounters(ranksDrawn)
-		o.PriorityCounters = s.tiers
+		s.priorityCounters = metrics.NewPriorityCounters(prioritiesDrawn)
+		o.PriorityCounters = s.priorityCounters
 	}
 	if s.oneIn(2) {
-		o.PriorityOf = func(class, tenant string) int { return (len(class) + len(tenant)) % ranksDrawn }
+		o.PriorityOf = func(class, tenant string) int { return (len(class) + len(tenant)) % prioritiesDrawn }
 	}
 	return o
 }
@@ -202,22 +202,22 @@
 	if s.isListed && !s.oneIn(4) {
 		s.list(balancer.ListCached)
 	}
-	stopAt := stepsPerSeed - 1 - s.random.IntN(stepsPerSeed/3)
-	stopsWithArrivals := s.oneIn(2)
+	shutdownAt := stepsPerSeed - 1 - s.random.IntN(stepsPerSeed/3)
+	hasArrivalsInShutdown := s.oneIn(2)
 	for i := 0; i < stepsPerSeed && !s.engine.Ended(); i++ {
-		if i == stopAt && stopsWithArrivals {
-			s.stop()
+		if i == shutdownAt && hasArrivalsInShutdown {
+			s.shutDown()
 		}
 		s.advance(s.drawPause())
 		s.drawEvent()()
 	}
-	if !s.isStopping {
+	if !s.isShuttingDown {
 		s.letPredecessorExpire()
-		s.stop()
+		s.shutDown()
 	}
-	s.advance(stopTimeLimit)
+	s.advance(shutdownTimeLimit)
 	if !s.engine.Ended() {
-		s.t.Errorf("not ended %v after the stop", stopTimeLimit)
+		s.t.Errorf("not ended %v after the stop", shutdownTimeLimit)
 	}
 	s.advance(time.Second) // nothing may come of it
 	s.recordFigures()
@@ -228,7 +228,7 @@
 	s.predecessor.flows = nil
 	s.reactions = nil
 	s.advance(max(s.options.FlowRetention, 3*time.Second) + time.Second)
-	s.tell()
+	s.requestState()
 }
 
 func (s *simulation) drawPause() time.Duration {
@@ -247,8 +247,8 @@
 		{24, func() { s.arrive(s.accept()) }},
 		{6, func() { s.accept() }},
 		{6, s.arriveLate},
-		{10, s.ask},
-		{3, s.alive},
+		{10, s.askUnary},
+		{3, s.useClient},
 		{8, func() { s.withClient(s.leave) }},
 		{2, s.reject},
 		{2, s.serverLeaving},
@@ -257,10 +257,10 @@
 		{3, func() { s.report(balancer.ServerID(1 + s.random.IntN(serversDrawn+1))) }},
 		{6, s.changeServer},
 		{2, func() { s.list(pick(s, balancer.ListComplete, balancer.ListComplete, balancer.ListCached)) }},
-		{2, s.tell},
+		{2, s.requestState},
 		{3, s.inherit},
-		{3, s.ban},
-		{1, s.shed},
+		{3, s.changeMaintenance},
+		{1, s.changeShedLevel},
 		{4, s.stale},
 	}
 	total := 0
@@ -345,11 +345,11 @@
 		s.transcript.call("class", field{"name", class}, field{"succeeded", c.Succeeded.Load()},
 			field{"declined", c.Declined.Load()}, field{"aborted", c.Aborted.Load()})
 	}
-	if s.tiers != nil {
-		asked, refused, cut := s.tiers.TakeCounts()
-		for rank := range ranksDrawn {
-			s.transcript.call("rank", field{"number", rank}, field{"asked", int64(asked[rank])},
-				field{"refused", int64(refused[rank])}, field{"cut", int64(cut[rank])})
+	if s.priorityCounters != nil {
+		asked, refused, cut := s.priorityCounters.TakeCounts()
+		for priority := range prioritiesDrawn {
+			s.transcript.call("rank", field{"number", priority}, field{"asked", int64(asked[priority])},
+				field{"refused", int64(refused[priority])}, field{"cut", int64(cut[priority])})
 		}
 	}
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
