--- a/gateway/crossing_stop_test.go
+++ b/gateway/crossing_stop_test.go
@@ -172,7 +172,7 @@
 			p.configure(other.addr)
 			p.signal(syscall.SIGHUP)
 			p.signal(syscall.SIGTERM)
-			p.log("msg=stopping")
+			p.log(`msg="shutdown started"`)
 			rests := p.dial()
 			rests.answered("BUSY")
 			p.ends()
--- a/gateway/process_test.go
+++ b/gateway/process_test.go
@@ -230,7 +230,7 @@
 func (p *program) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
-	p.log("msg=stopping")
+	p.log(`msg="shutdown started"`)
 }
 
 func (p *program) signal(s syscall.Signal) {
