--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -46,11 +46,11 @@
 		fmt.Fprintf(b, "nats listen=%q node_port=%d cluster=%t max_payload=%d control_line=%d max_subscriptions=%d max_requests=%d max_pending=%d\n",
 			n.Listen, n.NodePort, n.Cluster, n.MaxPayload, n.ControlLine, n.MaxSubscriptions, n.MaxRequests, n.MaxPending)
 		fmt.Fprintf(b, "nats ping_every=%s ping_clients=%s move_within=%s flush_within=%s max_shared=%d\n",
-			n.PingEvery, n.PingClients, n.MoveWithin, n.FlushWithin, n.MaxShared)
-		fmt.Fprintf(b, "session class=%q key=%s/%d group=%s/%d wait=%s\n", n.Session.Class, n.Session.Key.What, n.Session.Key.Token,
-			n.Session.Group.What, n.Session.Group.Token, n.Session.Wait)
+			n.PingInterval, n.ClientPingInterval, n.MigrationTimeout, n.FlushTimeout, n.MaxShared)
+		fmt.Fprintf(b, "session class=%q key=%s/%d group=%s/%d wait=%s\n", n.Session.Class, n.Session.Key.Kind, n.Session.Key.Token,
+			n.Session.Group.Kind, n.Session.Group.Token, n.Session.Timeout)
 		for _, r := range n.Requests {
-			fmt.Fprintf(b, "request subject=%q class=%q deadline=%s key=%s/%d line=%d\n", r.Subject, r.Class, r.Deadline, r.Key.What, r.Key.Token, r.Line)
+			fmt.Fprintf(b, "request subject=%q class=%q deadline=%s key=%s/%d line=%d\n", r.Subject, r.Class, r.Timeout, r.Key.Kind, r.Key.Token, r.Line)
 		}
 	}
 	if p := s.Placement; p != nil {
@@ -85,7 +85,7 @@
 	}
 	if c := s.Cluster; c != nil {
 		fmt.Fprintf(b, "cluster listen=%q key_file=%q key=%q dir=%q wait=%s tiers=%q floor=%g\n",
-			c.Listen, c.KeyFile, c.Key, c.Dir, c.Wait, c.Tiers, c.Floor)
+			c.Listen, c.KeyFile, c.Key, c.Dir, c.PeerTimeout, c.Tiers, c.MinAdmittedRatio)
 		names := []string{}
 		for name := range c.Members {
 			names = append(names, name)
@@ -94,7 +94,7 @@
 		for _, name := range names {
 			fmt.Fprintf(b, "member %q %q\n", name, c.Members[name])
 		}
-		ranks, count := c.Ranks()
+		ranks, count := c.Priorities()
 		classes := []string{}
 		for class := range ranks {
 			classes = append(classes, class)
@@ -124,7 +124,7 @@
 			fmt.Fprintf(b, "%sflow %q %q %q %d\n", indent, f.Class, f.From, f.To, f.Load)
 		}
 	}
-	fmt.Fprintf(b, "version=%d list=%016x settings=%016x proven=%t\n", p.Version, p.List, p.Settings, p.Proven)
+	fmt.Fprintf(b, "version=%d list=%016x settings=%016x proven=%t\n", p.Version, p.ListHash, p.SettingsHash, p.Proven)
 	fmt.Fprintf(b, "goals uncarried=%d crossings=%d fullest=%d/%d moves=%d\n", p.Goals.Uncarried, p.Goals.Crossings, p.Goals.Fullest.Num,
 		p.Goals.Fullest.Den, p.Goals.Moves)
 	loads("", p.Load)
@@ -314,9 +314,9 @@
 // Each fault can be found among those that are joined, with its file, line and key apart.
 func TestFormatOfOneFault(t *testing.T) {
 	_, err := Parse("op.edn", change{"(cluster true)", "(cluster 1)"}.of(t, natsForm), nil)
-	var f Fault
-	if !errors.As(err, &f) || f.File != "op.edn" || f.Line != 4 || f.Key != "nats.cluster" || f.Text != "1 is not true or false" {
-		t.Errorf("%v is found as file %q, line %d, key %q, text %q", err, f.File, f.Line, f.Key, f.Text)
+	var f FileError
+	if !errors.As(err, &f) || f.File != "op.edn" || f.Line != 4 || f.Key != "nats.cluster" || f.Problem != "1 is not true or false" {
+		t.Errorf("%v is found as file %q, line %d, key %q, text %q", err, f.File, f.Line, f.Key, f.Problem)
 	}
 }
 
@@ -370,7 +370,7 @@
 // fullPlan has a value of its own in every field.
 func fullPlan() *Plan {
 	return &Plan{
-		Version: 3, List: 0x1f2e3d4c5b6a7988, Settings: 2, Proven: true,
+		Version: 3, ListHash: 0x1f2e3d4c5b6a7988, SettingsHash: 2, Proven: true,
 		Goals: placement.Goals{Uncarried: 1, Crossings: 2, Fullest: placement.Ratio{Num: 3, Den: 4}, Moves: 5},
 		Load:  map[string]int64{"a \"quoted\" \\ one": 1, "b": 2, "ümlaut\t<&>": 1000000000, "": 0},
 		Flows: []placement.Flow{{Class: "x", From: "z", To: "y", Load: 3}, {Class: "w", From: "y", To: "z", Load: 4}},
@@ -441,7 +441,7 @@
 		fmt.Fprintf(&b, "== %s\n", name)
 		p, err := ParsePlan("p", text)
 		if err != nil {
-			var f Fault
+			var f FileError
 			fmt.Fprintf(&b, "%v\nis a fault of the file: %t\n", err, errors.As(err, &f))
 			return
 		}
