--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// log writes a line of the balancer's to the gateway's log. Logger.LogAttrs would want a context, which a package without I/O
-// has no use for.
+// log writes a line of the balancer's to the gateway's log. Logger.LogAttrs would want a context, which a package
+// without I/O has no use for.
 func (e *Engine) log(line balancer.Log) {
 	args := make([]any, len(line.Attrs))
 	for i, attr := range line.Attrs {
--- a/internal/engine/adopted.go
+++ b/internal/engine/adopted.go
@@ -7,7 +7,7 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// minAdoptedLifetime is the least time that a connection of the process before is counted after that process last
+// minAdoptedLifetime is the least time that a connection of the predecessor process is counted after that process last
 // reported it. It reports every second or sooner, so that three reports have to be missed.
 const minAdoptedLifetime = 3 * time.Second
 
@@ -30,11 +30,11 @@
 	Load   float64 // in microseconds of work a second; 0: unknown
 }
 
-// adoptedConnections are the connections that the process before still holds, and that this one counts.
+// adoptedConnections are the connections that the predecessor process still holds, and that this one counts.
 type adoptedConnections struct {
 	byClientID map[string]slotmap.Handle // those whose packets have not come here yet
 	claimed    map[string]bool           // those whose packets have
-	reportedAt time.Duration             // when the process before last reported its connections
+	reportedAt time.Duration             // when the predecessor process last reported its connections
 }
 
 func newAdoptedConnections() adoptedConnections {
@@ -69,8 +69,8 @@
 	return f, true
 }
 
-// onPredecessorState counts the connections that the process before holds. They load their servers and take sockets,
-// as both processes share their limits. Packets of one that come here go to the server that holds it.
+// onPredecessorState counts the connections that the predecessor process holds. They load their servers and take
+// sockets, as both processes share their limits. Packets of one that come here go to the server that holds it.
 func (e *Engine) onPredecessorState(ev PredecessorState) {
 	if ev.First {
 		e.balancer.Restore(e.now, ev.State.Balancer)
@@ -85,7 +85,7 @@
 	e.updateOutstanding()
 }
 
-// canAdopt reports whether a connection of the process before is to be counted from now on.
+// canAdopt reports whether a connection of the predecessor process is to be counted from now on.
 func (e *Engine) canAdopt(f Flow) bool {
 	if _, isAdopted := e.adopted.byClientID[f.ID]; isAdopted {
 		return false
@@ -94,7 +94,7 @@
 	return isListed && f.ID != "" && !e.requests.has(f.ID) && !e.adopted.claimed[f.ID]
 }
 
-// adopt counts a connection of the process before; it returns false where the table of requests is full.
+// adopt counts a connection of the predecessor process; it returns false where the table of requests is full.
 func (e *Engine) adopt(f Flow) bool {
 	server := e.endpoints.idByName[f.Server]
 	r := &request{phase: adoptable, clientID: f.ID, server: server, flow: f, load: f.Load}
@@ -109,7 +109,7 @@
 	return true
 }
 
-// releaseUnreported gives up the connections that the process before no longer reports.
+// releaseUnreported gives up the connections that the predecessor process no longer reports.
 func (e *Engine) releaseUnreported(flows []Flow) {
 	isReported := make(map[string]bool, len(flows))
 	for _, f := range flows {
@@ -122,7 +122,7 @@
 	}
 }
 
-// releaseAdopted gives up a connection of the process before. It returns the server that held it.
+// releaseAdopted gives up a connection of the predecessor process. It returns the server that held it.
 func (e *Engine) releaseAdopted(clientID string) (server balancer.ServerID, ok bool) {
 	r := e.requests.get(e.adopted.byClientID[clientID])
 	delete(e.adopted.byClientID, clientID)
@@ -134,7 +134,7 @@
 	return r.server, true
 }
 
-// claimAdopted takes over a connection of the process before, as its packets come here now. It returns its server.
+// claimAdopted takes over a connection of the predecessor process, as its packets come here now. It returns its server.
 func (e *Engine) claimAdopted(clientID string) (server balancer.ServerID, ok bool) {
 	if _, isAdopted := e.adopted.byClientID[clientID]; !isAdopted {
 		return 0, false
@@ -143,7 +143,7 @@
 	return e.releaseAdopted(clientID)
 }
 
-// expireAdopted gives up the connections whose packets never came, once the process before has been silent for as
+// expireAdopted gives up the connections whose packets never came, once the predecessor process has been silent for as
 // long as servers keep them.
 func (e *Engine) expireAdopted() {
 	lifetime := max(e.options.FlowRetention, minAdoptedLifetime)
--- a/internal/engine/adopted_test.go
+++ b/internal/engine/adopted_test.go
@@ -29,7 +29,7 @@
 	w.handle(PredecessorState{State: state, First: true})
 	w.expectRequests(6)
 	if n := registry.Outstanding.Load(); n != 0 {
-		t.Errorf("%d connections of the process before are reported as its own", n)
+		t.Errorf("%d connections of the predecessor process are reported as its own", n)
 	}
 	for _, id := range []string{"1", "2", "3", "4"} {
 		w.arrive(w.client(id), Request{ID: id, Key: "k" + id, MidFlow: true})
@@ -55,7 +55,7 @@
 	w.expectRequests(3)
 }
 
-// The process before may not know of a drain that is listed here: no connection may go there any more.
+// The predecessor process may not know of a drain that is listed here: no connection may go there any more.
 func TestAdoptedConnectionsDoNotGoToDrainingServers(t *testing.T) {
 	predecessor := newWorld(t, 2, nil)
 	predecessor.arrive(predecessor.client("x"), Request{ID: "1", Key: "k"})
--- a/internal/engine/digest_servers_test.go
+++ b/internal/engine/digest_servers_test.go
@@ -146,7 +146,8 @@
 	}
 }
 
-// inherit brings the state of the process before: at first with all its connections, then with one less now and then.
+// inherit brings the state of the predecessor process: at first with all its connections, then with one less now and
+// then.
 func (s *simulation) inherit() {
 	p := &s.predecessor
 	event := engine.PredecessorState{First: !p.isKnown}
@@ -190,7 +191,7 @@
 	s.handle("inherit", event)
 }
 
-// refreshPredecessor repeats the state of the process before while it has more than one connection.
+// refreshPredecessor repeats the state of the predecessor process while it has more than one connection.
 func (s *simulation) refreshPredecessor() {
 	s.after(predecessorRefreshDelay, func() {
 		if len(s.predecessor.flows) > 1 {
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -75,11 +75,11 @@
 	load     float64 // that it reports
 }
 
-// predecessor is the process before, whose connections the engine takes over. The engine gives these up in the order
-// of a map, and with that its slots, whose order decides all that follows. So that this is no matter of chance, the
-// simulation takes at most one connection at a time out of the predecessor's state, and repeats the state before it
-// would be given up as old. Only at the end of a seed, where nothing depends on the order any more, all are given up
-// at once.
+// predecessor is the predecessor process, whose connections the engine takes over. The engine gives these up in the
+// order of a map, and with that its slots, whose order decides all that follows. So that this is no matter of chance,
+// the simulation takes at most one connection at a time out of the predecessor's state, and repeats the state before
+// it would be given up as old. Only at the end of a seed, where nothing depends on the order any more, all are given
+// up at once.
 type predecessor struct {
 	flows    []engine.Flow
 	snapshot balancer.Snapshot
@@ -223,7 +223,7 @@
 	s.recordFigures()
 }
 
-// letPredecessorExpire lets all connections of the process before be given up at once.
+// letPredecessorExpire lets all connections of the predecessor process be given up at once.
 func (s *simulation) letPredecessorExpire() {
 	s.predecessor.flows = nil
 	s.reactions = nil
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -94,8 +94,8 @@
 	FleetShedLevel struct{ Level float64 }
 	// StateRequested asks for the state that the next process of the gateway is to take over.
 	StateRequested struct{ Deliver func(State) }
-	// PredecessorState brings the state of the process before. The first one also brings what its balancer has learned;
-	// later ones repeat its open connections as they are then.
+	// PredecessorState brings the state of the predecessor process. The first one also brings what its balancer has
+	// learned; later ones repeat its open connections as they are then.
 	PredecessorState struct {
 		State State
 		First bool
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -30,10 +30,10 @@
 	pending                  // its final answer is owed
 	established              // it has a connection to a server
 	migrating                // its client was asked to leave; for the balancer it has ended
-	adoptable                // the process before holds its connection; only its server and its load are known
+	adoptable                // the predecessor process holds its connection; only its server and its load are known
 )
 
-// request is a client with what it asked for, or a connection that the process before holds.
+// request is a client with what it asked for, or a connection that the predecessor process holds.
 type request struct {
 	handle   slotmap.Handle
 	clientID string // the client's name for it; empty: none
@@ -77,8 +77,8 @@
 }
 
 // onUnaryRequestReceived takes a request that comes together with its client. A socket is ensured here and, once
-// more, where the client is admitted: while the connections of the process before take more sockets than there are,
-// each time closes one idle client.
+// more, where the client is admitted: while the connections of the predecessor process take more sockets than there
+// are, each time closes one idle client.
 func (e *Engine) onUnaryRequestReceived(ev UnaryRequestReceived) {
 	if !e.ensureClientSocket() {
 		e.rejectUnadmitted(ev.Client)
