--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -28,7 +28,8 @@
 )
 
 var failures = []balancer.Result{
-	balancer.Errored, balancer.Rejected, balancer.TimedOut, balancer.ConnectFailed, balancer.ConnectFailed, balancer.Reset,
+	balancer.Errored, balancer.Rejected, balancer.TimedOut,
+	balancer.ConnectFailed, balancer.ConnectFailed, balancer.Reset,
 }
 
 // simulation draws what surrounds an engine, and records what the engine does to it. All of it runs in one goroutine
