--- a/internal/line/codec/format_test.go
+++ b/internal/line/codec/format_test.go
@@ -115,8 +115,10 @@
 
 // describeAll is what every reader makes of a line.
 func describeAll(line []byte) string {
-	return strings.Join([]string{describeKind(line), describeOpen(line), describeReply(line), describePong(line),
-		describeReport(line)}, " | ")
+	return strings.Join([]string{
+		describeKind(line), describeOpen(line), describeReply(line), describePong(line),
+		describeReport(line),
+	}, " | ")
 }
 
 // inPieces tells what a reader makes of a line of which more and more has come: each result with the length from which it
@@ -165,10 +167,12 @@
 		"OPEN i k again=1", "OPEN i k again=01",
 		"OPEN i k mid=0", "OPEN i k mid=1", "OPEN i k mid=2",
 	}
-	for _, number := range []string{"", "0", "00", "1", "0.5", ".5", "5.", "1e3", "1E3", "1e-7", "+5", "-5", "-0",
+	for _, number := range []string{
+		"", "0", "00", "1", "0.5", ".5", "5.", "1e3", "1E3", "1e-7", "+5", "-5", "-0",
 		"x", "1x", "0x10", "1_0", "nan", "inf", "1e12",
 		"1000000000001", "1e400", "2000", "2000.75", "86399999", "86400000", "86400001", "000000000000000000000001",
-		"0000000000000000000000001"} {
+		"0000000000000000000000001",
+	} {
 		lines = append(lines, "OPEN i k d="+number, "OPEN i k h="+number)
 	}
 	lines = append(lines, "OPEN i k d=1,d=2", "OPEN i k d=1,c=a,d=1", "OPEN i k h=1,h=2", "OPEN i k c=a,d=7,g=b")
@@ -197,8 +201,10 @@
 }
 
 func TestOpenLinesForwarded(t *testing.T) {
-	waits := []time.Duration{-time.Second, 0, 1, time.Millisecond - 1, time.Millisecond, 1500 * time.Microsecond,
-		2 * time.Second, 25 * time.Hour}
+	waits := []time.Duration{
+		-time.Second, 0, 1, time.Millisecond - 1, time.Millisecond, 1500 * time.Microsecond,
+		2 * time.Second, 25 * time.Hour,
+	}
 	var lines []string
 	for _, line := range openLines() {
 		line += "\r\n"
@@ -217,10 +223,12 @@
 
 func TestFirstLinesToldApart(t *testing.T) {
 	var lines []string
-	for _, line := range []string{"OPEN i k c=a\r\n", "OPEN\r\n", "OPENS i\r\n", "PING\r\n", "PING 7\r\n", "PING\n",
+	for _, line := range []string{
+		"OPEN i k c=a\r\n", "OPEN\r\n", "OPENS i\r\n", "PING\r\n", "PING 7\r\n", "PING\n",
 		"PING\r", "PINGS\r\n", "ping\r\n", " PING\r\n",
 		"PING\t\r\n", "PING \r\n", "PING\r\r\n", "PING\n\n", "STATS\r\n", "STATS all\r\n", "STATSX\r\n", "stats\r\n",
-		"PONG\r\n", "UP 1\r\n", "\r\n", "\n", " ", "\x00\r\n"} {
+		"PONG\r\n", "UP 1\r\n", "\r\n", "\n", " ", "\x00\r\n",
+	} {
 		lines = append(lines, fmt.Sprintf("%q: %s", line, inPieces(line, describeKind)))
 	}
 	compareLines(t, "first_lines.txt", lines)
@@ -228,13 +236,15 @@
 
 func TestServerLinesRead(t *testing.T) {
 	var lines []string
-	for _, line := range []string{"UP 7309b9501eeca7e6\r\n", "UP\r\n", "UPX\r\n", "up 1\r\n", "BYE\r\n",
+	for _, line := range []string{
+		"UP 7309b9501eeca7e6\r\n", "UP\r\n", "UPX\r\n", "up 1\r\n", "BYE\r\n",
 		"BYE inflight=7,queue=2,util=0.61\r\n", "BYE \r\n",
 		"BYE two words\r\n", "MOVE\r\n", "MOVE away\r\n", "MOVED\r\n", "ERR\r\n", "ERR no such class\r\n", "BUSY\r\n",
 		"BUSY 20\r\n", "BUSY 20 30\r\n",
 		"LOAD 351313.469\r\n", "LOAD\r\n", "LOAD \r\n", "LOAD x\r\n", "LOAD -1\r\n", "LOAD 0\r\n", "LOAD 1e3\r\n",
 		"LOAD 1 2\r\n", "LOAD 1e12\r\n", "LOAD 1e13\r\n",
-		"PONG inflight=7\r\n", "M 1 751b\r\n", "NO\r\n", " UP\r\n", "UP\t1\r\n", "\r\n", "\r\r\n", "UP\r\r\n"} {
+		"PONG inflight=7\r\n", "M 1 751b\r\n", "NO\r\n", " UP\r\n", "UP\t1\r\n", "\r\n", "\r\r\n", "UP\r\r\n",
+	} {
 		bare := strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")
 		for _, l := range []string{line, bare + "\n", bare} {
 			lines = append(lines, fmt.Sprintf("%q: %s", l, describeReply([]byte(l))))
@@ -246,16 +256,20 @@
 
 func TestProbeAnswersRead(t *testing.T) {
 	var lines []string
-	for _, line := range []string{"PONG\r\n", "PONG \r\n", "PONG inflight=7,queue=2,util=0.61\r\n",
+	for _, line := range []string{
+		"PONG\r\n", "PONG \r\n", "PONG inflight=7,queue=2,util=0.61\r\n",
 		"PONG a=1 b=2\r\n", "PONG\n", "PONG", "PONGS\r\n", "pong\r\n",
-		"PING\r\n", "NO\r\n", "ERR\r\n", "", "\r\n", " PONG\r\n"} {
+		"PING\r\n", "NO\r\n", "ERR\r\n", "", "\r\n", " PONG\r\n",
+	} {
 		lines = append(lines, fmt.Sprintf("%q: %s", line, describePong([]byte(line))))
 	}
-	for _, report := range []string{"", "inflight=7", "inflight=7,queue=2,util=0.61", "inflight=7,,queue=2",
+	for _, report := range []string{
+		"", "inflight=7", "inflight=7,queue=2,util=0.61", "inflight=7,,queue=2",
 		",inflight=7,", "inflight=x,queue=2", "inflight=,queue=2",
 		"inflight,queue=2", "=3,queue=2", "a=1,a=2", "a=1=2", "a=-1,b=+1,c=.5,d=1e12,e=1e13,f=nan,g=inf,h=0x10",
 		" a=1", "a= 1", "a=1\r", "é=1",
-		"a=000000000000000000000001,b=0000000000000000000000001"} {
+		"a=000000000000000000000001,b=0000000000000000000000001",
+	} {
 		lines = append(lines, fmt.Sprintf("report %q: %s", report, describeReport([]byte(report))))
 	}
 	compareLines(t, "probe_answers.txt", lines)
@@ -267,10 +281,12 @@
 		fmt.Sprintf("move %q", codec.Move), fmt.Sprintf("stats %q", codec.Stats), fmt.Sprintf("longest line %d",
 			codec.MaxLine),
 	}
-	for _, after := range []time.Duration{-time.Hour, -1, 0, 1, time.Microsecond, time.Millisecond - 1,
+	for _, after := range []time.Duration{
+		-time.Hour, -1, 0, 1, time.Microsecond, time.Millisecond - 1,
 		time.Millisecond, time.Millisecond + 1,
 		1500 * time.Microsecond, 20 * time.Millisecond, time.Second, 90 * time.Second, 24 * time.Hour,
-		1000 * time.Hour} {
+		1000 * time.Hour,
+	} {
 		lines = append(lines, fmt.Sprintf("busy %d: %q", after.Nanoseconds(), codec.Busy(after)))
 	}
 	compareLines(t, "written.txt", lines)
@@ -296,26 +312,35 @@
 	compareLines(t, "spoilt.txt", lines)
 }
 
+// linePieces are what drawn lines are put together from.
+var linePieces = []string{
+	"OPEN", "PING", "PONG", "STATS", "UP", "BYE", "MOVE", "ERR", "BUSY", "LOAD", " ", " ", " ",
+	"=", ",", "id", "key", "c=", "d=", "g=", "t=", "h=", "r=1",
+	"at=", "mid=1", "again=1", "1", "20", "0.5", "-", "e3", "\r\n", "\r\n", "\n", "\r", "\x00", "\x7f", "é",
+}
+
+func drawnLine(rng *rand.Rand) string {
+	var line strings.Builder
+	if rng.IntN(2) == 0 {
+		line.WriteString("OPEN i k ")
+	}
+	for range rng.IntN(10) {
+		line.WriteString(linePieces[rng.IntN(len(linePieces))])
+	}
+	if rng.IntN(2) == 0 {
+		line.WriteString("\r\n")
+	}
+	return line.String()
+}
+
 // Drawn lines of the protocol's own pieces, as a digest of each hundred.
 func TestDrawnLines(t *testing.T) {
-	pieces := []string{"OPEN", "PING", "PONG", "STATS", "UP", "BYE", "MOVE", "ERR", "BUSY", "LOAD", " ", " ", " ",
-		"=", ",", "id", "key", "c=", "d=", "g=", "t=", "h=", "r=1",
-		"at=", "mid=1", "again=1", "1", "20", "0.5", "-", "e3", "\r\n", "\r\n", "\n", "\r", "\x00", "\x7f", "é"}
 	var lines []string
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 23))
 		var b strings.Builder
 		for range 100 {
-			line := ""
-			if rng.IntN(2) == 0 {
-				line = "OPEN i k "
-			}
-			for range rng.IntN(10) {
-				line += pieces[rng.IntN(len(pieces))]
-			}
-			if rng.IntN(2) == 0 {
-				line += "\r\n"
-			}
+			line := drawnLine(rng)
 			fmt.Fprintf(&b, "%q: %s\n", line, describeAll([]byte(line)))
 		}
 		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(b.String())))
--- a/internal/nats/codec/format_test.go
+++ b/internal/nats/codec/format_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -181,8 +182,10 @@
 	lines := []string{fmt.Sprintf("control line %d, payload %d", codec.DefaultControlLine, codec.DefaultPayload)}
 	for _, l := range limits {
 		for _, line := range []int{32, codec.DefaultControlLine} {
-			for _, start := range []string{"PUB ", "SUB ", "PING ", "CONNECT ", "MSG a 1 ", "INFO ", "-ERR ",
-				"unknown "} {
+			for _, start := range []string{
+				"PUB ", "SUB ", "PING ", "CONNECT ", "MSG a 1 ", "INFO ", "-ERR ",
+				"unknown ",
+			} {
 				for _, times := range []int{1, 16} {
 					var b strings.Builder
 					for more := -1; more <= 3; more++ {
@@ -196,8 +199,10 @@
 				}
 			}
 		}
-		for _, payload := range []int{7, 8, 9, 10, codec.DefaultPayload - 1, codec.DefaultPayload,
-			codec.DefaultPayload + 1} {
+		for _, payload := range []int{
+			7, 8, 9, 10, codec.DefaultPayload - 1, codec.DefaultPayload,
+			codec.DefaultPayload + 1,
+		} {
 			for _, head := range []string{"PUB a %d\r\n", "HPUB a 7 %d\r\n", "MSG a 1 %d\r\n"} {
 				text := fmt.Sprintf(head, payload)
 				lines = append(lines, fmt.Sprintf("limits %s: %q: %s", l.name, text, describe([]byte(text), l.limits)))
@@ -242,19 +247,19 @@
 	var lines []string
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 24))
-		var stream string
+		var stream strings.Builder
 		for range 1 + rng.IntN(12) {
 			frame := frames[rng.IntN(len(frames))]
 			if rng.IntN(15) == 0 {
 				frame = badFrames[rng.IntN(len(badFrames))]
 			}
-			stream += frame
+			stream.WriteString(frame)
 		}
 		limits := codec.Limits{}
 		if rng.IntN(4) == 0 {
 			limits = codec.Limits{ControlLine: 18, Payload: 17}
 		}
-		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(readStream(rng, stream, limits))))
+		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(readStream(rng, stream.String(), limits))))
 	}
 	compareLines(t, "streams.txt", lines)
 }
@@ -282,8 +287,10 @@
 }
 
 func TestFramesWritten(t *testing.T) {
-	lines := []string{fmt.Sprintf("ping %q", codec.PingFrame), fmt.Sprintf("pong %q", codec.PongFrame),
-		fmt.Sprintf("ok %q", codec.OKFrame)}
+	lines := []string{
+		fmt.Sprintf("ping %q", codec.PingFrame), fmt.Sprintf("pong %q", codec.PongFrame),
+		fmt.Sprintf("ok %q", codec.OKFrame),
+	}
 	add := func(name string, b []byte) { lines = append(lines, fmt.Sprintf("%s: %q", name, b)) }
 	before := func() []byte { return []byte("before ") }
 	for _, reply := range []string{"", "reply.to"} {
@@ -302,23 +309,31 @@
 	for _, count := range []int{-1, 0, 1, 12345} {
 		add(fmt.Sprint("unsubscribe after ", count), codec.AppendUnsub(before(), []byte("7"), count))
 	}
-	for _, fault := range []codec.Error{codec.ErrUnknown, codec.ErrParse, codec.ErrControl, codec.ErrPayload,
-		codec.ErrSubject, codec.ErrPubSubject, ""} {
+	for _, fault := range []codec.Error{
+		codec.ErrUnknown, codec.ErrParse, codec.ErrControl, codec.ErrPayload,
+		codec.ErrSubject, codec.ErrPubSubject, "",
+	} {
 		add("error", codec.AppendErr(before(), string(fault)))
 	}
 	add("empty info", codec.AppendJSON(before(), "INFO", codec.ServerInfo{}))
-	add("full info", codec.AppendJSON(nil, "INFO", codec.ServerInfo{ID: "id", Name: "name", Version: "2.10",
+	add("full info", codec.AppendJSON(nil, "INFO", codec.ServerInfo{
+		ID: "id", Name: "name", Version: "2.10",
 		Go: "go1", Host: "host", Port: 4222,
 		Headers: true, AuthRequired: true, MaxPayload: 1 << 20, Proto: 1, ClientID: 17, Nonce: "nonce",
-		LameDuck: true}))
+		LameDuck: true,
+	}))
 	echo := false
-	add("full connect", codec.AppendJSON(nil, "CONNECT", codec.Options{Verbose: true, Pedantic: true, Headers: true,
+	add("full connect", codec.AppendJSON(nil, "CONNECT", codec.Options{
+		Verbose: true, Pedantic: true, Headers: true,
 		NoResponders: true,
-		Name:         "name", User: "user", Token: "token", Echo: &echo}))
+		Name:         "name", User: "user", Token: "token", Echo: &echo,
+	}))
 	add("empty connect", codec.AppendJSON(nil, "CONNECT", codec.Options{}))
 	add("members as they came", codec.AppendJSON(nil, "CONNECT", map[string]any{"b": 1, "a": "<&>", "c": nil}))
-	for _, code := range []int{codec.StatusNoResponders, codec.StatusTimeout, codec.StatusRefused, codec.StatusFailed,
-		0} {
+	for _, code := range []int{
+		codec.StatusNoResponders, codec.StatusTimeout, codec.StatusRefused, codec.StatusFailed,
+		0,
+	} {
 		for _, words := range []string{"", "Two Words"} {
 			for _, after := range []time.Duration{-1, 0, 1, time.Millisecond, 1500 * time.Microsecond, time.Minute} {
 				add(fmt.Sprintf("status %d %q after %d", code, words, after.Nanoseconds()),
@@ -329,6 +344,36 @@
 	compareLines(t, "written.txt", lines)
 }
 
+func describeConnect(body []byte) string {
+	options, members, err := codec.ParseConnect(body)
+	if err != nil {
+		return describeError(err)
+	}
+	echo := "not stated"
+	if options.Echo != nil {
+		echo = strconv.FormatBool(*options.Echo)
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "accepted verbose=%t pedantic=%t headers=%t no_responders=%t", options.Verbose, options.Pedantic,
+		options.Headers, options.NoResponders)
+	fmt.Fprintf(&b, " name=%q user=%q token=%q echo=%s", options.Name, options.User, options.Token, echo)
+	for _, name := range slices.Sorted(maps.Keys(members)) {
+		fmt.Fprintf(&b, " [%q %q]", name, string(members[name]))
+	}
+	return b.String()
+}
+
+func describeInfo(body []byte) string {
+	info, err := codec.ParseInfo(body)
+	if err != nil {
+		return describeError(err)
+	}
+	return fmt.Sprintf("accepted id=%q name=%q version=%q go=%q host=%q port=%d", info.ID, info.Name, info.Version, info.Go,
+		info.Host, info.Port) +
+		fmt.Sprintf(" headers=%t auth=%t payload=%d proto=%d", info.Headers, info.AuthRequired, info.MaxPayload, info.Proto) +
+		fmt.Sprintf(" client=%d nonce=%q draining=%t", info.ClientID, info.Nonce, info.LameDuck)
+}
+
 func TestConnectAndInfoRead(t *testing.T) {
 	var lines []string
 	for _, body := range []string{
@@ -337,64 +382,40 @@
 		`{"verbose":1}`, `{"name":7}`, `[]`, `null`, `7`, `""`, ``, `{`, `{"a":1}x`,
 		`{"name":"a","name":"b"}`, `{"name":"é\u00e9"}`,
 	} {
-		options, members, err := codec.ParseConnect([]byte(body))
-		text := "accepted"
-		if err != nil {
-			text = describeError(err)
-		}
-		echo := "not stated"
-		if options.Echo != nil {
-			echo = fmt.Sprint(*options.Echo)
-		}
-		if err == nil {
-			text += fmt.Sprintf(" verbose=%t pedantic=%t headers=%t no_responders=%t name=%q user=%q token=%q echo=%s", options.Verbose,
-				options.Pedantic, options.Headers, options.NoResponders, options.Name, options.User, options.Token,
-				echo)
-			for _, name := range slices.Sorted(maps.Keys(members)) {
-				text += fmt.Sprintf(" [%q %q]", name, string(members[name]))
-			}
-		}
-		lines = append(lines, fmt.Sprintf("connect %q: %s", body, text))
+		lines = append(lines, fmt.Sprintf("connect %q: %s", body, describeConnect([]byte(body))))
 	}
 	for _, body := range []string{
 		`{"server_id":"id","server_name":"name","version":"2","go":"go1","host":"h","port":4222,"headers":true,"auth_required":true,"max_payload":9,"proto":1,"client_id":17,"nonce":"n","ldm":true,"x":1}`,
 		`{}`, `{"ldm":true}`, `{"max_payload":"9"}`, `{"max_payload":-9}`, `{"client_id":-1}`, `{"port":1.5}`, `null`,
 		`[]`, `7`, ``, `{`,
 	} {
-		info, err := codec.ParseInfo([]byte(body))
-		text := "accepted"
-		if err != nil {
-			text = describeError(err)
-		} else {
-			text += fmt.Sprintf(" id=%q name=%q version=%q go=%q host=%q port=%d headers=%t auth=%t payload=%d proto=%d client=%d nonce=%q draining=%t", info.ID,
-				info.Name, info.Version, info.Go, info.Host, info.Port, info.Headers, info.AuthRequired,
-				info.MaxPayload, info.Proto, info.ClientID,
-				info.Nonce, info.LameDuck)
-		}
-		lines = append(lines, fmt.Sprintf("info %q: %s", body, text))
+		lines = append(lines, fmt.Sprintf("info %q: %s", body, describeInfo([]byte(body))))
 	}
 	compareLines(t, "connect_info.txt", lines)
 }
 
 func TestSubjectsMatched(t *testing.T) {
-	subjects := []string{"", ".", "a", "b", "ab", "*", ">", "a.", ".a", "a..b", "a.b", "a.*", "a.>", "*.b", "*.*",
+	subjects := []string{
+		"", ".", "a", "b", "ab", "*", ">", "a.", ".a", "a..b", "a.b", "a.*", "a.>", "*.b", "*.*",
 		"*.>", ">.a", "a.>.b", "a.b.c", "a.*.c", "a.*c", "a.b>", "**", "a b",
-		"$SYS.x", "_INBOX.abc.1", "é.ü"}
+		"$SYS.x", "_INBOX.abc.1", "é.ü",
+	}
 	var lines []string
 	for _, subject := range subjects {
-		line := fmt.Sprintf("%q: valid %t, valid with wildcards %t, tokens", subject,
+		var line strings.Builder
+		fmt.Fprintf(&line, "%q: valid %t, valid with wildcards %t, tokens", subject,
 			codec.ValidSubject([]byte(subject), false), codec.ValidSubject([]byte(subject), true))
 		for n := range 4 {
 			token := codec.Token([]byte(subject), n)
-			line += fmt.Sprintf(" %q %t", token, token == nil)
+			fmt.Fprintf(&line, " %q %t", token, token == nil)
 		}
-		line += ", matches"
+		line.WriteString(", matches")
 		for _, other := range subjects {
 			if codec.Match([]byte(subject), []byte(other)) {
-				line += fmt.Sprintf(" %q", other)
+				fmt.Fprintf(&line, " %q", other)
 			}
 		}
-		lines = append(lines, line)
+		lines = append(lines, line.String())
 	}
 	compareLines(t, "subjects.txt", lines)
 }
--- a/internal/nats/session/digest_test.go
+++ b/internal/nats/session/digest_test.go
@@ -65,8 +65,10 @@
 
 var (
 	patterns = []string{"a", "a.b", "a.*", "a.>", "*.b", ">", "orders.new", "orders.*.done", "_INBOX.x.1"}
-	subjects = []string{"a", "a.b", "a.c", "a.b.c", "b", "b.b", "orders.new", "orders.7.done", "orders.7",
-		"_INBOX.x.1", "_INBOX.x.2"}
+	subjects = []string{
+		"a", "a.b", "a.c", "a.b.c", "b", "b.b", "orders.new", "orders.7.done", "orders.7",
+		"_INBOX.x.1", "_INBOX.x.2",
+	}
 	queues = []string{"", "", "", "workers", "q"}
 	sids   = []string{"1", "2", "3", "17", "x", "longer-id"}
 )
--- a/internal/wire/format_test.go
+++ b/internal/wire/format_test.go
@@ -61,10 +61,10 @@
 		return
 	}
 	if s, ok := v.(string); ok {
-		fmt.Fprintf(w, " %s=%q", name, s)
+		fmt.Fprintf(&w.Builder, " %s=%q", name, s)
 		return
 	}
-	fmt.Fprintf(w, " %s=%v", name, v)
+	fmt.Fprintf(&w.Builder, " %s=%v", name, v)
 }
 
 func (w *fieldWriter) duration(name string, d time.Duration) { w.add(name, d.Nanoseconds()) }
@@ -223,7 +223,7 @@
 // describeEvent is an event field by field, without fields that are zero.
 func describeEvent(ev wire.Event) string {
 	var w fieldWriter
-	fmt.Fprintf(&w, "%d:", ev.Instance)
+	fmt.Fprintf(&w.Builder, "%d:", ev.Instance)
 	if ev.Start != nil {
 		w.WriteString(" start")
 		w.add("asks", ev.Start.Asks)
@@ -236,8 +236,15 @@
 	if ev.Unlisted {
 		w.WriteString(" no list")
 	}
-	switch e := ev.Rules.(type) {
-	case nil:
+	if ev.Rules != nil && !w.requestEvent(ev.Rules) && !w.attemptEvent(ev.Rules) {
+		w.WriteString(" an event that the wire does not have")
+	}
+	return w.String()
+}
+
+// requestEvent writes what comes from clients, from discovery and from the clock; false: it is another event.
+func (w *fieldWriter) requestEvent(ev balancer.Event) bool {
+	switch e := ev.(type) {
 	case balancer.EndpointList:
 		w.WriteString(" list")
 		w.servers(e)
@@ -248,6 +255,21 @@
 		w.WriteString(" carried")
 		w.request(e.Request)
 		w.add("server", int64(e.Server))
+	case balancer.ClientDisconnected:
+		w.WriteString(" expired")
+		w.add("id", int64(e.ID))
+	case balancer.TimerFired:
+		w.WriteString(" timer")
+		w.add("ref", e.Ref)
+	default:
+		return false
+	}
+	return true
+}
+
+// attemptEvent writes what becomes of an attempt and of its connection; false: it is another event.
+func (w *fieldWriter) attemptEvent(ev balancer.Event) bool {
+	switch e := ev.(type) {
 	case balancer.AttemptEstablished:
 		w.WriteString(" opened")
 		w.add("id", int64(e.ID))
@@ -271,16 +293,10 @@
 		w.add("result", result(e.Result))
 		w.duration("elapsed", e.Elapsed)
 		w.add("settled", e.Answered)
-	case balancer.ClientDisconnected:
-		w.WriteString(" expired")
-		w.add("id", int64(e.ID))
-	case balancer.TimerFired:
-		w.WriteString(" timer")
-		w.add("ref", e.Ref)
 	default:
-		w.WriteString(" an event that the wire does not have")
+		return false
 	}
-	return w.String()
+	return true
 }
 
 // describeInput reads batches until the input ends or has a fault. Of a fault only the line is written down.
@@ -314,8 +330,10 @@
 func eventLines() (lines []string) {
 	const all = " ticket=7 backend=5 priority=p customer=c partition_key=k group=g grace_ns=3000000 weight_hint_ns=2500 returned=1 stray=true" +
 		" seq_no=2 elapsed_ns=9000000 outcome=305 settled=true value=120.5 topic=2 ref=77 mode=Complete rows_in=0 rev=5 stats=a:1,b:2 unknown=x"
-	kinds := []string{"destroy", "update", "new_request", "carried", "opened", "update_of", "result", "expired",
-		"timer", "checked", "message", "nonsense", "row", "mark", "Timer"}
+	kinds := []string{
+		"destroy", "update", "new_request", "carried", "opened", "update_of", "result", "expired",
+		"timer", "checked", "message", "nonsense", "row", "mark", "Timer",
+	}
 	for _, kind := range kinds {
 		lines = append(lines, kind, kind+" relay=3", kind+" relay=3"+all, kind+all+" relay=0",
 			kind+" relay=3 relay=4"+all, kind+" relay=2147483648", kind+" relay=-1", kind+" relay=x",
@@ -334,12 +352,16 @@
 	for _, mode := range []string{"Partial", "Complete", "Persisted", "Error", "complete", ""} {
 		lines = append(lines, "update relay=1 rows_in=0 mode="+mode)
 	}
-	values := []string{"", "0", "1", "-1", "+1", "007", "1.5", ".5", "1e3", "x", "nan", "inf", "-0.5", "true",
+	values := []string{
+		"", "0", "1", "-1", "+1", "007", "1.5", ".5", "1e3", "x", "nan", "inf", "-0.5", "true",
 		"false", "TRUE", "2", "2147483647", "2147483648", "4294967295", "4294967296",
 		"9223372036854775807", "9223372036854775808", "-9223372036854775808", "1e15", "1.1e15", "0x10", "1_0", "a=b",
-		"é"}
-	for _, field := range []string{"ticket", "backend", "priority", "customer", "partition_key", "group", "grace_ns",
-		"weight_hint_ns", "returned", "stray"} {
+		"é",
+	}
+	for _, field := range []string{
+		"ticket", "backend", "priority", "customer", "partition_key", "group", "grace_ns",
+		"weight_hint_ns", "returned", "stray",
+	} {
 		for _, v := range values {
 			lines = append(lines, "carried relay=1 "+field+"="+v)
 		}
@@ -367,16 +389,39 @@
 func TestRowsRead(t *testing.T) {
 	var lines []string
 	for _, rows := range [][]string{
-		{"row backend=5 rack_zone=a machine=m cell=2 mode=IN capacity_hint=1.5 up_since_ns=61",
-			"row backend=6 mode=LAME", "row backend=7 mode=OUT"},
-		{"row backend=5"}, {"row backend=0"}, {"row backend=4294967295"}, {"row backend=4294967296"}, {"row"},
-		{"row cell=1"}, {"row backend=5 backend=6"}, {"row backend=x"}, {"rows backend=5"},
-		{"row backend=5 mode=in"}, {"row backend=5 mode="}, {"row backend=5 mode=Gone"}, {"row backend=5 cell=-3"},
-		{"row backend=5 cell=x"}, {"row backend=5 capacity_hint=-1"},
-		{"row backend=5 capacity_hint=0"}, {"row backend=5 capacity_hint=1e15"}, {"row backend=5 capacity_hint=2e15"},
-		{"row backend=5 up_since_ns=-1"}, {"row backend=5 up_since_ns=9223372036854775807"},
-		{"row backend=5 rack_zone= unknown=1"}, {"row backend=5 what"}, {"row backend=5", "row backend=5"}, {"",
-			"row backend=5"}, {"row  backend=5 "}, {},
+		{
+			"row backend=5 rack_zone=a machine=m cell=2 mode=IN capacity_hint=1.5 up_since_ns=61",
+			"row backend=6 mode=LAME", "row backend=7 mode=OUT",
+		},
+		{"row backend=5"},
+		{"row backend=0"},
+		{"row backend=4294967295"},
+		{"row backend=4294967296"},
+		{"row"},
+		{"row cell=1"},
+		{"row backend=5 backend=6"},
+		{"row backend=x"},
+		{"rows backend=5"},
+		{"row backend=5 mode=in"},
+		{"row backend=5 mode="},
+		{"row backend=5 mode=Gone"},
+		{"row backend=5 cell=-3"},
+		{"row backend=5 cell=x"},
+		{"row backend=5 capacity_hint=-1"},
+		{"row backend=5 capacity_hint=0"},
+		{"row backend=5 capacity_hint=1e15"},
+		{"row backend=5 capacity_hint=2e15"},
+		{"row backend=5 up_since_ns=-1"},
+		{"row backend=5 up_since_ns=9223372036854775807"},
+		{"row backend=5 rack_zone= unknown=1"},
+		{"row backend=5 what"},
+		{"row backend=5", "row backend=5"},
+		{
+			"",
+			"row backend=5",
+		},
+		{"row  backend=5 "},
+		{},
 	} {
 		for _, count := range []int{len(rows), len(rows) + 1} {
 			for _, mode := range []string{"Partial", "Persisted"} {
@@ -406,9 +451,11 @@
 	add := func(line string) {
 		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchOf(line))))
 	}
-	values := []string{"", "null", "0", "1", "3", "-1", "1.5", "0.25", "1e18", "2e18", "x", "nan", "true", "false",
+	values := []string{
+		"", "null", "0", "1", "3", "-1", "1.5", "0.25", "1e18", "2e18", "x", "nan", "true", "false",
 		"ask", "push", "9223372036854775807", "9223372036854775808", "1,2", "1,null,2.5", "1,x",
-		"idempotent", "deduplicated", "at_most_once", "all", "zone", "cell", "10000", "10001"}
+		"idempotent", "deduplicated", "at_most_once", "all", "zone", "cell", "10000", "10001",
+	}
 	const base = "create relay=2 classes.count=1 tenants.count=1"
 	for _, path := range settingPaths {
 		for _, v := range values {
--- a/placement/digest_test.go
+++ b/placement/digest_test.go
@@ -98,12 +98,15 @@
 // seven figures so small that many plans are equal in every goal.
 func drawSize(rng *rand.Rand) size {
 	s := size{zones: 1 + rng.IntN(3), nodes: rng.IntN(8), classes: 2, load: 40, cost: 12, factor: 1}
-	switch {
-	case chance(rng, 8):
+	if chance(rng, 8) {
 		s.zones, s.nodes, s.classes = len(zoneNames), 10, len(classNames)
-	case chance(rng, 15):
+		return s
+	}
+	if chance(rng, 15) {
 		s.factor = 97
-	case chance(rng, 15):
+		return s
+	}
+	if chance(rng, 15) {
 		s.zones, s.load, s.cost = 2+rng.IntN(2), 5, 2
 	}
 	return s
@@ -127,8 +130,10 @@
 	for _, zone := range p.Zones {
 		for _, class := range classNames[:s.classes] {
 			if chance(rng, 85) {
-				p.Demands = append(p.Demands, placement.Demand{Zone: zone, Class: class,
-					Load: rng.Int64N(s.load) * s.factor})
+				p.Demands = append(p.Demands, placement.Demand{
+					Zone: zone, Class: class,
+					Load: rng.Int64N(s.load) * s.factor,
+				})
 			}
 		}
 		for _, to := range p.Zones {
@@ -151,8 +156,10 @@
 		func() placement.Constraint { return placement.Constraint{Kind: placement.Carry} },
 		func() placement.Constraint { return placement.Constraint{Kind: placement.Carry, Class: class()} },
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.Headroom, Part: placement.Ratio{Num: 3 + rng.Int64N(8),
-				Den: 10}}
+			return placement.Constraint{Kind: placement.Headroom, Part: placement.Ratio{
+				Num: 3 + rng.Int64N(8),
+				Den: 10,
+			}}
 		},
 		func() placement.Constraint { return placement.Constraint{Kind: placement.Keep, Class: class()} },
 		func() placement.Constraint {
@@ -162,8 +169,10 @@
 			return placement.Constraint{Kind: placement.KeepOut, Class: class(), Zones: someOf(rng, zones, 50)}
 		},
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.Spread, Class: class(), Count: 1 + rng.Int64N(3),
-				Least: rng.Int64N(6) * factor}
+			return placement.Constraint{
+				Kind: placement.Spread, Class: class(), Count: 1 + rng.Int64N(3),
+				Least: rng.Int64N(6) * factor,
+			}
 		},
 		func() placement.Constraint {
 			return placement.Constraint{Kind: placement.Share, Part: placement.Ratio{Num: 1 + rng.Int64N(4), Den: 1 +
@@ -176,8 +185,10 @@
 			return placement.Constraint{Kind: placement.Pair, Model: pick(rng, modelNames), With: pick(rng, modelNames)}
 		},
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.Connections, Model: pick(rng, modelNames),
-				Count: rng.Int64N(9), Least: rng.Int64N(4) * factor}
+			return placement.Constraint{
+				Kind: placement.Connections, Model: pick(rng, modelNames),
+				Count: rng.Int64N(9), Least: rng.Int64N(4) * factor,
+			}
 		},
 		func() placement.Constraint {
 			return placement.Constraint{Kind: placement.Moves, Count: rng.Int64N(60) * factor}
@@ -246,7 +257,8 @@
 
 // contingencies writes down what is planned for losses from a plan.
 func contingencies(t *testing.T, b *strings.Builder, p *placement.Problem, plan *placement.Plan,
-	batches []placement.Batch) {
+	batches []placement.Batch,
+) {
 	t.Helper()
 	progress := func(done, all int) { fmt.Fprintf(b, "progress %d of %d\n", done, all) }
 	list, err := placement.Contingencies(p, plan, batches, placement.Options{Steps: 300}, progress)
@@ -329,8 +341,10 @@
 func lossTranscript(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 26))
-	p := drawProblem(rng, size{zones: 1 + rng.IntN(2), nodes: 2 + rng.IntN(3), classes: 1 + rng.IntN(2), load: 12,
-		cost: 3, factor: 1})
+	p := drawProblem(rng, size{
+		zones: 1 + rng.IntN(2), nodes: 2 + rng.IntN(3), classes: 1 + rng.IntN(2), load: 12,
+		cost: 3, factor: 1,
+	})
 	for i := range p.Nodes {
 		if p.Nodes[i].Capacity > 0 {
 			p.Nodes[i].Capacity += 20
@@ -346,8 +360,11 @@
 	var b strings.Builder
 	plan := solve(t, &b, p, placement.Options{})
 	if plan != nil {
-		contingencies(t, &b, p, plan, []placement.Batch{{Model: "large", Size: 2}, {Model: "small", Size: 1},
-			{Model: "old"}})
+		contingencies(t, &b, p, plan, []placement.Batch{
+			{Model: "large", Size: 2},
+			{Model: "small", Size: 1},
+			{Model: "old"},
+		})
 	}
 	return b.String()
 }
@@ -357,8 +374,10 @@
 	transcripts := make([]string, 60)
 	each(len(transcripts), func(seed int) { transcripts[seed] = lossTranscript(t, uint64(seed)) })
 	counts := map[string]int{}
-	for _, what := range []string{"contingency node", "contingency zone", "contingency batch", "conflict spread",
-		"conflict all"} {
+	for _, what := range []string{
+		"contingency node", "contingency zone", "contingency batch", "conflict spread",
+		"conflict all",
+	} {
 		for _, text := range transcripts {
 			counts[what] += strings.Count(text, what)
 		}
@@ -374,13 +393,20 @@
 func TestStepBounds(t *testing.T) {
 	p := &placement.Problem{
 		Zones: []string{"east", "north", "west"},
-		Nodes: []placement.Node{{ID: "one", Zone: "east", Capacity: 6}, {ID: "two", Zone: "north", Capacity: 6},
-			{ID: "three", Zone: "west", Capacity: 7}},
+		Nodes: []placement.Node{
+			{ID: "one", Zone: "east", Capacity: 6},
+			{ID: "two", Zone: "north", Capacity: 6},
+			{ID: "three", Zone: "west", Capacity: 7},
+		},
 		Demands:     []placement.Demand{{Zone: "east", Class: "feed", Load: 4}, {Zone: "west", Class: "chat", Load: 3}},
 		DefaultCost: 1,
-		Constraints: []placement.Constraint{{Name: "together", Kind: placement.Together, Classes: []string{"feed",
-			"chat"}},
-			{Name: "spread", Kind: placement.Spread, Class: "feed", Count: 1, Least: 2}},
+		Constraints: []placement.Constraint{
+			{Name: "together", Kind: placement.Together, Classes: []string{
+				"feed",
+				"chat",
+			}},
+			{Name: "spread", Kind: placement.Spread, Class: "feed", Count: 1, Least: 2},
+		},
 	}
 	var lines []string
 	within := func(steps int) *placement.Plan {
@@ -435,13 +461,15 @@
 	compareDigests(t, "sites.txt", transcripts)
 }
 
-// Which problems are sound: one change of a sound one at a time, at the bounds and beyond them.
-func TestProblemsAcceptedAndRejected(t *testing.T) {
-	type change struct {
-		name string
-		to   func(*placement.Problem)
-	}
-	changes := []change{
+// problemChange makes one change to a sound problem.
+type problemChange struct {
+	name string
+	to   func(*placement.Problem)
+}
+
+// formChanges are changes of what names what.
+func formChanges() []problemChange {
+	return []problemChange{
 		{"none", func(*placement.Problem) {}},
 		{"zone twice", func(p *placement.Problem) { p.Zones = append(p.Zones, "east") }},
 		{"node twice", func(p *placement.Problem) { p.Nodes = append(p.Nodes, p.Nodes[0]) }},
@@ -454,6 +482,12 @@
 		{"constraint twice", func(p *placement.Problem) { p.Constraints[1].Name = p.Constraints[0].Name }},
 		{"constraint of no zone", func(p *placement.Problem) { p.Constraints[0].Zones = []string{"nowhere"} }},
 		{"constraint of an unknown class", func(p *placement.Problem) { p.Constraints[0].Class = "nothing" }},
+	}
+}
+
+// listChanges are changes of how many there are, and of the goals.
+func listChanges() []problemChange {
+	return []problemChange{
 		{"goal left out", func(p *placement.Problem) { p.Order = placement.DefaultOrder[1:] }},
 		{"goal twice", func(p *placement.Problem) {
 			p.Order = append(slices.Clone(placement.DefaultOrder),
@@ -482,52 +516,91 @@
 			}
 		}},
 	}
-	fields := []struct {
+}
+
+// figureChanges set each figure of a sound problem to its bounds and beyond them.
+func figureChanges() (changes []problemChange) {
+	for _, f := range []struct {
 		name string
 		of   func(*placement.Problem) *int64
 		at   []int64
 	}{
-		{"capacity", func(p *placement.Problem) *int64 { return &p.Nodes[0].Capacity }, []int64{-1, 0,
-			placement.MostLoad, placement.MostLoad + 1}},
-		{"load now", func(p *placement.Problem) *int64 { return &p.Nodes[0].Now }, []int64{-1, 0, placement.MostLoad,
-			placement.MostLoad + 1}},
-		{"demand", func(p *placement.Problem) *int64 { return &p.Demands[0].Load }, []int64{-1, 0, placement.MostLoad,
-			placement.MostLoad + 1}},
-		{"crossing", func(p *placement.Problem) *int64 { return &p.Crossings[0].Cost }, []int64{-1, 0,
-			placement.MostCost, placement.MostCost + 1}},
-		{"default cost", func(p *placement.Problem) *int64 { return &p.DefaultCost }, []int64{-1, 0,
-			placement.MostCost, placement.MostCost + 1}},
-		{"count", func(p *placement.Problem) *int64 { return &p.Constraints[0].Count }, []int64{-1, 0,
-			placement.MostLoad, placement.MostLoad + 1}},
-		{"least", func(p *placement.Problem) *int64 { return &p.Constraints[0].Least }, []int64{-1, 0,
-			placement.MostLoad, placement.MostLoad + 1}},
-		{"headroom numerator", func(p *placement.Problem) *int64 { return &p.Constraints[1].Part.Num }, []int64{-1, 0,
-			10, 11}},
-		{"headroom denominator", func(p *placement.Problem) *int64 { return &p.Constraints[1].Part.Den }, []int64{-1,
-			0, 8, 9, 1_000_000, 1_000_001}},
-		{"share numerator", func(p *placement.Problem) *int64 { return &p.Constraints[2].Part.Num }, []int64{-1, 0,
-			10, 11}},
-		{"share denominator", func(p *placement.Problem) *int64 { return &p.Constraints[2].Part.Den }, []int64{-1, 0,
-			1, 2, 1_000_000, 1_000_001}},
-	}
-	for _, f := range fields {
+		{"capacity", func(p *placement.Problem) *int64 { return &p.Nodes[0].Capacity }, []int64{
+			-1, 0,
+			placement.MostLoad, placement.MostLoad + 1,
+		}},
+		{"load now", func(p *placement.Problem) *int64 { return &p.Nodes[0].Now }, []int64{
+			-1, 0, placement.MostLoad,
+			placement.MostLoad + 1,
+		}},
+		{"demand", func(p *placement.Problem) *int64 { return &p.Demands[0].Load }, []int64{
+			-1, 0, placement.MostLoad,
+			placement.MostLoad + 1,
+		}},
+		{"crossing", func(p *placement.Problem) *int64 { return &p.Crossings[0].Cost }, []int64{
+			-1, 0,
+			placement.MostCost, placement.MostCost + 1,
+		}},
+		{"default cost", func(p *placement.Problem) *int64 { return &p.DefaultCost }, []int64{
+			-1, 0,
+			placement.MostCost, placement.MostCost + 1,
+		}},
+		{"count", func(p *placement.Problem) *int64 { return &p.Constraints[0].Count }, []int64{
+			-1, 0,
+			placement.MostLoad, placement.MostLoad + 1,
+		}},
+		{"least", func(p *placement.Problem) *int64 { return &p.Constraints[0].Least }, []int64{
+			-1, 0,
+			placement.MostLoad, placement.MostLoad + 1,
+		}},
+		{"headroom numerator", func(p *placement.Problem) *int64 { return &p.Constraints[1].Part.Num }, []int64{
+			-1, 0,
+			10, 11,
+		}},
+		{"headroom denominator", func(p *placement.Problem) *int64 { return &p.Constraints[1].Part.Den }, []int64{
+			-1,
+			0, 8, 9, 1_000_000, 1_000_001,
+		}},
+		{"share numerator", func(p *placement.Problem) *int64 { return &p.Constraints[2].Part.Num }, []int64{
+			-1, 0,
+			10, 11,
+		}},
+		{"share denominator", func(p *placement.Problem) *int64 { return &p.Constraints[2].Part.Den }, []int64{
+			-1, 0,
+			1, 2, 1_000_000, 1_000_001,
+		}},
+	} {
 		for _, v := range f.at {
-			changes = append(changes, change{fmt.Sprint(f.name, " ", v), func(p *placement.Problem) { *f.of(p) = v }})
+			changes = append(changes, problemChange{fmt.Sprint(f.name, " ", v), func(p *placement.Problem) { *f.of(p) = v }})
 		}
 	}
+	return changes
+}
+
+// soundProblem is what the changes are made to.
+func soundProblem() *placement.Problem {
+	return &placement.Problem{
+		Zones: []string{"east", "west"},
+		Nodes: []placement.Node{{ID: "one", Zone: "east", Capacity: 5}, {
+			ID: "two", Zone: "west",
+			Capacity: 5,
+		}},
+		Demands:     []placement.Demand{{Zone: "east", Class: "feed", Load: 3}},
+		Crossings:   []placement.Crossing{{From: "east", To: "west", Cost: 2}},
+		DefaultCost: 1,
+		Constraints: []placement.Constraint{
+			{Name: "spread", Kind: placement.Spread, Class: "feed", Count: 1},
+			{Name: "headroom", Kind: placement.Headroom, Part: placement.Ratio{Num: 9, Den: 10}},
+			{Name: "share", Kind: placement.Share, Part: placement.Ratio{Num: 2, Den: 10}},
+		},
+	}
+}
+
+// Which problems are sound: one change of a sound one at a time, at the bounds and beyond them.
+func TestProblemsAcceptedAndRejected(t *testing.T) {
 	var lines []string
-	for _, c := range changes {
-		p := &placement.Problem{
-			Zones: []string{"east", "west"},
-			Nodes: []placement.Node{{ID: "one", Zone: "east", Capacity: 5}, {ID: "two", Zone: "west",
-				Capacity: 5}},
-			Demands:     []placement.Demand{{Zone: "east", Class: "feed", Load: 3}},
-			Crossings:   []placement.Crossing{{From: "east", To: "west", Cost: 2}},
-			DefaultCost: 1,
-			Constraints: []placement.Constraint{{Name: "spread", Kind: placement.Spread, Class: "feed", Count: 1},
-				{Name: "headroom", Kind: placement.Headroom, Part: placement.Ratio{Num: 9, Den: 10}},
-				{Name: "share", Kind: placement.Share, Part: placement.Ratio{Num: 2, Den: 10}}},
-		}
+	for _, c := range slices.Concat(formChanges(), listChanges(), figureChanges()) {
+		p := soundProblem()
 		c.to(p)
 		verdict := "accepted"
 		if p.Check() != nil {
