--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -13,7 +13,7 @@
 	ConnectionCapacity WeightedMean     `json:"Bears"`   // connections that a warm server of weight 1 bears
 }
 
-const limitMost = 1e15
+const maxLoadLimit = 1e15
 
 // WeightedMean is a mean and its weight.
 type WeightedMean struct {
@@ -34,32 +34,32 @@
 	FailureScoreAt time.Duration `json:"StrikesAt"`
 }
 
-func (m mean) figure() WeightedMean { return WeightedMean{m.value, m.weight} }
+func (m ewma) weightedMean() WeightedMean { return WeightedMean{m.value, m.weight} }
 
-func (f WeightedMean) mean() mean {
+func (f WeightedMean) ewma() ewma {
 	if !(f.Weight >= 0 && f.Weight <= 1e6) || !(f.Value >= 0 && f.Value <= 1e18) {
-		return mean{} // no mean of ours
+		return ewma{} // no mean of ours
 	}
-	return mean{f.Value, f.Weight}
+	return ewma{f.Value, f.Weight}
 }
 
 // Snapshot returns what the Balancer has learned.
 func (b *Balancer) Snapshot() Snapshot {
-	l := Snapshot{MeanLoad: b.anyLoad.figure(), ConnectionCapacity: b.bears.figure()}
-	for _, m := range b.loads {
-		l.ClassLoads = append(l.ClassLoads, m.figure())
+	l := Snapshot{MeanLoad: b.overallLoad.weightedMean(), ConnectionCapacity: b.connectionCapacity.weightedMean()}
+	for _, m := range b.classLoads {
+		l.ClassLoads = append(l.ClassLoads, m.weightedMean())
 	}
-	for _, s := range b.order {
-		limit := s.limit
-		if !(limit < limitMost) { // grown while no server was ready: it binds nothing
+	for _, s := range b.sortedServers {
+		limit := s.loadLimit
+		if !(limit < maxLoadLimit) { // grown while no server was ready: it binds nothing
 			limit = 0
 		}
 		l.Servers = append(l.Servers, ServerSnapshot{
 			ID: s.ID, Started: s.Started,
-			LoadLimit: limit, LimitLoweredAt: s.cutAt,
+			LoadLimit: limit, LimitLoweredAt: s.limitLoweredAt,
 			PausedUntil:  s.pausedUntil,
-			EjectedUntil: s.ejected, Ejections: s.ejections,
-			FailureScore: s.strikes.sum, FailureScoreAt: s.strikes.at,
+			EjectedUntil: s.ejectedUntil, Ejections: s.ejections,
+			FailureScore: s.failureScore.sum, FailureScoreAt: s.failureScore.at,
 		})
 	}
 	return l
@@ -69,10 +69,10 @@
 // told of drains counts as told long ago.
 func (b *Balancer) Restore(now time.Duration, l Snapshot) {
 	b.now = max(b.now, now)
-	b.anyLoad, b.bears = l.MeanLoad.mean(), l.ConnectionCapacity.mean()
-	if len(l.ClassLoads) == len(b.loads) {
+	b.overallLoad, b.connectionCapacity = l.MeanLoad.ewma(), l.ConnectionCapacity.ewma()
+	if len(l.ClassLoads) == len(b.classLoads) {
 		for i, f := range l.ClassLoads {
-			b.loads[i] = f.mean()
+			b.classLoads[i] = f.ewma()
 		}
 	}
 	for _, k := range l.Servers {
@@ -80,19 +80,19 @@
 		if s == nil || s.Started != k.Started {
 			continue
 		}
-		if k.LoadLimit >= 0 && k.LoadLimit < limitMost {
-			s.limit = k.LoadLimit
+		if k.LoadLimit >= 0 && k.LoadLimit < maxLoadLimit {
+			s.loadLimit = k.LoadLimit
 		}
 		// Nothing lasts longer than it would have from now on.
-		s.cutAt = min(k.LimitLoweredAt, b.now)
-		s.pausedUntil = min(k.PausedUntil, b.now+delayFor)
+		s.limitLoweredAt = min(k.LimitLoweredAt, b.now)
+		s.pausedUntil = min(k.PausedUntil, b.now+messageDelayTTL)
 		s.ejections = max(k.Ejections, 0)
-		s.ejected = min(k.EjectedUntil, b.now+ejectFor<<ejectDoubled)
-		s.strikes = fading{k.FailureScore, min(k.FailureScoreAt, b.now)}
+		s.ejectedUntil = min(k.EjectedUntil, b.now+baseEjectionDuration<<maxEjectionDoublings)
+		s.failureScore = decayingCounter{k.FailureScore, min(k.FailureScoreAt, b.now)}
 	}
-	for _, s := range b.order {
+	for _, s := range b.sortedServers {
 		if s.State != Ready {
-			s.told = min(s.told, b.now-b.set.DrainGrace)
+			s.unavailableSince = min(s.unavailableSince, b.now-b.settings.DrainGrace)
 		}
 	}
 }
