--- a/balancer/ask_test.go
+++ b/balancer/loadreport_test.go
@@ -1,6 +1,8 @@
 package balancer
 
-import "testing"
+import (
+	"testing"
+)
 
 // asking is a world whose gateway may ask servers for their load, with a client that has come.
 func asking(t *testing.T, n int) (*world, []PollLoad) {
--- a/balancer/move_test.go
+++ b/balancer/migration_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 )
 
 // slowOf is a gateway of many whose one connection, of a group, is at a server that reports too much load.
@@ -72,3 +73,57 @@
 		t.Errorf("%d of %d groups left in part", part, groups)
 	}
 }
+
+func TestSlowServerGetsNothingNewAndItsConnectionsMove(t *testing.T) {
+	w := newWorld(t, settings(), 6)
+	for i := range 40 { // most of what the gateway holds is well
+		w.open("safe", fmt.Sprint("g", i))
+	}
+	id, s := w.open("safe", "g")
+	for range 4 {
+		w.open("safe", "g")
+	}
+	if got := len(w.b.servers[s].inFlight); got < 3 {
+		t.Fatalf("%d connections there", got)
+	}
+	moved := 0
+	for i := range 4 {
+		w.feed(MessageDelay{ID: id, Server: s, Delay: time.Duration(200+900*i) * ms})
+		if _, got := w.open("safe", "g"); got == s {
+			t.Fatal("a slow server got a new connection")
+		}
+		moved += len(find[Migrate](w.wait(sec)))
+	}
+	if moved == 0 {
+		t.Error("nothing moved off it")
+	}
+	w.feed(MessageDelay{ID: id, Server: s, Delay: 10 * ms})
+	if w.b.now < w.b.servers[s].pausedUntil {
+		t.Error("still busy after the word that it is over")
+	}
+}
+
+func TestPassingWordOfSlownessMovesNothing(t *testing.T) {
+	w := newWorld(t, settings(), 6)
+	id, s := w.open("safe", "g")
+	w.feed(MessageDelay{ID: id, Server: s, Delay: 40 * ms}) // above a third of the aim, below the aim
+	if moves := find[Migrate](w.wait(2 * sec)); len(moves) > 0 {
+		t.Errorf("moved %+v", moves)
+	}
+}
+
+func TestSmallGroupsMoveFirst(t *testing.T) {
+	w := newWorld(t, settings(), 1)
+	for range 10 {
+		w.open("safe", "large")
+	}
+	small, _ := w.open("safe", "small")
+	s := w.b.sortedServers[0]
+	s.loadLimit, s.limitLoweredAt, s.pausedUntil = 1, w.now, w.now+sec
+	s.messageDelay, s.migrationCredit = sec, 1
+	w.b.migrateFrom(s)
+	got := find[Migrate](w.b.actions)
+	if len(got) == 0 || got[0].ID != small {
+		t.Errorf("moved %+v, the lone member is %d", got, small)
+	}
+}
--- /dev/null
+++ b/balancer/slowstart_test.go
@@ -0,0 +1,236 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// When all gateways are asked at once, each for the first time in long, no cold server gets more in TipTime
+// than the limit, in the mean over many such bursts: each gateway knows of its one request alone.
+func TestBurstOverAllGatewaysKeepsColdLimit(t *testing.T) {
+	const members, bursts = 13, 60
+	for _, gateways := range []int{3, 80, 300} {
+		for _, tip := range []time.Duration{sec, 2 * sec} {
+			set := settings()
+			set.Gateways, set.ColdOverloadDuration = gateways, tip
+			sent, id := 0, RequestID(0)
+			w := newWorld(t, set, members-1)
+			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
+			w.b.refreshTable()
+			s := w.b.servers[900]
+			w.b.startedAt = w.now - time.Hour
+			for range bursts * gateways { // one world stands for all: nothing of the last request is left
+				w.b.now += ms
+				w.b.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
+				s.warmupSentAt, s.Started = 0, w.b.now-sec
+				w.b.recentRequests.add(w.b.now, 1)
+				id++
+				for j := range maxNearLookups {
+					if mix(uint64(id), uint64(j))%members == 0 &&
+						w.b.admitToWarmingServer(&request{Request: Request{ID: id}}, s) {
+						sent++
+						break
+					}
+				}
+			}
+			limit := set.ColdOverloadFactor * minWarmConnections /
+				set.WarmupDuration.Seconds() * tip.Seconds()
+			if mean := float64(sent) / bursts; mean > 1.2*limit || mean < 0.2*limit {
+				t.Errorf("%d gateways, %v: %.2f in a burst, the limit is %.2f", gateways, tip, mean, limit)
+			}
+		}
+	}
+}
+
+// The members of a large group share their lookups, so that many may try one cold server at once, however
+// many servers there are. On a day with 300 gateways 111 came back together; servers fell at 15 connections
+// and more.
+func TestGroupsBurstTipsNoColdServer(t *testing.T) {
+	const members, bursts, bears, falls = 111, 200, 20, 15
+	set := settings()
+	set.Gateways, set.ColdOverloadFactor, set.WarmupDuration = 300, 4, 21*sec
+	w := newWorld(t, set, 80)
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
+	w.b.refreshTable()
+	w.b.startedAt = w.now - time.Hour
+	w.b.connectionCapacity.add(bears)
+	s := w.b.servers[900]
+	sent := 0
+	for id := range bursts * members {
+		w.b.now += ms
+		w.b.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
+		s.warmupSentAt, s.Started = 0, w.b.now-sec
+		w.b.recentRequests.add(w.b.now, 1)
+		if w.b.admitToWarmingServer(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
+			sent++
+		}
+	}
+	if mean := float64(sent) / bursts; mean >= falls || mean < 1 {
+		t.Errorf("%.2f in a burst", mean)
+	}
+}
+
+// The budget holds in sum, whether one gateway serves or 235, also when the clients of a lost part of the
+// fleet return at once: each gateway is fed its part of the same requests.
+func TestColdServerHasABudgetAtAnyNumberOfGateways(t *testing.T) {
+	for _, gateways := range []int{1, 4, 235} {
+		set := settings()
+		set.Gateways, set.ColdOverloadDuration = gateways, 2*sec
+		var worlds []*world
+		for range gateways {
+			worlds = append(worlds, newWorld(t, set, 8))
+		}
+		start := worlds[0].now
+		sent, full := map[time.Duration]int{}, 0.0
+		id := 0
+		serve := func(window time.Duration, n int) {
+			for range n {
+				w := worlds[id%gateways]
+				id++
+				key := fmt.Sprint("k", id)
+				w.feed(Request{ID: RequestID(id), Class: "safe", Key: key, Timeout: 2 * sec})
+				for _, s := range find[Send](w.last) {
+					w.feed(AttemptEstablished{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
+					if window > 0 { // gone again, so that what a server bears stays the same
+						w.feed(AttemptEnded{ID: s.ID, Server: s.Server, Result: OK, Answered: true})
+					}
+					if s.Server == 900 {
+						sent[window]++
+					}
+				}
+			}
+		}
+		serve(0, 240) // thirty on each warm server
+		for _, w := range worlds {
+			w.now = start + 9*sec
+			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: start}}})
+			full += w.b.warmConnections(w.b.servers[900]) / float64(gateways)
+		}
+		for i := range 5 {
+			for _, w := range worlds {
+				w.now += 2 * sec
+			}
+			serve(time.Duration(i+1), 300)
+		}
+		total := 0
+		for window, n := range sent {
+			// Three times what fills it over the cold time, which is thirty connections.
+			if allowed := 3.0 * 30 / 20 * 2; float64(n) > allowed {
+				t.Errorf("%d gateways sent %d in window %d, %.1f are allowed", gateways, n, window, allowed)
+			}
+			total += n
+		}
+		if total == 0 || full > 31 {
+			t.Errorf("%d gateways sent %d, held to bear %.0f", gateways, total, full)
+		}
+	}
+}
+
+func TestWholeFleetColdIsServedWithinBudget(t *testing.T) {
+	w := newWorld(t, settings(), 0)
+	list := servers(4)
+	for i := range list {
+		list[i].Started = w.now - 2*sec
+	}
+	w.feed(EndpointList{Mode: ListComplete, Servers: list})
+	sends := 0
+	for i := range 40 {
+		w.request("safe", fmt.Sprint("g", i))
+		sends += len(find[Send](w.last))
+	}
+	if sends > 4 {
+		t.Errorf("%d at once to four cold servers", sends)
+	}
+	for range 15 {
+		w.wait(sec)
+		w.request("safe", "g")
+		sends += len(find[Send](w.last))
+	}
+	if sends == 0 {
+		t.Error("a cold fleet got nothing in 15 s")
+	}
+}
+
+// Where warm servers tell what they hold and how loaded that makes them, a cold one's budget goes by that,
+// not by the little that a quiet fleet holds.
+func TestColdBudgetFollowsReports(t *testing.T) {
+	w := newWorld(t, settings(), 4)
+	s := w.b.sortedServers[0]
+	before := w.b.warmConnections(s)
+	for range 20 {
+		w.feed(LoadReport{Server: w.b.sortedServers[1].ID, Utilization: 0.25, Connections: 10})
+	}
+	if got := w.b.warmConnections(s); before != minWarmConnections || got < 0.6*40 || got > 40 {
+		t.Errorf("held to bear %v, then %v with reports of 10 at a quarter", before, got)
+	}
+	s.Started = w.now
+	for range 20 {
+		w.feed(LoadReport{Server: s.ID, Utilization: 0.25, Connections: 1000})
+	}
+	if got := w.b.warmConnections(s); got > 40 {
+		t.Errorf("a cold server's own report made it %v", got)
+	}
+}
+
+// Where many gateways share a cold server each tries it seldom: together they are to use its budget, and
+// neither to lose it in between nor to pass it, however many they are and however often clients come.
+func TestColdBudgetOfManyIsUsed(t *testing.T) {
+	for _, f := range []struct {
+		gateways int
+		every    time.Duration // between requests at one gateway
+	}{{48, 500 * ms}, {300, 500 * ms}, {300, 3 * sec}} {
+		set := settings()
+		set.Gateways, set.WarmupDuration = f.gateways, 2*sec
+		const span, members = 10 * sec, 50
+		sent := 0
+		for g := range f.gateways {
+			w := newWorld(t, set, members-1)
+			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1}}})
+			w.b.refreshTable()
+			s := w.b.servers[900]
+			for i := 0; time.Duration(i)*f.every < 10*sec+span; i++ { // ten seconds ahead, to learn the rate
+				w.now += f.every
+				w.b.now, s.Started = w.now, w.now // stays as cold
+				w.b.recentRequests.add(w.now, 1)
+				id := RequestID(g*1000 + i + 1)
+				for j := range maxNearLookups {
+					if mix(uint64(id), uint64(j))%members == 0 && time.Duration(i)*f.every >= 10*sec &&
+						w.b.admitToWarmingServer(&request{Request: Request{ID: id}}, s) {
+						sent++
+					}
+				}
+			}
+		}
+		budget := warmupBudgetRatio * 3 * minWarmConnections / 2 * span.Seconds()
+		if n := float64(sent); n > 1.3*budget || n < 0.15*budget {
+			t.Errorf("%d gateways, a request every %v: %d sent of %.1f", f.gateways, f.every, sent, budget)
+		}
+	}
+}
+
+// What is shed since warm servers are slow may still go to a cold one within its budget, and to no warm one.
+func TestShedRequestsMayFillColdServers(t *testing.T) {
+	set := settings()
+	set.Gateways, set.WarmupDuration = 300, sec/100
+	w := newWorld(t, set, 4)
+	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 4}}})
+	w.b.slowRatio = 1
+	sent := 0
+	for i := range 200 {
+		w.now += 500 * ms
+		cold := w.b.servers[900]
+		cold.Started = w.now // stays as cold
+		w.feed(Request{ID: RequestID(i + 1), Class: "safe", Timeout: 2 * sec})
+		for _, s := range find[Send](w.last) {
+			if s.Server != 900 {
+				t.Fatalf("sent to warm server %d though all is shed", s.Server)
+			}
+			sent++
+		}
+		w.b.slowRatio = 1
+	}
+	if sent == 0 {
+		t.Error("nothing went to the cold server, whose budget was whole")
+	}
+}
