--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	logs := find[Log](w.wait(baseEjectionDuration + sec))
-	if len(logs) != 1 || !strings.Contains(logs[0].Text, "back") {
+	if len(logs) != 1 || !strings.Contains(logs[0].Message, "ended") {
 		t.Errorf("log lines at its return: %+v", logs)
 	}
 	first := w.onTrial("g", s)
