--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -9,66 +9,66 @@
 )
 
 // Before the first list a request waits a little for it; no longer, and not past its deadline.
-func TestNoListYetHoldsForAWhile(t *testing.T) {
-	w := unlisted(t, settings())
-	id := w.request("unsafe", "g")
-	if len(find[Send](w.last))+len(find[Reject](w.last)) > 0 || len(find[SetTimer](w.last)) != 2 {
-		t.Fatalf("not held: %+v", w.last)
+func TestRequestWaitsForFirstListUntilTimeout(t *testing.T) {
+	h := newHarnessWithoutList(t, testSettings())
+	id := h.request("unsafe", "g")
+	if len(actionsOf[Send](h.lastActions))+len(actionsOf[Reject](h.lastActions)) > 0 || len(actionsOf[SetTimer](h.lastActions)) != 2 {
+		t.Fatalf("not held: %+v", h.lastActions)
 	}
-	if got := w.wait(firstListTimeout - 10*ms); len(find[Reject](got)) > 0 {
+	if got := h.advance(firstListTimeout - 10*ms); len(actionsOf[Reject](got)) > 0 {
 		t.Fatalf("answered early: %+v", got)
 	}
-	w.now += 10 * ms
-	got := find[Reject](w.feed(TimerFired{Ref: oneShotTimer}))
+	h.now += 10 * ms
+	got := actionsOf[Reject](h.handle(TimerFired{Ref: oneShotTimer}))
 	if len(got) != 1 || got[0].ID != id {
-		t.Fatalf("when its time is up: %+v", w.last)
+		t.Fatalf("when its time is up: %+v", h.lastActions)
 	}
-	if got := w.wait(sec); len(find[Reject](got))+len(find[Fail](got)) > 0 {
+	if got := h.advance(sec); len(actionsOf[Reject](got))+len(actionsOf[Fail](got)) > 0 {
 		t.Errorf("answered twice: %+v", got)
 	}
 }
 
 // A list that names no server is word enough: nothing is held for it.
-func TestEmptyListRefusesAtOnce(t *testing.T) {
-	w := newWorld(t, settings(), 2)
-	w.feed(EndpointList{Mode: ListComplete})
-	if w.request("unsafe", "g"); len(find[Reject](w.last)) != 1 {
-		t.Errorf("actions %+v", w.last)
+func TestEmptyListRejectsAtOnce(t *testing.T) {
+	h := newHarness(t, testSettings(), 2)
+	h.handle(EndpointList{Mode: ListComplete})
+	if h.request("unsafe", "g"); len(actionsOf[Reject](h.lastActions)) != 1 {
+		t.Errorf("actions %+v", h.lastActions)
 	}
 }
 
 // Clients that are turned away are told to come back spread over time, so that they do not come together.
-func TestAdviceToReturnIsSpread(t *testing.T) {
-	set := settings()
-	set.MaxRetryAfter = 2 * sec
-	w := newWorld(t, set, 2)
-	w.feed(EndpointList{Mode: ListComplete})
-	least, most := set.MaxRetryAfter, time.Duration(0)
+func TestRetryAfterIsSpread(t *testing.T) {
+	settings := testSettings()
+	settings.MaxRetryAfter = 2 * sec
+	h := newHarness(t, settings, 2)
+	h.handle(EndpointList{Mode: ListComplete})
+	least, most := settings.MaxRetryAfter, time.Duration(0)
 	for range 100 {
-		w.request("safe", "g")
-		after := find[Reject](w.last)[0].RetryAfter
+		h.request("safe", "g")
+		after := actionsOf[Reject](h.lastActions)[0].RetryAfter
 		least, most = min(least, after), max(most, after)
 	}
-	if least < 0 || most > set.MaxRetryAfter || most-least < set.MaxRetryAfter/3 {
+	if least < 0 || most > settings.MaxRetryAfter || most-least < settings.MaxRetryAfter/3 {
 		t.Errorf("told to return after %v to %v", least, most)
 	}
 }
 
-func TestHeldRequestGoesOutWithTheList(t *testing.T) {
-	w := unlisted(t, settings())
-	id := w.request("safe", "g")
-	w.feed(EndpointList{Mode: ListDelta, Servers: servers(3)})
-	if w.sent().ID != id {
-		t.Errorf("sent %+v", w.sent())
+func TestWaitingRequestIsSentWithFirstList(t *testing.T) {
+	h := newHarnessWithoutList(t, testSettings())
+	id := h.request("safe", "g")
+	h.handle(EndpointList{Mode: ListDelta, Servers: testServers(3)})
+	if h.onlySend().ID != id {
+		t.Errorf("sent %+v", h.onlySend())
 	}
 }
 
 // A held request sets one timer: on a day of overload, one for each look flooded the host.
-func TestHeldRequestSetsOneTimer(t *testing.T) {
-	w := unlisted(t, settings())
-	w.request("safe", "g")
+func TestWaitingRequestSetsOneTimer(t *testing.T) {
+	h := newHarnessWithoutList(t, testSettings())
+	h.request("safe", "g")
 	wakes := 0
-	for _, a := range find[SetTimer](w.wait(sec)) {
+	for _, a := range actionsOf[SetTimer](h.advance(sec)) {
 		if a.Ref == oneShotTimer {
 			wakes++
 		}
@@ -80,132 +80,132 @@
 
 // The program's end answers what waits: an attempt that fails at that time is followed by no other, and what
 // is held for a list is held no longer. What has been answered or stands is left alone.
-func TestStopLeavesNothingWaiting(t *testing.T) {
-	w := newWorld(t, settings(), 5)
-	stands, at := w.open("safe", "")
-	w.request("safe", "")
-	out := w.sent()
-	w.feed(Shutdown{Deadline: w.now + 300*ms})
-	if wakes := find[SetTimer](w.last); len(wakes) != 1 || wakes[0].After > 300*ms {
+func TestShutdownAnswersWaitingRequests(t *testing.T) {
+	h := newHarness(t, testSettings(), 5)
+	stands, at := h.establish("safe", "")
+	h.request("safe", "")
+	out := h.onlySend()
+	h.handle(Shutdown{Deadline: h.now + 300*ms})
+	if wakes := actionsOf[SetTimer](h.lastActions); len(wakes) != 1 || wakes[0].After > 300*ms {
 		t.Errorf("looks again %+v", wakes)
 	}
-	w.now += 300 * ms
-	w.end(out, 0, TimedOut)
-	if r := find[Reject](w.last); len(r) != 1 || len(find[Send](w.last)) != 0 {
-		t.Errorf("at the end: %+v", w.last)
+	h.now += 300 * ms
+	h.endAttempt(out, 0, TimedOut)
+	if r := actionsOf[Reject](h.lastActions); len(r) != 1 || len(actionsOf[Send](h.lastActions)) != 0 {
+		t.Errorf("at the end: %+v", h.lastActions)
 	}
-	if got := find[Migrate](w.wait(sec)); len(got) != 0 {
+	if got := actionsOf[Migrate](h.advance(sec)); len(got) != 0 {
 		t.Errorf("%d at %d is moved", stands, at)
 	}
 
-	w = unlisted(t, settings())
-	w.request("safe", "")
-	w.feed(Shutdown{Deadline: w.now + 200*ms})
-	w.now += 200 * ms
-	w.feed(TimerFired{Ref: oneShotTimer})
-	if r := find[Reject](w.last); len(r) != 1 {
-		t.Errorf("held for a list: %+v", w.last)
+	h = newHarnessWithoutList(t, testSettings())
+	h.request("safe", "")
+	h.handle(Shutdown{Deadline: h.now + 200*ms})
+	h.now += 200 * ms
+	h.handle(TimerFired{Ref: oneShotTimer})
+	if r := actionsOf[Reject](h.lastActions); len(r) != 1 {
+		t.Errorf("held for a list: %+v", h.lastActions)
 	}
 }
 
-func TestTrafficOverQuotaYields(t *testing.T) {
-	set := settings()
-	set.OverQuotaWeightFactor = 0.1
-	set.Tenants = []Tenant{{Name: "in", ConnectionQuota: 1000}, {Name: "over", ConnectionQuota: 4}}
-	w := newWorld(t, set, 3)
+func TestTenantOverQuotaHasLowerPriorityWeight(t *testing.T) {
+	settings := testSettings()
+	settings.OverQuotaWeightFactor = 0.1
+	settings.Tenants = []Tenant{{Name: "in", ConnectionQuota: 1000}, {Name: "over", ConnectionQuota: 4}}
+	h := newHarness(t, settings, 3)
 	for i := range RequestID(5) {
-		w.feed(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Timeout: sec})
+		h.handle(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Timeout: sec})
 	}
 	in, over := Request{Class: "safe", Tenant: "in"}, Request{Class: "safe", Tenant: "over"}
-	a, b := w.b.priorityPerLoad(&request{Request: in}), w.b.priorityPerLoad(&request{Request: over})
+	a, b := h.balancer.priorityPerLoad(&request{Request: in}), h.balancer.priorityPerLoad(&request{Request: over})
 	if b >= a {
 		t.Errorf("worth %v within and %v over the quota", a, b)
 	}
 }
 
-func TestOverloadKeepsRoomForTheWorthier(t *testing.T) {
-	w := newWorld(t, settings(), 1)
+func TestOverloadReservesCapacityForHigherPriority(t *testing.T) {
+	h := newHarness(t, testSettings(), 1)
 	for range 12 {
-		w.open("safe", "g")
-		w.open("dear", "g")
+		h.establish("safe", "g")
+		h.establish("dear", "g")
 	}
-	s := w.b.sortedServers[0]
-	w.b.lowerLoadLimit(s, 1, 0)
+	s := h.balancer.sortedServers[0]
+	h.balancer.lowerLoadLimit(s, 1, 0)
 	s.loadLimit = 40
-	if w.request("safe", "g"); len(find[Send](w.last)) > 0 {
+	if h.request("safe", "g"); len(actionsOf[Send](h.lastActions)) > 0 {
 		t.Error("the less worthy filled what is kept")
 	}
-	if w.request("dear", "g"); len(find[Send](w.last)) != 1 {
+	if h.request("dear", "g"); len(actionsOf[Send](h.lastActions)) != 1 {
 		t.Error("the worthier found no room")
 	}
 }
 
 // Room is whole where all have room, so that no move is lost to rounding, and where servers
 // tell their loads it counts those that did.
-func TestRoomIsOfThoseThatTold(t *testing.T) {
-	set := settings()
-	w := newWorld(t, set, 4)
-	w.b.refreshTable()
-	if got := w.b.freeCapacityRatio(); got != 1 {
+func TestAvailableCapacityCountsReportingServers(t *testing.T) {
+	settings := testSettings()
+	h := newHarness(t, settings, 4)
+	h.balancer.refreshTable()
+	if got := h.balancer.freeCapacityRatio(); got != 1 {
 		t.Errorf("room is %v where all have room", got)
 	}
-	set.CanPollLoad = true
-	w = newWorld(t, set, 4)
-	w.b.refreshTable()
+	settings.CanPollLoad = true
+	h = newHarness(t, settings, 4)
+	h.balancer.refreshTable()
 	for i, load := range []float64{0.2, 1.5} {
-		w.feed(LoadReport{Server: w.b.sortedServers[i].ID, Utilization: load, Connections: 10})
+		h.handle(LoadReport{Server: h.balancer.sortedServers[i].ID, Utilization: load, Connections: 10})
 	}
-	if got := w.b.freeCapacityRatio(); got != 0.5 {
+	if got := h.balancer.freeCapacityRatio(); got != 0.5 {
 		t.Errorf("room is %v where one of two that told is full", got)
 	}
 }
 
 // A gateway whose own connections are mostly on slow servers takes the fleet to be jammed: it refuses
 // some of what comes, first what earns least, at once, and takes it again once the jam is over.
-func TestJamRefusesWhatEarnsLeast(t *testing.T) {
-	w := newWorld(t, settings(), 40)
+func TestOverloadedFleetShedsLowestPriorityFirst(t *testing.T) {
+	h := newHarness(t, testSettings(), 40)
 	var ids []RequestID
 	for i := range 40 {
-		id, _ := w.open("safe", fmt.Sprint("g", i))
+		id, _ := h.establish("safe", fmt.Sprint("g", i))
 		ids = append(ids, id)
 	}
 	for _, id := range ids[:28] {
-		w.feed(MessageDelay{ID: id, Server: w.b.requests[id].server.ID, Delay: 60 * ms})
+		h.handle(MessageDelay{ID: id, Server: h.balancer.requests[id].server.ID, Delay: 60 * ms})
 	}
-	w.wait(sweepInterval)
+	h.advance(sweepInterval)
 	sent := map[string]int{}
 	for i := range 200 {
 		class := []string{"safe", "dear"}[i%2]
-		w.request(class, fmt.Sprint("new", i))
-		sent[class] += len(find[Send](w.last))
+		h.request(class, fmt.Sprint("new", i))
+		sent[class] += len(actionsOf[Send](h.lastActions))
 	}
 	if sent["safe"] > 70 || sent["dear"] <= sent["safe"] {
 		t.Errorf("sent of 100 each: %v", sent)
 	}
 	for _, id := range ids[:28] {
-		if r := w.b.requests[id]; r.server != nil {
-			w.feed(MessageDelay{ID: id, Server: r.server.ID, Delay: 10 * ms})
+		if r := h.balancer.requests[id]; r.server != nil {
+			h.handle(MessageDelay{ID: id, Server: r.server.ID, Delay: 10 * ms})
 		}
 	}
-	w.wait(sweepInterval)
-	if w.request("safe", "after"); len(find[Send](w.last)) != 1 {
-		t.Errorf("after the jam: %+v", w.last)
+	h.advance(sweepInterval)
+	if h.request("safe", "after"); len(actionsOf[Send](h.lastActions)) != 1 {
+		t.Errorf("after the jam: %+v", h.lastActions)
 	}
 }
 
 // Where set-ups time out at whatever server they are tried, a part of what comes is shed, no server is blamed
 // for load, and all is taken again once set-ups stand.
-func TestSetUpsThatFailEverywhereAreThrottled(t *testing.T) {
-	w := newWorld(t, settings(), 40)
+func TestSetupTimeoutsAcrossFleetShedLoad(t *testing.T) {
+	h := newHarness(t, testSettings(), 40)
 	sent, cut := 0, 0
 	for i := range 400 {
-		w.now += 20 * ms
-		w.request("safe", fmt.Sprint("g", i))
-		for attempt := 0; len(find[Send](w.last)) == 1; attempt++ {
-			if sent++; attempt == 0 && i > 40 && w.b.servers[w.sent().Server].loadLimit > 0 {
+		h.now += 20 * ms
+		h.request("safe", fmt.Sprint("g", i))
+		for attempt := 0; len(actionsOf[Send](h.lastActions)) == 1; attempt++ {
+			if sent++; attempt == 0 && i > 40 && h.balancer.servers[h.onlySend().Server].loadLimit > 0 {
 				cut++
 			}
-			w.end(w.sent(), attempt, TimedOut)
+			h.endAttempt(h.onlySend(), attempt, TimedOut)
 		}
 	}
 	if sent > 200 || cut > 40 {
@@ -214,14 +214,14 @@
 	if sent < 20 {
 		t.Errorf("%d attempts for 400 requests: none would learn that it is over", sent)
 	}
-	w.wait(30 * sec)
+	h.advance(30 * sec)
 	sent = 0
 	for i := range 40 {
-		w.now += 20 * ms
-		w.request("safe", fmt.Sprint("g", i))
-		for _, s := range find[Send](w.last) {
+		h.now += 20 * ms
+		h.request("safe", fmt.Sprint("g", i))
+		for _, s := range actionsOf[Send](h.lastActions) {
 			sent++
-			w.feed(AttemptEstablished{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
+			h.handle(AttemptEstablished{ID: s.ID, Server: s.Server, Elapsed: 10 * ms})
 		}
 	}
 	if sent < 38 {
@@ -231,18 +231,18 @@
 
 // The fleet sheds whole ranks and a part of the one at the cut, the same clients at every gateway; what a
 // server holds already stays, and what is shed is not sent again.
-func TestWhatTheFleetShedsIsRefused(t *testing.T) {
+func TestFleetSheddingRejectsByPriority(t *testing.T) {
 	refused := func(seed uint64, level float64, rank int, stray bool) (clients []string) {
-		set := settings()
-		set.Seed = seed
-		w := newWorld(t, set, 8)
-		w.feed(FleetShedLevel{Level: level})
+		settings := testSettings()
+		settings.Seed = seed
+		h := newHarness(t, settings, 8)
+		h.handle(FleetShedLevel{Level: level})
 		for i := range 400 {
 			key := fmt.Sprint("k", i)
-			w.now += 10 * ms
-			w.feed(Request{ID: RequestID(i + 1), Class: "safe", Key: key, Priority: rank, Timeout: 2 * sec,
+			h.now += 10 * ms
+			h.handle(Request{ID: RequestID(i + 1), Class: "safe", Key: key, Priority: rank, Timeout: 2 * sec,
 				MidFlow: stray})
-			for _, a := range find[Reject](w.last) {
+			for _, a := range actionsOf[Reject](h.lastActions) {
 				if !a.ShedByFleet {
 					t.Fatalf("%+v is not marked as shed", a)
 				}
@@ -270,12 +270,12 @@
 			t.Errorf("level %v, rank %d: %d strays refused", f.level, f.rank, n)
 		}
 	}
-	w := newWorld(t, settings(), 8)
-	w.feed(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
-	s := w.sent()
-	w.feed(FleetShedLevel{Level: 1})
-	w.feed(AttemptEnded{ID: 1, Server: s.Server, Result: ConnectFailed})
-	if r := find[Reject](w.last); len(r) != 1 || !r[0].ShedByFleet || len(find[Send](w.last)) > 0 {
-		t.Errorf("a further attempt of what is shed: %+v", w.last)
+	h := newHarness(t, testSettings(), 8)
+	h.handle(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
+	s := h.onlySend()
+	h.handle(FleetShedLevel{Level: 1})
+	h.handle(AttemptEnded{ID: 1, Server: s.Server, Result: ConnectFailed})
+	if r := actionsOf[Reject](h.lastActions); len(r) != 1 || !r[0].ShedByFleet || len(actionsOf[Send](h.lastActions)) > 0 {
+		t.Errorf("a further attempt of what is shed: %+v", h.lastActions)
 	}
 }
--- a/balancer/balancer_events_test.go
+++ b/balancer/balancer_events_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// fate is what the test holds of one request, on its own account.
-type fate struct {
+// simulatedRequest is what the test holds of one request, on its own account.
+type simulatedRequest struct {
 	Request
 	deadline time.Duration
 	out      *Send
@@ -21,27 +21,27 @@
 	over     bool
 }
 
-// drill drives a Balancer with random events and checks the four rules as they show at one gateway.
-type drill struct {
-	t      *testing.T
-	rnd    *rand.Rand
-	set    Settings
-	b      *Balancer
-	now    time.Duration
-	list   map[ServerID]Server
-	told   map[ServerID]time.Duration
-	fates  []*fate
-	byID   map[RequestID]*fate
-	timers []time.Duration
-	refs   []int64
-	log    []string
-	cold   map[ServerID][]time.Duration
-	ledger ledger
+// simulation drives a Balancer with random events and checks the four rules as they show at one gateway.
+type simulation struct {
+	t            *testing.T
+	rnd          *rand.Rand
+	settings          Settings
+	b            *Balancer
+	now          time.Duration
+	list         map[ServerID]Server
+	told         map[ServerID]time.Duration
+	fates        []*simulatedRequest
+	byID         map[RequestID]*simulatedRequest
+	timers       []time.Duration
+	refs         []int64
+	log          []string
+	cold         map[ServerID][]time.Duration
+	budgetLedger budgetLedger
 
 	drained map[ServerID]bool // where gone is advice: listed as draining since its start
 }
 
-func (d *drill) feed(ev Event) {
+func (d *simulation) feed(ev Event) {
 	for _, a := range d.b.Handle(d.now, ev) {
 		d.log = append(d.log, fmt.Sprintf("%v %+v", d.now, a))
 		d.check(a)
@@ -54,7 +54,7 @@
 	}
 }
 
-func (d *drill) answered(id RequestID) *fate {
+func (d *simulation) answered(id RequestID) *simulatedRequest {
 	f := d.byID[id]
 	if f == nil || f.over {
 		d.t.Fatalf("a final answer for request %d, which is not owed one", id)
@@ -62,20 +62,20 @@
 	if f.out != nil {
 		d.t.Fatalf("request %d is answered while an attempt is out", id)
 	}
-	if f.deadline+answerGrace < d.now {
+	if f.deadline+answerTolerance < d.now {
 		d.t.Fatalf("request %d is answered %v late", id, d.now-f.deadline)
 	}
 	f.over = true
 	return f
 }
 
-// tipTime is the time over which a cold server's budget is held.
-const tipTime = 2 * sec
+// overloadDuration is the time over which a cold server's budget is held.
+const overloadDuration = 2 * sec
 
-// answerGrace is how long past its deadline a time-out may still be answered.
-const answerGrace = 16 * ms
+// answerTolerance is how long past its deadline a time-out may still be answered.
+const answerTolerance = 16 * ms
 
-func (d *drill) check(a Action) {
+func (d *simulation) check(a Action) {
 	switch a := a.(type) {
 	case Send:
 		f := d.byID[a.ID]
@@ -90,14 +90,14 @@
 			d.t.Fatalf("a send to server %d, which no list named", a.Server)
 		}
 		bound := s.State != Ready
-		if d.set.RemovalIsAdvisory {
+		if d.settings.RemovalIsAdvisory {
 			bound = d.drained[a.Server]
 		}
-		if bound && d.now-d.told[a.Server] > d.set.DrainGrace {
+		if bound && d.now-d.told[a.Server] > d.settings.DrainGrace {
 			d.t.Fatalf("a send to server %d, %v after it was told to be in state %v", a.Server,
 				d.now-d.told[a.Server], s.State)
 		}
-		class := d.set.Classes[d.b.classIndex[f.Class]]
+		class := d.settings.Classes[d.b.classIndex[f.Class]]
 		if len(f.ranOn) > 0 {
 			switch {
 			case class.Idempotency == NonIdempotent:
@@ -107,24 +107,24 @@
 				d.t.Fatalf("keyed request %d is sent outside its cell or window", a.ID)
 			}
 		}
-		if f.attempts++; f.attempts > d.set.MaxAttempts {
+		if f.attempts++; f.attempts > d.settings.MaxAttempts {
 			d.t.Fatalf("attempt %d of request %d", f.attempts, a.ID)
 		}
 		if f.attempts > 1 {
-			d.ledger.check(d.t, d.now, &d.set)
+			d.budgetLedger.check(d.t, d.now, &d.settings)
 		}
 		if age := d.now - s.Started; s.Started > 0 &&
-			age < d.set.WarmupDuration && s.State == Ready && !f.MidFlow {
+			age < d.settings.WarmupDuration && s.State == Ready && !f.MidFlow {
 			d.cold[a.Server] = append(d.cold[a.Server], d.now)
 			d.checkCold(a.Server, age)
 		}
 		f.out = &a
 	case Reject:
-		if a.RetryAfter < 0 || a.RetryAfter > d.set.MaxRetryAfter {
+		if a.RetryAfter < 0 || a.RetryAfter > d.settings.MaxRetryAfter {
 			d.t.Fatalf("request %d is told to come back after %v", a.ID, a.RetryAfter)
 		}
 		f := d.answered(a.ID)
-		class := d.set.Classes[d.b.classIndex[f.Class]]
+		class := d.settings.Classes[d.b.classIndex[f.Class]]
 		if len(f.ranOn) > 0 && class.Idempotency != Idempotent &&
 			(class.Idempotency == NonIdempotent || class.DedupScope != DedupScopeAll) {
 			d.t.Fatalf("request %d is refused though it may have run", a.ID)
@@ -144,11 +144,11 @@
 }
 
 // checkCold holds a cold server's connections from this gateway to its part of the budget, with the most
-// that any server can be held to bear: every connection of the drill.
-func (d *drill) checkCold(id ServerID, age time.Duration) {
+// that any server can be held to bear: every connection of the simulation.
+func (d *simulation) checkCold(id ServerID, age time.Duration) {
 	n := 0
 	for _, at := range d.cold[id] {
-		if d.now-at <= tipTime {
+		if d.now-at <= overloadDuration {
 			n++
 		}
 	}
@@ -156,16 +156,16 @@
 	for _, s := range d.b.sortedServers {
 		most = max(most, len(s.inFlight))
 	}
-	full := max(float64(most*d.set.Gateways)*4, minWarmConnections*float64(d.set.Gateways))
-	allowed := d.set.ColdOverloadFactor * full * tipTime.Seconds() / d.set.WarmupDuration.Seconds() /
-		float64(d.set.Gateways)
+	full := max(float64(most*d.settings.Gateways)*4, minWarmConnections*float64(d.settings.Gateways))
+	allowed := d.settings.ColdOverloadFactor * full * overloadDuration.Seconds() / d.settings.WarmupDuration.Seconds() /
+		float64(d.settings.Gateways)
 	if float64(n) > allowed+3 { // under one connection chance decides; another test holds the sum
 		d.t.Fatalf("%d connections in %v to server %d, %v old; %.1f allowed",
-			n, tipTime, id, age, allowed)
+			n, overloadDuration, id, age, allowed)
 	}
 }
 
-func (d *drill) outcome(f *fate, result Result) {
+func (d *simulation) outcome(f *simulatedRequest, result Result) {
 	s := d.list[f.out.Server]
 	ev := AttemptEnded{ID: f.ID, Attempt: f.attempts - 1, Server: f.out.Server, Result: result}
 	ev.Answered = f.over || f.open || result == OK
@@ -180,7 +180,7 @@
 	d.feed(ev)
 }
 
-func (d *drill) step(id RequestID) {
+func (d *simulation) step(id RequestID) {
 	d.now += time.Duration(d.rnd.IntN(13)) * ms
 	for i := 0; i < len(d.timers); i++ {
 		if d.timers[i] <= d.now {
@@ -195,19 +195,19 @@
 		if f.out != nil && !f.open && d.now >= f.deadline {
 			d.outcome(f, TimedOut)
 		}
-		if f.out == nil && !f.over && d.now > f.deadline+answerGrace {
+		if f.out == nil && !f.over && d.now > f.deadline+answerTolerance {
 			d.t.Fatalf("request %d has no answer, deadline was %v ago", f.ID, d.now-f.deadline)
 		}
 	}
-	d.fates = slices.DeleteFunc(d.fates, func(f *fate) bool { return f.over && f.out == nil })
+	d.fates = slices.DeleteFunc(d.fates, func(f *simulatedRequest) bool { return f.over && f.out == nil })
 	if d.rnd.IntN(4) > 0 {
-		class := d.set.Classes[d.rnd.IntN(len(d.set.Classes))]
-		f := &fate{Request: Request{ID: id, Class: class.Name, Key: fmt.Sprint(d.rnd.IntN(50)),
+		class := d.settings.Classes[d.rnd.IntN(len(d.settings.Classes))]
+		f := &simulatedRequest{Request: Request{ID: id, Class: class.Name, Key: fmt.Sprint(d.rnd.IntN(50)),
 			Group: fmt.Sprint("g", d.rnd.IntN(8)), Timeout: time.Duration(200+d.rnd.IntN(1800)) * ms,
 			MidFlow: d.rnd.IntN(9) == 0}}
 		f.deadline = d.now + f.Timeout
 		d.fates, d.byID[id] = append(d.fates, f), f
-		d.ledger.taken = append(d.ledger.taken, d.now)
+		d.budgetLedger.taken = append(d.budgetLedger.taken, d.now)
 		d.feed(f.Request)
 	}
 	if n := len(d.fates); n > 0 {
@@ -219,7 +219,7 @@
 }
 
 // stir makes something happen to a request.
-func (d *drill) stir(f *fate) {
+func (d *simulation) stir(f *simulatedRequest) {
 	switch dice := d.rnd.IntN(12); {
 	case f.out != nil && !f.open && dice < 6:
 		f.open = true
@@ -239,7 +239,7 @@
 }
 
 // relist changes the list, or fails to.
-func (d *drill) relist() {
+func (d *simulation) relist() {
 	if d.rnd.IntN(4) == 0 {
 		d.feed(EndpointList{Mode: ListDelta})
 		return
@@ -252,7 +252,7 @@
 	} else {
 		s.Started = d.list[id].Started
 	}
-	if d.set.RemovalIsAdvisory {
+	if d.settings.RemovalIsAdvisory {
 		if s.Started > d.list[id].Started {
 			d.drained[id] = false
 		}
@@ -267,21 +267,21 @@
 }
 
 func run(t *testing.T, seed uint64, steps int) []string {
-	set := settings()
-	set.MaxRetryAfter = sec
-	set.Seed = seed
-	set.RemovalIsAdvisory = seed%3 == 0
+	settings := testSettings()
+	settings.MaxRetryAfter = sec
+	settings.Seed = seed
+	settings.RemovalIsAdvisory = seed%3 == 0
 	switch seed % 4 { // one with none, some free alone, a share alone, both
 	case 1:
-		set.RetryBudgetWindow, set.RetryBudgetMin = 2*sec, 3
+		settings.RetryBudgetWindow, settings.RetryBudgetMin = 2*sec, 3
 	case 2:
-		set.RetryBudgetWindow, set.RetryBudgetRatio = 700*ms, 0.15
+		settings.RetryBudgetWindow, settings.RetryBudgetRatio = 700*ms, 0.15
 	case 3:
-		set.RetryBudgetWindow, set.RetryBudgetMin, set.RetryBudgetRatio = 3*sec, 2, 0.05
+		settings.RetryBudgetWindow, settings.RetryBudgetMin, settings.RetryBudgetRatio = 3*sec, 2, 0.05
 	}
-	d := &drill{
-		t: t, rnd: rand.New(rand.NewPCG(seed, 7)), set: set, b: mustNew(t, set), now: 50 * sec,
-		list: map[ServerID]Server{}, told: map[ServerID]time.Duration{}, byID: map[RequestID]*fate{},
+	d := &simulation{
+		t: t, rnd: rand.New(rand.NewPCG(seed, 7)), settings: settings, b: newBalancer(t, settings), now: 50 * sec,
+		list: map[ServerID]Server{}, told: map[ServerID]time.Duration{}, byID: map[RequestID]*simulatedRequest{},
 		cold: map[ServerID][]time.Duration{}, drained: map[ServerID]bool{},
 	}
 	var list []Server
@@ -297,7 +297,7 @@
 	return d.log
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { run(t, seed, 3000) })
 	}
--- a/balancer/balancer_settings_test.go
+++ b/balancer/balancer_settings_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// unsound finds a figure that is no number, or endless, in what a Balancer remembers.
-func unsound(v reflect.Value, at string, seen map[uintptr]bool) string {
+// findNonFinite finds a figure that is no number, or endless, in what a Balancer remembers.
+func findNonFinite(v reflect.Value, at string, seen map[uintptr]bool) string {
 	switch v.Kind() {
 	case reflect.Float64:
 		if f := v.Float(); math.IsNaN(f) || math.IsInf(f, 0) {
@@ -23,22 +23,22 @@
 			return ""
 		}
 		seen[v.Pointer()] = true
-		return unsound(v.Elem(), at, seen)
+		return findNonFinite(v.Elem(), at, seen)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if s := unsound(v.Field(i), at+"."+v.Type().Field(i).Name, seen); s != "" {
+			if s := findNonFinite(v.Field(i), at+"."+v.Type().Field(i).Name, seen); s != "" {
 				return s
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			if s := unsound(v.Index(i), fmt.Sprint(at, "[", i, "]"), seen); s != "" {
+			if s := findNonFinite(v.Index(i), fmt.Sprint(at, "[", i, "]"), seen); s != "" {
 				return s
 			}
 		}
 	case reflect.Map:
 		for it := v.MapRange(); it.Next(); {
-			if s := unsound(it.Value(), fmt.Sprint(at, "[", it.Key(), "]"), seen); s != "" {
+			if s := findNonFinite(it.Value(), fmt.Sprint(at, "[", it.Key(), "]"), seen); s != "" {
 				return s
 			}
 		}
@@ -61,7 +61,7 @@
 		}
 		return rapid.Float64Range(0, most).Draw(t, label)
 	}
-	set := Settings{
+	settings := Settings{
 		Gateways: rapid.SampledFrom([]int{0, 1, 3, 80, 300}).Draw(t, "gateways"),
 		Seed:     rapid.Uint64().Draw(t, "seed"), MaxAttempts: rapid.IntRange(0, 6).Draw(t, "attempts"),
 		FlowRetention: span("park", 10*sec), DrainGrace: span("grace", sec),
@@ -74,7 +74,7 @@
 		RemovalIsAdvisory: rapid.Bool().Draw(t, "advice"),
 	}
 	for i := range rapid.IntRange(0, 5).Draw(t, "classes") {
-		set.Classes = append(set.Classes, Class{
+		settings.Classes = append(settings.Classes, Class{
 			Name: fmt.Sprint("klass-", i), Idempotency: Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")),
 			DedupScope: DedupScope(rapid.IntRange(0, 2).Draw(t, "scope")), DedupWindow: span("window", 5*sec),
 			PriorityWeight: figure("worth", 9), SetupLatencyObjective: span("aim", sec),
@@ -84,17 +84,17 @@
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "tenants") {
 		who := Tenant{Name: fmt.Sprint("who-", i), ConnectionQuota: figure("quota", 50)}
-		set.Tenants = append(set.Tenants, who)
+		settings.Tenants = append(settings.Tenants, who)
 	}
-	return set
+	return settings
 }
 
 // Whatever figures a deployment has, every formula comes to a figure, no attempt is made that its settings
 // forbid, and each request has one answer at the most.
-func TestEveryFormulaAtAnybodysFigures(t *testing.T) {
+func TestAnySettingsGiveFiniteFiguresAndOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := drawSettings(t)
-		b := mustNew(nil, set)
+		settings := drawSettings(t)
+		b := newBalancer(nil, settings)
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "events"), 1))
 		now, id := 100*sec, RequestID(0)
 		out, answered, tries := map[RequestID]Send{}, map[RequestID]int{}, map[RequestID]int{}
@@ -109,12 +109,12 @@
 						t.Fatalf("%+v", a)
 					}
 					out[a.ID] = a
-					if tries[a.ID]++; tries[a.ID] > max(set.MaxAttempts, 1) {
-						t.Fatalf("%d attempts, %d are allowed", tries[a.ID], set.MaxAttempts)
+					if tries[a.ID]++; tries[a.ID] > max(settings.MaxAttempts, 1) {
+						t.Fatalf("%d attempts, %d are allowed", tries[a.ID], settings.MaxAttempts)
 					}
 				case Reject:
 					answered[a.ID]++
-					if a.RetryAfter < 0 || a.RetryAfter > set.MaxRetryAfter {
+					if a.RetryAfter < 0 || a.RetryAfter > settings.MaxRetryAfter {
 						t.Fatalf("come again after %v", a.RetryAfter)
 					}
 				case Fail:
@@ -175,7 +175,7 @@
 			if i%20 > 0 {
 				continue
 			}
-			if s := unsound(reflect.ValueOf(b), "b", map[uintptr]bool{}); s != "" {
+			if s := findNonFinite(reflect.ValueOf(b), "b", map[uintptr]bool{}); s != "" {
 				t.Fatal(s)
 			}
 			for _, f := range []float64{b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate()} {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestBadSettingsAreAnError(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"negative time":  func(s *Settings) { s.DrainGrace = -1 },
 		"class twice":    func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
@@ -16,9 +16,9 @@
 		"BudgetSpan":     func(s *Settings) { s.RetryBudgetWindow = -sec },
 		"TipMultiple":    func(s *Settings) { s.ColdOverloadFactor = math.Inf(1) },
 	} {
-		set := settings()
-		spoil(&set)
-		if b, err := New(set); err == nil || b != nil {
+		settings := testSettings()
+		spoil(&settings)
+		if b, err := New(settings); err == nil || b != nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
@@ -27,10 +27,10 @@
 	}
 }
 
-func TestLateAndUnknownEventsAreHarmless(t *testing.T) {
-	w := newWorld(t, settings(), 3)
-	id := w.request("safe", "g")
-	s := w.sent()
+func TestLateAndUnknownEventsAreIgnored(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
+	id := h.request("safe", "g")
+	s := h.onlySend()
 	for _, ev := range []Event{
 		Request{ID: id, Class: "safe", Group: "g", Timeout: sec}, // twice
 		AttemptEstablished{ID: 77, Server: 100}, AttemptEstablished{ID: id, Server: s.Server, Attempt: 5},
@@ -41,7 +41,7 @@
 		AdoptedConnection{Request: Request{ID: 78}, Server: 4242},
 		EndpointList{Mode: ListDelta},
 	} {
-		for _, a := range w.feed(ev) {
+		for _, a := range h.handle(ev) {
 			switch a.(type) {
 			case Log, SetTimer:
 			default:
@@ -49,34 +49,34 @@
 			}
 		}
 	}
-	w.feed(ClientDisconnected{ID: id})
-	w.end(s, 0, TimedOut)
-	if len(w.last) > 0 {
-		t.Errorf("after the client left: %+v", w.last)
+	h.handle(ClientDisconnected{ID: id})
+	h.endAttempt(s, 0, TimedOut)
+	if len(h.lastActions) > 0 {
+		t.Errorf("after the client left: %+v", h.lastActions)
 	}
-	if len(w.b.requests) > 0 {
-		t.Errorf("%d requests remembered", len(w.b.requests))
+	if len(h.balancer.requests) > 0 {
+		t.Errorf("%d requests remembered", len(h.balancer.requests))
 	}
 }
 
 // Fleets and gateways of any number, also replaced by new ids at once, with hints that differ by a factor of
 // a thousand: each request is sent or held, and nothing panics.
-func TestAnySizeOfFleetIsServed(t *testing.T) {
+func TestFleetOfAnySizeIsServed(t *testing.T) {
 	for _, gateways := range []int{0, 1, 1000} {
 		for _, n := range []int{0, 1, 2, 100, 1000} {
-			set := settings()
-			set.Gateways, set.DrainGrace = gateways, 0
-			w := newWorld(t, set, n)
+			settings := testSettings()
+			settings.Gateways, settings.DrainGrace = gateways, 0
+			h := newHarness(t, settings, n)
 			for round := range 3 {
-				list := servers(n)
+				list := testServers(n)
 				for i := range list {
 					list[i].ID += ServerID(round * 5000)
 					list[i].Capacity = []float64{0.001, 1, 0}[(i+round)%3]
 				}
-				w.feed(EndpointList{Mode: ListComplete, Servers: list})
+				h.handle(EndpointList{Mode: ListComplete, Servers: list})
 				for i := range 30 {
-					w.request("safe", fmt.Sprint("g", i%4))
-					sends := find[Send](w.last)
+					h.request("safe", fmt.Sprint("g", i%4))
+					sends := actionsOf[Send](h.lastActions)
 					if len(sends) != min(n, 1) {
 						t.Fatalf("%d gateways, %d servers: %d sends", gateways, n, len(sends))
 					}
@@ -95,10 +95,10 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100} {
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
-			set := settings()
-			set.Gateways = 200
-			g := mustNew(b, set)
-			g.Handle(0, EndpointList{Mode: ListComplete, Servers: servers(n)})
+			settings := testSettings()
+			settings.Gateways = 200
+			g := newBalancer(b, settings)
+			g.Handle(0, EndpointList{Mode: ListComplete, Servers: testServers(n)})
 			id := RequestID(0)
 			for b.Loop() {
 				id++
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -13,7 +13,7 @@
 	sec = time.Second
 )
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Gateways: 2, MaxAttempts: 3, FlowRetention: 5 * sec, DrainGrace: 500 * ms,
 		WarmupDuration: 20 * sec, ColdOverloadFactor: 3,
@@ -31,13 +31,13 @@
 	}
 }
 
-func adviceOnly() Settings {
-	set := settings()
-	set.RemovalIsAdvisory = true
-	return set
+func advisorySettings() Settings {
+	settings := testSettings()
+	settings.RemovalIsAdvisory = true
+	return settings
 }
 
-func servers(n int) []Server {
+func testServers(n int) []Server {
 	var list []Server
 	for i := range n {
 		s := Server{ID: ServerID(100 + i), Zone: fmt.Sprint("z", i%2), Cell: i % 3, Capacity: 1}
@@ -46,9 +46,9 @@
 	return list
 }
 
-// mustNew returns a Balancer; t may be nil.
-func mustNew(t testing.TB, set Settings) *Balancer {
-	b, err := New(set)
+// newBalancer returns a Balancer; t may be nil.
+func newBalancer(t testing.TB, settings Settings) *Balancer {
+	b, err := New(settings)
 	if err != nil {
 		if t == nil {
 			panic(err)
@@ -59,77 +59,77 @@
 	return b
 }
 
-// world feeds one Balancer and keeps what it did.
-type world struct {
-	*testing.T
-	b    *Balancer
-	now  time.Duration
-	last []Action // of the latest event
-	id   RequestID
+// harness feeds one Balancer and keeps what it did.
+type harness struct {
+	t           testing.TB
+	balancer    *Balancer
+	now         time.Duration
+	lastActions []Action // of the latest event
+	lastID      RequestID
 }
 
-// unlisted is a world whose gateway has had no list yet.
-func unlisted(t *testing.T, set Settings) *world {
-	return &world{T: t, b: mustNew(t, set), now: 100 * sec}
+// newHarnessWithoutList is a world whose gateway has had no list yet.
+func newHarnessWithoutList(t *testing.T, settings Settings) *harness {
+	return &harness{t: t, balancer: newBalancer(t, settings), now: 100 * sec}
 }
 
-func newWorld(t *testing.T, set Settings, n int) *world {
-	w := unlisted(t, set)
-	w.feed(EndpointList{Mode: ListComplete, Servers: servers(n)})
-	return w
+func newHarness(t *testing.T, settings Settings, n int) *harness {
+	h := newHarnessWithoutList(t, settings)
+	h.handle(EndpointList{Mode: ListComplete, Servers: testServers(n)})
+	return h
 }
 
-func (w *world) feed(ev Event) []Action {
-	w.last = append([]Action(nil), w.b.Handle(w.now, ev)...)
-	return w.last
+func (h *harness) handle(ev Event) []Action {
+	h.lastActions = append([]Action(nil), h.balancer.Handle(h.now, ev)...)
+	return h.lastActions
 }
 
 // wait lets time pass with the housekeeping timer.
-func (w *world) wait(d time.Duration) (all []Action) {
-	for end := w.now + d; w.now < end; {
-		w.now += min(sweepInterval, end-w.now)
-		all = append(all, w.feed(TimerFired{Ref: sweepTimer})...)
+func (h *harness) advance(d time.Duration) (all []Action) {
+	for end := h.now + d; h.now < end; {
+		h.now += min(sweepInterval, end-h.now)
+		all = append(all, h.handle(TimerFired{Ref: sweepTimer})...)
 	}
 	return all
 }
 
-func (w *world) request(class, group string) RequestID {
-	w.id++
-	w.feed(Request{ID: w.id, Class: class, Key: fmt.Sprint("k", w.id), Group: group, Timeout: 2 * sec})
-	return w.id
+func (h *harness) request(class, group string) RequestID {
+	h.lastID++
+	h.handle(Request{ID: h.lastID, Class: class, Key: fmt.Sprint("k", h.lastID), Group: group, Timeout: 2 * sec})
+	return h.lastID
 }
 
 // open places a request and lets its connection stand.
-func (w *world) open(class, group string) (RequestID, ServerID) {
-	w.Helper()
-	id := w.request(class, group)
-	s := w.sent()
-	w.feed(AttemptEstablished{ID: id, Server: s.Server, Elapsed: 10 * ms})
+func (h *harness) establish(class, group string) (RequestID, ServerID) {
+	h.t.Helper()
+	id := h.request(class, group)
+	s := h.onlySend()
+	h.handle(AttemptEstablished{ID: id, Server: s.Server, Elapsed: 10 * ms})
 	return id, s.Server
 }
 
 // entry is the server where the ordinary path puts a key.
-func (w *world) entry(key string) ServerID {
-	w.b.refreshTable()
-	return w.b.tableServers[w.b.table.at(hashKey(key), 0)].ID
+func (h *harness) tableEntry(key string) ServerID {
+	h.balancer.refreshTable()
+	return h.balancer.tableServers[h.balancer.table.at(hashKey(key), 0)].ID
 }
 
 // onTrial sends a group's first request to a server, and its next elsewhere as long as that one is out. It
 // returns the first.
-func (w *world) onTrial(group string, s ServerID) Send {
-	w.Helper()
-	w.request("safe", group)
-	first := w.sent()
+func (h *harness) sendOnTrial(group string, s ServerID) Send {
+	h.t.Helper()
+	h.request("safe", group)
+	first := h.onlySend()
 	if first.Server != s {
-		w.Fatalf("group %s goes to %d, not %d", group, first.Server, s)
+		h.t.Fatalf("group %s goes to %d, not %d", group, first.Server, s)
 	}
-	if w.request("safe", group); w.sent().Server == s {
-		w.Error("a second attempt before the first stood")
+	if h.request("safe", group); h.onlySend().Server == s {
+		h.t.Error("a second attempt before the first stood")
 	}
 	return first
 }
 
-func find[A Action](actions []Action) (found []A) {
+func actionsOf[A Action](actions []Action) (found []A) {
 	for _, a := range actions {
 		if a, ok := a.(A); ok {
 			found = append(found, a)
@@ -139,41 +139,41 @@
 }
 
 // sent returns the one Send of the latest event.
-func (w *world) sent() Send {
-	w.Helper()
-	sends := find[Send](w.last)
+func (h *harness) onlySend() Send {
+	h.t.Helper()
+	sends := actionsOf[Send](h.lastActions)
 	if len(sends) != 1 {
-		w.Fatalf("%d sends, not one: %+v", len(sends), w.last)
+		h.t.Fatalf("%d sends, not one: %+v", len(sends), h.lastActions)
 	}
 	return sends[0]
 }
 
-func (w *world) end(s Send, attempt int, result Result) {
-	w.feed(AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result, Elapsed: 10 * ms})
+func (h *harness) endAttempt(s Send, attempt int, result Result) {
+	h.handle(AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result, Elapsed: 10 * ms})
 }
 
-// ledger recounts the budget of further attempts from all that was ever taken and sent.
-type ledger struct{ taken, further []time.Duration }
+// budgetLedger recounts the budget of further attempts from all that was ever taken and sent.
+type budgetLedger struct{ taken, further []time.Duration }
 
 // check counts a further attempt and holds the span that ends with it to the budget.
-func (l *ledger) check(t *testing.T, now time.Duration, set *Settings) {
+func (l *budgetLedger) check(t *testing.T, now time.Duration, settings *Settings) {
 	t.Helper()
 	l.further = append(l.further, now)
-	if set.RetryBudgetWindow == 0 {
+	if settings.RetryBudgetWindow == 0 {
 		return
 	}
 	taken, further := 0, 0
 	for _, at := range l.taken {
-		if at > now-set.RetryBudgetWindow {
+		if at > now-settings.RetryBudgetWindow {
 			taken++
 		}
 	}
 	for _, at := range l.further {
-		if at >= now-set.RetryBudgetWindow {
+		if at >= now-settings.RetryBudgetWindow {
 			further++
 		}
 	}
-	if allowed := set.RetryBudgetMin + set.RetryBudgetRatio*float64(taken); float64(further) > allowed {
+	if allowed := settings.RetryBudgetMin + settings.RetryBudgetRatio*float64(taken); float64(further) > allowed {
 		t.Fatalf("%v: %d further attempts, %v are allowed for %d requests", now, further, allowed, taken)
 	}
 }
--- a/balancer/maglev_test.go
+++ b/balancer/maglev_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestEverySlotIsFilledFairly(t *testing.T) {
+func TestSlotsAreSharedEvenly(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 8, 14, 40, 160} {
 		table := buildTable(fleet(n, even))
 		if len(table) != tableSize {
@@ -61,14 +61,14 @@
 	}
 }
 
-func TestNoServersNoTable(t *testing.T) {
+func TestNoServersGiveNoTable(t *testing.T) {
 	if table := buildTable(nil); table != nil {
 		t.Errorf("a table of %d slots for no servers", len(table))
 	}
 }
 
 // A change of the list moves little beyond the part of the servers that changed.
-func TestAChangeMovesLittleElse(t *testing.T) {
+func TestRemovalMovesFewSlotsOfOtherServers(t *testing.T) {
 	for _, n := range []int{8, 12, 20, 40, 80} {
 		before := fleet(n, even)
 		gone := n / 3
@@ -88,16 +88,16 @@
 
 // Gateways agree whatever the order of their lists and their own seeds.
 func TestGatewaysBuildTheSameTable(t *testing.T) {
-	list := servers(12)
+	list := testServers(12)
 	var first *Balancer
 	for seed := range uint64(5) {
 		shuffled := slices.Clone(list)
 		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(list), func(i, j int) {
 			shuffled[i], shuffled[j] = shuffled[j], shuffled[i]
 		})
-		set := settings()
-		set.Seed = seed
-		b := mustNew(t, set)
+		settings := testSettings()
+		settings.Seed = seed
+		b := newBalancer(t, settings)
 		b.Handle(0, EndpointList{Mode: ListComplete, Servers: shuffled})
 		if first == nil {
 			first = b
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,40 +6,40 @@
 	"testing"
 )
 
-func TestFailingServerLeavesTheTableAndReturns(t *testing.T) {
-	w := newWorld(t, settings(), 6)
-	_, s := w.open("safe", "g")
-	w.request("safe", "g")
-	w.end(w.sent(), 0, ConnectFailed)
-	if len(find[Log](w.last)) != 1 {
-		t.Errorf("no log line: %+v", w.last)
+func TestFailingServerIsEjectedAndReturnsOnProbation(t *testing.T) {
+	h := newHarness(t, testSettings(), 6)
+	_, s := h.establish("safe", "g")
+	h.request("safe", "g")
+	h.endAttempt(h.onlySend(), 0, ConnectFailed)
+	if len(actionsOf[Log](h.lastActions)) != 1 {
+		t.Errorf("no log line: %+v", h.lastActions)
 	}
 	for range 5 {
-		if _, got := w.open("safe", "g"); got == s {
+		if _, got := h.establish("safe", "g"); got == s {
 			t.Fatal("sent to an ejected server")
 		}
 	}
-	logs := find[Log](w.wait(baseEjectionDuration + sec))
+	logs := actionsOf[Log](h.advance(baseEjectionDuration + sec))
 	if len(logs) != 1 || !strings.Contains(logs[0].Message, "ended") {
 		t.Errorf("log lines at its return: %+v", logs)
 	}
-	first := w.onTrial("g", s)
-	w.feed(AttemptEnded{ID: first.ID, Server: s, Result: TimedOut, Elapsed: 300 * ms})
-	if w.b.servers[s].ejectedUntil == 0 {
+	first := h.sendOnTrial("g", s)
+	h.handle(AttemptEnded{ID: first.ID, Server: s, Result: TimedOut, Elapsed: 300 * ms})
+	if h.balancer.servers[s].ejectedUntil == 0 {
 		t.Error("it failed on probation and stays")
 	}
 }
 
-func TestSharedTroubleEjectsNoMoreThanTheCap(t *testing.T) {
-	w := newWorld(t, settings(), 8)
+func TestFleetWideFailuresEjectNoMoreThanMaxRatio(t *testing.T) {
+	h := newHarness(t, testSettings(), 8)
 	for i := range 200 {
-		w.request("safe", fmt.Sprint("g", i))
-		if len(find[Send](w.last)) == 1 {
-			w.end(w.sent(), 0, TimedOut)
+		h.request("safe", fmt.Sprint("g", i))
+		if len(actionsOf[Send](h.lastActions)) == 1 {
+			h.endAttempt(h.onlySend(), 0, TimedOut)
 		}
 	}
 	out := 0
-	for _, s := range w.b.sortedServers {
+	for _, s := range h.balancer.sortedServers {
 		if s.ejectedUntil > 0 {
 			out++
 		}
@@ -49,30 +49,30 @@
 	}
 }
 
-func TestRestartClearsTheRecord(t *testing.T) {
-	w := newWorld(t, settings(), 3)
-	s := w.b.sortedServers[0]
-	w.b.scoreResult(s, ConnectFailed, false, 0)
+func TestServerRestartClearsFailureScore(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
+	s := h.balancer.sortedServers[0]
+	h.balancer.scoreResult(s, ConnectFailed, false, 0)
 	if s.ejectedUntil == 0 {
 		t.Fatal("not ejected")
 	}
-	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: s.ID, Started: w.now}}})
+	h.handle(EndpointList{Mode: ListDelta, Servers: []Server{{ID: s.ID, Started: h.now}}})
 	if s.ejectedUntil != 0 || s.failureScore.sum != 0 {
 		t.Error("the new process bears the old one's record")
 	}
 }
 
 // A server that is put back is tried once, and not before its moment, whatever its cold budget allows.
-func TestReturnedServerIsTriedOnce(t *testing.T) {
-	w := newWorld(t, settings(), 4)
-	back := w.b.sortedServers[2].ID
-	w.feed(ServerReinstated{Server: back})
-	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: back, Capacity: 1, Started: w.now}}})
-	w.wait(reinstatementSpread)
+func TestReinstatedServerIsTriedOnce(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	back := h.balancer.sortedServers[2].ID
+	h.handle(ServerReinstated{Server: back})
+	h.handle(EndpointList{Mode: ListDelta, Servers: []Server{{ID: back, Capacity: 1, Started: h.now}}})
+	h.advance(reinstatementSpread)
 	to := 0
 	for i := range 20 {
-		w.feed(Request{ID: RequestID(500 + i), Class: "safe", Key: fmt.Sprint(i), Timeout: 2 * sec})
-		for _, s := range find[Send](w.last) {
+		h.handle(Request{ID: RequestID(500 + i), Class: "safe", Key: fmt.Sprint(i), Timeout: 2 * sec})
+		for _, s := range actionsOf[Send](h.lastActions) {
 			if s.Server == back {
 				to++
 			}
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -16,7 +16,7 @@
 type coldFleet struct {
 	t        *rapid.T
 	rnd      *rand.Rand
-	set      Settings
+	settings      Settings
 	fleet    []*Balancer
 	told     []time.Duration // when each gateway hears of the cold servers
 	list     EndpointList    // with these
@@ -32,18 +32,18 @@
 	between := func(from, to float64, label string) float64 {
 		return rapid.Float64Range(from, to).Draw(t, label)
 	}
-	f := &coldFleet{t: t, set: settings(), sends: map[ServerID][]time.Duration{}}
+	f := &coldFleet{t: t, settings: testSettings(), sends: map[ServerID][]time.Duration{}}
 	gateways := rapid.SampledFrom([]int{3, 20, 30, 80, 300}).Draw(t, "gateways")
 	warm, cold := rapid.IntRange(8, 60).Draw(t, "warm"), rapid.IntRange(1, 8).Draw(t, "cold")
-	f.set.Gateways, f.set.CanPollLoad = gateways, false
-	f.set.ColdOverloadFactor = between(2, 6, "multiple")
-	f.set.WarmupDuration = time.Duration(between(10, 25, "cold time") * 1e9)
-	f.set.ColdOverloadDuration = time.Duration(between(1, 2, "tip time") * 1e9)
+	f.settings.Gateways, f.settings.CanPollLoad = gateways, false
+	f.settings.ColdOverloadFactor = between(2, 6, "multiple")
+	f.settings.WarmupDuration = time.Duration(between(10, 25, "cold time") * 1e9)
+	f.settings.ColdOverloadDuration = time.Duration(between(1, 2, "tip time") * 1e9)
 	f.failures = between(0, 0.3, "turned away")
 	weight, each := between(0.5, 4, "weight"), between(1.5, 20, "allowed a second")
-	bears := each * f.set.WarmupDuration.Seconds() / f.set.ColdOverloadFactor / weight
-	f.n = max(each, minWarmConnections*f.set.ColdOverloadFactor/f.set.WarmupDuration.Seconds()) *
-		f.set.ColdOverloadDuration.Seconds()
+	bears := each * f.settings.WarmupDuration.Seconds() / f.settings.ColdOverloadFactor / weight
+	f.n = max(each, minWarmConnections*f.settings.ColdOverloadFactor/f.settings.WarmupDuration.Seconds()) *
+		f.settings.ColdOverloadDuration.Seconds()
 	f.rnd = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	f.cold = ServerID(100 + warm)
 	before := EndpointList{Mode: ListComplete}
@@ -60,8 +60,8 @@
 	f.age = rapid.SampledFrom([]time.Duration{0, 8 * sec}).Draw(t, "age")
 	late := between(0, 2, "lists come apart") // by so many seconds
 	for i := range gateways {
-		f.set.Seed = uint64(i) + 1
-		b := mustNew(nil, f.set)
+		f.settings.Seed = uint64(i) + 1
+		b := newBalancer(nil, f.settings)
 		b.Handle(coldStart-f.age, before)
 		b.connectionCapacity.add(bears)
 		f.fleet = append(f.fleet, b)
@@ -79,7 +79,7 @@
 		b.Handle(now, f.list)
 	}
 	f.id++
-	next := find[Send](b.Handle(now, Request{ID: f.id, Class: "safe", Key: fmt.Sprint(f.id), Group: group,
+	next := actionsOf[Send](b.Handle(now, Request{ID: f.id, Class: "safe", Key: fmt.Sprint(f.id), Group: group,
 		Reconnecting: returned, Timeout: 2 * sec}))
 	for n := 0; len(next) > 0; n++ {
 		s := next[0]
@@ -90,7 +90,7 @@
 			b.Handle(now, AttemptEstablished{ID: s.ID, Attempt: n, Server: s.Server})
 			return
 		}
-		next = find[Send](b.Handle(now,
+		next = actionsOf[Send](b.Handle(now,
 			AttemptEnded{ID: s.ID, Attempt: n, Server: s.Server, Result: Rejected}))
 	}
 }
@@ -100,7 +100,7 @@
 	for _, at := range f.sends {
 		from := 0
 		for to := range at {
-			for at[to]-at[from] >= f.set.ColdOverloadDuration {
+			for at[to]-at[from] >= f.settings.ColdOverloadDuration {
 				from++
 			}
 			most = max(most, to-from+1)
@@ -116,7 +116,7 @@
 // group returns within 0.3 s, as large a part of the fleet as was seen (111 clients of 300 gateways), and its
 // entry is a cold server. By chance one of 2,400 draws passed it (12 sent of 11.7), and more do where one
 // group is most of the traffic.
-func TestColdServersAreKeptInSum(t *testing.T) {
+func TestWholeFleetStaysWithinWarmupBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawColdFleet(t)
 		gateways := len(f.fleet)
@@ -125,7 +125,7 @@
 			share *= 80 / float64(gateways+10) // the fewer, the more of the traffic is each one's
 		}
 		zipf := rapid.IntRange(6, 40).Draw(t, "groups")
-		whole := mustNew(nil, f.set)
+		whole := newBalancer(nil, f.settings)
 		whole.Handle(coldStart, f.list)
 		whole.refreshTable()
 		hot := "h"
@@ -147,7 +147,7 @@
 		}
 		if limit := f.n + 2*math.Sqrt(f.n) + 2; float64(f.most()) > limit {
 			t.Fatalf("sent %d in %v, it falls at %.1f (N %.1f)",
-				f.most(), f.set.ColdOverloadDuration, limit, f.n)
+				f.most(), f.settings.ColdOverloadDuration, limit, f.n)
 		}
 	})
 }
--- a/balancer/stats_test.go
+++ b/balancer/stats_test.go
@@ -7,7 +7,7 @@
 
 // Memory of the budget is bounded at any rate, also where nothing asks for the count, and an attempt that was
 // never made does not count.
-func TestBudgetMemoryIsBounded(t *testing.T) {
+func TestSlidingWindowIsBounded(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		w := slidingWindow{length: sec, inclusive: late}
 		now := time.Duration(0)
