--- a/balancer/balancer_events_test.go
+++ b/balancer/balancer_events_test.go
@@ -25,7 +25,7 @@
 type simulation struct {
 	t            *testing.T
 	rnd          *rand.Rand
-	settings          Settings
+	settings     Settings
 	b            *Balancer
 	now          time.Duration
 	list         map[ServerID]Server
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -16,7 +16,7 @@
 type coldFleet struct {
 	t        *rapid.T
 	rnd      *rand.Rand
-	settings      Settings
+	settings Settings
 	fleet    []*Balancer
 	told     []time.Duration // when each gateway hears of the cold servers
 	list     EndpointList    // with these
