--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -12,7 +12,8 @@
 func TestRequestWaitsForFirstListUntilTimeout(t *testing.T) {
 	h := newHarnessWithoutList(t, testSettings())
 	id := h.request("unsafe", "g")
-	if len(actionsOf[Send](h.lastActions))+len(actionsOf[Reject](h.lastActions)) > 0 || len(actionsOf[SetTimer](h.lastActions)) != 2 {
+	if len(actionsOf[Send](h.lastActions))+len(actionsOf[Reject](h.lastActions)) > 0 ||
+		len(actionsOf[SetTimer](h.lastActions)) != 2 {
 		t.Fatalf("not held: %+v", h.lastActions)
 	}
 	if got := h.advance(firstListTimeout - 10*ms); len(actionsOf[Reject](got)) > 0 {
@@ -117,7 +118,8 @@
 		h.handle(Request{ID: 100 + i, Class: "safe", Tenant: "over", Group: "g", Timeout: sec})
 	}
 	in, over := Request{Class: "safe", Tenant: "in"}, Request{Class: "safe", Tenant: "over"}
-	a, b := h.balancer.priorityPerLoad(&request{Request: in}), h.balancer.priorityPerLoad(&request{Request: over})
+	a, b := h.balancer.priorityPerLoad(&request{Request: in}),
+		h.balancer.priorityPerLoad(&request{Request: over})
 	if b >= a {
 		t.Errorf("worth %v within and %v over the quota", a, b)
 	}
@@ -275,7 +277,8 @@
 	s := h.onlySend()
 	h.handle(FleetShedLevel{Level: 1})
 	h.handle(AttemptEnded{ID: 1, Server: s.Server, Result: ConnectFailed})
-	if r := actionsOf[Reject](h.lastActions); len(r) != 1 || !r[0].ShedByFleet || len(actionsOf[Send](h.lastActions)) > 0 {
+	if r := actionsOf[Reject](h.lastActions); len(r) != 1 || !r[0].ShedByFleet ||
+		len(actionsOf[Send](h.lastActions)) > 0 {
 		t.Errorf("a further attempt of what is shed: %+v", h.lastActions)
 	}
 }
--- a/balancer/balancer_events_test.go
+++ b/balancer/balancer_events_test.go
@@ -157,7 +157,8 @@
 		most = max(most, len(s.inFlight))
 	}
 	full := max(float64(most*d.settings.Gateways)*4, minWarmConnections*float64(d.settings.Gateways))
-	allowed := d.settings.ColdOverloadFactor * full * overloadDuration.Seconds() / d.settings.WarmupDuration.Seconds() /
+	allowed := d.settings.ColdOverloadFactor * full * overloadDuration.Seconds() /
+		d.settings.WarmupDuration.Seconds() /
 		float64(d.settings.Gateways)
 	if float64(n) > allowed+3 { // under one connection chance decides; another test holds the sum
 		d.t.Fatalf("%d connections in %v to server %d, %v old; %.1f allowed",
@@ -280,8 +281,10 @@
 		settings.RetryBudgetWindow, settings.RetryBudgetMin, settings.RetryBudgetRatio = 3*sec, 2, 0.05
 	}
 	d := &simulation{
-		t: t, rnd: rand.New(rand.NewPCG(seed, 7)), settings: settings, b: newBalancer(t, settings), now: 50 * sec,
-		list: map[ServerID]Server{}, told: map[ServerID]time.Duration{}, byID: map[RequestID]*simulatedRequest{},
+		t: t, rnd: rand.New(rand.NewPCG(seed, 7)), settings: settings, b: newBalancer(t, settings),
+		now:  50 * sec,
+		list: map[ServerID]Server{}, told: map[ServerID]time.Duration{},
+		byID: map[RequestID]*simulatedRequest{},
 		cold: map[ServerID][]time.Duration{}, drained: map[ServerID]bool{},
 	}
 	var list []Server
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -95,7 +95,8 @@
 
 func (h *harness) request(class, group string) RequestID {
 	h.lastID++
-	h.handle(Request{ID: h.lastID, Class: class, Key: fmt.Sprint("k", h.lastID), Group: group, Timeout: 2 * sec})
+	h.handle(Request{ID: h.lastID, Class: class, Key: fmt.Sprint("k", h.lastID), Group: group,
+		Timeout: 2 * sec})
 	return h.lastID
 }
 
@@ -173,7 +174,8 @@
 			further++
 		}
 	}
-	if allowed := settings.RetryBudgetMin + settings.RetryBudgetRatio*float64(taken); float64(further) > allowed {
+	if allowed := settings.RetryBudgetMin +
+		settings.RetryBudgetRatio*float64(taken); float64(further) > allowed {
 		t.Fatalf("%v: %d further attempts, %v are allowed for %d requests", now, further, allowed, taken)
 	}
 }
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -12,7 +12,8 @@
 	h.handle(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec})
 	asks := actionsOf[PollLoad](h.lastActions)
 	if len(asks) != maxPolledServers || len(actionsOf[Send](h.lastActions)) != 0 {
-		t.Fatalf("%d asked, %d sent to before any told of its load", len(asks), len(actionsOf[Send](h.lastActions)))
+		t.Fatalf("%d asked, %d sent to before any told of its load", len(asks),
+			len(actionsOf[Send](h.lastActions)))
 	}
 	return h, asks
 }
--- a/balancer/lookup_test.go
+++ b/balancer/lookup_test.go
@@ -100,7 +100,8 @@
 	h := newHarness(t, settings, 8)
 	h.handle(Request{ID: 1, Class: "safe", Key: "a", Timeout: 2 * sec, MidFlow: true})
 	h.balancer.refreshTable()
-	if s := actionsOf[Send](h.lastActions); len(s) != 1 || s[0].Server != h.balancer.lookup(h.balancer.requests[1], 0).ID {
+	if s := actionsOf[Send](h.lastActions); len(s) != 1 ||
+		s[0].Server != h.balancer.lookup(h.balancer.requests[1], 0).ID {
 		t.Errorf("sent %v", s)
 	}
 }
--- a/balancer/migration_test.go
+++ b/balancer/migration_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// slowServerHarness is a gateway of many whose one connection, of a group, is at a server that reports too much load.
+// slowServerHarness is a gateway of many whose one connection, of a group, is at a server that reports too
+// much load.
 func slowServerHarness(t *testing.T, group, key string) (*harness, RequestID, ServerID) {
 	settings := testSettings()
 	settings.Gateways, settings.CanPollLoad = 300, true
--- a/balancer/rank_test.go
+++ b/balancer/rank_test.go
@@ -84,9 +84,9 @@
 // earlier attempt or an unanswered poll, 2 for a pending first attempt, 1 for a load over the fair share,
 // and the utilization.
 func TestRankOrderIsThatOfTheWeights(t *testing.T) {
-	set := settings()
-	set.CanPollLoad = true
-	b := mustNew(t, set)
+	settings := testSettings()
+	settings.CanPollLoad = true
+	b := newBalancer(t, settings)
 	b.now = time.Hour
 	all := allObjections()
 	for _, x := range all {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -34,7 +34,8 @@
 		if got := len(actionsOf[Send](h.lastActions)) == 1; got != again {
 			t.Errorf("%v: sent again: %v, want %v", result, got, again)
 		}
-		if got := len(actionsOf[Fail](h.lastActions)) == 1; got == again || len(actionsOf[Reject](h.lastActions)) > 0 {
+		if got := len(actionsOf[Fail](h.lastActions)) == 1; got == again ||
+			len(actionsOf[Reject](h.lastActions)) > 0 {
 			t.Errorf("%v: actions %+v", result, h.lastActions)
 		}
 	}
@@ -46,7 +47,8 @@
 	first := h.onlySend()
 	h.endAttempt(first, 0, TimedOut)
 	second := h.onlySend()
-	if a, b := h.balancer.servers[first.Server], h.balancer.servers[second.Server]; a.Cell != b.Cell || a == b {
+	if a, b := h.balancer.servers[first.Server], h.balancer.servers[second.Server]; a.Cell != b.Cell ||
+		a == b {
 		t.Errorf("cells %d and %d", a.Cell, b.Cell)
 	}
 	h.now += 3 * sec // past the window
@@ -76,7 +78,8 @@
 	for _, budget := range []struct{ free, share float64 }{{5, 0}, {0, 0.1}, {5, 0.1}, {2.5, 0.02}, {0, 0}} {
 		settings := testSettings()
 		settings.MaxAttempts = 6
-		settings.RetryBudgetWindow, settings.RetryBudgetMin, settings.RetryBudgetRatio = 5*sec, budget.free, budget.share
+		settings.RetryBudgetWindow, settings.RetryBudgetMin, settings.RetryBudgetRatio = 5*sec, budget.free,
+			budget.share
 		h, l := newHarness(t, settings, 40), budgetLedger{}
 		rnd := rand.New(rand.NewPCG(3, 9))
 		for range 4000 {
@@ -106,7 +109,8 @@
 		if got := float64(len(l.further)); got < least {
 			t.Errorf("%+v: %v further attempts, %.0f at least were wanted", budget, got, least)
 		}
-		if kept := len(h.balancer.admitted.buckets) + len(h.balancer.retries.buckets); kept > 2*maxWindowBuckets {
+		if kept := len(h.balancer.admitted.buckets) +
+			len(h.balancer.retries.buckets); kept > 2*maxWindowBuckets {
 			t.Errorf("%d moments kept", kept)
 		}
 	}
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -79,7 +79,8 @@
 		b.Handle(now, f.list)
 	}
 	f.id++
-	next := actionsOf[Send](b.Handle(now, Request{ID: f.id, Class: "safe", Key: fmt.Sprint(f.id), Group: group,
+	next := actionsOf[Send](b.Handle(now, Request{ID: f.id, Class: "safe", Key: fmt.Sprint(f.id),
+		Group:        group,
 		Reconnecting: returned, Timeout: 2 * sec}))
 	for n := 0; len(next) > 0; n++ {
 		s := next[0]
