--- a/balancer/example_restore_test.go
+++ b/balancer/example_restore_test.go
@@ -24,7 +24,8 @@
 	for _, a := range first.Handle(now, balancer.Request{ID: 1, Timeout: time.Second}) {
 		if send, ok := a.(balancer.Send); ok {
 			fmt.Println("sent to", send.Server)
-			first.Handle(now, balancer.AttemptEnded{ID: 1, Server: send.Server, Result: balancer.ConnectFailed})
+			failed := balancer.AttemptEnded{ID: send.ID, Server: send.Server, Result: balancer.ConnectFailed}
+			first.Handle(now, failed)
 		}
 	}
 
