--- /dev/null
+++ b/config/operator/plan.go
@@ -0,0 +1,89 @@
+package operator
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+	"olympos.io/encoding/edn"
+
+	"example.org/milletvane/placement"
+)
+
+// PlanFormat is the version of plan files that this program writes, and the newest that it reads.
+const PlanFormat = 1
+
+// Plan is a plan file: what each node is to carry, now and after losses, and what that was worked out from.
+type Plan struct {
+	Version       int64
+	ListHash      uint64 // of the nodes that it is for
+	SettingsHash  uint64 // of the placement settings
+	Proven        bool   // no plan is better
+	Goals         placement.Goals
+	Load          map[string]int64 // by node, in units of load
+	Flows         []placement.Flow
+	Contingencies []PlanContingency
+}
+
+// PlanContingency is a loss of nodes with the plan for it.
+type PlanContingency struct {
+	Name  string
+	Lost  []string         // nodes
+	Short int64            // units of load that are not carried then
+	Load  map[string]int64 // of nodes that carry something else than in the plan
+	Flows []placement.Flow // all of them; none: there is no plan for this loss
+}
+
+// Marshal is the file's text. Its last form is a checksum of all before it.
+func (p *Plan) Marshal() []byte {
+	w := &planWriter{}
+	w.printf("; Worked out by milletvane plan solve. Changed by hand it is not taken.\n")
+	w.printf("(format %d)\n(version %d)\n", PlanFormat, p.Version)
+	w.printf("(made-for (list \"%016x\") (settings \"%016x\"))\n", p.ListHash, p.SettingsHash)
+	w.printf("(goals (uncarried %d) (crossings %d) (fullest %d %d) (moves %d) (proven %t))\n",
+		p.Goals.Uncarried, p.Goals.Crossings, p.Goals.Fullest.Num, p.Goals.Fullest.Den, p.Goals.Moves, p.Proven)
+	w.loads("", p.Load)
+	w.flows("", p.Flows)
+	for _, c := range p.Contingencies {
+		w.contingency(c)
+	}
+	w.printf("(sum \"%016x\")\n", xxhash.Sum64(w.text.Bytes()))
+	return w.text.Bytes()
+}
+
+type planWriter struct{ text bytes.Buffer }
+
+func (w *planWriter) printf(format string, args ...any) { fmt.Fprintf(&w.text, format, args...) }
+
+func (w *planWriter) loads(indent string, load map[string]int64) {
+	for _, node := range slices.Sorted(maps.Keys(load)) {
+		w.printf("%s(node %s %d)\n", indent, quote(node), load[node])
+	}
+}
+
+func (w *planWriter) flows(indent string, flows []placement.Flow) {
+	for _, f := range flows {
+		w.printf("%s(flow %s %s %s %d)\n", indent, quote(f.Class), quote(f.From), quote(f.To), f.Load)
+	}
+}
+
+func (w *planWriter) contingency(c PlanContingency) {
+	w.printf("(contingency %s (lost", quote(c.Name))
+	for _, node := range c.Lost {
+		w.printf(" %s", quote(node))
+	}
+	w.printf(") (short %d)\n", c.Short)
+	w.loads("  ", c.Load)
+	w.flows("  ", c.Flows)
+	w.printf(" )\n")
+}
+
+func quote(s string) string {
+	text, err := edn.Marshal(s)
+	if err != nil { // of a string: it cannot be
+		panic(err)
+	}
+	return string(text)
+}
--- /dev/null
+++ b/config/operator/planparse.go
@@ -0,0 +1,124 @@
+package operator
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+
+	"github.com/cespare/xxhash/v2"
+
+	"example.org/milletvane/placement"
+)
+
+const (
+	maxPlanVersion = 1 << 53 // that every reader of numbers keeps exactly
+	maxPlanNumber  = 1 << 62 // of goals, and of load that is not carried
+)
+
+// ParsePlan reads a plan file. One that is cut short, altered or of a newer program is a FileError.
+func ParsePlan(file string, text []byte) (*Plan, error) {
+	exprs, err := readExprs(file, text)
+	if err != nil {
+		return nil, err
+	}
+	errs := &errorList{file: file}
+	checkPlanFormat(errs, exprs)
+	if err := errs.first(); err != nil {
+		return nil, err
+	}
+	checkPlanSum(errs, exprs[len(exprs)-1], text)
+	if err := errs.first(); err != nil {
+		return nil, err
+	}
+	top := openSection(errs, "", 0, exprs[1:len(exprs)-1], "node", "flow", "contingency")
+	p := readPlan(top)
+	top.close()
+	if err := errs.first(); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+// checkPlanFormat checks the first form of a plan file, (format N).
+func checkPlanFormat(errs *errorList, exprs []expr) {
+	if len(exprs) == 0 || !exprs[0].isForm("format") || len(exprs[0].list) != 2 {
+		errs.add(1, "format", "is missing: this is no plan file")
+		return
+	}
+	version := exprs[0].list[1]
+	if n, ok := version.atom.(int64); !ok || n < 1 || n > PlanFormat {
+		problem := fmt.Sprintf("%s is not one that this program knows; %d is the newest", version, PlanFormat)
+		errs.add(exprs[0].line, "format", problem)
+	}
+}
+
+// checkPlanSum checks the last form of a plan file, (sum "checksum").
+func checkPlanSum(errs *errorList, last expr, text []byte) {
+	summed := bytes.LastIndex(text, []byte("(sum "))
+	if !last.isForm("sum") || len(last.list) != 2 || summed < 0 {
+		errs.add(last.line, "sum", "is missing: the file is cut short")
+		return
+	}
+	sum, _ := last.list[1].atom.(string)
+	if sum != fmt.Sprintf("%016x", xxhash.Sum64(text[:summed])) {
+		errs.add(last.line, "sum", fmt.Sprintf("%q is not that of the file: it was altered", sum))
+	}
+}
+
+func readPlan(s *section) *Plan {
+	p := &Plan{}
+	s.entries("version", func(e *entry) { p.Version = e.number("a version", 0, maxPlanVersion) })
+	s.subsection("made-for", func(in *section) {
+		p.ListHash, p.SettingsHash = in.hash("list"), in.hash("settings")
+	})
+	s.subsection("goals", func(in *section) {
+		p.Goals = readGoalFigures(in)
+		p.Proven = in.boolean("proven")
+	})
+	p.Load = readLoads(s)
+	p.Flows = readFlows(s)
+	s.entries("contingency", func(e *entry) { p.Contingencies = append(p.Contingencies, readContingency(e)) })
+	return p
+}
+
+// hash reads a hash in hexadecimal digits. A text that is none is of no list and no settings, as 0 is.
+func (s *section) hash(key string) (hash uint64) {
+	s.entries(key, func(e *entry) { hash, _ = strconv.ParseUint(e.text("a hash"), 16, 64) })
+	return hash
+}
+
+func readGoalFigures(s *section) (g placement.Goals) {
+	figure := func(e *entry) int64 { return e.number("a figure", 0, maxPlanNumber) }
+	s.entries("uncarried", func(e *entry) { g.Uncarried = figure(e) })
+	s.entries("crossings", func(e *entry) { g.Crossings = figure(e) })
+	s.entries("moves", func(e *entry) { g.Moves = figure(e) })
+	s.entries("fullest", func(e *entry) { g.Fullest = placement.Ratio{Num: figure(e), Den: figure(e)} })
+	return g
+}
+
+func readLoads(s *section) map[string]int64 {
+	load := map[string]int64{}
+	s.entries("node", func(e *entry) { load[e.text("a node")] = e.number("its load", 0, placement.MostLoad) })
+	return load
+}
+
+func readFlows(s *section) (flows []placement.Flow) {
+	s.entries("flow", func(e *entry) {
+		flows = append(flows, placement.Flow{
+			Class: e.text("a class"), From: e.text("a zone"), To: e.text("a zone"), Load: e.number("its load", 0, placement.MostLoad),
+		})
+	})
+	return flows
+}
+
+func readContingency(e *entry) PlanContingency {
+	c := PlanContingency{Name: e.text("its name")}
+	in := openSection(e.section.errs, "contingency", e.form.line, e.values, "node", "flow")
+	e.values = nil
+	in.entries("lost", func(e *entry) { c.Lost = e.texts("a node") })
+	in.entries("short", func(e *entry) { c.Short = e.number("units of load", 0, maxPlanNumber) })
+	c.Load = readLoads(in)
+	c.Flows = readFlows(in)
+	in.close()
+	return c
+}
