--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -23,23 +23,25 @@
 			sent, id := 0, RequestID(0)
 			w := newWorld(t, set, members-1)
 			w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
-			w.b.refresh()
+			w.b.refreshTable()
 			s := w.b.servers[900]
-			w.b.began = w.now - time.Hour
+			w.b.startedAt = w.now - time.Hour
 			for range bursts * gateways { // one world stands for all: nothing of the last request is left
 				w.b.now += ms
-				w.b.came, s.coldAt, s.Started, s.coldTried = fading{}, 0, w.b.now-sec, fading{}
-				w.b.came.add(w.b.now, 1)
+				w.b.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
+				s.warmupSentAt, s.Started = 0, w.b.now-sec
+				w.b.recentRequests.add(w.b.now, 1)
 				id++
-				for j := range lookupsNear {
+				for j := range maxNearLookups {
 					if mix(uint64(id), uint64(j))%members == 0 &&
-						w.b.admitCold(&request{Request: Request{ID: id}}, s) {
+						w.b.admitToWarmingServer(&request{Request: Request{ID: id}}, s) {
 						sent++
 						break
 					}
 				}
 			}
-			limit := set.ColdOverloadFactor * coldRoom / set.WarmupDuration.Seconds() * tip.Seconds()
+			limit := set.ColdOverloadFactor * minWarmConnections /
+				set.WarmupDuration.Seconds() * tip.Seconds()
 			if mean := float64(sent) / bursts; mean > 1.2*limit || mean < 0.2*limit {
 				t.Errorf("%d gateways, %v: %.2f in a burst, the limit is %.2f", gateways, tip, mean, limit)
 			}
@@ -56,16 +58,17 @@
 	set.Gateways, set.ColdOverloadFactor, set.WarmupDuration = 300, 4, 21*sec
 	w := newWorld(t, set, 80)
 	w.feed(EndpointList{Mode: ListDelta, Servers: []Server{{ID: 900, Capacity: 1, Started: w.now}}})
-	w.b.refresh()
-	w.b.began = w.now - time.Hour
-	w.b.bears.add(bears)
+	w.b.refreshTable()
+	w.b.startedAt = w.now - time.Hour
+	w.b.connectionCapacity.add(bears)
 	s := w.b.servers[900]
 	sent := 0
 	for id := range bursts * members {
 		w.b.now += ms
-		w.b.came, s.coldAt, s.Started, s.coldTried = fading{}, 0, w.b.now-sec, fading{}
-		w.b.came.add(w.b.now, 1)
-		if w.b.admitCold(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
+		w.b.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
+		s.warmupSentAt, s.Started = 0, w.b.now-sec
+		w.b.recentRequests.add(w.b.now, 1)
+		if w.b.admitToWarmingServer(&request{Request: Request{ID: RequestID(id + 1)}}, s) {
 			sent++
 		}
 	}
@@ -104,7 +107,7 @@
 	f.failures = between(0, 0.3, "turned away")
 	weight, each := between(0.5, 4, "weight"), between(1.5, 20, "allowed a second")
 	bears := each * f.set.WarmupDuration.Seconds() / f.set.ColdOverloadFactor / weight
-	f.n = max(each, coldRoom*f.set.ColdOverloadFactor/f.set.WarmupDuration.Seconds()) *
+	f.n = max(each, minWarmConnections*f.set.ColdOverloadFactor/f.set.WarmupDuration.Seconds()) *
 		f.set.ColdOverloadDuration.Seconds()
 	f.rnd = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	f.cold = ServerID(100 + warm)
@@ -125,7 +128,7 @@
 		f.set.Seed = uint64(i) + 1
 		b := mustNew(nil, f.set)
 		b.Handle(coldStart-f.age, before)
-		b.bears.add(bears)
+		b.connectionCapacity.add(bears)
 		f.fleet = append(f.fleet, b)
 		f.told = append(f.told, coldStart+time.Duration(f.rnd.Float64()*late*1e9))
 	}
@@ -191,9 +194,9 @@
 		zipf := rapid.IntRange(6, 40).Draw(t, "groups")
 		whole := mustNew(nil, f.set)
 		whole.Handle(coldStart, f.list)
-		whole.refresh()
+		whole.refreshTable()
 		hot := "h"
-		for whole.members[whole.table.at(hashKey(hot), 0)].ID < f.cold {
+		for whole.tableServers[whole.table.at(hashKey(hot), 0)].ID < f.cold {
 			hot += "h"
 		}
 		now, burst := coldStart-f.age, coldStart+3*sec
--- a/balancer/figures_test.go
+++ b/balancer/figures_test.go
@@ -168,9 +168,9 @@
 				feed(LoadReport{
 					Server: server, Utilization: rnd.Float64() * 3, Connections: float64(rnd.IntN(60))})
 			case 8:
-				feed(TimerFired{Ref: refHousekeeping})
+				feed(TimerFired{Ref: sweepTimer})
 			case 9:
-				feed(TimerFired{Ref: refOnce})
+				feed(TimerFired{Ref: oneShotTimer})
 			}
 			if i%20 > 0 {
 				continue
@@ -178,9 +178,10 @@
 			if s := unsound(reflect.ValueOf(b), "b", map[uintptr]bool{}); s != "" {
 				t.Fatal(s)
 			}
-			for _, f := range []float64{b.throttle(), b.room(), b.arrivals()} {
+			for _, f := range []float64{b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate()} {
 				if math.IsNaN(f) || math.IsInf(f, 0) {
-					t.Fatalf("throttle %v, room %v, arrivals %v", b.throttle(), b.room(), b.arrivals())
+					t.Fatalf("shed ratio %v, free capacity %v, arrivals %v",
+						b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate())
 				}
 			}
 		}
