--- a/config/config.go
+++ b/config/config.go
@@ -77,7 +77,7 @@
 	Discovery       string
 	Admin           string // where operators call; empty: nowhere
 	InheritedSocket int    // the descriptor of a listening socket that the platform holds; 0: there is none
-	StateRoot       string // a folder for what the next process should know; empty: there is none
+	StateDir        string // a folder for what the next process should know; empty: there is none
 	Limits          Limits
 	CachedList      *discovery.EndpointList // the list as last held; nil: none
 	Balancer        balancer.Settings
@@ -156,7 +156,7 @@
 	}
 	if dir := getenv(EnvTempDir); dir != "" {
 		// Under the name and address, as a machine's folder for such files may serve several gateways.
-		c.StateRoot = filepath.Join(dir, "milletvane-"+plain(c.Name)+"-"+plain(c.Listen))
+		c.StateDir = filepath.Join(dir, "milletvane-"+plain(c.Name)+"-"+plain(c.Listen))
 	}
 	c.Limits = Limits{
 		Cores: value(f.Limits.Cores, DefaultCores), MemoryMB: value(f.Limits.MemoryMB, DefaultMemoryMB),
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -52,12 +52,12 @@
 		t.Errorf("%v: %+v", err, c) // discovery is the file's, which can be replaced
 	}
 	if c, err = Parse(nil, func(k string) string { return env[k] }); err != nil || c.Limits.Sockets != DefaultSockets ||
-		c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 || c.StateRoot != "" {
+		c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 || c.StateDir != "" {
 		t.Errorf("without a file: %v: %+v", err, c)
 	}
 	env[EnvAdmin], env[EnvInheritedSocket], env[EnvTempDir] = "127.0.0.9:3", "3", "/tmp/x"
 	c, err = Parse([]byte(strings.Replace(good, `"seed"`, `"admin_addr":"127.0.0.4:1","seed"`, 1)), func(k string) string { return env[k] })
-	if err != nil || c.Admin != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateRoot != "/tmp/x/milletvane-n9-127_0_0_9_1" {
+	if err != nil || c.Admin != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateDir != "/tmp/x/milletvane-n9-127_0_0_9_1" {
 		t.Errorf("%v: %+v", err, c)
 	}
 	for _, fd := range []string{"x", "2", "-1", "3 "} {
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -32,7 +32,7 @@
 
 // appendConfig prints a configuration field by field.
 func appendConfig(b *bytes.Buffer, c *Config) {
-	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, c.StateRoot)
+	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, c.StateDir)
 	l := c.Limits
 	fmt.Fprintf(b, "limits cores=%g memory_mb=%d sockets=%d admin=%d clients=%d idle=%d connections=%d\n",
 		l.Cores, l.MemoryMB, l.Sockets, l.AdminSockets, l.ClientSockets(), l.MaxIdleClients(), l.MaxConnections())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	g.bans = maintenance.New(c.StateRoot, g.logger)
+	g.bans = maintenance.New(c.StateDir, g.logger)
 	g.bans.OnChange(func(id string, out bool, done func()) {
 		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
 	})
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -27,7 +27,7 @@
 		return
 	}
 	now := time.Now()
-	g.desk = hotrestart.NewStateDir(g.config.StateRoot, hotrestart.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
+	g.desk = hotrestart.NewStateDir(g.config.StateDir, hotrestart.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
 	r, ok := g.desk.ReadPredecessor(now)
 	if !ok {
 		return
