--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -101,8 +101,10 @@
 	}
 	slices.Sort(paths)
 	for _, path := range paths {
-		for _, value := range []string{"", "null", "0", "1", "false", "-1", "1.5", "1e3", "1000000000000000001", "2e18", "9223372036854775808", "NaN", "Inf",
-			"x", "true", "true ", "yes", "1,2", "1,x", "1,null", ",", "10001"} {
+		for _, value := range []string{
+			"", "null", "0", "1", "false", "-1", "1.5", "1e3", "1000000000000000001", "2e18", "9223372036854775808", "NaN", "Inf",
+			"x", "true", "true ", "yes", "1,2", "1,x", "1,null", ",", "10001",
+		} {
 			p := fullPairs()
 			p[path] = value
 			var one bytes.Buffer
@@ -147,12 +149,23 @@
 }
 
 func TestFormatOfBools(t *testing.T) {
-	for text, want := range map[string][2]bool{
-		"1": {true, true}, "true": {true, true}, "0": {false, true}, "false": {false, true},
-		"": {}, "True": {}, "yes": {}, "2": {}, "null": {}, " 1": {},
+	for _, c := range []struct {
+		text   string
+		v, isA bool
+	}{
+		{"1", true, true},
+		{"true", true, true},
+		{"0", false, true},
+		{"false", false, true},
+		{"", false, false},
+		{"True", false, false},
+		{"yes", false, false},
+		{"2", false, false},
+		{"null", false, false},
+		{" 1", false, false},
 	} {
-		if v, ok := ParseBool(text); v != want[0] || ok != want[1] {
-			t.Errorf("%q is %t, %t", text, v, ok)
+		if v, ok := ParseBool(c.text); v != c.v || ok != c.isA {
+			t.Errorf("ParseBool(%q) = %t, %t, want %t, %t", c.text, v, ok, c.v, c.isA)
 		}
 	}
 }
