--- a/config/config_test.go
+++ b/config/config_test.go
@@ -1,13 +1,19 @@
 package config
 
 import (
-	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"example.org/milletvane/balancer"
+	"example.org/milletvane/internal/discovery"
+	"example.org/milletvane/internal/discovery/refresh"
+	"example.org/milletvane/internal/settings"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:5000","discovery":"127.0.2.1:8500","seed":"8c1f30d27a5be964",
+const sampleJSON = `{"name":"n3","listen":"127.0.0.4:5000","discovery":"127.0.2.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1136},
  "known":{"version":41,"full":true,"servers":[{"id":"s-5be2a07c","addr":"127.1.0.18:5000","state":"in_service"}]},
  "settings":{"caps":{"max_attempts":5,"connect_timeout_ns":60000000,"probes":true,"retry_after":true,"max_retry_after_ns":2000000000},
@@ -15,62 +21,102 @@
   "discovery":"ask","family_info":{"mode":"pass","message_aim_ns":[60000000],"tells_load":true,"tells_delay":true,"park_ns":6449143000},
   "replicas_of_me":3,"reporting":{"fields":["concurrent","depth","x0"]},"rules":{"cold_ns":21000000000,"tip_multiple":4.0},"tenants":[]}}`
 
-func none(string) string { return "" }
+func noEnvironment(string) string { return "" }
 
-func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+// environment looks keys up in a map.
+func environment(values map[string]string) func(string) string {
+	return func(key string) string { return values[key] }
+}
+
+func mustParse(t *testing.T, text string, getenv func(string) string) *Config {
+	t.Helper()
+	c, err := Parse([]byte(text), getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Balancer.Seed != 0x8c1f30d27a5be964 || c.Balancer.Gateways != 3 || c.Balancer.MaxAttempts != 5 ||
-		c.ListRefresh.LocalAgent || c.Balancer.FlowRetention != 6449143*time.Microsecond || len(c.Balancer.Classes) != 1 ||
-		c.Balancer.Classes[0].MessageLatencyObjective != 60*time.Millisecond || c.Balancer.MaxRetryAfter != 2*time.Second {
-		t.Errorf("rules read as %+v", c.Balancer)
+	return c
+}
+
+func TestParse(t *testing.T) {
+	const seed = 0x8c1f30d27a5be964
+	want := &Config{
+		Name: "n3", Listen: "127.0.0.4:5000", Discovery: "127.0.2.1:8500",
+		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1136},
+		CachedList: &discovery.EndpointList{Version: 41, Complete: true, Endpoints: []discovery.Endpoint{
+			{ID: "s-5be2a07c", Addr: "127.1.0.18:5000", State: "in_service"},
+		}},
+		Balancer: balancer.Settings{
+			Seed: seed, Gateways: 3, MaxAttempts: 5, FlowRetention: 6449143 * time.Microsecond, WarmupDuration: 21 * time.Second,
+			ColdOverloadFactor: 4, MaxRetryAfter: 2 * time.Second, CanPollLoad: true,
+			Classes: []balancer.Class{{
+				Name: "a", Idempotency: balancer.Idempotent, DedupScope: balancer.DedupScopeAll, PriorityWeight: 1,
+				SetupLatencyObjective: 800 * time.Millisecond, Timeout: 4800 * time.Millisecond,
+				MessageLatencyObjective: 60 * time.Millisecond,
+			}},
+		},
+		ListRefresh: refresh.Settings{Gateways: 3, Seed: seed},
+		Gateway: settings.Gateway{
+			ConnectTimeout: 60 * time.Millisecond, ConnectionsOutliveGateway: true, ReportsMessageDelay: true,
+			ReportsConnectionLoad: true, CanPollLoad: true, MessageLatencyObjective: 60 * time.Millisecond,
+			MaxClassTimeout: 4800 * time.Millisecond,
+		},
+		AnswerTimeout: 3300 * time.Millisecond,
+		DrainTimeout:  15 * time.Second,
 	}
-	if n := c.Gateway; !n.ConnectionsOutliveGateway || !n.CanPollLoad || !n.ReportsConnectionLoad || !n.ReportsMessageDelay || n.ConnectTimeout != 60*time.Millisecond ||
-		n.MessageLatencyObjective != 60*time.Millisecond || n.MaxClassTimeout != 4800*time.Millisecond {
-		t.Errorf("node read as %+v", n)
+	got := mustParse(t, sampleJSON, noEnvironment)
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("configuration (-want +got):\n%s", diff)
 	}
-	if c.CachedList.Version != 41 || c.Limits.MaxConnections() != 544 {
-		t.Errorf("read as %+v", c)
+	if got.Limits.MaxConnections() != 544 {
+		t.Errorf("%d connections at most, want 544", got.Limits.MaxConnections())
 	}
-	// The platform ends the program 3.7 s after SIGTERM or later. Connections that end here are moved by then;
-	// those that pass through must not end before.
-	if c.DrainTimeout < 10*time.Second {
+}
+
+// The platform ends the program 3.7 s after SIGTERM or later. Connections that end here are migrated by then; those that
+// pass through must not end before.
+func TestDrainTimeout(t *testing.T) {
+	if c := mustParse(t, sampleJSON, noEnvironment); c.DrainTimeout < 10*time.Second {
 		t.Errorf("where packets pass a stop takes %v", c.DrainTimeout)
 	}
-	c, err = Parse([]byte(strings.Replace(good, `"pass"`, `"proxy"`, 1)), none)
-	if err != nil || c.DrainTimeout != 3500*time.Millisecond {
-		t.Errorf("%v: where connections end here a stop takes %v", err, c.DrainTimeout)
+	c := mustParse(t, strings.Replace(sampleJSON, `"pass"`, `"proxy"`, 1), noEnvironment)
+	if c.DrainTimeout != 3500*time.Millisecond {
+		t.Errorf("where connections end here a stop takes %v", c.DrainTimeout)
 	}
 }
 
-func TestEnvironmentGoesOverTheFile(t *testing.T) {
+func TestEnvironmentTakesPrecedence(t *testing.T) {
 	env := map[string]string{EnvName: "n9", EnvListen: "127.0.0.9:1", EnvDiscovery: "127.0.0.9:2"}
-	c, err := Parse([]byte(good), func(k string) string { return env[k] })
-	if err != nil || c.Name != "n9" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.0.2.1:8500" {
-		t.Errorf("%v: %+v", err, c) // discovery is the file's, which can be replaced
+
+	c := mustParse(t, sampleJSON, environment(env))
+	if c.Name != "n9" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.0.2.1:8500" {
+		t.Errorf("over a file: %+v", c) // discovery is the file's, which can be replaced
 	}
-	if c, err = Parse(nil, func(k string) string { return env[k] }); err != nil || c.Limits.Sockets != DefaultSockets ||
-		c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 || c.StateDir != "" {
-		t.Errorf("without a file: %v: %+v", err, c)
+	c = mustParse(t, "", environment(env))
+	if c.Limits.Sockets != DefaultSockets || c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 || c.StateDir != "" {
+		t.Errorf("without a file: %+v", c)
 	}
 	env[EnvAdmin], env[EnvInheritedSocket], env[EnvTempDir] = "127.0.0.9:3", "3", "/tmp/x"
-	c, err = Parse([]byte(strings.Replace(good, `"seed"`, `"admin_addr":"127.0.0.4:1","seed"`, 1)), func(k string) string { return env[k] })
-	if err != nil || c.Admin != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateDir != "/tmp/x/milletvane-n9-127_0_0_9_1" {
-		t.Errorf("%v: %+v", err, c)
+	c = mustParse(t, strings.Replace(sampleJSON, `"seed"`, `"admin_addr":"127.0.0.4:1","seed"`, 1), environment(env))
+	if c.Admin != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateDir != "/tmp/x/milletvane-n9-127_0_0_9_1" {
+		t.Errorf("with all of the environment: %+v", c)
 	}
+}
+
+func TestInheritedSocketMustBeADescriptor(t *testing.T) {
 	for _, fd := range []string{"x", "2", "-1", "3 "} {
-		env[EnvInheritedSocket] = fd
-		if _, err := Parse([]byte(good), func(k string) string { return env[k] }); err == nil || !strings.Contains(err.Error(), EnvInheritedSocket) {
-			t.Errorf("descriptor %q: %v", fd, err)
-		}
+		t.Run(fd, func(t *testing.T) {
+			_, err := Parse([]byte(sampleJSON), environment(map[string]string{EnvInheritedSocket: fd}))
+			if err == nil || !strings.Contains(err.Error(), EnvInheritedSocket) {
+				t.Errorf("Parse: %v, want the key %s", err, EnvInheritedSocket)
+			}
+		})
 	}
 }
 
 // Whoever mistypes a value reads which one it was.
-func TestFaultsNameTheirKey(t *testing.T) {
-	for _, f := range []struct{ old, new, key string }{
+func TestErrorsNameTheirKey(t *testing.T) {
+	const limits = `"limits":{"cores":1.0,"memory_mb":192,"sockets":1136}`
+	for _, c := range []struct{ from, to, key string }{
 		{`"127.0.0.4:5000"`, `"nowhere"`, "listen"},
 		{`"127.0.0.4:5000"`, `""`, "listen"},
 		{`"127.0.2.1:8500"`, `"127.0.2.1:99999"`, "discovery"},
@@ -80,7 +126,7 @@
 		{`"cores":1.0`, `"cores":-1`, "limits.cores"},
 		{`8c1f30d27a5be964`, `xyz`, "seed"},
 		{`"seed"`, `"admin_addr":"nowhere","seed"`, "admin_addr"},
-		{`"limits":{"cores":1.0,"memory_mb":192,"sockets":1136}`, `"admin_addr":"127.0.0.4:1","limits":{"sockets":80}`, "limits.sockets"},
+		{limits, `"admin_addr":"127.0.0.4:1","limits":{"sockets":80}`, "limits.sockets"},
 		{`"id":"s-5be2a07c"`, `"id":""`, "known"},
 		{`"idempotent"`, `"perhaps"`, "settings.classes.0.effect"},
 		{`"mode":"pass"`, `"mode":"both"`, "settings.family_info.mode"},
@@ -89,42 +135,40 @@
 		{`"settings":{`, `"settings":[],"x":{`, "settings"},
 		{`{"name"`, `{name`, EnvFile},
 	} {
-		text := strings.Replace(good, f.old, f.new, 1)
-		if _, err := Parse([]byte(text), none); err == nil || !strings.Contains(err.Error(), f.key) {
-			t.Errorf("%s for %s: %v, want the key %s", f.new, f.old, err, f.key)
-		}
+		t.Run(c.to, func(t *testing.T) {
+			_, err := Parse([]byte(change(t, sampleJSON, c.from, c.to)), noEnvironment)
+			if err == nil || !strings.Contains(err.Error(), c.key) {
+				t.Errorf("Parse: %v, want the key %s", err, c.key)
+			}
+		})
 	}
 }
 
-func TestFixedChangesAreNamed(t *testing.T) {
-	parse := func(text string) *Config {
-		c, err := Parse([]byte(text), none)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return c
-	}
-	old := parse(good)
-	moved := strings.NewReplacer("127.0.2.1:8500", "127.0.2.9:1", "8c1f", "9c1f", `"version":41`, `"version":42`).Replace(good)
-	if keys := old.ChangesNeedingRestart(parse(moved)); len(keys) > 0 {
+func TestChangesNeedingRestart(t *testing.T) {
+	old := mustParse(t, sampleJSON, noEnvironment)
+	free := strings.NewReplacer("127.0.2.1:8500", "127.0.2.9:1", "8c1f", "9c1f", `"version":41`, `"version":42`).Replace(sampleJSON)
+	if keys := old.ChangesNeedingRestart(mustParse(t, free, noEnvironment)); len(keys) > 0 {
 		t.Errorf("a new discovery, seed and list change %q", keys)
 	}
-	other := strings.NewReplacer(`"n3"`, `"n4"`, ".4:5000", ".4:5001", "1136", "1137", `"max_attempts":5`, `"max_attempts":4`)
-	if keys := old.ChangesNeedingRestart(parse(other.Replace(good))); !slices.Equal(keys, []string{"name", "listen", "limits", "settings"}) {
-		t.Errorf("named %q", keys)
+	fixed := strings.NewReplacer(`"n3"`, `"n4"`, ".4:5000", ".4:5001", "1136", "1137", `"max_attempts":5`, `"max_attempts":4`)
+	keys := old.ChangesNeedingRestart(mustParse(t, fixed.Replace(sampleJSON), noEnvironment))
+	if diff := cmp.Diff([]string{"name", "listen", "limits", "settings"}, keys); diff != "" {
+		t.Errorf("changed keys (-want +got):\n%s", diff)
 	}
 }
 
-// A gateway that is given an address asks there, unless the settings say otherwise.
-func TestDiscoveryIsAskedWhereNothingElseIsSaid(t *testing.T) {
-	for text, want := range map[string]bool{
-		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}`:                                 true,
-		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{}}`:                   true,
-		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"ask"}}`:  true,
-		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"push"}}`: false,
+// A gateway that is given an address polls there, unless the settings say otherwise.
+func TestDiscoveryIsPolledByDefault(t *testing.T) {
+	for text, wantAgent := range map[string]bool{
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}`:                                 false,
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{}}`:                   false,
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"ask"}}`:  false,
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"push"}}`: true,
 	} {
-		if c, err := Parse([]byte(text), none); err != nil || c.ListRefresh.LocalAgent == want {
-			t.Errorf("%s: %v, pushed %v", text, err, c.ListRefresh.LocalAgent)
-		}
+		t.Run(text, func(t *testing.T) {
+			if c := mustParse(t, text, noEnvironment); c.ListRefresh.LocalAgent != wantAgent {
+				t.Errorf("a local agent: %t, want %t", c.ListRefresh.LocalAgent, wantAgent)
+			}
+		})
 	}
 }
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -95,19 +95,9 @@
 // Files as the platform writes them are read field by field: all keys given, defaults, and values at their bounds.
 func TestFormatRead(t *testing.T) {
 	var b bytes.Buffer
-	for _, c := range []struct{ from, to string }{
-		{`"name"`, `"name"`},
-		{`"pass"`, `"proxy"`}, {`"pass"`, `null`}, {`"mode":"pass"`, `"modes":"pass"`}, {`"push"`, `"ask"`}, {`"push"`, `null`},
-		{`"admin_addr":"127.0.0.4:1",`, ``}, {`"name":"n3",`, ``}, {`"name":"n3"`, `"NAME":"n3"`}, {`"name"`, `"later":{"a":[1]},"name"`},
-		{`"limits":{"cores":1.5,"memory_mb":64,"sockets":1136},`, ``}, {`"cores":1.5,`, ``}, {`"memory_mb":64`, `"memory_mb":16`},
-		{`"sockets":1136`, `"sockets":84`}, {`"sockets":1136`, `"sockets":null`}, {`"seed":"8c1f30d27a5be964",`, ``}, {`"seed":"8c1f30d27a5be964"`, `"seed":"F"`},
-		{`"give_up_ns":4800000000`, `"give_up_ns":2500000000`}, {`"give_up_ns":4800000000`, `"give_up_ns":3000000001`}, {`"probes":true`, `"probes":false`},
-		{`"probes":true`, `"probes":"1"`}, {`["concurrent","depth","x0"]`, `["concurrent","x1"]`}, {`["concurrent","depth","x0"]`, `["concurrent"]`},
-		{`"retry_after":true`, `"retry_after":false`}, {`[60000000,null,40000000]`, `[]`}, {`[60000000,null,40000000]`, `50000000`},
-		{`[60000000,null,40000000]`, `[null,0,7.9,1]`}, {`"tenant_quota_connections":[12.5,3]`, `"tenant_quota_connections":[1]`}, {`"caps":{`, `"cap":{`},
-	} {
+	for _, c := range validReplacements {
 		fmt.Fprintf(&b, "== %s => %s\n", c.from, c.to)
-		got, err := Parse([]byte(change(t, fullJSON(t), c.from, c.to)), none)
+		got, err := Parse([]byte(change(t, fullJSON(t), c.from, c.to)), noEnvironment)
 		if err != nil {
 			t.Errorf("%s: %v", c.to, err)
 			continue
@@ -120,7 +110,7 @@
 		`{"listen":"[::1]:1","discovery":"127.0.0.1:2","settings":{},"known":{}}`,
 	} {
 		fmt.Fprintf(&b, "== %s\n", text)
-		got, err := Parse([]byte(text), none)
+		got, err := Parse([]byte(text), noEnvironment)
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 			continue
@@ -133,39 +123,20 @@
 // Each fault's message, word by word.
 func TestFormatOfFaults(t *testing.T) {
 	var b bytes.Buffer
-	for _, c := range []struct{ from, to string }{
-		{`"127.0.0.4:5000"`, `"nowhere"`}, {`"127.0.0.4:5000"`, `""`}, {`"127.0.0.4:5000"`, `"127.0.0.4:65536"`}, {`"127.0.0.4:5000"`, `"127.0.0.4:x"`},
-		{`"127.0.0.4:5000"`, `5000`}, {`"127.0.2.1:8500"`, `""`}, {`"127.0.2.1:8500"`, `"127.0.2.1"`}, {`"127.0.0.4:1"`, `"nowhere"`},
-		{`"sockets":1136`, `"sockets":83`}, {`"sockets":1136`, `"sockets":"many"`}, {`"sockets":1136`, `"sockets":1.5`}, {`"sockets":1136`, `"sockets":-1`},
-		{`"memory_mb":64`, `"memory_mb":15`}, {`"memory_mb":64`, `"memory_mb":true`}, {`"cores":1.5`, `"cores":0`}, {`"cores":1.5`, `"cores":-1`},
-		{`"cores":1.5`, `"cores":"1"`}, {`8c1f30d27a5be964`, `xyz`}, {`8c1f30d27a5be964`, `10000000000000000`}, {`8c1f30d27a5be964`, `-1`},
-		{`"id":"s-5be2a07c"`, `"id":""`}, {`"id":"s-6"`, `"id":""`},
-		{`"idempotent"`, `"perhaps"`}, {`"group":"all"`, `"group":"none"`}, {`"slo_ns":800000000`, `"slo_ns":-1`}, {`"slo_ns":800000000`, `"slo_ns":0.5`},
-		{`"worth":1.5`, `"worth":"x"`}, {`"give_up_ns":4800000000`, `"give_up_ns":9223372036854775808`}, {`"window_ns":7000000`, `"window_ns":[1,2]`},
-		{`"mode":"pass"`, `"mode":"both"`}, {`"discovery":"push"`, `"discovery":"gossip"`}, {`"max_attempts":5`, `"max_attempts":"x"`},
-		{`"connect_timeout_ns":60000000`, `"connect_timeout_ns":-6`}, {`"probes":true`, `"probes":2`}, {`"retry_after":true`, `"retry_after":"yes"`},
-		{`"max_retry_after_ns":2000000000`, `"max_retry_after_ns":2.5`}, {`[60000000,null,40000000]`, `[60000000,"x"]`}, {`[60000000,null,40000000]`, `[-1]`},
-		{`[60000000,null,40000000]`, `[1e19]`}, {`"tells_load":true`, `"tells_load":"on"`}, {`"tells_delay":true`, `"tells_delay":"off"`},
-		{`"park_ns":6449143000`, `"park_ns":"long"`}, {`"replicas_of_me":3`, `"replicas_of_me":-3`}, {`"cold_ns":21000000000`, `"cold_ns":"x"`},
-		{`"tip_multiple":4.5`, `"tip_multiple":-4`}, {`"fall_ns":900000000`, `"fall_ns":"x"`}, {`"start_capacity":0.16`, `"start_capacity":1.5`},
-		{`"gone_is_advice":true`, `"gone_is_advice":7`}, {`"ratio_span_ns":10000000000`, `"ratio_span_ns":"x"`}, {`"extra_free":2.5`, `"extra_free":1e19`},
-		{`"budget_share":0.2`, `"budget_share":"NaN"`}, {`"stop_sending_within_ns":250000000`, `"stop_sending_within_ns":"x"`},
-		{`"ask_within_ns":5000000000`, `"ask_within_ns":"x"`}, {`"grace_to_answer_ns":100000000`, `"grace_to_answer_ns":"x"`},
-		{`"over_share_worth":0.5`, `"over_share_worth":"x"`}, {`[12.5,3]`, `[12.5,"x"]`},
-		{`"settings":{`, `"settings":[],"x":{`}, {`"settings":{`, `"settings":7,"x":{`},
-		{`{"name"`, `{name`}, {`"name":"n3",`, `"name":3,`},
-	} {
+	for _, c := range faultyReplacements {
 		fmt.Fprintf(&b, "== %s => %s\n", c.from, c.to)
-		got, err := Parse([]byte(change(t, fullJSON(t), c.from, c.to)), none)
+		got, err := Parse([]byte(change(t, fullJSON(t), c.from, c.to)), noEnvironment)
 		if err == nil {
 			t.Errorf("%s: no fault", c.to)
 		}
 		appendResult(&b, got, err)
 	}
-	for _, text := range []string{``, `{}`, `{"listen":"127.0.0.1:1"}`, `{"discovery":"127.0.0.1:2"}`, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"} x`,
-		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"`, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":63}}`} {
+	for _, text := range []string{
+		``, `{}`, `{"listen":"127.0.0.1:1"}`, `{"discovery":"127.0.0.1:2"}`, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"} x`,
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"`, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":63}}`,
+	} {
 		fmt.Fprintf(&b, "== %s\n", text)
-		got, err := Parse([]byte(text), none)
+		got, err := Parse([]byte(text), noEnvironment)
 		if err == nil {
 			t.Errorf("%s: no fault", text)
 		}
@@ -185,13 +156,18 @@
 	for _, env := range [][]string{
 		base,
 		{"PROXY_CONFIG=FILE"},
-		{"PROXY_CONFIG=FILE", "PROXY_NAME=n9", "PROXY_LISTEN=127.0.0.9:1", "PROXY_DISCOVERY=127.0.0.9:2", "PROXY_ADMIN_ADDR=127.0.0.9:3",
-			"PROXY_PASSED_SOCKET=3", "TMPDIR=/tmp/x"},
+		{
+			"PROXY_CONFIG=FILE", "PROXY_NAME=n9", "PROXY_LISTEN=127.0.0.9:1", "PROXY_DISCOVERY=127.0.0.9:2", "PROXY_ADMIN_ADDR=127.0.0.9:3",
+			"PROXY_PASSED_SOCKET=3", "TMPDIR=/tmp/x",
+		},
 		{"PROXY_CONFIG=FILE.absent"},
 		append(base, "TMPDIR=/tmp/x", "PROXY_NAME=a/b.ü-"+strings.Repeat("x", 80)),
 		append(base, "PROXY_PASSED_SOCKET=65535"), append(base, "PROXY_PASSED_SOCKET=65536"), append(base, "PROXY_PASSED_SOCKET=2"),
 		append(base, "PROXY_PASSED_SOCKET=x"), append(base, "PROXY_PASSED_SOCKET=3 "),
-		append(base, "PROXY_ADMIN_ADDR=nowhere"), {"PROXY_LISTEN=127.0.0.9:1"}, {"PROXY_LISTEN=127.0.0.9", "PROXY_DISCOVERY=127.0.0.9:2"}, {},
+		append(base, "PROXY_ADMIN_ADDR=nowhere"),
+		{"PROXY_LISTEN=127.0.0.9:1"},
+		{"PROXY_LISTEN=127.0.0.9", "PROXY_DISCOVERY=127.0.0.9:2"},
+		{},
 	} {
 		fmt.Fprintf(&b, "== %s\n", strings.Join(env, " "))
 		values := map[string]string{}
