--- a/config/config.go
+++ b/config/config.go
@@ -67,8 +67,8 @@
 	return Parse(text, getenv)
 }
 
-// Parse reads a configuration from JSON, which may be empty, and the environment. What is wrong with a value is a *KeyError,
-// or wraps a *settings.ValueError.
+// Parse reads a configuration from JSON, which may be empty, and the environment. What is wrong with a value is a
+// *KeyError, or wraps a *settings.ValueError.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	f, err := parseFile(text)
 	if err != nil {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -92,7 +92,8 @@
 		t.Errorf("over a file: %+v", c) // discovery is the file's, which can be replaced
 	}
 	c = mustParse(t, "", environment(env))
-	if c.Limits.Sockets != DefaultSockets || c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 || c.StateDir != "" {
+	if c.Limits.Sockets != DefaultSockets || c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 ||
+		c.StateDir != "" {
 		t.Errorf("without a file: %+v", c)
 	}
 	env[EnvAdmin], env[EnvInheritedSocket], env[EnvTempDir] = "127.0.0.9:3", "3", "/tmp/x"
@@ -146,11 +147,12 @@
 
 func TestChangesNeedingRestart(t *testing.T) {
 	old := mustParse(t, sampleJSON, noEnvironment)
-	free := strings.NewReplacer("127.0.2.1:8500", "127.0.2.9:1", "8c1f", "9c1f", `"version":41`, `"version":42`).Replace(sampleJSON)
-	if keys := old.ChangesNeedingRestart(mustParse(t, free, noEnvironment)); len(keys) > 0 {
+	free := strings.NewReplacer("127.0.2.1:8500", "127.0.2.9:1", "8c1f", "9c1f", `"version":41`, `"version":42`)
+	if keys := old.ChangesNeedingRestart(mustParse(t, free.Replace(sampleJSON), noEnvironment)); len(keys) > 0 {
 		t.Errorf("a new discovery, seed and list change %q", keys)
 	}
-	fixed := strings.NewReplacer(`"n3"`, `"n4"`, ".4:5000", ".4:5001", "1136", "1137", `"max_attempts":5`, `"max_attempts":4`)
+	fixed := strings.NewReplacer(`"n3"`, `"n4"`, ".4:5000", ".4:5001", "1136", "1137", `"max_attempts":5`,
+		`"max_attempts":4`)
 	keys := old.ChangesNeedingRestart(mustParse(t, fixed.Replace(sampleJSON), noEnvironment))
 	if diff := cmp.Diff([]string{"name", "listen", "limits", "settings"}, keys); diff != "" {
 		t.Errorf("changed keys (-want +got):\n%s", diff)
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -32,7 +32,8 @@
 
 // appendConfig prints a configuration field by field.
 func appendConfig(b *bytes.Buffer, c *Config) {
-	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, c.StateDir)
+	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin,
+		c.InheritedSocket, c.StateDir)
 	l := c.Limits
 	fmt.Fprintf(b, "limits cores=%g memory_mb=%d sockets=%d admin=%d clients=%d idle=%d connections=%d\n",
 		l.Cores, l.MemoryMB, l.Sockets, l.AdminSockets, l.ClientSockets(), l.MaxIdleClients(), l.MaxConnections())
@@ -54,16 +55,20 @@
 	fmt.Fprintf(b, "budget span=%s free=%g share=%g\n", r.RetryBudgetWindow, r.RetryBudgetMin, r.RetryBudgetRatio)
 	for _, k := range r.Classes {
 		fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
-			k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout, k.MessageLatencyObjective)
+			k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout,
+			k.MessageLatencyObjective)
 	}
 	for _, t := range r.Tenants {
 		fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
 	}
 	fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%016x\n",
-		c.ListRefresh.LocalAgent, c.ListRefresh.Gateways, c.ListRefresh.MaxPollInterval, c.ListRefresh.DrainGrace, c.ListRefresh.Seed)
+		c.ListRefresh.LocalAgent, c.ListRefresh.Gateways, c.ListRefresh.MaxPollInterval, c.ListRefresh.DrainGrace,
+		c.ListRefresh.Seed)
 	n := c.Gateway
-	fmt.Fprintf(b, "node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
-		n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad, n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
+	fmt.Fprintf(b,
+		"node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
+		n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad,
+		n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
 }
 
 func appendResult(b *bytes.Buffer, c *Config, err error) {
@@ -132,8 +137,10 @@
 		appendResult(&b, got, err)
 	}
 	for _, text := range []string{
-		``, `{}`, `{"listen":"127.0.0.1:1"}`, `{"discovery":"127.0.0.1:2"}`, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"} x`,
-		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"`, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":63}}`,
+		``, `{}`, `{"listen":"127.0.0.1:1"}`, `{"discovery":"127.0.0.1:2"}`,
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"} x`,
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"`,
+		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":63}}`,
 	} {
 		fmt.Fprintf(&b, "== %s\n", text)
 		got, err := Parse([]byte(text), noEnvironment)
@@ -157,12 +164,14 @@
 		base,
 		{"PROXY_CONFIG=FILE"},
 		{
-			"PROXY_CONFIG=FILE", "PROXY_NAME=n9", "PROXY_LISTEN=127.0.0.9:1", "PROXY_DISCOVERY=127.0.0.9:2", "PROXY_ADMIN_ADDR=127.0.0.9:3",
+			"PROXY_CONFIG=FILE", "PROXY_NAME=n9", "PROXY_LISTEN=127.0.0.9:1", "PROXY_DISCOVERY=127.0.0.9:2",
+			"PROXY_ADMIN_ADDR=127.0.0.9:3",
 			"PROXY_PASSED_SOCKET=3", "TMPDIR=/tmp/x",
 		},
 		{"PROXY_CONFIG=FILE.absent"},
 		append(base, "TMPDIR=/tmp/x", "PROXY_NAME=a/b.ü-"+strings.Repeat("x", 80)),
-		append(base, "PROXY_PASSED_SOCKET=65535"), append(base, "PROXY_PASSED_SOCKET=65536"), append(base, "PROXY_PASSED_SOCKET=2"),
+		append(base, "PROXY_PASSED_SOCKET=65535"), append(base, "PROXY_PASSED_SOCKET=65536"),
+		append(base, "PROXY_PASSED_SOCKET=2"),
 		append(base, "PROXY_PASSED_SOCKET=x"), append(base, "PROXY_PASSED_SOCKET=3 "),
 		append(base, "PROXY_ADMIN_ADDR=nowhere"),
 		{"PROXY_LISTEN=127.0.0.9:1"},
--- a/config/operator/cluster.go
+++ b/config/operator/cluster.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Cluster has instances recover together: who they are, and the disk that lasts. It is for installations where instances may
-// talk to each other; a platform that has no disk, or lets no instance talk to another, leaves it out.
+// Cluster has instances recover together: who they are, and the disk that lasts. It is for installations where instances
+// may talk to each other; a platform that has no disk, or lets no instance talk to another, leaves it out.
 type Cluster struct {
 	Listen      string            // IP:port for the other members, UDP and TCP
 	Members     map[string]string // the others by name, with their IP:port
--- a/config/operator/cluster_test.go
+++ b/config/operator/cluster_test.go
@@ -32,7 +32,8 @@
 		t.Fatal(err)
 	}
 	want := &Settings{Cluster: &Cluster{
-		Listen: "10.0.0.4:7946", Members: map[string]string{"n1": "10.0.0.5:7946"}, KeyFile: "key", Key: []byte("0123456789abcdef"),
+		Listen: "10.0.0.4:7946", Members: map[string]string{"n1": "10.0.0.5:7946"}, KeyFile: "key",
+		Key: []byte("0123456789abcdef"),
 		Dir: "/var/lib/x", PeerTimeout: 2 * time.Second, Tiers: [][]string{{"informe-alta"}, {"ajuste-plan", "plan-diario"}},
 	}}
 	if diff := cmp.Diff(want, s); diff != "" {
--- a/config/operator/constraint.go
+++ b/config/operator/constraint.go
@@ -53,7 +53,8 @@
 		c.Kind, c.Model, c.With = placement.Pair, e.text("a kind of node"), e.text("a kind of node")
 	},
 	"connections": func(e *entry, c *placement.Constraint) {
-		c.Kind, c.Model, c.Count = placement.Connections, e.text("a kind of node"), e.number("connections", 0, placement.MostLoad)
+		c.Kind, c.Model, c.Count = placement.Connections, e.text("a kind of node"),
+			e.number("connections", 0, placement.MostLoad)
 		c.Least = e.number("the load of one", 1, maxRatioTerm)
 	},
 	"moves": func(e *entry, c *placement.Constraint) {
--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -52,12 +52,14 @@
 	if n == nil {
 		return
 	}
-	fmt.Fprintf(b, "nats listen=%q node_port=%d cluster=%t max_payload=%d control_line=%d max_subscriptions=%d max_requests=%d"+
-		" max_pending=%d\n",
+	fmt.Fprintf(b,
+		"nats listen=%q node_port=%d cluster=%t max_payload=%d control_line=%d max_subscriptions=%d max_requests=%d"+
+			" max_pending=%d\n",
 		n.Listen, n.NodePort, n.Cluster, n.MaxPayload, n.ControlLine, n.MaxSubscriptions, n.MaxRequests, n.MaxPending)
 	fmt.Fprintf(b, "nats ping_every=%s ping_clients=%s move_within=%s flush_within=%s max_shared=%d\n",
 		n.PingInterval, n.ClientPingInterval, n.MigrationTimeout, n.FlushTimeout, n.MaxShared)
-	fmt.Fprintf(b, "session class=%q key=%s/%d group=%s/%d wait=%s\n", n.Session.Class, n.Session.Key.Kind, n.Session.Key.Token,
+	fmt.Fprintf(b, "session class=%q key=%s/%d group=%s/%d wait=%s\n", n.Session.Class, n.Session.Key.Kind,
+		n.Session.Key.Token,
 		n.Session.Group.Kind, n.Session.Group.Token, n.Session.Timeout)
 	for _, r := range n.Requests {
 		fmt.Fprintf(b, "request subject=%q class=%q deadline=%s key=%s/%d line=%d\n",
@@ -214,7 +216,8 @@
 func TestFormatOfOneFault(t *testing.T) {
 	_, err := Parse("op.edn", change{"(cluster true)", "(cluster 1)"}.of(t, natsForm), nil)
 	var f FileError
-	if !errors.As(err, &f) || f.File != "op.edn" || f.Line != 4 || f.Key != "nats.cluster" || f.Problem != "1 is not true or false" {
+	if !errors.As(err, &f) || f.File != "op.edn" || f.Line != 4 || f.Key != "nats.cluster" ||
+		f.Problem != "1 is not true or false" {
 		t.Errorf("%v is found as file %q, line %d, key %q, text %q", err, f.File, f.Line, f.Key, f.Problem)
 	}
 }
--- a/config/operator/operator_test.go
+++ b/config/operator/operator_test.go
@@ -27,12 +27,16 @@
 		t.Fatal(err)
 	}
 	want := &Settings{NATS: &NATS{
-		Listen: "127.0.0.1:4222", Cluster: true, MaxPayload: 1 << 20, ControlLine: 4096, MaxSubscriptions: 1000, MaxRequests: 1024,
-		MaxPending: 64 << 10, PingInterval: time.Second, ClientPingInterval: 30 * time.Second, MigrationTimeout: 3 * time.Second,
-		FlushTimeout: 2 * time.Second, MaxShared: 64,
+		Listen: "127.0.0.1:4222", Cluster: true,
+		MaxPayload: 1 << 20, ControlLine: 4096, MaxSubscriptions: 1000, MaxRequests: 1024, MaxPending: 64 << 10, MaxShared: 64,
+		PingInterval: time.Second, ClientPingInterval: 30 * time.Second,
+		MigrationTimeout: 3 * time.Second, FlushTimeout: 2 * time.Second,
 		Session: Session{Class: "sesion", Key: KeySource{Kind: "user"}, Timeout: time.Second},
 		Requests: []RequestClass{
-			{Subject: "plan.get.*", Class: "plan-diario", Timeout: 800 * time.Millisecond, Key: KeySource{Kind: "token", Token: 2}, Line: 7},
+			{
+				Subject: "plan.get.*", Class: "plan-diario", Timeout: 800 * time.Millisecond,
+				Key: KeySource{Kind: "token", Token: 2}, Line: 7,
+			},
 			{Subject: "serie.>", Class: "serie-hecha", Timeout: time.Second, Key: KeySource{Kind: "session"}, Line: 8},
 		},
 	}}
@@ -54,17 +58,26 @@
 // Each error names file, line and key.
 func TestParseErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"no boolean":      {`(cluster true)`, `(cluster 1)`, `op.edn:4: nats.cluster: 1 is not true or false`},
-		"unknown key":     {`(cluster true)`, `(clutter true)`, `op.edn:4: nats.clutter: is no known key`},
-		"repeated key":    {`(cluster true)`, `(cluster true) (cluster true)`, `op.edn:4: nats.cluster: is given twice, first on line 4`},
-		"out of bounds":   {`(cluster true)`, `(max-payload 0)`, `op.edn:4: nats.max-payload: 0 is not within 1 and 67108864`},
-		"two values":      {`(cluster true)`, `(cluster true false)`, `op.edn:4: nats.cluster: has 2 values and wants one`},
-		"no list":         {`(cluster true)`, `cluster`, `op.edn:4: nats: cluster is not (key value)`},
-		"no duration":     {`"3s"`, `3`, `op.edn:5: nats.move-within: 3 is not a time such as "250ms"`},
-		"long duration":   {`"3s"`, `"3h"`, `op.edn:5: nats.move-within: 3h0m0s is not within 100ms and 1m0s`},
-		"unknown class":   {`(class "plan-diario")`, `(class "nada")`, `op.edn:7: nats.request.class: "nada" is no class of the settings`},
-		"no token":        {`(token 2)`, `(token x)`, `op.edn:7: nats.request.key: a list is none of [session user token]`},
-		"repeated class":  {`"serie.>"`, `"plan.get.*"`, `op.edn:8: nats.request.subject: "plan.get.*" is given twice, first on line 7`},
+		"no boolean":  {`(cluster true)`, `(cluster 1)`, `op.edn:4: nats.cluster: 1 is not true or false`},
+		"unknown key": {`(cluster true)`, `(clutter true)`, `op.edn:4: nats.clutter: is no known key`},
+		"repeated key": {
+			`(cluster true)`, `(cluster true) (cluster true)`,
+			`op.edn:4: nats.cluster: is given twice, first on line 4`,
+		},
+		"out of bounds": {`(cluster true)`, `(max-payload 0)`, `op.edn:4: nats.max-payload: 0 is not within 1 and 67108864`},
+		"two values":    {`(cluster true)`, `(cluster true false)`, `op.edn:4: nats.cluster: has 2 values and wants one`},
+		"no list":       {`(cluster true)`, `cluster`, `op.edn:4: nats: cluster is not (key value)`},
+		"no duration":   {`"3s"`, `3`, `op.edn:5: nats.move-within: 3 is not a time such as "250ms"`},
+		"long duration": {`"3s"`, `"3h"`, `op.edn:5: nats.move-within: 3h0m0s is not within 100ms and 1m0s`},
+		"unknown class": {
+			`(class "plan-diario")`, `(class "nada")`,
+			`op.edn:7: nats.request.class: "nada" is no class of the settings`,
+		},
+		"no token": {`(token 2)`, `(token x)`, `op.edn:7: nats.request.key: a list is none of [session user token]`},
+		"repeated class": {
+			`"serie.>"`, `"plan.get.*"`,
+			`op.edn:8: nats.request.subject: "plan.get.*" is given twice, first on line 7`,
+		},
 		"no address":      {`"127.0.0.1:4222"`, `"here"`, `op.edn:2: nats.listen: "here" is not IP:port`},
 		"missing address": {`(listen "127.0.0.1:4222") ; for clients`, `; no address`, `op.edn:2: nats.listen: is missing`},
 		"unknown section": {`(nats`, `(gnats`, `op.edn:2: gnats: is no known key`},
--- a/config/operator/placement_test.go
+++ b/config/operator/placement_test.go
@@ -41,12 +41,21 @@
 
 func TestPlacementErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"unknown kind":        {`(carry)`, `(curry)`, `f:3: placement.constraint.a: "curry" is no kind of constraint`},
-		"missing value":       {`(headroom 8 10)`, `(headroom 8)`, `f:3: placement.constraint.b: a part's denominator is missing`},
-		"no string":           {`(spread "x" 2 5)`, `(spread 2)`, `f:4: placement.constraint.d: 2 is not a class, a string`},
-		"repeated constraint": {`(constraint "d"`, `(constraint "a"`, `f:4: placement.constraint: "a" is given twice, first on line 3`},
-		"value too many":      {`"z" "x" 4`, `"z" "x" 4 5`, `f:2: placement.demand: 5 is one value too many`},
-		"two goals":           {`(batch "n" 2)`, `(goals fullest moves)`, `f:2: placement.goals: 2 goals are named and 4 wanted`},
+		"unknown kind": {`(carry)`, `(curry)`, `f:3: placement.constraint.a: "curry" is no kind of constraint`},
+		"missing value": {
+			`(headroom 8 10)`, `(headroom 8)`,
+			`f:3: placement.constraint.b: a part's denominator is missing`,
+		},
+		"no string": {`(spread "x" 2 5)`, `(spread 2)`, `f:4: placement.constraint.d: 2 is not a class, a string`},
+		"repeated constraint": {
+			`(constraint "d"`, `(constraint "a"`,
+			`f:4: placement.constraint: "a" is given twice, first on line 3`,
+		},
+		"value too many": {`"z" "x" 4`, `"z" "x" 4 5`, `f:2: placement.demand: 5 is one value too many`},
+		"two goals": {
+			`(batch "n" 2)`, `(goals fullest moves)`,
+			`f:2: placement.goals: 2 goals are named and 4 wanted`,
+		},
 		"negative capacity": {
 			`"n" 15`, `"n" -1`,
 			`f:2: placement.capacity: -1 is not its capacity, a whole number within 0 and 1000000000`,
--- a/config/operator/plan_format_test.go
+++ b/config/operator/plan_format_test.go
@@ -29,7 +29,8 @@
 		}
 	}
 	fmt.Fprintf(b, "version=%d list=%016x settings=%016x proven=%t\n", p.Version, p.ListHash, p.SettingsHash, p.Proven)
-	fmt.Fprintf(b, "goals uncarried=%d crossings=%d fullest=%d/%d moves=%d\n", p.Goals.Uncarried, p.Goals.Crossings, p.Goals.Fullest.Num,
+	fmt.Fprintf(b, "goals uncarried=%d crossings=%d fullest=%d/%d moves=%d\n", p.Goals.Uncarried, p.Goals.Crossings,
+		p.Goals.Fullest.Num,
 		p.Goals.Fullest.Den, p.Goals.Moves)
 	loads("", p.Load)
 	flows("", p.Flows)
--- a/config/operator/planparse.go
+++ b/config/operator/planparse.go
@@ -105,7 +105,8 @@
 func readFlows(s *section) (flows []placement.Flow) {
 	s.entries("flow", func(e *entry) {
 		flows = append(flows, placement.Flow{
-			Class: e.text("a class"), From: e.text("a zone"), To: e.text("a zone"), Load: e.number("its load", 0, placement.MostLoad),
+			Class: e.text("a class"), From: e.text("a zone"), To: e.text("a zone"),
+			Load: e.number("its load", 0, placement.MostLoad),
 		})
 	})
 	return flows
--- a/config/settings.go
+++ b/config/settings.go
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// ChangesNeedingRestart lists the keys whose values in a new configuration are others, though they are fixed for a gateway's
-// life. What the program is given anew with each start, the seed and the endpoint list, is not among them.
+// ChangesNeedingRestart lists the keys whose values in a new configuration are others, though they are fixed for a
+// gateway's life. What the program is given anew with each start, the seed and the endpoint list, is not among them.
 func (c *Config) ChangesNeedingRestart(to *Config) (keys []string) {
 	for _, fixed := range []struct {
 		key       string
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Run handles events and timers until the engine has ended; once ctx is done the engine is told to shut down. It is
+// Run handles events and timers until the engine has ended; once ctx is done the engine gets a Shutdown. It is
 // called once. The clock returns Unix time, never runs backwards, and is called by this goroutine alone.
 func (l *Loop) Run(ctx context.Context, clock func() time.Duration) {
 	defer close(l.ended)
--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -91,8 +91,10 @@
 			s.Name, s.Addr, uint64(s.ID), s.Zone, s.Cell, int(s.State), s.Capacity, int64(s.Started), s.Evacuate)
 	}
 	for _, s := range r.State.Balancer.Servers {
-		fmt.Fprintf(b, "learned id=%d started=%d limit=%g cut_at=%d paused_until=%d ejected=%d ejections=%d strikes=%g strikes_at=%d\n",
-			uint64(s.ID), int64(s.Started), s.LoadLimit, int64(s.LimitLoweredAt), int64(s.PausedUntil), int64(s.EjectedUntil), s.Ejections,
+		fmt.Fprintf(b,
+			"learned id=%d started=%d limit=%g cut_at=%d paused_until=%d ejected=%d ejections=%d strikes=%g strikes_at=%d\n",
+			uint64(s.ID), int64(s.Started), s.LoadLimit, int64(s.LimitLoweredAt), int64(s.PausedUntil), int64(s.EjectedUntil),
+			s.Ejections,
 			s.FailureScore, int64(s.FailureScoreAt))
 	}
 	for i, c := range r.State.Balancer.ClassLoads {
@@ -101,7 +103,8 @@
 	load, bears := r.State.Balancer.MeanLoad, r.State.Balancer.ConnectionCapacity
 	fmt.Fprintf(b, "load value=%g weight=%g bears value=%g weight=%g\n", load.Value, load.Weight, bears.Value, bears.Weight)
 	for _, f := range r.State.Flows {
-		fmt.Fprintf(b, "flow id=%q class=%q key=%q group=%q server=%q load=%g\n", f.ID, f.Class, f.Key, f.Group, f.Server, f.Load)
+		fmt.Fprintf(b, "flow id=%q class=%q key=%q group=%q server=%q load=%g\n", f.ID, f.Class, f.Key, f.Group, f.Server,
+			f.Load)
 	}
 }
 
@@ -205,7 +208,8 @@
 				now = time.Time{}
 			}
 			put(t, dir, writerFile, text, writtenAt)
-			r, ok := NewStateDir(dir, Process{StartedAt: writerStartedAt + 1, PID: os.Getpid()}, discardLogger).ReadPredecessor(now)
+			r, ok := NewStateDir(dir, Process{StartedAt: writerStartedAt + 1, PID: os.Getpid()},
+				discardLogger).ReadPredecessor(now)
 			if !ok {
 				t.Fatal("was not taken up")
 			}
@@ -268,7 +272,8 @@
 		{name: "process of number 0", text: shortForm(`"PID":1`, `"PID":0`)},
 		{name: "process that has ended", text: shortForm(`"PID":1`, `"PID":1073741824`)},
 		{name: "checksum without leading zeros", text: shortChecksum()},
-		{name: "more in the first line", text: []byte(strings.Replace(string(framed(headerWord, 1, shortBody)), "\n", " more\n", 1))},
+		{name: "more in the first line", text: []byte(strings.Replace(string(framed(headerWord, 1, shortBody)), "\n",
+			" more\n", 1))},
 	}
 }
 
@@ -369,15 +374,30 @@
 	}{
 		{"none", nil, 0, false},
 		{"two before", map[string][]byte{"state-9": record(9, 1, true), "state-10": record(10, 1, true)}, 10, false},
-		{"by number, not by letters", map[string][]byte{"state-5": record(5, 1, true), "state-19": record(19, 1, true)}, 19, false},
-		{"the later has ended", map[string][]byte{"state-9": record(9, 1, true), "state-10": record(10, ended, true)}, 9, false},
+		{
+			"by number, not by letters",
+			map[string][]byte{"state-5": record(5, 1, true), "state-19": record(19, 1, true)},
+			19,
+			false,
+		},
+		{
+			"the later has ended",
+			map[string][]byte{"state-9": record(9, 1, true), "state-10": record(10, ended, true)},
+			9,
+			false,
+		},
 		{"the later is damaged", map[string][]byte{"state-9": record(9, 1, true), "state-10": []byte("x")}, 9, false},
 		{"not ready", map[string][]byte{"state-9": record(9, 1, false)}, 9, false},
 		{"after, ready", map[string][]byte{"state-30": record(30, 1, true)}, 0, true},
 		{"after, not ready", map[string][]byte{"state-30": record(30, 1, false)}, 0, false},
 		{"after, ended", map[string][]byte{"state-30": record(30, ended, true)}, 0, false},
 		{"after, damaged", map[string][]byte{"state-30": []byte("x")}, 0, false},
-		{"after, one of two ready", map[string][]byte{"state-30": record(30, 1, false), "state-31": record(31, 1, true)}, 0, true},
+		{
+			"after, one of two ready",
+			map[string][]byte{"state-30": record(30, 1, false), "state-31": record(31, 1, true)},
+			0,
+			true,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/hotrestart/snapshot.go
+++ b/internal/hotrestart/snapshot.go
@@ -18,7 +18,7 @@
 	State        engine.State `json:"State"`
 }
 
-// Process tells the processes of one gateway apart.
+// Process identifies one of a gateway's processes.
 type Process struct {
 	// StartedAt is Unix time in nanoseconds. Who started later is the successor.
 	StartedAt int64 `json:"Born"`
--- a/internal/hotrestart/statedir_test.go
+++ b/internal/hotrestart/statedir_test.go
@@ -29,8 +29,11 @@
 			Name: "s-1", Addr: "127.0.0.1:1",
 			Server: balancer.Server{ID: 1, State: balancer.Draining, Started: time.Hour},
 		}},
-		Balancer: balancer.Snapshot{MeanLoad: balancer.WeightedMean{Value: 20000, Weight: 3}, Servers: []balancer.ServerSnapshot{{ID: 1, LoadLimit: 5}}},
-		Flows:    []engine.Flow{{ID: "9b", Class: "c", Key: "k", Server: "s-1", Load: 12}},
+		Balancer: balancer.Snapshot{
+			MeanLoad: balancer.WeightedMean{Value: 20000, Weight: 3},
+			Servers:  []balancer.ServerSnapshot{{ID: 1, LoadLimit: 5}},
+		},
+		Flows: []engine.Flow{{ID: "9b", Class: "c", Key: "k", Server: "s-1", Load: 12}},
 	}}
 }
 
--- a/internal/maintenance/format_test.go
+++ b/internal/maintenance/format_test.go
@@ -54,8 +54,8 @@
 	return "out-" + hex.EncodeToString(sum[:])
 }
 
-// appendFolder prints the files of a folder.
-func appendFolder(t *testing.T, b *bytes.Buffer, dir string) {
+// appendDirectory prints the files of a directory.
+func appendDirectory(t *testing.T, b *bytes.Buffer, dir string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -78,9 +78,12 @@
 	}
 }
 
-var formatIDs = []string{"s-1", "../../s-2", "a/b%2F", "ümlaut\n\x00\xff", ".", "", strings.Repeat("x", idLimit), strings.Repeat("x", idLimit+1)}
+var formatIDs = []string{
+	"s-1", "../../s-2", "a/b%2F", "ümlaut\n\x00\xff", ".", "", strings.Repeat("x", idLimit),
+	strings.Repeat("x", idLimit+1),
+}
 
-// The folder after each call holds, byte for byte, the files that earlier builds wrote.
+// The directory after each call holds, byte for byte, the files that earlier builds wrote.
 func TestFormatWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "state")
 	p := newProcess(dir)
@@ -92,7 +95,7 @@
 			fmt.Fprintf(&b, "set %s out=%t: unknown %t, other fault %t\n", short(id), out, errors.Is(err, ErrUnknownServer),
 				err != nil && !errors.Is(err, ErrUnknownServer))
 		}
-		appendFolder(t, &b, dir)
+		appendDirectory(t, &b, dir)
 	}
 	info, err := os.Stat(dir)
 	if err != nil {
@@ -102,7 +105,7 @@
 	checkGolden(t, "written.txt", b.Bytes())
 }
 
-// Files of earlier builds are taken up, and all else that stands in the folder is passed over and stays.
+// Files of earlier builds are taken up, and all else that stands in the directory is passed over and stays.
 func TestFormatRead(t *testing.T) {
 	var b bytes.Buffer
 	for _, c := range []struct{ name, file, text string }{
@@ -136,12 +139,12 @@
 		for _, id := range p.Known() {
 			fmt.Fprintf(&b, "  known: %s\n", short(id))
 		}
-		appendFolder(t, &b, dir)
+		appendDirectory(t, &b, dir)
 	}
 	checkGolden(t, "read.txt", b.Bytes())
 }
 
-// What one process does with the folder, another takes up at its next look, in this order.
+// What one process does with the directory, another takes up at its next sync, in this order.
 func TestFormatSharedByProcesses(t *testing.T) {
 	dir := t.TempDir()
 	ids := []string{"s-1", "s-2", "s-3"}
@@ -176,7 +179,7 @@
 		t.Fatal(err)
 	}
 	p.Sync()
-	check("no folder", "s-1 false", "s-2 false", "s-3 false")
+	check("no directory", "s-1 false", "s-2 false", "s-3 false")
 	p.set(t, "s-1", true)
 	check("out again", "s-1 true", "s-2 false", "s-3 false")
 	if text, err := os.ReadFile(filepath.Join(dir, fileOf("s-1"))); err != nil || string(text) != "s-1" {
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -143,7 +143,7 @@
 		case files[name]:
 			s.persisted[id] = true
 			delete(files, name)
-		case persisted: // another process was told to end it
+		case persisted: // another process ended it
 			delete(s.persisted, id)
 			s.logger.Info("maintenance mode changed by another process", "server", id, "enabled", false)
 			s.apply(id, false, nil)
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -41,11 +41,14 @@
 	} else {
 		fmt.Fprintf(b, "rules seed=%d gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
 			r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.FlowRetention, r.DrainGrace)
-		fmt.Fprintf(b, "rules cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t span=%s free=%g share=%g\n",
-			r.WarmupDuration, r.ColdOverloadFactor, r.ColdOverloadDuration, r.RemovalIsAdvisory, r.MaxRetryAfter, r.CanPollLoad, r.RetryBudgetWindow, r.RetryBudgetMin, r.RetryBudgetRatio)
+		fmt.Fprintf(b,
+			"rules cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t span=%s free=%g share=%g\n",
+			r.WarmupDuration, r.ColdOverloadFactor, r.ColdOverloadDuration, r.RemovalIsAdvisory, r.MaxRetryAfter, r.CanPollLoad,
+			r.RetryBudgetWindow, r.RetryBudgetMin, r.RetryBudgetRatio)
 		for _, k := range r.Classes {
 			fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
-				k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout, k.MessageLatencyObjective)
+				k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout,
+				k.MessageLatencyObjective)
 		}
 		for _, t := range r.Tenants {
 			fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
@@ -54,13 +57,16 @@
 	if l, err := p.ListRefresh(); err != nil {
 		fmt.Fprintf(b, "list: %v\n", err)
 	} else {
-		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", l.LocalAgent, l.Gateways, l.MaxPollInterval, l.DrainGrace, l.Seed)
+		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", l.LocalAgent, l.Gateways,
+			l.MaxPollInterval, l.DrainGrace, l.Seed)
 	}
 	if n, err := p.Gateway(); err != nil {
 		fmt.Fprintf(b, "node: %v\n", err)
 	} else {
-		fmt.Fprintf(b, "node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
-			n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad, n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
+		fmt.Fprintf(b,
+			"node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
+			n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad,
+			n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
 	}
 }
 
@@ -73,14 +79,18 @@
 		"family_info.park_ns":     "6449143000", "family_info.message_aim_ns": "60000000,null,40000000",
 		"family_info.tenant_quota_connections": "12.5,3", "family_info.mode": "pass", "family_info.tells_delay": "true",
 		"family_info.tells_load":       "1",
-		"rules.stop_sending_within_ns": "250000000", "rules.cold_ns": "21000000000", "rules.tip_multiple": "4.5", "rules.fall_ns": "900000000",
-		"rules.gone_is_advice": "true", "rules.ratio_span_ns": "10000000000", "rules.extra_free": "2.5", "rules.budget_share": "0.2",
+		"rules.stop_sending_within_ns": "250000000", "rules.cold_ns": "21000000000", "rules.tip_multiple": "4.5",
+		"rules.fall_ns":        "900000000",
+		"rules.gone_is_advice": "true", "rules.ratio_span_ns": "10000000000", "rules.extra_free": "2.5",
+		"rules.budget_share":   "0.2",
 		"rules.start_capacity": "0.16", "rules.ask_within_ns": "5000000000", "rules.grace_to_answer_ns": "100000000",
 		"reporting.fields": "concurrent,depth,x0",
 		"classes.count":    "4", "classes.0.name": "a", "classes.0.effect": "idempotent", "classes.0.group": "all",
-		"classes.0.window_ns": "7000000", "classes.0.worth": "1.5", "classes.0.slo_ns": "800000000", "classes.0.give_up_ns": "4800000000",
-		"classes.1.name": "b", "classes.1.effect": "deduplicated", "classes.1.group": "zone", "classes.1.give_up_ns": "4900000000",
-		"classes.2.name": "c", "classes.2.effect": "at_most_once", "classes.2.group": "cell",
+		"classes.0.window_ns": "7000000", "classes.0.worth": "1.5", "classes.0.slo_ns": "800000000",
+		"classes.0.give_up_ns": "4800000000",
+		"classes.1.name":       "b", "classes.1.effect": "deduplicated", "classes.1.group": "zone",
+		"classes.1.give_up_ns": "4900000000",
+		"classes.2.name":       "c", "classes.2.effect": "at_most_once", "classes.2.group": "cell",
 		"tenants.count": "3", "tenants.0.name": "t1", "tenants.1.name": "t2", "tenants.2.name": "t3",
 	}
 }
@@ -127,7 +137,8 @@
 	for _, text := range []string{
 		`{}`, `{"a":1,"b":{"c":"x","d":{"e":true}},"f":null}`, `{"n":9223372036854775807,"x":1.50,"y":1e3,"z":-0,"s":"1"}`,
 		`{"list":[1,"a",null,false,1.0],"empty":[],"objects":[{"a":1},{"b":[2,3]},{}]}`, `{"mixed":[1,{"a":2},[3,4],"x"]}`,
-		`{"":1,"a.b":2}`, `{"a":{"":1}}`, `{"nested":[[[1]],[]]}`, `{"a":"comma,in","b":"ünïcode\u2028\n"}`, `{"a":1} {"b":2}`, `{"a":1}x`,
+		`{"":1,"a.b":2}`, `{"a":{"":1}}`, `{"nested":[[[1]],[]]}`, `{"a":"comma,in","b":"ünïcode\u2028\n"}`,
+		`{"a":1} {"b":2}`, `{"a":1}x`,
 		``, `[]`, `7`, `"x"`, `null`, `{"a":`, `{"a":01}`, `{a:1}`,
 	} {
 		fmt.Fprintf(&b, "== %s\n", text)
--- a/internal/slotmap/slotmap_test.go
+++ b/internal/slotmap/slotmap_test.go
@@ -132,7 +132,13 @@
 }
 
 func TestCapacityIsClamped(t *testing.T) {
-	for _, c := range []struct{ given, want int }{{-1, 0}, {0, 0}, {1, 1}, {MaxCapacity, MaxCapacity}, {MaxCapacity + 1, MaxCapacity}} {
+	for _, c := range []struct{ given, want int }{
+		{-1, 0},
+		{0, 0},
+		{1, 1},
+		{MaxCapacity, MaxCapacity},
+		{MaxCapacity + 1, MaxCapacity},
+	} {
 		m := New[struct{}](c.given)
 		for {
 			if _, ok := m.Insert(struct{}{}); !ok {
