--- a/internal/command/format_test.go
+++ b/internal/command/format_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// formatDir is a folder with files by name.
+// formatDir is a directory with files by name.
 func formatDir(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -91,8 +91,11 @@
 		{"PROXY_CONFIG": "DIR/absent.json"},
 		{"PROXY_CONFIG": "DIR/config.json", "MILLETVANE_OPERATOR": "DIR/nats.edn"},
 		{"PROXY_LISTEN": "127.0.0.1:5000", "PROXY_DISCOVERY": "127.0.0.1:8500"},
-		{"PROXY_LISTEN": "127.0.0.1:5000", "PROXY_DISCOVERY": "127.0.0.1:8500", "PROXY_NAME": "n1", "PROXY_ADMIN_ADDR": "127.0.0.1:1",
-			"PROXY_PASSED_SOCKET": "3"},
+		{
+			"PROXY_LISTEN": "127.0.0.1:5000", "PROXY_DISCOVERY": "127.0.0.1:8500", "PROXY_NAME": "n1",
+			"PROXY_ADMIN_ADDR":    "127.0.0.1:1",
+			"PROXY_PASSED_SOCKET": "3",
+		},
 		{"PROXY_LISTEN": "127.0.0.1:5000"},
 	} {
 		appendRun(&b, dir, env, "check-config")
@@ -100,9 +103,7 @@
 	checkGolden(t, "check-config.txt", b.Bytes())
 }
 
-// The plan commands: what they print, and the plan files byte for byte, with the hashes of list and settings in them.
-func TestFormatOfPlans(t *testing.T) {
-	const operatorFile = `(placement
+const formatPlacement = `(placement
   (capacity "nuevo" 150) (capacity "antiguo" 100) (capacity "viejo" 10)
   (demand "bilbao" "x" 200) (demand "oviedo" "x" 100) (demand "oviedo" "y" 20)
   (crossing "bilbao" "oviedo" 2) (crossing-default 3) (batch "nuevo" 2)
@@ -110,24 +111,36 @@
   (constraint "room" (headroom 9 10)) (constraint "half" (share 2 3)) (constraint "apart" (keep-out "y" "bilbao"))
   (constraint "twice" (spread "x" 2 5)) (constraint "near" (together "y")) (constraint "few" (connections "viejo" 3 2))
   (constraint "calm" (moves 1000)) (constraint "here" (keep "y" "oviedo")) (constraint "both" (pair "viejo" "nuevo")))`
-	const list = `{"version":1,"full":true,"servers":[
+
+const formatList = `{"version":1,"full":true,"servers":[
  {"id":"s-3","zone":"oviedo","kind":"nuevo","state":"in_service"},
  {"id":"s-1","zone":"bilbao","kind":"nuevo","state":"in_service"},
  {"id":"s-2","zone":"bilbao","kind":"antiguo","state":"in_service"},
  {"id":"s-4","zone":"oviedo","kind":"viejo","state":"in_service"},
  {"id":"s \"5\"","zone":"oviedo","kind":"nuevo","state":"draining"}]}`
-	dir := formatDir(t, map[string]string{
-		"op.edn": operatorFile, "list.json": list,
-		"moved.edn":    "; a comment\n\n" + operatorFile,
-		"renamed.edn":  strings.Replace(operatorFile, `"room"`, `"rooms"`, 1),
-		"shuffled.edn": strings.Replace(operatorFile, `(goals uncarried moves crossings fullest)`, `(goals uncarried crossings moves fullest)`, 1),
-		"tight.edn":    strings.Replace(strings.Replace(operatorFile, `"x" 200`, `"x" 300`, 1), `(constraint "room"`, `(constraint "all" (carry)) (constraint "room"`, 1),
-		"small.edn":    planOperator, "small.json": planList,
-		"no-kind.edn": strings.Replace(operatorFile, `(capacity "viejo" 10)`, ``, 1),
+
+// planDir is a directory with the files that the plan commands are given.
+func planDir(t *testing.T) string {
+	t.Helper()
+	return formatDir(t, map[string]string{
+		"op.edn": formatPlacement, "list.json": formatList,
+		"moved.edn":   "; a comment\n\n" + formatPlacement,
+		"renamed.edn": strings.Replace(formatPlacement, `"room"`, `"rooms"`, 1),
+		"shuffled.edn": strings.Replace(formatPlacement, `(goals uncarried moves crossings fullest)`,
+			`(goals uncarried crossings moves fullest)`, 1),
+		"tight.edn": strings.Replace(strings.Replace(formatPlacement, `"x" 200`, `"x" 300`, 1), `(constraint "room"`,
+			`(constraint "all" (carry)) (constraint "room"`, 1),
+		"small.edn": planOperator, "small.json": planList,
+		"no-kind.edn": strings.Replace(formatPlacement, `(capacity "viejo" 10)`, ``, 1),
 		"off.edn":     `; nothing`,
-		"other.json":  strings.Replace(list, `"s-3"`, `"s-9"`, 1),
-		"moved.json":  strings.Replace(list, `"version":1`, `"version":2`, 1),
+		"other.json":  strings.Replace(formatList, `"s-3"`, `"s-9"`, 1),
+		"moved.json":  strings.Replace(formatList, `"version":1`, `"version":2`, 1),
 	})
+}
+
+// The plan commands: what they print, and the plan files byte for byte, with the hashes of list and settings in them.
+func TestFormatOfPlans(t *testing.T) {
+	dir := planDir(t)
 	var b bytes.Buffer
 	plan := func(operator string, args ...string) {
 		appendRun(&b, dir, nil, append([]string{"--operator", "DIR/" + operator, "plan"}, args...)...)
@@ -171,7 +184,10 @@
 func TestFormatOfUsage(t *testing.T) {
 	var b bytes.Buffer
 	for _, args := range [][]string{
-		{"no-such-command"}, {"plan", "solve"}, {"--log-level", "loud", "check-config"}, {"--log-format", "xml", "check-config"},
+		{"no-such-command"},
+		{"plan", "solve"},
+		{"--log-level", "loud", "check-config"},
+		{"--log-format", "xml", "check-config"},
 		{"check-config", "--no-such-flag"},
 	} {
 		code, _, _ := run(nil, args...)
@@ -179,8 +195,13 @@
 	}
 	names := regexp.MustCompile(`(?m)^   (--[a-z-]+|[a-z-]+  )`)
 	for _, args := range [][]string{
-		{"--help"}, {"plan", "--help"}, {"plan", "solve", "--help"}, {"plan", "check", "--help"}, {"plan", "explain", "--help"},
-		{"plan", "diff", "--help"}, {"check-config", "--help"},
+		{"--help"},
+		{"plan", "--help"},
+		{"plan", "solve", "--help"},
+		{"plan", "check", "--help"},
+		{"plan", "explain", "--help"},
+		{"plan", "diff", "--help"},
+		{"check-config", "--help"},
 	} {
 		code, out, _ := run(nil, args...)
 		fmt.Fprintf(&b, "== %s: exit %d\n", strings.Join(args, " "), code)
