--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -8,7 +8,7 @@
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
-		name  string
+		name   string
 		change func(*Settings)
 	}{
 		{"negative duration", func(s *Settings) { s.DrainGrace = -1 }},
