--- a/internal/line/backend/link.go
+++ b/internal/line/backend/link.go
@@ -7,15 +7,15 @@
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/line/codec"
 	"example.org/milletvane/internal/reactor"
-	"example.org/milletvane/internal/relay"
+	"example.org/milletvane/internal/upstream"
 )
 
 // Link is an attempt, and the server's side of the connection that it sets up.
 type Link struct {
-	relay.Attempt // what is asked is that a line of the client's be returned
-	backend       *Backend
-	attempt       engine.Attempt
-	client        Client
+	upstream.Attempt // what is asked is that a line of the client's be returned
+	backend          *Backend
+	attempt          engine.Attempt
+	client           Client
 
 	// Of the server's lines; only its own callbacks touch these.
 	sent bool       // the opening line was written whole, and counted
@@ -33,7 +33,7 @@
 		l.finish(balancer.ConnectFailed)
 		return
 	}
-	if l.Step(relay.Dialing, relay.Pending) { // one that is given up meanwhile carries nothing
+	if l.Step(upstream.Dialing, upstream.Pending) { // one that is given up meanwhile carries nothing
 		c.Send(l.client.Forward(make([][]byte, 0, 3), l.attempt.Timeout-l.Age())...)
 		l.written()
 	}
@@ -58,7 +58,7 @@
 // End ends the server's side of an open connection after the client's has ended.
 func (l *Link) End(reset bool) {
 	switch was := l.Finish(); {
-	case was == relay.Over:
+	case was == upstream.Over:
 	case reset:
 		l.Conn().Abort(true)
 	default:
@@ -77,7 +77,7 @@
 // OnEnd implements reactor.Handler. All that the server sent has been seen by then.
 func (l *Link) OnEnd(c *reactor.Conn, err error) {
 	switch l.Phase() {
-	case relay.Pending:
+	case upstream.Pending:
 		l.written()
 		// What breaks before the last byte is written never ran; what breaks after may have.
 		if c.Waiting() > 0 {
@@ -85,7 +85,7 @@
 		} else {
 			l.finish(balancer.Reset)
 		}
-	case relay.Up:
+	case upstream.Up:
 		result := balancer.Reset
 		switch l.last {
 		case codec.WordBye:
@@ -99,7 +99,7 @@
 
 // ended is the end of an open connection from the server's side.
 func (l *Link) ended(result balancer.Result, reset bool) {
-	if l.Finish() == relay.Over {
+	if l.Finish() == upstream.Over {
 		return
 	}
 	l.client.End(reset)
@@ -110,10 +110,10 @@
 // OnData implements reactor.Handler.
 func (l *Link) OnData(_ *reactor.Conn, b []byte) int {
 	switch l.Phase() {
-	case relay.Up:
+	case upstream.Up:
 		l.watch(b)
 		l.client.Relay(l.Conn(), b)
-	case relay.Pending:
+	case upstream.Pending:
 		return l.answer(b)
 	}
 	return len(b)
@@ -149,7 +149,7 @@
 
 // open ties the client to the server. From here on the engine sees no lines.
 func (l *Link) open(first []byte) {
-	if !l.Step(relay.Pending, relay.Up) {
+	if !l.Step(upstream.Pending, upstream.Up) {
 		return
 	}
 	l.backend.events.Post(engine.AttemptEstablished{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -9,7 +9,7 @@
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/nats/codec"
 	"example.org/milletvane/internal/reactor"
-	"example.org/milletvane/internal/relay"
+	"example.org/milletvane/internal/upstream"
 )
 
 // Owner is a session's place at a node, as an attempt's client. But for the engine's methods, all are called on the loop of
@@ -37,12 +37,12 @@
 
 // Leg is a session's connection to a node, or one shared by requests.
 type Leg struct {
-	relay.Attempt // what is asked is that a PING be answered
-	backend       *Backend
-	attempt       engine.Attempt // of a session's leg
-	owner         Owner          // nil: it is shared
-	shared        *sharedState
-	hub           *Hub
+	upstream.Attempt // what is asked is that a PING be answered
+	backend          *Backend
+	attempt          engine.Attempt // of a session's leg
+	owner            Owner          // nil: it is shared
+	shared           *sharedState
+	hub              *Hub
 
 	// The loop alone uses these.
 	info   bool   // the first INFO is in
@@ -79,7 +79,7 @@
 func (l *Leg) Server() balancer.ServerID { return l.attempt.Server }
 
 // Up reports whether the leg stands. The loop alone may rely on it.
-func (l *Leg) Up() bool { return l.Phase() == relay.Up }
+func (l *Leg) Up() bool { return l.Phase() == upstream.Up }
 
 // finish ends a leg that does not stand, once.
 func (l *Leg) finish(result balancer.Result) {
@@ -95,7 +95,7 @@
 
 // End ends the leg after all that was sent has been written, and tells nobody but its requests.
 func (l *Leg) End() {
-	if l.Finish() != relay.Over {
+	if l.Finish() != upstream.Over {
 		l.Conn().Close()
 		l.fall(balancer.Reset)
 	}
@@ -106,7 +106,7 @@
 
 // broken is the end of a leg that stands by the node's doing.
 func (l *Leg) broken() {
-	if !l.Step(relay.Up, relay.Over) {
+	if !l.Step(upstream.Up, upstream.Over) {
 		return
 	}
 	l.Conn().Abort(false)
@@ -139,7 +139,7 @@
 		l.finish(balancer.ConnectFailed)
 		return
 	}
-	l.Step(relay.Dialing, relay.Pending)
+	l.Step(upstream.Dialing, upstream.Pending)
 }
 
 // OnEnd implements reactor.Handler.
@@ -299,7 +299,7 @@
 
 // stands is called when the opening is confirmed.
 func (l *Leg) stands() {
-	if !l.Step(relay.Pending, relay.Up) {
+	if !l.Step(upstream.Pending, upstream.Up) {
 		return
 	}
 	l.keepAsking()
--- a/internal/relay/relay.go
+++ b/internal/upstream/relay.go
@@ -1,7 +1,7 @@
-// Package relay has what an attempt is in every protocol: a connection to a server that is dialed, is asked, stands, and
+// Package upstream has what an attempt is in every protocol: a connection to a server that is dialed, is asked, stands, and
 // ends, each once, while the engine may give it up at any moment. It knows no protocol; bytes pass between connections by
 // reactor.Conn.SendFrom, which leaves a source unread while its other side does not read.
-package relay
+package upstream
 
 import (
 	"sync"
