--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,7 +23,7 @@
 	"example.org/milletvane/internal/follow"
 	"example.org/milletvane/internal/hotrestart"
 	"example.org/milletvane/internal/line/backend"
-	"example.org/milletvane/internal/line/front"
+	"example.org/milletvane/internal/line/frontend"
 	"example.org/milletvane/internal/maintenance"
 	"example.org/milletvane/internal/metrics"
 	natsbackend "example.org/milletvane/internal/nats/backend"
@@ -335,11 +335,11 @@
 // Ready reports whether clients can be served: the list and what staff said of it are known, and no stop was asked for.
 func (g *Gateway) Ready() bool { return g.serving.Load() && g.engine.Ready() }
 
-func (g *Gateway) listen(conns *reactor.Group) (*front.Front, error) {
+func (g *Gateway) listen(conns *reactor.Group) (*frontend.Front, error) {
 	if g.config.InheritedSocket > 0 {
-		return front.Take(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
+		return frontend.Take(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
 	}
-	return front.Listen(g.config.Listen, g.engine, conns)
+	return frontend.Listen(g.config.Listen, g.engine, conns)
 }
 
 // clock tells Unix time, as discovery does, but never steps back.
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/hotrestart"
-	"example.org/milletvane/internal/line/front"
+	"example.org/milletvane/internal/line/frontend"
 )
 
 const (
@@ -42,7 +42,7 @@
 
 // handOver keeps up with the process before, and writes down what the one that follows must know, until watching is done.
 // Once ctx is done and another process serves, what waits in the shared queue is left to that one.
-func (g *Gateway) handOver(ctx, watching context.Context, f *front.Front) {
+func (g *Gateway) handOver(ctx, watching context.Context, f *frontend.Front) {
 	defer g.desk.Remove()
 	t := time.NewTicker(deskEvery)
 	defer t.Stop()
--- a/internal/line/front/front.go
+++ b/internal/line/frontend/front.go
@@ -1,6 +1,6 @@
-// Package front is the platform's line protocol towards clients: it accepts them, reads their opening lines
+// Package frontend is the platform's line protocol towards clients: it accepts them, reads their opening lines
 // and relays their lines once a server has taken them.
-package front
+package frontend
 
 import (
 	"example.org/milletvane/internal/engine"
