--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,7 +28,7 @@
 	"example.org/milletvane/internal/metrics"
 	natsbackend "example.org/milletvane/internal/nats/backend"
 	"example.org/milletvane/internal/nats/codec"
-	natsfront "example.org/milletvane/internal/nats/front"
+	natsfront "example.org/milletvane/internal/nats/frontend"
 	"example.org/milletvane/internal/reactor"
 )
 
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -17,7 +17,7 @@
 		return 7
 	case packagePath == "internal/standin":
 		return 6
-	case strings.HasSuffix(packagePath, "/front"):
+	case strings.HasSuffix(packagePath, "/frontend"):
 		return 5
 	case strings.HasSuffix(packagePath, "/backend"):
 		return 4
--- a/internal/nats/front/front.go
+++ b/internal/nats/frontend/front.go
@@ -1,7 +1,7 @@
-// Package front is the NATS client protocol towards clients: sessions that stay while their node changes, and requests that
+// Package frontend is the NATS client protocol towards clients: sessions that stay while their node changes, and requests that
 // are answered once. It decides nothing that the rules decide: where a session stands and where a request goes comes from
 // the engine.
-package front
+package frontend
 
 import (
 	"fmt"
--- a/internal/nats/front/move.go
+++ b/internal/nats/frontend/move.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"time"
