--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/hotrestart"
-	"example.org/milletvane/internal/line/frontend"
+	"example.org/milletvane/internal/lineproto/frontend"
 )
 
 const (
--- a/internal/archtest/decisions_test.go
+++ b/internal/archtest/decisions_test.go
@@ -15,7 +15,7 @@
 	"internal/discovery/refresh": nil,
 	"internal/metrics":           nil,
 	"internal/engine":            {"balancer", "internal/slotmap", "internal/timerqueue", "internal/metrics"},
-	"internal/line/codec":        nil,
+	"internal/lineproto/codec":   nil,
 	"internal/nats/codec":        nil,
 	"internal/nats/session":      {"internal/nats/codec"},
 	"placement":                  nil,
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -57,7 +57,7 @@
 // protocol returns the directory of the client protocol that a package belongs to, or "".
 func protocol(packagePath string) string {
 	directory := path.Dir(packagePath)
-	if directory == "internal/line" || directory == "internal/nats" {
+	if directory == "internal/lineproto" || directory == "internal/nats" {
 		return directory
 	}
 	return ""
--- a/internal/line/backend/late_test.go
+++ b/internal/lineproto/backend/late_test.go
@@ -11,7 +11,7 @@
 
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/line/codec"
+	"example.org/milletvane/internal/lineproto/codec"
 	"example.org/milletvane/internal/reactor"
 )
 
--- a/internal/line/backend/probe.go
+++ b/internal/lineproto/backend/probe.go
@@ -9,7 +9,7 @@
 
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/line/codec"
+	"example.org/milletvane/internal/lineproto/codec"
 )
 
 // probeFor bounds a probe: a report that comes later says nothing of now.
--- a/internal/line/codec/format_test.go
+++ b/internal/lineproto/codec/format_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/line/codec"
+	"example.org/milletvane/internal/lineproto/codec"
 )
 
 var update = flag.Bool("update", false, "write the files in testdata anew")
--- a/internal/line/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"example.org/milletvane/internal/engine"
-	"example.org/milletvane/internal/line/backend"
-	"example.org/milletvane/internal/line/codec"
+	"example.org/milletvane/internal/lineproto/backend"
+	"example.org/milletvane/internal/lineproto/codec"
 	"example.org/milletvane/internal/reactor"
 )
 
