--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,7 +20,6 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/eventloop"
-	"example.org/milletvane/internal/follow"
 	"example.org/milletvane/internal/hotrestart"
 	"example.org/milletvane/internal/lineproto/backend"
 	"example.org/milletvane/internal/lineproto/frontend"
@@ -29,6 +28,7 @@
 	natsbackend "example.org/milletvane/internal/nats/backend"
 	"example.org/milletvane/internal/nats/codec"
 	natsfront "example.org/milletvane/internal/nats/frontend"
+	"example.org/milletvane/internal/planapply"
 	"example.org/milletvane/internal/reactor"
 )
 
@@ -45,7 +45,7 @@
 	clock  func() time.Duration // Unix time, never backwards
 	follow struct {
 		sync.Mutex
-		follow.Follower
+		planapply.Follower
 		timer *time.Timer // for the next look; nil: none was needed yet
 	}
 	front   atomic.Pointer[natsfront.Front] // while it runs
--- a/internal/archtest/decisions_test.go
+++ b/internal/archtest/decisions_test.go
@@ -22,7 +22,7 @@
 	"internal/model":             {"internal/timerqueue", "balancer"},
 	"internal/cluster/recovery":  nil,
 	"internal/cluster/loadshed":  nil,
-	"internal/follow":            {"config/operator", "internal/engine", "placement", "balancer"},
+	"internal/planapply":         {"config/operator", "internal/engine", "placement", "balancer"},
 }
 
 // forbiddenImports are packages that reach outside the program, or whose goroutines would.
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -23,7 +23,7 @@
 		return 4
 	}
 	switch packagePath {
-	case "config", "internal/follow", "internal/cluster":
+	case "config", "internal/planapply", "internal/cluster":
 		return 3
 	case "config/operator", "internal/hotrestart", "internal/discovery", "internal/eventloop", "internal/wire":
 		return 2
--- a/internal/follow/follow.go
+++ b/internal/planapply/follow.go
@@ -1,7 +1,7 @@
-// Package follow has a gateway go by a plan: it gives the servers of a list the weights that the plan has for them, goes over
+// Package planapply has a gateway go by a plan: it gives the servers of a list the weights that the plan has for them, goes over
 // to a contingency when the list says that nodes are lost, and back to the list's own weights where no plan fits. It does no
 // I/O and reads no clock.
-package follow
+package planapply
 
 import (
 	"fmt"
--- a/internal/follow/follow_test.go
+++ b/internal/planapply/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package planapply
 
 import (
 	"fmt"
