--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // These tests run processes of two builds beside one another: as peers, on one disk, and on one socket that is passed on.
@@ -87,26 +87,26 @@
 type site struct {
 	t         *testing.T
 	dir       string
-	catalog   *standin.Catalog
+	catalog   *fakeserver.Catalog
 	discovery string
-	servers   []*standin.LineServer
+	servers   []*fakeserver.LineServer
 }
 
 func newSite(t *testing.T) *site {
 	t.Helper()
 	s := &site{t: t, dir: t.TempDir()}
-	var nodes []standin.Node
+	var nodes []fakeserver.Node
 	for i := range 2 {
-		server, err := standin.NewLineServer()
+		server, err := fakeserver.NewLineServer()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(server.Close)
 		s.servers = append(s.servers, server)
-		nodes = append(nodes, standin.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: standin.InService, Weight: 1})
+		nodes = append(nodes, fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.InService, Weight: 1})
 	}
 	var err error
-	if s.catalog, err = standin.NewCatalogAt("127.0.0.1:0", 7, nodes...); err != nil {
+	if s.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", 7, nodes...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.catalog.Close)
@@ -116,7 +116,7 @@
 
 func (s *site) reserve() string {
 	s.t.Helper()
-	addr, release, err := standin.Reserve()
+	addr, release, err := fakeserver.Reserve()
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/gateway/nats_test.go
+++ b/gateway/nats_test.go
@@ -19,15 +19,15 @@
 	"example.org/milletvane/config"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/gateway"
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // fleet is a gateway in front of stand-in NATS nodes.
 type fleet struct {
 	t       *testing.T
-	cluster *standin.NATSCluster
-	nodes   []*standin.NATSNode
-	catalog *standin.Catalog
+	cluster *fakeserver.NATSCluster
+	nodes   []*fakeserver.NATSNode
+	catalog *fakeserver.Catalog
 	addr    string
 	stop    context.CancelFunc
 	done    chan error
@@ -48,8 +48,8 @@
 
 func newFleet(t *testing.T, nodes int, alone bool, extra string) *fleet {
 	t.Parallel()
-	f := &fleet{t: t, cluster: standin.NewNATSCluster(standin.NewLedger(), alone), done: make(chan error, 1)}
-	var list []standin.Node
+	f := &fleet{t: t, cluster: fakeserver.NewNATSCluster(fakeserver.NewLedger(), alone), done: make(chan error, 1)}
+	var list []fakeserver.Node
 	for i := range nodes {
 		n, err := f.cluster.Node(fmt.Sprint("node", i+1))
 		if err != nil {
@@ -57,10 +57,10 @@
 		}
 		t.Cleanup(n.Close)
 		f.nodes = append(f.nodes, n)
-		list = append(list, f.entry(i, standin.InService))
+		list = append(list, f.entry(i, fakeserver.InService))
 	}
 	var err error
-	if f.catalog, err = standin.NewCatalog(list...); err != nil {
+	if f.catalog, err = fakeserver.NewCatalog(list...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.catalog.Close)
@@ -102,7 +102,7 @@
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, release, err := standin.Reserve()
+	addr, release, err := fakeserver.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,14 +110,14 @@
 	return addr
 }
 
-func (f *fleet) entry(i int, state string) standin.Node {
-	return standin.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.nodes[i].Addr(), State: state, Weight: 1}
+func (f *fleet) entry(i int, state string) fakeserver.Node {
+	return fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.nodes[i].Addr(), State: state, Weight: 1}
 }
 
 // drain has the list and, with tell, the node itself say that a node drains.
 func (f *fleet) drain(i int, tell bool) {
 	f.nodes[i].Drain(tell)
-	f.catalog.Set(f.entry(i, standin.Terminating))
+	f.catalog.Set(f.entry(i, fakeserver.Terminating))
 }
 
 // connect returns a client that does not come again by itself.
@@ -325,9 +325,9 @@
 
 // A node that is killed or hangs, or dies inside a message, costs what it had not handed over, and its clients nothing else.
 func TestNATSFailuresMoveTheSession(t *testing.T) {
-	for name, fail := range map[string]func(*standin.NATSNode){
-		"kill": (*standin.NATSNode).Kill, "hang": (*standin.NATSNode).Hang,
-		"cut": func(n *standin.NATSNode) { n.Cut(); time.Sleep(5 * time.Millisecond); n.Kill() },
+	for name, fail := range map[string]func(*fakeserver.NATSNode){
+		"kill": (*fakeserver.NATSNode).Kill, "hang": (*fakeserver.NATSNode).Hang,
+		"cut": func(n *fakeserver.NATSNode) { n.Cut(); time.Sleep(5 * time.Millisecond); n.Kill() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, false, "")
@@ -609,12 +609,12 @@
 
 // BenchmarkNATSRelay is a round trip of one message by way of the gateway; nothing in it allocates.
 func BenchmarkNATSRelay(b *testing.B) {
-	s, err := standin.NewNATSEcho()
+	s, err := fakeserver.NewNATSEcho()
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer s.Close()
-	catalog, err := standin.NewCatalog(standin.Node{ID: "s-00000001", Addr: s.Addr(), State: standin.InService, Weight: 1})
+	catalog, err := fakeserver.NewCatalog(fakeserver.Node{ID: "s-00000001", Addr: s.Addr(), State: fakeserver.InService, Weight: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/gateway/upgrade_test.go
+++ b/gateway/upgrade_test.go
@@ -17,7 +17,7 @@
 
 	"example.org/milletvane/config"
 	"example.org/milletvane/gateway"
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // platform holds the clients' listening socket and starts processes of one gateway on it.
@@ -25,7 +25,7 @@
 	t        *testing.T
 	listener *net.TCPListener
 	server   *peer
-	catalog  *standin.Catalog
+	catalog  *fakeserver.Catalog
 	temp     string
 	opens    int
 }
@@ -45,15 +45,15 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	p := &platform{t: t, listener: l.(*net.TCPListener), server: newPeer(t), temp: t.TempDir()}
-	if p.catalog, err = standin.NewCatalog(p.node(standin.InService)); err != nil {
+	if p.catalog, err = fakeserver.NewCatalog(p.node(fakeserver.InService)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.catalog.Close)
 	return p
 }
 
-func (p *platform) node(state string) standin.Node {
-	return standin.Node{ID: "s-00000001", Addr: p.server.l.Addr().String(), State: state, Weight: 1}
+func (p *platform) node(state string) fakeserver.Node {
+	return fakeserver.Node{ID: "s-00000001", Addr: p.server.l.Addr().String(), State: state, Weight: 1}
 }
 
 func (p *platform) start() *process {
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -15,7 +15,7 @@
 		return 8
 	case packagePath == "gateway":
 		return 7
-	case packagePath == "internal/standin":
+	case packagePath == "internal/fakeserver":
 		return 6
 	case strings.HasSuffix(packagePath, "/frontend"):
 		return 5
--- a/internal/standin/address_test.go
+++ b/internal/fakeserver/address_test.go
@@ -1,4 +1,4 @@
-package standin_test
+package fakeserver_test
 
 import (
 	"errors"
@@ -8,12 +8,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // A reserved address is for who is told it: the kernel gives its port to no connection and to nobody who takes any.
 func TestReservedAddressesAreNobodyElses(t *testing.T) {
-	addr, release, err := standin.Reserve()
+	addr, release, err := fakeserver.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/catalog.go
+++ b/internal/fakeserver/catalog.go
@@ -1,7 +1,7 @@
-// Package standin holds the peers that experiments and tests start in process: discovery's list of servers, a
+// Package fakeserver holds the peers that experiments and tests start in process: discovery's list of servers, a
 // server of lines and a NATS server, each with switches for faults. They speak the published protocols on
 // loopback and are no part of the balancer.
-package standin
+package fakeserver
 
 import (
 	"encoding/json"
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -13,7 +13,7 @@
 	"github.com/nats-io/nats.go"
 	"github.com/urfave/cli/v3"
 
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // demo is the program's main job on stand-ins, to look at.
@@ -97,9 +97,9 @@
 		}
 		t := newTable(out, "node", "state", "sessions", "subscriptions")
 		for i, node := range fleet.list {
-			state := standin.InService
+			state := fakeserver.InService
 			if i == drained {
-				state = standin.Terminating
+				state = fakeserver.Terminating
 			}
 			t.AppendRow([]any{node.Name, state, node.Conns(), node.Subs()})
 		}
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -9,7 +9,7 @@
 
 	"example.org/milletvane/config"
 	"example.org/milletvane/gateway"
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // lineSettings are the settings that experiments with lines go by.
@@ -26,11 +26,11 @@
 }
 
 // confined keeps a program that benchmarks start to its cores, and lists the one server that it is to stand before.
-func confined(c *cli.Command) (*standin.Catalog, error) {
+func confined(c *cli.Command) (*fakeserver.Catalog, error) {
 	if err := pin(cpuList(0, c.Int("cores"))...); err != nil {
 		return nil, err
 	}
-	return standin.NewCatalog(standin.Node{ID: "s-00000001", Addr: c.String("to"), State: standin.InService, Weight: 1})
+	return fakeserver.NewCatalog(fakeserver.Node{ID: "s-00000001", Addr: c.String("to"), State: fakeserver.InService, Weight: 1})
 }
 
 // lineGateway is a gateway confined to its cores in front of one server.
@@ -44,7 +44,7 @@
 				return err
 			}
 			defer catalog.Close()
-			listen, release, err := standin.Reserve()
+			listen, release, err := fakeserver.Reserve()
 			if err != nil {
 				return err
 			}
--- a/internal/lab/idle.go
+++ b/internal/lab/idle.go
@@ -12,7 +12,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // idleResult is what sessions that do nothing cost a gateway.
@@ -31,7 +31,7 @@
 			&cli.IntFlag{Name: "sessions", Value: 2000, Usage: "clients, each with one subscription"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			s, err := standin.NewNATSEcho()
+			s, err := fakeserver.NewNATSEcho()
 			if err != nil {
 				return err
 			}
--- a/internal/lab/natsbench.go
+++ b/internal/lab/natsbench.go
@@ -17,8 +17,8 @@
 
 	"example.org/milletvane/config"
 	"example.org/milletvane/gateway"
+	"example.org/milletvane/internal/fakeserver"
 	"example.org/milletvane/internal/nats/codec"
-	"example.org/milletvane/internal/standin"
 )
 
 // natsRow is a row of nats-bench: what is asked for goes as a plain message or as a request that the gateway follows.
@@ -79,7 +79,7 @@
 
 func natsBenchRow(c *cli.Command, way string, cores, sessions, payload int) (natsRow, error) {
 	r := natsRow{row{Payload: payload, Sessions: sessions, Cores: cores}, way}
-	s, err := standin.NewNATSEcho()
+	s, err := fakeserver.NewNATSEcho()
 	if err != nil {
 		return r, err
 	}
--- a/internal/lab/natsfleet.go
+++ b/internal/lab/natsfleet.go
@@ -11,8 +11,8 @@
 	"example.org/milletvane/config"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/gateway"
+	"example.org/milletvane/internal/fakeserver"
 	"example.org/milletvane/internal/nats/codec"
-	"example.org/milletvane/internal/standin"
 )
 
 // natsSettings are the platform's settings of experiments with NATS, and natsOperator is their operator file.
@@ -36,12 +36,12 @@
 
 // startNATSGate starts a gateway in front of a catalog and waits until it serves. Operators call at admin; empty: nowhere.
 func startNATSGate(ctx context.Context, catalog string, admin string, cores int, logger *slog.Logger) (*natsGate, error) {
-	lines, releaseLines, err := standin.Reserve()
+	lines, releaseLines, err := fakeserver.Reserve()
 	if err != nil {
 		return nil, err
 	}
 	defer releaseLines()
-	listen, releaseListen, err := standin.Reserve()
+	listen, releaseListen, err := fakeserver.Reserve()
 	if err != nil {
 		return nil, err
 	}
@@ -77,34 +77,34 @@
 
 // nodes are stand-in NATS nodes with their catalog.
 type nodes struct {
-	cluster *standin.NATSCluster
-	list    []*standin.NATSNode
-	catalog *standin.Catalog
+	cluster *fakeserver.NATSCluster
+	list    []*fakeserver.NATSNode
+	catalog *fakeserver.Catalog
 }
 
 func startNodes(n int) (*nodes, error) {
-	f := &nodes{cluster: standin.NewNATSCluster(standin.NewLedger(), false)}
-	var entries []standin.Node
+	f := &nodes{cluster: fakeserver.NewNATSCluster(fakeserver.NewLedger(), false)}
+	var entries []fakeserver.Node
 	for i := range n {
 		node, err := f.cluster.Node(fmt.Sprint("node", i+1))
 		if err != nil {
 			return nil, err
 		}
 		f.list = append(f.list, node)
-		entries = append(entries, f.entry(i, standin.InService))
+		entries = append(entries, f.entry(i, fakeserver.InService))
 	}
 	var err error
-	f.catalog, err = standin.NewCatalog(entries...)
+	f.catalog, err = fakeserver.NewCatalog(entries...)
 	return f, err
 }
 
-func (f *nodes) entry(i int, state string) standin.Node {
-	return standin.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.list[i].Addr(), Zone: "lab", State: state, Weight: 1}
+func (f *nodes) entry(i int, state string) fakeserver.Node {
+	return fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.list[i].Addr(), Zone: "lab", State: state, Weight: 1}
 }
 
 func (f *nodes) drain(i int) {
 	f.list[i].Drain(true)
-	f.catalog.Set(f.entry(i, standin.Terminating))
+	f.catalog.Set(f.entry(i, fakeserver.Terminating))
 }
 
 func (f *nodes) close() {
--- a/internal/lab/planrun.go
+++ b/internal/lab/planrun.go
@@ -19,7 +19,7 @@
 
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/gateway"
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 	"example.org/milletvane/placement"
 )
 
@@ -42,22 +42,22 @@
 type site struct {
 	problem *placement.Problem
 	mu      sync.Mutex // guards servers: some come back while clients come
-	servers map[string]*standin.LineServer
-	catalog *standin.Catalog
+	servers map[string]*fakeserver.LineServer
+	catalog *fakeserver.Catalog
 	plan    *operator.Plan
 }
 
 func newSite() (*site, error) {
-	s := &site{servers: map[string]*standin.LineServer{}}
+	s := &site{servers: map[string]*fakeserver.LineServer{}}
 	s.problem = &placement.Problem{Zones: []string{"west", "north", "east"},
 		Demands:     []placement.Demand{{Zone: "west", Class: "lines", Load: 400}, {Zone: "north", Class: "lines", Load: 120}, {Zone: "east", Class: "lines", Load: 80}},
 		Crossings:   []placement.Crossing{{From: "west", To: "east", Cost: 2}, {From: "east", To: "west", Cost: 2}},
 		DefaultCost: 3,
 		Constraints: []placement.Constraint{{Name: "all", Kind: placement.Carry}, {Name: "room", Kind: placement.Headroom, Part: placement.Ratio{Num: 9, Den: 10}}},
 	}
-	var entries []standin.Node
+	var entries []fakeserver.Node
 	for i, zone := range []string{"west", "west", "west", "north", "north", "north", "east", "east", "east"} {
-		l, err := standin.NewLineServer()
+		l, err := fakeserver.NewLineServer()
 		if err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 		}
 		s.problem.Nodes = append(s.problem.Nodes, n)
 		s.servers[n.ID] = l
-		entries = append(entries, standin.Node{ID: n.ID, Addr: l.Addr(), Zone: zone, Kind: n.Model, State: standin.InService, Weight: 1})
+		entries = append(entries, fakeserver.Node{ID: n.ID, Addr: l.Addr(), Zone: zone, Kind: n.Model, State: fakeserver.InService, Weight: 1})
 	}
 	best, err := placement.Solve(s.problem, placement.Options{})
 	if err != nil {
@@ -85,7 +85,7 @@
 		}
 		s.plan.Contingencies = append(s.plan.Contingencies, pc)
 	}
-	s.catalog, err = standin.NewCatalog(entries...)
+	s.catalog, err = fakeserver.NewCatalog(entries...)
 	return s, err
 }
 
@@ -97,7 +97,7 @@
 }
 
 // running are the servers as they are now.
-func (s *site) running() map[string]*standin.LineServer {
+func (s *site) running() map[string]*fakeserver.LineServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.servers)
@@ -111,7 +111,7 @@
 }
 
 func (s *site) gate(ctx context.Context, zone string, plan *operator.Plan, logger *slog.Logger) (*zoneGate, error) {
-	listen, release, err := standin.Reserve()
+	listen, release, err := fakeserver.Reserve()
 	if err != nil {
 		return nil, err
 	}
@@ -306,14 +306,14 @@
 			if n.Zone != lost {
 				continue
 			}
-			l, err := standin.NewLineServer()
+			l, err := fakeserver.NewLineServer()
 			if err != nil {
 				return
 			}
 			s.mu.Lock()
 			s.servers[n.ID] = l
 			s.mu.Unlock()
-			s.catalog.Set(standin.Node{ID: n.ID, Addr: l.Addr(), Zone: n.Zone, Kind: n.Model, State: standin.InService, Weight: 1,
+			s.catalog.Set(fakeserver.Node{ID: n.ID, Addr: l.Addr(), Zone: n.Zone, Kind: n.Model, State: fakeserver.InService, Weight: 1,
 				StartedMS: time.Now().UnixMilli()})
 		}
 	})
@@ -413,7 +413,7 @@
 		time.Sleep(amidAfter) // discovery is late
 		for _, n := range s.problem.Nodes {
 			if n.Zone == lost {
-				s.catalog.Set(standin.Node{ID: n.ID, Addr: s.servers[n.ID].Addr(), Zone: n.Zone, State: standin.Terminated})
+				s.catalog.Set(fakeserver.Node{ID: n.ID, Addr: s.servers[n.ID].Addr(), Zone: n.Zone, State: fakeserver.Terminated})
 			}
 		}
 	}); err != nil {
--- a/internal/lab/powerfleet.go
+++ b/internal/lab/powerfleet.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // powerFleet is a fleet that loses power: gateways are processes, nodes and discovery stand-ins that start and end.
@@ -26,17 +26,17 @@
 	release       []func() // of addresses
 
 	mu      sync.Mutex
-	catalog *standin.Catalog // nil: down
+	catalog *fakeserver.Catalog // nil: down
 	version int64
-	entries []standin.Node
-	nodes   []*standin.LineServer
+	entries []fakeserver.Node
+	nodes   []*fakeserver.LineServer
 	started []time.Time
 	down    []bool // tipped, and down for good
 }
 
 // reserve keeps an address for the fleet's time.
 func (f *powerFleet) reserve() (string, error) {
-	addr, release, err := standin.Reserve()
+	addr, release, err := fakeserver.Reserve()
 	if err == nil {
 		f.release = append(f.release, release)
 	}
@@ -47,16 +47,16 @@
 func (f *powerFleet) begin(n int, together bool, plant string) error {
 	f.retired = n - 1
 	for i := range n {
-		s, err := standin.NewLineServer()
+		s, err := fakeserver.NewLineServer()
 		if err != nil {
 			return err
 		}
 		f.nodes = append(f.nodes, s)
-		f.entries = append(f.entries, standin.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: s.Addr(), State: standin.InService, Weight: 1})
+		f.entries = append(f.entries, fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: s.Addr(), State: fakeserver.InService, Weight: 1})
 	}
 	f.started, f.down, f.version = make([]time.Time, n), make([]bool, n), 7
 	var err error
-	if f.catalog, err = standin.NewCatalogAt("127.0.0.1:0", f.version, f.entries...); err != nil {
+	if f.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", f.version, f.entries...); err != nil {
 		return err
 	}
 	f.catalogAddr = f.catalog.Addr()
@@ -135,7 +135,7 @@
 func (f *powerFleet) retire(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.entries[i].State = standin.Terminated
+	f.entries[i].State = fakeserver.Terminated
 	f.catalog.Set(f.entries[i])
 	f.version++
 }
@@ -156,7 +156,7 @@
 
 // nodeBack starts a node again, cold.
 func (f *powerFleet) nodeBack(i int) error {
-	s, err := standin.NewLineServerAt(f.entries[i].Addr)
+	s, err := fakeserver.NewLineServerAt(f.entries[i].Addr)
 	if err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version += 3
-	c, err := standin.NewCatalogAt(f.catalogAddr, f.version, f.entries...)
+	c, err := fakeserver.NewCatalogAt(f.catalogAddr, f.version, f.entries...)
 	f.catalog = c
 	return err
 }
@@ -194,7 +194,7 @@
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 		f.mu.Lock()
-		var fall []*standin.LineServer
+		var fall []*fakeserver.LineServer
 		for i, n := range f.nodes {
 			cold := !f.started[i].IsZero() && time.Since(f.started[i]) < faultCold
 			if cold && !f.down[i] && n.MostWithin(time.Second) > tips() {
--- a/internal/lab/relaybench.go
+++ b/internal/lab/relaybench.go
@@ -19,7 +19,7 @@
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sys/unix"
 
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // row is one line of a benchmark's result: the same load straight to the stand-in, through the plainest proxy and
@@ -203,7 +203,7 @@
 }
 
 func relayRow(c *cli.Command, cores, sessions, payload int) (r row, err error) {
-	s, err := standin.NewLineServer()
+	s, err := fakeserver.NewLineServer()
 	if err != nil {
 		return r, err
 	}
--- a/internal/lab/silentwatch.go
+++ b/internal/lab/silentwatch.go
@@ -16,7 +16,7 @@
 
 	"example.org/milletvane/config"
 	"example.org/milletvane/gateway"
-	"example.org/milletvane/internal/standin"
+	"example.org/milletvane/internal/fakeserver"
 )
 
 // silentPlay is what one play of a watch that falls silent came to.
@@ -77,25 +77,25 @@
 func playSilentWatch(ctx context.Context, mode string, seed uint64) (p silentPlay, err error) {
 	p.Mode, p.Seed = mode, seed
 	figures, rnd := silentModes[mode], rand.New(rand.NewPCG(seed, 1))
-	catalog, err := standin.NewCatalog()
+	catalog, err := fakeserver.NewCatalog()
 	if err != nil {
 		return p, err
 	}
 	defer catalog.Close()
-	var nodes []*standin.LineServer
-	entry := func(i int, state string) standin.Node {
-		return standin.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: nodes[i].Addr(), State: state, Weight: 1}
+	var nodes []*fakeserver.LineServer
+	entry := func(i int, state string) fakeserver.Node {
+		return fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: nodes[i].Addr(), State: state, Weight: 1}
 	}
 	for i := range 3 {
-		n, err := standin.NewLineServer()
+		n, err := fakeserver.NewLineServer()
 		if err != nil {
 			return p, err
 		}
 		defer n.Close()
 		nodes = append(nodes, n)
-		catalog.Set(entry(i, standin.InService))
+		catalog.Set(entry(i, fakeserver.InService))
 	}
-	listen, release, err := standin.Reserve()
+	listen, release, err := fakeserver.Reserve()
 	if err != nil {
 		return p, err
 	}
@@ -120,7 +120,7 @@
 	time.Sleep(silentAfter + time.Duration(rnd.Int64N(int64(time.Second))))
 	began, silent := catalog.Silence(), time.Now()
 	time.Sleep(500 * time.Millisecond)
-	catalog.Set(entry(0, standin.Terminating))
+	catalog.Set(entry(0, fakeserver.Terminating))
 	changed := time.Now()
 	counts := silent.Add(6 * time.Second)
 	if c := began.Add(figures.wait + 2*time.Second); c.After(counts) {
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/hashicorp/memberlist"
 
+	"example.org/milletvane/internal/fakeserver"
 	"example.org/milletvane/internal/membership"
 	"example.org/milletvane/internal/membership/membershiptest"
 	"example.org/milletvane/internal/membership/simnet"
-	"example.org/milletvane/internal/standin"
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
@@ -76,7 +76,7 @@
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, release, err := standin.Reserve()
+	addr, release, err := fakeserver.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
