--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -5,7 +5,7 @@
 	"context"
 	"os"
 
-	"example.org/milletvane/internal/lab"
+	"example.org/milletvane/internal/experiment"
 )
 
-func main() { os.Exit(lab.Run(context.Background(), os.Args, os.Stdout, os.Stderr)) }
+func main() { os.Exit(experiment.Run(context.Background(), os.Args, os.Stdout, os.Stderr)) }
--- a/internal/lab/lab.go
+++ b/internal/experiment/lab.go
@@ -1,6 +1,6 @@
-// Package lab is the tool for experiments: it starts stand-ins and gateways on loopback, puts load on them, and tells
+// Package experiment is the tool for experiments: it starts stand-ins and gateways on loopback, puts load on them, and tells
 // what was measured. No balancer imports it.
-package lab
+package experiment
 
 import (
 	"bufio"
