--- a/Makefile
+++ b/Makefile
@@ -26,7 +26,7 @@
 
 # A gateway between stand-ins, on loopback, for some seconds.
 demo: build
-	bin/lab demo
+	bin/experiment demo
 
 # The solver against brute force on its whole grid: minutes.
 .PHONY: placement-exhaustive
