--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -12,7 +12,7 @@
 
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
-	"example.org/milletvane/internal/wire"
+	"example.org/milletvane/internal/simproto"
 )
 
 func main() {
@@ -26,10 +26,10 @@
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	var (
-		r         = wire.NewReader(in)
+		r         = simproto.NewReader(in)
 		w         = bufio.NewWriter(out)
 		instances = map[int]*instance{}
-		batch     wire.Batch
+		batch     simproto.Batch
 		reply     []byte
 	)
 	for {
@@ -43,7 +43,7 @@
 		for _, ev := range batch.Events {
 			reply = answer(reply, instances, &batch, ev)
 		}
-		if _, err := w.Write(wire.AppendYield(reply)); err != nil {
+		if _, err := w.Write(simproto.AppendYield(reply)); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
@@ -64,17 +64,17 @@
 // asked appends what the clock of the list answers an event with.
 func (i *instance) asked(reply []byte, n int, call refresh.Poll) []byte {
 	if call.Delay > 0 {
-		return wire.AppendAction(reply, n, balancer.SetTimer{After: call.Delay, Ref: refAsk})
+		return simproto.AppendAction(reply, n, balancer.SetTimer{After: call.Delay, Ref: refAsk})
 	}
-	return wire.AppendWatch(reply, n)
+	return simproto.AppendWatch(reply, n)
 }
 
 // answer appends one event's actions. A panic or unusable settings end the instance as broken.
-func answer(reply []byte, instances map[int]*instance, batch *wire.Batch, ev wire.Event) (out []byte) {
+func answer(reply []byte, instances map[int]*instance, batch *simproto.Batch, ev simproto.Event) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(instances, ev.Instance)
-			out = wire.AppendBroken(reply, ev.Instance, fmt.Sprint("panic: ", p))
+			out = simproto.AppendBroken(reply, ev.Instance, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch {
@@ -82,7 +82,7 @@
 		b, err := balancer.New(ev.Start.Rules)
 		if err != nil {
 			delete(instances, ev.Instance)
-			return wire.AppendBroken(reply, ev.Instance, err.Error())
+			return simproto.AppendBroken(reply, ev.Instance, err.Error())
 		}
 		i := &instance{rules: b}
 		instances[ev.Instance] = i
@@ -104,14 +104,14 @@
 			return reply
 		}
 		if t, ok := ev.Rules.(balancer.TimerFired); ok && t.Ref == refAsk {
-			return wire.AppendWatch(reply, ev.Instance)
+			return simproto.AppendWatch(reply, ev.Instance)
 		}
 		if l, ok := ev.Rules.(balancer.EndpointList); ok && l.Mode != balancer.ListCached && i.list != nil {
 			// The simulator goes on with a watch by itself: what comes is taken note of, and no call follows.
 			i.list.Handle(batch.Now, refresh.ListReceived{Complete: true})
 		}
 		for _, a := range i.rules.Handle(batch.Now, ev.Rules) {
-			reply = wire.AppendAction(reply, ev.Instance, a)
+			reply = simproto.AppendAction(reply, ev.Instance, a)
 		}
 	}
 	return reply
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -25,7 +25,7 @@
 	switch packagePath {
 	case "config", "internal/planapply", "internal/cluster":
 		return 3
-	case "config/operator", "internal/hotrestart", "internal/discovery", "internal/eventloop", "internal/wire":
+	case "config/operator", "internal/hotrestart", "internal/discovery", "internal/eventloop", "internal/simproto":
 		return 2
 	case "internal/admin", "internal/model", "internal/engine", "internal/nats/session", "internal/settings":
 		return 1
--- a/internal/wire/format_test.go
+++ b/internal/simproto/format_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package simproto_test
 
 import (
 	"crypto/sha256"
@@ -16,7 +16,7 @@
 
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
-	"example.org/milletvane/internal/wire"
+	"example.org/milletvane/internal/simproto"
 )
 
 var update = flag.Bool("update", false, "write the files in testdata anew")
@@ -221,7 +221,7 @@
 }
 
 // describeEvent is an event field by field, without fields that are zero.
-func describeEvent(ev wire.Event) string {
+func describeEvent(ev simproto.Event) string {
 	var w fieldWriter
 	fmt.Fprintf(&w.Builder, "%d:", ev.Instance)
 	if ev.Start != nil {
@@ -301,8 +301,8 @@
 
 // describeInput reads batches until the input ends or has a fault. Of a fault only the line is written down.
 func describeInput(in io.Reader) (lines []string) {
-	r := wire.NewReader(in)
-	var batch wire.Batch
+	r := simproto.NewReader(in)
+	var batch simproto.Batch
 	for {
 		if err := r.Read(&batch); err != nil {
 			at, _, _ := strings.Cut(err.Error(), ":")
@@ -624,11 +624,11 @@
 			{"log, several lines", balancer.Log{Message: "one\ntwo\r\nthree\rfour\n"}},
 			{"log, empty", balancer.Log{}},
 		} {
-			add(fmt.Sprint(a.name, " at ", instance), wire.AppendAction([]byte("before\n"), instance, a.action))
+			add(fmt.Sprint(a.name, " at ", instance), simproto.AppendAction([]byte("before\n"), instance, a.action))
 		}
-		add(fmt.Sprint("watch at ", instance), wire.AppendWatch([]byte("before\n"), instance))
-		add(fmt.Sprint("broken at ", instance), wire.AppendBroken([]byte("before\n"), instance, "why\nand why"))
+		add(fmt.Sprint("watch at ", instance), simproto.AppendWatch([]byte("before\n"), instance))
+		add(fmt.Sprint("broken at ", instance), simproto.AppendBroken([]byte("before\n"), instance, "why\nand why"))
 	}
-	add("yield", wire.AppendYield([]byte("before\n")))
+	add("yield", simproto.AppendYield([]byte("before\n")))
 	compareLines(t, "actions.txt", lines)
 }
--- a/internal/wire/wire.go
+++ b/internal/simproto/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads the simulator's batches of events and prints the actions that answer them. It
+// Package simproto reads the simulator's batches of events and prints the actions that answer them. It
 // knows the wire's names, so that the rules need not; it decides nothing.
-package wire
+package simproto
 
 import (
 	"bufio"
