--- a/cmd/milletvane/main.go
+++ b/cmd/milletvane/main.go
@@ -5,9 +5,9 @@
 	"context"
 	"os"
 
-	"example.org/milletvane/internal/command"
+	"example.org/milletvane/internal/cli"
 )
 
 func main() {
-	os.Exit(command.Run(context.Background(), os.Args, os.Getenv, os.Stdout, os.Stderr))
+	os.Exit(cli.Run(context.Background(), os.Args, os.Getenv, os.Stdout, os.Stderr))
 }
--- a/gateway/process_test.go
+++ b/gateway/process_test.go
@@ -21,7 +21,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"example.org/milletvane/internal/command"
+	"example.org/milletvane/internal/cli"
 )
 
 // childEnv has the test's binary be the program.
@@ -29,7 +29,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) != "" {
-		os.Exit(command.Run(context.Background(), []string{"milletvane"}, os.Getenv, os.Stdout, os.Stderr))
+		os.Exit(cli.Run(context.Background(), []string{"milletvane"}, os.Getenv, os.Stdout, os.Stderr))
 	}
 	goleak.VerifyTestMain(m)
 }
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -11,7 +11,7 @@
 	switch {
 	case strings.HasPrefix(packagePath, "cmd/"):
 		return 9
-	case packagePath == "internal/command", packagePath == "internal/experiment":
+	case packagePath == "internal/cli", packagePath == "internal/experiment":
 		return 8
 	case packagePath == "gateway":
 		return 7
--- a/internal/command/command.go
+++ b/internal/cli/command.go
@@ -1,6 +1,6 @@
-// Package command is milletvane's command line, and what signals do: SIGTERM and SIGINT stop the program in
+// Package cli is milletvane's command line, and what signals do: SIGTERM and SIGINT stop the program in
 // order, SIGHUP has it read its configuration again.
-package command
+package cli
 
 import (
 	"context"
--- a/internal/command/command_test.go
+++ b/internal/cli/command_test.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"bytes"
