--- a/internal/archtest/decisions_test.go
+++ b/internal/archtest/decisions_test.go
@@ -19,7 +19,7 @@
 	"internal/nats/codec":        nil,
 	"internal/nats/session":      {"internal/nats/codec"},
 	"placement":                  nil,
-	"internal/model":             {"internal/timerqueue", "balancer"},
+	"internal/simulation":        {"internal/timerqueue", "balancer"},
 	"internal/cluster/recovery":  nil,
 	"internal/cluster/loadshed":  nil,
 	"internal/planapply":         {"config/operator", "internal/engine", "placement", "balancer"},
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -27,7 +27,7 @@
 		return 3
 	case "config/operator", "internal/hotrestart", "internal/discovery", "internal/eventloop", "internal/simproto":
 		return 2
-	case "internal/admin", "internal/model", "internal/engine", "internal/nats/session", "internal/settings":
+	case "internal/admin", "internal/simulation", "internal/engine", "internal/nats/session", "internal/settings":
 		return 1
 	}
 	return 0
--- a/internal/model/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"reflect"
--- a/internal/model/world.go
+++ b/internal/simulation/world.go
@@ -1,6 +1,6 @@
-// Package model plays a fleet in simulated time. World is its time: events in order, and named streams of random numbers.
+// Package simulation plays a fleet in simulated time. World is its time: events in order, and named streams of random numbers.
 // It does no I/O and reads no clock: the same seed and the same calls give the same run.
-package model
+package simulation
 
 import (
 	"math/rand/v2"
