--- /dev/null
+++ b/gateway/weights.go
@@ -0,0 +1,85 @@
+package gateway
+
+import (
+	"log/slog"
+	"sync"
+	"time"
+
+	"example.org/milletvane/balancer"
+	"example.org/milletvane/config/operator"
+	"example.org/milletvane/internal/engine"
+	"example.org/milletvane/internal/eventloop"
+	"example.org/milletvane/internal/planapply"
+)
+
+// planWeights posts endpoint lists to the engine with the weights of the placement plan. It may be used by several
+// goroutines: lists reach the engine in the order in which they were applied.
+type planWeights struct {
+	clock  func() time.Duration
+	engine *eventloop.Loop
+	logger *slog.Logger
+
+	mu       sync.Mutex
+	follower planapply.Follower
+	timer    *time.Timer // runs out when the next server is warm; nil: none was needed yet
+	stopped  bool
+}
+
+func newPlanWeights(warmup time.Duration, clock func() time.Duration, e *eventloop.Loop, l *slog.Logger) *planWeights {
+	return &planWeights{clock: clock, engine: e, logger: l, follower: planapply.Follower{Cold: warmup}}
+}
+
+// setPlan changes to a plan, or with nil to none.
+func (w *planWeights) setPlan(p *operator.PlanSettings) {
+	if p == nil {
+		p = &operator.PlanSettings{}
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.postLocked(w.follower.SetPlan(w.clock(), p.Plan, p.Zone))
+}
+
+// apply posts an endpoint list with the plan's weights.
+func (w *planWeights) apply(l engine.EndpointList) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.postLocked(w.follower.Apply(w.clock(), l))
+}
+
+// refresh posts the weights that have changed with time alone.
+func (w *planWeights) refresh() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
+		return
+	}
+	w.postLocked(w.follower.Look(w.clock()))
+}
+
+// stop ends the refreshes. Lists are still posted.
+func (w *planWeights) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	if w.timer != nil {
+		w.timer.Stop()
+	}
+}
+
+// postLocked posts a list, logs where its weights come from if that has changed, and sets the timer for the next refresh.
+func (w *planWeights) postLocked(l engine.EndpointList, source string) {
+	if source != "" {
+		w.logger.Info("endpoint weights changed", "source", source)
+	}
+	if l.Mode != balancer.ListDelta || len(l.Servers) > 0 {
+		w.engine.Post(l)
+	}
+	if w.timer != nil {
+		w.timer.Stop()
+	}
+	at, ok := w.follower.Again()
+	if !ok || w.stopped {
+		return
+	}
+	w.timer = time.AfterFunc(max(at-w.clock(), 0), w.refresh)
+}
