--- a/gateway/crossing_retry_test.go
+++ b/gateway/crossing_retry_test.go
@@ -1,88 +1,81 @@
 package gateway_test
 
 import (
-	"io"
-	"net"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 )
 
-// aside is how long a test looks for what must not come.
-const aside = 150 * time.Millisecond
+// absenceTimeout is how long a test looks for what must not come.
+const absenceTimeout = 150 * time.Millisecond
 
-// none fails where another attempt reaches the server.
-func (p *program) none() {
+// expectNoAttempt fails where another attempt reaches the server.
+func (p *program) expectNoAttempt() {
 	p.t.Helper()
 	select {
 	case e := <-p.server.conns:
 		if line, _ := e.r.ReadString('\n'); line != "" {
 			p.t.Errorf("another attempt: %q", line)
 		}
-	case <-time.After(aside):
+	case <-time.After(absenceTimeout):
 	}
 }
 
-// reset ends a connection as a process that dies does.
-func (e *end) reset() {
-	e.c.(*net.TCPConn).SetLinger(0)
-	e.c.Close()
-}
-
 // When an attempt's time is over it is ended before the next is made, and what its server says late is nobody's: the client
 // has the answer of the next alone.
 func TestRetryCrossesALateAnswer(t *testing.T) {
-	p := startProgram(t, conf{mode: "proxy", aim: 200 * time.Millisecond})
-	client, first := p.ask()
+	p := startProgram(t, programConfig{mode: "proxy", objective: 200 * time.Millisecond})
+	client, first := p.request()
 	second := p.server.accept()
 	second.line()
-	if err := first.ends(); err != nil { // it has ended already: nothing more is waited for here
+	if err := first.closeError(); err != nil { // it has ended already: nothing more is waited for here
 		t.Errorf("the former attempt ended with %v", err)
 	}
-	io.WriteString(first.c, "UP late\r\n")
+	first.trySend("UP late\r\n")
 	second.send("UP next\r\n")
 	client.expect("UP next\r\n")
 	client.send("M 1\r\n")
 	second.expect("M 1\r\n")
-	p.none()
+	p.expectNoAttempt()
 }
 
 // A client that has gone is tried for no more: whether it closed, ended its sending or broke off, and whether its attempt
 // is connecting, unanswered, or just coming back.
 func TestRetryCrossesTheClientsEnd(t *testing.T) {
-	for how, leave := range map[string]func(client *end){
-		"close":     func(client *end) { client.c.Close() },
-		"half":      func(client *end) { client.c.(*net.TCPConn).CloseWrite() },
-		"reset":     func(client *end) { client.reset() },
-		"more":      func(client *end) { client.send("M 1\r\n"); client.answered("ERR") },
-		"more, end": func(client *end) { client.send("M 1\r\n"); client.c.Close() },
+	for how, leave := range map[string]func(client *testConn){
+		"close":     func(client *testConn) { client.close() },
+		"half":      func(client *testConn) { client.closeWrite() },
+		"reset":     func(client *testConn) { client.reset() },
+		"more":      func(client *testConn) { client.send("M 1\r\n"); client.expectFinal("ERR") },
+		"more, end": func(client *testConn) { client.send("M 1\r\n"); client.close() },
 	} {
 		t.Run(how+" while unanswered", func(t *testing.T) {
-			p := startProgram(t, conf{mode: "proxy", aim: 200 * time.Millisecond})
-			client, server := p.ask()
+			p := startProgram(t, programConfig{mode: "proxy", objective: 200 * time.Millisecond})
+			client, server := p.request()
 			leave(client)
-			server.ends()
+			server.expectClosed()
 			time.Sleep(200 * time.Millisecond) // the time of the attempt, had it gone on
-			p.none()
+			p.expectNoAttempt()
 		})
 		t.Run(how+" as the attempt comes back", func(t *testing.T) {
-			p := startProgram(t, conf{mode: "proxy"})
-			client, server := p.ask()
+			p := startProgram(t, programConfig{mode: "proxy"})
+			client, server := p.request()
 			leave(client)
-			server.ends() // the program knows
-			io.WriteString(server.c, "BUSY\r\n")
-			server.c.Close()
-			p.none()
+			server.expectClosed() // the program knows
+			server.trySend("BUSY\r\n")
+			server.close()
+			p.expectNoAttempt()
 		})
 	}
 	t.Run("while connecting", func(t *testing.T) {
 		full := crowdedAddr(t)
-		p := startProgram(t, conf{mode: "proxy", addrs: []string{full}, aim: 100 * time.Millisecond})
+		p := startProgram(t, programConfig{mode: "proxy", addrs: []string{full}, objective: 100 * time.Millisecond})
 		client := p.dial()
 		client.send(p.line())
-		client.c.Close()
+		client.close()
 		p.stop() // it ends as soon as nobody is left
-		p.ends()
+		p.expectExit()
 	})
 }
 
@@ -90,7 +83,7 @@
 func TestRetryEndsWithTheLastAttempt(t *testing.T) {
 	for _, answer := range []string{"BUSY\r\n", "ERR\r\n", ""} {
 		t.Run(strings.TrimSpace(answer), func(t *testing.T) {
-			p := startProgram(t, conf{mode: "pass"})
+			p := startProgram(t, programConfig{mode: "pass"})
 			client := p.dial()
 			client.send(p.line())
 			answered := make(chan string, 1)
@@ -105,8 +98,8 @@
 					if line, _ := server.r.ReadString('\n'); line != "" {
 						tries++
 					}
-					io.WriteString(server.c, answer)
-					server.c.Close()
+					server.trySend(answer)
+					server.close()
 				case got = <-answered:
 					if !strings.HasPrefix(got, "BUSY ") {
 						t.Errorf("answered %q", got)
@@ -116,7 +109,7 @@
 			if tries > 3 {
 				t.Errorf("%d attempts, 3 are allowed", tries)
 			}
-			p.none()
+			p.expectNoAttempt()
 		})
 	}
 }
@@ -125,24 +118,24 @@
 // over, though attempts and time are left.
 func TestRetryCrossesAResetUnderTheRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		conf
+		programConfig
 		after time.Duration // that the server holds it
 		want  string        // the answer; empty: it is tried again
 	}{
-		"may not be repeated":       {conf{effect: "at_most_once"}, 0, "ERR"},
-		"may be, in its window":     {conf{effect: "deduplicated", window: patience, giveUp: patience}, 0, ""},
-		"may be, behind its window": {conf{effect: "deduplicated", window: 50 * time.Millisecond, giveUp: patience}, 100 * time.Millisecond, "BUSY"},
-		"may always be":             {conf{giveUp: patience}, 0, ""},
+		"may not be repeated":       {programConfig{effect: "at_most_once"}, 0, "ERR"},
+		"may be, in its window":     {programConfig{effect: "deduplicated", window: testTimeout, deadline: testTimeout}, 0, ""},
+		"may be, behind its window": {programConfig{effect: "deduplicated", window: 50 * time.Millisecond, deadline: testTimeout}, 100 * time.Millisecond, "BUSY"},
+		"may always be":             {programConfig{deadline: testTimeout}, 0, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.mode = "proxy"
-			p := startProgram(t, c.conf)
-			client, server := p.ask()
+			p := startProgram(t, c.programConfig)
+			client, server := p.request()
 			time.Sleep(c.after)
 			server.reset()
 			if c.want != "" {
-				client.answered(c.want)
-				p.none()
+				client.expectFinal(c.want)
+				p.expectNoAttempt()
 				return
 			}
 			next := p.server.accept()
@@ -156,42 +149,42 @@
 // A server that begins to drain has what was sent before, and nothing new: an attempt that fails there is not made again
 // there.
 func TestRetryCrossesADrain(t *testing.T) {
-	p := startProgram(t, conf{mode: "proxy", giveUp: patience})
-	client, server := p.ask()
-	kept, other := p.ask()
-	p.service.set(strings.Replace(listOf(2, p.conf.addrs...), "in_service", "terminating", 1))
-	p.log(`msg="endpoint list updated" version=2`)
+	p := startProgram(t, programConfig{mode: "proxy", deadline: testTimeout})
+	client, server := p.request()
+	kept, other := p.request()
+	p.service.set(strings.Replace(listOf(2, p.config.addrs...), "in_service", "terminating", 1))
+	p.expectLog(`msg="endpoint list updated" version=2`)
 	other.send("UP r\r\n")
 	kept.expect("UP r\r\n")
 	server.reset()
-	client.answered("BUSY")
-	p.none()
+	client.expectFinal("BUSY")
+	p.expectNoAttempt()
 	late := p.dial()
 	late.send(p.line())
-	late.answered("BUSY")
-	p.none()
+	late.expectFinal("BUSY")
+	p.expectNoAttempt()
 }
 
 // A server that sends its clients away, or ends, while lines of theirs are on the way: they have MOVE or BYE, and an end in
 // order.
-func TestIdleEndCrossesTheClientsLines(t *testing.T) {
+func TestServersEndCrossesTheClientsLines(t *testing.T) {
 	for _, word := range []string{"MOVE\r\n", "BYE\r\n", "M 1 x\r\n"} {
-		for _, first := range []string{"client", "server"} { // the kernel tells of them in the order in which they acted
+		for _, first := range []string{"client", "server"} { // the kernel reports them in the order in which they acted
 			t.Run(strings.TrimSpace(word)+", first the "+first, func(t *testing.T) {
-				p := startProgram(t, conf{mode: "pass"})
+				p := startProgram(t, programConfig{mode: "pass"})
 				client, server := p.open()
-				p.signal(sigStop) // both sides act before the program hears of either
+				p.signal(syscall.SIGSTOP) // both sides act before the program hears of either
 				lines := func() { client.send(strings.Repeat("M 1\r\n", 1000)) }
 				if first == "client" {
 					lines()
 				}
 				server.send(word)
-				server.c.(*net.TCPConn).CloseWrite()
+				server.closeWrite()
 				if first == "server" {
 					lines()
 				}
-				p.signal(sigCont)
-				client.answered(strings.TrimSpace(word))
+				p.signal(syscall.SIGCONT)
+				client.expectFinal(strings.TrimSpace(word))
 			})
 		}
 	}
--- a/gateway/descriptors_test.go
+++ b/gateway/descriptors_test.go
@@ -23,9 +23,9 @@
 // limit, who is closed is told BUSY, and once discovery is back it is asked, servers are reached and clients served.
 func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
 	const sockets, clients = 128, 400
-	p := startProgram(t, conf{mode: "pass", deaf: true, sockets: sockets})
+	p := startProgram(t, programConfig{mode: "pass", withoutList: true, sockets: sockets})
 	most := 0
-	var idle []*end
+	var idle []*testConn
 	for i := range clients {
 		idle = append(idle, p.dial())
 		if i%7 == 0 { // some do ask
@@ -35,11 +35,11 @@
 	}
 	for i, e := range idle {
 		if i%7 == 0 {
-			e.answered("BUSY")
+			e.expectFinal("BUSY")
 		}
 	}
-	p.service.set(listOf(1, p.conf.addrs...))
-	(&host{t: t, addr: p.addr}).ready()
+	p.service.set(listOf(1, p.config.addrs...))
+	(&testGateway{t: t, addr: p.addr}).waitReady()
 	for range 10 {
 		client, server := p.open()
 		client.send("M 1\r\n")
@@ -51,14 +51,14 @@
 	}
 	for i, e := range idle {
 		if i%7 != 0 {
-			e.answered("BUSY")
+			e.expectFinal("BUSY")
 		}
 	}
 }
 
 // A flood of clients that come and go at once, some with much that nobody asked for, leaves nothing behind.
 func TestAFloodLeavesNothingBehind(t *testing.T) {
-	p := startProgram(t, conf{mode: "pass", sockets: 128})
+	p := startProgram(t, programConfig{mode: "pass", sockets: 128})
 	before := p.descriptors()
 	junk := make([]byte, 64<<10)
 	for i := range 600 {
@@ -68,14 +68,16 @@
 		}
 		switch i % 4 {
 		case 0:
-			c.Write(junk)
+			_, _ = c.Write(junk) // it may be cut off
 		case 1:
-			c.Write([]byte(p.line()))
-			c.(*net.TCPConn).SetLinger(0)
+			_, _ = c.Write([]byte(p.line()))
+			if err := c.(*net.TCPConn).SetLinger(0); err != nil {
+				t.Fatal(err)
+			}
 		case 2:
-			c.Write([]byte("OPEN 1 "))
+			_, _ = c.Write([]byte("OPEN 1 "))
 		}
-		c.Close()
+		closeAll(t, c)
 	}
 	client, line := p.dial(), p.line()
 	client.send(line)
@@ -88,9 +90,9 @@
 	}
 	server.send("UP r\r\n")
 	client.expect("UP r\r\n")
-	client.c.Close()
-	server.ends()
-	for end := time.Now().Add(patience); p.descriptors() > before+2; time.Sleep(10 * time.Millisecond) {
+	client.close()
+	server.expectClosed()
+	for end := time.Now().Add(testTimeout); p.descriptors() > before+2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d descriptors are left of %d", p.descriptors(), before)
 		}
--- a/gateway/upgrade_test.go
+++ b/gateway/hotrestart_test.go
@@ -24,7 +24,7 @@
 type platform struct {
 	t        *testing.T
 	listener *net.TCPListener
-	server   *peer
+	server   *scriptedServer
 	catalog  *fakeserver.Catalog
 	temp     string
 	opens    int
@@ -38,13 +38,14 @@
 }
 
 func newPlatform(t *testing.T) *platform {
+	t.Helper()
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	p := &platform{t: t, listener: l.(*net.TCPListener), server: newPeer(t), temp: t.TempDir()}
+	t.Cleanup(func() { closeAll(t, l) })
+	p := &platform{t: t, listener: l.(*net.TCPListener), server: newScriptedServer(t), temp: t.TempDir()}
 	if p.catalog, err = fakeserver.NewCatalog(p.node(fakeserver.InService)); err != nil {
 		t.Fatal(err)
 	}
@@ -56,17 +57,35 @@
 	return fakeserver.Node{ID: "s-00000001", Addr: p.server.l.Addr().String(), State: state, Weight: 1}
 }
 
-func (p *platform) start() *process {
-	p.t.Helper()
-	raw, err := p.listener.SyscallConn()
+// control calls do with a listener's descriptor.
+func control(t *testing.T, l *net.TCPListener, do func(fd int) error) {
+	t.Helper()
+	raw, err := l.SyscallConn()
 	if err != nil {
-		p.t.Fatal(err)
+		t.Fatal(err)
 	}
-	var fd int
-	raw.Control(func(f uintptr) { fd, err = unix.Dup(int(f)) })
-	if err != nil {
-		p.t.Fatal(err)
+	var doErr error
+	if err := raw.Control(func(fd uintptr) { doErr = do(int(fd)) }); err != nil {
+		t.Fatal(err)
+	}
+	if doErr != nil {
+		t.Fatal(doErr)
 	}
+}
+
+// duplicate returns a second descriptor of a listener.
+func duplicate(t *testing.T, l *net.TCPListener) (duplicated int) {
+	t.Helper()
+	control(t, l, func(fd int) (err error) {
+		duplicated, err = unix.Dup(fd)
+		return err
+	})
+	return duplicated
+}
+
+func (p *platform) start() *process {
+	p.t.Helper()
+	fd := duplicate(p.t, p.listener)
 	r := &process{admin: freeAddr(p.t), done: make(chan error, 1)}
 	env := map[string]string{config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: p.temp, config.EnvAdmin: r.admin}
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"settings":{"caps":{"max_attempts":2,"retry_after":true,
@@ -91,17 +110,17 @@
 			if err != nil {
 				p.t.Error(err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			p.t.Error("the process did not stop")
 		}
 	})
-	p.until("ready", func() bool { status, _ := r.call(http.MethodGet, "/-/ready"); return status == 200 })
+	p.eventually("ready", func() bool { status, _ := r.call(http.MethodGet, "/-/ready"); return status == 200 })
 	return r
 }
 
-func (p *platform) until(what string, ok func() bool) {
+func (p *platform) eventually(what string, ok func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatal("never " + what)
 		}
@@ -117,18 +136,18 @@
 	if err != nil {
 		return 0, ""
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	b, _ := io.ReadAll(a.Body)
 	return a.StatusCode, string(b)
 }
 
-func (p *platform) dial() *end {
+func (p *platform) dial() *testConn {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.listener.Addr().String())
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return newEnd(p.t, c)
+	return newTestConn(p.t, c)
 }
 
 func (p *platform) opening() string {
@@ -136,7 +155,7 @@
 	return fmt.Sprintf("OPEN 2%d 0a c=c,d=60000\r\n", p.opens)
 }
 
-func (p *platform) serve(client *end) {
+func (p *platform) serve(client *testConn) {
 	p.t.Helper()
 	server := p.server.accept()
 	server.line()
@@ -146,10 +165,10 @@
 
 // While one process follows another every connection that comes is served, those included that the old one holds half
 // read; what the old one accepted it keeps.
-func TestNoConnectionIsLostInAnUpgrade(t *testing.T) {
+func TestNoConnectionIsLostInAHotRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.start()
-	var half []*end
+	var half []*testConn
 	for range 4 {
 		half = append(half, p.dial())
 		half[len(half)-1].send("OPEN 9" + strconv.Itoa(len(half)) + " 0a c=c,")
@@ -158,12 +177,12 @@
 	for i := range 40 {
 		if i == 20 {
 			old.stop()
-			p.until("closed to operators", func() bool { status, _ := old.call(http.MethodGet, "/-/ready"); return status != 200 })
+			p.eventually("closed to operators", func() bool { status, _ := old.call(http.MethodGet, "/-/ready"); return status != 200 })
 		}
 		client := p.dial()
 		client.send(p.opening())
 		p.serve(client)
-		client.c.Close()
+		client.close()
 	}
 	for _, client := range half {
 		client.send("d=60000\r\n")
@@ -173,15 +192,17 @@
 		t.Errorf("the new process says %d", status)
 	}
 	flags := 0
-	raw, _ := p.listener.SyscallConn()
-	raw.Control(func(f uintptr) { flags, _ = unix.GetsockoptInt(int(f), unix.SOL_SOCKET, unix.SO_ACCEPTCONN) })
+	control(t, p.listener, func(fd int) (err error) {
+		flags, err = unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
+		return err
+	})
 	if flags == 0 {
 		t.Error("the platform's socket no longer listens")
 	}
 }
 
 // A ban holds across an upgrade, and may be lifted at the process that was not given it.
-func TestBanAcrossAnUpgrade(t *testing.T) {
+func TestMaintenanceHoldsAcrossAHotRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.start()
 	if status, _ := old.call(http.MethodPost, "/-/servers/s-00000002/disable"); status != 404 {
@@ -209,32 +230,30 @@
 	if status, _ := next.call(http.MethodPost, "/-/servers/s-00000001/enable"); status != 200 {
 		t.Fatalf("put back with %d", status)
 	}
-	p.until("back at both", func() bool {
+	p.eventually("back at both", func() bool {
 		_, figures := old.call(http.MethodGet, "/-/metrics")
 		return strings.Contains(figures, "edge_proxy.ejected:0|g")
 	})
 }
 
 // A descriptor that is no listening socket of ours ends the start with a word of which key is at fault.
-func TestPassedSocketThatIsNone(t *testing.T) {
+func TestInheritedSocketThatIsNoListenerOfOurs(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	raw, err := l.(*net.TCPListener).SyscallConn()
-	if err != nil {
-		t.Fatal(err)
-	}
-	var other int
-	raw.Control(func(f uintptr) { other, err = unix.Dup(int(f)) })
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer unix.Close(other)
+	defer closeAll(t, l)
+	other := duplicate(t, l.(*net.TCPListener))
+	defer func() {
+		if err := unix.Close(other); err != nil {
+			t.Error(err)
+		}
+	}()
 	for name, fd := range map[string]int{"closed": 1 << 15, "another address": other} {
-		env := map[string]string{config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: t.TempDir(),
-			config.EnvListen: freeAddr(t), config.EnvDiscovery: "127.0.0.1:1"}
+		env := map[string]string{
+			config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: t.TempDir(),
+			config.EnvListen: freeAddr(t), config.EnvDiscovery: "127.0.0.1:1",
+		}
 		c, err := config.Parse(nil, func(k string) string { return env[k] })
 		if err != nil {
 			t.Fatal(err)
@@ -250,28 +269,28 @@
 }
 
 // A process that is told to stop before another serves goes on taking what comes.
-func TestStopBeforeAnotherServes(t *testing.T) {
+func TestStopBeforeTheSuccessorServes(t *testing.T) {
 	p := newPlatform(t)
 	old := p.start()
 	held := p.dial()
 	held.send(p.opening())
 	p.serve(held) // or the stop would be over at once
 	old.stop()
-	p.until("stopping", func() bool { status, _ := old.call(http.MethodGet, "/-/ready"); return status == 503 })
+	p.eventually("stopping", func() bool { status, _ := old.call(http.MethodGet, "/-/ready"); return status == 503 })
 	for range 10 {
 		client := p.dial()
 		client.send(p.opening())
 		p.serve(client)
-		client.c.Close()
+		client.close()
 	}
 	next := p.start()
-	p.until("left to the next", func() bool {
+	p.eventually("left to the next", func() bool {
 		client := p.dial()
 		client.send(p.opening())
 		p.serve(client)
-		client.c.Close()
+		client.close()
 		_, figures := next.call(http.MethodGet, "/-/metrics")
 		return strings.Contains(figures, "succeeded.c:5|c")
 	})
-	held.c.Close() // the stop waits for it
+	held.close() // the stop waits for it
 }
--- /dev/null
+++ b/gateway/nats_fleet_test.go
@@ -0,0 +1,222 @@
+package gateway_test
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/nats-io/nats.go"
+
+	"example.org/milletvane/config"
+	"example.org/milletvane/config/operator"
+	"example.org/milletvane/gateway"
+	"example.org/milletvane/internal/fakeserver"
+)
+
+// fleet is a gateway in front of stand-in NATS nodes.
+type fleet struct {
+	t       *testing.T
+	cluster *fakeserver.NATSCluster
+	nodes   []*fakeserver.NATSNode
+	catalog *fakeserver.Catalog
+	addr    string
+	stop    context.CancelFunc
+	done    chan error
+	gateway *gateway.Gateway
+	config  config.Config
+}
+
+const natsOperator = `(nats (listen %q) (cluster true) (ping-every "200ms") %s
+  (session (class "session"))
+  (request (subject "svc.safe.*") (class "safe") (deadline "2s") (key (token 2)))
+  (request (subject "svc.unsafe.*") (class "unsafe") (deadline "1s")))`
+
+const natsSettings = `{"caps":{"max_attempts":5,"connect_timeout_ns":1000000000,"retry_after":true,"max_retry_after_ns":200000000},
+ "rules":{"stop_sending_within_ns":500000000},"discovery":"ask","family_info":{"mode":"proxy"},
+ "classes":[{"name":"session","effect":"idempotent","group":"all","give_up_ns":2000000000,"slo_ns":1000000000},
+  {"name":"safe","effect":"idempotent","group":"all","give_up_ns":2000000000,"slo_ns":300000000},
+  {"name":"unsafe","effect":"at_most_once","group":"all","give_up_ns":1000000000,"slo_ns":300000000}]}`
+
+func newFleet(t *testing.T, nodes int, alone bool, extra string) *fleet {
+	t.Helper()
+	t.Parallel()
+	f := &fleet{t: t, cluster: fakeserver.NewNATSCluster(fakeserver.NewLedger(), alone), done: make(chan error, 1)}
+	var list []fakeserver.Node
+	for i := range nodes {
+		n, err := f.cluster.Node(fmt.Sprint("node", i+1))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(n.Close)
+		f.nodes = append(f.nodes, n)
+		list = append(list, f.entry(i, fakeserver.InService))
+	}
+	var err error
+	if f.catalog, err = fakeserver.NewCatalog(list...); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.catalog.Close)
+	f.addr = freeAddr(t)
+	c, err := config.Parse([]byte(fmt.Sprintf(`{"name":"g1","listen":%q,"discovery":%q,"settings":%s}`,
+		freeAddr(t), f.catalog.Addr(), natsSettings)), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	op, err := operator.Parse("test", []byte(fmt.Sprintf(natsOperator, f.addr, extra)), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	logger := slog.New(slog.DiscardHandler)
+	if os.Getenv("GATEWAY_LOG") != "" {
+		logger = slog.Default()
+	}
+	g, err := gateway.New(*c, gateway.WithLogger(logger), gateway.WithOperator(op))
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.gateway, f.config = g, *c
+	ctx, cancel := context.WithCancel(context.Background())
+	f.stop = cancel
+	go func() { f.done <- g.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		select {
+		case err := <-f.done:
+			if err != nil {
+				t.Error(err)
+			}
+		case <-time.After(testTimeout):
+			t.Error("the gateway did not stop")
+		}
+	})
+	return f
+}
+
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	addr, release, err := fakeserver.Reserve()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(release)
+	return addr
+}
+
+func (f *fleet) entry(i int, state string) fakeserver.Node {
+	return fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.nodes[i].Addr(), State: state, Weight: 1}
+}
+
+// drain has the list and, with tell, the node itself say that a node drains.
+func (f *fleet) drain(i int, tell bool) {
+	f.nodes[i].Drain(tell)
+	f.catalog.Set(f.entry(i, fakeserver.Terminating))
+}
+
+// connect returns a client that does not come again by itself.
+func (f *fleet) connect(o ...nats.Option) *nats.Conn {
+	f.t.Helper()
+	var err error
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+		var nc *nats.Conn
+		if nc, err = nats.Connect("nats://"+f.addr, append([]nats.Option{nats.NoReconnect(), nats.Timeout(testTimeout)}, o...)...); err == nil {
+			f.t.Cleanup(nc.Close)
+			return nc
+		}
+	}
+	f.t.Fatal(err)
+	return nil
+}
+
+// holder is the node that holds the only session.
+func (f *fleet) holder() int {
+	f.t.Helper()
+	for i, n := range f.nodes {
+		if n.Conns() > 0 {
+			return i
+		}
+	}
+	f.t.Fatal("no node holds it")
+	return 0
+}
+
+func eventually(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for until := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatalf("not so: %s", what)
+		}
+	}
+}
+
+func flush(t *testing.T, nc *nats.Conn) {
+	t.Helper()
+	if err := nc.Flush(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func publish(t *testing.T, nc *nats.Conn, subject string, body []byte) {
+	t.Helper()
+	if err := nc.Publish(subject, body); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func subscribeSync(t *testing.T, nc *nats.Conn, subject string) *nats.Subscription {
+	t.Helper()
+	sub, err := nc.SubscribeSync(subject)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return sub
+}
+
+// stream publishes numbered messages until stopped and checks that the client has each once and in order.
+func (f *fleet) stream(nc *nats.Conn, n int, during func(i int)) {
+	t := f.t
+	t.Helper()
+	var got []int
+	var mu sync.Mutex
+	if _, err := nc.Subscribe("stream.1", func(m *nats.Msg) {
+		i, _ := strconv.Atoi(string(m.Data))
+		mu.Lock()
+		defer mu.Unlock()
+		got = append(got, i)
+	}); err != nil {
+		t.Fatal(err)
+	}
+	flush(t, nc)
+	for i := range n {
+		during(i)
+		f.cluster.Stream(1, i)
+		if i%10 == 0 {
+			time.Sleep(time.Millisecond)
+		}
+	}
+	eventually(t, "the last message is in", func() bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return len(got) > 0 && got[len(got)-1] == n-1
+	})
+	seen := map[int]bool{}
+	for i, x := range got {
+		if i > 0 && x <= got[i-1] {
+			t.Errorf("%d came behind %d", x, got[i-1])
+		}
+		seen[x] = true
+	}
+	lost := 0
+	for i := range n {
+		if !seen[i] && !f.cluster.Excused(1, i) {
+			lost++
+		}
+	}
+	if lost > 0 {
+		t.Errorf("%d messages are lost", lost)
+	}
+}
--- a/gateway/spoilt_test.go
+++ b/gateway/unread_test.go
@@ -27,11 +27,15 @@
 // bound, and others are served meanwhile.
 func TestALineWithoutEndHasABound(t *testing.T) {
 	const most = 16 << 20 // beside what the program has at its start; the line is ten times that
-	p := startProgram(t, conf{mode: "pass"})
+	p := startProgram(t, programConfig{mode: "pass"})
 	client, server := p.open()
-	client.c.(*net.TCPConn).SetReadBuffer(4096)
+	if err := client.c.(*net.TCPConn).SetReadBuffer(4096); err != nil {
+		t.Fatal(err)
+	}
 	before := p.resident()
-	server.c.SetWriteDeadline(time.Now().Add(patience))
+	if err := server.c.SetWriteDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
 	junk := make([]byte, 64<<10)
 	for i := range junk {
 		junk[i] = 'x'
