--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -31,7 +31,7 @@
 func (e *IncarnationError) Error() string   { return e.Problem() + ": " + e.Err.Error() }
 func (e *IncarnationError) Unwrap() error   { return e.Err }
 func (e *IncarnationError) Problem() string { return "no incarnation could be written to " + e.File }
-func (e *IncarnationError) Retryable() bool { return wal.IsFull(e.Err) }
+func (e *IncarnationError) Retryable() bool { return wal.IsNoSpace(e.Err) }
 func (e *IncarnationError) Remedy() string {
 	return "see that the folder can be written, then start again"
 }
@@ -60,7 +60,7 @@
 	n := max(i.last+1, above+1, uint64(max(now.Milliseconds(), 0)))
 	b := binary.BigEndian.AppendUint64(nil, n)
 	b = binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b))
-	if err := wal.Replace(i.fs, i.name, b); err != nil {
+	if err := wal.WriteFileAtomic(i.fs, i.name, b); err != nil {
 		return 0, &IncarnationError{i.name, err}
 	}
 	i.last = n
--- a/internal/operr/walk_test.go
+++ b/internal/operr/walk_test.go
@@ -24,7 +24,7 @@
 // all are the error types of the packages in walked, one of each.
 var all = []operr.Error{
 	&wal.NoSpaceError{Dir: "d", Err: io.ErrShortWrite}, &wal.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
-	&wal.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &wal.ClosedError{Dir: "d"}, &wal.TooLargeError{Bytes: 2, Most: 1},
+	&wal.CorruptionError{File: "f", Offset: 3, Reason: "r"}, &wal.ClosedError{Dir: "d"}, &wal.TooLargeError{Bytes: 2, MaxBytes: 1},
 	&operator.KeyError{File: "f", Reason: "r"},
 	&membership.BindError{Addr: "a", Err: io.ErrShortWrite}, &membership.IncarnationError{File: "f", Err: io.ErrShortWrite},
 }
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -188,7 +188,7 @@
 	case errors.As(err, &closed):
 		return "closed dir " + closed.Dir
 	case errors.As(err, &large):
-		return fmt.Sprintf("too large %d most %d", large.Bytes, large.Most)
+		return fmt.Sprintf("too large %d most %d", large.Bytes, large.MaxBytes)
 	}
 	return "other"
 }
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -8,38 +8,51 @@
 	"syscall"
 )
 
-// FS is the part of a disk that a store needs: a seam where tests put disks that fail. Names are paths.
+// FS is the part of a file system that a log needs; tests implement it with file systems that fail. Names are paths.
 type FS interface {
 	MkdirAll(dir string) error
-	List(dir string) ([]string, error) // the names in it, without the folder
+	List(dir string) ([]string, error) // the names in dir, without dir itself
 	ReadFile(name string) ([]byte, error)
-	Create(name string) (File, error) // new, or empty
-	Append(name string) (File, error) // opened at its end
+	Create(name string) (File, error) // creates or truncates a file
+	Append(name string) (File, error) // opens a file to write at its end
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncDir(dir string) error // makes creations, renames and removals in it durable
+	SyncDir(dir string) error // makes creations, renames and removals in dir durable
 }
 
 // File is a file that is written at its end.
 type File interface {
 	io.Writer
-	Truncate(size int64) error // and goes on writing there
+	Truncate(size int64) error // later writes continue at the new end
 	Sync() error
 	Close() error
 }
 
-// IsFull reports whether an error says that a disk, or a quota or limit on it, has no room.
-func IsFull(err error) bool {
+// IsNoSpace reports whether an error says that a disk is full, or that a quota or limit on it is reached.
+func IsNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
-// OSFS is the operating system's.
+// Files are for their owner alone.
+const (
+	dirMode  = 0o700
+	fileMode = 0o600
+)
+
+// OSFS is the operating system's file system.
 type OSFS struct{}
 
-func (OSFS) MkdirAll(dir string) error            { return os.MkdirAll(dir, 0o700) }
+// MkdirAll implements FS.
+func (OSFS) MkdirAll(dir string) error { return os.MkdirAll(dir, dirMode) }
+
+// ReadFile implements FS.
 func (OSFS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
-func (OSFS) Rename(from, to string) error         { return os.Rename(from, to) }
-func (OSFS) Remove(name string) error             { return os.Remove(name) }
+
+// Rename implements FS.
+func (OSFS) Rename(from, to string) error { return os.Rename(from, to) }
+
+// Remove implements FS.
+func (OSFS) Remove(name string) error { return os.Remove(name) }
 
 // List implements FS.
 func (OSFS) List(dir string) (names []string, err error) {
@@ -52,11 +65,11 @@
 
 // Create implements FS.
 func (OSFS) Create(name string) (File, error) {
-	return open(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND)
+	return openFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND)
 }
 
 // Append implements FS.
-func (OSFS) Append(name string) (File, error) { return open(name, os.O_WRONLY|os.O_APPEND) }
+func (OSFS) Append(name string) (File, error) { return openFile(name, os.O_WRONLY|os.O_APPEND) }
 
 // SyncDir implements FS.
 func (OSFS) SyncDir(dir string) error {
@@ -67,8 +80,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-func open(name string, flags int) (File, error) {
-	f, err := os.OpenFile(name, flags, 0o600)
+func openFile(name string, flags int) (File, error) {
+	f, err := os.OpenFile(name, flags, fileMode)
 	if err != nil {
 		return nil, err // not a File that holds a nil pointer
 	}
--- a/internal/wal/memory.go
+++ b/internal/wal/memory.go
@@ -6,23 +6,27 @@
 	"sync"
 )
 
-// MemoryLog is a Store that lasts as long as the program: for instances without a disk, and for tests.
+// MemoryLog is a Log that lasts as long as the process. The zero value is an empty log.
 type MemoryLog struct {
-	mu     sync.Mutex
-	held   RecoveredLog
-	last   uint64
-	closed bool
+	mu        sync.Mutex
+	recovered RecoveredLog // what Open returns
+	last      uint64
+	closed    bool
 }
 
-// Open returns what it holds, and opens it again where it was closed.
+// Open returns what the log holds, and reopens it after Close.
 func (m *MemoryLog) Open() *RecoveredLog {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closed = false
-	return &RecoveredLog{SnapshotNumber: m.held.SnapshotNumber, Snapshot: slices.Clone(m.held.Snapshot), Records: slices.Clone(m.held.Records)}
+	return &RecoveredLog{
+		SnapshotNumber: m.recovered.SnapshotNumber,
+		Snapshot:       slices.Clone(m.recovered.Snapshot),
+		Records:        slices.Clone(m.recovered.Records),
+	}
 }
 
-// Append implements Store.
+// Append implements Log.
 func (m *MemoryLog) Append(record []byte) (uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,31 +34,31 @@
 	case m.closed:
 		return 0, &ClosedError{"memory"}
 	case len(record) > MaxRecordBytes:
-		return 0, &TooLargeError{Bytes: len(record), Most: MaxRecordBytes}
+		return 0, &TooLargeError{Bytes: len(record), MaxBytes: MaxRecordBytes}
 	}
 	m.last++
-	m.held.Records = append(m.held.Records, Record{Number: m.last, Data: slices.Clone(record)})
+	m.recovered.Records = append(m.recovered.Records, Record{Number: m.last, Data: slices.Clone(record)})
 	return m.last, nil
 }
 
-// Snapshot implements Store.
+// Snapshot implements Log.
 func (m *MemoryLog) Snapshot(upTo uint64, state []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case m.closed:
 		return &ClosedError{"memory"}
-	case upTo <= m.held.SnapshotNumber:
+	case upTo <= m.recovered.SnapshotNumber:
 		return nil
 	case upTo > m.last:
-		return fmt.Errorf("store: a state of record %d, where the last is %d", upTo, m.last)
+		return fmt.Errorf("%w: up to record %d, the last one is %d", ErrSnapshotAhead, upTo, m.last)
 	}
-	m.held.Records = slices.DeleteFunc(m.held.Records, func(r Record) bool { return r.Number <= upTo })
-	m.held.SnapshotNumber, m.held.Snapshot = upTo, slices.Clone(state)
+	m.recovered.Records = slices.DeleteFunc(m.recovered.Records, func(r Record) bool { return r.Number <= upTo })
+	m.recovered.SnapshotNumber, m.recovered.Snapshot = upTo, slices.Clone(state)
 	return nil
 }
 
-// Close implements Store.
+// Close implements Log.
 func (m *MemoryLog) Close() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
