--- a/internal/wal/store_test.go
+++ b/internal/wal/store_test.go
@@ -236,7 +236,7 @@
 		d := faultfs.New(seed)
 		j, _ := journal(t, d)
 		mustAppend(t, j, long(1), long(2))
-		d.LoseSynced(true)
+		d.DropSyncs(true)
 		mustAppend(t, j, long(3), long(4))
 		d.Crash()
 		j, held, err := wal.Open(d, "d", small)
