--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -107,7 +107,7 @@
 		return &CorruptionError{File: name, Reason: reason}
 	}
 	end, d := l.loadFrames(r, b, first)
-	if d != nil && !(d.torn && newest) {
+	if d != nil && (!d.torn || !newest) {
 		return &CorruptionError{File: name, Offset: int64(end), Reason: d.reason}
 	}
 	if !newest {
