--- a/internal/membership/membershiptest/contract.go
+++ b/internal/membership/contract_test.go
@@ -1,6 +1,4 @@
-// Package membershiptest is the contract of transports: one suite that every implementation has to pass. A new one joins by one
-// call of Run.
-package membershiptest
+package membership_test
 
 import (
 	"bytes"
@@ -12,8 +10,8 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// Rig is a network of instances.
-type Rig interface {
+// networkRig is a network of instances.
+type networkRig interface {
 	// Start starts an instance, or its next life under the same name.
 	Start(o membership.Options) membership.Transport
 	// Cut stops what goes from one instance to another, or has it go again.
@@ -22,21 +20,21 @@
 	Advance(d time.Duration)
 }
 
-// Inbox keeps what an instance receives.
-type Inbox struct {
+// inbox keeps what an instance receives.
+type inbox struct {
 	mu  sync.Mutex
 	all []membership.Message
 }
 
-// Receive is for membership.Options.
-func (i *Inbox) Receive(m membership.Message) {
+// receive is for membership.Options.
+func (i *inbox) receive(m membership.Message) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.all = append(i.all, m)
 }
 
-// From counts what came from a peer in a life; 0 stands for any.
-func (i *Inbox) From(name string, incarnation uint64) (n int) {
+// count counts what came from a peer in a life; 0 stands for any.
+func (i *inbox) count(name string, incarnation uint64) (n int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, m := range i.all {
@@ -47,7 +45,7 @@
 	return n
 }
 
-func (i *Inbox) has(name, body string) bool {
+func (i *inbox) has(name, body string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, m := range i.all {
@@ -60,8 +58,8 @@
 
 const patience = 20 * time.Second
 
-// Until lets time go by until something holds.
-func Until(t *testing.T, r Rig, what string, holds func() bool) {
+// until lets time go by until something holds.
+func until(t *testing.T, r networkRig, what string, holds func() bool) {
 	t.Helper()
 	const step = 20 * time.Millisecond
 	for range patience / step {
@@ -73,24 +71,25 @@
 	t.Fatalf("not in time: %s", what)
 }
 
-// Run checks an implementation. rig returns a network without instances.
-func Run(t *testing.T, rig func(t *testing.T) Rig) {
-	t.Run("messages", func(t *testing.T) { messages(t, rig(t)) })
-	t.Run("bounds", func(t *testing.T) { bounds(t, rig(t)) })
-	t.Run("one way", func(t *testing.T) { oneWay(t, rig(t)) })
-	t.Run("lives", func(t *testing.T) { lives(t, rig(t)) })
-	t.Run("gone and back", func(t *testing.T) { goneAndBack(t, rig(t)) })
+// testTransport checks an implementation of Transport. rig returns a network without instances.
+func testTransport(t *testing.T, rig func(t *testing.T) networkRig) {
+	t.Helper()
+	t.Run("messages", func(t *testing.T) { testMessages(t, rig(t)) })
+	t.Run("bounds", func(t *testing.T) { testBounds(t, rig(t)) })
+	t.Run("link cut one way", func(t *testing.T) { testOneWayCut(t, rig(t)) })
+	t.Run("incarnations", func(t *testing.T) { testIncarnations(t, rig(t)) })
+	t.Run("dead and back", func(t *testing.T) { testDeadAndBack(t, rig(t)) })
 }
 
 // fleet starts instances a, b, c and on, in their first lives, and waits until all know all.
-func fleet(t *testing.T, r Rig, n int) (ts []membership.Transport, boxes []*Inbox) {
+func fleet(t *testing.T, r networkRig, n int) (ts []membership.Transport, boxes []*inbox) {
 	t.Helper()
 	for i := range n {
-		box := &Inbox{}
+		box := &inbox{}
 		boxes = append(boxes, box)
-		ts = append(ts, r.Start(membership.Options{Name: name(i), Incarnation: 1, OnMessage: box.Receive}))
+		ts = append(ts, r.Start(membership.Options{Name: name(i), Incarnation: 1, OnMessage: box.receive}))
 	}
-	Until(t, r, "all know all", func() bool {
+	until(t, r, "all know all", func() bool {
 		for _, tr := range ts {
 			if len(tr.Members()) < n {
 				return false
@@ -109,12 +108,13 @@
 			return m.State
 		}
 	}
-	return membership.Gone
+	return membership.Dead
 }
 
-func messages(t *testing.T, r Rig) {
+func testMessages(t *testing.T, r networkRig) {
+	t.Helper()
 	ts, boxes := fleet(t, r, 4)
-	Until(t, r, "a message of each at each", func() bool {
+	until(t, r, "a message of each at each", func() bool {
 		done := true
 		for i, from := range ts {
 			for j := range ts {
@@ -128,7 +128,7 @@
 	})
 	for i := range ts {
 		for j := range ts {
-			if i != j && boxes[j].From(name(i), 0) != boxes[j].From(name(i), 1) {
+			if i != j && boxes[j].count(name(i), 0) != boxes[j].count(name(i), 1) {
 				t.Errorf("%s has messages of %s in another life than its first", name(j), name(i))
 			}
 		}
@@ -136,7 +136,8 @@
 }
 
 // What is over a link's bounds is dropped and counted, at once, and another link goes on.
-func bounds(t *testing.T, r Rig) {
+func testBounds(t *testing.T, r networkRig) {
+	t.Helper()
 	ts, boxes := fleet(t, r, 3)
 	const burst = 5000
 	before := ts[0].Counts()["b"]
@@ -144,11 +145,11 @@
 		ts[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
 	}
 	ts[0].Send("b", make([]byte, membership.MaxBodyBytes+1))
-	Until(t, r, "c hears in spite of b's queue", func() bool {
+	until(t, r, "c hears in spite of b's queue", func() bool {
 		ts[0].Send("c", []byte("on"))
 		return boxes[2].has("a", "on")
 	})
-	Until(t, r, "all of the burst is accounted for", func() bool {
+	until(t, r, "all of the burst is accounted for", func() bool {
 		c := ts[0].Counts()["b"]
 		return c.Sent+c.Dropped-before.Sent-before.Dropped == burst+1
 	})
@@ -162,60 +163,62 @@
 }
 
 // A link that is cut one way takes nothing that way, and all the other; it heals.
-func oneWay(t *testing.T, r Rig) {
+func testOneWayCut(t *testing.T, r networkRig) {
+	t.Helper()
 	ts, boxes := fleet(t, r, 3)
 	r.Cut("a", "b", true)
 	r.Advance(100 * time.Millisecond)
-	had := boxes[1].From("a", 0)
+	had := boxes[1].count("a", 0)
 	i := 0
-	Until(t, r, "a hears b", func() bool {
+	until(t, r, "a hears b", func() bool {
 		i++
 		ts[0].Send("b", []byte("cut"))
 		ts[1].Send("a", []byte(fmt.Sprint("b to a ", i)))
-		return boxes[0].From("b", 0) > 3
+		return boxes[0].count("b", 0) > 3
 	})
-	if n := boxes[1].From("a", 0); n != had {
+	if n := boxes[1].count("a", 0); n != had {
 		t.Errorf("b heard %d messages over a cut link", n-had)
 	}
 	r.Cut("a", "b", false)
-	Until(t, r, "b hears a again", func() bool {
+	until(t, r, "b hears a again", func() bool {
 		ts[0].Send("b", []byte("healed"))
 		return boxes[1].has("a", "healed")
 	})
 }
 
 // Nothing of an earlier life is looked at. One whose disk is older than what its peers remember learns of it.
-func lives(t *testing.T, r Rig) {
+func testIncarnations(t *testing.T, r networkRig) {
+	t.Helper()
 	ts, boxes := fleet(t, r, 3)
 	ts[1].Close()
-	box := &Inbox{}
-	b := r.Start(membership.Options{Name: "b", Incarnation: 9, OnMessage: box.Receive})
-	Until(t, r, "b is heard in its ninth life", func() bool {
+	box := &inbox{}
+	b := r.Start(membership.Options{Name: "b", Incarnation: 9, OnMessage: box.receive})
+	until(t, r, "b is heard in its ninth life", func() bool {
 		b.Send("a", []byte("nine"))
 		b.Send("c", []byte("nine"))
-		return boxes[0].From("b", 9) > 0 && boxes[2].From("b", 9) > 0
+		return boxes[0].count("b", 9) > 0 && boxes[2].count("b", 9) > 0
 	})
 	b.Close()
-	b = r.Start(membership.Options{Name: "b", Incarnation: 4, OnMessage: box.Receive})
-	Until(t, r, "messages of an old life are counted", func() bool {
+	b = r.Start(membership.Options{Name: "b", Incarnation: 4, OnMessage: box.receive})
+	until(t, r, "messages of an old life are counted", func() bool {
 		b.Send("a", []byte("four"))
-		return ts[0].Counts()["b"].Old > 2
+		return ts[0].Counts()["b"].Stale > 2
 	})
-	if n := boxes[0].From("b", 4); n > 0 {
+	if n := boxes[0].count("b", 4); n > 0 {
 		t.Errorf("a looked at %d messages of an old life", n)
 	}
 	b.Close()
 	var mu sync.Mutex
 	var remembered []uint64
-	b = r.Start(membership.Options{Name: "b", Incarnation: 5, OnMessage: box.Receive, BumpIncarnation: func(above uint64) (uint64, error) {
+	b = r.Start(membership.Options{Name: "b", Incarnation: 5, OnMessage: box.receive, BumpIncarnation: func(above uint64) (uint64, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		remembered = append(remembered, above)
 		return above + 1, nil
 	}})
-	Until(t, r, "b is heard again", func() bool {
+	until(t, r, "b is heard again", func() bool {
 		b.Send("a", []byte("ten"))
-		return boxes[0].From("b", 10) > 0
+		return boxes[0].count("b", 10) > 0
 	})
 	mu.Lock()
 	defer mu.Unlock()
@@ -224,20 +227,21 @@
 	}
 }
 
-func goneAndBack(t *testing.T, r Rig) {
+func testDeadAndBack(t *testing.T, r networkRig) {
+	t.Helper()
 	ts, boxes := fleet(t, r, 4)
 	ts[2].Close()
-	Until(t, r, "c is gone for all", func() bool {
-		return stateOf(ts[0], "c") == membership.Gone && stateOf(ts[1], "c") == membership.Gone && stateOf(ts[3], "c") == membership.Gone
+	until(t, r, "c is gone for all", func() bool {
+		return stateOf(ts[0], "c") == membership.Dead && stateOf(ts[1], "c") == membership.Dead && stateOf(ts[3], "c") == membership.Dead
 	})
-	if s := stateOf(ts[0], "b"); s == membership.Gone {
+	if s := stateOf(ts[0], "b"); s == membership.Dead {
 		t.Error("b is gone with c")
 	}
-	box := &Inbox{}
-	c := r.Start(membership.Options{Name: "c", Incarnation: 2, OnMessage: box.Receive})
-	Until(t, r, "c is back for all", func() bool {
+	box := &inbox{}
+	c := r.Start(membership.Options{Name: "c", Incarnation: 2, OnMessage: box.receive})
+	until(t, r, "c is back for all", func() bool {
 		c.Send("a", []byte("back"))
 		ts[0].Send("c", []byte("welcome"))
-		return stateOf(ts[0], "c") == membership.Alive && stateOf(ts[3], "c") == membership.Alive && boxes[0].From("c", 2) > 0 && box.has("a", "welcome")
+		return stateOf(ts[0], "c") == membership.Alive && stateOf(ts[3], "c") == membership.Alive && boxes[0].count("c", 2) > 0 && box.has("a", "welcome")
 	})
 }
--- /dev/null
+++ b/internal/membership/delegate.go
@@ -0,0 +1,58 @@
+package membership
+
+import (
+	"bytes"
+	"encoding/binary"
+	"slices"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// delegate receives memberlist's notifications, from memberlist's goroutines. A member's metadata is its incarnation, 8
+// bytes big-endian.
+type delegate struct{ g *Gossip }
+
+// NodeMeta implements memberlist.Delegate.
+func (d delegate) NodeMeta(int) []byte {
+	return binary.BigEndian.AppendUint64(nil, d.g.Incarnation())
+}
+
+// NotifyMsg implements memberlist.Delegate.
+func (d delegate) NotifyMsg(packet []byte) {
+	if to, reply := d.g.HandlePacket(bytes.Clone(packet)); reply != nil {
+		d.g.enqueue(to, reply)
+	}
+}
+
+// GetBroadcasts implements memberlist.Delegate.
+func (d delegate) GetBroadcasts(int, int) [][]byte { return nil }
+
+// LocalState implements memberlist.Delegate.
+func (d delegate) LocalState(bool) []byte { return nil }
+
+// MergeRemoteState implements memberlist.Delegate.
+func (d delegate) MergeRemoteState([]byte, bool) {}
+
+// NotifyJoin implements memberlist.EventDelegate.
+func (d delegate) NotifyJoin(n *memberlist.Node) { d.setMember(n, Alive) }
+
+// NotifyUpdate implements memberlist.EventDelegate.
+func (d delegate) NotifyUpdate(n *memberlist.Node) { d.setMember(n, Alive) }
+
+// NotifyLeave implements memberlist.EventDelegate.
+func (d delegate) NotifyLeave(n *memberlist.Node) { d.setMember(n, Dead) }
+
+func (d delegate) setMember(n *memberlist.Node, state State) {
+	if n.Name == d.g.Options().Name {
+		return
+	}
+	m := gossipMember{Member{Name: n.Name, State: state}, *n}
+	m.node.Addr, m.node.Meta = slices.Clone(n.Addr), nil
+	if len(n.Meta) == incarnationSize {
+		m.Incarnation = binary.BigEndian.Uint64(n.Meta)
+		d.g.ObserveIncarnation(n.Name, m.Incarnation)
+	}
+	d.g.mu.Lock()
+	defer d.g.mu.Unlock()
+	d.g.members[n.Name] = m
+}
--- a/internal/membership/format_test.go
+++ b/internal/membership/format_test.go
@@ -23,7 +23,6 @@
 	"github.com/hashicorp/memberlist"
 
 	"example.org/milletvane/internal/membership"
-	"example.org/milletvane/internal/membership/membershiptest"
 	"example.org/milletvane/internal/membership/simnet"
 	"example.org/milletvane/internal/wal"
 	"example.org/milletvane/internal/wal/faultfs"
@@ -89,7 +88,7 @@
 			return raise(above)
 		}})
 	for _, p := range packets {
-		to, reply := e.Take(p)
+		to, reply := e.HandlePacket(p)
 		fmt.Fprintf(&b, "reply to %q %x\n", to, reply)
 	}
 	fmt.Fprintf(&b, "own incarnation %d\n", e.Incarnation())
@@ -101,7 +100,7 @@
 	slices.Sort(names)
 	for _, name := range names {
 		c := counts[name]
-		fmt.Fprintf(&b, "peer %q incarnation %d: sent %d dropped %d received %d old %d bad %d\n", name, e.Life(name), c.Sent, c.Dropped, c.Received, c.Old, c.Bad)
+		fmt.Fprintf(&b, "peer %q incarnation %d: sent %d dropped %d received %d old %d bad %d\n", name, e.PeerIncarnation(name), c.Sent, c.Dropped, c.Received, c.Stale, c.Malformed)
 	}
 	return b.String()
 }
@@ -117,11 +116,11 @@
 		body        string
 	}{{"b", 7, "body"}, {"gateway-17.zone", 0x0102030405060708, "\x00\xff"}, {"b", 0, ""}, {strings.Repeat("n", 128), 1<<64 - 1, strings.Repeat("x", 1100)}} {
 		e := membership.NewEndpoint(membership.Options{Name: c.name, Incarnation: c.incarnation})
-		fmt.Fprintf(&written, "message %x\n", e.Wrap([]byte(c.body)))
+		fmt.Fprintf(&written, "message %x\n", e.EncodeMessage([]byte(c.body)))
 	}
 	e := membership.NewEndpoint(membership.Options{Name: "a", Incarnation: 3})
-	e.Seen("b", 0x0a0b0c0d0e0f1011)
-	_, reply := e.Take(rawMessage("b", 5, "of an earlier life"))
+	e.ObserveIncarnation("b", 0x0a0b0c0d0e0f1011)
+	_, reply := e.HandlePacket(rawMessage("b", 5, "of an earlier life"))
 	fmt.Fprintf(&written, "remembered %x\n", reply)
 	compare(t, "packets.written", written.String())
 
@@ -197,7 +196,7 @@
 		fmt.Fprintf(&all, "%x: cuts %s flips %s\n", base, shortDigest(cuts.String()), shortDigest(flips.String()))
 	}
 	o := membership.NewEndpoint(membership.Options{}).Options()
-	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.QueueMost, membership.MaxBodyBytes, o.Pace(1000))
+	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.MaxQueuedMessages, membership.MaxBodyBytes, o.SendDuration(1000))
 	compare(t, "packets.taken", all.String())
 }
 
@@ -379,8 +378,8 @@
 // message as one packet that is no more than its own bytes.
 func TestSocketsCarryPacketsAsTheyAre(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
-	var box membershiptest.Inbox
-	a := r.Start(membership.Options{Name: "a", Incarnation: 0x0102030405060708, OnMessage: box.Receive})
+	var box inbox
+	a := r.Start(membership.Options{Name: "a", Incarnation: 0x0102030405060708, OnMessage: box.receive})
 	host, text, err := net.SplitHostPort(freeAddr(t))
 	if err != nil {
 		t.Fatal(err)
@@ -407,7 +406,7 @@
 		t.Fatal(err)
 	}
 	const want = "010101" + "61" + "0102030405060708" + "68656c6c6f" // head, name, incarnation, body
-	membershiptest.Until(t, r, "the packet and the metadata are there", func() bool {
+	until(t, r, "the packet and the metadata are there", func() bool {
 		a.Send("b", []byte("hello"))
 		meta, got := plain.state("a")
 		return meta == "0102030405060708" && slices.Contains(got, want)
@@ -420,7 +419,7 @@
 			t.Errorf("b has incarnation %d, want 7", m.Incarnation)
 		}
 	}
-	membershiptest.Until(t, r, "a has what b sends", func() bool {
+	until(t, r, "a has what b sends", func() bool {
 		for _, m := range list.Members() {
 			if m.Name == "a" {
 				if err := list.SendBestEffort(m, rawMessage("b", 7, "raw")); err != nil {
@@ -428,7 +427,7 @@
 				}
 			}
 		}
-		return box.From("b", 7) > 0
+		return box.count("b", 7) > 0
 	})
 }
 
@@ -450,7 +449,7 @@
 	names := []string{"a", "b", "c", "d"}
 	nodes := map[string]*simnet.Node{}
 	start := func(name string, incarnation uint64) {
-		o := membership.Options{Name: name, Incarnation: incarnation, BytesPerSecond: []int{0, 2000, 20000}[rnd(3)], QueueMost: []int{0, 2, 8}[rnd(3)],
+		o := membership.Options{Name: name, Incarnation: incarnation, BytesPerSecond: []int{0, 2000, 20000}[rnd(3)], MaxQueuedMessages: []int{0, 2, 8}[rnd(3)],
 			OnMessage: func(m membership.Message) {
 				fmt.Fprintf(&b, "%d %s from %s incarnation %d body %x\n", n.Now, name, m.From, m.Incarnation, m.Payload)
 			}}
@@ -486,7 +485,7 @@
 			switch m.State {
 			case membership.Suspect:
 				state = "suspect"
-			case membership.Gone:
+			case membership.Dead:
 				state = "gone"
 			}
 			fmt.Fprintf(&b, "%d %s knows %s incarnation %d %s\n", n.Now, from, m.Name, m.Incarnation, state)
@@ -497,7 +496,7 @@
 		counts := nodes[name].Counts()
 		for _, of := range append(names, "", "nobody") {
 			c := counts[of]
-			fmt.Fprintf(&b, "%s of %q: sent %d dropped %d received %d old %d bad %d\n", name, of, c.Sent, c.Dropped, c.Received, c.Old, c.Bad)
+			fmt.Fprintf(&b, "%s of %q: sent %d dropped %d received %d old %d bad %d\n", name, of, c.Sent, c.Dropped, c.Received, c.Stale, c.Malformed)
 		}
 	}
 	return b.String()
--- a/internal/membership/peer_test.go
+++ b/internal/membership/gossip_test.go
@@ -14,7 +14,6 @@
 	"github.com/hashicorp/memberlist"
 
 	"example.org/milletvane/internal/membership"
-	"example.org/milletvane/internal/membership/membershiptest"
 	"example.org/milletvane/internal/membership/simnet"
 	"example.org/milletvane/internal/standin"
 	"example.org/milletvane/internal/wal/faultfs"
@@ -44,7 +43,7 @@
 
 // cutWire is a wire of one instance that takes nothing on links that are cut.
 type cutWire struct {
-	membership.Wire
+	membership.NetworkTransport
 	from  string
 	links *links
 }
@@ -55,14 +54,14 @@
 	if w.links.isCut(w.from, a.Addr) {
 		return time.Now(), nil
 	}
-	return w.Wire.WriteToAddress(b, a)
+	return w.NetworkTransport.WriteToAddress(b, a)
 }
 
 func (w cutWire) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
 	if w.links.isCut(w.from, a.Addr) {
 		return nil, errCut
 	}
-	return w.Wire.DialAddressTimeout(a, d)
+	return w.NetworkTransport.DialAddressTimeout(a, d)
 }
 
 // socketRig runs instances on loopback, each at an address of its own that its lives share.
@@ -96,10 +95,10 @@
 		join = append(join, a)
 	}
 	r.links.mu.Unlock()
-	opts := membership.GossipOptions{Options: o, Bind: addr, Join: join, Key: key, Probe: 100 * time.Millisecond,
+	opts := membership.GossipOptions{Options: o, Bind: addr, Join: join, Key: key, ProbeInterval: 100 * time.Millisecond,
 		Logger: slog.New(slog.DiscardHandler)}
 	if r.cuts {
-		opts.Wrap = func(w membership.Wire) membership.Wire { return cutWire{w, o.Name, r.links} }
+		opts.WrapTransport = func(w membership.NetworkTransport) membership.NetworkTransport { return cutWire{w, o.Name, r.links} }
 	}
 	g, err := membership.Listen(opts)
 	if err != nil {
@@ -118,20 +117,20 @@
 func (r socketRig) Advance(d time.Duration) { time.Sleep(d) }
 
 func TestContract(t *testing.T) {
-	for name, rig := range map[string]func(t *testing.T) membershiptest.Rig{
-		"in order": func(*testing.T) membershiptest.Rig {
+	for name, rig := range map[string]func(t *testing.T) networkRig{
+		"in order": func(*testing.T) networkRig {
 			return simRig{simnet.New(1, simnet.Faults{MinDelay: time.Millisecond})}
 		},
-		"disordered": func(*testing.T) membershiptest.Rig {
+		"disordered": func(*testing.T) networkRig {
 			return simRig{simnet.New(2, simnet.Faults{MaxDelay: 300 * time.Millisecond, LossRate: 0.2, DuplicateRate: 0.2})}
 		},
-		"sockets": func(t *testing.T) membershiptest.Rig {
+		"sockets": func(t *testing.T) networkRig {
 			return socketRig{t, &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}, true}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			membershiptest.Run(t, rig)
+			testTransport(t, rig)
 		})
 	}
 }
@@ -139,31 +138,31 @@
 // An instance with another key, or none, is not heard and hears nothing.
 func TestWhoHasNoKeyIsNotHeard(t *testing.T) {
 	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
-	var a, b membershiptest.Inbox
-	ta := r.Start(membership.Options{Name: "a", Incarnation: 1, OnMessage: a.Receive})
-	tb := r.Start(membership.Options{Name: "b", Incarnation: 1, OnMessage: b.Receive})
-	var heard membershiptest.Inbox
+	var a, b inbox
+	ta := r.Start(membership.Options{Name: "a", Incarnation: 1, OnMessage: a.receive})
+	tb := r.Start(membership.Options{Name: "b", Incarnation: 1, OnMessage: b.receive})
+	var heard inbox
 	for _, k := range [][]byte{nil, []byte("fedcba9876543210")} {
-		g, err := membership.Listen(membership.GossipOptions{Options: membership.Options{Name: "mallory", Incarnation: 1, OnMessage: heard.Receive},
-			Bind: freeAddr(t), Join: []string{r.links.addrs["a"]}, Key: k, Probe: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
+		g, err := membership.Listen(membership.GossipOptions{Options: membership.Options{Name: "mallory", Incarnation: 1, OnMessage: heard.receive},
+			Bind: freeAddr(t), Join: []string{r.links.addrs["a"]}, Key: k, ProbeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer g.Close()
 	}
 	n := 0
-	membershiptest.Until(t, r, "a and b talk", func() bool {
+	until(t, r, "a and b talk", func() bool {
 		ta.Send("b", []byte("x"))
 		tb.Send("a", []byte("x"))
 		n++
-		return n > 50 && a.From("b", 0) > 20 && b.From("a", 0) > 20
+		return n > 50 && a.count("b", 0) > 20 && b.count("a", 0) > 20
 	})
 	for _, m := range ta.Members() {
 		if m.Name == "mallory" {
 			t.Error("one without the key is a member")
 		}
 	}
-	if heard.From("a", 0)+heard.From("b", 0) > 0 {
+	if heard.count("a", 0)+heard.count("b", 0) > 0 {
 		t.Error("one without the key hears")
 	}
 }
@@ -183,7 +182,7 @@
 // Packets that are none are counted and do no harm.
 func FuzzPackets(f *testing.F) {
 	e := membership.NewEndpoint(membership.Options{Name: "b", Incarnation: 7})
-	f.Add(e.Wrap([]byte("body")))
+	f.Add(e.EncodeMessage([]byte("body")))
 	f.Add([]byte{1, 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got := 0
@@ -193,8 +192,8 @@
 				t.Errorf("took %+v", m)
 			}
 		}})
-		a.Take(b)
-		if c := a.Counts(); got == 0 && c[""].Bad != 1 && len(b) > 1 && b[1] == 1 {
+		a.HandlePacket(b)
+		if c := a.Counts(); got == 0 && c[""].Malformed != 1 && len(b) > 1 && b[1] == 1 {
 			t.Errorf("%x was neither taken nor counted", b)
 		}
 	})
@@ -248,13 +247,13 @@
 
 // countWire counts what an instance sends.
 type countWire struct {
-	membership.Wire
+	membership.NetworkTransport
 	bytes *atomic.Int64
 }
 
 func (w countWire) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	w.bytes.Add(int64(len(b)))
-	return w.Wire.WriteToAddress(b, a)
+	return w.NetworkTransport.WriteToAddress(b, a)
 }
 
 // BenchmarkTraffic tells the bytes a second that one of twenty instances sends: with nothing to say, and with a message of
@@ -267,7 +266,7 @@
 			var join []string
 			for i := range 20 {
 				g, err := membership.Listen(membership.GossipOptions{Options: membership.Options{Name: fmt.Sprint("n", i), Incarnation: 1}, Bind: "127.0.0.1:0",
-					Join: join, Key: key, Logger: slog.New(slog.DiscardHandler), Wrap: func(w membership.Wire) membership.Wire { return countWire{w, &bytes} }})
+					Join: join, Key: key, Logger: slog.New(slog.DiscardHandler), WrapTransport: func(w membership.NetworkTransport) membership.NetworkTransport { return countWire{w, &bytes} }})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -1,30 +1,59 @@
 package membership
 
-import "encoding/binary"
+import (
+	"bytes"
+	"encoding/binary"
+)
+
+// A packet is, in this order, with numbers big-endian:
+//
+//	version 1 | kind 1 | length of the sender's name 1 | name | incarnation 8 | payload, to the packet's end
+const (
+	packetVersion    = 1
+	packetHeaderSize = 3 // up to the name
+	incarnationSize  = 8
+	maxNameBytes     = 128
+)
+
+// packetKind says what a packet is for.
+type packetKind byte
 
-// A packet is a version, a kind, the sender's name with its length, an incarnation of 8 bytes, and a body to its end.
 const (
-	packetVersion  = 1
-	kindMessage    = 1
-	kindRemembered = 2 // the incarnation is the receiver's, as the sender remembers it
-	nameMost       = 128
+	kindMessage          packetKind = 1
+	kindKnownIncarnation packetKind = 2 // the incarnation is the receiver's, as the sender knows it
 )
 
-func encode(kind byte, name string, incarnation uint64, body []byte) []byte {
-	b := make([]byte, 0, 3+len(name)+8+len(body))
-	b = append(b, packetVersion, kind, byte(len(name)))
-	b = append(b, name...)
-	b = binary.BigEndian.AppendUint64(b, incarnation)
-	return append(b, body...)
+type packet struct {
+	kind        packetKind
+	from        string
+	incarnation uint64
+	payload     []byte
+}
+
+func (p packet) encode() []byte {
+	b := make([]byte, 0, packetHeaderSize+len(p.from)+incarnationSize+len(p.payload))
+	b = append(b, packetVersion, byte(p.kind), byte(len(p.from)))
+	b = append(b, p.from...)
+	b = binary.BigEndian.AppendUint64(b, p.incarnation)
+	return append(b, p.payload...)
 }
 
-func decode(b []byte) (kind byte, name string, incarnation uint64, body []byte, ok bool) {
-	if len(b) < 3 || b[0] != packetVersion || b[1] != kindMessage && b[1] != kindRemembered {
-		return
+// decodePacket decodes what a peer sent, which may be anything. The packet shares no memory with b.
+func decodePacket(b []byte) (p packet, ok bool) {
+	if len(b) < packetHeaderSize || b[0] != packetVersion {
+		return p, false
+	}
+	p.kind = packetKind(b[1])
+	if p.kind != kindMessage && p.kind != kindKnownIncarnation {
+		return p, false
 	}
-	n := int(b[2])
-	if n == 0 || n > nameMost || len(b) < 3+n+8 || len(b) > 3+n+8+MaxBodyBytes {
-		return
+	nameSize := int(b[2])
+	payloadStart := packetHeaderSize + nameSize + incarnationSize
+	if nameSize == 0 || nameSize > maxNameBytes || len(b) < payloadStart || len(b) > payloadStart+MaxBodyBytes {
+		return p, false
 	}
-	return b[1], string(b[3 : 3+n]), binary.BigEndian.Uint64(b[3+n:]), append([]byte(nil), b[3+n+8:]...), true
+	p.from = string(b[packetHeaderSize : packetHeaderSize+nameSize])
+	p.incarnation = binary.BigEndian.Uint64(b[packetHeaderSize+nameSize:])
+	p.payload = bytes.Clone(b[payloadStart:])
+	return p, true
 }
--- a/internal/membership/process_test.go
+++ b/internal/membership/process_test.go
@@ -65,8 +65,8 @@
 	for _, a := range c.Addrs {
 		join = append(join, a)
 	}
-	g, err := membership.Listen(membership.GossipOptions{Bind: c.Addrs[c.Name], Join: join, Key: key, Probe: 100 * time.Millisecond,
-		Logger: slog.New(slog.DiscardHandler), Wrap: func(w membership.Wire) membership.Wire { return cutWire{w, c.Name, l} },
+	g, err := membership.Listen(membership.GossipOptions{Bind: c.Addrs[c.Name], Join: join, Key: key, ProbeInterval: 100 * time.Millisecond,
+		Logger: slog.New(slog.DiscardHandler), WrapTransport: func(w membership.NetworkTransport) membership.NetworkTransport { return cutWire{w, c.Name, l} },
 		Options: membership.Options{Name: c.Name, Incarnation: life, OnMessage: func(m membership.Message) {
 			mu.Lock()
 			defer mu.Unlock()
