--- a/internal/membership/contract_test.go
+++ b/internal/membership/contract_test.go
@@ -12,28 +12,28 @@
 
 // networkRig is a network of instances.
 type networkRig interface {
-	// Start starts an instance, or its next life under the same name.
+	// Start starts an instance, or a later incarnation of one.
 	Start(o membership.Options) membership.Transport
-	// Cut stops what goes from one instance to another, or has it go again.
+	// Cut cuts the link from one instance to another, or restores it.
 	Cut(from, to string, cut bool)
-	// Advance lets time go by.
+	// Advance waits, in the network's time.
 	Advance(d time.Duration)
 }
 
-// inbox keeps what an instance receives.
+// inbox collects what an instance receives.
 type inbox struct {
 	mu  sync.Mutex
 	all []membership.Message
 }
 
-// receive is for membership.Options.
+// receive is an Options.OnMessage.
 func (i *inbox) receive(m membership.Message) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.all = append(i.all, m)
 }
 
-// count counts what came from a peer in a life; 0 stands for any.
+// count is the number of messages from an incarnation of a peer; 0 stands for any.
 func (i *inbox) count(name string, incarnation uint64) (n int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -58,7 +58,7 @@
 
 const patience = 20 * time.Second
 
-// until lets time go by until something holds.
+// until waits until a condition holds.
 func until(t *testing.T, r networkRig, what string, holds func() bool) {
 	t.Helper()
 	const step = 20 * time.Millisecond
@@ -81,7 +81,7 @@
 	t.Run("dead and back", func(t *testing.T) { testDeadAndBack(t, rig(t)) })
 }
 
-// fleet starts instances a, b, c and on, in their first lives, and waits until all know all.
+// fleet starts instances a, b, c and so on, in their first incarnation, and waits until all know all.
 func fleet(t *testing.T, r networkRig, n int) (ts []membership.Transport, boxes []*inbox) {
 	t.Helper()
 	for i := range n {
@@ -100,6 +100,13 @@
 	return ts, boxes
 }
 
+func mustClose(t *testing.T, tr membership.Transport) {
+	t.Helper()
+	if err := tr.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func name(i int) string { return string(rune('a' + i)) }
 
 func stateOf(tr membership.Transport, name string) membership.State {
@@ -129,13 +136,13 @@
 	for i := range ts {
 		for j := range ts {
 			if i != j && boxes[j].count(name(i), 0) != boxes[j].count(name(i), 1) {
-				t.Errorf("%s has messages of %s in another life than its first", name(j), name(i))
+				t.Errorf("%s has messages of %s in another incarnation than its first", name(j), name(i))
 			}
 		}
 	}
 }
 
-// What is over a link's bounds is dropped and counted, at once, and another link goes on.
+// Messages over a link's bounds are dropped and counted at once, and another link is not affected.
 func testBounds(t *testing.T, r networkRig) {
 	t.Helper()
 	ts, boxes := fleet(t, r, 3)
@@ -145,7 +152,7 @@
 		ts[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
 	}
 	ts[0].Send("b", make([]byte, membership.MaxBodyBytes+1))
-	until(t, r, "c hears in spite of b's queue", func() bool {
+	until(t, r, "c receives in spite of b's queue", func() bool {
 		ts[0].Send("c", []byte("on"))
 		return boxes[2].has("a", "on")
 	})
@@ -162,7 +169,7 @@
 	}
 }
 
-// A link that is cut one way takes nothing that way, and all the other; it heals.
+// A link that is cut in one direction carries nothing that way, everything the other way, and recovers.
 func testOneWayCut(t *testing.T, r networkRig) {
 	t.Helper()
 	ts, boxes := fleet(t, r, 3)
@@ -170,67 +177,67 @@
 	r.Advance(100 * time.Millisecond)
 	had := boxes[1].count("a", 0)
 	i := 0
-	until(t, r, "a hears b", func() bool {
+	until(t, r, "a receives from b", func() bool {
 		i++
 		ts[0].Send("b", []byte("cut"))
 		ts[1].Send("a", []byte(fmt.Sprint("b to a ", i)))
 		return boxes[0].count("b", 0) > 3
 	})
 	if n := boxes[1].count("a", 0); n != had {
-		t.Errorf("b heard %d messages over a cut link", n-had)
+		t.Errorf("b received %d messages over a cut link", n-had)
 	}
 	r.Cut("a", "b", false)
-	until(t, r, "b hears a again", func() bool {
+	until(t, r, "b receives from a again", func() bool {
 		ts[0].Send("b", []byte("healed"))
 		return boxes[1].has("a", "healed")
 	})
 }
 
-// Nothing of an earlier life is looked at. One whose disk is older than what its peers remember learns of it.
+// Messages of an earlier incarnation are ignored. An instance whose disk is older than what its peers know is told.
 func testIncarnations(t *testing.T, r networkRig) {
 	t.Helper()
 	ts, boxes := fleet(t, r, 3)
-	ts[1].Close()
+	mustClose(t, ts[1])
 	box := &inbox{}
 	b := r.Start(membership.Options{Name: "b", Incarnation: 9, OnMessage: box.receive})
-	until(t, r, "b is heard in its ninth life", func() bool {
+	until(t, r, "b's ninth incarnation is received", func() bool {
 		b.Send("a", []byte("nine"))
 		b.Send("c", []byte("nine"))
 		return boxes[0].count("b", 9) > 0 && boxes[2].count("b", 9) > 0
 	})
-	b.Close()
+	mustClose(t, b)
 	b = r.Start(membership.Options{Name: "b", Incarnation: 4, OnMessage: box.receive})
-	until(t, r, "messages of an old life are counted", func() bool {
+	until(t, r, "stale messages are counted", func() bool {
 		b.Send("a", []byte("four"))
 		return ts[0].Counts()["b"].Stale > 2
 	})
 	if n := boxes[0].count("b", 4); n > 0 {
-		t.Errorf("a looked at %d messages of an old life", n)
+		t.Errorf("a received %d stale messages", n)
 	}
-	b.Close()
+	mustClose(t, b)
 	var mu sync.Mutex
-	var remembered []uint64
+	var known []uint64
 	b = r.Start(membership.Options{Name: "b", Incarnation: 5, OnMessage: box.receive, BumpIncarnation: func(above uint64) (uint64, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		remembered = append(remembered, above)
+		known = append(known, above)
 		return above + 1, nil
 	}})
-	until(t, r, "b is heard again", func() bool {
+	until(t, r, "b is received again", func() bool {
 		b.Send("a", []byte("ten"))
 		return boxes[0].count("b", 10) > 0
 	})
 	mu.Lock()
 	defer mu.Unlock()
-	if len(remembered) == 0 || remembered[0] != 9 {
-		t.Errorf("b was told of lives %d", remembered)
+	if len(known) == 0 || known[0] != 9 {
+		t.Errorf("b was told of incarnations %d", known)
 	}
 }
 
 func testDeadAndBack(t *testing.T, r networkRig) {
 	t.Helper()
 	ts, boxes := fleet(t, r, 4)
-	ts[2].Close()
+	mustClose(t, ts[2])
 	until(t, r, "c is gone for all", func() bool {
 		return stateOf(ts[0], "c") == membership.Dead && stateOf(ts[1], "c") == membership.Dead && stateOf(ts[3], "c") == membership.Dead
 	})
--- /dev/null
+++ b/internal/membership/incarnation_test.go
@@ -0,0 +1,224 @@
+package membership_test
+
+import (
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"example.org/milletvane/internal/membership"
+	"example.org/milletvane/internal/wal"
+	"example.org/milletvane/internal/wal/faultfs"
+)
+
+// incarnationContent is the content of the incarnation file, in hex.
+func incarnationContent(d wal.FS) string {
+	b, err := d.ReadFile("d/incarnation")
+	if err != nil {
+		return "none"
+	}
+	return hex.EncodeToString(b)
+}
+
+// incarnationDisk returns a disk with an incarnation file.
+func incarnationDisk(t *testing.T, file []byte) *faultfs.FS {
+	t.Helper()
+	d := faultfs.New(1)
+	if file == nil {
+		return d
+	}
+	w, err := d.Create("d/incarnation")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := w.Write(file); err != nil {
+		t.Fatal(err)
+	}
+	return d
+}
+
+// nextIncarnation says what the next number on a disk is, and what the file has then.
+func nextIncarnation(d wal.FS, above uint64, now time.Duration) string {
+	i, err := membership.OpenIncarnations(d, "d")
+	if err != nil {
+		return incarnationOutcome(err)
+	}
+	n, err := i.Next(above, now)
+	if err != nil {
+		return incarnationOutcome(err) + " file " + incarnationContent(d)
+	}
+	return fmt.Sprintf("%d file %s", n, incarnationContent(d))
+}
+
+// changedIncarnations says what follows an incarnation file, cut and flipped at each byte, and with calls that fail.
+func changedIncarnations(t *testing.T, file []byte) string {
+	t.Helper()
+	var all strings.Builder
+	fmt.Fprintf(&all, "after it: %s\n", nextIncarnation(incarnationDisk(t, file), 0, 0))
+	fmt.Fprintf(&all, "after it, above a higher one: %s\n", nextIncarnation(incarnationDisk(t, file), 1<<50, 0))
+	fmt.Fprintf(&all, "after it, later: %s\n", nextIncarnation(incarnationDisk(t, file), 0, 1_800_000_000*time.Second))
+	for at := range len(file) {
+		damaged := slices.Clone(file)
+		damaged[at] ^= 0x10
+		fmt.Fprintf(&all, "cut to %d: %s\n", at, nextIncarnation(incarnationDisk(t, file[:at]), 3, 0))
+		fmt.Fprintf(&all, "flipped at %d: %s\n", at, nextIncarnation(incarnationDisk(t, damaged), 3, 0))
+	}
+	fmt.Fprintf(&all, "too long: %s\n", nextIncarnation(incarnationDisk(t, append(slices.Clone(file), 0)), 3, 0))
+	for _, err := range []error{syscall.EIO, syscall.ENOSPC} {
+		for call := range 7 {
+			disk := incarnationDisk(t, file)
+			failed := nextIncarnation(&failingFS{FS: disk, at: call, err: err}, 0, 0)
+			fmt.Fprintf(&all, "%v at call %d: %s, then %s\n", errors.Is(err, syscall.ENOSPC), call, failed, nextIncarnation(disk, 0, 0))
+		}
+	}
+	return all.String()
+}
+
+// The incarnation file has the bytes that stand in testdata; whatever stands in it, the next number is as ever.
+func TestTheIncarnationFileKeepsItsFormat(t *testing.T) {
+	var all strings.Builder
+	for _, c := range []struct {
+		above uint64
+		now   time.Duration
+	}{{0, 0}, {0, -time.Second}, {41, 0}, {0, 1999999 * time.Nanosecond}, {0, 1_700_000_000_123 * time.Millisecond}, {1<<63 + 5, time.Hour}} {
+		fmt.Fprintf(&all, "empty disk above %d now %d: %s\n", c.above, c.now, nextIncarnation(faultfs.New(1), c.above, c.now))
+	}
+	file := unhex(t, "0000018bcfe5687b 83bc284f")
+	d := faultfs.New(1)
+	nextIncarnation(d, 0, 1_700_000_000_123*time.Millisecond)
+	written, err := d.ReadFile("d/incarnation")
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&all, "written %x\n", written)
+	if !bytes.Equal(written, file) {
+		t.Errorf("written %x, want %x", written, file)
+	}
+	all.WriteString(changedIncarnations(t, file))
+	compare(t, "incarnation", all.String())
+}
+
+// incarnationOutcome names an error without its text.
+func incarnationOutcome(err error) string {
+	var failed *membership.IncarnationError
+	if !errors.As(err, &failed) {
+		return "other error"
+	}
+	return fmt.Sprintf("no incarnation in %s, again %t", failed.File, failed.Retryable())
+}
+
+// failingFS fails one of the calls that write an incarnation, by its number.
+type failingFS struct {
+	wal.FS
+	at, call int
+	err      error
+}
+
+func (f *failingFS) fails() error {
+	f.call++
+	if f.call-1 == f.at {
+		return f.err
+	}
+	return nil
+}
+
+func (f *failingFS) MkdirAll(dir string) error { return errors.Join(f.fails(), f.FS.MkdirAll(dir)) }
+
+func (f *failingFS) ReadFile(name string) ([]byte, error) {
+	if err := f.fails(); err != nil {
+		return nil, err
+	}
+	return f.FS.ReadFile(name)
+}
+
+func (f *failingFS) Create(name string) (wal.File, error) {
+	if err := f.fails(); err != nil {
+		return nil, err
+	}
+	w, err := f.FS.Create(name)
+	return &failingFile{w, f}, err
+}
+
+func (f *failingFS) Rename(from, to string) error {
+	if err := f.fails(); err != nil {
+		return err
+	}
+	return f.FS.Rename(from, to)
+}
+
+func (f *failingFS) SyncDir(dir string) error {
+	if err := f.fails(); err != nil {
+		return err
+	}
+	return f.FS.SyncDir(dir)
+}
+
+type failingFile struct {
+	wal.File
+	fs *failingFS
+}
+
+func (f *failingFile) Write(b []byte) (int, error) {
+	if err := f.fs.fails(); err != nil {
+		return 0, err
+	}
+	return f.File.Write(b)
+}
+
+func (f *failingFile) Sync() error {
+	if err := f.fs.fails(); err != nil {
+		return err
+	}
+	return f.File.Sync()
+}
+
+// An incarnation is above all before it, whatever happens to the disk and the clock.
+func TestIncarnationsNeverRecur(t *testing.T) {
+	const year = 365 * 24 * time.Hour
+	d := faultfs.New(1)
+	last := uint64(0)
+	next := func(now time.Duration) uint64 {
+		t.Helper()
+		i, err := membership.OpenIncarnations(d, "d")
+		if err != nil {
+			t.Fatal(err)
+		}
+		n, err := i.Next(0, now)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return n
+	}
+	for k := range 40 {
+		now := 50*year + time.Duration(k)*time.Hour
+		if k%3 == 2 {
+			now -= year // the clock jumped back
+		}
+		n := next(now)
+		if n <= last {
+			t.Fatalf("%d follows %d", n, last)
+		}
+		last = n
+		d.Crash()
+	}
+	d = faultfs.New(2) // another disk under the same name
+	if n := next(51 * year); n <= last {
+		t.Errorf("an empty disk begins with %d, after %d", n, last)
+	}
+	d.SetFreeBytes(0)
+	i, _ := membership.OpenIncarnations(d, "d")
+	var none *membership.IncarnationError
+	if _, err := i.Next(0, 52*year); !errors.As(err, &none) || !none.Retryable() {
+		t.Errorf("on a full disk: %v", err)
+	}
+	d.SetFreeBytes(-1)
+	d.FlipBit("incarnation", 3)
+	if n := next(53 * year); n <= last {
+		t.Errorf("a damaged file: %d after %d", n, last)
+	}
+}
