--- /dev/null
+++ b/balancer/outlier_test.go
@@ -0,0 +1,87 @@
+package balancer
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+func TestFailingServerIsEjectedAndReturnsOnProbation(t *testing.T) {
+	h := newHarness(t, testSettings(), 6)
+	_, server := h.establish(idempotentClass, "g")
+	h.request(idempotentClass, "g")
+	h.endAttempt(h.onlySend(), 0, ConnectFailed)
+	if len(actionsOf[Log](h.lastActions)) != 1 {
+		t.Errorf("no log line: %+v", h.lastActions)
+	}
+	for range 5 {
+		if _, got := h.establish(idempotentClass, "g"); got == server {
+			t.Fatal("sent to an ejected server")
+		}
+	}
+	logs := actionsOf[Log](h.advance(baseEjectionDuration + sec))
+	if len(logs) != 1 || !strings.Contains(logs[0].Message, "ended") {
+		t.Errorf("log lines at the end of the ejection: %+v", logs)
+	}
+	first := h.sendOnTrial("g", server)
+	h.handle(AttemptEnded{ID: first.ID, Server: server, Result: TimedOut, Elapsed: 300 * ms})
+	if h.balancer.servers[server].ejectedUntil == 0 {
+		t.Error("not ejected again after a failure on probation")
+	}
+}
+
+func TestFleetWideFailuresEjectNoMoreThanMaxRatio(t *testing.T) {
+	h := newHarness(t, testSettings(), 8)
+	for i := range 200 {
+		h.request(idempotentClass, fmt.Sprint("g", i))
+		if len(h.sends()) == 1 {
+			h.endAttempt(h.onlySend(), 0, TimedOut)
+		}
+	}
+	ejected := 0
+	for _, s := range h.balancer.sortedServers {
+		if s.ejectedUntil > 0 {
+			ejected++
+		}
+	}
+	if ejected > 4 {
+		t.Errorf("%d of 8 servers ejected", ejected)
+	}
+}
+
+func TestServerRestartClearsFailureScore(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
+	s := h.balancer.sortedServers[0]
+	h.balancer.scoreResult(s, ConnectFailed, false, 0)
+	if s.ejectedUntil == 0 {
+		t.Fatal("not ejected")
+	}
+	h.listDelta(Server{ID: s.ID, Started: h.now})
+	if s.ejectedUntil != 0 || s.failureScore.sum != 0 {
+		t.Errorf("after a restart: ejected until %v, failure score %v", s.ejectedUntil, s.failureScore.sum)
+	}
+}
+
+// A reinstated server is sent one request on trial, whatever its warm-up budget allows.
+func TestReinstatedServerIsTriedOnce(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	reinstated := h.balancer.sortedServers[2].ID
+	h.handle(ServerReinstated{Server: reinstated})
+	h.listDelta(Server{ID: reinstated, Capacity: 1, Started: h.now})
+	h.advance(reinstatementSpread)
+	sent := 0
+	for i := range 20 {
+		h.handle(Request{
+			ID: RequestID(500 + i), Class: idempotentClass, Key: strconv.Itoa(i), Timeout: 2 * sec,
+		})
+		for _, server := range h.sentTo() {
+			if server == reinstated {
+				sent++
+			}
+		}
+	}
+	if sent != 1 {
+		t.Errorf("%d requests sent at once to a reinstated server that is warming up", sent)
+	}
+}
--- a/gateway/recover.go
+++ b/gateway/recover.go
@@ -15,9 +15,9 @@
 
 func (g *Gateway) clusterOptions() cluster.Options {
 	m := g.member
-	_, ranks := m.Ranks()
-	return cluster.Options{Priorities: ranks, MinAdmittedRatio: m.Floor, Name: g.config.Name, Listen: m.Listen, Peers: m.Members, Key: m.Key, Dir: m.Dir, PeerTimeout: m.Wait,
-		WarmupDuration: g.config.Rules.WarmupDuration, Clock: g.clock, Logger: g.logger}
+	_, ranks := m.Priorities()
+	return cluster.Options{Priorities: ranks, MinAdmittedRatio: m.MinAdmittedRatio, Name: g.config.Name, Listen: m.Listen, Peers: m.Members, Key: m.Key, Dir: m.Dir, PeerTimeout: m.PeerTimeout,
+		WarmupDuration: g.config.Balancer.WarmupDuration, Clock: g.clock, Logger: g.logger}
 }
 
 // shedWith tells the fleet what this gateway is asked for and refuses, and the engine what the fleet sheds.
@@ -31,8 +31,8 @@
 			return
 		case <-tick.C:
 		}
-		var own loadshed.LocalCounts
-		own.Requests, own.Rejected, own.Shed = g.tiers.TakeCounts()
+		counts := g.tiers.TakeCounts()
+		own := loadshed.LocalCounts{Requests: counts.Offered, Rejected: counts.Rejected, Shed: counts.Shed}
 		level := c.UpdateLoad(own)
 		if level != last {
 			g.engine.Post(engine.FleetShedLevel{Level: level})
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/internal/discovery"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/hotrestart"
-	"example.org/milletvane/internal/line/front"
+	"example.org/milletvane/internal/line/frontend"
 )
 
 const (
@@ -22,27 +22,27 @@
 // takeUp reads what the process before has left, if the clients' socket is passed on. Its list goes over an older one of
 // the configuration's.
 func (g *Gateway) takeUp() {
-	if g.config.Passed == 0 {
+	if g.config.InheritedSocket == 0 {
 		g.desk = hotrestart.NewStateDir("", hotrestart.Process{}, g.logger)
 		return
 	}
 	now := time.Now()
-	g.desk = hotrestart.NewStateDir(g.config.State, hotrestart.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
+	g.desk = hotrestart.NewStateDir(g.config.StateDir, hotrestart.Process{StartedAt: now.UnixNano(), PID: os.Getpid()}, g.logger)
 	r, ok := g.desk.ReadPredecessor(now)
 	if !ok {
 		return
 	}
 	g.before = &r
 	g.bans.AddKnown(r.KnownServers)
-	if known := g.config.Known; len(r.State.Servers) > 0 && (known == nil || r.State.Version > known.Version) {
-		g.config.Known = discovery.NewEndpointList(r.State.Version, r.State.Servers)
+	if known := g.config.CachedList; len(r.State.Servers) > 0 && (known == nil || r.State.Version > known.Version) {
+		g.config.CachedList = discovery.NewEndpointList(r.State.Version, r.State.Servers)
 	}
 	g.logger.Info("follows", "pid", r.Process.PID, "written", r.WrittenAt, "list", r.State.Version, "open", len(r.State.Flows))
 }
 
 // handOver keeps up with the process before, and writes down what the one that follows must know, until watching is done.
 // Once ctx is done and another process serves, what waits in the shared queue is left to that one.
-func (g *Gateway) handOver(ctx, watching context.Context, f *front.Front) {
+func (g *Gateway) handOver(ctx, watching context.Context, f *frontend.Front) {
 	defer g.desk.Remove()
 	t := time.NewTicker(deskEvery)
 	defer t.Stop()
--- a/internal/maintenance/format_test.go
+++ b/internal/maintenance/format_test.go
@@ -8,7 +8,6 @@
 	"errors"
 	"flag"
 	"fmt"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
@@ -55,8 +54,8 @@
 	return "out-" + hex.EncodeToString(sum[:])
 }
 
-// appendFolder prints the files of a folder.
-func appendFolder(t *testing.T, b *bytes.Buffer, dir string) {
+// appendDirectory prints the files of a directory.
+func appendDirectory(t *testing.T, b *bytes.Buffer, dir string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -79,9 +78,12 @@
 	}
 }
 
-var formatIDs = []string{"s-1", "../../s-2", "a/b%2F", "ümlaut\n\x00\xff", ".", "", strings.Repeat("x", idLimit), strings.Repeat("x", idLimit+1)}
+var formatIDs = []string{
+	"s-1", "../../s-2", "a/b%2F", "ümlaut\n\x00\xff", ".", "", strings.Repeat("x", idLimit),
+	strings.Repeat("x", idLimit+1),
+}
 
-// The folder after each call holds, byte for byte, the files that earlier builds wrote.
+// The directory after each call holds, byte for byte, the files that earlier builds wrote.
 func TestFormatWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "state")
 	p := newProcess(dir)
@@ -89,11 +91,11 @@
 	var b bytes.Buffer
 	for _, out := range []bool{true, true, false, false} {
 		for _, id := range formatIDs {
-			err := p.Set(context.Background(), id, out)
+			err := p.Set(t.Context(), id, out)
 			fmt.Fprintf(&b, "set %s out=%t: unknown %t, other fault %t\n", short(id), out, errors.Is(err, ErrUnknownServer),
 				err != nil && !errors.Is(err, ErrUnknownServer))
 		}
-		appendFolder(t, &b, dir)
+		appendDirectory(t, &b, dir)
 	}
 	info, err := os.Stat(dir)
 	if err != nil {
@@ -103,7 +105,7 @@
 	checkGolden(t, "written.txt", b.Bytes())
 }
 
-// Files of earlier builds are taken up, and all else that stands in the folder is passed over and stays.
+// Files of earlier builds are taken up, and all else that stands in the directory is passed over and stays.
 func TestFormatRead(t *testing.T) {
 	var b bytes.Buffer
 	for _, c := range []struct{ name, file, text string }{
@@ -131,18 +133,18 @@
 		p := newProcess(dir)
 		p.Sync()
 		fmt.Fprintf(&b, "== %s\n", c.name)
-		for id, out := range p.out { // one at most
+		for id, out := range p.inMaintenance { // one at most
 			fmt.Fprintf(&b, "  taken up: %s out=%t\n", short(id), out)
 		}
 		for _, id := range p.Known() {
 			fmt.Fprintf(&b, "  known: %s\n", short(id))
 		}
-		appendFolder(t, &b, dir)
+		appendDirectory(t, &b, dir)
 	}
 	checkGolden(t, "read.txt", b.Bytes())
 }
 
-// What one process does with the folder, another takes up at its next look, in this order.
+// What one process does with the directory, another takes up at its next sync, in this order.
 func TestFormatSharedByProcesses(t *testing.T) {
 	dir := t.TempDir()
 	ids := []string{"s-1", "s-2", "s-3"}
@@ -154,7 +156,7 @@
 	p := newProcess(dir)
 	state := func() []string {
 		list := []string{}
-		for id, out := range p.out {
+		for id, out := range p.inMaintenance {
 			list = append(list, fmt.Sprintf("%s %t", id, out))
 		}
 		slices.Sort(list)
@@ -177,8 +179,8 @@
 		t.Fatal(err)
 	}
 	p.Sync()
-	check("no folder", "s-1 false", "s-2 false", "s-3 false")
-	p.call(t, "s-1", true)
+	check("no directory", "s-1 false", "s-2 false", "s-3 false")
+	p.set(t, "s-1", true)
 	check("out again", "s-1 true", "s-2 false", "s-3 false")
 	if text, err := os.ReadFile(filepath.Join(dir, fileOf("s-1"))); err != nil || string(text) != "s-1" {
 		t.Errorf("the file holds %q, %v", text, err)
@@ -191,31 +193,31 @@
 	dir := filepath.Join(parent, "state")
 	p := newProcess(dir)
 	p.AddKnown([]string{"s-1"})
-	p.call(t, "s-1", true)
+	p.set(t, "s-1", true)
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ended, end := context.WithCancel(context.Background())
+	ended, end := context.WithCancel(t.Context())
 	end()
-	slow := New("", slog.New(slog.DiscardHandler))
+	slow := New("", discardLogger)
 	slow.OnChange(func(string, bool, func()) {})
 	slow.AddKnown([]string{"s-1"})
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
-		{p.Set(context.Background(), "s-9", true), "no server of this id was ever listed"},
+		{p.Set(t.Context(), "s-9", true), "no server of this id was ever listed"},
 		{slow.Set(ended, "s-1", true), "not in force yet, call again"},
-		{p.Set(context.Background(), "s-1", false), "the ban's file stays: remove DIR/" + fileOf("s-1") + ": not a directory"},
+		{p.Set(t.Context(), "s-1", false), "the ban's file stays: remove DIR/" + fileOf("s-1") + ": not a directory"},
 	} {
 		if c.err == nil || strings.ReplaceAll(c.err.Error(), dir, "DIR") != c.want {
 			t.Errorf("%v, want %s", c.err, c.want)
 		}
 	}
-	if !p.out["s-1"] {
+	if !p.inMaintenance["s-1"] {
 		t.Error("a call that failed changed what is in force")
 	}
 }
