--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -199,7 +199,7 @@
 	if list := f.recovered(f.start("a")); list == nil || list.Version != 9 || len(list.Endpoints) != 5 {
 		t.Errorf("recovered %+v", list)
 	}
-	f.wantLogged("a", "is damaged", "its files are in")
+	f.wantLogged("a", "is corrupt", "its files are in")
 }
 
 // A full disk does not stop an instance, is logged, and is written again when there is room. A failed sync ends the log.
@@ -212,7 +212,7 @@
 	if !c.save() {
 		t.Error("a full disk ended the log")
 	}
-	f.wantLogged("a", "no room for a record", "again=true")
+	f.wantLogged("a", "no space for a record", "retryable=true")
 	f.disks["a"].SetFreeBytes(-1)
 	f.update(c, completeList(10, 5))
 	f.disks["a"].FailNextSyncs(1)
@@ -220,7 +220,7 @@
 	if c.save() {
 		t.Error("a failed sync did not end the log")
 	}
-	f.wantLogged("a", "the disk did not keep")
+	f.wantLogged("a", "a write failed in")
 	_ = c.Close() // the log has failed
 	f.disks["a"].Crash()
 	if list := f.recovered(f.start("a")); list == nil || list.Version < 10 {
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -33,5 +33,5 @@
 		l.Error("fault", "err", err)
 		return
 	}
-	l.Error("fault", "failed", e.Problem(), "again", e.Retryable(), "do", e.Remedy(), "cause", errors.Unwrap(e))
+	l.Error("fault", "problem", e.Problem(), "retryable", e.Retryable(), "remedy", e.Remedy(), "err", errors.Unwrap(e))
 }
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -50,7 +50,7 @@
 				t.Errorf("found %v", got)
 			}
 			line := logged(wrapped)
-			for _, key := range []string{"failed=", "again=", "do="} {
+			for _, key := range []string{"problem=", "retryable=", "remedy=", "err="} {
 				if !strings.Contains(line, key) {
 					t.Errorf("logged without %s: %s", key, line)
 				}
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -12,14 +12,14 @@
 func (e *NoSpaceError) Unwrap() error { return e.Err }
 
 // Problem implements operr.Error.
-func (e *NoSpaceError) Problem() string { return "no room for a record in " + e.Dir }
+func (e *NoSpaceError) Problem() string { return "no space for a record in " + e.Dir }
 
 // Retryable implements operr.Error.
 func (e *NoSpaceError) Retryable() bool { return true }
 
 // Remedy implements operr.Error.
 func (e *NoSpaceError) Remedy() string {
-	return "free room on the disk; nothing that was acknowledged is lost"
+	return "free space on the disk; nothing that was acknowledged is lost"
 }
 
 // WriteFailedError says that a write failed in a way that leaves open what is on the disk. The log refuses all further
@@ -34,7 +34,7 @@
 
 // Problem implements operr.Error.
 func (e *WriteFailedError) Problem() string {
-	return "the disk did not keep what was written to " + e.Dir
+	return "a write failed in " + e.Dir
 }
 
 // Retryable implements operr.Error.
@@ -58,7 +58,7 @@
 }
 
 // Problem implements operr.Error.
-func (e *CorruptionError) Problem() string { return e.File + " is damaged" }
+func (e *CorruptionError) Problem() string { return e.File + " is corrupt" }
 
 // Retryable implements operr.Error.
 func (e *CorruptionError) Retryable() bool { return false }
