--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -235,9 +235,8 @@
 	if err != nil {
 		return 0, ""
 	}
-	defer response.Body.Close()
 	b, err := io.ReadAll(response.Body)
-	if err != nil {
+	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return 0, ""
 	}
 	return response.StatusCode, string(b)
@@ -269,7 +268,7 @@
 // requestName is what a client calls a request.
 func requestName(request int) string { return fmt.Sprint("2", request) }
 
-// open asks a gateway for a server. The answer is empty where there is none.
+// open asks a gateway for a server. The answer is empty where there is none, and the client nil where it can't connect.
 func open(addr string, request int) (c *client, answer string) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -277,12 +276,16 @@
 	}
 	c = &client{conn, bufio.NewReader(conn)}
 	answer = c.ask(fmt.Sprintf("OPEN %s 0a c=c,d=60000\r\n", requestName(request)))
-	if !strings.HasPrefix(answer, "UP ") {
-		conn.Close()
-	}
 	return c, answer
 }
 
+func (c *client) close(t *testing.T) {
+	t.Helper()
+	if err := c.conn.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // ask sends a line and returns the one that answers it.
 func (c *client) ask(line string) string {
 	if err := c.conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -305,11 +308,14 @@
 	until(t, "a client is served", func() bool {
 		request++
 		c, answer := open(addr, request)
+		if c == nil {
+			return false
+		}
+		defer c.close(t)
 		if !strings.HasPrefix(answer, "UP ") {
 			return false
 		}
 		echoes(t, c)
-		c.conn.Close()
 		return true
 	})
 }
@@ -323,6 +329,7 @@
 
 // A member without a list, a disk or discovery serves by the list that its peer, of another build, tells it.
 func testPeers(t *testing.T, holds, asks build) {
+	t.Helper()
 	s := newSite(t)
 	a, b := s.members()
 	s.startMember(holds, a)
@@ -357,6 +364,7 @@
 
 // A gateway alone serves by the list on its disk, which another build wrote, in a later incarnation than that one's.
 func testDisk(t *testing.T, writes, reads build) {
+	t.Helper()
 	s := newSite(t)
 	m, _ := s.members()
 	p := s.startMember(writes, m)
@@ -376,83 +384,119 @@
 	}
 }
 
-// A process follows one of another build on one socket: with its list and the servers that an operator took out, while the
-// old one keeps its connections; no client is refused. Discovery is away all the time that both run.
-func testPassedSocket(t *testing.T, before, after build) {
-	s := newSite(t)
+// sharedSocket is a listening socket that processes inherit one after another.
+type sharedSocket struct {
+	site     *site
+	addr     string
+	file     *os.File
+	config   string
+	requests int
+}
+
+func (s *site) newSharedSocket() *sharedSocket {
+	s.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	defer listener.Close()
-	passed, err := listener.(*net.TCPListener).File()
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
-		t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	defer passed.Close()
+	s.t.Cleanup(func() {
+		if err := errors.Join(file.Close(), listener.Close()); err != nil {
+			s.t.Error(err)
+		}
+	})
 	addr := listener.Addr().String()
-	env := "PROXY_CONFIG=" + s.config("n0", addr)
+	return &sharedSocket{site: s, addr: addr, file: file, config: s.config("n0", addr), requests: 1000} // awaitServed has those before
+}
 
-	requests := 1000 // those before are of awaitServed
-	serve := func(what string) *client {
-		t.Helper()
-		requests++
-		c, answer := open(addr, requests)
-		if !strings.HasPrefix(answer, "UP ") {
-			t.Fatalf("%s: request %d answered %q", what, requests, answer)
-		}
-		echoes(t, c)
-		return c
+func (s *sharedSocket) start(b build) *process {
+	s.site.t.Helper()
+	p := s.site.start(b, s.file, "PROXY_CONFIG="+s.config)
+	p.awaitReady()
+	return p
+}
+
+// open opens a connection, which has to be served at once.
+func (s *sharedSocket) open(when string) *client {
+	s.site.t.Helper()
+	s.requests++
+	c, answer := open(s.addr, s.requests)
+	if !strings.HasPrefix(answer, "UP ") {
+		s.site.t.Fatalf("%s: request %d answered %q", when, s.requests, answer)
+	}
+	echoes(s.site.t, c)
+	return c
+}
+
+// serverWithout is the number of the server that does not have the last request.
+func (s *sharedSocket) serverWithout() int {
+	if s.site.servers[0].Names()[requestName(s.requests)] > 0 {
+		return 1
 	}
-	first := s.start(before, passed, env)
-	first.awaitReady()
-	awaitServed(t, addr)
-	kept := serve("alone")
-	defer kept.conn.Close()
-	out := 0 // the server that has no open connection: one that is disabled sends its clients away
-	if s.servers[0].Names()[requestName(requests)] > 0 {
-		out = 1
+	return 0
+}
+
+// awaitExit waits for a process's end, which is in order.
+func (p *process) awaitExit() {
+	p.t.Helper()
+	select {
+	case <-p.exited:
+		if p.err != nil {
+			p.t.Errorf("the process ended with %v", p.err)
+		}
+	case <-time.After(patience):
+		p.t.Fatal("the process did not end")
 	}
-	path := fmt.Sprintf("/-/servers/s-%08x/", out+1)
-	if status, body := first.call(http.MethodPost, path+"disable"); status != http.StatusOK {
-		t.Fatalf("the server is not disabled: %d %s", status, body)
+}
+
+func (p *process) post(path string) {
+	p.t.Helper()
+	if status, body := p.call(http.MethodPost, path); status != http.StatusOK {
+		p.t.Errorf("%s: %d %s", path, status, body)
 	}
+}
+
+// A process follows one of another build on one socket: with its list and the servers that an operator disabled, while the
+// old one keeps its connections; no client is rejected. Discovery is away all the time that both run.
+func testPassedSocket(t *testing.T, before, after build) {
+	t.Helper()
+	s := newSite(t)
+	socket := s.newSharedSocket()
+	first := socket.start(before)
+	awaitServed(t, socket.addr)
+	kept := socket.open("alone")
+	disabled := socket.serverWithout() // a server that is disabled sends its clients away
+	path := fmt.Sprintf("/-/servers/s-%08x/", disabled+1)
+	first.post(path + "disable")
 	s.catalog.Close()
 	time.Sleep(1500 * time.Millisecond) // the state is written once a second
 
-	second := s.start(after, passed, env)
-	second.awaitReady()
+	second := socket.start(after)
 	for _, p := range []*process{first, second} {
 		if _, figures := p.call(http.MethodGet, "/-/metrics"); !strings.Contains(figures, "edge_proxy.ejected:1|g") {
-			t.Errorf("not one server is out: %s", figures)
+			t.Errorf("not one server is disabled: %s", figures)
 		}
 	}
-	opened := s.servers[out].Opened()
+	opened := s.servers[disabled].Opened()
 	for i := range 30 {
 		if i == 10 {
 			if err := first.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 		}
-		serve("during the upgrade").conn.Close()
+		socket.open("during the upgrade").close(t)
 	}
-	if n := s.servers[out].Opened(); n != opened {
-		t.Errorf("%d connections went to the server that is out", n-opened)
+	if n := s.servers[disabled].Opened(); n != opened {
+		t.Errorf("%d connections went to the server that is disabled", n-opened)
 	}
 	echoes(t, kept)
-	kept.conn.Close()
-	select {
-	case <-first.exited:
-		if first.err != nil {
-			t.Errorf("the first process ended with %v", first.err)
-		}
-	case <-time.After(patience):
-		t.Fatal("the first process did not end")
-	}
+	kept.close(t)
+	first.awaitExit()
 	for range 5 {
-		serve("after the upgrade").conn.Close()
-	}
-	if status, body := second.call(http.MethodPost, path+"enable"); status != http.StatusOK {
-		t.Errorf("the server is not enabled again: %d %s", status, body)
+		socket.open("after the upgrade").close(t)
 	}
+	second.post(path + "enable")
 }
