--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -12,21 +12,25 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// fakeEngine writes down how it is called. Its timers expire at the given times, and it ends after a shutdown.
+// fakeEngine writes down how it is called. Its timers expire at the given times. A shutdown sets one more, and once that
+// has expired the engine has ended.
 type fakeEngine struct {
 	calls  []string
 	timers []time.Duration
-	ended  bool
+	drains bool
 	ready  atomic.Bool
 }
 
+const drainTime = time.Second
+
 func (e *fakeEngine) Start(time.Duration) { e.calls = append(e.calls, "start") }
 
 func (e *fakeEngine) Handle(now time.Duration, event engine.Event) {
 	switch event := event.(type) {
 	case engine.Shutdown:
 		e.calls = append(e.calls, "shutdown at "+now.String())
-		e.ended = true
+		e.drains = true
+		e.timers = append(e.timers, now+drainTime)
 	case engine.ClientActive:
 		e.calls = append(e.calls, "event at "+now.String())
 	default:
@@ -48,7 +52,7 @@
 	return e.timers[0], true
 }
 
-func (e *fakeEngine) Ended() bool { return e.ended }
+func (e *fakeEngine) Ended() bool { return e.drains && len(e.timers) == 0 }
 
 func (e *fakeEngine) Ready() bool { return e.ready.Load() }
 
@@ -65,7 +69,7 @@
 	return l, cancel, func() { <-done }
 }
 
-// Events and timers are handled in their order, and a cancelled context shuts the engine down.
+// Events and timers are handled in their order, and a cancelled context shuts the engine down once.
 func TestRunHandlesEventsTimersAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{timers: []time.Duration{2 * time.Second, 5 * time.Second}}
@@ -77,7 +81,7 @@
 		time.Sleep(3 * time.Second)
 		cancel()
 		wait()
-		want := []string{"start", "event at 1s", "timer at 2s", "event at 3s", "timer at 5s", "shutdown at 6s"}
+		want := []string{"start", "event at 1s", "timer at 2s", "event at 3s", "timer at 5s", "shutdown at 6s", "timer at 7s"}
 		if diff := cmp.Diff(want, e.calls); diff != "" {
 			t.Errorf("calls (-want +got):\n%s", diff)
 		}
@@ -89,6 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{}
 		l := New(e)
+		began := time.Now()
 		for range QueueCapacity {
 			l.Post(engine.ClientActive{})
 		}
@@ -108,14 +113,14 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			l.Run(ctx, func() time.Duration { return 0 })
+			l.Run(ctx, func() time.Duration { return time.Since(began) })
 		}()
 		<-posted
 		synctest.Wait() // until all events are handled
 		cancel()
 		<-done
-		const start, shutdown = 1, 1
-		if want := start + QueueCapacity + 1 + shutdown; len(e.calls) != want {
+		const start, shutdown, drained = 1, 1, 1
+		if want := start + QueueCapacity + 1 + shutdown + drained; len(e.calls) != want {
 			t.Errorf("%d calls, want %d", len(e.calls), want)
 		}
 		for range 2 * QueueCapacity {
