--- a/internal/archtest/decisions_test.go
+++ b/internal/archtest/decisions_test.go
@@ -15,14 +15,14 @@
 	"internal/discovery/refresh": nil,
 	"internal/metrics":           nil,
 	"internal/engine":            {"balancer", "internal/slotmap", "internal/timerqueue", "internal/metrics"},
-	"internal/line/codec":        nil,
+	"internal/lineproto/codec":   nil,
 	"internal/nats/codec":        nil,
 	"internal/nats/session":      {"internal/nats/codec"},
 	"placement":                  nil,
 	"internal/model":             {"internal/timerqueue", "balancer"},
 	"internal/cluster/recovery":  nil,
 	"internal/cluster/loadshed":  nil,
-	"internal/follow":            {"config/operator", "internal/engine", "placement", "balancer"},
+	"internal/planapply":         {"config/operator", "internal/engine", "placement", "balancer"},
 }
 
 // forbiddenImports are packages that reach outside the program, or whose goroutines would.
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -11,21 +11,21 @@
 	switch {
 	case strings.HasPrefix(packagePath, "cmd/"):
 		return 9
-	case packagePath == "internal/command", packagePath == "internal/lab":
+	case packagePath == "internal/cli", packagePath == "internal/experiment":
 		return 8
 	case packagePath == "gateway":
 		return 7
-	case packagePath == "internal/standin":
+	case packagePath == "internal/fakeserver":
 		return 6
-	case strings.HasSuffix(packagePath, "/front"):
+	case strings.HasSuffix(packagePath, "/frontend"):
 		return 5
 	case strings.HasSuffix(packagePath, "/backend"):
 		return 4
 	}
 	switch packagePath {
-	case "config", "internal/follow", "internal/cluster":
+	case "config", "internal/planapply", "internal/cluster":
 		return 3
-	case "config/operator", "internal/hotrestart", "internal/discovery", "internal/eventloop", "internal/wire":
+	case "config/operator", "internal/hotrestart", "internal/discovery", "internal/eventloop", "internal/simproto":
 		return 2
 	case "internal/admin", "internal/model", "internal/engine", "internal/nats/session", "internal/settings":
 		return 1
@@ -57,7 +57,7 @@
 // protocol returns the directory of the client protocol that a package belongs to, or "".
 func protocol(packagePath string) string {
 	directory := path.Dir(packagePath)
-	if directory == "internal/line" || directory == "internal/nats" {
+	if directory == "internal/lineproto" || directory == "internal/nats" {
 		return directory
 	}
 	return ""
