--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -95,12 +95,16 @@
 		name  string
 		value float64
 	}{
-		{"FlowRetention", float64(s.FlowRetention)}, {"DrainGrace", float64(s.DrainGrace)},
+		{"FlowRetention", float64(s.FlowRetention)},
+		{"DrainGrace", float64(s.DrainGrace)},
 		{"WarmupDuration", float64(s.WarmupDuration)},
 		{"ColdOverloadDuration", float64(s.ColdOverloadDuration)},
-		{"ColdOverloadFactor", s.ColdOverloadFactor}, {"MaxRetryAfter", float64(s.MaxRetryAfter)},
-		{"RetryBudgetWindow", float64(s.RetryBudgetWindow)}, {"RetryBudgetMin", s.RetryBudgetMin},
-		{"RetryBudgetRatio", s.RetryBudgetRatio}, {"OverQuotaWeightFactor", s.OverQuotaWeightFactor},
+		{"ColdOverloadFactor", s.ColdOverloadFactor},
+		{"MaxRetryAfter", float64(s.MaxRetryAfter)},
+		{"RetryBudgetWindow", float64(s.RetryBudgetWindow)},
+		{"RetryBudgetMin", s.RetryBudgetMin},
+		{"RetryBudgetRatio", s.RetryBudgetRatio},
+		{"OverQuotaWeightFactor", s.OverQuotaWeightFactor},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
 			return &SettingError{f.name, fmt.Sprintf("is %v, not a finite number of 0 or more", f.value)}
