--- a/internal/lineproto/backend/backend.go
+++ b/internal/lineproto/backend/backend.go
@@ -69,6 +69,6 @@
 			within = min(within, t)
 		}
 	}
-	l.Begin(func() *reactor.Conn { return b.conns.Dial(a.Addr, within, l, l.client.Conn()) })
+	l.Start(func() *reactor.Conn { return b.conns.Dial(a.Addr, within, l, l.client.Conn()) })
 	return l
 }
--- a/internal/lineproto/backend/late_test.go
+++ b/internal/lineproto/backend/late_test.go
@@ -72,7 +72,7 @@
 		b := New(Options{})
 		b.Connect(got, g)
 		link := &Link{backend: b, client: &quiet{open: open}, attempt: engine.Attempt{Timeout: patience, ConnectTimeout: begin}}
-		link.Begin(func() *reactor.Conn { return g.Dial(l.Addr().String(), patience, nobody{}, nil) })
+		link.Start(func() *reactor.Conn { return g.Dial(l.Addr().String(), patience, nobody{}, nil) })
 		server, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lineproto/backend/link.go
+++ b/internal/lineproto/backend/link.go
@@ -33,7 +33,7 @@
 		l.finish(balancer.ConnectFailed)
 		return
 	}
-	if l.Step(upstream.Dialing, upstream.Pending) { // one that is given up meanwhile carries nothing
+	if l.Transition(upstream.Dialing, upstream.Pending) { // one that is given up meanwhile carries nothing
 		c.Send(l.client.Forward(make([][]byte, 0, 3), l.attempt.Timeout-l.Age())...)
 		l.written()
 	}
@@ -58,7 +58,7 @@
 // End ends the server's side of an open connection after the client's has ended.
 func (l *Link) End(reset bool) {
 	switch was := l.Finish(); {
-	case was == upstream.Over:
+	case was == upstream.Ended:
 	case reset:
 		l.Conn().Abort(true)
 	default:
@@ -69,7 +69,7 @@
 // Forward passes on bytes from the client, who is left unread while the server does not read.
 func (l *Link) Forward(b []byte) {
 	if l.backend.options.TellsDelay && bytes.IndexByte(b, '\n') >= 0 {
-		l.Ask()
+		l.RequestSent()
 	}
 	l.Conn().SendFrom(l.client.Conn(), b) // one that fails has ended; OnEnd follows
 }
@@ -85,7 +85,7 @@
 		} else {
 			l.finish(balancer.Reset)
 		}
-	case upstream.Up:
+	case upstream.Established:
 		result := balancer.Reset
 		switch l.last {
 		case codec.WordBye:
@@ -99,7 +99,7 @@
 
 // ended is the end of an open connection from the server's side.
 func (l *Link) ended(result balancer.Result, reset bool) {
-	if l.Finish() == upstream.Over {
+	if l.Finish() == upstream.Ended {
 		return
 	}
 	l.client.End(reset)
@@ -110,7 +110,7 @@
 // OnData implements reactor.Handler.
 func (l *Link) OnData(_ *reactor.Conn, b []byte) int {
 	switch l.Phase() {
-	case upstream.Up:
+	case upstream.Established:
 		l.watch(b)
 		l.client.Relay(l.Conn(), b)
 	case upstream.Pending:
@@ -149,7 +149,7 @@
 
 // open ties the client to the server. From here on the engine sees no lines.
 func (l *Link) open(first []byte) {
-	if !l.Step(upstream.Pending, upstream.Up) {
+	if !l.Transition(upstream.Pending, upstream.Established) {
 		return
 	}
 	l.backend.events.Post(engine.AttemptEstablished{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
@@ -183,7 +183,7 @@
 				l.backend.events.TryPost(engine.ConnectionLoad{RequestID: l.attempt.RequestID, Load: reply.Load})
 			}
 		case codec.WordOther:
-			if delay := l.Answered(); delay > 0 {
+			if delay := l.ResponseReceived(); delay > 0 {
 				l.backend.events.TryPost(engine.MessageAnswered{RequestID: l.attempt.RequestID, Delay: delay})
 			}
 		}
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -71,7 +71,7 @@
 	if t := b.options().ConnectTimeout; t > 0 {
 		wait = min(wait, t)
 	}
-	l.Begin(func() *reactor.Conn { return b.conns.Dial(b.addr(a.Addr), wait, l, o.Conn()) })
+	l.Start(func() *reactor.Conn { return b.conns.Dial(b.addr(a.Addr), wait, l, o.Conn()) })
 	return l
 }
 
@@ -79,7 +79,7 @@
 func (l *Leg) Server() balancer.ServerID { return l.attempt.Server }
 
 // Up reports whether the leg stands. The loop alone may rely on it.
-func (l *Leg) Up() bool { return l.Phase() == upstream.Up }
+func (l *Leg) Up() bool { return l.Phase() == upstream.Established }
 
 // finish ends a leg that does not stand, once.
 func (l *Leg) finish(result balancer.Result) {
@@ -95,7 +95,7 @@
 
 // End ends the leg after all that was sent has been written, and tells nobody but its requests.
 func (l *Leg) End() {
-	if l.Finish() != upstream.Over {
+	if l.Finish() != upstream.Ended {
 		l.Conn().Close()
 		l.fall(balancer.Reset)
 	}
@@ -106,7 +106,7 @@
 
 // broken is the end of a leg that stands by the node's doing.
 func (l *Leg) broken() {
-	if !l.Step(upstream.Up, upstream.Over) {
+	if !l.Transition(upstream.Established, upstream.Ended) {
 		return
 	}
 	l.Conn().Abort(false)
@@ -139,7 +139,7 @@
 		l.finish(balancer.ConnectFailed)
 		return
 	}
-	l.Step(upstream.Dialing, upstream.Pending)
+	l.Transition(upstream.Dialing, upstream.Pending)
 }
 
 // OnEnd implements reactor.Handler.
@@ -254,7 +254,7 @@
 // await notes what the next PING's answer is for.
 func (l *Leg) await(p ping) {
 	if len(l.pings) == 0 {
-		l.Ask()
+		l.RequestSent()
 	}
 	l.pings = append(l.pings, p)
 }
@@ -288,9 +288,9 @@
 	then := l.pings[0].then
 	l.pings = l.pings[1:]
 	if len(l.pings) == 0 {
-		l.Answered()
+		l.ResponseReceived()
 	} else {
-		l.AskAnew() // it answers, if late
+		l.RequestRenewed() // it answers, if late
 	}
 	if then != nil {
 		then()
@@ -299,7 +299,7 @@
 
 // stands is called when the opening is confirmed.
 func (l *Leg) stands() {
-	if !l.Step(upstream.Pending, upstream.Up) {
+	if !l.Transition(upstream.Pending, upstream.Established) {
 		return
 	}
 	l.keepAsking()
--- a/internal/nats/backend/try.go
+++ b/internal/nats/backend/try.go
@@ -183,7 +183,7 @@
 	if c := b.options().ConnectTimeout; c > 0 {
 		within = min(within, c)
 	}
-	l.Begin(func() *reactor.Conn { return b.conns.Dial(key.addr, within, l, t.asker.Conn()) })
+	l.Start(func() *reactor.Conn { return b.conns.Dial(key.addr, within, l, t.asker.Conn()) })
 	l.pinger = h.After(sharedWithin, func() { l.finish(balancer.ConnectFailed) })
 	return l
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -16,10 +16,10 @@
 
 // The phases of an attempt.
 const (
-	Dialing Phase = iota
-	Pending       // asked, or about to be; no answer is in
-	Up            // it stands
-	Over
+	Dialing     Phase = iota
+	Pending           // asked, or about to be; no answer is in
+	Established       // it stands
+	Ended
 )
 
 // Attempt is a connection to a server through its phases. It is part of what implements engine.ActiveAttempt. Its methods may be
@@ -34,8 +34,8 @@
 	asked atomic.Int64
 }
 
-// Begin dials. The connection's handler may be called before it returns, and then waits for it in any method here.
-func (a *Attempt) Begin(dial func() *reactor.Conn) {
+// Start dials. The connection's handler may be called before it returns, and then waits for it in any method here.
+func (a *Attempt) Start(dial func() *reactor.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.begun = time.Now()
@@ -55,8 +55,8 @@
 	return a.phase
 }
 
-// Step goes from one phase to another; false says that it is in a third.
-func (a *Attempt) Step(from, to Phase) bool {
+// Transition goes from one phase to another; false says that it is in a third.
+func (a *Attempt) Transition(from, to Phase) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.phase != from {
@@ -71,7 +71,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	was = a.phase
-	a.phase = Over
+	a.phase = Ended
 	return was
 }
 
@@ -79,24 +79,24 @@
 // carries nothing any more; false says that it stands, or has ended by itself.
 func (a *Attempt) Cancel() bool {
 	a.mu.Lock()
-	if a.phase >= Up {
+	if a.phase >= Established {
 		a.mu.Unlock()
 		return false
 	}
-	a.phase = Over
+	a.phase = Ended
 	a.mu.Unlock()
 	a.conn.Abort(false)
 	return true
 }
 
-// Ask notes that the server was asked something now, unless an older question is open.
-func (a *Attempt) Ask() { a.asked.CompareAndSwap(0, int64(a.Age())+1) }
+// RequestSent notes that the server was asked something now, unless an older question is open.
+func (a *Attempt) RequestSent() { a.asked.CompareAndSwap(0, int64(a.Age())+1) }
 
-// AskAnew notes that the oldest question that is open is as good as asked now.
-func (a *Attempt) AskAnew() { a.asked.Store(int64(a.Age()) + 1) }
+// RequestRenewed notes that the oldest question that is open is as good as asked now.
+func (a *Attempt) RequestRenewed() { a.asked.Store(int64(a.Age()) + 1) }
 
-// Answered notes that no question is open, and returns how long the oldest was; 0: none was.
-func (a *Attempt) Answered() time.Duration {
+// ResponseReceived notes that no question is open, and returns how long the oldest was; 0: none was.
+func (a *Attempt) ResponseReceived() time.Duration {
 	if at := a.asked.Swap(0); at > 0 {
 		return max(a.Age()-time.Duration(at), 1)
 	}
