--- a/internal/lineproto/backend/link.go
+++ b/internal/lineproto/backend/link.go
@@ -18,9 +18,9 @@
 	client           Client
 
 	// Of the server's lines; only its own callbacks touch these.
-	sent bool       // the opening line was written whole, and counted
-	head []byte     // of the line that has come in part
-	last codec.Word // of the last line
+	sent bool            // the opening line was written whole, and counted
+	head []byte          // of the line that has come in part
+	last codec.ReplyKind // of the last line
 }
 
 // headMost is how much of a line is kept to see what it says.
@@ -88,9 +88,9 @@
 	case upstream.Established:
 		result := balancer.Reset
 		switch l.last {
-		case codec.WordBye:
+		case codec.ReplyBye:
 			result = balancer.OK
-		case codec.WordMove:
+		case codec.ReplyMove:
 			result = balancer.Cancelled
 		}
 		l.ended(result, reactor.WasReset(err))
@@ -122,9 +122,9 @@
 // answer takes the server's first line once it is whole; the engine ends an attempt whose answer does not come in time.
 func (l *Link) answer(b []byte) int {
 	l.written()
-	i := bytes.IndexByte(b[:min(len(b), codec.MaxLine)], '\n')
+	i := bytes.IndexByte(b[:min(len(b), codec.MaxLineLength)], '\n')
 	if i < 0 {
-		if len(b) < codec.MaxLine {
+		if len(b) < codec.MaxLineLength {
 			return 0
 		}
 		l.finish(balancer.Errored)
@@ -132,14 +132,14 @@
 	}
 	line := b[:i+1]
 	reply := codec.ParseReply(line)
-	switch reply.Word {
-	case codec.WordUp, codec.WordBye: // BYE alone: served, and over already
-		l.last = reply.Word
+	switch reply.Kind {
+	case codec.ReplyUp, codec.ReplyBye: // BYE alone: served, and over already
+		l.last = reply.Kind
 		l.open(line)
 		return len(line)
-	case codec.WordBusy:
+	case codec.ReplyBusy:
 		l.finish(balancer.Rejected)
-	case codec.WordMove:
+	case codec.ReplyMove:
 		l.finish(balancer.Cancelled)
 	default:
 		l.finish(balancer.Errored)
@@ -176,13 +176,13 @@
 		}
 		reply := codec.ParseReply(l.head)
 		l.head = l.head[:0]
-		l.last = reply.Word
-		switch reply.Word {
-		case codec.WordLoad:
+		l.last = reply.Kind
+		switch reply.Kind {
+		case codec.ReplyLoad:
 			if l.backend.options.TellsLoad {
 				l.backend.events.TryPost(engine.ConnectionLoad{RequestID: l.attempt.RequestID, Load: reply.Load})
 			}
-		case codec.WordOther:
+		case codec.ReplyOther:
 			if delay := l.ResponseReceived(); delay > 0 {
 				l.backend.events.TryPost(engine.MessageAnswered{RequestID: l.attempt.RequestID, Delay: delay})
 			}
--- a/internal/lineproto/backend/probe.go
+++ b/internal/lineproto/backend/probe.go
@@ -65,7 +65,7 @@
 					conn = nil
 					break
 				}
-				r = bufio.NewReaderSize(conn, codec.MaxLine)
+				r = bufio.NewReaderSize(conn, codec.MaxLineLength)
 			}
 			report, err := ask(conn, r)
 			if err == nil {
@@ -97,7 +97,7 @@
 	if !ok {
 		return r, errProbe
 	}
-	codec.Report(report, func(name string, v float64) {
+	codec.EachReportField(report, func(name string, v float64) {
 		switch name {
 		case "x0":
 			r.Utilization, r.HasUtilization = v, true
--- a/internal/lineproto/codec/codec.go
+++ b/internal/lineproto/codec/codec.go
@@ -11,7 +11,7 @@
 )
 
 // MaxLine is the longest line, its end included.
-const MaxLine = 4 << 10
+const MaxLineLength = 4 << 10
 
 // Lines of the balancer's own.
 const (
@@ -29,49 +29,49 @@
 )
 
 // maxWait bounds a client's stated wait, so that no sum of times overflows.
-const maxWait = 24 * time.Hour
+const maxTimeout = 24 * time.Hour
 
 // Open is a client's opening line. Its slices are parts of the line.
 type Open struct {
-	Line     []byte // whole, with its end
-	ID       []byte
-	Key      []byte
-	Class    []byte
-	Group    []byte
-	Tenant   []byte
-	At       []byte        // the server that holds the connection since before the run; empty: none
-	Wait     time.Duration // that the client waits for UP, from the sending of the line; 0: not stated
-	Hint     float64       // h as written; 0: none
-	Retry    bool
-	Returned bool
-	Stray    bool
-
-	waitFrom, waitTo int // where d's value stands in Line; both 0: nowhere
+	Line         []byte // whole, with its end
+	ID           []byte
+	Key          []byte
+	Class        []byte
+	Group        []byte
+	Tenant       []byte
+	Owner        []byte        // the server that holds the connection since before the run; empty: none
+	Timeout      time.Duration // that the client waits for UP, from the sending of the line; 0: not stated
+	Load         float64       // h as written; 0: none
+	Retry        bool
+	Reconnecting bool
+	MidFlow      bool
+
+	timeoutStart, timeoutEnd int // where d's value stands in Line; both 0: nowhere
 }
 
-// Kind tells first lines apart.
-type Kind int
+// RequestKind tells first lines apart.
+type RequestKind int
 
 // Kinds of first lines.
 const (
-	KindOther Kind = iota
-	KindOpen
-	KindPing
-	KindStats
+	RequestOther RequestKind = iota
+	RequestOpen
+	RequestPing
+	RequestStats
 )
 
-// KindOf tells what a first line asks for.
-func KindOf(line []byte) Kind {
+// ParseRequestKind tells what a first line asks for.
+func ParseRequestKind(line []byte) RequestKind {
 	word, _, _ := bytes.Cut(trimEnd(line), space)
 	switch string(word) {
 	case "OPEN":
-		return KindOpen
+		return RequestOpen
 	case "PING":
-		return KindPing
+		return RequestPing
 	case "STATS":
-		return KindStats
+		return RequestStats
 	}
-	return KindOther
+	return RequestOther
 }
 
 var space = []byte{' '}
@@ -84,7 +84,7 @@
 
 // ParseOpen reads an opening line, its end included.
 func ParseOpen(line []byte) (o Open, err error) {
-	if len(line) > MaxLine {
+	if len(line) > MaxLineLength {
 		return o, ErrTooLong
 	}
 	if len(line) < 2 || line[len(line)-1] != '\n' || line[len(line)-2] != '\r' {
@@ -135,27 +135,27 @@
 	case "t":
 		o.Tenant = value
 	case "at":
-		o.At = value
+		o.Owner = value
 	case "d":
 		ms, ok := number(value)
 		// Given twice, it could be rewritten in one place only. A client that does not wait at all is no client.
-		if !ok || ms == 0 || o.waitTo > 0 {
+		if !ok || ms == 0 || o.timeoutEnd > 0 {
 			return ErrMalformed
 		}
-		o.Wait = min(time.Duration(ms*float64(time.Millisecond)), maxWait)
-		o.waitFrom, o.waitTo = at, at+len(value)
+		o.Timeout = min(time.Duration(ms*float64(time.Millisecond)), maxTimeout)
+		o.timeoutStart, o.timeoutEnd = at, at+len(value)
 	case "h":
 		h, ok := number(value)
 		if !ok {
 			return ErrMalformed
 		}
-		o.Hint = h
+		o.Load = h
 	case "r":
 		o.Retry = string(value) == "1"
 	case "again":
-		o.Returned = string(value) == "1"
+		o.Reconnecting = string(value) == "1"
 	case "mid":
-		o.Stray = string(value) == "1"
+		o.MidFlow = string(value) == "1"
 	}
 	return nil
 }
@@ -175,11 +175,11 @@
 // Forward appends to parts the pieces of the line as a server is to get it: only d's value is another, the
 // time that the balancer will wait. The pieces are the line's own bytes, for a gathered write.
 func (o *Open) Forward(parts [][]byte, wait time.Duration) [][]byte {
-	if o.waitTo == 0 {
+	if o.timeoutEnd == 0 {
 		return append(parts, o.Line)
 	}
 	ms := strconv.AppendInt(nil, max(wait.Milliseconds(), 1), 10)
-	return append(parts, o.Line[:o.waitFrom], ms, o.Line[o.waitTo:])
+	return append(parts, o.Line[:o.timeoutStart], ms, o.Line[o.timeoutEnd:])
 }
 
 // Busy is a refusal; after 0 it says nothing of when to come again.
@@ -191,23 +191,23 @@
 	return append(b, '\r', '\n')
 }
 
-// Word is what a server's line says.
-type Word int
+// ReplyKind is what a server's line says.
+type ReplyKind int
 
 // Words of a server's lines.
 const (
-	WordOther Word = iota // any line of the connection's own
-	WordUp
-	WordBye
-	WordMove
-	WordErr
-	WordBusy
-	WordLoad
+	ReplyOther ReplyKind = iota // any line of the connection's own
+	ReplyUp
+	ReplyBye
+	ReplyMove
+	ReplyErr
+	ReplyBusy
+	ReplyLoad
 )
 
 // Reply is a server's line.
 type Reply struct {
-	Word   Word
+	Kind   ReplyKind
 	Load   float64 // LOAD's figure
 	Report []byte  // the load report, as sent
 }
@@ -217,18 +217,18 @@
 	word, rest, _ := bytes.Cut(trimEnd(line), space)
 	switch string(word) {
 	case "UP":
-		return Reply{Word: WordUp}
+		return Reply{Kind: ReplyUp}
 	case "BYE":
-		return Reply{Word: WordBye, Report: rest}
+		return Reply{Kind: ReplyBye, Report: rest}
 	case "MOVE":
-		return Reply{Word: WordMove}
+		return Reply{Kind: ReplyMove}
 	case "ERR":
-		return Reply{Word: WordErr, Report: rest}
+		return Reply{Kind: ReplyErr, Report: rest}
 	case "BUSY":
-		return Reply{Word: WordBusy, Report: rest}
+		return Reply{Kind: ReplyBusy, Report: rest}
 	case "LOAD":
 		if v, ok := number(rest); ok {
-			return Reply{Word: WordLoad, Load: v}
+			return Reply{Kind: ReplyLoad, Load: v}
 		}
 	}
 	return Reply{}
@@ -240,8 +240,8 @@
 	return rest, string(word) == "PONG"
 }
 
-// Report walks a load report such as inflight=7,queue=2,util=0.61; a field that it cannot read is passed over.
-func Report(b []byte, field func(name string, value float64)) {
+// EachReportField walks a load report such as inflight=7,queue=2,util=0.61; a field that it cannot read is passed over.
+func EachReportField(b []byte, field func(name string, value float64)) {
 	for len(b) > 0 {
 		pair, rest, _ := bytes.Cut(b, []byte{','})
 		b = rest
--- a/internal/lineproto/codec/codec_test.go
+++ b/internal/lineproto/codec/codec_test.go
@@ -26,8 +26,8 @@
 		t.Fatal(err)
 	}
 	if string(o.ID) != "9b1f03aa5c7e2d41" || string(o.Key) != "7f3a9c21" || string(o.Class) != "chat" ||
-		string(o.Group) != "5c0f" || string(o.At) != "s-1" || o.Wait != 2*time.Second || o.Hint != 3.5 ||
-		!o.Retry || !o.Returned || !o.Stray {
+		string(o.Group) != "5c0f" || string(o.Owner) != "s-1" || o.Timeout != 2*time.Second || o.Load != 3.5 ||
+		!o.Retry || !o.Reconnecting || !o.MidFlow {
 		t.Errorf("read as %+v", o)
 	}
 	got := string(bytes.Join(o.Forward(nil, 412*time.Millisecond), nil))
@@ -41,7 +41,7 @@
 		"", "\n", "OPEN\r\n", "OPEN a\r\n", "OPEN  k c=1\r\n", "OPEN a k c=1\n", "OPEN a k c\r\n", "OPEN a k =1\r\n",
 		"OPEN a k d=x\r\n", "OPEN a k d=\r\n", "OPEN a k d=0\r\n", "OPEN a k d=soon\r\n", "OPEN a k d=-1\r\n", "OPEN a k d=NaN\r\n", "OPEN a k d=1e99\r\n", "OPEN a k d=1,d=2\r\n",
 		"OPEN a k c=1 d=2\r\n", "OPEN a k c=\x00\r\n", "open a k c=1\r\n", "OPEN a k h=+Inf\r\n",
-		"OPEN a k c=" + strings.Repeat("x", MaxLine) + "\r\n",
+		"OPEN a k c=" + strings.Repeat("x", MaxLineLength) + "\r\n",
 	} {
 		if _, err := ParseOpen([]byte(line)); err == nil {
 			t.Errorf("%.40q was taken", line)
@@ -69,8 +69,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if o.Wait != time.Duration(wait)*time.Millisecond {
-			t.Fatalf("wait %v, want %d ms", o.Wait, wait)
+		if o.Timeout != time.Duration(wait)*time.Millisecond {
+			t.Fatalf("wait %v, want %d ms", o.Timeout, wait)
 		}
 		left := rapid.IntRange(1, 100000).Draw(t, "left")
 		got := string(bytes.Join(o.Forward(nil, time.Duration(left)*time.Millisecond), nil))
@@ -87,15 +87,15 @@
 			func(s string) []byte { return []byte(s) }))
 	rapid.Check(t, func(t *rapid.T) {
 		line := bytes.Join(rapid.SliceOfN(piece, 0, 12).Draw(t, "pieces"), nil)
-		KindOf(line)
+		ParseRequestKind(line)
 		if o, err := ParseOpen(line); err == nil {
-			if !bytes.HasSuffix(line, []byte("\r\n")) || len(o.ID) == 0 || len(o.Key) == 0 || o.Wait < 0 || o.Hint < 0 {
+			if !bytes.HasSuffix(line, []byte("\r\n")) || len(o.ID) == 0 || len(o.Key) == 0 || o.Timeout < 0 || o.Load < 0 {
 				t.Fatalf("%q read as %+v", line, o)
 			}
 		}
 		ParseReply(line)
 		if r, ok := ParsePong(line); ok {
-			Report(r, func(name string, v float64) {
+			EachReportField(r, func(name string, v float64) {
 				if name == "" || !(v >= 0) {
 					t.Fatalf("%q tells %q %v", line, name, v)
 				}
@@ -105,12 +105,12 @@
 }
 
 func TestReplies(t *testing.T) {
-	for line, want := range map[string]Word{
-		"UP 7309b9501eeca7e6\r\n": WordUp, "BYE\r\n": WordBye, "BYE inflight=7\r\n": WordBye, "MOVE\r\n": WordMove,
-		"ERR\r\n": WordErr, "BUSY 20\r\n": WordBusy, "LOAD 351313.469\r\n": WordLoad,
-		"LOAD x\r\n": WordOther, "M 1 751b\r\n": WordOther, "UPX\r\n": WordOther, "": WordOther,
+	for line, want := range map[string]ReplyKind{
+		"UP 7309b9501eeca7e6\r\n": ReplyUp, "BYE\r\n": ReplyBye, "BYE inflight=7\r\n": ReplyBye, "MOVE\r\n": ReplyMove,
+		"ERR\r\n": ReplyErr, "BUSY 20\r\n": ReplyBusy, "LOAD 351313.469\r\n": ReplyLoad,
+		"LOAD x\r\n": ReplyOther, "M 1 751b\r\n": ReplyOther, "UPX\r\n": ReplyOther, "": ReplyOther,
 	} {
-		if got := ParseReply([]byte(line)).Word; got != want {
+		if got := ParseReply([]byte(line)).Kind; got != want {
 			t.Errorf("%q read as %v, want %v", line, got, want)
 		}
 	}
@@ -118,7 +118,7 @@
 		t.Errorf("load %v", got)
 	}
 	got := map[string]float64{}
-	Report([]byte("inflight=7,queue=x,util=0.61,=3"), func(n string, v float64) { got[n] = v })
+	EachReportField([]byte("inflight=7,queue=x,util=0.61,=3"), func(n string, v float64) { got[n] = v })
 	if len(got) != 2 || got["inflight"] != 7 || got["util"] != 0.61 {
 		t.Errorf("report read as %v", got)
 	}
--- a/internal/lineproto/codec/format_test.go
+++ b/internal/lineproto/codec/format_test.go
@@ -61,19 +61,19 @@
 		return "another error"
 	}
 	return fmt.Sprintf("id=%q key=%q class=%q group=%q tenant=%q at=%q wait=%d hint=%v retry=%t returned=%t mid=%t whole=%t",
-		open.ID, open.Key, open.Class, open.Group, open.Tenant, open.At, open.Wait.Nanoseconds(), open.Hint,
-		open.Retry, open.Returned, open.Stray, string(open.Line) == string(line))
+		open.ID, open.Key, open.Class, open.Group, open.Tenant, open.Owner, open.Timeout.Nanoseconds(), open.Load,
+		open.Retry, open.Reconnecting, open.MidFlow, string(open.Line) == string(line))
 }
 
 func describeKind(line []byte) string {
-	switch kind := codec.KindOf(line); kind {
-	case codec.KindOpen:
+	switch kind := codec.ParseRequestKind(line); kind {
+	case codec.RequestOpen:
 		return "OPEN"
-	case codec.KindPing:
+	case codec.RequestPing:
 		return "PING"
-	case codec.KindStats:
+	case codec.RequestStats:
 		return "STATS"
-	case codec.KindOther:
+	case codec.RequestOther:
 		return "other"
 	default:
 		return "unknown kind"
@@ -83,20 +83,20 @@
 func describeReply(line []byte) string {
 	reply := codec.ParseReply(line)
 	word := "unknown word"
-	switch reply.Word {
-	case codec.WordOther:
+	switch reply.Kind {
+	case codec.ReplyOther:
 		word = "other"
-	case codec.WordUp:
+	case codec.ReplyUp:
 		word = "UP"
-	case codec.WordBye:
+	case codec.ReplyBye:
 		word = "BYE"
-	case codec.WordMove:
+	case codec.ReplyMove:
 		word = "MOVE"
-	case codec.WordErr:
+	case codec.ReplyErr:
 		word = "ERR"
-	case codec.WordBusy:
+	case codec.ReplyBusy:
 		word = "BUSY"
-	case codec.WordLoad:
+	case codec.ReplyLoad:
 		word = "LOAD"
 	}
 	return fmt.Sprintf("%s load=%v report=%q", word, reply.Load, reply.Report)
@@ -109,7 +109,7 @@
 
 func describeReport(report []byte) string {
 	var b strings.Builder
-	codec.Report(report, func(name string, value float64) { fmt.Fprintf(&b, "[%s %v]", name, value) })
+	codec.EachReportField(report, func(name string, value float64) { fmt.Fprintf(&b, "[%s %v]", name, value) })
 	return b.String()
 }
 
@@ -186,7 +186,7 @@
 			lines = append(lines, fmt.Sprintf("%q: %s", open+end, describeOpen([]byte(open+end))))
 		}
 	}
-	for _, length := range []int{codec.MaxLine - 1, codec.MaxLine, codec.MaxLine + 1, 2 * codec.MaxLine} {
+	for _, length := range []int{codec.MaxLineLength - 1, codec.MaxLineLength, codec.MaxLineLength + 1, 2 * codec.MaxLineLength} {
 		for _, end := range []string{"\r\n", "xx"} {
 			line := "OPEN i k c="
 			line += strings.Repeat("x", length-len(line)-len(end)) + end
@@ -279,7 +279,7 @@
 	lines := []string{
 		fmt.Sprintf("pong %q", codec.Pong), fmt.Sprintf("no %q", codec.No), fmt.Sprintf("error %q", codec.Err),
 		fmt.Sprintf("move %q", codec.Move), fmt.Sprintf("stats %q", codec.Stats), fmt.Sprintf("longest line %d",
-			codec.MaxLine),
+			codec.MaxLineLength),
 	}
 	for _, after := range []time.Duration{
 		-time.Hour, -1, 0, 1, time.Microsecond, time.Millisecond - 1,
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -68,8 +68,8 @@
 
 // readOpening takes a line once it is whole. The engine ends a connection that does not send its line in time.
 func (c *Conn) readOpening(b []byte) int {
-	i := bytes.IndexByte(b[:min(len(b), codec.MaxLine)], '\n')
-	if i < 0 && len(b) < codec.MaxLine {
+	i := bytes.IndexByte(b[:min(len(b), codec.MaxLineLength)], '\n')
+	if i < 0 && len(b) < codec.MaxLineLength {
 		return 0
 	}
 	if i < 0 || len(b) > i+1 {
@@ -78,17 +78,17 @@
 		c.reject()
 		return len(b)
 	}
-	switch codec.KindOf(b) {
-	case codec.KindPing:
+	switch codec.ParseRequestKind(b) {
+	case codec.RequestPing:
 		answer := codec.Err
 		if c.front.engine.Ready() {
 			answer = codec.Pong
 		}
 		c.conn.Send([]byte(answer))
 		c.front.engine.Post(engine.ClientActive{Client: c})
-	case codec.KindStats: // a balancer has no load report
+	case codec.RequestStats: // a balancer has no load report
 		c.conn.Send([]byte(codec.No))
-	case codec.KindOpen:
+	case codec.RequestOpen:
 		c.readOpen(b)
 	default:
 		c.reject()
@@ -113,7 +113,7 @@
 	c.mu.Unlock()
 	c.front.engine.Post(engine.RequestReceived{Client: c, Request: engine.Request{
 		ID: string(open.ID), Class: string(open.Class), Tenant: string(open.Tenant), Key: string(open.Key), Group: string(open.Group),
-		Timeout: open.Wait, Load: open.Hint, Reconnecting: open.Returned, MidFlow: open.Stray, Owner: string(open.At),
+		Timeout: open.Timeout, Load: open.Load, Reconnecting: open.Reconnecting, MidFlow: open.MidFlow, Owner: string(open.Owner),
 	}})
 }
 
