--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -97,7 +97,7 @@
 	}
 	g.figures = metrics.New(classes)
 	attempts := backend.New(backend.Options{
-		ConnectTimeout: c.Gateway.ConnectTimeout, TellsLoad: c.Gateway.ReportsConnectionLoad, TellsDelay: c.Gateway.ReportsMessageDelay, Forwards: &g.figures.Forwards,
+		ConnectTimeout: c.Gateway.ConnectTimeout, ReportsLoad: c.Gateway.ReportsConnectionLoad, MeasuresDelay: c.Gateway.ReportsMessageDelay, Forwarded: &g.figures.Forwards,
 	})
 	var ranks func(class, tenant string) int
 	if g.member != nil {
--- a/internal/lineproto/backend/backend.go
+++ b/internal/lineproto/backend/backend.go
@@ -18,13 +18,13 @@
 	Conn() *reactor.Conn
 	// Forward appends the pieces of the opening line, with the time that the attempt is given.
 	Forward(parts [][]byte, wait time.Duration) [][]byte
-	// Open passes the server's first line on and ties the client's lines to the link from then on. It
+	// Established passes the server's first line on and ties the client's lines to the link from then on. It
 	// returns false where the client is gone.
-	Open(first []byte, l *Link) bool
+	Established(first []byte, l *Link) bool
 	// Relay passes on bytes from the server, whose connection is left unread while the client does not read.
 	Relay(from *reactor.Conn, b []byte)
-	// End ends the client's connection, as its server's ended.
-	End(reset bool)
+	// ServerEnded ends the client's connection, as its server's ended.
+	ServerEnded(reset bool)
 }
 
 // Poster takes events for the engine.
@@ -44,15 +44,15 @@
 // Options are what a Backend goes by.
 type Options struct {
 	ConnectTimeout time.Duration // 0: as long as the attempt has
-	TellsLoad      bool
-	TellsDelay     bool
-	Forwards       *atomic.Int64 // counts attempts written whole; nil: nobody reads it
+	ReportsLoad    bool
+	MeasuresDelay  bool
+	Forwarded      *atomic.Int64 // counts attempts written whole; nil: nobody reads it
 }
 
 // New returns a Backend. Connect comes before the first Send.
 func New(o Options) *Backend {
-	if o.Forwards == nil {
-		o.Forwards = new(atomic.Int64)
+	if o.Forwarded == nil {
+		o.Forwarded = new(atomic.Int64)
 	}
 	return &Backend{options: o, probes: map[balancer.ServerID]*probe{}}
 }
--- a/internal/lineproto/backend/late_test.go
+++ b/internal/lineproto/backend/late_test.go
@@ -25,10 +25,10 @@
 func (q *quiet) Forward(parts [][]byte, wait time.Duration) [][]byte {
 	return q.open.Forward(parts, wait)
 }
-func (q *quiet) Open([]byte, *Link) bool     { return true }
-func (q *quiet) Relay(*reactor.Conn, []byte) {}
-func (q *quiet) End(bool)                    {}
-func (q *quiet) Conn() *reactor.Conn         { return q.on }
+func (q *quiet) Established([]byte, *Link) bool { return true }
+func (q *quiet) Relay(*reactor.Conn, []byte)    {}
+func (q *quiet) ServerEnded(bool)               {}
+func (q *quiet) Conn() *reactor.Conn            { return q.on }
 
 type nobody struct{}
 
--- a/internal/lineproto/backend/link.go
+++ b/internal/lineproto/backend/link.go
@@ -44,7 +44,7 @@
 func (l *Link) written() {
 	if !l.sent && l.Conn().Waiting() == 0 {
 		l.sent = true
-		l.backend.options.Forwards.Add(1)
+		l.backend.options.Forwarded.Add(1)
 	}
 }
 
@@ -68,7 +68,7 @@
 
 // Forward passes on bytes from the client, who is left unread while the server does not read.
 func (l *Link) Forward(b []byte) {
-	if l.backend.options.TellsDelay && bytes.IndexByte(b, '\n') >= 0 {
+	if l.backend.options.MeasuresDelay && bytes.IndexByte(b, '\n') >= 0 {
 		l.RequestSent()
 	}
 	l.Conn().SendFrom(l.client.Conn(), b) // one that fails has ended; OnEnd follows
@@ -102,7 +102,7 @@
 	if l.Finish() == upstream.Ended {
 		return
 	}
-	l.client.End(reset)
+	l.client.ServerEnded(reset)
 	l.Conn().Close()
 	l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 }
@@ -153,7 +153,7 @@
 		return
 	}
 	l.backend.events.Post(engine.AttemptEstablished{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
-	if !l.client.Open(first, l) {
+	if !l.client.Established(first, l) {
 		l.End(false)
 	}
 }
@@ -179,7 +179,7 @@
 		l.last = reply.Kind
 		switch reply.Kind {
 		case codec.ReplyLoad:
-			if l.backend.options.TellsLoad {
+			if l.backend.options.ReportsLoad {
 				l.backend.events.TryPost(engine.ConnectionLoad{RequestID: l.attempt.RequestID, Load: reply.Load})
 			}
 		case codec.ReplyOther:
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -226,8 +226,8 @@
 	return c.open.Forward(parts, wait)
 }
 
-// Open implements backend.Client.
-func (c *Conn) Open(first []byte, l *backend.Link) bool {
+// Established implements backend.Client.
+func (c *Conn) Established(first []byte, l *backend.Link) bool {
 	c.out.Lock()
 	defer c.out.Unlock()
 	c.mu.Lock()
@@ -257,8 +257,8 @@
 	c.conn.SendFrom(from, b) // one that fails has ended; OnEnd follows
 }
 
-// End implements backend.Client.
-func (c *Conn) End(reset bool) {
+// ServerEnded implements backend.Client.
+func (c *Conn) ServerEnded(reset bool) {
 	if !c.finish() {
 		return
 	}
