--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -335,9 +335,9 @@
 // Ready reports whether clients can be served: the list and what staff said of it are known, and no stop was asked for.
 func (g *Gateway) Ready() bool { return g.serving.Load() && g.engine.Ready() }
 
-func (g *Gateway) listen(conns *reactor.Group) (*frontend.Front, error) {
+func (g *Gateway) listen(conns *reactor.Group) (*frontend.Listener, error) {
 	if g.config.InheritedSocket > 0 {
-		return frontend.Take(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
+		return frontend.ListenFD(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
 	}
 	return frontend.Listen(g.config.Listen, g.engine, conns)
 }
--- a/gateway/upgrade.go
+++ b/gateway/upgrade.go
@@ -42,7 +42,7 @@
 
 // handOver keeps up with the process before, and writes down what the one that follows must know, until watching is done.
 // Once ctx is done and another process serves, what waits in the shared queue is left to that one.
-func (g *Gateway) handOver(ctx, watching context.Context, f *frontend.Front) {
+func (g *Gateway) handOver(ctx, watching context.Context, f *frontend.Listener) {
 	defer g.desk.Remove()
 	t := time.NewTicker(deskEvery)
 	defer t.Stop()
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -22,10 +22,10 @@
 
 // Conn is a client's connection.
 type Conn struct {
-	front  *Front
+	front  *Listener
 	done   func() // tells the listener that the engine has seen it
 	conn   *reactor.Conn
-	ticket engine.ClientHandle
+	handle engine.ClientHandle
 	open   codec.Open
 
 	mu    sync.Mutex // guards the phase
@@ -46,7 +46,7 @@
 }
 
 // Handle implements engine.Client.
-func (c *Conn) Handle() *engine.ClientHandle { return &c.ticket }
+func (c *Conn) Handle() *engine.ClientHandle { return &c.handle }
 
 // OnData implements reactor.Handler.
 func (c *Conn) OnData(_ *reactor.Conn, b []byte) int {
@@ -182,8 +182,8 @@
 	})
 }
 
-// Orphan answers a client whose engine has ended, and will not.
-func (c *Conn) Orphan() {
+// RejectWaiting answers a client whose engine has ended, and will not.
+func (c *Conn) RejectWaiting() {
 	c.mu.Lock()
 	at := c.phase
 	c.mu.Unlock()
--- a/internal/lineproto/frontend/finish_test.go
+++ b/internal/lineproto/frontend/finish_test.go
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	var clients []net.Conn
-	for i := range 3 * unseenMost {
+	for i := range 3 * maxUnseen {
 		c, err := net.Dial("tcp", f.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -76,19 +76,19 @@
 		}
 		clients = append(clients, c)
 	}
-	until(t, "accepted", func() bool { return len(e.accepted()) == unseenMost })
+	until(t, "accepted", func() bool { return len(e.accepted()) == maxUnseen })
 	g.Settle(patience) // the loops have seen all that there is to see
-	if n := len(e.accepted()); n != unseenMost {
+	if n := len(e.accepted()); n != maxUnseen {
 		t.Errorf("%d are accepted and unseen", n)
 	}
 	for _, a := range e.accepted() {
 		a.Done()
 	}
 	// Accepting goes on once half are done, so that the last of them may find it full again.
-	until(t, "accepted", func() bool { return len(e.accepted()) >= unseenMost+unseenMost/2 })
+	until(t, "accepted", func() bool { return len(e.accepted()) >= maxUnseen+maxUnseen/2 })
 	g.Settle(patience)
-	if n := len(e.accepted()); n > 2*unseenMost {
-		t.Errorf("%d are accepted, %d of them seen", n, unseenMost)
+	if n := len(e.accepted()); n > 2*maxUnseen {
+		t.Errorf("%d are accepted, %d of them seen", n, maxUnseen)
 	}
 	f.Finish()
 	for i, c := range clients {
@@ -121,13 +121,13 @@
 	}
 	unix.SetNonblock(fd, true)
 	e := &deaf{}
-	f, err := Take(fd, l.Addr().String(), e, g)
+	f, err := ListenFD(fd, l.Addr().String(), e, g)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const queued = 8
 	var clients []net.Conn
-	for range unseenMost + queued {
+	for range maxUnseen + queued {
 		c, err := net.Dial("tcp", f.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -136,7 +136,7 @@
 		c.SetDeadline(time.Now().Add(patience))
 		clients = append(clients, c)
 	}
-	until(t, "accepted", func() bool { return len(e.accepted()) == unseenMost })
+	until(t, "accepted", func() bool { return len(e.accepted()) == maxUnseen })
 	g.Settle(patience)
 	f.Finish()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
@@ -150,7 +150,7 @@
 	}
 	for i, c := range clients {
 		want := "BUSY\r\n"
-		if i >= unseenMost {
+		if i >= maxUnseen {
 			want = "served\r\n"
 		}
 		if got, err := io.ReadAll(c); string(got) != want || err != nil {
--- a/internal/lineproto/frontend/front.go
+++ b/internal/lineproto/frontend/front.go
@@ -13,8 +13,8 @@
 	Ready() bool
 }
 
-// Front accepts clients on one address.
-type Front struct {
+// Listener accepts clients on one address.
+type Listener struct {
 	engine   Engine
 	conns    *reactor.Group
 	listener *reactor.Listener
@@ -23,35 +23,35 @@
 
 // unseenMost is how many connections may be accepted that the engine has not seen yet. The others wait in the kernel's queue,
 // where they take no descriptor from those whose requests are under way.
-const unseenMost = 16
+const maxUnseen = 16
 
 // Listen opens the address and takes connections from then on.
-func Listen(addr string, e Engine, g *reactor.Group) (*Front, error) {
-	f := &Front{engine: e, conns: g}
+func Listen(addr string, e Engine, g *reactor.Group) (*Listener, error) {
+	f := &Listener{engine: e, conns: g}
 	var err error
-	f.listener, err = g.Listen(addr, unseenMost, f.accept)
+	f.listener, err = g.Listen(addr, maxUnseen, f.accept)
 	return f, err
 }
 
-// Take takes connections from a listening socket that was passed on and is shared; see reactor.Group.Take.
-func Take(fd int, addr string, e Engine, g *reactor.Group) (*Front, error) {
-	f := &Front{engine: e, conns: g, shared: true}
+// ListenFD takes connections from a listening socket that was passed on and is shared; see reactor.Group.Take.
+func ListenFD(fd int, addr string, e Engine, g *reactor.Group) (*Listener, error) {
+	f := &Listener{engine: e, conns: g, shared: true}
 	var err error
-	f.listener, err = g.Take(fd, addr, unseenMost, f.accept)
+	f.listener, err = g.Take(fd, addr, maxUnseen, f.accept)
 	return f, err
 }
 
-func (f *Front) accept(done func()) reactor.Handler { return &Conn{front: f, done: done} }
+func (f *Listener) accept(done func()) reactor.Handler { return &Conn{front: f, done: done} }
 
 // Addr is the address that is listened on.
-func (f *Front) Addr() string { return f.listener.Addr() }
+func (f *Listener) Addr() string { return f.listener.Addr() }
 
 // Close stops accepting.
-func (f *Front) Close() { f.listener.Close() }
+func (f *Listener) Close() { f.listener.Close() }
 
 // Finish answers all whom the engine, which has ended, will not answer: those that it has not seen, and those that wait in
 // the kernel's queue, unless another process has them.
-func (f *Front) Finish() {
+func (f *Listener) Finish() {
 	if f.shared {
 		f.Close()
 	} else {
@@ -59,7 +59,7 @@
 	}
 	f.conns.Each(func(h reactor.Handler) {
 		if c, ok := h.(*Conn); ok {
-			c.Orphan()
+			c.RejectWaiting()
 		}
 	})
 }
