--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -256,7 +256,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	defer conns.Close()
-	conns.SetBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
+	conns.SetDescriptorBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
 	g.lines.Connect(g.engine, conns)
 	if g.config.InheritedSocket > 0 {
 		if err := hotrestart.PrepareListener(g.config.InheritedSocket, g.config.Listen); err != nil {
@@ -328,7 +328,7 @@
 	f.Finish()
 	stopWatching()
 	wg.Wait()
-	conns.Settle(settleFor)
+	conns.Quiesce(settleFor)
 	return nil
 }
 
--- a/internal/lineproto/backend/link.go
+++ b/internal/lineproto/backend/link.go
@@ -42,7 +42,7 @@
 // written counts an attempt once its last byte is with the kernel. One that was not at first is looked at again when
 // something comes of it.
 func (l *Link) written() {
-	if !l.sent && l.Conn().Waiting() == 0 {
+	if !l.sent && l.Conn().Buffered() == 0 {
 		l.sent = true
 		l.backend.options.Forwarded.Add(1)
 	}
@@ -80,7 +80,7 @@
 	case upstream.Pending:
 		l.written()
 		// What breaks before the last byte is written never ran; what breaks after may have.
-		if c.Waiting() > 0 {
+		if c.Buffered() > 0 {
 			l.finish(balancer.ConnectFailed)
 		} else {
 			l.finish(balancer.Reset)
--- a/internal/lineproto/frontend/finish_test.go
+++ b/internal/lineproto/frontend/finish_test.go
@@ -77,7 +77,7 @@
 		clients = append(clients, c)
 	}
 	until(t, "accepted", func() bool { return len(e.accepted()) == maxUnseen })
-	g.Settle(patience) // the loops have seen all that there is to see
+	g.Quiesce(patience) // the loops have seen all that there is to see
 	if n := len(e.accepted()); n != maxUnseen {
 		t.Errorf("%d are accepted and unseen", n)
 	}
@@ -86,7 +86,7 @@
 	}
 	// Accepting goes on once half are done, so that the last of them may find it full again.
 	until(t, "accepted", func() bool { return len(e.accepted()) >= maxUnseen+maxUnseen/2 })
-	g.Settle(patience)
+	g.Quiesce(patience)
 	if n := len(e.accepted()); n > 2*maxUnseen {
 		t.Errorf("%d are accepted, %d of them seen", n, maxUnseen)
 	}
@@ -137,7 +137,7 @@
 		clients = append(clients, c)
 	}
 	until(t, "accepted", func() bool { return len(e.accepted()) == maxUnseen })
-	g.Settle(patience)
+	g.Quiesce(patience)
 	f.Finish()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	for range queued {
--- a/internal/lineproto/frontend/front.go
+++ b/internal/lineproto/frontend/front.go
@@ -33,11 +33,11 @@
 	return f, err
 }
 
-// ListenFD takes connections from a listening socket that was passed on and is shared; see reactor.Group.Take.
+// ListenFD takes connections from a listening socket that was passed on and is shared; see reactor.Group.ListenFD.
 func ListenFD(fd int, addr string, e Engine, g *reactor.Group) (*Listener, error) {
 	f := &Listener{engine: e, conns: g, shared: true}
 	var err error
-	f.listener, err = g.Take(fd, addr, maxUnseen, f.accept)
+	f.listener, err = g.ListenFD(fd, addr, maxUnseen, f.accept)
 	return f, err
 }
 
@@ -55,7 +55,7 @@
 	if f.shared {
 		f.Close()
 	} else {
-		f.listener.Finish()
+		f.listener.Drain()
 	}
 	f.conns.Each(func(h reactor.Handler) {
 		if c, ok := h.(*Conn); ok {
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -147,7 +147,7 @@
 	switch {
 	case l.Up():
 		l.broken()
-	case !l.info || c.Waiting() > 0:
+	case !l.info || c.Buffered() > 0:
 		l.finish(balancer.ConnectFailed) // the opening is not out
 	default:
 		l.finish(balancer.Reset)
--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -62,7 +62,7 @@
 	f := s.front
 	s.conn, s.hub = c, f.backend.Hub(c)
 	s.id = f.clients.Add(1)
-	c.SetPending(f.settings().MaxPending)
+	c.SetMaxPending(f.settings().MaxPending)
 	f.mu.Lock()
 	f.sessions[s] = struct{}{}
 	f.mu.Unlock()
@@ -92,7 +92,7 @@
 	})
 }
 
-// OnHangup implements reactor.Hanger. A client that leaves while it waits is not served; one that has a node may have
+// OnHangup implements reactor.HangupHandler. A client that leaves while it waits is not served; one that has a node may have
 // sent something that is still to be read.
 func (s *Session) OnHangup(*reactor.Conn) {
 	if s.phase == waiting {
--- a/internal/reactor/close_test.go
+++ b/internal/reactor/close_test.go
@@ -76,7 +76,7 @@
 	begun := time.Now()
 	in.Close()
 	until(t, "released", func() bool { return g.heldNow() == 0 })
-	if d := time.Since(begun); d < lingerFor {
+	if d := time.Since(begun); d < lingerTimeout {
 		t.Errorf("it lingered for %v", d)
 	}
 	c := dial(t, addr)
@@ -86,7 +86,7 @@
 	for _, err := c.Write(make([]byte, lingerBytes/4)); err == nil; {
 		_, err = c.Write(make([]byte, lingerBytes/4))
 	}
-	if d := time.Since(begun); d > lingerFor {
+	if d := time.Since(begun); d > lingerTimeout {
 		t.Errorf("a flood was read for %v", d)
 	}
 }
@@ -94,7 +94,7 @@
 // Over the budget what has lingered for longest goes first, and nothing that stands.
 func TestLingeringMakesRoom(t *testing.T) {
 	g := group(t, 1)
-	g.SetBudget(3)
+	g.SetDescriptorBudget(3)
 	addr, conns := accepted(t, g, nil)
 	var ins []*Conn
 	for range 3 {
@@ -125,15 +125,15 @@
 		io.ReadAll(c)
 		c.Close()
 	}()
-	g.Settle(patience)
+	g.Quiesce(patience)
 	if !in.Closed() || in.leaving() {
 		t.Error("it was not waited for")
 	}
 	dial(t, addr)
 	await(t, conns).Close()
 	begun := time.Now()
-	g.Settle(20 * time.Millisecond)
-	if d := time.Since(begun); d < 20*time.Millisecond || d >= lingerFor {
+	g.Quiesce(20 * time.Millisecond)
+	if d := time.Since(begun); d < 20*time.Millisecond || d >= lingerTimeout {
 		t.Errorf("waited %v", d)
 	}
 }
--- a/internal/reactor/conn.go
+++ b/internal/reactor/conn.go
@@ -13,8 +13,8 @@
 
 // A connection that this side has ended is kept so long for the peer to end its own, and for so many bytes of the peer's.
 const (
-	lingerFor   = 500 * time.Millisecond
-	lingerBytes = 256 << 10
+	lingerTimeout = 500 * time.Millisecond
+	lingerBytes   = 256 << 10
 )
 
 // Conn is a connection. Its methods may be called by any goroutine.
@@ -223,7 +223,7 @@
 		c.rewatch()
 	}
 	c.mu.Unlock()
-	if h, ok := c.handler.(Hanger); ok && told {
+	if h, ok := c.handler.(HangupHandler); ok && told {
 		h.OnHangup(c)
 	}
 }
@@ -345,7 +345,7 @@
 	}
 	c.resumeSources()
 	c.watch(unix.EPOLLIN | unix.EPOLLRDHUP)
-	c.deadline = time.AfterFunc(lingerFor, func() { c.Abort(false) })
+	c.deadline = time.AfterFunc(lingerTimeout, func() { c.Abort(false) })
 	c.loop.group.linger(c)
 }
 
--- a/internal/reactor/flow.go
+++ b/internal/reactor/flow.go
@@ -19,7 +19,7 @@
 )
 
 // partsMost is how many parts are gathered into one write.
-const partsMost = 16
+const maxParts = 16
 
 // Send writes the parts in order, behind what waits already. What the kernel does not take at once is kept; the parts may
 // be reused. An error says that the connection is closed.
@@ -58,9 +58,9 @@
 // write writes what the kernel takes and returns the rest. A broken connection is found by reading.
 func (c *Conn) write(parts [][]byte) [][]byte {
 	for len(parts) > 0 {
-		var vec [partsMost]unix.Iovec
+		var vec [maxParts]unix.Iovec
 		n, size := 0, 0
-		for _, p := range parts[:min(len(parts), partsMost)] {
+		for _, p := range parts[:min(len(parts), maxParts)] {
 			if len(p) > 0 {
 				vec[n].Base = &p[0]
 				vec[n].SetLen(len(p))
@@ -69,7 +69,7 @@
 			}
 		}
 		if n == 0 {
-			parts = parts[min(len(parts), partsMost):]
+			parts = parts[min(len(parts), maxParts):]
 			continue
 		}
 		var done uintptr
@@ -164,16 +164,16 @@
 	}
 }
 
-// SetPending sets how many bytes may wait for the peer before what sends to it is left unread. The default is 64 KiB, and
+// SetMaxPending sets how many bytes may wait for the peer before what sends to it is left unread. The default is 64 KiB, and
 // the least.
-func (c *Conn) SetPending(most int) {
+func (c *Conn) SetMaxPending(most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.high = most
 }
 
-// Waiting is how many bytes wait for the peer to read.
-func (c *Conn) Waiting() int {
+// Buffered is how many bytes wait for the peer to read.
+func (c *Conn) Buffered() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.out) - c.taken
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -37,9 +37,9 @@
 	OnEnd(c *Conn, err error)
 }
 
-// Hanger is a Handler that wants to know when the peer of a paused connection has ended its side: what it sent before is
+// HangupHandler is a Handler that wants to know when the peer of a paused connection has ended its side: what it sent before is
 // still to be read. It is told once.
-type Hanger interface{ OnHangup(c *Conn) }
+type HangupHandler interface{ OnHangup(c *Conn) }
 
 // Errors that OnEnd and OnOpen bring besides the system's own.
 var (
@@ -50,11 +50,11 @@
 )
 
 const (
-	eventsAtOnce = 256
-	readSize     = 64 << 10
-	acceptsMost  = 64 // at one event, so that a flood of connections does not hold up the rest
-	acceptPause  = 10 * time.Millisecond
-	settleEvery  = 2 * time.Millisecond
+	eventsAtOnce    = 256
+	readSize        = 64 << 10
+	maxAccepts      = 64 // at one event, so that a flood of connections does not hold up the rest
+	acceptPause     = 10 * time.Millisecond
+	quiesceInterval = 2 * time.Millisecond
 )
 
 // Group is a set of loops that share the connections.
@@ -154,8 +154,8 @@
 	}
 }
 
-// SetBudget sets how many descriptors connections may hold before those that linger are closed for new ones.
-func (g *Group) SetBudget(n int) {
+// SetDescriptorBudget sets how many descriptors connections may hold before those that linger are closed for new ones.
+func (g *Group) SetDescriptorBudget(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget = n
@@ -201,12 +201,12 @@
 	}
 }
 
-// Settle waits until what was asked of the loops is done, and until no connection lingers or still has bytes to write
+// Quiesce waits until what was asked of the loops is done, and until no connection lingers or still has bytes to write
 // before it closes; so long at the most.
-func (g *Group) Settle(within time.Duration) {
+func (g *Group) Quiesce(within time.Duration) {
 	end := time.Now().Add(within)
 	for time.Now().Before(end) && !g.settled() {
-		time.Sleep(settleEvery)
+		time.Sleep(quiesceInterval)
 	}
 }
 
@@ -230,7 +230,7 @@
 		l.post(func() { done <- true })
 		select {
 		case <-done:
-		case <-time.After(lingerFor): // a handler holds it up
+		case <-time.After(lingerTimeout): // a handler holds it up
 			return false
 		}
 		for _, s := range l.sources() {
@@ -405,16 +405,16 @@
 		return nil, err
 	}
 	unix.SetNonblock(fd, true) // Fd has made it wait
-	l, err := g.Take(fd, nl.Addr().String(), most, accept)
+	l, err := g.ListenFD(fd, nl.Addr().String(), most, accept)
 	if err != nil {
 		unix.Close(fd)
 	}
 	return l, err
 }
 
-// Take has a listening socket that does not wait, and that other processes may accept from too: a wakeup whose connection
+// ListenFD has a listening socket that does not wait, and that other processes may accept from too: a wakeup whose connection
 // another took brings nothing. The listener closes this descriptor alone.
-func (g *Group) Take(fd int, addr string, most int, accept func(done func()) Handler) (*Listener, error) {
+func (g *Group) ListenFD(fd int, addr string, most int, accept func(done func()) Handler) (*Listener, error) {
 	l := &Listener{group: g, loop: g.loops[0], fd: fd, addr: addr, accept: accept, most: most}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -440,7 +440,7 @@
 }
 
 func (l *Listener) ready(uint32) {
-	for range acceptsMost {
+	for range maxAccepts {
 		l.mu.Lock()
 		if l.closed || l.full {
 			l.mu.Unlock()
@@ -490,8 +490,8 @@
 	}
 }
 
-// Finish takes all that waits in the kernel's queue, then ends the accepting.
-func (l *Listener) Finish() {
+// Drain takes all that waits in the kernel's queue, then ends the accepting.
+func (l *Listener) Drain() {
 	l.mu.Lock()
 	for !l.closed {
 		c, err := l.take()
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -107,7 +107,7 @@
 }
 func (p *pipe) OnData(c *Conn, b []byte) int {
 	p.peer.SendFrom(c, b)
-	if n := int64(p.peer.Waiting()); n > p.most.Load() {
+	if n := int64(p.peer.Buffered()); n > p.most.Load() {
 		p.most.Store(n)
 	}
 	return len(b)
