--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -325,7 +325,7 @@
 	g.logger.Info("serving", "name", g.config.Name, "listen", f.Addr(), "discovery", g.config.Discovery,
 		"pass", g.config.Gateway.ConnectionsOutliveGateway, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
-	f.Finish()
+	f.Shutdown()
 	stopWatching()
 	wg.Wait()
 	conns.Quiesce(settleFor)
--- a/internal/lineproto/frontend/finish_test.go
+++ b/internal/lineproto/frontend/finish_test.go
@@ -90,7 +90,7 @@
 	if n := len(e.accepted()); n > 2*maxUnseen {
 		t.Errorf("%d are accepted, %d of them seen", n, maxUnseen)
 	}
-	f.Finish()
+	f.Shutdown()
 	for i, c := range clients {
 		if got, err := io.ReadAll(c); string(got) != "BUSY\r\n" || err != nil {
 			t.Errorf("client %d got %q, %v", i, got, err)
@@ -138,7 +138,7 @@
 	}
 	until(t, "accepted", func() bool { return len(e.accepted()) == maxUnseen })
 	g.Quiesce(patience)
-	f.Finish()
+	f.Shutdown()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 	for range queued {
 		c, err := l.Accept()
--- a/internal/lineproto/frontend/front.go
+++ b/internal/lineproto/frontend/front.go
@@ -49,9 +49,9 @@
 // Close stops accepting.
 func (f *Listener) Close() { f.listener.Close() }
 
-// Finish answers all whom the engine, which has ended, will not answer: those that it has not seen, and those that wait in
+// Shutdown answers all whom the engine, which has ended, will not answer: those that it has not seen, and those that wait in
 // the kernel's queue, unless another process has them.
-func (f *Listener) Finish() {
+func (f *Listener) Shutdown() {
 	if f.shared {
 		f.Close()
 	} else {
