--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -1,6 +1,9 @@
-// Package upstream has what an attempt is in every protocol: a connection to a server that is dialed, is asked, stands, and
-// ends, each once, while the engine may give it up at any moment. It knows no protocol; bytes pass between connections by
-// reactor.Conn.SendFrom, which leaves a source unread while its other side does not read.
+// Package upstream holds the state that an attempt at a server has in every protocol: its connection, its phase and the
+// time for which the oldest request has gone without a response.
+//
+// An attempt is dialed, sends its request, is established and ends. Each transition happens once, while the engine may
+// cancel the attempt at any moment from another goroutine. The package knows no protocol; a protocol's backend embeds
+// Attempt and drives it from the callbacks of its reactor.Conn.
 package upstream
 
 import (
@@ -11,51 +14,52 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// Phase is how far an attempt has come. Phases follow in this order, but Over may follow each.
+// Phase is the progress of an attempt. Phases follow in the order of the constants, but Ended may follow each.
 type Phase uint8
 
 // The phases of an attempt.
 const (
 	Dialing     Phase = iota
-	Pending           // asked, or about to be; no answer is in
-	Established       // it stands
+	Pending           // connected; no response has arrived
+	Established       // the server has accepted the request
 	Ended
 )
 
-// Attempt is a connection to a server through its phases. It is part of what implements engine.ActiveAttempt. Its methods may be
-// called by any goroutine and never wait.
+// Attempt is a connection to a server with its phase. It is a part of what implements engine.ActiveAttempt. Its methods may
+// be called by any goroutine and don't block on the network.
 type Attempt struct {
-	mu    sync.Mutex // guards the phase; never held while writing or posting
+	mu    sync.Mutex // protects phase; never held while writing or posting
 	phase Phase
 	conn  *reactor.Conn
-	begun time.Time
+	start time.Time
 
-	// When the oldest question without an answer went out, in nanoseconds since begun plus one; 0: none is.
-	asked atomic.Int64
+	// When the oldest request without a response was sent, in nanoseconds since start plus one; 0: there is none.
+	sentAt atomic.Int64
 }
 
-// Start dials. The connection's handler may be called before it returns, and then waits for it in any method here.
+// Start dials. The connection's handler may be called before Start returns; the methods that depend on the phase then block
+// until it does.
 func (a *Attempt) Start(dial func() *reactor.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.begun = time.Now()
+	a.start = time.Now()
 	a.conn = dial()
 }
 
-// Conn is the connection, for handlers and after Begin.
+// Conn is the connection. It may be used in the connection's handler, and by others once Start has returned.
 func (a *Attempt) Conn() *reactor.Conn { return a.conn }
 
-// Age is the time since Begin.
-func (a *Attempt) Age() time.Duration { return time.Since(a.begun) }
+// Age is the time since Start.
+func (a *Attempt) Age() time.Duration { return time.Since(a.start) }
 
-// Phase is how far it has come.
+// Phase is the current phase.
 func (a *Attempt) Phase() Phase {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.phase
 }
 
-// Transition goes from one phase to another; false says that it is in a third.
+// Transition changes the phase from one to another. It reports false, and changes nothing, in any other phase.
 func (a *Attempt) Transition(from, to Phase) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,47 +70,62 @@
 	return true
 }
 
-// Finish ends it, and tells from which phase.
-func (a *Attempt) Finish() (was Phase) {
+// Finish ends the attempt and returns the phase that it was in. The connection is left to the caller.
+func (a *Attempt) Finish() (previous Phase) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	was = a.phase
+	previous = a.phase
 	a.phase = Ended
-	return was
+	return previous
 }
 
-// Cancel implements engine.ActiveAttempt: it gives up one that does not stand. When it returns true the connection is closed and
-// carries nothing any more; false says that it stands, or has ended by itself.
+// Cancel implements engine.ActiveAttempt: it ends an attempt that is not established. When it returns true the connection is
+// closed and carries nothing any more; false means that the attempt is established or has ended.
 func (a *Attempt) Cancel() bool {
+	if !a.endUnestablished() {
+		return false
+	}
+	a.conn.Abort(false)
+	return true
+}
+
+func (a *Attempt) endUnestablished() bool {
 	a.mu.Lock()
+	defer a.mu.Unlock()
 	if a.phase >= Established {
-		a.mu.Unlock()
 		return false
 	}
 	a.phase = Ended
-	a.mu.Unlock()
-	a.conn.Abort(false)
 	return true
 }
 
-// RequestSent notes that the server was asked something now, unless an older question is open.
-func (a *Attempt) RequestSent() { a.asked.CompareAndSwap(0, int64(a.Age())+1) }
+// RequestSent records that a request was sent now, unless an older one has no response yet.
+func (a *Attempt) RequestSent() { a.sentAt.CompareAndSwap(0, a.now()) }
 
-// RequestRenewed notes that the oldest question that is open is as good as asked now.
-func (a *Attempt) RequestRenewed() { a.asked.Store(int64(a.Age()) + 1) }
+// RequestRenewed treats the oldest request without a response as sent now.
+func (a *Attempt) RequestRenewed() { a.sentAt.Store(a.now()) }
 
-// ResponseReceived notes that no question is open, and returns how long the oldest was; 0: none was.
+// ResponseReceived records that every request has its response. It returns for how long the oldest had none, at least 1 ns;
+// 0 if there was no request.
 func (a *Attempt) ResponseReceived() time.Duration {
-	if at := a.asked.Swap(0); at > 0 {
-		return max(a.Age()-time.Duration(at), 1)
+	sent := a.sentAt.Swap(0)
+	if sent == 0 {
+		return 0
 	}
-	return 0
+	return max(a.since(sent), 1)
 }
 
-// UnansweredFor implements engine.ActiveAttempt: for how long the oldest question has been open; 0: none is.
+// UnansweredFor implements engine.ActiveAttempt: for how long the oldest request has had no response; 0 if there is none.
 func (a *Attempt) UnansweredFor() time.Duration {
-	if at := a.asked.Load(); at > 0 {
-		return max(a.Age()-time.Duration(at), 0)
+	sent := a.sentAt.Load()
+	if sent == 0 {
+		return 0
 	}
-	return 0
+	return max(a.since(sent), 0)
 }
+
+// now is the current time in the form of sentAt.
+func (a *Attempt) now() int64 { return int64(a.Age()) + 1 }
+
+// since is the time since sent, a value of sentAt. It may be off by a nanosecond.
+func (a *Attempt) since(sent int64) time.Duration { return a.Age() - time.Duration(sent) }
