--- a/internal/lineproto/codec/format_test.go
+++ b/internal/lineproto/codec/format_test.go
@@ -15,7 +15,7 @@
 	"example.org/milletvane/internal/lineproto/codec"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew")
+var update = flag.Bool("update", false, "rewrite the files in testdata")
 
 // compareLines compares lines with those of a file in testdata, or writes the file with -update.
 func compareLines(t *testing.T, file string, got []string) {
@@ -82,24 +82,24 @@
 
 func describeReply(line []byte) string {
 	reply := codec.ParseReply(line)
-	word := "unknown word"
+	kind := "unknown word"
 	switch reply.Kind {
 	case codec.ReplyOther:
-		word = "other"
+		kind = "other"
 	case codec.ReplyUp:
-		word = "UP"
+		kind = "UP"
 	case codec.ReplyBye:
-		word = "BYE"
+		kind = "BYE"
 	case codec.ReplyMove:
-		word = "MOVE"
+		kind = "MOVE"
 	case codec.ReplyErr:
-		word = "ERR"
+		kind = "ERR"
 	case codec.ReplyBusy:
-		word = "BUSY"
+		kind = "BUSY"
 	case codec.ReplyLoad:
-		word = "LOAD"
+		kind = "LOAD"
 	}
-	return fmt.Sprintf("%s load=%v report=%q", word, reply.Load, reply.Report)
+	return fmt.Sprintf("%s load=%v report=%q", kind, reply.Load, reply.Report)
 }
 
 func describePong(line []byte) string {
@@ -121,8 +121,8 @@
 	}, " | ")
 }
 
-// inPieces tells what a reader makes of a line of which more and more has come: each result with the length from which it
-// stands.
+// inPieces is what a reader makes of each prefix of a line: every result that differs from the one before, with the
+// prefix's length.
 func inPieces(line string, read func([]byte) string) string {
 	var b strings.Builder
 	last := ""
@@ -135,8 +135,8 @@
 	return strings.TrimSpace(b.String())
 }
 
-// spoilt are the lines that differ from a line in one byte: left out, replaced or put in before it.
-func spoilt(line string) (all []string) {
+// corrupted are the lines that differ from a line in one byte: left out, replaced or put in before it.
+func corrupted(line string) (all []string) {
 	for i := range len(line) + 1 {
 		for _, c := range "\x00 ,=\r\n\x7f\xff9xc." {
 			all = append(all, line[:i]+string(byte(c))+line[i:])
@@ -221,7 +221,7 @@
 	compareLines(t, "open_forwarded.txt", lines)
 }
 
-func TestFirstLinesToldApart(t *testing.T) {
+func TestRequestKindsRead(t *testing.T) {
 	var lines []string
 	for _, line := range []string{
 		"OPEN i k c=a\r\n", "OPEN\r\n", "OPENS i\r\n", "PING\r\n", "PING 7\r\n", "PING\n",
@@ -292,8 +292,8 @@
 	compareLines(t, "written.txt", lines)
 }
 
-// Every line with one byte other than it should be, as a digest of what all readers make of it.
-func TestSpoiltLines(t *testing.T) {
+// Each line with any one byte corrupted, as a digest of what all readers make of it.
+func TestCorruptedLines(t *testing.T) {
 	var lines []string
 	for _, line := range []string{
 		"OPEN 9b1f03 7f3a9c c=chat,d=2000,g=5c,t=acme,r=1,again=1,mid=1,at=s-1,h=3.5,zz=9\r\n", "OPEN i k\r\n",
@@ -302,7 +302,7 @@
 		"BUSY 20\r\n", "LOAD 351313.469\r\n",
 		"PONG inflight=7,queue=2,util=0.61\r\n", "inflight=7,queue=2,util=0.61",
 	} {
-		all := spoilt(line)
+		all := corrupted(line)
 		var b strings.Builder
 		for _, l := range all {
 			fmt.Fprintf(&b, "%q: %s\n", l, describeAll([]byte(l)))
@@ -312,14 +312,14 @@
 	compareLines(t, "spoilt.txt", lines)
 }
 
-// linePieces are what drawn lines are put together from.
+// linePieces are the parts of random lines.
 var linePieces = []string{
 	"OPEN", "PING", "PONG", "STATS", "UP", "BYE", "MOVE", "ERR", "BUSY", "LOAD", " ", " ", " ",
 	"=", ",", "id", "key", "c=", "d=", "g=", "t=", "h=", "r=1",
 	"at=", "mid=1", "again=1", "1", "20", "0.5", "-", "e3", "\r\n", "\r\n", "\n", "\r", "\x00", "\x7f", "é",
 }
 
-func drawnLine(rng *rand.Rand) string {
+func randomLine(rng *rand.Rand) string {
 	var line strings.Builder
 	if rng.IntN(2) == 0 {
 		line.WriteString("OPEN i k ")
@@ -333,14 +333,14 @@
 	return line.String()
 }
 
-// Drawn lines of the protocol's own pieces, as a digest of each hundred.
-func TestDrawnLines(t *testing.T) {
+// Random lines of the protocol's own parts, as a digest of each hundred.
+func TestRandomLines(t *testing.T) {
 	var lines []string
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 23))
 		var b strings.Builder
 		for range 100 {
-			line := drawnLine(rng)
+			line := randomLine(rng)
 			fmt.Fprintf(&b, "%q: %s\n", line, describeAll([]byte(line)))
 		}
 		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(b.String())))
