--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -79,15 +79,15 @@
 	}()
 	switch {
 	case ev.Start != nil:
-		b, err := balancer.New(ev.Start.Rules)
+		b, err := balancer.New(ev.Start.Balancer)
 		if err != nil {
 			delete(instances, ev.Instance)
 			return simproto.AppendBroken(reply, ev.Instance, err.Error())
 		}
 		i := &instance{rules: b}
 		instances[ev.Instance] = i
-		if ev.Start.Asks {
-			i.list = refresh.New(ev.Start.List)
+		if ev.Start.PollsList {
+			i.list = refresh.New(ev.Start.ListRefresh)
 			reply = i.asked(reply, ev.Instance, i.list.Handle(batch.Now, refresh.Start{}))
 		}
 	case ev.Stop:
@@ -97,20 +97,20 @@
 		if i == nil {
 			return reply // its end may cross its last events
 		}
-		if ev.Unlisted {
+		if ev.ListFailed {
 			if i.list != nil {
 				reply = i.asked(reply, ev.Instance, i.list.Handle(batch.Now, refresh.Failed{}))
 			}
 			return reply
 		}
-		if t, ok := ev.Rules.(balancer.TimerFired); ok && t.Ref == refAsk {
+		if t, ok := ev.Balancer.(balancer.TimerFired); ok && t.Ref == refAsk {
 			return simproto.AppendWatch(reply, ev.Instance)
 		}
-		if l, ok := ev.Rules.(balancer.EndpointList); ok && l.Mode != balancer.ListCached && i.list != nil {
+		if l, ok := ev.Balancer.(balancer.EndpointList); ok && l.Mode != balancer.ListCached && i.list != nil {
 			// The simulator goes on with a watch by itself: what comes is taken note of, and no call follows.
 			i.list.Handle(batch.Now, refresh.ListReceived{Complete: true})
 		}
-		for _, a := range i.rules.Handle(batch.Now, ev.Rules) {
+		for _, a := range i.rules.Handle(batch.Now, ev.Balancer) {
 			reply = simproto.AppendAction(reply, ev.Instance, a)
 		}
 	}
--- a/internal/simproto/format_test.go
+++ b/internal/simproto/format_test.go
@@ -226,17 +226,17 @@
 	fmt.Fprintf(&w.Builder, "%d:", ev.Instance)
 	if ev.Start != nil {
 		w.WriteString(" start")
-		w.add("asks", ev.Start.Asks)
-		w.settings(ev.Start.Rules)
-		w.list(ev.Start.List)
+		w.add("asks", ev.Start.PollsList)
+		w.settings(ev.Start.Balancer)
+		w.list(ev.Start.ListRefresh)
 	}
 	if ev.Stop {
 		w.WriteString(" stop")
 	}
-	if ev.Unlisted {
+	if ev.ListFailed {
 		w.WriteString(" no list")
 	}
-	if ev.Rules != nil && !w.requestEvent(ev.Rules) && !w.attemptEvent(ev.Rules) {
+	if ev.Balancer != nil && !w.requestEvent(ev.Balancer) && !w.attemptEvent(ev.Balancer) {
 		w.WriteString(" an event that the wire does not have")
 	}
 	return w.String()
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -20,18 +20,18 @@
 
 // Event is one line of a batch for one instance. Exactly one of Start, Stop, Unlisted and Rules is set.
 type Event struct {
-	Instance int
-	Start    *Start
-	Stop     bool
-	Unlisted bool // a call for the list failed, or the watch broke
-	Rules    balancer.Event
+	Instance   int
+	Start      *Start
+	Stop       bool
+	ListFailed bool // a call for the list failed, or the watch broke
+	Balancer   balancer.Event
 }
 
 // Start is what a new instance goes by.
 type Start struct {
-	Rules balancer.Settings
-	Asks  bool // the list has to be asked for; else changes come by themselves
-	List  refresh.Settings
+	Balancer    balancer.Settings
+	PollsList   bool // the list has to be asked for; else changes come by themselves
+	ListRefresh refresh.Settings
 }
 
 // Batch is what happened at one time.
@@ -166,7 +166,7 @@
 	if err != nil {
 		return ev, false, r.errorf("create: %v", err)
 	}
-	ev.Start = &Start{Rules: *set, Asks: p["discovery"] == "ask", List: list}
+	ev.Start = &Start{Balancer: *set, PollsList: p["discovery"] == "ask", ListRefresh: list}
 	return ev, true, nil
 }
 
@@ -270,7 +270,7 @@
 		ev.Stop = true
 	case "update":
 		if rec.mode == "Error" {
-			ev.Unlisted = true
+			ev.ListFailed = true
 			return true, nil
 		}
 		mode, ok := modes[rec.mode]
@@ -281,20 +281,20 @@
 		if err != nil {
 			return false, err
 		}
-		ev.Rules = balancer.EndpointList{Mode: mode, Servers: servers}
+		ev.Balancer = balancer.EndpointList{Mode: mode, Servers: servers}
 	case "new_request":
-		ev.Rules = rec.req
+		ev.Balancer = rec.req
 	case "carried":
-		ev.Rules = balancer.AdoptedConnection{Request: rec.req, Server: rec.server}
+		ev.Balancer = balancer.AdoptedConnection{Request: rec.req, Server: rec.server}
 	case "opened":
-		ev.Rules = balancer.AttemptEstablished{ID: id, Attempt: rec.attempt, Server: rec.server, Elapsed: rec.elapsed}
+		ev.Balancer = balancer.AttemptEstablished{ID: id, Attempt: rec.attempt, Server: rec.server, Elapsed: rec.elapsed}
 	case "update_of":
 		switch rec.topic {
 		case 1:
-			ev.Rules = balancer.LoadChanged{ID: id, Load: rec.value}
+			ev.Balancer = balancer.LoadChanged{ID: id, Load: rec.value}
 		case 2:
 			delay := time.Duration(rec.value * float64(time.Millisecond))
-			ev.Rules = balancer.MessageDelay{ID: id, Server: rec.server, Delay: delay}
+			ev.Balancer = balancer.MessageDelay{ID: id, Server: rec.server, Delay: delay}
 		default:
 			return false, nil
 		}
@@ -303,12 +303,12 @@
 		if !ok {
 			return false, r.errorf("result: unknown outcome %d", rec.outcome)
 		}
-		ev.Rules = balancer.AttemptEnded{ID: id, Attempt: rec.attempt, Server: rec.server, Result: result,
+		ev.Balancer = balancer.AttemptEnded{ID: id, Attempt: rec.attempt, Server: rec.server, Result: result,
 			Elapsed: rec.elapsed, Answered: rec.settled}
 	case "expired":
-		ev.Rules = balancer.ClientDisconnected{ID: id}
+		ev.Balancer = balancer.ClientDisconnected{ID: id}
 	case "timer":
-		ev.Rules = balancer.TimerFired{Ref: rec.ref}
+		ev.Balancer = balancer.TimerFired{Ref: rec.ref}
 	case "checked", "message": // answers to what the rules never ask or say
 		return false, nil
 	default:
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -41,7 +41,7 @@
 		"update relay=3 mode=Complete rev=5 rows_in=0": balancer.EndpointList{Mode: balancer.ListComplete},
 	} {
 		got := read(t, "mark t_ns=5\n"+line+"\nover_to_you\n")
-		if len(got) != 1 || got[0].Instance != 3 || !reflect.DeepEqual(got[0].Rules, want) {
+		if len(got) != 1 || got[0].Instance != 3 || !reflect.DeepEqual(got[0].Balancer, want) {
 			t.Errorf("%s\n got %+v\nwant %+v", line, got, want)
 		}
 	}
@@ -53,7 +53,7 @@
 		"row backend=6 mode=LAME\nover_to_you\n")
 	want := balancer.EndpointList{Mode: balancer.ListCached, Servers: []balancer.Server{
 		{ID: 5, Zone: "a", Cell: 2, Capacity: 1.5, Started: 61}, {ID: 6, State: balancer.Draining}}}
-	if len(got) != 1 || !reflect.DeepEqual(got[0].Rules, want) {
+	if len(got) != 1 || !reflect.DeepEqual(got[0].Balancer, want) {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -76,10 +76,10 @@
 		},
 		Tenants: []balancer.Tenant{{Name: "t", ConnectionQuota: 7.5}, {Name: "u"}},
 	}
-	if len(got) != 1 || !reflect.DeepEqual(&got[0].Start.Rules, want) {
-		t.Errorf("got  %+v\nwant %+v", got[0].Start.Rules, want)
+	if len(got) != 1 || !reflect.DeepEqual(&got[0].Start.Balancer, want) {
+		t.Errorf("got  %+v\nwant %+v", got[0].Start.Balancer, want)
 	}
-	if l := got[0].Start.List; !got[0].Start.Asks || l.LocalAgent || l.Gateways != 3 || l.MaxPollInterval != 4*ms {
+	if l := got[0].Start.ListRefresh; !got[0].Start.PollsList || l.LocalAgent || l.Gateways != 3 || l.MaxPollInterval != 4*ms {
 		t.Errorf("the list's clock goes by %+v", l)
 	}
 }
@@ -122,7 +122,7 @@
 	r := NewReader(strings.NewReader("mark t_ns=5\nnew_request relay=1 ticket=1 partition_key=" + key +
 		"\nover_to_you\n\nmark t_ns=6\nover_to_you\n"))
 	var b Batch
-	if err := r.Read(&b); err != nil || b.Events[0].Rules.(balancer.Request).Key != key {
+	if err := r.Read(&b); err != nil || b.Events[0].Balancer.(balancer.Request).Key != key {
 		t.Fatalf("a long line: %v", err)
 	}
 	if err := r.Read(&b); err != nil || b.Now != 6 || len(b.Events) != 0 {
@@ -167,7 +167,7 @@
 				return
 			}
 			for _, ev := range b.Events {
-				if ev.Start == nil && !ev.Stop && ev.Rules == nil {
+				if ev.Start == nil && !ev.Stop && ev.Balancer == nil {
 					t.Errorf("an event that says nothing: %+v", ev)
 				}
 			}
