--- a/internal/membership/contract_test.go
+++ b/internal/membership/contract_test.go
@@ -193,7 +193,7 @@
 	})
 }
 
-// Messages of an earlier incarnation are ignored. An instance whose disk is older than what its peers know is told.
+// Messages of an earlier incarnation are ignored. An instance whose disk is older than what its peers know learns of it.
 func testIncarnations(t *testing.T, r networkRig) {
 	t.Helper()
 	ts, boxes := fleet(t, r, 3)
@@ -230,7 +230,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(known) == 0 || known[0] != 9 {
-		t.Errorf("b was told of incarnations %d", known)
+		t.Errorf("b learned of incarnations %d", known)
 	}
 }
 
@@ -238,11 +238,11 @@
 	t.Helper()
 	ts, boxes := fleet(t, r, 4)
 	mustClose(t, ts[2])
-	until(t, r, "c is gone for all", func() bool {
+	until(t, r, "c is dead for all", func() bool {
 		return stateOf(ts[0], "c") == membership.Dead && stateOf(ts[1], "c") == membership.Dead && stateOf(ts[3], "c") == membership.Dead
 	})
 	if s := stateOf(ts[0], "b"); s == membership.Dead {
-		t.Error("b is gone with c")
+		t.Error("b is dead with c")
 	}
 	box := &inbox{}
 	c := r.Start(membership.Options{Name: "c", Incarnation: 2, OnMessage: box.receive})
--- a/internal/membership/format_test.go
+++ b/internal/membership/format_test.go
@@ -97,7 +97,7 @@
 
 func oneMore(above uint64) (uint64, error) { return above + 1, nil }
 
-// Packets of every kind have the bytes that stand in testdata, and those are read as is said there.
+// Packets of every kind have the bytes of testdata, and those decode as testdata says.
 func TestPacketsKeepTheirFormat(t *testing.T) {
 	var written strings.Builder
 	for _, c := range []struct {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -49,7 +49,7 @@
 	return o
 }
 
-// Gossip is the Transport over sockets. memberlist tells it who is alive.
+// Gossip is the Transport over sockets. memberlist reports who is alive.
 type Gossip struct {
 	*Endpoint
 	list   *memberlist.Memberlist
--- a/internal/membership/incarnation_test.go
+++ b/internal/membership/incarnation_test.go
@@ -79,7 +79,7 @@
 	return all.String()
 }
 
-// The incarnation file has the bytes that stand in testdata; whatever stands in it, the next number is as ever.
+// The incarnation file has the bytes of testdata; whatever its content, the next number is as before.
 func TestTheIncarnationFileKeepsItsFormat(t *testing.T) {
 	var all strings.Builder
 	for _, c := range []struct {
--- a/internal/wal/corruption_test.go
+++ b/internal/wal/corruption_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Every single cut, flipped byte and hole of a log is classed as it always was: one digest for all changes of a kind.
+// Every cut, flipped byte and hole of a log is classed as before: one digest for all changes of a kind.
 func TestEveryChangeIsClassedAsBefore(t *testing.T) {
 	t.Parallel()
 	opts := withSegments(800)
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -113,23 +113,23 @@
 	opts := withSegments(64)
 	script := func(fs wal.FS) string {
 		var b strings.Builder
-		j, held, err := wal.Open(fs, formatDir, opts)
+		l, recovered, err := wal.Open(fs, formatDir, opts)
 		fmt.Fprintf(&b, "open %s\n", outcome(err))
 		if err != nil {
 			return b.String()
 		}
-		b.WriteString(recoveredText(held))
+		b.WriteString(recoveredText(recovered))
 		for i := range 7 {
-			n, err := j.Append([]byte(strings.Repeat("record ", i)))
+			n, err := l.Append([]byte(strings.Repeat("record ", i)))
 			fmt.Fprintf(&b, "append %d %s\n", n, outcome(err))
 			if i%3 == 2 {
-				fmt.Fprintf(&b, "snapshot %s\n", outcome(j.Snapshot(n, []byte("state"))))
+				fmt.Fprintf(&b, "snapshot %s\n", outcome(l.Snapshot(n, []byte("state"))))
 			}
 			if i == 4 {
-				fmt.Fprintf(&b, "snapshot %s\n", outcome(j.Snapshot(n-1, []byte("older state"))))
+				fmt.Fprintf(&b, "snapshot %s\n", outcome(l.Snapshot(n-1, []byte("older state"))))
 			}
 		}
-		fmt.Fprintf(&b, "close %s\n", outcome(j.Close()))
+		fmt.Fprintf(&b, "close %s\n", outcome(l.Close()))
 		return b.String()
 	}
 	torn := write(t, opts, appends("the first of some records", "the second", "the third, in a new file", "the fourth"))
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -193,17 +193,17 @@
 }
 
 // recoveredText names what an open log had in it, field by field.
-func recoveredText(held *wal.RecoveredLog) string {
+func recoveredText(recovered *wal.RecoveredLog) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "snapshot %d %s\n", held.SnapshotNumber, hex.EncodeToString(held.Snapshot))
-	for _, r := range held.Records {
+	fmt.Fprintf(&b, "snapshot %d %s\n", recovered.SnapshotNumber, hex.EncodeToString(recovered.Snapshot))
+	for _, r := range recovered.Records {
 		data := hex.EncodeToString(r.Data)
 		if len(r.Data) > 32 {
 			data = fmt.Sprintf("%d bytes %s", len(r.Data), shortDigest(r.Data))
 		}
 		fmt.Fprintf(&b, "record %d %s\n", r.Number, data)
 	}
-	fmt.Fprintf(&b, "last %d\ntorn %d\n", held.LastNumber(), held.TornBytes)
+	fmt.Fprintf(&b, "last %d\ntorn %d\n", recovered.LastNumber(), recovered.TornBytes)
 	return b.String()
 }
 
@@ -211,12 +211,12 @@
 func reopen(t *testing.T, fs wal.FS, opts wal.Options) string {
 	t.Helper()
 	var b strings.Builder
-	j, held, err := wal.Open(fs, formatDir, opts)
+	l, recovered, err := wal.Open(fs, formatDir, opts)
 	fmt.Fprintf(&b, "open %s\n", outcome(err))
 	if err == nil {
-		fmt.Fprintf(&b, "%sfiles\n%s", recoveredText(held), filesOn(t, fs, formatDir).digests())
-		n, err := j.Append([]byte("next"))
-		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, outcome(err), outcome(j.Close()))
+		fmt.Fprintf(&b, "%sfiles\n%s", recoveredText(recovered), filesOn(t, fs, formatDir).digests())
+		n, err := l.Append([]byte("next"))
+		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, outcome(err), outcome(l.Close()))
 	}
 	fmt.Fprintf(&b, "files\n%s", filesOn(t, fs, formatDir).digests())
 	var damage *wal.CorruptionError
@@ -227,13 +227,13 @@
 }
 
 // formatScript is what a case does to a log.
-type formatScript func(t *testing.T, j wal.Log)
+type formatScript func(t *testing.T, l wal.Log)
 
 func appends(records ...string) formatScript {
-	return func(t *testing.T, j wal.Log) {
+	return func(t *testing.T, l wal.Log) {
 		t.Helper()
 		for _, r := range records {
-			if _, err := j.Append([]byte(r)); err != nil {
+			if _, err := l.Append([]byte(r)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -241,9 +241,9 @@
 }
 
 func snapshotAt(upTo uint64, state string) formatScript {
-	return func(t *testing.T, j wal.Log) {
+	return func(t *testing.T, l wal.Log) {
 		t.Helper()
-		if err := j.Snapshot(upTo, []byte(state)); err != nil {
+		if err := l.Snapshot(upTo, []byte(state)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -253,14 +253,14 @@
 func write(t *testing.T, opts wal.Options, script ...formatScript) formatFiles {
 	t.Helper()
 	d := faultfs.New(1)
-	j, _, err := wal.Open(d, formatDir, opts)
+	l, _, err := wal.Open(d, formatDir, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, step := range script {
-		step(t, j)
+		step(t, l)
 	}
-	if err := j.Close(); err != nil {
+	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return filesOn(t, d, formatDir)
@@ -280,7 +280,7 @@
 	thirdSnapshot = "state-0000000000000003"
 )
 
-// What a script writes is what stands in testdata, byte for byte, and those bytes are recovered as is said there.
+// A script writes the bytes of testdata, and those are recovered as testdata says.
 func TestFilesKeepTheirFormat(t *testing.T) {
 	for _, c := range slices.Concat(soundCases(), tornCases(), corruptCases(t), snapshotCases(t)) {
 		t.Run(c.name, func(t *testing.T) {
@@ -304,14 +304,14 @@
 func TestFilesOnTheSystemsDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	script := []formatScript{appends("the first of some records", "the second", "the third"), snapshotAt(2, "two")}
-	j, _, err := wal.Open(wal.OSFS{}, dir, withSegments(64))
+	l, _, err := wal.Open(wal.OSFS{}, dir, withSegments(64))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, step := range script {
-		step(t, j)
+		step(t, l)
 	}
-	if err := j.Close(); err != nil {
+	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := filesOn(t, wal.OSFS{}, dir).text(), write(t, withSegments(64), script...).text(); got != want {
@@ -335,15 +335,15 @@
 // The bounds of a record and of a segment, in bytes, are what they were.
 func TestBoundsStayAsTheyAre(t *testing.T) {
 	d := faultfs.New(1)
-	j, _, err := wal.Open(d, formatDir, wal.Options{})
+	l, _, err := wal.Open(d, formatDir, wal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
 	for _, size := range []int{1<<20 + 1, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1} {
-		n, err := j.Append(make([]byte, size))
+		n, err := l.Append(make([]byte, size))
 		fmt.Fprintf(&b, "append %d bytes: %d %s\n", size, n, outcome(err))
 	}
-	fmt.Fprintf(&b, "close %s\n%s", outcome(j.Close()), reopen(t, d, wal.Options{}))
+	fmt.Fprintf(&b, "close %s\n%s", outcome(l.Close()), reopen(t, d, wal.Options{}))
 	compare(t, "bounds", b.String())
 }
