--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -20,6 +20,19 @@
 	compare(t, "simulated.digests", all.String())
 }
 
+// A link takes a packet that is sent at once, and as many that wait as its queue holds.
+func TestSimulatedLinksDropWhatTheirQueueDoesNotHold(t *testing.T) {
+	net := simnet.New(1, simnet.Faults{})
+	net.Listen(membership.Options{Name: "b"})
+	a := net.Listen(membership.Options{Name: "a", MaxQueuedMessages: 2})
+	for range 5 {
+		a.Send("b", []byte("x"))
+	}
+	if c := a.Counts()["b"]; c.Sent != 3 || c.Dropped != 2 {
+		t.Errorf("sent %d and dropped %d, want 3 and 2", c.Sent, c.Dropped)
+	}
+}
+
 // simulation is a simulated network with what happens in it, one line an event.
 type simulation struct {
 	draw  func(below int) int
--- /dev/null
+++ b/internal/wal/formatfiles_test.go
@@ -0,0 +1,124 @@
+package wal_test
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"example.org/milletvane/internal/wal"
+	"example.org/milletvane/internal/wal/faultfs"
+)
+
+// formatFiles are the files of one folder.
+type formatFiles map[string][]byte
+
+func (f formatFiles) names() []string {
+	var names []string
+	for name := range f {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+func (f formatFiles) clone() formatFiles {
+	c := formatFiles{}
+	for name, b := range f {
+		c[name] = slices.Clone(b)
+	}
+	return c
+}
+
+// newest is the name of the last segment.
+func (f formatFiles) newest() string {
+	var newest string
+	for _, name := range f.names() {
+		if strings.HasPrefix(name, "journal-") {
+			newest = name
+		}
+	}
+	return newest
+}
+
+// text has all bytes of all files, in hex.
+func (f formatFiles) text() string {
+	var b strings.Builder
+	for _, name := range f.names() {
+		fmt.Fprintf(&b, "file %s\n", name)
+		for part := range slices.Chunk(f[name], 32) {
+			fmt.Fprintf(&b, "  %s\n", hex.EncodeToString(part))
+		}
+	}
+	return b.String()
+}
+
+// parseFormatFiles is the other way round.
+func parseFormatFiles(t *testing.T, text string) formatFiles {
+	t.Helper()
+	f, name := formatFiles{}, ""
+	for line := range strings.Lines(text) {
+		line = strings.TrimSuffix(line, "\n")
+		if rest, ok := strings.CutPrefix(line, "file "); ok {
+			name = rest
+			f[name] = []byte{}
+			continue
+		}
+		b, err := hex.DecodeString(strings.TrimSpace(line))
+		if err != nil {
+			t.Fatal(err)
+		}
+		f[name] = append(f[name], b...)
+	}
+	return f
+}
+
+// digests names all files with their lengths and a checksum each.
+func (f formatFiles) digests() string {
+	var b strings.Builder
+	for _, name := range f.names() {
+		fmt.Fprintf(&b, "%s %d %s\n", name, len(f[name]), shortDigest(f[name]))
+	}
+	return b.String()
+}
+
+func shortDigest(b []byte) string {
+	d := sha256.Sum256(b)
+	return hex.EncodeToString(d[:8])
+}
+
+func filesOn(t *testing.T, fs wal.FS, dir string) formatFiles {
+	t.Helper()
+	f := formatFiles{}
+	names, err := fs.List(dir)
+	if err != nil {
+		return f
+	}
+	for _, name := range names {
+		if f[name], err = fs.ReadFile(filepath.Join(dir, name)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return f
+}
+
+func diskOf(t *testing.T, f formatFiles) *faultfs.FS {
+	t.Helper()
+	d := faultfs.New(1)
+	if err := d.MkdirAll(formatDir); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range f.names() {
+		w, err := d.Create(filepath.Join(formatDir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := w.Write(f[name]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return d
+}
