--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -136,6 +136,9 @@
 			}
 			start := g.gateways[0].now
 			total := g.serve(240, true) // thirty for each warm server
+			if total > 0 {
+				t.Errorf("%d sent to a server that is not listed yet", total)
+			}
 			capacity := 0.0
 			for _, h := range g.gateways {
 				h.now = start + 9*sec
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -49,7 +49,8 @@
 	time.Sleep(time.Millisecond) // 0 stands for not yet
 	service.start(nil)
 	got := service.receivedAt("s-00000002")
-	if limit := time.Duration(stalledAt.Load()) + refresh.MaxNotificationDelay; got >= limit {
+	const notificationLimit = 6 * time.Second // the platform's figure, whatever the scheduler's constant is
+	if limit := time.Duration(stalledAt.Load()) + notificationLimit; got >= limit {
 		t.Errorf("known at %v, it counts as notified at %v", got, limit)
 	}
 }
