--- /dev/null
+++ b/internal/lineproto/backend/linetracker.go
@@ -0,0 +1,30 @@
+package backend
+
+import "bytes"
+
+// maxLinePrefix is how many bytes of a line are kept to read its command.
+const maxLinePrefix = 64
+
+// lineTracker keeps the start of the line that is passing by in parts.
+type lineTracker struct {
+	prefix []byte
+}
+
+// next takes bytes up to the end of the first line in b. It returns the start of that line, valid until the next call, and
+// the bytes that follow; complete is false if b has no end of a line.
+func (t *lineTracker) next(b []byte) (prefix, rest []byte, complete bool) {
+	part := b
+	end := bytes.IndexByte(b, '\n')
+	if end >= 0 {
+		part, rest = b[:end+1], b[end+1:]
+	}
+	if room := maxLinePrefix - len(t.prefix); room > 0 {
+		t.prefix = append(t.prefix, part[:min(len(part), room)]...)
+	}
+	if end < 0 {
+		return nil, nil, false
+	}
+	prefix = t.prefix
+	t.prefix = t.prefix[:0]
+	return prefix, rest, true
+}
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -30,7 +30,7 @@
 
 	mu    sync.Mutex // guards the phase
 	phase phase
-	link  *backend.Link
+	link  *backend.ServerConn
 
 	out     sync.Mutex // orders the server's lines and MOVE
 	midline bool       // the last line that was passed on is not whole
@@ -227,7 +227,7 @@
 }
 
 // Established implements backend.Client.
-func (c *Conn) Established(first []byte, l *backend.Link) bool {
+func (c *Conn) Established(first []byte, l *backend.ServerConn) bool {
 	c.out.Lock()
 	defer c.out.Unlock()
 	c.mu.Lock()
