--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -243,7 +243,7 @@
 func (g *Gateway) natsOptions(n *operator.NATS) natsbackend.Options {
 	return natsbackend.Options{
 		ConnectTimeout: g.config.Gateway.ConnectTimeout, NodePort: n.NodePort, PingEvery: n.PingInterval,
-		MaxShared: n.MaxShared, Name: g.config.Name, Forwards: &g.figures.Forwards, Limits: codec.Limits{Payload: max(n.MaxPayload, nodePayload)},
+		MaxShared: n.MaxShared, Name: g.config.Name, Forwards: &g.figures.Forwards, Limits: codec.Limits{MaxPayload: max(n.MaxPayload, nodePayload)},
 	}
 }
 
--- a/internal/fakeserver/natsecho.go
+++ b/internal/fakeserver/natsecho.go
@@ -75,7 +75,7 @@
 		}
 		b := buf[:kept+n]
 		for len(b) > 0 {
-			f, n, err := codec.Parse(b, codec.Limits{Payload: 64 << 10})
+			f, n, err := codec.Parse(b, codec.Limits{MaxPayload: 64 << 10})
 			if err != nil {
 				return
 			}
@@ -95,11 +95,11 @@
 				head = head[:0]
 				switch {
 				case len(f.Reply) > 0 && len(inbox) > 0:
-					head = codec.AppendMsg(head, f.Reply, inbox, nil, f.Headers, len(f.Body))
+					head = codec.AppendMsg(head, f.Reply, inbox, nil, f.HeaderSize, len(f.Body))
 				case len(f.Reply) > 0:
-					head = codec.AppendMsg(head, f.Reply, sid, nil, f.Headers, len(f.Body))
+					head = codec.AppendMsg(head, f.Reply, sid, nil, f.HeaderSize, len(f.Body))
 				default:
-					head = codec.AppendMsg(head, f.Subject, sid, nil, f.Headers, len(f.Body))
+					head = codec.AppendMsg(head, f.Subject, sid, nil, f.HeaderSize, len(f.Body))
 				}
 				w.Write(head)
 				w.Write(f.Body)
--- a/internal/fakeserver/natsnode.go
+++ b/internal/fakeserver/natsnode.go
@@ -300,11 +300,11 @@
 		n.cluster.ledger.subscribed(c, f.Subject)
 		return
 	case codec.Unsub:
-		if f.Max == 0 {
+		if f.MaxMessages == 0 {
 			n.cluster.ledger.withdrawn(c, string(f.SID))
 		}
 		if s := c.subs[string(f.SID)]; s != nil {
-			if s.max = f.Max; s.max == 0 || s.given >= s.max {
+			if s.max = f.MaxMessages; s.max == 0 || s.given >= s.max {
 				delete(c.subs, s.sid)
 			}
 		}
@@ -362,7 +362,7 @@
 		})
 		return
 	}
-	if n.deliver(c, f.Subject, f.Reply, f.Body, f.Headers, nil) == 0 && len(f.Reply) > 0 && c.noResponders {
+	if n.deliver(c, f.Subject, f.Reply, f.Body, f.HeaderSize, nil) == 0 && len(f.Reply) > 0 && c.noResponders {
 		h := codec.AppendStatus(nil, codec.StatusNoResponders, "", 0)
 		n.deliver(nil, f.Reply, nil, h, len(h), nil)
 	}
@@ -380,7 +380,7 @@
 		}
 		for c := range at.conns {
 			for sid, s := range c.subs {
-				if !codec.Match(s.subject, subject) || c == from && !c.echo {
+				if !codec.MatchesSubject(s.subject, subject) || c == from && !c.echo {
 					continue
 				}
 				if len(s.queue) > 0 {
@@ -440,7 +440,7 @@
 	conns:
 		for conn := range n.conns {
 			for _, s := range conn.subs {
-				if codec.Match(s.subject, []byte(subject)) {
+				if codec.MatchesSubject(s.subject, []byte(subject)) {
 					list = append(list, n)
 					break conns
 				}
--- a/internal/nats/codec/codec.go
+++ b/internal/nats/codec/codec.go
@@ -28,70 +28,70 @@
 	Err
 )
 
-// Error is a fault in what a peer sent, in the words of the protocol's own -ERR.
-type Error string
+// ProtocolError is a fault in what a peer sent, in the words of the protocol's own -ERR.
+type ProtocolError string
 
-func (e Error) Error() string { return string(e) }
+func (e ProtocolError) Error() string { return string(e) }
 
 // Faults that Parse finds. Each ends the connection.
 const (
-	ErrUnknown    = Error("Unknown Protocol Operation")
-	ErrParse      = Error("Parser Error")
-	ErrControl    = Error("Maximum Control Line Exceeded")
-	ErrPayload    = Error("Maximum Payload Violation")
-	ErrSubject    = Error("Invalid Subject")
-	ErrPubSubject = Error("Invalid Publish Subject")
+	ErrUnknownOperation = ProtocolError("Unknown Protocol Operation")
+	ErrParse            = ProtocolError("Parser Error")
+	ErrMaxControlLine   = ProtocolError("Maximum Control Line Exceeded")
+	ErrMaxPayload       = ProtocolError("Maximum Payload Violation")
+	ErrSubject          = ProtocolError("Invalid Subject")
+	ErrPubSubject       = ProtocolError("Invalid Publish Subject")
 )
 
 // Limits bound a frame. Zero fields have the stated defaults.
 type Limits struct {
-	ControlLine int // bytes of a frame's first line without its end; 0: 4096. INFO and -ERR may have 16 times as many.
-	Payload     int // bytes of headers and payload; 0: 1 MiB
+	MaxControlLine int // bytes of a frame's first line without its end; 0: 4096. INFO and -ERR may have 16 times as many.
+	MaxPayload     int // bytes of headers and payload; 0: 1 MiB
 }
 
 // Defaults of the protocol's reference server.
 const (
-	DefaultControlLine = 4096
-	DefaultPayload     = 1 << 20
-	infoTimes          = 16
+	DefaultMaxControlLine = 4096
+	DefaultMaxPayload     = 1 << 20
+	infoTimes             = 16
 )
 
 func (l Limits) controlLine() int {
-	if l.ControlLine > 0 {
-		return l.ControlLine
+	if l.MaxControlLine > 0 {
+		return l.MaxControlLine
 	}
-	return DefaultControlLine
+	return DefaultMaxControlLine
 }
 
 func (l Limits) payload() int {
-	if l.Payload > 0 {
-		return l.Payload
+	if l.MaxPayload > 0 {
+		return l.MaxPayload
 	}
-	return DefaultPayload
+	return DefaultMaxPayload
 }
 
 // Frame is one frame. Its slices are parts of what was parsed.
 type Frame struct {
-	Op      Op
-	Subject []byte // of PUB, HPUB, SUB, MSG, HMSG
-	Reply   []byte // of PUB, HPUB, MSG, HMSG; empty: none
-	Queue   []byte // of SUB; empty: none
-	SID     []byte // of SUB, UNSUB, MSG, HMSG
-	Max     int    // of UNSUB; 0: at once
-	Headers int    // bytes of Body that are headers, of HPUB and HMSG
-	Body    []byte // headers and payload; the JSON of INFO and CONNECT; the text of -ERR
-	Raw     []byte // the frame as it stands, its end included
+	Op          Op
+	Subject     []byte // of PUB, HPUB, SUB, MSG, HMSG
+	Reply       []byte // of PUB, HPUB, MSG, HMSG; empty: none
+	Queue       []byte // of SUB; empty: none
+	SID         []byte // of SUB, UNSUB, MSG, HMSG
+	MaxMessages int    // of UNSUB; 0: at once
+	HeaderSize  int    // bytes of Body that are headers, of HPUB and HMSG
+	Body        []byte // headers and payload; the JSON of INFO and CONNECT; the text of -ERR
+	Raw         []byte // the frame as it stands, its end included
 }
 
 // Payload is the body behind the headers.
-func (f *Frame) Payload() []byte { return f.Body[f.Headers:] }
+func (f *Frame) Payload() []byte { return f.Body[f.HeaderSize:] }
 
 // Header is the body's headers, with NATS/1.0 and the last empty line; nil: none.
 func (f *Frame) Header() []byte {
-	if f.Headers == 0 {
+	if f.HeaderSize == 0 {
 		return nil
 	}
-	return f.Body[:f.Headers]
+	return f.Body[:f.HeaderSize]
 }
 
 var end = []byte("\r\n")
@@ -106,10 +106,10 @@
 	i := bytes.IndexByte(b[:min(len(b), most+2)], '\n')
 	if i < 0 {
 		if len(b) >= most+2 {
-			return f, 0, ErrControl
+			return f, 0, ErrMaxControlLine
 		}
 		if op == None && len(b) >= opMost {
-			return f, 0, ErrUnknown
+			return f, 0, ErrUnknownOperation
 		}
 		return f, 0, nil
 	}
@@ -121,7 +121,7 @@
 		if len(line) == 0 {
 			return f, 0, ErrParse
 		}
-		return f, 0, ErrUnknown
+		return f, 0, ErrUnknownOperation
 	}
 	f.Op = op
 	_, rest := word(line)
@@ -132,7 +132,7 @@
 	n = i + 1
 	if size >= 0 {
 		if size > l.payload() {
-			return f, 0, ErrPayload
+			return f, 0, ErrMaxPayload
 		}
 		if len(b) < n+size+len(end) {
 			return f, 0, nil
@@ -255,7 +255,7 @@
 		}
 		f.SID = w[0]
 		if n == 2 {
-			if f.Max, err = number(w[1]); err != nil {
+			if f.MaxMessages, err = number(w[1]); err != nil {
 				return 0, err
 			}
 		}
@@ -284,7 +284,7 @@
 		return 0, err
 	}
 	if sizes == 2 {
-		if f.Headers, err = number(w[n-2]); err != nil || f.Headers > size {
+		if f.HeaderSize, err = number(w[n-2]); err != nil || f.HeaderSize > size {
 			return 0, ErrParse
 		}
 	}
--- a/internal/nats/codec/codec_test.go
+++ b/internal/nats/codec/codec_test.go
@@ -56,7 +56,7 @@
 
 // text is a frame's meaning, apart from where its bytes stand.
 func text(f Frame) string {
-	return fmt.Sprintf("%d %q %q %q %q %d %d %q %q", f.Op, f.Subject, f.Reply, f.Queue, f.SID, f.Max, f.Headers, f.Body, f.Raw)
+	return fmt.Sprintf("%d %q %q %q %q %d %d %q %q", f.Op, f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages, f.HeaderSize, f.Body, f.Raw)
 }
 
 // A stream reads the same however it is cut.
@@ -101,12 +101,12 @@
 		"MSG a 1 2\r\nhi\r\n", "INFO {}\r\n", "CONNECT {}\r\n", "-ERR 'x'\r\n", "+OK\r\n", "PUB a 999999999\r\n", "\r\n", "PUB  a\t0\r\n\r\n"} {
 		f.Add([]byte(s))
 	}
-	limits := Limits{ControlLine: 64, Payload: 128}
+	limits := Limits{MaxControlLine: 64, MaxPayload: 128}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for len(b) > 0 {
 			fr, n, err := Parse(b, limits)
 			if err != nil {
-				var e Error
+				var e ProtocolError
 				if !errors.As(err, &e) {
 					t.Fatalf("%v is no Error", err)
 				}
@@ -114,12 +114,12 @@
 			}
 			if n == 0 {
 				// What is kept for later has a bound.
-				if most := limits.ControlLine*infoTimes + 2 + limits.Payload + 2; len(b) > most {
+				if most := limits.MaxControlLine*infoTimes + 2 + limits.MaxPayload + 2; len(b) > most {
 					t.Fatalf("%d bytes wait for more", len(b))
 				}
 				return
 			}
-			if len(fr.Raw) != n || fr.Headers > len(fr.Body) {
+			if len(fr.Raw) != n || fr.HeaderSize > len(fr.Body) {
 				t.Fatalf("%d bytes, %+v", n, fr)
 			}
 			b = b[n:]
@@ -129,8 +129,8 @@
 
 func TestFaults(t *testing.T) {
 	for in, want := range map[string]error{
-		"HELLO\r\n":                           ErrUnknown,
-		"GARBAGE!!":                           ErrUnknown,
+		"HELLO\r\n":                           ErrUnknownOperation,
+		"GARBAGE!!":                           ErrUnknownOperation,
 		"\r\n":                                ErrParse,
 		"PUB a\r\n":                           ErrParse,
 		"PUB a x\r\n":                         ErrParse,
@@ -138,16 +138,16 @@
 		"PUB a -1\r\n":                        ErrParse,
 		"PUB a 4\r\nhix\r\n\r\n":              ErrParse,
 		"PUB a 9999999999\r\n":                ErrParse,
-		"PUB a 1048577\r\n":                   ErrPayload,
+		"PUB a 1048577\r\n":                   ErrMaxPayload,
 		"PUB a.* 0\r\n\r\n":                   ErrPubSubject,
 		"PUB a..b 0\r\n\r\n":                  ErrPubSubject,
 		"SUB a.>.b 1\r\n":                     ErrSubject,
 		"SUB a\r\n":                           ErrParse,
 		"UNSUB\r\n":                           ErrParse,
 		"HPUB a 5 4\r\n":                      ErrParse,
-		"PUB " + strings.Repeat("a", 5000):    ErrControl,
+		"PUB " + strings.Repeat("a", 5000):    ErrMaxControlLine,
 		"INFO " + strings.Repeat("a", 5000):   nil,
-		"INFO " + strings.Repeat("a", 70_000): ErrControl,
+		"INFO " + strings.Repeat("a", 70_000): ErrMaxControlLine,
 		"PUB a 10\r\nhi":                      nil,
 		"PU":                                  nil,
 	} {
@@ -165,7 +165,7 @@
 		{"a.b", "a.b", true}, {"a.*", "a.b", true}, {"a.*", "a.b.c", false}, {"a.>", "a.b.c", true}, {"a.>", "a", false},
 		{">", "a", true}, {"*.b", "a.b", true}, {"a", "a.b", false}, {"a.b", "a", false}, {"a.*.c", "a.b.c", true},
 	} {
-		if got := Match([]byte(c.pattern), []byte(c.subject)); got != c.want {
+		if got := MatchesSubject([]byte(c.pattern), []byte(c.subject)); got != c.want {
 			t.Errorf("%s takes in %s: %v", c.pattern, c.subject, got)
 		}
 	}
@@ -175,7 +175,7 @@
 }
 
 func TestStatus(t *testing.T) {
-	got := AppendStatus(nil, StatusRefused, "Refused", 1500*time.Microsecond)
+	got := AppendStatus(nil, StatusTooManyRequests, "Refused", 1500*time.Microsecond)
 	if want := "NATS/1.0 429 Refused\r\nRetry-After-Ms: 2\r\n\r\n"; string(got) != want {
 		t.Errorf("%q", got)
 	}
--- a/internal/nats/codec/format_test.go
+++ b/internal/nats/codec/format_test.go
@@ -86,7 +86,7 @@
 
 // describeError is a fault as a client is told it.
 func describeError(err error) string {
-	var fault codec.Error
+	var fault codec.ProtocolError
 	if !errors.As(err, &fault) {
 		return "an error of another type"
 	}
@@ -103,7 +103,7 @@
 		return "more"
 	}
 	return fmt.Sprintf("%d bytes %s subject=%q reply=%q queue=%q sid=%q max=%d headers=%d body=%q payload=%q header=%q no header=%t whole=%t",
-		n, operation(f.Op), f.Subject, f.Reply, f.Queue, f.SID, f.Max, f.Headers, f.Body, f.Payload(), f.Header(),
+		n, operation(f.Op), f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages, f.HeaderSize, f.Body, f.Payload(), f.Header(),
 		f.Header() == nil, string(f.Raw) == string(b[:n]))
 }
 
@@ -174,14 +174,14 @@
 		limits codec.Limits
 	}{
 		{"none stated", codec.Limits{}},
-		{"small", codec.Limits{ControlLine: 32, Payload: 8}},
-		{"no bound below zero", codec.Limits{ControlLine: -1, Payload: -1}},
-		{"small line", codec.Limits{ControlLine: 32}},
-		{"small payload", codec.Limits{Payload: 8}},
+		{"small", codec.Limits{MaxControlLine: 32, MaxPayload: 8}},
+		{"no bound below zero", codec.Limits{MaxControlLine: -1, MaxPayload: -1}},
+		{"small line", codec.Limits{MaxControlLine: 32}},
+		{"small payload", codec.Limits{MaxPayload: 8}},
 	}
-	lines := []string{fmt.Sprintf("control line %d, payload %d", codec.DefaultControlLine, codec.DefaultPayload)}
+	lines := []string{fmt.Sprintf("control line %d, payload %d", codec.DefaultMaxControlLine, codec.DefaultMaxPayload)}
 	for _, l := range limits {
-		for _, line := range []int{32, codec.DefaultControlLine} {
+		for _, line := range []int{32, codec.DefaultMaxControlLine} {
 			for _, start := range []string{
 				"PUB ", "SUB ", "PING ", "CONNECT ", "MSG a 1 ", "INFO ", "-ERR ",
 				"unknown ",
@@ -200,8 +200,8 @@
 			}
 		}
 		for _, payload := range []int{
-			7, 8, 9, 10, codec.DefaultPayload - 1, codec.DefaultPayload,
-			codec.DefaultPayload + 1,
+			7, 8, 9, 10, codec.DefaultMaxPayload - 1, codec.DefaultMaxPayload,
+			codec.DefaultMaxPayload + 1,
 		} {
 			for _, head := range []string{"PUB a %d\r\n", "HPUB a 7 %d\r\n", "MSG a 1 %d\r\n"} {
 				text := fmt.Sprintf(head, payload)
@@ -257,7 +257,7 @@
 		}
 		limits := codec.Limits{}
 		if rng.IntN(4) == 0 {
-			limits = codec.Limits{ControlLine: 18, Payload: 17}
+			limits = codec.Limits{MaxControlLine: 18, MaxPayload: 17}
 		}
 		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(readStream(rng, stream.String(), limits))))
 	}
@@ -309,8 +309,8 @@
 	for _, count := range []int{-1, 0, 1, 12345} {
 		add(fmt.Sprint("unsubscribe after ", count), codec.AppendUnsub(before(), []byte("7"), count))
 	}
-	for _, fault := range []codec.Error{
-		codec.ErrUnknown, codec.ErrParse, codec.ErrControl, codec.ErrPayload,
+	for _, fault := range []codec.ProtocolError{
+		codec.ErrUnknownOperation, codec.ErrParse, codec.ErrMaxControlLine, codec.ErrMaxPayload,
 		codec.ErrSubject, codec.ErrPubSubject, "",
 	} {
 		add("error", codec.AppendErr(before(), string(fault)))
@@ -323,15 +323,15 @@
 		LameDuck: true,
 	}))
 	echo := false
-	add("full connect", codec.AppendJSON(nil, "CONNECT", codec.Options{
+	add("full connect", codec.AppendJSON(nil, "CONNECT", codec.ConnectOptions{
 		Verbose: true, Pedantic: true, Headers: true,
 		NoResponders: true,
 		Name:         "name", User: "user", Token: "token", Echo: &echo,
 	}))
-	add("empty connect", codec.AppendJSON(nil, "CONNECT", codec.Options{}))
+	add("empty connect", codec.AppendJSON(nil, "CONNECT", codec.ConnectOptions{}))
 	add("members as they came", codec.AppendJSON(nil, "CONNECT", map[string]any{"b": 1, "a": "<&>", "c": nil}))
 	for _, code := range []int{
-		codec.StatusNoResponders, codec.StatusTimeout, codec.StatusRefused, codec.StatusFailed,
+		codec.StatusNoResponders, codec.StatusTimeout, codec.StatusTooManyRequests, codec.StatusServerError,
 		0,
 	} {
 		for _, words := range []string{"", "Two Words"} {
@@ -411,7 +411,7 @@
 		}
 		line.WriteString(", matches")
 		for _, other := range subjects {
-			if codec.Match([]byte(subject), []byte(other)) {
+			if codec.MatchesSubject([]byte(subject), []byte(other)) {
 				fmt.Fprintf(&line, " %q", other)
 			}
 		}
--- a/internal/nats/codec/status.go
+++ b/internal/nats/codec/status.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Options are what a client's CONNECT says that a gateway goes by.
-type Options struct {
+// ConnectOptions are what a client's CONNECT says that a gateway goes by.
+type ConnectOptions struct {
 	Verbose      bool   `json:"verbose"`
 	Pedantic     bool   `json:"pedantic"`
 	Headers      bool   `json:"headers"`
@@ -19,7 +19,7 @@
 }
 
 // ParseConnect reads a CONNECT's object: what a gateway goes by, and all of its members as they came.
-func ParseConnect(body []byte) (o Options, all map[string]json.RawMessage, err error) {
+func ParseConnect(body []byte) (o ConnectOptions, all map[string]json.RawMessage, err error) {
 	if json.Unmarshal(body, &all) != nil || all == nil || json.Unmarshal(body, &o) != nil {
 		return o, nil, ErrParse
 	}
@@ -54,10 +54,10 @@
 // Status codes of answers that a gateway makes. 503 without more is the protocol's own word for no responders; the
 // others follow the codes that clients know from JetStream.
 const (
-	StatusNoResponders = 503
-	StatusTimeout      = 408
-	StatusRefused      = 429
-	StatusFailed       = 500
+	StatusNoResponders    = 503
+	StatusTimeout         = 408
+	StatusTooManyRequests = 429
+	StatusServerError     = 500
 )
 
 // AppendStatus appends the headers of a status: NATS/1.0 with the code and, if there are, words, and when to come again.
--- a/internal/nats/codec/subject.go
+++ b/internal/nats/codec/subject.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Match reports whether a pattern, which may hold wildcards, takes in a subject.
-func Match(pattern, subject []byte) bool {
+// MatchesSubject reports whether a pattern, which may hold wildcards, takes in a subject.
+func MatchesSubject(pattern, subject []byte) bool {
 	for {
 		p, pRest, pMore := bytes.Cut(pattern, []byte{'.'})
 		if len(p) == 1 && p[0] == '>' {
--- a/internal/nats/frontend/ask.go
+++ b/internal/nats/frontend/ask.go
@@ -39,9 +39,9 @@
 	copied := make([]byte, 0, n+len(f.Body))
 	copied = append(append(append(copied, f.Subject...), f.Reply...), f.Body...)
 	a := &ask{session: s, subject: copied[:len(f.Subject):len(f.Subject)], reply: copied[len(f.Subject):n:n], body: copied[n:],
-		headers: f.Headers, until: time.Now().Add(r.Timeout)}
+		headers: f.HeaderSize, until: time.Now().Add(r.Timeout)}
 	if s.leaving || len(s.asks) >= s.front.settings().MaxRequests {
-		a.status(codec.StatusRefused, "Too Many Requests", 0)
+		a.status(codec.StatusTooManyRequests, "Too Many Requests", 0)
 		return true
 	}
 	if s.asks == nil {
@@ -67,7 +67,7 @@
 // request is the class of requests on a subject; nil: it has none.
 func (s *Session) request(subject []byte) *operator.RequestClass {
 	for i := range s.front.settings().Requests {
-		if r := &s.front.settings().Requests[i]; codec.Match([]byte(r.Subject), subject) {
+		if r := &s.front.settings().Requests[i]; codec.MatchesSubject([]byte(r.Subject), subject) {
 			return r
 		}
 	}
@@ -82,11 +82,11 @@
 
 // Reject implements engine.Client.
 func (a *ask) Reject(after time.Duration) {
-	a.Conn().Do(func() { a.final(codec.StatusRefused, "Refused", after) })
+	a.Conn().Do(func() { a.final(codec.StatusTooManyRequests, "Refused", after) })
 }
 
 // Fail implements engine.Client.
-func (a *ask) Fail() { a.Conn().Do(func() { a.final(codec.StatusFailed, "Failed", 0) }) }
+func (a *ask) Fail() { a.Conn().Do(func() { a.final(codec.StatusServerError, "Failed", 0) }) }
 
 // Close implements engine.Client. The engine closes only what asked for nothing or was not moved, which a request never is.
 func (a *ask) Close() { a.Fail() }
@@ -173,7 +173,7 @@
 // Answered implements backend.Asker.
 func (a *ask) Answered(f *codec.Frame) {
 	if a.finish() {
-		a.deliver(f.Reply, f.Headers, f.Body)
+		a.deliver(f.Reply, f.HeaderSize, f.Body)
 	}
 	a.session.settle()
 }
--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -30,7 +30,7 @@
 	id    uint64
 
 	phase    phase
-	options  codec.Options
+	options  codec.ConnectOptions
 	connect  map[string]json.RawMessage // as the client sent it
 	identity []byte                     // the CONNECT for requests at other nodes; nil: not made yet
 	key      string
@@ -150,7 +150,7 @@
 
 // OnData implements reactor.Handler. What needs no look goes to the node in runs, as it stands.
 func (s *Session) OnData(c *reactor.Conn, b []byte) int {
-	limits := codec.Limits{ControlLine: s.front.settings().ControlLine, Payload: s.told}
+	limits := codec.Limits{MaxControlLine: s.front.settings().ControlLine, MaxPayload: s.told}
 	taken, from := 0, 0
 	acks := 0
 	flush := func() {
@@ -187,7 +187,7 @@
 		case codec.Connect:
 		default:
 			flush()
-			s.close(string(codec.ErrUnknown))
+			s.close(string(codec.ErrUnknownOperation))
 			return len(b)
 		}
 		if s.phase == over {
@@ -291,7 +291,7 @@
 		return false
 	}
 	if f.Op == codec.Unsub {
-		s.subs.End(f.SID, f.Max)
+		s.subs.End(f.SID, f.MaxMessages)
 		return true
 	}
 	if s.subs.Len() >= s.front.settings().MaxSubscriptions {
--- a/internal/nats/session/subs.go
+++ b/internal/nats/session/subs.go
@@ -88,7 +88,7 @@
 // For is the first subscription that takes a subject in; nil: none does.
 func (s *Subs) For(subject []byte) *Sub {
 	for _, sub := range s.order {
-		if codec.Match(sub.Subject, subject) {
+		if codec.MatchesSubject(sub.Subject, subject) {
 			return sub
 		}
 	}
