--- a/internal/nats/frontend/ask.go
+++ b/internal/nats/frontend/ask.go
@@ -32,7 +32,7 @@
 		return false
 	}
 	r := s.request(f.Subject)
-	if r == nil || s.subs.For(f.Reply) == nil {
+	if r == nil || s.subs.Match(f.Reply) == nil {
 		return false
 	}
 	n := len(f.Subject) + len(f.Reply)
@@ -123,11 +123,11 @@
 
 func (a *ask) deliver(reply []byte, headers int, body []byte) {
 	s := a.session
-	sub := s.subs.For(a.reply)
-	if sub == nil || !s.subs.Give([]byte(sub.SID)) {
+	sub := s.subs.Match(a.reply)
+	if sub == nil || !s.subs.Deliver([]byte(sub.SID)) {
 		return // the client wants it no more
 	}
-	if sub.Max > 0 && sub.Given >= sub.Max && s.cur != nil { // the node did not see this one
+	if sub.MaxMessages > 0 && sub.Delivered >= sub.MaxMessages && s.cur != nil { // the node did not see this one
 		s.cur.leg.Conn().Send(codec.AppendUnsub(nil, []byte(sub.SID), 0))
 	}
 	if !s.options.Headers && headers > 0 {
--- a/internal/nats/frontend/move.go
+++ b/internal/nats/frontend/move.go
@@ -30,7 +30,7 @@
 		return
 	}
 	p.quits = true
-	if p == s.cur && !s.moving && !s.twice.On() { // else the end of the last move begins this one
+	if p == s.cur && !s.moving && !s.twice.Active() { // else the end of the last move begins this one
 		s.move()
 	}
 }
@@ -96,7 +96,7 @@
 	}
 	old.handing = true
 	s.conn.Pause()
-	old.leg.Conn().Send(s.subs.AppendEnds(nil))
+	old.leg.Conn().Send(s.subs.AppendUnsubscribe(nil))
 	old.leg.Ping(func() { s.handedOver(old) })
 	s.flush = s.hub.After(s.front.settings().FlushTimeout, func() { s.handedOver(old) })
 }
@@ -120,10 +120,10 @@
 	s.hub.Cancel(s.giveUp)
 	s.moving, s.hold = false, false
 	s.release(p)
-	if s.twice.On() { // what both nodes had is in when the new one answers
+	if s.twice.Active() { // what both nodes had is in when the new one answers
 		p.leg.Ping(func() {
 			if s.cur == p && !s.moving {
-				s.twice.End()
+				s.twice.Stop()
 				if p.quits {
 					s.move()
 				}
@@ -138,7 +138,7 @@
 	if old != nil {
 		s.retire(old)
 	}
-	if p.quits && !s.twice.On() {
+	if p.quits && !s.twice.Active() {
 		s.move()
 	}
 }
@@ -162,17 +162,17 @@
 
 // give decides whether the client is given a message: not what it had from another node, nor beyond a subscription's end.
 func (s *Session) give(p *place, f *codec.Frame) bool {
-	if s.twice.On() {
+	if s.twice.Active() {
 		if p != s.cur || p.handing || s.next != nil {
-			s.twice.Old(f.Raw)
-		} else if s.twice.New(f.Raw) {
+			s.twice.RecordOld(f.Raw)
+		} else if s.twice.IsDuplicate(f.Raw) {
 			return false
 		}
 	}
-	if !s.subs.Limited() {
+	if !s.subs.HasLimits() {
 		return true
 	}
-	return s.subs.Give(f.SID)
+	return s.subs.Deliver(f.SID)
 }
 
 // retire leaves a place once no request is out there.
@@ -207,7 +207,7 @@
 			}
 		}
 		s.cur = nil
-		s.twice.End()
+		s.twice.Stop()
 		s.owed += p.leg.Owed()
 		s.conn.Pause()
 		if !s.moving {
--- a/internal/nats/frontend/place.go
+++ b/internal/nats/frontend/place.go
@@ -87,10 +87,10 @@
 		// What the client subscribes to from here on must not go to the old node alone.
 		s.conn.Pause()
 		if s.front.settings().Cluster {
-			s.twice.Begin()
+			s.twice.Start()
 		}
 	}
-	return s.subs.AppendAll(s.opening(b))
+	return s.subs.AppendSubscribe(s.opening(b))
 }
 
 // Informed implements backend.Owner.
--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -39,8 +39,8 @@
 	cur   *place // its node; nil: it has none
 	next  *place // being set up
 	old   *place // left, but for requests that are out there
-	subs  session.Subs
-	twice session.Overlap
+	subs  session.Subscriptions
+	twice session.Deduplicator
 	held  []byte // messages of next, until cur has handed over what it had
 	owed  int    // PONGs of the client's that a lost node owes
 
@@ -291,7 +291,7 @@
 		return false
 	}
 	if f.Op == codec.Unsub {
-		s.subs.End(f.SID, f.MaxMessages)
+		s.subs.Unsubscribe(f.SID, f.MaxMessages)
 		return true
 	}
 	if s.subs.Len() >= s.front.settings().MaxSubscriptions {
--- a/internal/nats/session/digest_test.go
+++ b/internal/nats/session/digest_test.go
@@ -73,19 +73,19 @@
 	sids   = []string{"1", "2", "3", "17", "x", "longer-id"}
 )
 
-func describe(b *strings.Builder, sub *session.Sub) {
+func describe(b *strings.Builder, sub *session.Subscription) {
 	if sub == nil {
 		b.WriteString("none\n")
 		return
 	}
-	fmt.Fprintf(b, "subject %q, queue %q, sid %q, max %d, given %d\n", sub.Subject, sub.Queue, sub.SID, sub.Max,
-		sub.Given)
+	fmt.Fprintf(b, "subject %q, queue %q, sid %q, max %d, given %d\n", sub.Subject, sub.Queue, sub.SID, sub.MaxMessages,
+		sub.Delivered)
 }
 
 // subscriptionsTranscript plays drawn calls on a session's subscriptions and writes down all that they give back.
 func subscriptionsTranscript(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 21))
-	var subs session.Subs
+	var subs session.Subscriptions
 	var b strings.Builder
 	for range 20 + rng.IntN(60) {
 		sid := []byte(pick(rng, sids))
@@ -98,25 +98,25 @@
 		case 3, 4:
 			count := rng.IntN(7) - 1
 			fmt.Fprintf(&b, "end %q %d\n", sid, count)
-			subs.End(sid, count)
+			subs.Unsubscribe(sid, count)
 			spoil(sid)
 		case 5, 6, 7:
 			fmt.Fprintf(&b, "give %q: ", sid)
-			fmt.Fprintf(&b, "%t\n", subs.Give(sid))
+			fmt.Fprintf(&b, "%t\n", subs.Deliver(sid))
 		case 8:
 			subject := pick(rng, subjects)
 			fmt.Fprintf(&b, "for %q: ", subject)
-			describe(&b, subs.For([]byte(subject)))
+			describe(&b, subs.Match([]byte(subject)))
 		case 9:
-			fmt.Fprintf(&b, "all %q\n", subs.AppendAll([]byte("before ")))
+			fmt.Fprintf(&b, "all %q\n", subs.AppendSubscribe([]byte("before ")))
 		}
-		fmt.Fprintf(&b, "length %d, limited %t\n", subs.Len(), subs.Limited())
+		fmt.Fprintf(&b, "length %d, limited %t\n", subs.Len(), subs.HasLimits())
 	}
 	for _, subject := range subjects {
 		fmt.Fprintf(&b, "for %q: ", subject)
-		describe(&b, subs.For([]byte(subject)))
+		describe(&b, subs.Match([]byte(subject)))
 	}
-	fmt.Fprintf(&b, "all %q\nends %q\n", subs.AppendAll(nil), subs.AppendEnds([]byte("before ")))
+	fmt.Fprintf(&b, "all %q\nends %q\n", subs.AppendSubscribe(nil), subs.AppendUnsubscribe([]byte("before ")))
 	return b.String()
 }
 
@@ -131,7 +131,7 @@
 // overlapTranscript plays drawn messages of two nodes and writes down which of them are copies.
 func overlapTranscript(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 22))
-	var overlap session.Overlap
+	var overlap session.Deduplicator
 	var b strings.Builder
 	kinds := 1 + rng.IntN(12)
 	for range 40 + rng.IntN(80) {
@@ -139,19 +139,19 @@
 		switch n := rng.IntN(40); {
 		case n == 0:
 			b.WriteString("end\n")
-			overlap.End()
+			overlap.Stop()
 		case n <= 2:
 			b.WriteString("begin\n")
-			overlap.Begin()
+			overlap.Start()
 		case n < 21:
 			fmt.Fprintf(&b, "old %q\n", raw)
-			overlap.Old(raw)
+			overlap.RecordOld(raw)
 			spoil(raw)
 		default:
 			fmt.Fprintf(&b, "new %q: ", raw)
-			fmt.Fprintf(&b, "%t\n", overlap.New(raw))
+			fmt.Fprintf(&b, "%t\n", overlap.IsDuplicate(raw))
 		}
-		fmt.Fprintf(&b, "on %t\n", overlap.On())
+		fmt.Fprintf(&b, "on %t\n", overlap.Active())
 	}
 	return b.String()
 }
@@ -160,26 +160,26 @@
 func boundTranscript() string {
 	const bound = 1 << 16
 	message := func(i int) []byte { return fmt.Appendf(nil, "MSG a 1 6\r\n%06d\r\n", i) }
-	var overlap session.Overlap
+	var overlap session.Deduplicator
 	var b strings.Builder
-	overlap.Begin()
+	overlap.Start()
 	for i := range bound + 8 {
-		overlap.Old(message(i))
+		overlap.RecordOld(message(i))
 	}
 	for i := bound - 3; i < bound+8; i++ {
-		fmt.Fprintf(&b, "new %d: %t\n", i, overlap.New(message(i)))
+		fmt.Fprintf(&b, "new %d: %t\n", i, overlap.IsDuplicate(message(i)))
 	}
 	for i := range 5 { // three have room again
-		overlap.Old(message(2*bound + i))
+		overlap.RecordOld(message(2*bound + i))
 	}
 	for i := range 5 {
-		fmt.Fprintf(&b, "new %d: %t\n", 2*bound+i, overlap.New(message(2*bound+i)))
+		fmt.Fprintf(&b, "new %d: %t\n", 2*bound+i, overlap.IsDuplicate(message(2*bound+i)))
 	}
 	for range 4 { // each of the same message is one of them
-		overlap.Old(message(0))
+		overlap.RecordOld(message(0))
 	}
 	for range 6 {
-		fmt.Fprintf(&b, "new 0: %t\n", overlap.New(message(0)))
+		fmt.Fprintf(&b, "new 0: %t\n", overlap.IsDuplicate(message(0)))
 	}
 	return b.String()
 }
--- a/internal/nats/session/overlap.go
+++ b/internal/nats/session/overlap.go
@@ -2,13 +2,13 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Overlap tells the messages that come from two nodes while a session is subscribed at both, as nodes that pass messages on
+// Deduplicator tells the messages that come from two nodes while a session is subscribed at both, as nodes that pass messages on
 // to each other deliver each of them at both. What the old node gave is counted; the new node's copy is then passed over,
 // once for each. Messages that only one node has are never touched, but for one that has the same subject and bytes as one
 // that the old node gave alone while the new one was being set up.
 //
 // The zero value is off.
-type Overlap struct {
+type Deduplicator struct {
 	on    bool
 	given map[uint64]int
 	count int
@@ -17,25 +17,25 @@
 // overlapMost bounds what is remembered. Beyond it copies pass.
 const overlapMost = 1 << 16
 
-// Begin starts counting.
-func (o *Overlap) Begin() { *o = Overlap{on: true, given: map[uint64]int{}} }
+// Start starts counting.
+func (o *Deduplicator) Start() { *o = Deduplicator{on: true, given: map[uint64]int{}} }
 
-// End stops it.
-func (o *Overlap) End() { *o = Overlap{} }
+// Stop stops it.
+func (o *Deduplicator) Stop() { *o = Deduplicator{} }
 
-// On reports whether messages are to be shown to Old and New.
-func (o *Overlap) On() bool { return o.on }
+// Active reports whether messages are to be shown to Old and New.
+func (o *Deduplicator) Active() bool { return o.on }
 
-// Old counts a message that the old node gave: its frame as it stands, which names subject, subscription and reply.
-func (o *Overlap) Old(raw []byte) {
+// RecordOld counts a message that the old node gave: its frame as it stands, which names subject, subscription and reply.
+func (o *Deduplicator) RecordOld(raw []byte) {
 	if o.on && o.count < overlapMost {
 		o.given[xxhash.Sum64(raw)]++
 		o.count++
 	}
 }
 
-// New reports whether a message of the new node was given by the old one already, and counts it off.
-func (o *Overlap) New(raw []byte) bool {
+// IsDuplicate reports whether a message of the new node was given by the old one already, and counts it off.
+func (o *Deduplicator) IsDuplicate(raw []byte) bool {
 	if !o.on {
 		return false
 	}
