--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -242,8 +242,8 @@
 
 func (g *Gateway) natsOptions(n *operator.NATS) natsbackend.Options {
 	return natsbackend.Options{
-		ConnectTimeout: g.config.Gateway.ConnectTimeout, NodePort: n.NodePort, PingEvery: n.PingInterval,
-		MaxShared: n.MaxShared, Name: g.config.Name, Forwards: &g.figures.Forwards, Limits: codec.Limits{MaxPayload: max(n.MaxPayload, nodePayload)},
+		ConnectTimeout: g.config.Gateway.ConnectTimeout, NodePort: n.NodePort, PingInterval: n.PingInterval,
+		MaxSharedConns: n.MaxShared, Name: g.config.Name, Forwards: &g.figures.Forwards, Limits: codec.Limits{MaxPayload: max(n.MaxPayload, nodePayload)},
 	}
 }
 
--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -23,8 +23,8 @@
 	ConnectTimeout time.Duration // 0: as long as the attempt has
 	NodePort       int           // 0: the listed one
 	Limits         codec.Limits
-	PingEvery      time.Duration
-	MaxShared      int
+	PingInterval   time.Duration
+	MaxSharedConns int
 	Name           string        // the gateway's, in the inboxes of requests
 	Forwards       *atomic.Int64 // counts attempts handed whole to the kernel, or to what waits for the node; nil: nobody reads it
 }
@@ -65,7 +65,7 @@
 // Handles reports whether an attempt is one of this protocol's.
 func (b *Backend) Handles(a engine.Attempt) bool {
 	switch a.Client.(type) {
-	case Owner, Asker:
+	case SessionClient, RequestClient:
 		return true
 	}
 	return false
@@ -73,12 +73,12 @@
 
 // Send implements engine.Backend. It does not wait.
 func (b *Backend) Send(a engine.Attempt) engine.ActiveAttempt {
-	if asker, ok := a.Client.(Asker); ok {
-		t := &Try{backend: b, attempt: a, asker: asker}
+	if asker, ok := a.Client.(RequestClient); ok {
+		t := &RequestAttempt{backend: b, attempt: a, asker: asker}
 		asker.Conn().Do(t.start)
 		return t
 	}
-	return b.dial(a, a.Client.(Owner))
+	return b.dial(a, a.Client.(SessionClient))
 }
 
 // addr is where a node speaks NATS.
--- a/internal/nats/backend/hub.go
+++ b/internal/nats/backend/hub.go
@@ -9,14 +9,14 @@
 	"example.org/milletvane/internal/timerqueue"
 )
 
-// Hub is what the sessions of one loop share: their deadlines, and connections to nodes for requests that go elsewhere than
+// LoopState is what the sessions of one loop share: their deadlines, and connections to nodes for requests that go elsewhere than
 // their session. The loop alone uses it.
-type Hub struct {
+type LoopState struct {
 	loop   *reactor.Loop
 	queue  timerqueue.Queue[func()]
 	timer  *time.Timer
 	armed  time.Duration // 0: not
-	shared map[sharedKey]*Leg
+	shared map[sharedKey]*NodeConn
 	frame  codec.Frame // the one that is being handled: on a stack it would be allocated anew for each
 }
 
@@ -25,18 +25,18 @@
 
 type hubs struct {
 	mu  sync.Mutex
-	all map[*reactor.Loop]*Hub
+	all map[*reactor.Loop]*LoopState
 }
 
-// Hub is that of a connection's loop.
-func (b *Backend) Hub(c *reactor.Conn) *Hub {
+// LoopState is that of a connection's loop.
+func (b *Backend) LoopState(c *reactor.Conn) *LoopState {
 	b.hubs.mu.Lock()
 	defer b.hubs.mu.Unlock()
 	h := b.hubs.all[c.Loop()]
 	if h == nil {
-		h = &Hub{loop: c.Loop(), shared: map[sharedKey]*Leg{}}
+		h = &LoopState{loop: c.Loop(), shared: map[sharedKey]*NodeConn{}}
 		if b.hubs.all == nil {
-			b.hubs.all = map[*reactor.Loop]*Hub{}
+			b.hubs.all = map[*reactor.Loop]*LoopState{}
 		}
 		b.hubs.all[c.Loop()] = h
 	}
@@ -48,17 +48,17 @@
 func now() time.Duration { return time.Since(epoch) }
 
 // After has f called once the time is over.
-func (h *Hub) After(d time.Duration, f func()) *Timer {
+func (h *LoopState) After(d time.Duration, f func()) *Timer {
 	it := h.queue.Add(now()+d, f)
 	h.arm()
 	return it
 }
 
 // Cancel takes a timer back. One that is nil, past or cancelled is let be.
-func (h *Hub) Cancel(t *Timer) { h.queue.Remove(t) }
+func (h *LoopState) Cancel(t *Timer) { h.queue.Remove(t) }
 
 // arm sees to it that the loop looks when the first is due.
-func (h *Hub) arm() {
+func (h *LoopState) arm() {
 	at, ok := h.queue.Next()
 	if !ok || h.armed > 0 && h.armed <= at {
 		return
@@ -72,7 +72,7 @@
 	}
 }
 
-func (h *Hub) expire() {
+func (h *LoopState) expire() {
 	h.armed = 0
 	for {
 		f, ok := h.queue.PopExpired(now())
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -12,43 +12,43 @@
 	"example.org/milletvane/internal/upstream"
 )
 
-// Owner is a session's place at a node, as an attempt's client. But for the engine's methods, all are called on the loop of
+// SessionClient is a session's place at a node, as an attempt's client. But for the engine's methods, all are called on the loop of
 // Conn.
-type Owner interface {
+type SessionClient interface {
 	engine.Client
 	Conn() *reactor.Conn
-	// Opening appends CONNECT and all subscriptions.
-	Opening(b []byte) []byte
-	// Informed brings each INFO of the node.
-	Informed(*Leg, codec.ServerInfo)
-	// Stands says that the node has confirmed the opening.
-	Stands(*Leg)
-	// Message shows a message; true lets it pass with Relay.
-	Message(*Leg, *codec.Frame) bool
-	// Relay passes frames on as they stand.
-	Relay(l *Leg, frames []byte)
-	// Said brings a -ERR that leaves the connection as it is.
-	Said(l *Leg, raw []byte)
-	// Denied says that the node turned the client away for who it is.
-	Denied(l *Leg, text []byte)
-	// Ended says that a leg that stood is gone, by the node's doing.
-	Ended(*Leg)
+	// AppendHandshake appends CONNECT and all subscriptions.
+	AppendHandshake(b []byte) []byte
+	// InfoReceived brings each INFO of the node.
+	InfoReceived(*NodeConn, codec.ServerInfo)
+	// Established says that the node has confirmed the opening.
+	Established(*NodeConn)
+	// MessageReceived shows a message; true lets it pass with Relay.
+	MessageReceived(*NodeConn, *codec.Frame) bool
+	// Forward passes frames on as they stand.
+	Forward(l *NodeConn, frames []byte)
+	// ErrReceived brings a -ERR that leaves the connection as it is.
+	ErrReceived(l *NodeConn, raw []byte)
+	// AuthorizationFailed says that the node turned the client away for who it is.
+	AuthorizationFailed(l *NodeConn, text []byte)
+	// Disconnected says that a leg that stood is gone, by the node's doing.
+	Disconnected(*NodeConn)
 }
 
-// Leg is a session's connection to a node, or one shared by requests.
-type Leg struct {
+// NodeConn is a session's connection to a node, or one shared by requests.
+type NodeConn struct {
 	upstream.Attempt // what is asked is that a PING be answered
 	backend          *Backend
 	attempt          engine.Attempt // of a session's leg
-	owner            Owner          // nil: it is shared
+	owner            SessionClient  // nil: it is shared
 	shared           *sharedState
-	hub              *Hub
+	hub              *LoopState
 
 	// The loop alone uses these.
 	info   bool   // the first INFO is in
 	pings  []ping // what each PONG to come is for
 	pinger *Timer
-	tries  map[string]*Try
+	tries  map[string]*RequestAttempt
 	sids   int
 	paused bool
 }
@@ -62,11 +62,11 @@
 // sidMark begins the subscription ids of the gateway's own. Clients may not use it.
 const sidMark = '!'
 
-// OwnSID reports whether a subscription id is one that only gateways use.
-func OwnSID(sid []byte) bool { return len(sid) > 0 && sid[0] == sidMark }
+// IsGatewaySID reports whether a subscription id is one that only gateways use.
+func IsGatewaySID(sid []byte) bool { return len(sid) > 0 && sid[0] == sidMark }
 
-func (b *Backend) dial(a engine.Attempt, o Owner) *Leg {
-	l := &Leg{backend: b, attempt: a, owner: o, hub: b.Hub(o.Conn())}
+func (b *Backend) dial(a engine.Attempt, o SessionClient) *NodeConn {
+	l := &NodeConn{backend: b, attempt: a, owner: o, hub: b.LoopState(o.Conn())}
 	wait := a.Timeout
 	if t := b.options().ConnectTimeout; t > 0 {
 		wait = min(wait, t)
@@ -76,13 +76,13 @@
 }
 
 // Server is the node's number.
-func (l *Leg) Server() balancer.ServerID { return l.attempt.Server }
+func (l *NodeConn) Server() balancer.ServerID { return l.attempt.Server }
 
-// Up reports whether the leg stands. The loop alone may rely on it.
-func (l *Leg) Up() bool { return l.Phase() == upstream.Up }
+// IsEstablished reports whether the leg stands. The loop alone may rely on it.
+func (l *NodeConn) IsEstablished() bool { return l.Phase() == upstream.Up }
 
 // finish ends a leg that does not stand, once.
-func (l *Leg) finish(result balancer.Result) {
+func (l *NodeConn) finish(result balancer.Result) {
 	if !l.Cancel() {
 		return
 	}
@@ -93,19 +93,19 @@
 	}
 }
 
-// End ends the leg after all that was sent has been written, and tells nobody but its requests.
-func (l *Leg) End() {
+// Close ends the leg after all that was sent has been written, and tells nobody but its requests.
+func (l *NodeConn) Close() {
 	if l.Finish() != upstream.Over {
 		l.Conn().Close()
 		l.fall(balancer.Reset)
 	}
 }
 
-// GiveUp ends a leg that does not stand, for a reason that is not the node's.
-func (l *Leg) GiveUp() { l.finish(balancer.Cancelled) }
+// Abandon ends a leg that does not stand, for a reason that is not the node's.
+func (l *NodeConn) Abandon() { l.finish(balancer.Cancelled) }
 
 // broken is the end of a leg that stands by the node's doing.
-func (l *Leg) broken() {
+func (l *NodeConn) broken() {
 	if !l.Step(upstream.Up, upstream.Over) {
 		return
 	}
@@ -113,12 +113,12 @@
 	l.fall(balancer.Reset)
 	if l.owner != nil {
 		l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: balancer.Reset})
-		l.owner.Ended(l)
+		l.owner.Disconnected(l)
 	}
 }
 
 // fall ends what hangs on the leg.
-func (l *Leg) fall(result balancer.Result) {
+func (l *NodeConn) fall(result balancer.Result) {
 	l.hub.Cancel(l.pinger)
 	tries := l.tries
 	l.tries = nil
@@ -130,11 +130,11 @@
 	}
 }
 
-// Tries is the number of requests that are out on the leg.
-func (l *Leg) Tries() int { return len(l.tries) }
+// PendingRequests is the number of requests that are out on the leg.
+func (l *NodeConn) PendingRequests() int { return len(l.tries) }
 
 // OnOpen implements reactor.Handler. The node speaks first.
-func (l *Leg) OnOpen(_ *reactor.Conn, err error) {
+func (l *NodeConn) OnOpen(_ *reactor.Conn, err error) {
 	if err != nil {
 		l.finish(balancer.ConnectFailed)
 		return
@@ -143,9 +143,9 @@
 }
 
 // OnEnd implements reactor.Handler.
-func (l *Leg) OnEnd(c *reactor.Conn, _ error) {
+func (l *NodeConn) OnEnd(c *reactor.Conn, _ error) {
 	switch {
-	case l.Up():
+	case l.IsEstablished():
 		l.broken()
 	case !l.info || c.Waiting() > 0:
 		l.finish(balancer.ConnectFailed) // the opening is not out
@@ -155,12 +155,12 @@
 }
 
 // OnData implements reactor.Handler. Messages that pass are relayed in runs, as they stand.
-func (l *Leg) OnData(_ *reactor.Conn, b []byte) int {
+func (l *NodeConn) OnData(_ *reactor.Conn, b []byte) int {
 	taken, from := 0, 0
 	limits := l.backend.options().Limits
 	flush := func() {
 		if from < taken {
-			l.owner.Relay(l, b[from:taken])
+			l.owner.Forward(l, b[from:taken])
 		}
 	}
 	for taken < len(b) {
@@ -179,12 +179,12 @@
 		pass := false
 		if f.Op == codec.Msg || f.Op == codec.HMsg {
 			switch {
-			case OwnSID(f.SID):
+			case IsGatewaySID(f.SID):
 				flush()
 				from = taken
 				l.replied(f)
 			case l.owner != nil:
-				pass = l.owner.Message(l, f)
+				pass = l.owner.MessageReceived(l, f)
 			}
 		}
 		if !pass {
@@ -202,7 +202,7 @@
 }
 
 // handle takes a frame that is no message.
-func (l *Leg) handle(f *codec.Frame) {
+func (l *NodeConn) handle(f *codec.Frame) {
 	switch f.Op {
 	case codec.Ping:
 		l.Conn().Send([]byte(codec.PongFrame))
@@ -221,11 +221,11 @@
 	}
 }
 
-func (l *Leg) informed(info codec.ServerInfo) {
+func (l *NodeConn) informed(info codec.ServerInfo) {
 	first := !l.info
 	l.info = true
 	if l.owner != nil {
-		l.owner.Informed(l, info)
+		l.owner.InfoReceived(l, info)
 	}
 	if !first {
 		if info.LameDuck && l.owner != nil {
@@ -240,7 +240,7 @@
 	// All of it in one write: the PONG confirms what stands before the PING.
 	var b []byte
 	if l.owner != nil {
-		b = l.owner.Opening(nil)
+		b = l.owner.AppendHandshake(nil)
 	} else {
 		b = l.shared.opening
 	}
@@ -252,7 +252,7 @@
 }
 
 // await notes what the next PING's answer is for.
-func (l *Leg) await(p ping) {
+func (l *NodeConn) await(p ping) {
 	if len(l.pings) == 0 {
 		l.Ask()
 	}
@@ -260,19 +260,19 @@
 }
 
 // Ping asks the node; then is called at its answer, behind all that the node sent before it. nil: nothing is.
-func (l *Leg) Ping(then func()) {
+func (l *NodeConn) Ping(then func()) {
 	l.Conn().Send([]byte(codec.PingFrame))
 	l.await(ping{then: then})
 }
 
-// PingFor is Ping on a client's behalf.
-func (l *Leg) PingFor(then func()) {
+// PingForClient is Ping on a client's behalf.
+func (l *NodeConn) PingForClient(then func()) {
 	l.Conn().Send([]byte(codec.PingFrame))
 	l.await(ping{then, true})
 }
 
-// Owed is how many of the PINGs that are out clients wait for.
-func (l *Leg) Owed() (n int) {
+// PendingClientPongs is how many of the PINGs that are out clients wait for.
+func (l *NodeConn) PendingClientPongs() (n int) {
 	for _, p := range l.pings {
 		if p.client {
 			n++
@@ -281,7 +281,7 @@
 	return n
 }
 
-func (l *Leg) pong() {
+func (l *NodeConn) pong() {
 	if len(l.pings) == 0 {
 		return
 	}
@@ -298,7 +298,7 @@
 }
 
 // stands is called when the opening is confirmed.
-func (l *Leg) stands() {
+func (l *NodeConn) stands() {
 	if !l.Step(upstream.Pending, upstream.Up) {
 		return
 	}
@@ -308,15 +308,15 @@
 		return
 	}
 	l.backend.events.Post(engine.AttemptEstablished{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
-	l.owner.Stands(l)
+	l.owner.Established(l)
 }
 
 // hungAfter is when a shared leg's node is taken to hang.
 const hungAfter = 4 * time.Second
 
 // keepAsking has a PING out now and then, so that a node that hangs is found.
-func (l *Leg) keepAsking() {
-	l.pinger = l.hub.After(l.backend.options().PingEvery, func() {
+func (l *NodeConn) keepAsking() {
+	l.pinger = l.hub.After(l.backend.options().PingInterval, func() {
 		if len(l.pings) == 0 {
 			l.Ping(nil)
 		}
@@ -328,19 +328,19 @@
 	})
 }
 
-func (l *Leg) said(f *codec.Frame) {
+func (l *NodeConn) said(f *codec.Frame) {
 	text := bytes.Trim(f.Body, "'")
 	lower := strings.ToLower(string(text))
 	switch {
 	case strings.HasPrefix(lower, "permissions violation"), strings.HasPrefix(lower, "invalid subject"),
 		strings.HasPrefix(lower, "invalid publish subject"):
 		if l.owner != nil { // the node keeps the connection open
-			l.owner.Said(l, f.Raw)
+			l.owner.ErrReceived(l, f.Raw)
 		}
 	case strings.HasPrefix(lower, "authorization"), strings.HasPrefix(lower, "authentication"),
 		strings.HasPrefix(lower, "user authentication"), strings.HasPrefix(lower, "account authentication"):
 		if l.owner != nil {
-			l.owner.Denied(l, text)
+			l.owner.AuthorizationFailed(l, text)
 			return
 		}
 		l.finish(balancer.Errored)
@@ -355,13 +355,13 @@
 }
 
 // Pause leaves the leg unread behind the frame that is being handled; Resume reads on.
-func (l *Leg) Pause() {
+func (l *NodeConn) Pause() {
 	l.paused = true
 	l.Conn().Pause()
 }
 
 // Resume implements what Pause says.
-func (l *Leg) Resume() {
+func (l *NodeConn) Resume() {
 	l.paused = false
 	l.Conn().Resume()
 }
--- a/internal/nats/backend/try.go
+++ b/internal/nats/backend/try.go
@@ -11,39 +11,39 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// Asker is a request, as an attempt's client. But for the engine's methods, all are called on the loop of Conn.
-type Asker interface {
+// RequestClient is a request, as an attempt's client. But for the engine's methods, all are called on the loop of Conn.
+type RequestClient interface {
 	engine.Client
 	Conn() *reactor.Conn
-	// Leg is the session's own leg, if that stands at the node and takes new messages; nil: another is to be used.
-	Leg(balancer.ServerID) *Leg
-	// Identity is the CONNECT under which requests go to other nodes, as a frame.
-	Identity() []byte
+	// SessionConn is the session's own leg, if that stands at the node and takes new messages; nil: another is to be used.
+	SessionConn(balancer.ServerID) *NodeConn
+	// ConnectFrame is the CONNECT under which requests go to other nodes, as a frame.
+	ConnectFrame() []byte
 	// Publication is what to publish. It is not changed while the request is open.
 	Publication() (subject, body []byte, headers int)
-	// Answered brings the node's answer, which is the request's final one.
-	Answered(*codec.Frame)
-	// Withdrawn says that an attempt was given up.
-	Withdrawn()
+	// ReplyReceived brings the node's answer, which is the request's final one.
+	ReplyReceived(*codec.Frame)
+	// AttemptCancelled says that an attempt was given up.
+	AttemptCancelled()
 }
 
-// Try is one attempt of a request: it has an inbox of its own, so that the answer to an earlier one reaches nobody.
-type Try struct {
+// RequestAttempt is one attempt of a request: it has an inbox of its own, so that the answer to an earlier one reaches nobody.
+type RequestAttempt struct {
 	backend *Backend
 	attempt engine.Attempt
-	asker   Asker
+	asker   RequestClient
 
 	mu   sync.Mutex
 	over bool
 
 	// The loop alone uses these.
-	leg *Leg
+	leg *NodeConn
 	sid string
 }
 
 // Cancel implements engine.ActiveAttempt. No answer counts once it has returned true, and the node hears that none is wanted before
 // a further attempt is sent.
-func (t *Try) Cancel() bool {
+func (t *RequestAttempt) Cancel() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.over {
@@ -55,10 +55,10 @@
 }
 
 // UnansweredFor implements engine.ActiveAttempt; a request has a deadline instead.
-func (t *Try) UnansweredFor() time.Duration { return 0 }
+func (t *RequestAttempt) UnansweredFor() time.Duration { return 0 }
 
 // done marks the try as over; it returns false where it was already.
-func (t *Try) done() bool {
+func (t *RequestAttempt) done() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	was := t.over
@@ -67,24 +67,24 @@
 }
 
 // finish ends the try without an answer.
-func (t *Try) finish(result balancer.Result) {
+func (t *RequestAttempt) finish(result balancer.Result) {
 	if t.done() {
 		t.backend.events.Post(engine.AttemptEnded{RequestID: t.attempt.RequestID, Number: t.attempt.Number, Result: result})
 	}
 }
 
-func (t *Try) isOver() bool {
+func (t *RequestAttempt) isOver() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.over
 }
 
 // start finds a leg and sends, at once or as soon as it stands.
-func (t *Try) start() {
+func (t *RequestAttempt) start() {
 	if t.isOver() {
 		return
 	}
-	if l := t.asker.Leg(t.attempt.Server); l != nil {
+	if l := t.asker.SessionConn(t.attempt.Server); l != nil {
 		t.send(l)
 		return
 	}
@@ -92,7 +92,7 @@
 	switch {
 	case l == nil: // the node is not to blame
 		t.finish(balancer.NotSent)
-	case l.Up():
+	case l.IsEstablished():
 		t.send(l)
 	default:
 		l.shared.waiting = append(l.shared.waiting, t)
@@ -100,14 +100,14 @@
 }
 
 // send subscribes to an inbox for one message and publishes, in one write.
-func (t *Try) send(l *Leg) {
+func (t *RequestAttempt) send(l *NodeConn) {
 	if t.isOver() {
 		return
 	}
 	l.sids++
 	t.leg, t.sid = l, string(strconv.AppendInt([]byte{sidMark}, int64(l.sids), 10))
 	if l.tries == nil {
-		l.tries = map[string]*Try{}
+		l.tries = map[string]*RequestAttempt{}
 	}
 	l.tries[t.sid] = t
 	inbox := make([]byte, 0, 64)
@@ -124,24 +124,24 @@
 }
 
 // withdraw tells the node that no answer is wanted any more.
-func (t *Try) withdraw() {
+func (t *RequestAttempt) withdraw() {
 	if t.leg == nil || t.leg.tries[t.sid] != t {
 		return
 	}
 	delete(t.leg.tries, t.sid)
 	t.leg.Conn().Send(codec.AppendUnsub(nil, []byte(t.sid), 0))
-	t.asker.Withdrawn()
+	t.asker.AttemptCancelled()
 }
 
 // replied takes a message to an inbox.
-func (l *Leg) replied(f *codec.Frame) {
+func (l *NodeConn) replied(f *codec.Frame) {
 	t := l.tries[string(f.SID)]
 	if t == nil {
 		return // late: its attempt was given up
 	}
 	delete(l.tries, t.sid)
 	if t.done() {
-		t.asker.Answered(f)
+		t.asker.ReplyReceived(f)
 		t.backend.events.Post(engine.AttemptEnded{RequestID: t.attempt.RequestID, Number: t.attempt.Number, Result: balancer.OK})
 	}
 }
@@ -156,7 +156,7 @@
 type sharedState struct {
 	key     sharedKey
 	opening []byte
-	waiting []*Try // until it stands
+	waiting []*RequestAttempt // until it stands
 }
 
 // Bounds of shared legs.
@@ -166,17 +166,17 @@
 )
 
 // sharedLeg is the loop's connection to the attempt's node for who asks; nil: there is room for no other.
-func (b *Backend) sharedLeg(t *Try) *Leg {
-	h := b.Hub(t.asker.Conn())
-	identity := t.asker.Identity()
+func (b *Backend) sharedLeg(t *RequestAttempt) *NodeConn {
+	h := b.LoopState(t.asker.Conn())
+	identity := t.asker.ConnectFrame()
 	key := sharedKey{b.addr(t.attempt.Addr), string(identity)}
 	if l := h.shared[key]; l != nil {
 		return l
 	}
-	if len(h.shared) >= b.options().MaxShared {
+	if len(h.shared) >= b.options().MaxSharedConns {
 		return nil
 	}
-	l := &Leg{backend: b, hub: h, shared: &sharedState{key: key, opening: identity}}
+	l := &NodeConn{backend: b, hub: h, shared: &sharedState{key: key, opening: identity}}
 	l.attempt.Server = t.attempt.Server
 	h.shared[key] = l
 	within := sharedWithin
@@ -188,7 +188,7 @@
 	return l
 }
 
-func (s *sharedState) stands(l *Leg) {
+func (s *sharedState) stands(l *NodeConn) {
 	waiting := s.waiting
 	s.waiting = nil
 	for _, t := range waiting {
@@ -198,20 +198,20 @@
 }
 
 // look closes the leg when it was not used since the last look, or when its node has hung.
-func (s *sharedState) look(l *Leg, used int) {
+func (s *sharedState) look(l *NodeConn, used int) {
 	l.hub.After(sharedIdle, func() {
-		if !l.Up() {
+		if !l.IsEstablished() {
 			return
 		}
 		if l.sids == used && len(l.tries) == 0 {
-			l.End()
+			l.Close()
 			return
 		}
 		s.look(l, l.sids)
 	})
 }
 
-func (s *sharedState) fall(l *Leg, result balancer.Result) {
+func (s *sharedState) fall(l *NodeConn, result balancer.Result) {
 	if l.hub.shared[s.key] == l {
 		delete(l.hub.shared, s.key)
 	}
--- a/internal/nats/frontend/ask.go
+++ b/internal/nats/frontend/ask.go
@@ -23,7 +23,7 @@
 	until   time.Time
 }
 
-var _ backend.Asker = (*ask)(nil)
+var _ backend.RequestClient = (*ask)(nil)
 
 // asked takes a message for a request; it returns false where it is a plain one. Only a request whose reply reaches the
 // client itself can be followed.
@@ -77,7 +77,7 @@
 // Handle implements engine.Client.
 func (a *ask) Handle() *engine.ClientHandle { return &a.ticket }
 
-// Conn implements backend.Asker.
+// Conn implements backend.RequestClient.
 func (a *ask) Conn() *reactor.Conn { return a.session.conn }
 
 // Reject implements engine.Client.
@@ -139,17 +139,17 @@
 	s.conn.Send(codec.AppendMsg(make([]byte, 0, 128), a.reply, []byte(sub.SID), reply, headers, len(body)), body, []byte("\r\n"))
 }
 
-// Leg implements backend.Asker.
-func (a *ask) Leg(server balancer.ServerID) *backend.Leg {
+// SessionConn implements backend.RequestClient.
+func (a *ask) SessionConn(server balancer.ServerID) *backend.NodeConn {
 	p := a.session.cur
-	if p == nil || p.handing || p.quits || !p.leg.Up() || p.leg.Server() != server {
+	if p == nil || p.handing || p.quits || !p.leg.IsEstablished() || p.leg.Server() != server {
 		return nil
 	}
 	return p.leg
 }
 
-// Identity implements backend.Asker.
-func (a *ask) Identity() []byte {
+// ConnectFrame implements backend.RequestClient.
+func (a *ask) ConnectFrame() []byte {
 	s := a.session
 	if s.identity == nil {
 		who := map[string]any{"verbose": false, "headers": true, "no_responders": true, "protocol": 1, "lang": "go",
@@ -164,14 +164,14 @@
 	return s.identity
 }
 
-// Publication implements backend.Asker.
+// Publication implements backend.RequestClient.
 func (a *ask) Publication() (subject, body []byte, headers int) { return a.subject, a.body, a.headers }
 
-// Withdrawn implements backend.Asker.
-func (a *ask) Withdrawn() { a.session.settle() }
+// AttemptCancelled implements backend.RequestClient.
+func (a *ask) AttemptCancelled() { a.session.settle() }
 
-// Answered implements backend.Asker.
-func (a *ask) Answered(f *codec.Frame) {
+// ReplyReceived implements backend.RequestClient.
+func (a *ask) ReplyReceived(f *codec.Frame) {
 	if a.finish() {
 		a.deliver(f.Reply, f.HeaderSize, f.Body)
 	}
--- a/internal/nats/frontend/move.go
+++ b/internal/nats/frontend/move.go
@@ -108,7 +108,7 @@
 	}
 	old.handed = true
 	s.hub.Cancel(s.flush)
-	if p := s.next; p != nil && p.leg != nil && p.leg.Up() {
+	if p := s.next; p != nil && p.leg != nil && p.leg.IsEstablished() {
 		s.take(p)
 	}
 }
@@ -131,7 +131,7 @@
 		})
 	}
 	for ; s.owed > 0; s.owed-- {
-		p.leg.PingFor(s.pong)
+		p.leg.PingForClient(s.pong)
 	}
 	p.leg.Resume()
 	s.conn.Resume()
@@ -185,7 +185,7 @@
 }
 
 func (s *Session) settle() {
-	if s.old != nil && (s.old.leg == nil || s.old.leg.Tries() == 0) {
+	if s.old != nil && (s.old.leg == nil || s.old.leg.PendingRequests() == 0) {
 		s.old.leave()
 		s.old = nil
 	}
@@ -208,11 +208,11 @@
 		}
 		s.cur = nil
 		s.twice.Stop()
-		s.owed += p.leg.Owed()
+		s.owed += p.leg.PendingClientPongs()
 		s.conn.Pause()
 		if !s.moving {
 			s.move()
-		} else if n := s.next; n != nil && n.leg != nil && n.leg.Up() {
+		} else if n := s.next; n != nil && n.leg != nil && n.leg.IsEstablished() {
 			s.take(n)
 		}
 	}
--- a/internal/nats/frontend/place.go
+++ b/internal/nats/frontend/place.go
@@ -14,20 +14,20 @@
 type place struct {
 	ticket  engine.ClientHandle
 	session *Session
-	leg     *backend.Leg // the present attempt's, once it is informed of its node
-	gone    bool         // the engine holds it no more
-	quits   bool         // its node leaves
-	handing bool         // asked to hand over what it has queued; nothing new goes there
+	leg     *backend.NodeConn // the present attempt's, once it is informed of its node
+	gone    bool              // the engine holds it no more
+	quits   bool              // its node leaves
+	handing bool              // asked to hand over what it has queued; nothing new goes there
 	handed  bool
 }
 
-var _ backend.Owner = (*place)(nil)
+var _ backend.SessionClient = (*place)(nil)
 var _ engine.DrainObserver = (*place)(nil)
 
 // Handle implements engine.Client.
 func (p *place) Handle() *engine.ClientHandle { return &p.ticket }
 
-// Conn implements backend.Owner.
+// Conn implements backend.SessionClient.
 func (p *place) Conn() *reactor.Conn { return p.session.conn }
 
 // Reject implements engine.Client.
@@ -71,7 +71,7 @@
 // leave gives the place up.
 func (p *place) leave() {
 	if p.leg != nil {
-		p.leg.End()
+		p.leg.Close()
 	}
 	if !p.gone {
 		p.gone = true
@@ -79,8 +79,8 @@
 	}
 }
 
-// Opening implements backend.Owner. What was held for an attempt that failed is void.
-func (p *place) Opening(b []byte) []byte {
+// AppendHandshake implements backend.SessionClient. What was held for an attempt that failed is void.
+func (p *place) AppendHandshake(b []byte) []byte {
 	s := p.session
 	s.held = nil
 	if s.cur != nil {
@@ -93,8 +93,8 @@
 	return s.subs.AppendSubscribe(s.opening(b))
 }
 
-// Informed implements backend.Owner.
-func (p *place) Informed(l *backend.Leg, info codec.ServerInfo) {
+// InfoReceived implements backend.SessionClient.
+func (p *place) InfoReceived(l *backend.NodeConn, info codec.ServerInfo) {
 	s := p.session
 	p.leg = l
 	s.front.lower(info.MaxPayload)
@@ -104,11 +104,11 @@
 	}
 }
 
-// Stands implements backend.Owner.
-func (p *place) Stands(l *backend.Leg) {
+// Established implements backend.SessionClient.
+func (p *place) Established(l *backend.NodeConn) {
 	s := p.session
 	if s.phase == over || p != s.next {
-		l.End()
+		l.Close()
 		return
 	}
 	s.stands(p)
@@ -117,15 +117,15 @@
 // heldTimes is how many times what may wait for a client is held of a node whose set-up is not confirmed.
 const heldTimes = 16
 
-// Message implements backend.Owner.
-func (p *place) Message(l *backend.Leg, f *codec.Frame) bool {
+// MessageReceived implements backend.SessionClient.
+func (p *place) MessageReceived(l *backend.NodeConn, f *codec.Frame) bool {
 	s := p.session
 	switch {
 	case s.phase == over:
 		return false
 	case p == s.next:
 		if len(s.held)+len(f.Raw) > heldTimes*s.front.settings().MaxPending {
-			l.GiveUp()
+			l.Abandon()
 			return false
 		}
 		s.held = append(s.held, f.Raw...)
@@ -136,29 +136,29 @@
 	return s.give(p, f)
 }
 
-// Relay implements backend.Owner.
-func (p *place) Relay(l *backend.Leg, frames []byte) {
+// Forward implements backend.SessionClient.
+func (p *place) Forward(l *backend.NodeConn, frames []byte) {
 	if s := p.session; s.phase != over {
 		s.conn.SendFrom(l.Conn(), frames)
 	}
 }
 
-// Said implements backend.Owner.
-func (p *place) Said(_ *backend.Leg, raw []byte) {
+// ErrReceived implements backend.SessionClient.
+func (p *place) ErrReceived(_ *backend.NodeConn, raw []byte) {
 	if s := p.session; s.phase == open && p == s.cur {
 		s.conn.Send(raw)
 	}
 }
 
-// Denied implements backend.Owner. The word is the node's own.
-func (p *place) Denied(_ *backend.Leg, text []byte) {
+// AuthorizationFailed implements backend.SessionClient. The word is the node's own.
+func (p *place) AuthorizationFailed(_ *backend.NodeConn, text []byte) {
 	if s := p.session; p == s.cur || p == s.next {
 		s.close(string(text))
 	}
 }
 
-// Ended implements backend.Owner. The engine has word of it, and holds the place no more.
-func (p *place) Ended(l *backend.Leg) {
+// Disconnected implements backend.SessionClient. The engine has word of it, and holds the place no more.
+func (p *place) Disconnected(l *backend.NodeConn) {
 	p.gone = true
 	if s := p.session; s.phase != over {
 		s.lost(p)
--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -25,7 +25,7 @@
 // Session is a client's connection. All of it happens on the connection's loop.
 type Session struct {
 	front *Front
-	hub   *backend.Hub
+	hub   *backend.LoopState
 	conn  *reactor.Conn
 	id    uint64
 
@@ -60,7 +60,7 @@
 // OnOpen implements reactor.Handler. The server speaks first in this protocol.
 func (s *Session) OnOpen(c *reactor.Conn, _ error) {
 	f := s.front
-	s.conn, s.hub = c, f.backend.Hub(c)
+	s.conn, s.hub = c, f.backend.LoopState(c)
 	s.id = f.clients.Add(1)
 	c.SetPending(f.settings().MaxPending)
 	f.mu.Lock()
@@ -214,7 +214,7 @@
 		s.connected(f.Body)
 	case codec.Ping:
 		if s.phase == open {
-			s.cur.leg.PingFor(s.pong)
+			s.cur.leg.PingForClient(s.pong)
 		} else {
 			s.conn.Send([]byte(codec.PongFrame)) // nobody is behind the gateway yet
 		}
@@ -286,7 +286,7 @@
 
 // subscribe takes SUB and UNSUB in. It returns whether the node is to be told.
 func (s *Session) subscribe(f *codec.Frame) bool {
-	if backend.OwnSID(f.SID) {
+	if backend.IsGatewaySID(f.SID) {
 		s.close(string(codec.ErrParse))
 		return false
 	}
