--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -48,7 +48,7 @@
 		planapply.Follower
 		timer *time.Timer // for the next look; nil: none was needed yet
 	}
-	front   atomic.Pointer[natsfront.Front] // while it runs
+	front   atomic.Pointer[natsfront.Frontend] // while it runs
 	watcher *discovery.Watcher
 	cluster atomic.Pointer[cluster.Cluster] // while it runs; nil: there is none
 	figures *metrics.Registry
@@ -278,7 +278,7 @@
 		}
 		g.front.Store(n)
 		defer n.Close()
-		defer context.AfterFunc(ctx, n.Leave)()
+		defer context.AfterFunc(ctx, n.Shutdown)()
 		g.logger.Info("serving nats", "listen", n.Addr())
 	}
 	watching, stopWatching := context.WithCancel(context.Background())
--- a/internal/nats/frontend/front.go
+++ b/internal/nats/frontend/front.go
@@ -24,8 +24,8 @@
 	Post(engine.Event)
 }
 
-// Front accepts NATS clients on one address.
-type Front struct {
+// Frontend accepts NATS clients on one address.
+type Frontend struct {
 	engine   Engine
 	backend  *backend.Backend
 	current  atomic.Pointer[operator.NATS]
@@ -44,8 +44,8 @@
 }
 
 // Listen opens the address and takes connections from then on.
-func Listen(name string, n operator.NATS, e Engine, b *backend.Backend, g *reactor.Group, logger *slog.Logger) (*Front, error) {
-	f := &Front{engine: e, backend: b, logger: logger, name: name,
+func Listen(name string, n operator.NATS, e Engine, b *backend.Backend, g *reactor.Group, logger *slog.Logger) (*Frontend, error) {
+	f := &Frontend{engine: e, backend: b, logger: logger, name: name,
 		id: "GW" + strconv.FormatUint(rand.Uint64(), 36), sessions: map[*Session]struct{}{}}
 	f.current.Store(&n)
 	f.payload.Store(int64(n.MaxPayload))
@@ -56,22 +56,22 @@
 	return f, nil
 }
 
-func (f *Front) settings() *operator.NATS { return f.current.Load() }
+func (f *Frontend) settings() *operator.NATS { return f.current.Load() }
 
 // SetSettings goes over to new settings for all that comes from now on. The address stays.
-func (f *Front) SetSettings(n *operator.NATS) {
+func (f *Frontend) SetSettings(n *operator.NATS) {
 	f.current.Store(n)
 	f.payload.Store(int64(n.MaxPayload)) // nodes lower it again as sessions are set up
 }
 
 // Addr is the address that is listened on.
-func (f *Front) Addr() string { return f.listener.Addr() }
+func (f *Frontend) Addr() string { return f.listener.Addr() }
 
 // Close stops accepting.
-func (f *Front) Close() { f.listener.Close() }
+func (f *Frontend) Close() { f.listener.Close() }
 
-// Leave tells all clients that this gateway is going, and ends each session once what it has under way is over.
-func (f *Front) Leave() {
+// Shutdown tells all clients that this gateway is going, and ends each session once what it has under way is over.
+func (f *Frontend) Shutdown() {
 	if f.leaving.Swap(true) {
 		return
 	}
@@ -82,15 +82,15 @@
 	}
 }
 
-// Sessions is the number of clients.
-func (f *Front) Sessions() int {
+// SessionCount is the number of clients.
+func (f *Frontend) SessionCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.sessions)
 }
 
 // info is the gateway's own INFO. It names no other address: a client stays with its gateway.
-func (f *Front) info(id uint64) []byte {
+func (f *Frontend) info(id uint64) []byte {
 	return codec.AppendJSON(nil, "INFO", codec.ServerInfo{
 		ID: f.id, Name: f.name, Version: "2.10.0", Go: runtime.Version(), Host: "0.0.0.0", Port: 4222, Headers: true,
 		MaxPayload: int(f.payload.Load()), Proto: 1, ClientID: id, LameDuck: f.leaving.Load(),
@@ -98,7 +98,7 @@
 }
 
 // lower takes in what a node says of its payloads.
-func (f *Front) lower(payload int) {
+func (f *Frontend) lower(payload int) {
 	for {
 		now := f.payload.Load()
 		if payload <= 0 || int64(payload) >= now || f.payload.CompareAndSwap(now, int64(payload)) {
--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -24,7 +24,7 @@
 
 // Session is a client's connection. All of it happens on the connection's loop.
 type Session struct {
-	front *Front
+	front *Frontend
 	hub   *backend.LoopState
 	conn  *reactor.Conn
 	id    uint64
