--- a/internal/nats/codec/codec_test.go
+++ b/internal/nats/codec/codec_test.go
@@ -114,7 +114,7 @@
 			}
 			if n == 0 {
 				// What is kept for later has a bound.
-				if most := limits.MaxControlLine*infoTimes + 2 + limits.MaxPayload + 2; len(b) > most {
+				if most := limits.MaxControlLine*infoLineFactor + 2 + limits.MaxPayload + 2; len(b) > most {
 					t.Fatalf("%d bytes wait for more", len(b))
 				}
 				return
--- /dev/null
+++ b/internal/nats/codec/parse.go
@@ -0,0 +1,262 @@
+package codec
+
+import "bytes"
+
+const (
+	// maxOperationName is the length of the longest operation name and the byte that ends it.
+	maxOperationName = 8
+	// maxFields is the maximum number of fields after the operation.
+	maxFields = 6
+	// maxDigits is the maximum number of digits of a number, as in the reference server.
+	maxDigits = 9
+	// noBody stands for the size of the body of a frame that consists of a control line only.
+	noBody = -1
+)
+
+// lineEnd ends each control line and each body.
+var lineEnd = []byte("\r\n")
+
+// Parse reads the first frame of b and returns it with its length n. If the frame is not complete yet, n is 0 and err nil.
+// An error is a ProtocolError; b cannot be parsed after it even if more bytes arrive.
+func Parse(b []byte, l Limits) (f Frame, n int, err error) {
+	op := parseOperation(b)
+	line, n, err := cutControlLine(b, op, l)
+	if err != nil || n == 0 {
+		return f, 0, err
+	}
+	if op == None {
+		if len(line) == 0 {
+			return f, 0, ErrParse
+		}
+		return f, 0, ErrUnknownOperation
+	}
+	f.Op = op
+	_, arguments := cutField(line)
+	size, err := f.parseArguments(arguments)
+	if err != nil {
+		return f, 0, err
+	}
+	if size != noBody {
+		if size > l.payload() {
+			return f, 0, ErrMaxPayload
+		}
+		bodyStart, bodyEnd := n, n+size
+		n = bodyEnd + len(lineEnd)
+		if len(b) < n {
+			return f, 0, nil
+		}
+		if !bytes.HasPrefix(b[bodyEnd:], lineEnd) {
+			return f, 0, ErrParse
+		}
+		f.Body = b[bodyStart:bodyEnd]
+	}
+	f.Raw = b[:n]
+	return f, n, nil
+}
+
+// cutControlLine returns the first line of b without its end, and its length n with its end; n is 0 if it is incomplete.
+func cutControlLine(b []byte, op Op, l Limits) (line []byte, n int, err error) {
+	limit := l.controlLine(op) + len(lineEnd)
+	i := bytes.IndexByte(b[:min(len(b), limit)], '\n')
+	switch {
+	case i >= 0:
+		return bytes.TrimSuffix(b[:i], []byte{'\r'}), i + 1, nil
+	case len(b) >= limit:
+		return nil, 0, ErrMaxControlLine
+	case op == None && len(b) >= maxOperationName:
+		return nil, 0, ErrUnknownOperation
+	default:
+		return nil, 0, nil
+	}
+}
+
+// parseOperation returns the operation that b begins with; None if it is unknown or incomplete.
+func parseOperation(b []byte) Op {
+	var name [maxOperationName]byte
+	n := 0
+	for n < len(b) && n < maxOperationName {
+		c := b[n]
+		if c == ' ' || c == '\t' || c == '\r' || c == '\n' {
+			break
+		}
+		if 'a' <= c && c <= 'z' {
+			c -= 'a' - 'A'
+		}
+		name[n] = c
+		n++
+	}
+	if n == len(b) {
+		return None // more of the name may follow
+	}
+	return operationNamed(name[:n])
+}
+
+func operationNamed(name []byte) Op {
+	switch string(name) {
+	case "PUB":
+		return Pub
+	case "HPUB":
+		return HPub
+	case "MSG":
+		return Msg
+	case "HMSG":
+		return HMsg
+	case "SUB":
+		return Sub
+	case "UNSUB":
+		return Unsub
+	case "PING":
+		return Ping
+	case "PONG":
+		return Pong
+	case "INFO":
+		return Info
+	case "CONNECT":
+		return Connect
+	case "+OK":
+		return OK
+	case "-ERR":
+		return Err
+	default:
+		return None
+	}
+}
+
+// cutField returns the first field of b, which spaces and tabs separate, and what follows it.
+func cutField(b []byte) (field, rest []byte) {
+	start := 0
+	for start < len(b) && (b[start] == ' ' || b[start] == '\t') {
+		start++
+	}
+	end := start
+	for end < len(b) && b[end] != ' ' && b[end] != '\t' {
+		end++
+	}
+	return b[start:end], b[end:]
+}
+
+// parseArguments reads the control line after the operation. It returns the size of the body that follows, or noBody.
+func (f *Frame) parseArguments(line []byte) (size int, err error) {
+	switch f.Op {
+	case Info, Connect, Err:
+		f.Body = bytes.TrimSpace(line)
+		return noBody, nil
+	case Ping, Pong, OK:
+		return noBody, nil
+	}
+	var buffer [maxFields][]byte
+	count := 0
+	for field, rest := cutField(line); len(field) > 0; field, rest = cutField(rest) {
+		if count == maxFields {
+			return 0, ErrParse
+		}
+		buffer[count] = field
+		count++
+	}
+	fields := buffer[:count]
+	switch f.Op {
+	case Sub:
+		return noBody, f.parseSub(fields)
+	case Unsub:
+		return noBody, f.parseUnsub(fields)
+	case Pub, HPub:
+		return f.parsePub(fields)
+	default:
+		return f.parseMsg(fields)
+	}
+}
+
+// parseSub reads the fields "subject [queue group] sid".
+func (f *Frame) parseSub(fields [][]byte) error {
+	switch len(fields) {
+	case 2:
+		f.Subject, f.SID = fields[0], fields[1]
+	case 3:
+		f.Subject, f.Queue, f.SID = fields[0], fields[1], fields[2]
+	default:
+		return ErrParse
+	}
+	if !ValidSubject(f.Subject, true) {
+		return ErrSubject
+	}
+	return nil
+}
+
+// parseUnsub reads the fields "sid [max messages]".
+func (f *Frame) parseUnsub(fields [][]byte) (err error) {
+	switch len(fields) {
+	case 1:
+		f.SID = fields[0]
+	case 2:
+		f.SID = fields[0]
+		f.MaxMessages, err = parseNumber(fields[1])
+	default:
+		return ErrParse
+	}
+	return err
+}
+
+// parsePub reads the fields "subject [reply] sizes".
+func (f *Frame) parsePub(fields [][]byte) (size int, err error) {
+	n := len(fields) - f.sizeFields()
+	if n < 1 || n > 2 {
+		return 0, ErrParse
+	}
+	f.Subject = fields[0]
+	if n == 2 {
+		f.Reply = fields[1]
+	}
+	if !ValidSubject(f.Subject, false) || len(f.Reply) > 0 && !ValidSubject(f.Reply, false) {
+		return 0, ErrPubSubject
+	}
+	return f.parseSizes(fields[n:])
+}
+
+// parseMsg reads the fields "subject sid [reply] sizes".
+func (f *Frame) parseMsg(fields [][]byte) (size int, err error) {
+	n := len(fields) - f.sizeFields()
+	if n < 2 || n > 3 {
+		return 0, ErrParse
+	}
+	f.Subject, f.SID = fields[0], fields[1]
+	if n == 3 {
+		f.Reply = fields[2]
+	}
+	return f.parseSizes(fields[n:])
+}
+
+// sizeFields is the number of size fields of a message: that of the headers, if it can have any, and the total.
+func (f *Frame) sizeFields() int {
+	if f.Op == HPub || f.Op == HMsg {
+		return 2
+	}
+	return 1
+}
+
+// parseSizes reads the fields "[header size] total size" and returns the total size.
+func (f *Frame) parseSizes(fields [][]byte) (size int, err error) {
+	size, err = parseNumber(fields[len(fields)-1])
+	if err != nil || len(fields) == 1 {
+		return size, err
+	}
+	f.HeaderSize, err = parseNumber(fields[0])
+	if err != nil || f.HeaderSize > size {
+		return 0, ErrParse
+	}
+	return size, nil
+}
+
+// parseNumber reads a decimal number without a sign, of at most maxDigits digits.
+func parseNumber(b []byte) (int, error) {
+	if len(b) == 0 || len(b) > maxDigits {
+		return 0, ErrParse
+	}
+	n := 0
+	for _, c := range b {
+		if c < '0' || c > '9' {
+			return 0, ErrParse
+		}
+		n = 10*n + int(c-'0')
+	}
+	return n, nil
+}
--- a/internal/nats/codec/subject.go
+++ b/internal/nats/codec/subject.go
@@ -2,55 +2,59 @@
 
 import "bytes"
 
-// ValidSubject reports whether a subject has no empty token and, unless wild, no wildcard token. Wildcards stand alone in
-// their token, > in the last one only.
-func ValidSubject(s []byte, wild bool) bool {
-	if len(s) == 0 {
-		return false
-	}
+const (
+	tokenWildcard = "*" // matches one token
+	fullWildcard  = ">" // matches one or more tokens at the end
+)
+
+var tokenSeparator = []byte{'.'}
+
+// ValidSubject reports whether a subject has no empty token and valid wildcards: none unless allowWildcards is set, and the
+// full wildcard as the last token only. A wildcard is a token of its own; within a longer token it is an ordinary character.
+func ValidSubject(subject []byte, allowWildcards bool) bool {
 	for {
-		token, rest, more := bytes.Cut(s, []byte{'.'})
-		switch {
-		case len(token) == 0:
+		token, rest, more := bytes.Cut(subject, tokenSeparator)
+		switch string(token) {
+		case "":
 			return false
-		case len(token) == 1 && token[0] == '>':
-			if !wild || more {
+		case fullWildcard:
+			if !allowWildcards || more {
 				return false
 			}
-		case len(token) == 1 && token[0] == '*':
-			if !wild {
+		case tokenWildcard:
+			if !allowWildcards {
 				return false
 			}
 		}
 		if !more {
 			return true
 		}
-		s = rest
+		subject = rest
 	}
 }
 
-// MatchesSubject reports whether a pattern, which may hold wildcards, takes in a subject.
+// MatchesSubject reports whether a pattern, which may contain wildcards, matches a subject.
 func MatchesSubject(pattern, subject []byte) bool {
 	for {
-		p, pRest, pMore := bytes.Cut(pattern, []byte{'.'})
-		if len(p) == 1 && p[0] == '>' {
+		p, patternRest, patternMore := bytes.Cut(pattern, tokenSeparator)
+		if string(p) == fullWildcard {
 			return len(subject) > 0
 		}
-		s, sRest, sMore := bytes.Cut(subject, []byte{'.'})
-		if !(len(p) == 1 && p[0] == '*') && !bytes.Equal(p, s) {
+		s, subjectRest, subjectMore := bytes.Cut(subject, tokenSeparator)
+		if string(p) != tokenWildcard && !bytes.Equal(p, s) {
 			return false
 		}
-		if !pMore || !sMore {
-			return pMore == sMore
+		if !patternMore || !subjectMore {
+			return patternMore == subjectMore
 		}
-		pattern, subject = pRest, sRest
+		pattern, subject = patternRest, subjectRest
 	}
 }
 
-// Token is the n-th token of a subject, from 0; empty where there is none.
+// Token returns the n-th token of a subject, counted from 0; nil if it has fewer.
 func Token(subject []byte, n int) []byte {
 	for ; ; n-- {
-		token, rest, more := bytes.Cut(subject, []byte{'.'})
+		token, rest, more := bytes.Cut(subject, tokenSeparator)
 		if n == 0 {
 			return token
 		}
