--- a/internal/nats/codec/codec_test.go
+++ b/internal/nats/codec/codec_test.go
@@ -15,13 +15,16 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.seed", "7")
-	flag.Set("rapid.nofailfile", "true")
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
 	os.Exit(m.Run())
 }
 
-// drawn is a valid frame.
-func drawn(t *rapid.T) []byte {
+// drawFrame draws a valid frame.
+func drawFrame(t *rapid.T) []byte {
 	token := rapid.StringMatching(`[a-zA-Z0-9_$-]{1,6}`)
 	subject := rapid.Map(rapid.SliceOfN(token, 1, 4), func(s []string) []byte { return []byte(strings.Join(s, ".")) })
 	reply := rapid.OneOf(rapid.Just([]byte(nil)), subject)
@@ -38,9 +41,11 @@
 	case 1:
 		return []byte("pong\r\n")
 	case 2:
-		return append(append(AppendPub(nil, subject.Draw(t, "s"), reply.Draw(t, "r"), headers, len(body)), body...), "\r\n"...)
+		frame := AppendPub(nil, subject.Draw(t, "s"), reply.Draw(t, "r"), headers, len(body))
+		return append(append(frame, body...), "\r\n"...)
 	case 3:
-		return append(append(AppendMsg(nil, subject.Draw(t, "s"), sid, reply.Draw(t, "r"), headers, len(body)), body...), "\r\n"...)
+		frame := AppendMsg(nil, subject.Draw(t, "s"), sid, reply.Draw(t, "r"), headers, len(body))
+		return append(append(frame, body...), "\r\n"...)
 	case 4:
 		return AppendSub(nil, subject.Draw(t, "s"), reply.Draw(t, "q"), sid)
 	case 5:
@@ -54,23 +59,24 @@
 	}
 }
 
-// text is a frame's meaning, apart from where its bytes stand.
-func text(f Frame) string {
-	return fmt.Sprintf("%d %q %q %q %q %d %d %q %q", f.Op, f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages, f.HeaderSize, f.Body, f.Raw)
+// frameText writes all fields of a frame.
+func frameText(f *Frame) string {
+	return fmt.Sprintf("%d %q %q %q %q %d %d %q %q", f.Op, f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages,
+		f.HeaderSize, f.Body, f.Raw)
 }
 
-// A stream reads the same however it is cut.
-func TestAnyCutReadsTheSame(t *testing.T) {
+// A stream of frames is parsed the same, whatever the fragments are in which it arrives.
+func TestParseFragmentedStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
 		var want []string
 		for range rapid.IntRange(1, 8).Draw(t, "frames") {
-			b := drawn(t)
+			b := drawFrame(t)
 			f, n, err := Parse(b, Limits{})
 			if err != nil || n != len(b) {
 				t.Fatalf("%q: %d of %d, %v", b, n, len(b), err)
 			}
-			want = append(want, text(f))
+			want = append(want, frameText(&f))
 			stream = append(stream, b...)
 		}
 		var got []string
@@ -86,7 +92,7 @@
 				if n == 0 {
 					break
 				}
-				got = append(got, text(f))
+				got = append(got, frameText(&f))
 				in = in[n:]
 			}
 		}
@@ -97,8 +103,11 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{"PING\r\n", "PUB a 2\r\nhi\r\n", "HPUB a b 12 14\r\nNATS/1.0\r\n\r\nhi\r\n", "SUB a q 1\r\n", "UNSUB 1 5\r\n",
-		"MSG a 1 2\r\nhi\r\n", "INFO {}\r\n", "CONNECT {}\r\n", "-ERR 'x'\r\n", "+OK\r\n", "PUB a 999999999\r\n", "\r\n", "PUB  a\t0\r\n\r\n"} {
+	for _, s := range []string{
+		"PING\r\n", "PUB a 2\r\nhi\r\n", "HPUB a b 12 14\r\nNATS/1.0\r\n\r\nhi\r\n", "SUB a q 1\r\n", "UNSUB 1 5\r\n",
+		"MSG a 1 2\r\nhi\r\n", "INFO {}\r\n", "CONNECT {}\r\n", "-ERR 'x'\r\n", "+OK\r\n", "PUB a 999999999\r\n",
+		"\r\n", "PUB  a\t0\r\n\r\n",
+	} {
 		f.Add([]byte(s))
 	}
 	limits := Limits{MaxControlLine: 64, MaxPayload: 128}
@@ -108,14 +117,14 @@
 			if err != nil {
 				var e ProtocolError
 				if !errors.As(err, &e) {
-					t.Fatalf("%v is no Error", err)
+					t.Fatalf("error %v is not a ProtocolError", err)
 				}
 				return
 			}
 			if n == 0 {
-				// What is kept for later has a bound.
-				if most := limits.MaxControlLine*infoLineFactor + 2 + limits.MaxPayload + 2; len(b) > most {
-					t.Fatalf("%d bytes wait for more", len(b))
+				// The size of an incomplete frame is bounded.
+				if limit := limits.MaxControlLine*infoLineFactor + 2 + limits.MaxPayload + 2; len(b) > limit {
+					t.Fatalf("%d bytes are an incomplete frame, limit %d", len(b), limit)
 				}
 				return
 			}
@@ -127,7 +136,7 @@
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for in, want := range map[string]error{
 		"HELLO\r\n":                           ErrUnknownOperation,
 		"GARBAGE!!":                           ErrUnknownOperation,
@@ -151,30 +160,45 @@
 		"PUB a 10\r\nhi":                      nil,
 		"PU":                                  nil,
 	} {
-		if _, n, err := Parse([]byte(in), Limits{}); err != want || n != 0 {
-			t.Errorf("%.30q: %d, %v, want %v", in, n, err, want)
-		}
+		t.Run(fmt.Sprintf("%.20q of %d bytes", in, len(in)), func(t *testing.T) {
+			if _, n, err := Parse([]byte(in), Limits{}); !errors.Is(err, want) || n != 0 {
+				t.Errorf("n %d, error %v, want 0 and %v", n, err, want)
+			}
+		})
 	}
 }
 
-func TestSubjects(t *testing.T) {
+func TestMatchesSubject(t *testing.T) {
 	for _, c := range []struct {
 		pattern, subject string
 		want             bool
 	}{
-		{"a.b", "a.b", true}, {"a.*", "a.b", true}, {"a.*", "a.b.c", false}, {"a.>", "a.b.c", true}, {"a.>", "a", false},
-		{">", "a", true}, {"*.b", "a.b", true}, {"a", "a.b", false}, {"a.b", "a", false}, {"a.*.c", "a.b.c", true},
+		{"a.b", "a.b", true},
+		{"a.*", "a.b", true},
+		{"a.*", "a.b.c", false},
+		{"a.>", "a.b.c", true},
+		{"a.>", "a", false},
+		{">", "a", true},
+		{"*.b", "a.b", true},
+		{"a", "a.b", false},
+		{"a.b", "a", false},
+		{"a.*.c", "a.b.c", true},
 	} {
-		if got := MatchesSubject([]byte(c.pattern), []byte(c.subject)); got != c.want {
-			t.Errorf("%s takes in %s: %v", c.pattern, c.subject, got)
-		}
+		t.Run(c.pattern+" and "+c.subject, func(t *testing.T) {
+			if got := MatchesSubject([]byte(c.pattern), []byte(c.subject)); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
 	}
+}
+
+func TestToken(t *testing.T) {
 	if got := Token([]byte("a.b.c"), 1); string(got) != "b" || Token([]byte("a"), 1) != nil {
 		t.Errorf("token %q", got)
 	}
 }
 
-func TestStatus(t *testing.T) {
+func TestAppendStatus(t *testing.T) {
 	got := AppendStatus(nil, StatusTooManyRequests, "Refused", 1500*time.Microsecond)
 	if want := "NATS/1.0 429 Refused\r\nRetry-After-Ms: 2\r\n\r\n"; string(got) != want {
 		t.Errorf("%q", got)
@@ -184,7 +208,7 @@
 	}
 }
 
-func TestParseAllocatesNothing(t *testing.T) {
+func TestParseDoesNotAllocate(t *testing.T) {
 	b := []byte("HPUB a.b reply.to 12 14\r\nNATS/1.0\r\n\r\nhi\r\n")
 	if n := testing.AllocsPerRun(100, func() {
 		if _, n, err := Parse(b, Limits{}); n != len(b) || err != nil {
@@ -194,7 +218,7 @@
 		t.Errorf("%v allocations", n)
 	}
 	if !bytes.HasPrefix(b, []byte("HPUB")) {
-		t.Error("changed")
+		t.Error("Parse changed its input")
 	}
 }
 
@@ -203,6 +227,8 @@
 	b.SetBytes(int64(len(frame)))
 	b.ReportAllocs()
 	for b.Loop() {
-		Parse(frame, Limits{})
+		if _, _, err := Parse(frame, Limits{}); err != nil {
+			b.Fatal(err)
+		}
 	}
 }
