--- a/internal/nats/codec/parse.go
+++ b/internal/nats/codec/parse.go
@@ -88,11 +88,7 @@
 	if n == len(b) {
 		return None // more of the name may follow
 	}
-	return operationNamed(name[:n])
-}
-
-func operationNamed(name []byte) Op {
-	switch string(name) {
+	switch string(name[:n]) {
 	case "PUB":
 		return Pub
 	case "HPUB":
