--- a/internal/nats/session/digest_test.go
+++ b/internal/nats/session/digest_test.go
@@ -82,7 +82,7 @@
 		sub.Delivered)
 }
 
-// subscriptionsTranscript plays drawn calls on a session's subscriptions and writes down all that they give back.
+// subscriptionsTranscript plays drawn calls on the subscriptions of a session and writes down all results.
 func subscriptionsTranscript(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	var subs session.Subscriptions
@@ -128,10 +128,10 @@
 	compareDigests(t, "subscriptions.txt", transcripts)
 }
 
-// overlapTranscript plays drawn messages of two nodes and writes down which of them are copies.
+// overlapTranscript plays drawn messages of two nodes and writes down which of them are duplicates.
 func overlapTranscript(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 22))
-	var overlap session.Deduplicator
+	var dedup session.Deduplicator
 	var b strings.Builder
 	kinds := 1 + rng.IntN(12)
 	for range 40 + rng.IntN(80) {
@@ -139,47 +139,47 @@
 		switch n := rng.IntN(40); {
 		case n == 0:
 			b.WriteString("end\n")
-			overlap.Stop()
+			dedup.Stop()
 		case n <= 2:
 			b.WriteString("begin\n")
-			overlap.Start()
+			dedup.Start()
 		case n < 21:
 			fmt.Fprintf(&b, "old %q\n", raw)
-			overlap.RecordOld(raw)
+			dedup.RecordOld(raw)
 			spoil(raw)
 		default:
 			fmt.Fprintf(&b, "new %q: ", raw)
-			fmt.Fprintf(&b, "%t\n", overlap.IsDuplicate(raw))
+			fmt.Fprintf(&b, "%t\n", dedup.IsDuplicate(raw))
 		}
-		fmt.Fprintf(&b, "on %t\n", overlap.Active())
+		fmt.Fprintf(&b, "on %t\n", dedup.Active())
 	}
 	return b.String()
 }
 
-// boundTranscript writes down which copies are still known where the old node gave more than is remembered.
+// boundTranscript writes down which duplicates are found after the old node delivered more than is counted.
 func boundTranscript() string {
 	const bound = 1 << 16
 	message := func(i int) []byte { return fmt.Appendf(nil, "MSG a 1 6\r\n%06d\r\n", i) }
-	var overlap session.Deduplicator
+	var dedup session.Deduplicator
 	var b strings.Builder
-	overlap.Start()
+	dedup.Start()
 	for i := range bound + 8 {
-		overlap.RecordOld(message(i))
+		dedup.RecordOld(message(i))
 	}
 	for i := bound - 3; i < bound+8; i++ {
-		fmt.Fprintf(&b, "new %d: %t\n", i, overlap.IsDuplicate(message(i)))
+		fmt.Fprintf(&b, "new %d: %t\n", i, dedup.IsDuplicate(message(i)))
 	}
 	for i := range 5 { // three have room again
-		overlap.RecordOld(message(2*bound + i))
+		dedup.RecordOld(message(2*bound + i))
 	}
 	for i := range 5 {
-		fmt.Fprintf(&b, "new %d: %t\n", 2*bound+i, overlap.IsDuplicate(message(2*bound+i)))
+		fmt.Fprintf(&b, "new %d: %t\n", 2*bound+i, dedup.IsDuplicate(message(2*bound+i)))
 	}
 	for range 4 { // each of the same message is one of them
-		overlap.RecordOld(message(0))
+		dedup.RecordOld(message(0))
 	}
 	for range 6 {
-		fmt.Fprintf(&b, "new 0: %t\n", overlap.IsDuplicate(message(0)))
+		fmt.Fprintf(&b, "new 0: %t\n", dedup.IsDuplicate(message(0)))
 	}
 	return b.String()
 }
