--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -97,7 +97,7 @@
 	}
 	g.figures = metrics.New(classes)
 	attempts := backend.New(backend.Options{
-		ConnectTimeout: c.Gateway.ConnectTimeout, TellsLoad: c.Gateway.ReportsConnectionLoad, TellsDelay: c.Gateway.ReportsMessageDelay, Forwards: &g.figures.Forwards,
+		ConnectTimeout: c.Gateway.ConnectTimeout, ReportsLoad: c.Gateway.ReportsConnectionLoad, MeasuresDelay: c.Gateway.ReportsMessageDelay, Forwarded: &g.figures.Forwards,
 	})
 	var ranks func(class, tenant string) int
 	if g.member != nil {
@@ -256,7 +256,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	defer conns.Close()
-	conns.SetBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
+	conns.SetDescriptorBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
 	g.lines.Connect(g.engine, conns)
 	if g.config.InheritedSocket > 0 {
 		if err := hotrestart.PrepareListener(g.config.InheritedSocket, g.config.Listen); err != nil {
@@ -325,19 +325,19 @@
 	g.logger.Info("serving", "name", g.config.Name, "listen", f.Addr(), "discovery", g.config.Discovery,
 		"pass", g.config.Gateway.ConnectionsOutliveGateway, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
-	f.Finish()
+	f.Shutdown()
 	stopWatching()
 	wg.Wait()
-	conns.Settle(settleFor)
+	conns.Quiesce(settleFor)
 	return nil
 }
 
 // Ready reports whether clients can be served: the list and what staff said of it are known, and no stop was asked for.
 func (g *Gateway) Ready() bool { return g.serving.Load() && g.engine.Ready() }
 
-func (g *Gateway) listen(conns *reactor.Group) (*frontend.Front, error) {
+func (g *Gateway) listen(conns *reactor.Group) (*frontend.Listener, error) {
 	if g.config.InheritedSocket > 0 {
-		return frontend.Take(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
+		return frontend.ListenFD(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
 	}
 	return frontend.Listen(g.config.Listen, g.engine, conns)
 }
--- a/internal/lineproto/backend/link.go
+++ b/internal/lineproto/backend/link.go
@@ -18,9 +18,9 @@
 	client           Client
 
 	// Of the server's lines; only its own callbacks touch these.
-	sent bool       // the opening line was written whole, and counted
-	head []byte     // of the line that has come in part
-	last codec.Word // of the last line
+	sent bool            // the opening line was written whole, and counted
+	head []byte          // of the line that has come in part
+	last codec.ReplyKind // of the last line
 }
 
 // headMost is how much of a line is kept to see what it says.
@@ -33,7 +33,7 @@
 		l.finish(balancer.ConnectFailed)
 		return
 	}
-	if l.Step(upstream.Dialing, upstream.Pending) { // one that is given up meanwhile carries nothing
+	if l.Transition(upstream.Dialing, upstream.Pending) { // one that is given up meanwhile carries nothing
 		c.Send(l.client.Forward(make([][]byte, 0, 3), l.attempt.Timeout-l.Age())...)
 		l.written()
 	}
@@ -42,9 +42,9 @@
 // written counts an attempt once its last byte is with the kernel. One that was not at first is looked at again when
 // something comes of it.
 func (l *Link) written() {
-	if !l.sent && l.Conn().Waiting() == 0 {
+	if !l.sent && l.Conn().Buffered() == 0 {
 		l.sent = true
-		l.backend.options.Forwards.Add(1)
+		l.backend.options.Forwarded.Add(1)
 	}
 }
 
@@ -58,7 +58,7 @@
 // End ends the server's side of an open connection after the client's has ended.
 func (l *Link) End(reset bool) {
 	switch was := l.Finish(); {
-	case was == upstream.Over:
+	case was == upstream.Ended:
 	case reset:
 		l.Conn().Abort(true)
 	default:
@@ -68,8 +68,8 @@
 
 // Forward passes on bytes from the client, who is left unread while the server does not read.
 func (l *Link) Forward(b []byte) {
-	if l.backend.options.TellsDelay && bytes.IndexByte(b, '\n') >= 0 {
-		l.Ask()
+	if l.backend.options.MeasuresDelay && bytes.IndexByte(b, '\n') >= 0 {
+		l.RequestSent()
 	}
 	l.Conn().SendFrom(l.client.Conn(), b) // one that fails has ended; OnEnd follows
 }
@@ -80,17 +80,17 @@
 	case upstream.Pending:
 		l.written()
 		// What breaks before the last byte is written never ran; what breaks after may have.
-		if c.Waiting() > 0 {
+		if c.Buffered() > 0 {
 			l.finish(balancer.ConnectFailed)
 		} else {
 			l.finish(balancer.Reset)
 		}
-	case upstream.Up:
+	case upstream.Established:
 		result := balancer.Reset
 		switch l.last {
-		case codec.WordBye:
+		case codec.ReplyBye:
 			result = balancer.OK
-		case codec.WordMove:
+		case codec.ReplyMove:
 			result = balancer.Cancelled
 		}
 		l.ended(result, reactor.WasReset(err))
@@ -99,10 +99,10 @@
 
 // ended is the end of an open connection from the server's side.
 func (l *Link) ended(result balancer.Result, reset bool) {
-	if l.Finish() == upstream.Over {
+	if l.Finish() == upstream.Ended {
 		return
 	}
-	l.client.End(reset)
+	l.client.ServerEnded(reset)
 	l.Conn().Close()
 	l.backend.events.Post(engine.AttemptEnded{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Result: result})
 }
@@ -110,7 +110,7 @@
 // OnData implements reactor.Handler.
 func (l *Link) OnData(_ *reactor.Conn, b []byte) int {
 	switch l.Phase() {
-	case upstream.Up:
+	case upstream.Established:
 		l.watch(b)
 		l.client.Relay(l.Conn(), b)
 	case upstream.Pending:
@@ -122,9 +122,9 @@
 // answer takes the server's first line once it is whole; the engine ends an attempt whose answer does not come in time.
 func (l *Link) answer(b []byte) int {
 	l.written()
-	i := bytes.IndexByte(b[:min(len(b), codec.MaxLine)], '\n')
+	i := bytes.IndexByte(b[:min(len(b), codec.MaxLineLength)], '\n')
 	if i < 0 {
-		if len(b) < codec.MaxLine {
+		if len(b) < codec.MaxLineLength {
 			return 0
 		}
 		l.finish(balancer.Errored)
@@ -132,14 +132,14 @@
 	}
 	line := b[:i+1]
 	reply := codec.ParseReply(line)
-	switch reply.Word {
-	case codec.WordUp, codec.WordBye: // BYE alone: served, and over already
-		l.last = reply.Word
+	switch reply.Kind {
+	case codec.ReplyUp, codec.ReplyBye: // BYE alone: served, and over already
+		l.last = reply.Kind
 		l.open(line)
 		return len(line)
-	case codec.WordBusy:
+	case codec.ReplyBusy:
 		l.finish(balancer.Rejected)
-	case codec.WordMove:
+	case codec.ReplyMove:
 		l.finish(balancer.Cancelled)
 	default:
 		l.finish(balancer.Errored)
@@ -149,11 +149,11 @@
 
 // open ties the client to the server. From here on the engine sees no lines.
 func (l *Link) open(first []byte) {
-	if !l.Step(upstream.Pending, upstream.Up) {
+	if !l.Transition(upstream.Pending, upstream.Established) {
 		return
 	}
 	l.backend.events.Post(engine.AttemptEstablished{RequestID: l.attempt.RequestID, Number: l.attempt.Number, Elapsed: l.Age()})
-	if !l.client.Open(first, l) {
+	if !l.client.Established(first, l) {
 		l.End(false)
 	}
 }
@@ -176,14 +176,14 @@
 		}
 		reply := codec.ParseReply(l.head)
 		l.head = l.head[:0]
-		l.last = reply.Word
-		switch reply.Word {
-		case codec.WordLoad:
-			if l.backend.options.TellsLoad {
+		l.last = reply.Kind
+		switch reply.Kind {
+		case codec.ReplyLoad:
+			if l.backend.options.ReportsLoad {
 				l.backend.events.TryPost(engine.ConnectionLoad{RequestID: l.attempt.RequestID, Load: reply.Load})
 			}
-		case codec.WordOther:
-			if delay := l.Answered(); delay > 0 {
+		case codec.ReplyOther:
+			if delay := l.ResponseReceived(); delay > 0 {
 				l.backend.events.TryPost(engine.MessageAnswered{RequestID: l.attempt.RequestID, Delay: delay})
 			}
 		}
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -22,10 +22,10 @@
 
 // Conn is a client's connection.
 type Conn struct {
-	front  *Front
+	front  *Listener
 	done   func() // tells the listener that the engine has seen it
 	conn   *reactor.Conn
-	ticket engine.ClientHandle
+	handle engine.ClientHandle
 	open   codec.Open
 
 	mu    sync.Mutex // guards the phase
@@ -46,7 +46,7 @@
 }
 
 // Handle implements engine.Client.
-func (c *Conn) Handle() *engine.ClientHandle { return &c.ticket }
+func (c *Conn) Handle() *engine.ClientHandle { return &c.handle }
 
 // OnData implements reactor.Handler.
 func (c *Conn) OnData(_ *reactor.Conn, b []byte) int {
@@ -68,8 +68,8 @@
 
 // readOpening takes a line once it is whole. The engine ends a connection that does not send its line in time.
 func (c *Conn) readOpening(b []byte) int {
-	i := bytes.IndexByte(b[:min(len(b), codec.MaxLine)], '\n')
-	if i < 0 && len(b) < codec.MaxLine {
+	i := bytes.IndexByte(b[:min(len(b), codec.MaxLineLength)], '\n')
+	if i < 0 && len(b) < codec.MaxLineLength {
 		return 0
 	}
 	if i < 0 || len(b) > i+1 {
@@ -78,17 +78,17 @@
 		c.reject()
 		return len(b)
 	}
-	switch codec.KindOf(b) {
-	case codec.KindPing:
+	switch codec.ParseRequestKind(b) {
+	case codec.RequestPing:
 		answer := codec.Err
 		if c.front.engine.Ready() {
 			answer = codec.Pong
 		}
 		c.conn.Send([]byte(answer))
 		c.front.engine.Post(engine.ClientActive{Client: c})
-	case codec.KindStats: // a balancer has no load report
+	case codec.RequestStats: // a balancer has no load report
 		c.conn.Send([]byte(codec.No))
-	case codec.KindOpen:
+	case codec.RequestOpen:
 		c.readOpen(b)
 	default:
 		c.reject()
@@ -113,7 +113,7 @@
 	c.mu.Unlock()
 	c.front.engine.Post(engine.RequestReceived{Client: c, Request: engine.Request{
 		ID: string(open.ID), Class: string(open.Class), Tenant: string(open.Tenant), Key: string(open.Key), Group: string(open.Group),
-		Timeout: open.Wait, Load: open.Hint, Reconnecting: open.Returned, MidFlow: open.Stray, Owner: string(open.At),
+		Timeout: open.Timeout, Load: open.Load, Reconnecting: open.Reconnecting, MidFlow: open.MidFlow, Owner: string(open.Owner),
 	}})
 }
 
@@ -182,8 +182,8 @@
 	})
 }
 
-// Orphan answers a client whose engine has ended, and will not.
-func (c *Conn) Orphan() {
+// RejectWaiting answers a client whose engine has ended, and will not.
+func (c *Conn) RejectWaiting() {
 	c.mu.Lock()
 	at := c.phase
 	c.mu.Unlock()
@@ -226,8 +226,8 @@
 	return c.open.Forward(parts, wait)
 }
 
-// Open implements backend.Client.
-func (c *Conn) Open(first []byte, l *backend.Link) bool {
+// Established implements backend.Client.
+func (c *Conn) Established(first []byte, l *backend.Link) bool {
 	c.out.Lock()
 	defer c.out.Unlock()
 	c.mu.Lock()
@@ -257,8 +257,8 @@
 	c.conn.SendFrom(from, b) // one that fails has ended; OnEnd follows
 }
 
-// End implements backend.Client.
-func (c *Conn) End(reset bool) {
+// ServerEnded implements backend.Client.
+func (c *Conn) ServerEnded(reset bool) {
 	if !c.finish() {
 		return
 	}
--- a/internal/nats/backend/leg.go
+++ b/internal/nats/backend/leg.go
@@ -71,7 +71,7 @@
 	if t := b.options().ConnectTimeout; t > 0 {
 		wait = min(wait, t)
 	}
-	l.Begin(func() *reactor.Conn { return b.conns.Dial(b.addr(a.Addr), wait, l, o.Conn()) })
+	l.Start(func() *reactor.Conn { return b.conns.Dial(b.addr(a.Addr), wait, l, o.Conn()) })
 	return l
 }
 
@@ -79,7 +79,7 @@
 func (l *NodeConn) Server() balancer.ServerID { return l.attempt.Server }
 
 // IsEstablished reports whether the leg stands. The loop alone may rely on it.
-func (l *NodeConn) IsEstablished() bool { return l.Phase() == upstream.Up }
+func (l *NodeConn) IsEstablished() bool { return l.Phase() == upstream.Established }
 
 // finish ends a leg that does not stand, once.
 func (l *NodeConn) finish(result balancer.Result) {
@@ -95,7 +95,7 @@
 
 // Close ends the leg after all that was sent has been written, and tells nobody but its requests.
 func (l *NodeConn) Close() {
-	if l.Finish() != upstream.Over {
+	if l.Finish() != upstream.Ended {
 		l.Conn().Close()
 		l.fall(balancer.Reset)
 	}
@@ -106,7 +106,7 @@
 
 // broken is the end of a leg that stands by the node's doing.
 func (l *NodeConn) broken() {
-	if !l.Step(upstream.Up, upstream.Over) {
+	if !l.Transition(upstream.Established, upstream.Ended) {
 		return
 	}
 	l.Conn().Abort(false)
@@ -139,7 +139,7 @@
 		l.finish(balancer.ConnectFailed)
 		return
 	}
-	l.Step(upstream.Dialing, upstream.Pending)
+	l.Transition(upstream.Dialing, upstream.Pending)
 }
 
 // OnEnd implements reactor.Handler.
@@ -147,7 +147,7 @@
 	switch {
 	case l.IsEstablished():
 		l.broken()
-	case !l.info || c.Waiting() > 0:
+	case !l.info || c.Buffered() > 0:
 		l.finish(balancer.ConnectFailed) // the opening is not out
 	default:
 		l.finish(balancer.Reset)
@@ -254,7 +254,7 @@
 // await notes what the next PING's answer is for.
 func (l *NodeConn) await(p ping) {
 	if len(l.pings) == 0 {
-		l.Ask()
+		l.RequestSent()
 	}
 	l.pings = append(l.pings, p)
 }
@@ -288,9 +288,9 @@
 	then := l.pings[0].then
 	l.pings = l.pings[1:]
 	if len(l.pings) == 0 {
-		l.Answered()
+		l.ResponseReceived()
 	} else {
-		l.AskAnew() // it answers, if late
+		l.RequestRenewed() // it answers, if late
 	}
 	if then != nil {
 		then()
@@ -299,7 +299,7 @@
 
 // stands is called when the opening is confirmed.
 func (l *NodeConn) stands() {
-	if !l.Step(upstream.Pending, upstream.Up) {
+	if !l.Transition(upstream.Pending, upstream.Established) {
 		return
 	}
 	l.keepAsking()
