--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -45,7 +45,7 @@
 	clock  func() time.Duration // Unix time, never backwards
 	follow struct {
 		sync.Mutex
-		planapply.Follower
+		planapply.Applier
 		timer *time.Timer // for the next look; nil: none was needed yet
 	}
 	front   atomic.Pointer[natsfront.Front] // while it runs
@@ -115,7 +115,7 @@
 	if n := g.nat; n != nil {
 		g.nats = natsbackend.New(g.natsOptions(n))
 	}
-	g.follow.Cold = c.Balancer.WarmupDuration
+	g.follow.WarmupDuration = c.Balancer.WarmupDuration
 	g.usePlan(g.plan)
 	g.watcher.SetHandler(g.post)
 	return g, nil
@@ -189,7 +189,7 @@
 	if l.Mode != balancer.ListDelta || len(l.Servers) > 0 {
 		g.engine.Post(l)
 	}
-	at, ok := g.follow.Again()
+	at, ok := g.follow.NextWarmup()
 	if g.follow.timer != nil {
 		g.follow.timer.Stop()
 	}
@@ -199,7 +199,7 @@
 	g.follow.timer = time.AfterFunc(max(at-g.clock(), 0), func() {
 		g.follow.Lock()
 		defer g.follow.Unlock()
-		g.followed(g.follow.Look(g.clock()))
+		g.followed(g.follow.Tick(g.clock()))
 	})
 }
 
--- a/internal/planapply/follow.go
+++ b/internal/planapply/follow.go
@@ -19,12 +19,12 @@
 // none is the weight of a node that a plan gives nothing: too little for a slot in any table. 0 would be taken as 1.
 const none = 1e-9
 
-// Follower knows the list and the plan. The zero value goes by no plan.
-type Follower struct {
-	// Cold is how long a node counts as lost after its start. A plan gives a node its whole part at once, and where all that
+// Applier knows the list and the plan. The zero value goes by no plan.
+type Applier struct {
+	// WarmupDuration is how long a node counts as lost after its start. A plan gives a node its whole part at once, and where all that
 	// a zone's gateway may use by the plan is cold, nobody else could take its clients: until they are warm, what the plan
 	// says for their loss holds.
-	Cold time.Duration
+	WarmupDuration time.Duration
 
 	at      time.Duration // the time now, on the clock that starts are told by
 	again   time.Duration // when a node will be warm next; 0: none is cold
@@ -36,7 +36,7 @@
 
 // SetPlan goes over to a plan, or with nil to none, for gateways of a zone. It returns the list that follows; its servers are
 // none where no list has come yet.
-func (f *Follower) SetPlan(now time.Duration, p *operator.Plan, zone string) (engine.EndpointList, string) {
+func (f *Applier) SetPlan(now time.Duration, p *operator.Plan, zone string) (engine.EndpointList, string) {
 	f.at = now
 	if p != f.plan || zone != f.zone {
 		f.plan, f.zone, f.now = p, zone, "another"
@@ -44,17 +44,17 @@
 	return f.list(balancer.ListDelta, nil)
 }
 
-// Again is when Look has something to do: a node is warm then. ok is false where none is cold.
-func (f *Follower) Again() (at time.Duration, ok bool) { return f.again, f.again > 0 }
+// NextWarmup is when Look has something to do: a node is warm then. ok is false where none is cold.
+func (f *Applier) NextWarmup() (at time.Duration, ok bool) { return f.again, f.again > 0 }
 
-// Look returns the list that follows from the time alone.
-func (f *Follower) Look(now time.Duration) (engine.EndpointList, string) {
+// Tick returns the list that follows from the time alone.
+func (f *Applier) Tick(now time.Duration) (engine.EndpointList, string) {
 	f.at = now
 	return f.list(balancer.ListDelta, nil)
 }
 
 // Apply takes in a list and returns it with the weights to go by, and a word where what is gone by has changed.
-func (f *Follower) Apply(now time.Duration, l engine.EndpointList) (engine.EndpointList, string) {
+func (f *Applier) Apply(now time.Duration, l engine.EndpointList) (engine.EndpointList, string) {
 	f.at = now
 	if f.servers == nil || l.Mode != balancer.ListDelta {
 		f.servers = map[string]engine.Server{}
@@ -70,7 +70,7 @@
 }
 
 // list is what is to be told: what came, and in place of changed weights all servers.
-func (f *Follower) list(mode balancer.ListMode, came []engine.Server) (engine.EndpointList, string) {
+func (f *Applier) list(mode balancer.ListMode, came []engine.Server) (engine.EndpointList, string) {
 	weights, by := f.weights()
 	said := ""
 	if by != f.now {
@@ -102,7 +102,7 @@
 }
 
 // weights finds what to go by: the plan, one of its contingencies, or nothing, and says which.
-func (f *Follower) weights() (map[string]float64, string) {
+func (f *Applier) weights() (map[string]float64, string) {
 	f.again = 0
 	if f.plan == nil {
 		return nil, ""
@@ -110,7 +110,7 @@
 	var lost []string
 	for id := range f.plan.Load {
 		s, listed := f.servers[id]
-		warm := s.Started + f.Cold
+		warm := s.Started + f.WarmupDuration
 		cold := listed && s.Started > 0 && f.at < warm
 		if cold && (f.again == 0 || warm < f.again) {
 			f.again = warm
@@ -147,7 +147,7 @@
 
 // shares are what nodes are to carry of the load that comes through this gateway's zone: a zone's part of that, shared as its
 // nodes share all that they carry. Where the zone brings none in the plan, nodes are weighed by all that they carry.
-func (f *Follower) shares(load map[string]int64, flows []placement.Flow) map[string]float64 {
+func (f *Applier) shares(load map[string]int64, flows []placement.Flow) map[string]float64 {
 	zoneLoad, fromHere := map[string]int64{}, map[string]int64{}
 	for id, n := range load {
 		if s, listed := f.servers[id]; listed {
--- a/internal/planapply/follow_test.go
+++ b/internal/planapply/follow_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestGoesByThePlanAndItsContingencies(t *testing.T) {
-	var f Follower
+	var f Applier
 	know := told{}
 	step := func(l engine.EndpointList, wantSaid string, want map[string]float64) {
 		t.Helper()
@@ -76,7 +76,7 @@
 // However a list comes, whole or in changes, gateways of a zone end with the same weights.
 func TestGatewaysOfAZoneAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a, b Follower
+		var a, b Applier
 		zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 		p := plan()
 		a.SetPlan(0, p, zone)
@@ -114,7 +114,7 @@
 			l.Servers = append(l.Servers, server(i, "a", balancer.Ready))
 		}
 	}
-	var f Follower
+	var f Applier
 	f.SetPlan(0, p, "a")
 	got, said := f.Apply(0, l)
 	if !strings.HasPrefix(said, "nominal weights: plan 1 has no word for the loss of n10, n11, n12, n13, n9") || len(got.Servers) != 9 || got.Servers[0].Capacity != 7 {
@@ -124,22 +124,22 @@
 
 // A node that has just started counts as lost until it is warm; then, without another list, the plan holds again.
 func TestColdNodesAreLostUntilWarm(t *testing.T) {
-	f := Follower{Cold: 10 * time.Second}
+	f := Applier{WarmupDuration: 10 * time.Second}
 	f.SetPlan(time.Hour, plan(), "a")
 	fresh := server(1, "a", balancer.Ready)
 	fresh.Started = time.Hour - 4*time.Second
 	know := told{}
 	l, said := f.Apply(time.Hour, engine.EndpointList{Mode: balancer.ListComplete, Servers: []engine.Server{fresh, server(2, "a", balancer.Ready), server(3, "b", balancer.Ready)}})
 	know.take(l)
-	if at, ok := f.Again(); said != "plan 4 after the loss of node n1" || know["n1"] != none || !ok || at != time.Hour+6*time.Second {
+	if at, ok := f.NextWarmup(); said != "plan 4 after the loss of node n1" || know["n1"] != none || !ok || at != time.Hour+6*time.Second {
 		t.Fatalf("%q, %v, again at %v", said, know, at)
 	}
-	if l, said = f.Look(time.Hour + 5*time.Second); len(l.Servers) != 0 || said != "" {
+	if l, said = f.Tick(time.Hour + 5*time.Second); len(l.Servers) != 0 || said != "" {
 		t.Errorf("too early: %q", said)
 	}
-	l, said = f.Look(time.Hour + 6*time.Second)
+	l, said = f.Tick(time.Hour + 6*time.Second)
 	know.take(l)
-	if _, ok := f.Again(); said != "plan 4" || know["n1"] != 40 || ok {
+	if _, ok := f.NextWarmup(); said != "plan 4" || know["n1"] != 40 || ok {
 		t.Errorf("%q, %v", said, know)
 	}
 }
