--- a/config/operator/constraint.go
+++ b/config/operator/constraint.go
@@ -42,10 +42,10 @@
 		c.Kind, c.Class, c.Zones = placement.KeepOut, e.text("a class"), e.texts("a zone")
 	},
 	"spread": func(e *entry, c *placement.Constraint) {
-		c.Kind, c.Class, c.Count = placement.Spread, e.text("a class"), e.number("a count of zones", 1, placement.MostZones)
+		c.Kind, c.Class, c.Count = placement.Spread, e.text("a class"), e.number("a count of zones", 1, placement.MaxZones)
 		c.Least = 1
 		if e.more() {
-			c.Least = e.number("the least load in each", 1, placement.MostLoad)
+			c.Least = e.number("the least load in each", 1, placement.MaxLoad)
 		}
 	},
 	"together": func(e *entry, c *placement.Constraint) { c.Kind, c.Classes = placement.Together, e.texts("a class") },
@@ -54,7 +54,7 @@
 	},
 	"connections": func(e *entry, c *placement.Constraint) {
 		c.Kind, c.Model, c.Count = placement.Connections, e.text("a kind of node"),
-			e.number("connections", 0, placement.MostLoad)
+			e.number("connections", 0, placement.MaxLoad)
 		c.Least = e.number("the load of one", 1, maxRatioTerm)
 	},
 	"moves": func(e *entry, c *placement.Constraint) {
--- a/config/operator/placement.go
+++ b/config/operator/placement.go
@@ -26,25 +26,25 @@
 		if _, twice := p.Capacity[kind]; twice {
 			e.fail(e.form.line, "%q is given twice", kind)
 		}
-		p.Capacity[kind] = e.number("its capacity", 0, placement.MostLoad)
+		p.Capacity[kind] = e.number("its capacity", 0, placement.MaxLoad)
 	})
 	s.entries("demand", func(e *entry) {
 		p.Demands = append(p.Demands, placement.Demand{
-			Zone: e.text("a zone"), Class: e.text("a class"), Load: e.number("its load", 0, placement.MostLoad),
+			Zone: e.text("a zone"), Class: e.text("a class"), Load: e.number("its load", 0, placement.MaxLoad),
 		})
 	})
 	s.entries("crossing", func(e *entry) {
 		p.Crossings = append(p.Crossings, placement.Crossing{
-			From: e.text("a zone"), To: e.text("a zone"), Cost: e.number("its cost", 0, placement.MostCost),
+			From: e.text("a zone"), To: e.text("a zone"), Cost: e.number("its cost", 0, placement.MaxCost),
 		})
 	})
 	s.entries("batch", func(e *entry) {
 		p.Batches = append(p.Batches, placement.Batch{
-			Model: e.text("a kind of node"), Size: int(e.number("its size", 1, placement.MostNodes)),
+			Model: e.text("a kind of node"), Size: int(e.number("its size", 1, placement.MaxNodes)),
 		})
 	})
 	s.entries("goals", func(e *entry) { p.Order = readGoals(e) })
-	p.DefaultCost = int64(s.integer("crossing-default", 1, 0, placement.MostCost))
+	p.DefaultCost = int64(s.integer("crossing-default", 1, 0, placement.MaxCost))
 	p.Constraints = readConstraints(s)
 	return p
 }
--- a/config/operator/planparse.go
+++ b/config/operator/planparse.go
@@ -98,7 +98,7 @@
 
 func readLoads(s *section) map[string]int64 {
 	load := map[string]int64{}
-	s.entries("node", func(e *entry) { load[e.text("a node")] = e.number("its load", 0, placement.MostLoad) })
+	s.entries("node", func(e *entry) { load[e.text("a node")] = e.number("its load", 0, placement.MaxLoad) })
 	return load
 }
 
@@ -106,7 +106,7 @@
 	s.entries("flow", func(e *entry) {
 		flows = append(flows, placement.Flow{
 			Class: e.text("a class"), From: e.text("a zone"), To: e.text("a zone"),
-			Load: e.number("its load", 0, placement.MostLoad),
+			Load: e.number("its load", 0, placement.MaxLoad),
 		})
 	})
 	return flows
--- a/internal/cli/command.go
+++ b/internal/cli/command.go
@@ -118,7 +118,7 @@
 	}
 	if err := root.Run(ctx, args); err != nil {
 		logger.Error("failed", "err", err)
-		var conflict *placement.Infeasible
+		var conflict *placement.InfeasibleError
 		if errors.As(err, &conflict) {
 			return exitInfeasible
 		}
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -137,10 +137,10 @@
 		}
 		made.Version = before.Version
 		for i := range p.Nodes {
-			p.Nodes[i].Now = before.Load[p.Nodes[i].ID]
+			p.Nodes[i].CurrentLoad = before.Load[p.Nodes[i].ID]
 		}
 	}
-	o := placement.Options{Steps: c.Int("steps")}
+	o := placement.Options{MaxSteps: c.Int("steps")}
 	began := time.Now()
 	best, err := placement.Solve(p, o)
 	if err != nil {
@@ -160,7 +160,7 @@
 	made.Proven, made.Goals, made.Load, made.Flows = best.Proven, best.Goals, best.Load, best.Flows
 	worst := ""
 	for _, k := range after {
-		pc := operator.PlanContingency{Name: k.Name, Lost: k.Lost, Short: k.Short, Load: map[string]int64{}}
+		pc := operator.PlanContingency{Name: k.Name, Lost: k.Lost, Short: k.Shortfall, Load: map[string]int64{}}
 		if k.Plan != nil {
 			pc.Flows = k.Plan.Flows
 			for id, n := range k.Plan.Load {
@@ -169,8 +169,8 @@
 				}
 			}
 		}
-		if k.Short > 0 {
-			worst += fmt.Sprintf("after the loss of %s %d units are not carried\n", k.Name, k.Short)
+		if k.Shortfall > 0 {
+			worst += fmt.Sprintf("after the loss of %s %d units are not carried\n", k.Name, k.Shortfall)
 		}
 		made.Contingencies = append(made.Contingencies, pc)
 	}
--- a/internal/experiment/plandraw.go
+++ b/internal/experiment/plandraw.go
@@ -145,7 +145,7 @@
 			table := newTable(c.Root().Writer, "nodes", "zones", "seconds", "proven", "networks solved")
 			for _, size := range []struct{ nodes, zones int }{{50, 3}, {200, 8}, {500, 12}, {1000, 20}, {2000, 30}, {5000, 50}, {10000, 70}} {
 				began := time.Now()
-				plan, err := placement.Solve(placement.Drawn(size.nodes, size.zones, 1), placement.Options{})
+				plan, err := placement.Solve(placement.RandomProblem(size.nodes, size.zones, 1), placement.Options{})
 				if err != nil {
 					return err
 				}
--- a/internal/experiment/planrun.go
+++ b/internal/experiment/planrun.go
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	for _, c := range losses {
-		pc := operator.PlanContingency{Name: c.Name, Lost: c.Lost, Short: c.Short}
+		pc := operator.PlanContingency{Name: c.Name, Lost: c.Lost, Short: c.Shortfall}
 		if c.Plan != nil {
 			pc.Load, pc.Flows = c.Plan.Load, c.Plan.Flows
 		}
--- a/placement/brute_test.go
+++ b/placement/brute_test.go
@@ -65,8 +65,8 @@
 			return
 		}
 		for j, n := range nodes {
-			if b.loads[j] > n.Now {
-				b.moves += b.loads[j] - n.Now
+			if b.loads[j] > n.CurrentLoad {
+				b.moves += b.loads[j] - n.CurrentLoad
 			}
 			for k := int64(1); k <= b.loads[j]; k++ {
 				b.marks = append(b.marks, mark{k, n.Capacity, j})
@@ -201,7 +201,7 @@
 			if c.Kind == Connections && n.Model == c.Model && b.loads[j] > c.Count*max(c.Least, 1) {
 				return false
 			}
-			moved += max(b.loads[j]-n.Now, 0)
+			moved += max(b.loads[j]-n.CurrentLoad, 0)
 		}
 		if c.Kind == Moves && moved > c.Count {
 			return false
@@ -246,7 +246,7 @@
 func agree(p *Problem) error {
 	want := brute(p)
 	got, err := Solve(p, Options{})
-	var conflict *Infeasible
+	var conflict *InfeasibleError
 	if errors.As(err, &conflict) {
 		if want != nil {
 			return fmt.Errorf("no plan, but there is %+v", want)
@@ -308,7 +308,7 @@
 	for i := range rapid.IntRange(1, 6).Draw(t, "nodes") {
 		p.Nodes = append(p.Nodes, Node{ID: fmt.Sprint("n", i), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
 			Model:    rapid.SampledFrom([]string{"large", "small"}).Draw(t, "model"),
-			Capacity: rapid.Int64Range(0, 3).Draw(t, "capacity"), Now: rapid.Int64Range(0, 2).Draw(t, "now")})
+			Capacity: rapid.Int64Range(0, 3).Draw(t, "capacity"), CurrentLoad: rapid.Int64Range(0, 2).Draw(t, "now")})
 	}
 	if len(zones) > 1 && rapid.Bool().Draw(t, "dear") {
 		p.Crossings = append(p.Crossings, Crossing{"a", "b", 3})
--- a/placement/compare_test.go
+++ b/placement/compare_test.go
@@ -43,7 +43,7 @@
 func BenchmarkFlowByGonumSimplex(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{50, 3}, {500, 12}} {
 		b.Run(fleetName(size.nodes, size.zones), func(b *testing.B) {
-			p := Drawn(size.nodes, size.zones, 1)
+			p := RandomProblem(size.nodes, size.zones, 1)
 			s := &planner{p: p, x: p.index()}
 			c, a, rhs := linear(s.x, s.caps(p.Constraints))
 			for b.Loop() {
@@ -58,7 +58,7 @@
 func BenchmarkFlowByOwn(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{50, 3}, {500, 12}} {
 		b.Run(fleetName(size.nodes, size.zones), func(b *testing.B) {
-			p := Drawn(size.nodes, size.zones, 1)
+			p := RandomProblem(size.nodes, size.zones, 1)
 			s := &planner{p: p, x: p.index()}
 			caps := s.caps(p.Constraints)
 			for b.Loop() {
--- a/placement/conflict.go
+++ b/placement/conflict.go
@@ -18,7 +18,7 @@
 
 // explain finds a smallest set of constraints that conflict: one after another is left out, and stays out where the rest
 // conflicts all the same. What remains needs each of its members.
-func (s *planner) explain() *Infeasible {
+func (s *planner) explain() *InfeasibleError {
 	s.steps = 0 // a conflict is found whole or not at all
 	cs := slices.Clone(s.p.Constraints)
 	for i := 0; i < len(cs); {
@@ -29,7 +29,7 @@
 			cs = without
 		}
 	}
-	e := &Infeasible{}
+	e := &InfeasibleError{}
 	for i, c := range cs {
 		e.Conflict = append(e.Conflict, Relaxation{c, s.relaxation(cs, i)})
 	}
--- a/placement/contingency.go
+++ b/placement/contingency.go
@@ -8,11 +8,11 @@
 
 // Contingency is what to do when nodes are lost.
 type Contingency struct {
-	Name  string // as node n1, zone a or batch small 1
-	Lost  []string
-	Plan  *Plan       // nil: none meets the constraints
-	Short int64       // load that can't be carried then, in the plan or, where there is none, at best
-	Why   *Infeasible // where there is no plan
+	Name      string // as node n1, zone a or batch small 1
+	Lost      []string
+	Plan      *Plan            // nil: none meets the constraints
+	Shortfall int64            // load that can't be carried then, in the plan or, where there is none, at best
+	Conflict  *InfeasibleError // where there is no plan
 }
 
 // Batch is a model's nodes that a rolling deploy restarts together, in the order of their names.
@@ -68,12 +68,12 @@
 		got, err := Solve(q, o)
 		switch {
 		case err == nil:
-			c.Plan, c.Short = got, got.Goals.Uncarried
-		case errors.As(err, &c.Why):
+			c.Plan, c.Shortfall = got, got.Goals.Uncarried
+		case errors.As(err, &c.Conflict):
 			// How much falls short where nothing must be carried: the least that any plan leaves.
 			q.Constraints = slices.DeleteFunc(q.Constraints, func(k Constraint) bool { return k.Kind == Carry || k.Kind == Spread })
 			if got, err := Solve(q, o); err == nil {
-				c.Short = got.Goals.Uncarried
+				c.Shortfall = got.Goals.Uncarried
 			}
 		default:
 			return nil, err
@@ -91,8 +91,8 @@
 	q.Nodes = slices.Clone(p.Nodes)
 	for i := range q.Nodes {
 		n := &q.Nodes[i]
-		if n.Now = plan.Load[n.ID]; slices.Contains(lost, n.ID) {
-			n.Capacity, n.Now = 0, 0
+		if n.CurrentLoad = plan.Load[n.ID]; slices.Contains(lost, n.ID) {
+			n.Capacity, n.CurrentLoad = 0, 0
 		}
 	}
 	q.Constraints = slices.DeleteFunc(slices.Clone(p.Constraints), func(c Constraint) bool { return c.Kind == Moves })
--- a/placement/digest_test.go
+++ b/placement/digest_test.go
@@ -123,7 +123,7 @@
 			n.Capacity = (1 + rng.Int64N(s.load*3/2)) * s.factor
 		}
 		if hasPlan && chance(rng, 80) {
-			n.Now = rng.Int64N(s.load) * s.factor
+			n.CurrentLoad = rng.Int64N(s.load) * s.factor
 		}
 		p.Nodes = append(p.Nodes, n)
 	}
@@ -232,7 +232,7 @@
 // figures are the numbers and zones that a text names: what it says, apart from its wording.
 var figures = regexp.MustCompile(`\d+|\b(?:` + strings.Join(zoneNames, "|") + `)\b`)
 
-func describeConflict(b *strings.Builder, e *placement.Infeasible) {
+func describeConflict(b *strings.Builder, e *placement.InfeasibleError) {
 	for _, r := range e.Conflict {
 		fmt.Fprintf(b, "conflict %s, line %d, kind %d: %q\n", r.Constraint.Name, r.Constraint.Line, r.Constraint.Kind,
 			figures.FindAllString(r.Text, -1))
@@ -243,7 +243,7 @@
 func solve(t *testing.T, b *strings.Builder, p *placement.Problem, o placement.Options) *placement.Plan {
 	t.Helper()
 	plan, err := placement.Solve(p, o)
-	var conflict *placement.Infeasible
+	var conflict *placement.InfeasibleError
 	switch {
 	case err == nil:
 		describePlan(b, plan)
@@ -261,17 +261,17 @@
 ) {
 	t.Helper()
 	progress := func(done, all int) { fmt.Fprintf(b, "progress %d of %d\n", done, all) }
-	list, err := placement.Contingencies(p, plan, batches, placement.Options{Steps: 300}, progress)
+	list, err := placement.Contingencies(p, plan, batches, placement.Options{MaxSteps: 300}, progress)
 	if err != nil {
 		t.Error(err)
 	}
 	for _, c := range list {
-		fmt.Fprintf(b, "contingency %s: lost %q, short %d\n", c.Name, c.Lost, c.Short)
+		fmt.Fprintf(b, "contingency %s: lost %q, short %d\n", c.Name, c.Lost, c.Shortfall)
 		if c.Plan != nil {
 			describePlan(b, c.Plan)
 		}
-		if c.Why != nil {
-			describeConflict(b, c.Why)
+		if c.Conflict != nil {
+			describeConflict(b, c.Conflict)
 		}
 	}
 }
@@ -292,9 +292,9 @@
 	drawn := drawSize(rng)
 	p := drawProblem(rng, drawn)
 	p.Constraints = drawConstraints(rng, p.Zones, drawn.factor)
-	o := placement.Options{Steps: 1000}
+	o := placement.Options{MaxSteps: 1000}
 	if seed%4 == 3 {
-		o.Steps = 1 + rng.IntN(150)
+		o.MaxSteps = 1 + rng.IntN(150)
 	}
 	var b strings.Builder
 	plan := solve(t, &b, p, o)
@@ -410,7 +410,7 @@
 	}
 	var lines []string
 	within := func(steps int) *placement.Plan {
-		plan, err := placement.Solve(p, placement.Options{Steps: steps})
+		plan, err := placement.Solve(p, placement.Options{MaxSteps: steps})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -431,10 +431,10 @@
 func TestDrawnSiteDigests(t *testing.T) {
 	var transcripts []string
 	for seed := range uint64(8) {
-		p := placement.Drawn(24+int(seed), 2+int(seed%4), seed)
+		p := placement.RandomProblem(24+int(seed), 2+int(seed%4), seed)
 		var b strings.Builder
 		for _, n := range p.Nodes {
-			fmt.Fprintf(&b, "node %s %s %s %d %d\n", n.ID, n.Zone, n.Model, n.Capacity, n.Now)
+			fmt.Fprintf(&b, "node %s %s %s %d %d\n", n.ID, n.Zone, n.Model, n.Capacity, n.CurrentLoad)
 		}
 		for _, d := range p.Demands {
 			fmt.Fprintf(&b, "demand %s %s %d\n", d.Zone, d.Class, d.Load)
@@ -452,7 +452,7 @@
 				placement.Constraint{Name: "spread", Kind: placement.Spread, Class: "class0", Count: 2, Least: 50},
 				placement.Constraint{Name: "moves", Kind: placement.Moves, Count: 900})
 			for i := range p.Nodes {
-				p.Nodes[i].Now = plan.Load[p.Nodes[i].ID] * 9 / 10
+				p.Nodes[i].CurrentLoad = plan.Load[p.Nodes[i].ID] * 9 / 10
 			}
 			solve(t, &b, p, placement.Options{})
 		}
@@ -501,17 +501,17 @@
 			slices.Reverse(p.Order)
 		}},
 		{"too many zones", func(p *placement.Problem) {
-			for i := len(p.Zones); i < placement.MostZones+1; i++ {
+			for i := len(p.Zones); i < placement.MaxZones+1; i++ {
 				p.Zones = append(p.Zones, fmt.Sprint("zone-", i))
 			}
 		}},
 		{"as many zones as allowed", func(p *placement.Problem) {
-			for i := len(p.Zones); i < placement.MostZones; i++ {
+			for i := len(p.Zones); i < placement.MaxZones; i++ {
 				p.Zones = append(p.Zones, fmt.Sprint("zone-", i))
 			}
 		}},
 		{"too many nodes", func(p *placement.Problem) {
-			for i := len(p.Nodes); i < placement.MostNodes+1; i++ {
+			for i := len(p.Nodes); i < placement.MaxNodes+1; i++ {
 				p.Nodes = append(p.Nodes, placement.Node{ID: fmt.Sprint("more-", i), Zone: "east"})
 			}
 		}},
@@ -527,31 +527,31 @@
 	}{
 		{"capacity", func(p *placement.Problem) *int64 { return &p.Nodes[0].Capacity }, []int64{
 			-1, 0,
-			placement.MostLoad, placement.MostLoad + 1,
+			placement.MaxLoad, placement.MaxLoad + 1,
 		}},
-		{"load now", func(p *placement.Problem) *int64 { return &p.Nodes[0].Now }, []int64{
-			-1, 0, placement.MostLoad,
-			placement.MostLoad + 1,
+		{"load now", func(p *placement.Problem) *int64 { return &p.Nodes[0].CurrentLoad }, []int64{
+			-1, 0, placement.MaxLoad,
+			placement.MaxLoad + 1,
 		}},
 		{"demand", func(p *placement.Problem) *int64 { return &p.Demands[0].Load }, []int64{
-			-1, 0, placement.MostLoad,
-			placement.MostLoad + 1,
+			-1, 0, placement.MaxLoad,
+			placement.MaxLoad + 1,
 		}},
 		{"crossing", func(p *placement.Problem) *int64 { return &p.Crossings[0].Cost }, []int64{
 			-1, 0,
-			placement.MostCost, placement.MostCost + 1,
+			placement.MaxCost, placement.MaxCost + 1,
 		}},
 		{"default cost", func(p *placement.Problem) *int64 { return &p.DefaultCost }, []int64{
 			-1, 0,
-			placement.MostCost, placement.MostCost + 1,
+			placement.MaxCost, placement.MaxCost + 1,
 		}},
 		{"count", func(p *placement.Problem) *int64 { return &p.Constraints[0].Count }, []int64{
 			-1, 0,
-			placement.MostLoad, placement.MostLoad + 1,
+			placement.MaxLoad, placement.MaxLoad + 1,
 		}},
 		{"least", func(p *placement.Problem) *int64 { return &p.Constraints[0].Least }, []int64{
 			-1, 0,
-			placement.MostLoad, placement.MostLoad + 1,
+			placement.MaxLoad, placement.MaxLoad + 1,
 		}},
 		{"headroom numerator", func(p *placement.Problem) *int64 { return &p.Constraints[1].Part.Num }, []int64{
 			-1, 0,
--- a/placement/distribute.go
+++ b/placement/distribute.go
@@ -9,7 +9,7 @@
 	loads := make([]int64, len(nodes))
 	sum := int64(0)
 	for i, n := range nodes {
-		loads[i] = min(n.Now, caps[i])
+		loads[i] = min(n.CurrentLoad, caps[i])
 		sum += loads[i]
 	}
 	if sum > load {
--- a/placement/drawn.go
+++ b/placement/drawn.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 )
 
-// Drawn is a made-up site for measurements: zones unequal in demand, models unequal in speed, as much demand as six tenths of
+// RandomProblem is a made-up site for measurements: zones unequal in demand, models unequal in speed, as much demand as six tenths of
 // all capacity. The same seed gives the same site.
-func Drawn(nodes, zones int, seed uint64) *Problem {
+func RandomProblem(nodes, zones int, seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &Problem{DefaultCost: 10}
 	for z := range zones {
--- a/placement/exhaustive_test.go
+++ b/placement/exhaustive_test.go
@@ -54,7 +54,7 @@
 						}
 						for i := range nodes {
 							p.Nodes = append(p.Nodes, Node{ID: fmt.Sprint("n", i), Zone: names[at[i]], Capacity: capacities[caps[i]],
-								Model: []string{"large", "small"}[i%2], Now: int64(i % 3 % 2)})
+								Model: []string{"large", "small"}[i%2], CurrentLoad: int64(i % 3 % 2)})
 						}
 						for z := range zones {
 							p.Demands = append(p.Demands, Demand{names[z], "x", demands[loads[z]]})
--- a/placement/problem.go
+++ b/placement/problem.go
@@ -12,10 +12,10 @@
 
 // Bounds of a Problem's figures. Sums and products of them stay within 64 bits.
 const (
-	MostLoad  = 1_000_000_000 // of one demand, and one node's capacity
-	MostCost  = 1_000_000     // of one crossing
-	MostNodes = 20_000
-	MostZones = 200
+	MaxLoad  = 1_000_000_000 // of one demand, and one node's capacity
+	MaxCost  = 1_000_000     // of one crossing
+	MaxNodes = 20_000
+	MaxZones = 200
 )
 
 // Ratio is a part of something, exactly. The zero value is nothing; see where it is used.
@@ -25,11 +25,11 @@
 
 // Node can carry load.
 type Node struct {
-	ID       string
-	Zone     string
-	Model    string
-	Capacity int64 // in units of load; 0: it carries nothing
-	Now      int64 // that the plan in force gives it; moves are counted from there
+	ID          string
+	Zone        string
+	Model       string
+	Capacity    int64 // in units of load; 0: it carries nothing
+	CurrentLoad int64 // that the plan in force gives it; moves are counted from there
 }
 
 // Demand is load that clients of a zone bring, of one class.
@@ -127,16 +127,16 @@
 			}
 		}
 	}
-	if len(p.Zones) > MostZones || len(p.Nodes) > MostNodes {
-		fault("%d zones and %d nodes are more than %d and %d", len(p.Zones), len(p.Nodes), MostZones, MostNodes)
+	if len(p.Zones) > MaxZones || len(p.Nodes) > MaxNodes {
+		fault("%d zones and %d nodes are more than %d and %d", len(p.Zones), len(p.Nodes), MaxZones, MaxNodes)
 	}
 	unique("zone", p.Zones)
 	var ids, names []string
 	for _, n := range p.Nodes {
 		ids = append(ids, n.ID)
 		zone("node "+n.ID, n.Zone)
-		if n.Capacity < 0 || n.Capacity > MostLoad || n.Now < 0 || n.Now > MostLoad {
-			fault("node %s: capacity %d or load %d is not within 0 and %d", n.ID, n.Capacity, n.Now, MostLoad)
+		if n.Capacity < 0 || n.Capacity > MaxLoad || n.CurrentLoad < 0 || n.CurrentLoad > MaxLoad {
+			fault("node %s: capacity %d or load %d is not within 0 and %d", n.ID, n.Capacity, n.CurrentLoad, MaxLoad)
 		}
 	}
 	unique("node", ids)
@@ -144,8 +144,8 @@
 	for _, d := range p.Demands {
 		zone("demand", d.Zone)
 		demands = append(demands, d.Zone+" "+d.Class)
-		if d.Load < 0 || d.Load > MostLoad {
-			fault("demand of %s in %s: %d is not within 0 and %d", d.Class, d.Zone, d.Load, MostLoad)
+		if d.Load < 0 || d.Load > MaxLoad {
+			fault("demand of %s in %s: %d is not within 0 and %d", d.Class, d.Zone, d.Load, MaxLoad)
 		}
 	}
 	unique("demand", demands)
@@ -154,8 +154,8 @@
 			zone("crossing", c.From)
 			zone("crossing", c.To)
 		}
-		if c.Cost < 0 || c.Cost > MostCost {
-			fault("crossing %s to %s: cost %d is not within 0 and %d", c.From, c.To, c.Cost, MostCost)
+		if c.Cost < 0 || c.Cost > MaxCost {
+			fault("crossing %s to %s: cost %d is not within 0 and %d", c.From, c.To, c.Cost, MaxCost)
 		}
 	}
 	for _, c := range p.Constraints {
@@ -163,7 +163,7 @@
 		for _, z := range c.Zones {
 			zone(c.Name, z)
 		}
-		if c.Count < 0 || c.Least < 0 || c.Count > MostLoad || c.Least > MostLoad {
+		if c.Count < 0 || c.Least < 0 || c.Count > MaxLoad || c.Least > MaxLoad {
 			fault("%s: a count is out of range", c.Name)
 		}
 		if (c.Kind == Headroom || c.Kind == Share) && (c.Part.Den <= 0 || c.Part.Den > 1_000_000 || c.Part.Num < 0 || c.Part.Num > c.Part.Den) {
--- a/placement/solve.go
+++ b/placement/solve.go
@@ -32,12 +32,12 @@
 	Steps  int // networks solved
 }
 
-// Infeasible says that the constraints can't be met together.
-type Infeasible struct {
+// InfeasibleError says that the constraints can't be met together.
+type InfeasibleError struct {
 	Conflict []Relaxation // no proper subset of it conflicts
 }
 
-func (e *Infeasible) Error() string {
+func (e *InfeasibleError) Error() string {
 	text := "the constraints can't be met together:"
 	for _, r := range e.Conflict {
 		text += fmt.Sprintf("\n  %s (line %d): %s", r.Constraint.Name, r.Constraint.Line, r.Text)
@@ -47,7 +47,7 @@
 
 // Options bound the work.
 type Options struct {
-	Steps int // networks to be solved at most; 0: no bound
+	MaxSteps int // networks to be solved at most; 0: no bound
 }
 
 // Solve returns the best plan, an *Infeasible, or a fault of the Problem's form.
@@ -55,7 +55,7 @@
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	s := &planner{p: p, x: p.index(), steps: o.Steps}
+	s := &planner{p: p, x: p.index(), steps: o.MaxSteps}
 	best := s.search(p.Constraints, true)
 	if best == nil {
 		return nil, s.explain()
@@ -287,7 +287,7 @@
 		stay, all := int64(0), int64(0)
 		for _, i := range x.inZone[z] {
 			all += caps[i]
-			stay += min(caps[i], x.nodes[i].Now)
+			stay += min(caps[i], x.nodes[i].CurrentLoad)
 		}
 		b.add(zone(z), sink, stay, cost{})
 		b.add(zone(z), mover, all-stay, each(Moved, 1))
--- a/placement/solve_test.go
+++ b/placement/solve_test.go
@@ -18,7 +18,7 @@
 		zoneOf[n.ID] = n.Zone
 		in[n.Zone] += load
 		carried += load
-		moves += max(load-n.Now, 0)
+		moves += max(load-n.CurrentLoad, 0)
 		if load < 0 || load > n.Capacity {
 			t.Errorf("node %s carries %d of %d", n.ID, load, n.Capacity)
 		}
@@ -56,7 +56,7 @@
 
 func TestPlansAreWhatTheySay(t *testing.T) {
 	for seed := range uint64(5) {
-		p := Drawn(60, 5, seed)
+		p := RandomProblem(60, 5, seed)
 		plan, err := Solve(p, Options{})
 		if err != nil {
 			t.Fatal(err)
@@ -64,7 +64,7 @@
 		checkPlan(t, p, plan)
 		// From the plan itself nothing moves.
 		for i := range p.Nodes {
-			p.Nodes[i].Now = plan.Load[p.Nodes[i].ID]
+			p.Nodes[i].CurrentLoad = plan.Load[p.Nodes[i].ID]
 		}
 		again, err := Solve(p, Options{})
 		if err != nil || again.Moves != 0 {
@@ -88,7 +88,7 @@
 	}
 	p.Demands[0].Load = 241
 	_, err = Solve(p, Options{})
-	var e *Infeasible
+	var e *InfeasibleError
 	if !errors.As(err, &e) || len(e.Conflict) != 2 {
 		t.Fatalf("%v", err)
 	}
@@ -107,7 +107,7 @@
 		Constraints: []Constraint{{Name: "one", Kind: Together, Classes: []string{"x", "y"}}, {Name: "x", Kind: Carry, Class: "x"},
 			{Name: "y", Kind: Carry, Class: "y"}, {Name: "idle", Kind: KeepOut, Class: "z", Zones: []string{"a"}}}}
 	_, err := Solve(p, Options{})
-	var e *Infeasible
+	var e *InfeasibleError
 	if !errors.As(err, &e) || len(e.Conflict) != 3 {
 		t.Errorf("%v", err)
 	}
@@ -121,7 +121,7 @@
 		"no demand":    {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: 5}}},
 		"no capacity":  {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a"}}, Demands: []Demand{{"a", "x", 3}}},
 		"a bare zone":  {Zones: []string{"a", "b"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: 5}}, Demands: []Demand{{"b", "x", 3}}, DefaultCost: 1},
-		"the most":     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: MostLoad}}, Demands: []Demand{{"a", "x", MostLoad}}},
+		"the most":     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: MaxLoad}}, Demands: []Demand{{"a", "x", MaxLoad}}},
 		"over all":     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: 2}, {ID: "2", Zone: "a", Capacity: 3}}, Demands: []Demand{{"a", "x", 9}}},
 		"zero classes": {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 0}}},
 	} {
@@ -150,7 +150,7 @@
 
 // Each loss has its plan, or the word that none exists and by how much.
 func TestContingencies(t *testing.T) {
-	p := Drawn(12, 3, 3)
+	p := RandomProblem(12, 3, 3)
 	plan, err := Solve(p, Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -163,8 +163,8 @@
 	for _, c := range list {
 		kind, _, _ := strings.Cut(c.Name, " ")
 		kinds[kind]++
-		if (c.Plan == nil) != (c.Why != nil) || c.Plan == nil && c.Short == 0 {
-			t.Errorf("%s: plan %v, short %d, %v", c.Name, c.Plan != nil, c.Short, c.Why)
+		if (c.Plan == nil) != (c.Conflict != nil) || c.Plan == nil && c.Shortfall == 0 {
+			t.Errorf("%s: plan %v, short %d, %v", c.Name, c.Plan != nil, c.Shortfall, c.Conflict)
 		}
 		for _, id := range c.Lost {
 			if c.Plan != nil && c.Plan.Load[id] != 0 {
@@ -182,7 +182,7 @@
 func BenchmarkSolve(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{50, 3}, {200, 8}, {500, 12}, {1000, 20}, {2000, 30}, {5000, 50}} {
 		b.Run(fleetName(size.nodes, size.zones), func(b *testing.B) {
-			p := Drawn(size.nodes, size.zones, 1)
+			p := RandomProblem(size.nodes, size.zones, 1)
 			b.ReportAllocs()
 			for b.Loop() {
 				plan, err := Solve(p, Options{})
