--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -61,9 +61,9 @@
 	stateDir    *hotrestart.StateDir
 	predecessor *hotrestart.Snapshot // nil: there is none
 
-	natsFrontend atomic.Pointer[natsfrontend.Front] // nil: not listening
-	cluster      atomic.Pointer[cluster.Cluster]    // nil: there is none, or it has not started
-	serving      atomic.Bool                        // clients are accepted, and no shutdown has been requested
+	natsFrontend atomic.Pointer[natsfrontend.Frontend] // nil: not listening
+	cluster      atomic.Pointer[cluster.Cluster]       // nil: there is none, or it has not started
+	serving      atomic.Bool                           // clients are accepted, and no shutdown has been requested
 }
 
 // Option changes what New takes by default.
@@ -121,9 +121,9 @@
 func (g *Gateway) lineOptions() backend.Options {
 	return backend.Options{
 		ConnectTimeout: g.config.Gateway.ConnectTimeout,
-		TellsLoad:      g.config.Gateway.ReportsConnectionLoad,
-		TellsDelay:     g.config.Gateway.ReportsMessageDelay,
-		Forwards:       &g.registry.Forwards,
+		ReportsLoad:    g.config.Gateway.ReportsConnectionLoad,
+		MeasuresDelay:  g.config.Gateway.ReportsMessageDelay,
+		Forwarded:      &g.registry.Forwards,
 	}
 }
 
@@ -131,11 +131,11 @@
 	return natsbackend.Options{
 		ConnectTimeout: g.config.Gateway.ConnectTimeout,
 		NodePort:       n.NodePort,
-		PingEvery:      n.PingInterval,
-		MaxShared:      n.MaxShared,
+		PingInterval:   n.PingInterval,
+		MaxSharedConns: n.MaxShared,
 		Name:           g.config.Name,
 		Forwards:       &g.registry.Forwards,
-		Limits:         codec.Limits{Payload: max(n.MaxPayload, minServerPayload)},
+		Limits:         codec.Limits{MaxPayload: max(n.MaxPayload, minServerPayload)},
 	}
 }
 
--- a/gateway/hotrestart.go
+++ b/gateway/hotrestart.go
@@ -47,7 +47,7 @@
 
 // runHotRestart follows the predecessor's snapshots and writes those that a successor reads, until ctx is done. Once
 // shutdown is closed and a successor serves, the connections in the shared accept queue are left to that.
-func (g *Gateway) runHotRestart(ctx context.Context, shutdown <-chan struct{}, front *frontend.Front) {
+func (g *Gateway) runHotRestart(ctx context.Context, shutdown <-chan struct{}, front *frontend.Listener) {
 	defer g.stateDir.Remove()
 	ticker := time.NewTicker(stateDirPollInterval)
 	defer ticker.Stop()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -15,9 +15,9 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// settleTimeout is how long the end waits for clients to read what was last sent. The platform ends the program 0.2 s
+// quiesceTimeout is how long the end waits for clients to read what was last sent. The platform ends the program 0.2 s
 // after the engine's end at the earliest.
-const settleTimeout = 100 * time.Millisecond
+const quiesceTimeout = 100 * time.Millisecond
 
 // background owns the goroutines that serve the engine. They outlive the request for a shutdown, and end with stop.
 type background struct {
@@ -53,7 +53,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	defer conns.Close()
-	conns.SetBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
+	conns.SetDescriptorBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
 	g.lineBackend.Connect(g.engine, conns)
 	if err := g.prepareInheritedSocket(); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	}
 	g.serve(ctx, tasks, front)
 	tasks.stop()
-	conns.Settle(settleTimeout)
+	conns.Quiesce(quiesceTimeout)
 	return nil
 }
 
@@ -111,7 +111,7 @@
 }
 
 // serve runs the engine until ctx is done and the clients have been drained.
-func (g *Gateway) serve(ctx context.Context, tasks *background, front *frontend.Front) {
+func (g *Gateway) serve(ctx context.Context, tasks *background, front *frontend.Listener) {
 	tasks.start(g.maintenance.Run)
 	if g.config.InheritedSocket > 0 {
 		tasks.start(func(background context.Context) { g.runHotRestart(background, ctx.Done(), front) })
@@ -121,12 +121,12 @@
 	g.logger.Info("serving", "name", g.config.Name, "listen", front.Addr(), "discovery", g.config.Discovery,
 		"pass", g.config.Gateway.ConnectionsOutliveGateway, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
-	front.Finish()
+	front.Shutdown()
 }
 
-func (g *Gateway) listen(conns *reactor.Group) (*frontend.Front, error) {
+func (g *Gateway) listen(conns *reactor.Group) (*frontend.Listener, error) {
 	if g.config.InheritedSocket > 0 {
-		return frontend.Take(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
+		return frontend.ListenFD(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
 	}
 	return frontend.Listen(g.config.Listen, g.engine, conns)
 }
@@ -167,10 +167,10 @@
 		return nil, err
 	}
 	g.natsFrontend.Store(front)
-	cancelLeave := context.AfterFunc(ctx, front.Leave)
+	cancelShutdown := context.AfterFunc(ctx, front.Shutdown)
 	g.logger.Info("serving nats", "listen", front.Addr())
 	return func() {
-		cancelLeave()
+		cancelShutdown()
 		front.Close()
 	}, nil
 }
--- a/gateway/weights.go
+++ b/gateway/weights.go
@@ -19,14 +19,14 @@
 	engine *eventloop.Loop
 	logger *slog.Logger
 
-	mu       sync.Mutex
-	follower planapply.Follower
-	timer    *time.Timer // runs out when the next server is warm; nil: none was needed yet
-	stopped  bool
+	mu      sync.Mutex
+	applier planapply.Applier
+	timer   *time.Timer // runs out when the next server is warm; nil: none was needed yet
+	stopped bool
 }
 
 func newPlanWeights(warmup time.Duration, clock func() time.Duration, e *eventloop.Loop, l *slog.Logger) *planWeights {
-	return &planWeights{clock: clock, engine: e, logger: l, follower: planapply.Follower{Cold: warmup}}
+	return &planWeights{clock: clock, engine: e, logger: l, applier: planapply.Applier{WarmupDuration: warmup}}
 }
 
 // setPlan changes to a plan, or with nil to none.
@@ -36,14 +36,14 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.postLocked(w.follower.SetPlan(w.clock(), p.Plan, p.Zone))
+	w.postLocked(w.applier.SetPlan(w.clock(), p.Plan, p.Zone))
 }
 
 // apply posts an endpoint list with the plan's weights.
 func (w *planWeights) apply(l engine.EndpointList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.postLocked(w.follower.Apply(w.clock(), l))
+	w.postLocked(w.applier.Apply(w.clock(), l))
 }
 
 // refresh posts the weights that have changed with time alone.
@@ -53,7 +53,7 @@
 	if w.stopped {
 		return
 	}
-	w.postLocked(w.follower.Look(w.clock()))
+	w.postLocked(w.applier.Tick(w.clock()))
 }
 
 // stop ends the refreshes. Lists are still posted.
@@ -77,7 +77,7 @@
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	at, ok := w.follower.Again()
+	at, ok := w.applier.NextWarmup()
 	if !ok || w.stopped {
 		return
 	}
--- a/internal/nats/frontend/ask.go
+++ b/internal/nats/frontend/ask.go
@@ -23,7 +23,7 @@
 	until   time.Time
 }
 
-var _ backend.Asker = (*ask)(nil)
+var _ backend.RequestClient = (*ask)(nil)
 
 // asked takes a message for a request; it returns false where it is a plain one. Only a request whose reply reaches the
 // client itself can be followed.
@@ -32,16 +32,16 @@
 		return false
 	}
 	r := s.request(f.Subject)
-	if r == nil || s.subs.For(f.Reply) == nil {
+	if r == nil || s.subs.Match(f.Reply) == nil {
 		return false
 	}
 	n := len(f.Subject) + len(f.Reply)
 	copied := make([]byte, 0, n+len(f.Body))
 	copied = append(append(append(copied, f.Subject...), f.Reply...), f.Body...)
 	a := &ask{session: s, subject: copied[:len(f.Subject):len(f.Subject)], reply: copied[len(f.Subject):n:n], body: copied[n:],
-		headers: f.Headers, until: time.Now().Add(r.Timeout)}
+		headers: f.HeaderSize, until: time.Now().Add(r.Timeout)}
 	if s.leaving || len(s.asks) >= s.front.settings().MaxRequests {
-		a.status(codec.StatusRefused, "Too Many Requests", 0)
+		a.status(codec.StatusTooManyRequests, "Too Many Requests", 0)
 		return true
 	}
 	if s.asks == nil {
@@ -67,7 +67,7 @@
 // request is the class of requests on a subject; nil: it has none.
 func (s *Session) request(subject []byte) *operator.RequestClass {
 	for i := range s.front.settings().Requests {
-		if r := &s.front.settings().Requests[i]; codec.Match([]byte(r.Subject), subject) {
+		if r := &s.front.settings().Requests[i]; codec.MatchesSubject([]byte(r.Subject), subject) {
 			return r
 		}
 	}
@@ -77,16 +77,16 @@
 // Handle implements engine.Client.
 func (a *ask) Handle() *engine.ClientHandle { return &a.ticket }
 
-// Conn implements backend.Asker.
+// Conn implements backend.RequestClient.
 func (a *ask) Conn() *reactor.Conn { return a.session.conn }
 
 // Reject implements engine.Client.
 func (a *ask) Reject(after time.Duration) {
-	a.Conn().Do(func() { a.final(codec.StatusRefused, "Refused", after) })
+	a.Conn().Do(func() { a.final(codec.StatusTooManyRequests, "Refused", after) })
 }
 
 // Fail implements engine.Client.
-func (a *ask) Fail() { a.Conn().Do(func() { a.final(codec.StatusFailed, "Failed", 0) }) }
+func (a *ask) Fail() { a.Conn().Do(func() { a.final(codec.StatusServerError, "Failed", 0) }) }
 
 // Close implements engine.Client. The engine closes only what asked for nothing or was not moved, which a request never is.
 func (a *ask) Close() { a.Fail() }
@@ -123,11 +123,11 @@
 
 func (a *ask) deliver(reply []byte, headers int, body []byte) {
 	s := a.session
-	sub := s.subs.For(a.reply)
-	if sub == nil || !s.subs.Give([]byte(sub.SID)) {
+	sub := s.subs.Match(a.reply)
+	if sub == nil || !s.subs.Deliver([]byte(sub.SID)) {
 		return // the client wants it no more
 	}
-	if sub.Max > 0 && sub.Given >= sub.Max && s.cur != nil { // the node did not see this one
+	if sub.MaxMessages > 0 && sub.Delivered >= sub.MaxMessages && s.cur != nil { // the node did not see this one
 		s.cur.leg.Conn().Send(codec.AppendUnsub(nil, []byte(sub.SID), 0))
 	}
 	if !s.options.Headers && headers > 0 {
@@ -139,17 +139,17 @@
 	s.conn.Send(codec.AppendMsg(make([]byte, 0, 128), a.reply, []byte(sub.SID), reply, headers, len(body)), body, []byte("\r\n"))
 }
 
-// Leg implements backend.Asker.
-func (a *ask) Leg(server balancer.ServerID) *backend.Leg {
+// SessionConn implements backend.RequestClient.
+func (a *ask) SessionConn(server balancer.ServerID) *backend.NodeConn {
 	p := a.session.cur
-	if p == nil || p.handing || p.quits || !p.leg.Up() || p.leg.Server() != server {
+	if p == nil || p.handing || p.quits || !p.leg.IsEstablished() || p.leg.Server() != server {
 		return nil
 	}
 	return p.leg
 }
 
-// Identity implements backend.Asker.
-func (a *ask) Identity() []byte {
+// ConnectFrame implements backend.RequestClient.
+func (a *ask) ConnectFrame() []byte {
 	s := a.session
 	if s.identity == nil {
 		who := map[string]any{"verbose": false, "headers": true, "no_responders": true, "protocol": 1, "lang": "go",
@@ -164,16 +164,16 @@
 	return s.identity
 }
 
-// Publication implements backend.Asker.
+// Publication implements backend.RequestClient.
 func (a *ask) Publication() (subject, body []byte, headers int) { return a.subject, a.body, a.headers }
 
-// Withdrawn implements backend.Asker.
-func (a *ask) Withdrawn() { a.session.settle() }
+// AttemptCancelled implements backend.RequestClient.
+func (a *ask) AttemptCancelled() { a.session.settle() }
 
-// Answered implements backend.Asker.
-func (a *ask) Answered(f *codec.Frame) {
+// ReplyReceived implements backend.RequestClient.
+func (a *ask) ReplyReceived(f *codec.Frame) {
 	if a.finish() {
-		a.deliver(f.Reply, f.Headers, f.Body)
+		a.deliver(f.Reply, f.HeaderSize, f.Body)
 	}
 	a.session.settle()
 }
