--- a/internal/cli/command_test.go
+++ b/internal/cli/cli_test.go
@@ -51,30 +51,8 @@
 // SIGHUP has the file read again: a good one is gone by though the environment still names the old discovery,
 // a bad one changes nothing, and neither ends the program. SIGTERM does.
 func TestSIGHUPReloads(t *testing.T) {
-	called := make(chan string, 100)
-	service := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			called <- name + " " + r.URL.RequestURI()
-			if r.URL.RawQuery != "" {
-				<-r.Context().Done() // a watch, cut by the gateway
-			}
-			io.WriteString(w, `{"version":7,"full":true,"servers":[]}`)
-		}))
-		t.Cleanup(s.Close)
-		return s.Listener.Addr().String()
-	}
-	expect := func(want string) {
-		t.Helper()
-		select {
-		case got := <-called:
-			if got != want {
-				t.Fatalf("called %q, want %q", got, want)
-			}
-		case <-time.After(20 * time.Second):
-			t.Fatalf("%q was not called", want)
-		}
-	}
-	first, second := service("first"), service("second")
+	d := newRecordingDiscovery(t)
+	first, second := d.serve("first"), d.serve("second")
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
 		t.Helper()
@@ -91,30 +69,74 @@
 		code <- Run(context.Background(), []string{"milletvane"}, func(k string) string { return env[k] }, io.Discard, &errs)
 	}()
 	const whole, watch = "/catalog/members", "/catalog/members?after=7&wait_ms=3000"
-	expect("first " + whole)
-	expect("first " + watch)
+	d.expect("first " + whole)
+	d.expect("first " + watch)
 	write("nowhere")
-	syscall.Kill(os.Getpid(), syscall.SIGHUP)
+	signalSelf(t, syscall.SIGHUP)
 	for until := time.Now().Add(20 * time.Second); !strings.Contains(errs.String(), "discovery (PROXY_DISCOVERY)"); {
 		if time.Now().After(until) {
-			t.Fatalf("no word of the faulty key in %q", errs.String())
+			t.Fatalf("the faulty key is not named in %q", errs.String())
 		}
 		time.Sleep(time.Millisecond)
 	}
 	write(second)
-	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	expect("second " + whole)
-	expect("second " + watch)
+	signalSelf(t, syscall.SIGHUP)
+	d.expect("second " + whole)
+	d.expect("second " + watch)
 	write(first) // more than once
-	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	expect("first " + whole)
-	expect("first " + watch)
-	syscall.Kill(os.Getpid(), syscall.SIGTERM)
+	signalSelf(t, syscall.SIGHUP)
+	d.expect("first " + whole)
+	d.expect("first " + watch)
+	signalSelf(t, syscall.SIGTERM)
 	if c := <-code; c != 0 {
 		t.Errorf("exit %d: %s", c, errs.String())
 	}
 }
 
+// recordingDiscovery records the calls of several discovery services, by the name of each.
+type recordingDiscovery struct {
+	t     *testing.T
+	calls chan string
+}
+
+func newRecordingDiscovery(t *testing.T) *recordingDiscovery {
+	t.Helper()
+	return &recordingDiscovery{t: t, calls: make(chan string, 100)}
+}
+
+// serve starts a service and returns its address.
+func (d *recordingDiscovery) serve(name string) string {
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d.calls <- name + " " + r.URL.RequestURI()
+		if r.URL.RawQuery != "" {
+			<-r.Context().Done() // a watch, cut by the gateway
+		}
+		_, _ = io.WriteString(w, `{"version":7,"full":true,"servers":[]}`) // the gateway may have gone
+	}))
+	d.t.Cleanup(s.Close)
+	return s.Listener.Addr().String()
+}
+
+// expect waits for the next call.
+func (d *recordingDiscovery) expect(want string) {
+	d.t.Helper()
+	select {
+	case got := <-d.calls:
+		if got != want {
+			d.t.Fatalf("called %q, want %q", got, want)
+		}
+	case <-time.After(20 * time.Second):
+		d.t.Fatalf("%q was not called", want)
+	}
+}
+
+func signalSelf(t *testing.T, s syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), s); err != nil {
+		t.Fatal(err)
+	}
+}
+
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
