--- /dev/null
+++ b/internal/lineproto/frontend/opening.go
@@ -0,0 +1,71 @@
+package frontend
+
+import (
+	"bytes"
+
+	"example.org/milletvane/internal/engine"
+	"example.org/milletvane/internal/lineproto/codec"
+)
+
+// readFirstLine takes a line once it is complete. The engine ends a connection whose line is late.
+func (c *Conn) readFirstLine(b []byte) int {
+	end := bytes.IndexByte(b[:min(len(b), codec.MaxLineLength)], '\n')
+	if end < 0 && len(b) < codec.MaxLineLength {
+		return 0
+	}
+	// Clients wait after each line. Bytes after it belong to no connection that a server has accepted, and hundreds of
+	// commands at once would have as many answers to write.
+	if end < 0 || len(b) > end+1 {
+		c.failProtocol()
+		return len(b)
+	}
+	switch codec.ParseRequestKind(b) {
+	case codec.RequestPing:
+		c.answerPing()
+	case codec.RequestStats: // a balancer has no load report
+		c.send([]byte(codec.No))
+	case codec.RequestOpen:
+		c.readOpen(b)
+	default:
+		c.failProtocol()
+	}
+	return len(b)
+}
+
+func (c *Conn) answerPing() {
+	answer := codec.Err
+	if c.listener.engine.Ready() {
+		answer = codec.Pong
+	}
+	c.send([]byte(answer))
+	c.listener.engine.Post(engine.ClientActive{Client: c})
+}
+
+// readOpen passes a request to the engine. The line is parsed in place first, so that a malformed one costs no copy; the
+// attempts need a copy, since the buffer belongs to the loop.
+func (c *Conn) readOpen(line []byte) {
+	if _, err := codec.ParseOpen(line); err != nil {
+		c.failProtocol()
+		return
+	}
+	open, err := codec.ParseOpen(bytes.Clone(line))
+	if err != nil || !c.setOpen(open) {
+		return
+	}
+	c.listener.engine.Post(engine.RequestReceived{Client: c, Request: engine.Request{
+		ID: string(open.ID), Class: string(open.Class), Tenant: string(open.Tenant), Key: string(open.Key),
+		Group: string(open.Group), Timeout: open.Timeout, Load: open.Load, Reconnecting: open.Reconnecting,
+		MidFlow: open.MidFlow, Owner: string(open.Owner),
+	}})
+}
+
+// setOpen takes the opening line. It returns false if the connection has ended meanwhile.
+func (c *Conn) setOpen(open codec.Open) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase != phaseOpening {
+		return false
+	}
+	c.open, c.phase = open, phaseWaiting
+	return true
+}
