--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -24,13 +24,13 @@
 
 // Session is a client's connection. All of it happens on the connection's loop.
 type Session struct {
-	front *Front
-	hub   *backend.Hub
+	front *Frontend
+	hub   *backend.LoopState
 	conn  *reactor.Conn
 	id    uint64
 
 	phase    phase
-	options  codec.Options
+	options  codec.ConnectOptions
 	connect  map[string]json.RawMessage // as the client sent it
 	identity []byte                     // the CONNECT for requests at other nodes; nil: not made yet
 	key      string
@@ -39,8 +39,8 @@
 	cur   *place // its node; nil: it has none
 	next  *place // being set up
 	old   *place // left, but for requests that are out there
-	subs  session.Subs
-	twice session.Overlap
+	subs  session.Subscriptions
+	twice session.Deduplicator
 	held  []byte // messages of next, until cur has handed over what it had
 	owed  int    // PONGs of the client's that a lost node owes
 
@@ -60,7 +60,7 @@
 // OnOpen implements reactor.Handler. The server speaks first in this protocol.
 func (s *Session) OnOpen(c *reactor.Conn, _ error) {
 	f := s.front
-	s.conn, s.hub = c, f.backend.Hub(c)
+	s.conn, s.hub = c, f.backend.LoopState(c)
 	s.id = f.clients.Add(1)
 	c.SetMaxPending(f.settings().MaxPending)
 	f.mu.Lock()
@@ -150,7 +150,7 @@
 
 // OnData implements reactor.Handler. What needs no look goes to the node in runs, as it stands.
 func (s *Session) OnData(c *reactor.Conn, b []byte) int {
-	limits := codec.Limits{ControlLine: s.front.settings().ControlLine, Payload: s.told}
+	limits := codec.Limits{MaxControlLine: s.front.settings().ControlLine, MaxPayload: s.told}
 	taken, from := 0, 0
 	acks := 0
 	flush := func() {
@@ -187,7 +187,7 @@
 		case codec.Connect:
 		default:
 			flush()
-			s.close(string(codec.ErrUnknown))
+			s.close(string(codec.ErrUnknownOperation))
 			return len(b)
 		}
 		if s.phase == over {
@@ -214,7 +214,7 @@
 		s.connected(f.Body)
 	case codec.Ping:
 		if s.phase == open {
-			s.cur.leg.PingFor(s.pong)
+			s.cur.leg.PingForClient(s.pong)
 		} else {
 			s.conn.Send([]byte(codec.PongFrame)) // nobody is behind the gateway yet
 		}
@@ -286,12 +286,12 @@
 
 // subscribe takes SUB and UNSUB in. It returns whether the node is to be told.
 func (s *Session) subscribe(f *codec.Frame) bool {
-	if backend.OwnSID(f.SID) {
+	if backend.IsGatewaySID(f.SID) {
 		s.close(string(codec.ErrParse))
 		return false
 	}
 	if f.Op == codec.Unsub {
-		s.subs.End(f.SID, f.Max)
+		s.subs.Unsubscribe(f.SID, f.MaxMessages)
 		return true
 	}
 	if s.subs.Len() >= s.front.settings().MaxSubscriptions {
