--- a/internal/reactor/close_test.go
+++ b/internal/reactor/close_test.go
@@ -1,6 +1,7 @@
 package reactor
 
 import (
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -9,73 +10,83 @@
 	"golang.org/x/sys/unix"
 )
 
-// held is how many descriptors the group's connections have.
-func (g *Group) heldNow() int {
+// heldDescriptors is the number of descriptors of the group's connections.
+func (g *Group) heldDescriptors() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.held
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never " + what)
+			t.Fatal("not in time: " + condition)
 		}
 	}
 }
 
-// unread is how many bytes of the peer's the kernel holds.
+// unread is the number of bytes in the kernel's receive queue.
 func (c *Conn) unread() int {
 	n, _ := unix.IoctlGetInt(c.fd, unix.SIOCINQ)
 	return n
 }
 
-// accepted are the connections that a listener of the group's takes. They are left unread.
-func accepted(t *testing.T, g *Group, end func(*Conn, error)) (addr string, conns chan *Conn) {
+// pausedListener accepts connections, which are left unread, and passes them to a channel.
+func pausedListener(t *testing.T, g *Group, end func(*Conn, error)) (addr string, conns chan *Conn) {
+	t.Helper()
 	conns = make(chan *Conn, 8)
 	return listen(t, g, func() Handler {
-		return &script{open: func(c *Conn, _ error) { c.Pause(); conns <- c }, end: end}
+		return &handlerFuncs{open: func(c *Conn, _ error) { c.Pause(); conns <- c }, end: end}
 	}), conns
 }
 
-// Bytes of the peer's that nobody has read, or that come once this side has ended, don't reset what was sent before.
-func TestCloseOverUnreadBytesKeepsWhatWasSent(t *testing.T) {
-	g := group(t, 1)
-	addr, conns := accepted(t, g, nil)
-	for _, late := range []bool{false, true} {
-		c := dial(t, addr)
-		in := await(t, conns)
-		if !late {
-			io.WriteString(c, "OPEN half a line")
-			until(t, "there", func() bool { return in.unread() > 0 })
-		}
-		in.Send([]byte("BUSY\r\n"))
-		in.Close()
-		if err := in.Send([]byte("x")); err != ErrClosed {
-			t.Errorf("sent behind the end: %v", err)
-		}
-		if late {
-			io.WriteString(c, "OPEN a whole line\r\n")
-		}
-		time.Sleep(5 * time.Millisecond) // for a reset to come, if one does
-		if got, err := io.ReadAll(c); string(got) != "BUSY\r\n" || err != nil {
-			t.Errorf("late %v: got %q, %v", late, got, err)
-		}
-		c.Close()
-		until(t, "released", func() bool { return g.heldNow() == 0 })
+// Bytes of the peer that were not read, or that arrive once this side has ended, don't reset what was sent before.
+func TestCloseWithUnreadBytesKeepsWhatWasSent(t *testing.T) {
+	g := newGroup(t, 1)
+	addr, conns := pausedListener(t, g, nil)
+	for _, test := range []struct {
+		name                    string
+		beforeClose, afterClose string // sent by the peer
+	}{
+		{"unread before", "OPEN half a line", ""},
+		{"arriving after", "", "OPEN a whole line\r\n"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			client := dial(t, addr)
+			conn := await(t, conns)
+			if test.beforeClose != "" {
+				writeString(t, client, test.beforeClose)
+				waitFor(t, "bytes arrived", func() bool { return conn.unread() > 0 })
+			}
+			noError(t, conn.Send([]byte("BUSY\r\n")))
+			conn.Close()
+			if err := conn.Send([]byte("x")); !errors.Is(err, ErrClosed) {
+				t.Errorf("Send after Close: %v, want ErrClosed", err)
+			}
+			if test.afterClose != "" {
+				writeString(t, client, test.afterClose)
+			}
+			time.Sleep(5 * time.Millisecond) // for a reset to arrive, if there is one
+			if got, err := io.ReadAll(client); string(got) != "BUSY\r\n" || err != nil {
+				t.Errorf("the peer got %q, %v", got, err)
+			}
+			noError(t, client.Close())
+			waitFor(t, "descriptors released", func() bool { return g.heldDescriptors() == 0 })
+		})
 	}
 }
 
-// A peer that never ends its side, or floods the connection that was closed, keeps no descriptor.
-func TestLingeringHasAnEnd(t *testing.T) {
-	g := group(t, 1)
-	addr, conns := accepted(t, g, func(*Conn, error) { t.Error("told of the end of a connection that this side has ended") })
+// A peer that never ends its side, or floods a connection that was closed, doesn't keep its descriptor in use.
+func TestLingeringIsBounded(t *testing.T) {
+	g := newGroup(t, 1)
+	addr, conns := pausedListener(t, g, func(*Conn, error) { t.Error("OnEnd was called for a connection that this side has ended") })
 	dial(t, addr)
 	in := await(t, conns)
 	begun := time.Now()
 	in.Close()
-	until(t, "released", func() bool { return g.heldNow() == 0 })
+	waitFor(t, "descriptors released", func() bool { return g.heldDescriptors() == 0 })
 	if d := time.Since(begun); d < lingerTimeout {
 		t.Errorf("it lingered for %v", d)
 	}
@@ -91,11 +102,11 @@
 	}
 }
 
-// Over the budget what has lingered for longest goes first, and nothing that stands.
-func TestLingeringMakesRoom(t *testing.T) {
-	g := group(t, 1)
+// Above the budget the connection that has lingered longest is closed first, and no established one.
+func TestLingeringYieldsToTheDescriptorBudget(t *testing.T) {
+	g := newGroup(t, 1)
 	g.SetDescriptorBudget(3)
-	addr, conns := accepted(t, g, nil)
+	addr, conns := pausedListener(t, g, nil)
 	var ins []*Conn
 	for range 3 {
 		dial(t, addr)
@@ -105,30 +116,32 @@
 	ins[2].Close()
 	dial(t, addr)
 	await(t, conns)
-	until(t, "released", func() bool { return g.heldNow() == 3 })
+	waitFor(t, "descriptors released", func() bool { return g.heldDescriptors() == 3 })
 	if ins[0].Closed() || ins[1].leaving() || !ins[2].leaving() {
-		t.Errorf("stands %v, first %v, second %v", !ins[0].Closed(), ins[1].leaving(), ins[2].leaving())
+		t.Errorf("established %v, first lingers %v, second lingers %v", !ins[0].Closed(), ins[1].leaving(), ins[2].leaving())
 	}
 }
 
-// Settle waits for what was posted and for connections on their way out, and not without end.
-func TestSettle(t *testing.T) {
-	g := group(t, 2)
-	addr, conns := accepted(t, g, nil)
+// Quiesce waits for what was posted and for connections that are closing, within its timeout.
+func TestQuiesce(t *testing.T) {
+	g := newGroup(t, 2)
+	addr, conns := pausedListener(t, g, nil)
 	c := dial(t, addr)
 	in := await(t, conns)
 	in.Do(func() {
-		in.Send([]byte("MOVE\r\n"))
+		noError(t, in.Send([]byte("MOVE\r\n")))
 		in.Close()
 	})
+	readErr := make(chan error, 1)
 	go func() {
-		io.ReadAll(c)
-		c.Close()
+		_, err := io.ReadAll(c)
+		readErr <- errors.Join(err, c.Close())
 	}()
-	g.Quiesce(patience)
+	g.Quiesce(testTimeout)
 	if !in.Closed() || in.leaving() {
-		t.Error("it was not waited for")
+		t.Error("Quiesce returned before the connection was closed")
 	}
+	noError(t, await(t, readErr))
 	dial(t, addr)
 	await(t, conns).Close()
 	begun := time.Now()
@@ -138,15 +151,15 @@
 	}
 }
 
-// A word of a connection's hang-up that comes late, when its descriptor is another connection's, touches nothing: the
-// other is still heard.
-func TestALateHangupTouchesNobodyElse(t *testing.T) {
-	g := group(t, 1)
+// A late hangup event of a closed connection, whose descriptor is another connection's by then, does not affect the other:
+// it is still read.
+func TestLateHangupDoesNotAffectAnotherConnection(t *testing.T) {
+	g := newGroup(t, 1)
 	heard := make(chan string, 1)
 	first := true
 	conns := make(chan *Conn, 2)
 	addr := listen(t, g, func() Handler {
-		s := &script{data: func(_ *Conn, b []byte) int { heard <- string(b); return len(b) }}
+		s := &handlerFuncs{data: func(_ *Conn, b []byte) int { heard <- string(b); return len(b) }}
 		s.open = func(c *Conn, _ error) {
 			if first {
 				c.Pause()
@@ -165,28 +178,28 @@
 	done := make(chan bool)
 	next.Do(func() { old.ready(unix.EPOLLRDHUP); close(done) }) // as the loop does with what it took from the kernel before
 	await(t, done)
-	io.WriteString(c, "heard")
+	writeString(t, c, "heard")
 	if s := await(t, heard); s != "heard" {
 		t.Errorf("got %q", s)
 	}
 }
 
-// What is sent before a dialed connection stands goes out once it does.
-func TestWhatIsSentWhileDialingGoesOut(t *testing.T) {
-	g := group(t, 1)
+// What is sent before a dialed connection is established is written once it is.
+func TestBytesSentWhileDialingAreWritten(t *testing.T) {
+	g := newGroup(t, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c := g.Dial(l.Addr().String(), patience, &script{}, nil)
-	c.Do(func() { c.Send([]byte("early")) }) // behind the call to connect, before the word that it stands
+	t.Cleanup(func() { _ = l.Close() })
+	c := g.Dial(l.Addr().String(), testTimeout, &handlerFuncs{}, nil)
+	c.Do(func() { noError(t, c.Send([]byte("early"))) }) // after connect was called, before it has finished
 	in, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
-	in.SetDeadline(time.Now().Add(patience))
+	t.Cleanup(func() { _ = in.Close() })
+	noError(t, in.SetDeadline(time.Now().Add(testTimeout)))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(in, got); err != nil || string(got) != "early" {
 		t.Errorf("got %q, %v", got, err)
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -3,10 +3,10 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"math/rand"
 	"net"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -17,33 +17,37 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+// testTimeout bounds what a test waits for.
+const testTimeout = 20 * time.Second
 
-// script is a handler made of functions.
-type script struct {
+// handlerFuncs is a handler made of functions, each of which may be nil.
+type handlerFuncs struct {
 	open func(*Conn, error)
 	data func(*Conn, []byte) int
 	end  func(*Conn, error)
 }
 
-func (s *script) OnOpen(c *Conn, err error) {
-	if s.open != nil {
-		s.open(c, err)
+func (h *handlerFuncs) OnOpen(c *Conn, err error) {
+	if h.open != nil {
+		h.open(c, err)
 	}
 }
-func (s *script) OnData(c *Conn, b []byte) int {
-	if s.data != nil {
-		return s.data(c, b)
+
+func (h *handlerFuncs) OnData(c *Conn, b []byte) int {
+	if h.data != nil {
+		return h.data(c, b)
 	}
 	return len(b)
 }
-func (s *script) OnEnd(c *Conn, err error) {
-	if s.end != nil {
-		s.end(c, err)
+
+func (h *handlerFuncs) OnEnd(c *Conn, err error) {
+	if h.end != nil {
+		h.end(c, err)
 	}
 }
 
-func group(t *testing.T, loops int) *Group {
+func newGroup(t *testing.T, loops int) *Group {
+	t.Helper()
 	g, err := New(loops)
 	if err != nil {
 		t.Fatal(err)
@@ -53,6 +57,7 @@
 }
 
 func listen(t *testing.T, g *Group, h func() Handler) string {
+	t.Helper()
 	l, err := g.Listen("127.0.0.1:0", 0, func(func()) Handler { return h() })
 	if err != nil {
 		t.Fatal(err)
@@ -62,97 +67,124 @@
 }
 
 func dial(t *testing.T, addr string) *net.TCPConn {
+	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
-	t.Cleanup(func() { c.Close() })
+	noError(t, c.SetDeadline(time.Now().Add(testTimeout)))
+	t.Cleanup(func() { _ = c.Close() })
 	return c.(*net.TCPConn)
 }
 
+func noError(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Error(err)
+	}
+}
+
+func writeString(t *testing.T, w io.Writer, text string) {
+	t.Helper()
+	_, err := io.WriteString(w, text)
+	noError(t, err)
+}
+
 func await[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatal("it did not come")
+	case <-time.After(testTimeout):
+		t.Fatal("nothing was received")
 		panic("unreachable")
 	}
 }
 
-// pipe relays between an accepted connection and one dialed to addr, both ways, with pauses.
-type pipe struct {
-	g    *Group
-	addr string
-	mu   sync.Mutex
-	peer *Conn
-	most *atomic.Int64
+// relay forwards between an accepted connection and one dialed to addr, both ways.
+type relay struct {
+	group      *Group
+	addr       string
+	server     *Conn
+	maxPending *atomic.Int64 // the most bytes that were seen pending for the server
 }
 
-func (p *pipe) OnOpen(c *Conn, _ error) {
+func (r *relay) OnOpen(c *Conn, _ error) {
 	c.Pause()
-	p.peer = p.g.Dial(p.addr, patience, &script{
-		open: func(d *Conn, err error) {
+	r.server = r.group.Dial(r.addr, testTimeout, &handlerFuncs{
+		open: func(_ *Conn, err error) {
 			if err != nil {
 				c.Abort(true)
 				return
 			}
 			c.Resume()
 		},
-		data: func(d *Conn, b []byte) int { c.SendFrom(d, b); return len(b) },
-		end:  func(_ *Conn, err error) { c.Close() },
+		data: func(server *Conn, b []byte) int {
+			_ = c.SendFrom(server, b) // the client may have gone; the test compares what arrives
+			return len(b)
+		},
+		end: func(*Conn, error) { c.Close() },
 	}, c)
 }
-func (p *pipe) OnData(c *Conn, b []byte) int {
-	p.peer.SendFrom(c, b)
-	if n := int64(p.peer.Buffered()); n > p.most.Load() {
-		p.most.Store(n)
+
+func (r *relay) OnData(c *Conn, b []byte) int {
+	_ = r.server.SendFrom(c, b) // the test compares what arrives
+	if n := int64(r.server.Buffered()); n > r.maxPending.Load() {
+		r.maxPending.Store(n)
 	}
 	return len(b)
 }
-func (p *pipe) OnEnd(_ *Conn, err error) { p.peer.Close() }
 
-// All that is sent arrives in order, though the one that reads is slow; what waits in between has a bound.
-func TestRelayKeepsAllWithinABound(t *testing.T) {
+func (r *relay) OnEnd(*Conn, error) { r.server.Close() }
+
+// All that is sent arrives in order, though the reader is slow; what is pending in between is bounded.
+func TestRelayIsCompleteAndBounded(t *testing.T) {
 	for _, loops := range []int{1, 3} {
-		sink, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer sink.Close()
-		g := group(t, loops)
-		var most atomic.Int64
-		addr := listen(t, g, func() Handler { return &pipe{g: g, addr: sink.Addr().String(), most: &most} })
-		out := dial(t, addr)
-		in, err := sink.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer in.Close()
-		in.(*net.TCPConn).SetReadBuffer(256 << 10)
-		sent := make([]byte, 16<<20)
-		rand.New(rand.NewSource(1)).Read(sent)
-		go func() {
-			out.Write(sent)
-			out.CloseWrite()
-		}()
-		got, err := io.ReadAll(in)
-		if err != nil || !bytes.Equal(got, sent) {
-			t.Fatalf("%d loops: %d of %d bytes, %v", loops, len(got), len(sent), err)
-		}
-		if n := most.Load(); n > highWater+readSize {
-			t.Errorf("%d loops: %d bytes waited", loops, n)
-		}
+		t.Run(fmt.Sprintf("%d loops", loops), func(t *testing.T) { testRelay(t, loops) })
+	}
+}
+
+func testRelay(t *testing.T, loops int) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	g := newGroup(t, loops)
+	var maxPending atomic.Int64
+	addr := listen(t, g, func() Handler {
+		return &relay{group: g, addr: listener.Addr().String(), maxPending: &maxPending}
+	})
+	client := dial(t, addr)
+	server, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = server.Close() })
+	noError(t, server.(*net.TCPConn).SetReadBuffer(256<<10))
+	sent := make([]byte, 16<<20)
+	rand.New(rand.NewSource(1)).Read(sent)
+	writeErr := make(chan error, 1)
+	go func() {
+		_, err := client.Write(sent)
+		writeErr <- errors.Join(err, client.CloseWrite())
+	}()
+	got, err := io.ReadAll(server)
+	if err != nil || !bytes.Equal(got, sent) {
+		t.Fatalf("%d of %d bytes arrived, %v", len(got), len(sent), err)
+	}
+	noError(t, await(t, writeErr))
+	if n := maxPending.Load(); n > highWater+readSize {
+		t.Errorf("%d bytes were pending, want %d at most", n, highWater+readSize)
 	}
 }
 
-// What a handler does not take is shown again with what comes behind it.
-func TestPartsAreShownUntilTaken(t *testing.T) {
+// What a handler does not consume is shown again, followed by what has arrived since.
+func TestUnconsumedBytesAreShownAgain(t *testing.T) {
 	got := make(chan string, 10)
-	addr := listen(t, group(t, 1), func() Handler {
-		return &script{data: func(_ *Conn, b []byte) int {
+	addr := listen(t, newGroup(t, 1), func() Handler {
+		return &handlerFuncs{data: func(_ *Conn, b []byte) int {
 			if i := bytes.IndexByte(b, '\n'); i >= 0 {
 				got <- string(b[:i])
 				return i + 1
@@ -162,7 +194,7 @@
 	})
 	c := dial(t, addr)
 	for _, part := range []string{"a", "b", "c\nd", "e\n\nf", "\n"} {
-		io.WriteString(c, part)
+		writeString(t, c, part)
 		time.Sleep(time.Millisecond)
 	}
 	for _, want := range []string{"abc", "de", "", "f"} {
@@ -172,19 +204,19 @@
 	}
 }
 
-// A paused connection is not read, and all of it comes after Resume, its end last.
-func TestPause(t *testing.T) {
+// A paused connection is not read; after Resume all bytes are shown, and its end last.
+func TestPausedConnectionIsReadAfterResume(t *testing.T) {
 	conns, data, ends := make(chan *Conn, 1), make(chan string, 10), make(chan error, 1)
-	addr := listen(t, group(t, 1), func() Handler {
-		return &script{
+	addr := listen(t, newGroup(t, 1), func() Handler {
+		return &handlerFuncs{
 			open: func(c *Conn, _ error) { c.Pause(); conns <- c },
 			data: func(_ *Conn, b []byte) int { data <- string(b); return len(b) },
 			end:  func(_ *Conn, err error) { ends <- err },
 		}
 	})
 	c := dial(t, addr)
-	io.WriteString(c, "kept")
-	c.CloseWrite()
+	writeString(t, c, "kept")
+	noError(t, c.CloseWrite())
 	in := await(t, conns)
 	select {
 	case s := <-data:
@@ -202,85 +234,126 @@
 	}
 }
 
-// Close writes what waits first; Abort with reset is seen as one; a peer that does not read is ended.
-func TestEnds(t *testing.T) {
-	big := make([]byte, 8<<20)
-	conns, ends := make(chan *Conn, 1), make(chan error, 1)
-	addr := listen(t, group(t, 1), func() Handler {
-		return &script{open: func(c *Conn, _ error) { conns <- c }, end: func(_ *Conn, err error) { ends <- err }}
+// recordingListener accepts connections and passes them, and the errors that they end with, to channels.
+func recordingListener(t *testing.T) (addr string, conns <-chan *Conn, ends <-chan error) {
+	t.Helper()
+	opened, ended := make(chan *Conn, 1), make(chan error, 1)
+	addr = listen(t, newGroup(t, 1), func() Handler {
+		return &handlerFuncs{
+			open: func(c *Conn, _ error) { opened <- c },
+			end:  func(_ *Conn, err error) { ended <- err },
+		}
 	})
-	c := dial(t, addr)
-	in := await(t, conns)
-	in.Send(big[:1], big[1:])
-	in.Close()
-	if err := in.Send(big); !errors.Is(err, ErrClosed) {
-		t.Errorf("sent behind the end: %v", err)
+	return addr, opened, ended
+}
+
+const bigSize = 8 << 20 // more than the kernel buffers
+
+func TestCloseWritesWhatIsPending(t *testing.T) {
+	addr, conns, _ := recordingListener(t)
+	client := dial(t, addr)
+	conn := await(t, conns)
+	big := make([]byte, bigSize)
+	noError(t, conn.Send(big[:1], big[1:]))
+	conn.Close()
+	if err := conn.Send(big); !errors.Is(err, ErrClosed) {
+		t.Errorf("Send after Close: %v, want ErrClosed", err)
 	}
-	if got, err := io.ReadAll(c); err != nil || len(got) != len(big) {
-		t.Errorf("%d of %d bytes, %v", len(got), len(big), err)
+	if got, err := io.ReadAll(client); err != nil || len(got) != len(big) {
+		t.Errorf("%d of %d bytes arrived, %v", len(got), len(big), err)
 	}
+}
 
-	c = dial(t, addr)
+func TestAbortWithResetIsSeenAsReset(t *testing.T) {
+	addr, conns, _ := recordingListener(t)
+	client := dial(t, addr)
 	await(t, conns).Abort(true)
-	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, unix.ECONNRESET) {
-		t.Errorf("a reset is seen as %v", err)
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, unix.ECONNRESET) {
+		t.Errorf("the peer got %v, want ECONNRESET", err)
 	}
+}
 
-	c = dial(t, addr)
+func TestResetByThePeerIsReported(t *testing.T) {
+	addr, conns, ends := recordingListener(t)
+	client := dial(t, addr)
 	await(t, conns)
-	c.SetLinger(0)
-	c.Close()
+	noError(t, client.SetLinger(0))
+	noError(t, client.Close())
 	if err := await(t, ends); !WasReset(err) {
-		t.Errorf("a peer's reset is seen as %v", err)
+		t.Errorf("OnEnd got %v, want a reset", err)
 	}
+}
 
-	c = dial(t, addr)
-	c.SetReadBuffer(4096)
-	await(t, conns).Send(big)
-	if err := await(t, ends); err != ErrStalled {
-		t.Errorf("a peer that does not read is ended with %v", err)
+func TestStalledPeerIsDisconnected(t *testing.T) {
+	addr, conns, ends := recordingListener(t)
+	client := dial(t, addr)
+	noError(t, client.SetReadBuffer(4096))
+	noError(t, await(t, conns).Send(make([]byte, bigSize)))
+	if err := await(t, ends); !errors.Is(err, ErrStalled) {
+		t.Errorf("OnEnd got %v, want ErrStalled", err)
 	}
 }
 
-// A dial to nobody fails, one to an address that is none too, and one that is given up says nothing.
-func TestDial(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// dialResult dials and returns a channel for the result.
+func dialResult(g *Group, addr string, timeout time.Duration) <-chan error {
+	result := make(chan error, 1)
+	g.Dial(addr, timeout, &handlerFuncs{open: func(_ *Conn, err error) { result <- err }}, nil)
+	return result
+}
+
+func TestDialFails(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := l.Addr().String()
-	l.Close()
-	g := group(t, 1)
-	for _, addr := range []string{dead, "nowhere", "127.0.0.1:x"} {
-		opened := make(chan error, 1)
-		g.Dial(addr, patience, &script{open: func(_ *Conn, err error) { opened <- err }}, nil)
-		if await(t, opened) == nil {
-			t.Errorf("%s: connected", addr)
-		}
+	unused := listener.Addr().String()
+	noError(t, listener.Close())
+	g := newGroup(t, 1)
+	for _, addr := range []string{unused, "nowhere", "127.0.0.1:x"} {
+		t.Run(addr, func(t *testing.T) {
+			if await(t, dialResult(g, addr, testTimeout)) == nil {
+				t.Error("the dial succeeded")
+			}
+		})
 	}
-	// A full queue of connections that nobody accepts answers no more.
+}
+
+// unresponsiveAddr is the address of a listener with the shortest accept queue, from which nothing is accepted.
+func unresponsiveAddr(t *testing.T) string {
+	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unix.Close(fd)
-	unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
-	unix.Listen(fd, 0)
-	sa, _ := unix.Getsockname(fd)
-	full := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: sa.(*unix.SockaddrInet4).Port}).String()
-	results := make(chan error, 8)
-	for range 8 {
-		g.Dial(full, 50*time.Millisecond, &script{open: func(_ *Conn, err error) { results <- err }}, nil)
+	t.Cleanup(func() { _ = unix.Close(fd) })
+	noError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	noError(t, unix.Listen(fd, 0))
+	sa, err := unix.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: sa.(*unix.SockaddrInet4).Port}).String()
+}
+
+// A dial to a full accept queue times out, and one that is aborted reports nothing.
+func TestDialTimesOutOrIsAborted(t *testing.T) {
+	g, addr := newGroup(t, 1), unresponsiveAddr(t)
+	const dials = 8
+	results := make([]<-chan error, dials)
+	for i := range results {
+		results[i] = dialResult(g, addr, 50*time.Millisecond)
 	}
 	timedOut := 0
-	for range 8 {
-		if await(t, results) == ErrTimeout {
+	for _, result := range results {
+		if errors.Is(await(t, result), ErrTimeout) {
 			timedOut++
 		}
 	}
 	if timedOut == 0 {
-		t.Error("no dial ran out of time")
+		t.Error("no dial timed out")
 	}
-	gone := g.Dial(full, time.Hour, &script{open: func(*Conn, error) { t.Error("told of a dial that was given up") }}, nil)
-	gone.Abort(false)
+	aborted := g.Dial(addr, time.Hour, &handlerFuncs{
+		open: func(*Conn, error) { t.Error("OnOpen was called for an aborted dial") },
+	}, nil)
+	aborted.Abort(false)
 }
--- a/internal/reactor/wait_test.go
+++ b/internal/reactor/wait_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// No loop may wait by way of another epoll descriptor, such as the runtime's: not every platform tells that one within
+// No loop may wait by way of another epoll descriptor, such as the runtime's: not every platform reports that one within
 // another is ready.
-func TestNoEpollWithinAnother(t *testing.T) {
-	g := group(t, 2)
+func TestNoNestedEpoll(t *testing.T) {
+	g := newGroup(t, 2)
 	echo := listen(t, g, func() Handler {
-		return &script{data: func(c *Conn, b []byte) int { c.Send(b); return len(b) }}
+		return &handlerFuncs{data: func(c *Conn, b []byte) int { noError(t, c.Send(b)); return len(b) }}
 	})
 	c := dial(t, echo) // by now the runtime's poller runs too
 	if _, err := c.Write([]byte("x")); err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// A group that nobody asks anything of still closes: its loops wait without end.
+// A group without any events closes too, though its loops wait without a timeout.
 func TestCloseEndsIdleLoops(t *testing.T) {
 	g, err := New(3)
 	if err != nil {
@@ -62,7 +62,7 @@
 	go func() { g.Close(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the loops went on waiting")
 	}
 }
