--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -1,5 +1,9 @@
-// Package backend is the NATS client protocol towards nodes: it sets sessions up, carries their frames, and sends requests.
-// What it calls of a session it calls on the session's loop.
+// Package backend is the NATS client protocol towards the nodes: it sets up the connections of sessions, forwards their
+// frames, and sends requests.
+//
+// A Backend may be used by any goroutine. Everything that belongs to a session or to a connection is owned by the reactor
+// loop of the client's connection: SessionClient and RequestClient are called on that loop, and the methods of NodeConn and
+// LoopState must be called on it.
 package backend
 
 import (
@@ -8,61 +12,55 @@
 	"sync/atomic"
 	"time"
 
+	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 	"example.org/milletvane/internal/nats/codec"
 	"example.org/milletvane/internal/reactor"
 )
 
-// Poster takes events for the engine.
+// Poster accepts events for the engine.
 type Poster interface {
 	Post(engine.Event)
 }
 
-// Options are what a Backend goes by. Operator settings of the same names say more.
+// Options configure a Backend. The operator settings of the same names describe them in full.
 type Options struct {
-	ConnectTimeout time.Duration // 0: as long as the attempt has
-	NodePort       int           // 0: the listed one
-	Limits         codec.Limits
+	ConnectTimeout time.Duration // 0: the timeout of the attempt
+	NodePort       int           // 0: the port in the endpoint list
+	Limits         codec.Limits  // of frames of nodes
 	PingInterval   time.Duration
-	MaxSharedConns int
-	Name           string        // the gateway's, in the inboxes of requests
-	Forwards       *atomic.Int64 // counts attempts handed whole to the kernel, or to what waits for the node; nil: nobody reads it
+	MaxSharedConns int           // on each loop
+	Name           string        // of the gateway, in the inboxes of requests
+	Forwards       *atomic.Int64 // counts attempts whose request was sent or queued for the node; nil: not counted
 }
 
-// Backend starts attempts for sessions and requests.
+// Backend starts the attempts of sessions and requests.
 type Backend struct {
 	current atomic.Pointer[Options]
 	events  Poster
 	conns   *reactor.Group
-	hubs    hubs
+	loops   loopStates
 }
 
-// New returns a Backend. Connect comes before the first Send.
+// New returns a Backend. Connect must be called before Send.
 func New(o Options) *Backend {
 	b := &Backend{}
 	b.SetOptions(o)
 	return b
 }
 
-// SetOptions goes over to new options for what is sent from now on.
+// SetOptions replaces the options, which apply to everything that starts afterwards.
 func (b *Backend) SetOptions(o Options) { b.current.Store(&o) }
 
 func (b *Backend) options() *Options { return b.current.Load() }
 
-// Connect sets where events go and which loops carry the connections.
+// Connect sets the receiver of events and the loops for the connections.
 func (b *Backend) Connect(events Poster, conns *reactor.Group) { b.events, b.conns = events, conns }
 
-// forwarded counts an attempt.
-func (b *Backend) forwarded() {
-	if n := b.options().Forwards; n != nil {
-		n.Add(1)
-	}
-}
-
-// Limits bound the frames of nodes.
+// Limits returns the limits of frames of nodes.
 func (b *Backend) Limits() codec.Limits { return b.options().Limits }
 
-// Handles reports whether an attempt is one of this protocol's.
+// Handles reports whether an attempt belongs to this protocol.
 func (b *Backend) Handles(a engine.Attempt) bool {
 	switch a.Client.(type) {
 	case SessionClient, RequestClient:
@@ -71,24 +69,44 @@
 	return false
 }
 
-// Send implements engine.Backend. It does not wait.
+// Send implements engine.Backend. It does not block.
 func (b *Backend) Send(a engine.Attempt) engine.ActiveAttempt {
-	if asker, ok := a.Client.(RequestClient); ok {
-		t := &RequestAttempt{backend: b, attempt: a, asker: asker}
-		asker.Conn().Do(t.start)
-		return t
+	if client, ok := a.Client.(RequestClient); ok {
+		r := &RequestAttempt{backend: b, attempt: a, client: client}
+		client.Conn().Do(r.start)
+		return r
 	}
 	return b.dial(a, a.Client.(SessionClient))
 }
 
-// addr is where a node speaks NATS.
+// connectTimeout is the timeout of a connection that has at most limit.
+func (b *Backend) connectTimeout(limit time.Duration) time.Duration {
+	if configured := b.options().ConnectTimeout; configured > 0 {
+		return min(limit, configured)
+	}
+	return limit
+}
+
+// addr is the address at which a node accepts NATS clients.
 func (b *Backend) addr(listed string) string {
-	if b.options().NodePort == 0 {
+	port := b.options().NodePort
+	if port == 0 {
 		return listed
 	}
 	host, _, err := net.SplitHostPort(listed)
 	if err != nil {
 		return listed
 	}
-	return net.JoinHostPort(host, strconv.Itoa(b.options().NodePort))
+	return net.JoinHostPort(host, strconv.Itoa(port))
+}
+
+// countForwarded counts an attempt whose request was sent.
+func (b *Backend) countForwarded() {
+	if n := b.options().Forwards; n != nil {
+		n.Add(1)
+	}
+}
+
+func (b *Backend) postAttemptEnded(a *engine.Attempt, result balancer.Result) {
+	b.events.Post(engine.AttemptEnded{RequestID: a.RequestID, Number: a.Number, Result: result})
 }
