--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -1,7 +1,6 @@
 package wal_test
 
 import (
-	"crypto/sha256"
 	"encoding/hex"
 	"errors"
 	"flag"
@@ -58,116 +57,6 @@
 	}
 }
 
-// formatFiles are the files of one folder.
-type formatFiles map[string][]byte
-
-func (f formatFiles) names() []string {
-	var names []string
-	for name := range f {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
-
-func (f formatFiles) clone() formatFiles {
-	c := formatFiles{}
-	for name, b := range f {
-		c[name] = slices.Clone(b)
-	}
-	return c
-}
-
-// newest is the name of the last segment.
-func (f formatFiles) newest() string {
-	var newest string
-	for _, name := range f.names() {
-		if strings.HasPrefix(name, "journal-") {
-			newest = name
-		}
-	}
-	return newest
-}
-
-// text has all bytes of all files, in hex.
-func (f formatFiles) text() string {
-	var b strings.Builder
-	for _, name := range f.names() {
-		fmt.Fprintf(&b, "file %s\n", name)
-		for part := range slices.Chunk(f[name], 32) {
-			fmt.Fprintf(&b, "  %s\n", hex.EncodeToString(part))
-		}
-	}
-	return b.String()
-}
-
-// parseFormatFiles is the other way round.
-func parseFormatFiles(t *testing.T, text string) formatFiles {
-	t.Helper()
-	f, name := formatFiles{}, ""
-	for line := range strings.Lines(text) {
-		line = strings.TrimSuffix(line, "\n")
-		if rest, ok := strings.CutPrefix(line, "file "); ok {
-			name = rest
-			f[name] = []byte{}
-			continue
-		}
-		b, err := hex.DecodeString(strings.TrimSpace(line))
-		if err != nil {
-			t.Fatal(err)
-		}
-		f[name] = append(f[name], b...)
-	}
-	return f
-}
-
-// digests names all files with their lengths and a checksum each.
-func (f formatFiles) digests() string {
-	var b strings.Builder
-	for _, name := range f.names() {
-		fmt.Fprintf(&b, "%s %d %s\n", name, len(f[name]), shortDigest(f[name]))
-	}
-	return b.String()
-}
-
-func shortDigest(b []byte) string {
-	d := sha256.Sum256(b)
-	return hex.EncodeToString(d[:8])
-}
-
-func filesOn(t *testing.T, fs wal.FS, dir string) formatFiles {
-	t.Helper()
-	f := formatFiles{}
-	names, err := fs.List(dir)
-	if err != nil {
-		return f
-	}
-	for _, name := range names {
-		if f[name], err = fs.ReadFile(filepath.Join(dir, name)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return f
-}
-
-func diskOf(t *testing.T, f formatFiles) *faultfs.FS {
-	t.Helper()
-	d := faultfs.New(1)
-	if err := d.MkdirAll(formatDir); err != nil {
-		t.Fatal(err)
-	}
-	for _, name := range f.names() {
-		w, err := d.Create(filepath.Join(formatDir, name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := w.Write(f[name]); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return d
-}
-
 // outcome names what kind of error one is, with what it says of the files.
 func outcome(err error) string {
 	var full *wal.NoSpaceError
@@ -193,17 +82,17 @@
 }
 
 // recoveredText names what an open log had in it, field by field.
-func recoveredText(held *wal.RecoveredLog) string {
+func recoveredText(recovered *wal.RecoveredLog) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "snapshot %d %s\n", held.SnapshotNumber, hex.EncodeToString(held.Snapshot))
-	for _, r := range held.Records {
+	fmt.Fprintf(&b, "snapshot %d %s\n", recovered.SnapshotNumber, hex.EncodeToString(recovered.Snapshot))
+	for _, r := range recovered.Records {
 		data := hex.EncodeToString(r.Data)
 		if len(r.Data) > 32 {
 			data = fmt.Sprintf("%d bytes %s", len(r.Data), shortDigest(r.Data))
 		}
 		fmt.Fprintf(&b, "record %d %s\n", r.Number, data)
 	}
-	fmt.Fprintf(&b, "last %d\ntorn %d\n", held.LastNumber(), held.TornBytes)
+	fmt.Fprintf(&b, "last %d\ntorn %d\n", recovered.LastNumber(), recovered.TornBytes)
 	return b.String()
 }
 
@@ -211,12 +100,12 @@
 func reopen(t *testing.T, fs wal.FS, opts wal.Options) string {
 	t.Helper()
 	var b strings.Builder
-	j, held, err := wal.Open(fs, formatDir, opts)
+	l, recovered, err := wal.Open(fs, formatDir, opts)
 	fmt.Fprintf(&b, "open %s\n", outcome(err))
 	if err == nil {
-		fmt.Fprintf(&b, "%sfiles\n%s", recoveredText(held), filesOn(t, fs, formatDir).digests())
-		n, err := j.Append([]byte("next"))
-		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, outcome(err), outcome(j.Close()))
+		fmt.Fprintf(&b, "%sfiles\n%s", recoveredText(recovered), filesOn(t, fs, formatDir).digests())
+		n, err := l.Append([]byte("next"))
+		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, outcome(err), outcome(l.Close()))
 	}
 	fmt.Fprintf(&b, "files\n%s", filesOn(t, fs, formatDir).digests())
 	var damage *wal.CorruptionError
@@ -227,13 +116,13 @@
 }
 
 // formatScript is what a case does to a log.
-type formatScript func(t *testing.T, j wal.Log)
+type formatScript func(t *testing.T, l wal.Log)
 
 func appends(records ...string) formatScript {
-	return func(t *testing.T, j wal.Log) {
+	return func(t *testing.T, l wal.Log) {
 		t.Helper()
 		for _, r := range records {
-			if _, err := j.Append([]byte(r)); err != nil {
+			if _, err := l.Append([]byte(r)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -241,9 +130,9 @@
 }
 
 func snapshotAt(upTo uint64, state string) formatScript {
-	return func(t *testing.T, j wal.Log) {
+	return func(t *testing.T, l wal.Log) {
 		t.Helper()
-		if err := j.Snapshot(upTo, []byte(state)); err != nil {
+		if err := l.Snapshot(upTo, []byte(state)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -253,14 +142,14 @@
 func write(t *testing.T, opts wal.Options, script ...formatScript) formatFiles {
 	t.Helper()
 	d := faultfs.New(1)
-	j, _, err := wal.Open(d, formatDir, opts)
+	l, _, err := wal.Open(d, formatDir, opts)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, step := range script {
-		step(t, j)
+		step(t, l)
 	}
-	if err := j.Close(); err != nil {
+	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return filesOn(t, d, formatDir)
@@ -280,7 +169,7 @@
 	thirdSnapshot = "state-0000000000000003"
 )
 
-// What a script writes is what stands in testdata, byte for byte, and those bytes are recovered as is said there.
+// A script writes the bytes of testdata, and those are recovered as testdata says.
 func TestFilesKeepTheirFormat(t *testing.T) {
 	for _, c := range slices.Concat(soundCases(), tornCases(), corruptCases(t), snapshotCases(t)) {
 		t.Run(c.name, func(t *testing.T) {
@@ -304,14 +193,14 @@
 func TestFilesOnTheSystemsDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
 	script := []formatScript{appends("the first of some records", "the second", "the third"), snapshotAt(2, "two")}
-	j, _, err := wal.Open(wal.OSFS{}, dir, withSegments(64))
+	l, _, err := wal.Open(wal.OSFS{}, dir, withSegments(64))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, step := range script {
-		step(t, j)
+		step(t, l)
 	}
-	if err := j.Close(); err != nil {
+	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := filesOn(t, wal.OSFS{}, dir).text(), write(t, withSegments(64), script...).text(); got != want {
@@ -335,15 +224,15 @@
 // The bounds of a record and of a segment, in bytes, are what they were.
 func TestBoundsStayAsTheyAre(t *testing.T) {
 	d := faultfs.New(1)
-	j, _, err := wal.Open(d, formatDir, wal.Options{})
+	l, _, err := wal.Open(d, formatDir, wal.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
 	for _, size := range []int{1<<20 + 1, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1} {
-		n, err := j.Append(make([]byte, size))
+		n, err := l.Append(make([]byte, size))
 		fmt.Fprintf(&b, "append %d bytes: %d %s\n", size, n, outcome(err))
 	}
-	fmt.Fprintf(&b, "close %s\n%s", outcome(j.Close()), reopen(t, d, wal.Options{}))
+	fmt.Fprintf(&b, "close %s\n%s", outcome(l.Close()), reopen(t, d, wal.Options{}))
 	compare(t, "bounds", b.String())
 }
