--- /dev/null
+++ b/internal/nats/frontend/node_session.go
@@ -0,0 +1,171 @@
+package frontend
+
+import (
+	"time"
+
+	"example.org/milletvane/internal/engine"
+	"example.org/milletvane/internal/nats/backend"
+	"example.org/milletvane/internal/nats/codec"
+	"example.org/milletvane/internal/reactor"
+)
+
+// nodeSession is a session at one node. The engine treats it as a client of its own, so that a session that migrates has two
+// for a while.
+type nodeSession struct {
+	handle   engine.ClientHandle
+	session  *Session
+	nodeConn *backend.NodeConn // of the present attempt, once its node has sent INFO; nil before
+	released bool              // the engine has no state of it any more
+	draining bool              // its node is draining
+	flushing bool              // its subscriptions were ended; it gets nothing new and delivers what it has queued
+	flushed  bool              // it has delivered everything, or is no longer waited for
+}
+
+var (
+	_ backend.SessionClient = (*nodeSession)(nil)
+	_ engine.DrainObserver  = (*nodeSession)(nil)
+)
+
+// Handle implements engine.Client.
+func (n *nodeSession) Handle() *engine.ClientHandle { return &n.handle }
+
+// Conn implements backend.SessionClient.
+func (n *nodeSession) Conn() *reactor.Conn { return n.session.conn }
+
+// Reject implements engine.Client.
+func (n *nodeSession) Reject(retryAfter time.Duration) {
+	n.Conn().Do(func() { n.session.nodeRejected(n, retryAfter) })
+}
+
+// Fail implements engine.Client.
+func (n *nodeSession) Fail() { n.Conn().Do(func() { n.session.nodeRejected(n, 0) }) }
+
+// Close implements engine.Client: the client sent no CONNECT in time, or the session did not migrate in time.
+func (n *nodeSession) Close() {
+	n.Conn().Do(func() {
+		s := n.session
+		n.released = true
+		if n == s.current || n == s.next && s.phase != established {
+			s.close(errStaleConnection)
+		} else if n == s.previous {
+			n.close()
+			s.previous = nil
+		}
+	})
+}
+
+// Migrate implements engine.Client.
+func (n *nodeSession) Migrate() time.Duration {
+	n.Conn().Do(func() {
+		if s := n.session; s.frontend.shuttingDown.Load() {
+			s.shutdown()
+		} else {
+			s.nodeDraining(n)
+		}
+	})
+	settings := n.session.frontend.settings()
+	return settings.MigrationTimeout + settings.FlushTimeout
+}
+
+// ServerDraining implements engine.DrainObserver.
+func (n *nodeSession) ServerDraining() { n.Conn().Do(func() { n.session.nodeDraining(n) }) }
+
+// isEstablished reports whether the node has confirmed the handshake.
+func (n *nodeSession) isEstablished() bool { return n.nodeConn != nil && n.nodeConn.IsEstablished() }
+
+// close closes the connection to the node and releases the engine's state.
+func (n *nodeSession) close() {
+	if n.nodeConn != nil {
+		n.nodeConn.Close()
+	}
+	if !n.released {
+		n.released = true
+		n.session.frontend.engine.Post(engine.ClientDisconnected{Client: n})
+	}
+}
+
+// AppendHandshake implements backend.SessionClient. Messages that were buffered for an attempt that failed are dropped.
+func (n *nodeSession) AppendHandshake(b []byte) []byte {
+	s := n.session
+	s.buffered = nil
+	if s.current != nil {
+		// A SUB that arrived from here on would reach the old node only.
+		s.conn.Pause()
+		if s.frontend.settings().Cluster {
+			s.dedup.Start()
+		}
+	}
+	return s.subscriptions.AppendSubscribe(s.appendConnect(b))
+}
+
+// InfoReceived implements backend.SessionClient.
+func (n *nodeSession) InfoReceived(c *backend.NodeConn, info codec.ServerInfo) {
+	s := n.session
+	n.nodeConn = c
+	s.frontend.lowerMaxPayload(info.MaxPayload)
+	if lowest := int(s.frontend.maxPayload.Load()); lowest < s.sentMaxPayload && s.phase != closed {
+		s.sentMaxPayload = lowest
+		s.send(s.frontend.infoFrame(s.id))
+	}
+}
+
+// Established implements backend.SessionClient.
+func (n *nodeSession) Established(c *backend.NodeConn) {
+	s := n.session
+	if s.phase == closed || n != s.next {
+		c.Close()
+		return
+	}
+	s.nodeEstablished(n)
+}
+
+// bufferFactor is how many times the limit of what may be queued for a client is buffered of its next node.
+const bufferFactor = 16
+
+// MessageReceived implements backend.SessionClient.
+func (n *nodeSession) MessageReceived(c *backend.NodeConn, f *codec.Frame) bool {
+	s := n.session
+	switch {
+	case s.phase == closed:
+		return false
+	case n == s.next:
+		if len(s.buffered)+len(f.Raw) > bufferFactor*s.frontend.settings().MaxPending {
+			c.Abandon()
+			return false
+		}
+		s.buffered = append(s.buffered, f.Raw...)
+		return false
+	case n != s.current && !n.flushing:
+		return false
+	}
+	return s.shouldDeliver(n, f)
+}
+
+// Forward implements backend.SessionClient.
+func (n *nodeSession) Forward(c *backend.NodeConn, frames []byte) {
+	if s := n.session; s.phase != closed {
+		s.sendFrom(c.Conn(), frames)
+	}
+}
+
+// ErrReceived implements backend.SessionClient.
+func (n *nodeSession) ErrReceived(_ *backend.NodeConn, raw []byte) {
+	if s := n.session; s.phase == established && n == s.current {
+		s.send(raw)
+	}
+}
+
+// AuthorizationFailed implements backend.SessionClient. The client gets the error of the node.
+func (n *nodeSession) AuthorizationFailed(_ *backend.NodeConn, text []byte) {
+	if s := n.session; n == s.current || n == s.next {
+		s.close(string(text))
+	}
+}
+
+// Disconnected implements backend.SessionClient. The engine was notified and has released its state.
+func (n *nodeSession) Disconnected(*backend.NodeConn) {
+	n.released = true
+	if s := n.session; s.phase != closed {
+		s.nodeLost(n)
+	}
+}
