--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -82,6 +82,8 @@
 func WithLogger(l *slog.Logger) Option { return func(g *Gateway) { g.logger = l } }
 
 // New returns a gateway that has not started. It fails where the balancer rejects its part of the configuration.
+//
+//nolint:contextcheck // asking the logger for its level belongs to no caller's context
 func New(c config.Config, options ...Option) (*Gateway, error) {
 	g := &Gateway{config: c, logger: slog.Default(), clock: newClock()}
 	for _, o := range options {
@@ -100,7 +102,9 @@
 	classes := classNames(c.Balancer.Classes)
 	g.registry = metrics.New(classes)
 	g.lineBackend = backend.New(g.lineOptions())
-	g.engine = eventloop.New(engine.New(g.engineOptions(classes), policy, g, g.lineBackend))
+	engineOptions := g.engineOptions(classes)
+	engineOptions.Trace = g.logger.Enabled(context.Background(), slog.LevelDebug)
+	g.engine = eventloop.New(engine.New(engineOptions, policy, g, g.lineBackend))
 	if g.natsSettings != nil {
 		g.natsBackend = natsbackend.New(g.natsOptions(g.natsSettings))
 	}
@@ -159,7 +163,6 @@
 		DrainTimeout:              c.DrainTimeout,
 		Metrics:                   g.registry,
 		Logger:                    g.logger,
-		Trace:                     g.logger.Enabled(context.Background(), slog.LevelDebug),
 	}
 	if g.clusterSettings == nil {
 		return o
