--- /dev/null
+++ b/internal/nats/codec/describe_test.go
@@ -0,0 +1,117 @@
+package codec_test
+
+import (
+	"crypto/sha256"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"example.org/milletvane/internal/nats/codec"
+)
+
+var update = flag.Bool("update", false, "write the files in testdata anew")
+
+// compareLines compares lines with those of a file in testdata, or writes the file with -update.
+func compareLines(t *testing.T, file string, got []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if *update {
+		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(got) != len(want) {
+		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
+	}
+	differ := 0
+	for i := range min(len(got), len(want)) {
+		if got[i] == want[i] {
+			continue
+		}
+		if differ++; differ <= 5 {
+			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
+		}
+	}
+}
+
+func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
+
+func operation(op codec.Op) string {
+	switch op {
+	case codec.None:
+		return "none"
+	case codec.Info:
+		return "INFO"
+	case codec.Connect:
+		return "CONNECT"
+	case codec.Ping:
+		return "PING"
+	case codec.Pong:
+		return "PONG"
+	case codec.Pub:
+		return "PUB"
+	case codec.HPub:
+		return "HPUB"
+	case codec.Sub:
+		return "SUB"
+	case codec.Unsub:
+		return "UNSUB"
+	case codec.Msg:
+		return "MSG"
+	case codec.HMsg:
+		return "HMSG"
+	case codec.OK:
+		return "+OK"
+	case codec.Err:
+		return "-ERR"
+	default:
+		return "unknown operation"
+	}
+}
+
+// describeError is a fault as a client is told it.
+func describeError(err error) string {
+	var fault codec.ProtocolError
+	if !errors.As(err, &fault) {
+		return "an error of another type"
+	}
+	return fmt.Sprintf("error %q", fault.Error())
+}
+
+// describe is what Parse makes of the first frame, field by field.
+func describe(b []byte, limits codec.Limits) string {
+	f, n, err := codec.Parse(b, limits)
+	switch {
+	case err != nil:
+		return describeError(err)
+	case n == 0:
+		return "more"
+	}
+	return fmt.Sprintf("%d bytes %s subject=%q reply=%q queue=%q sid=%q max=%d headers=%d body=%q payload=%q header=%q no header=%t whole=%t",
+		n, operation(f.Op), f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages, f.HeaderSize, f.Body, f.Payload(), f.Header(),
+		f.Header() == nil, string(f.Raw) == string(b[:n]))
+}
+
+// inPieces tells what Parse makes of a frame of which more and more has come: each result with the length from which it
+// stands.
+func inPieces(frame string, limits codec.Limits) string {
+	var b strings.Builder
+	last := ""
+	for n := range len(frame) + 1 {
+		if got := describe([]byte(frame[:n]), limits); n == 0 || got != last {
+			fmt.Fprintf(&b, " %d: %s;", n, got)
+			last = got
+		}
+	}
+	return strings.TrimSpace(b.String())
+}
