--- a/internal/nats/codec/append_format_test.go
+++ b/internal/nats/codec/append_format_test.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-func TestFramesWritten(t *testing.T) {
+func TestAppendFrames(t *testing.T) {
 	lines := []string{
 		fmt.Sprintf("ping %q", codec.PingFrame), fmt.Sprintf("pong %q", codec.PongFrame),
 		fmt.Sprintf("ok %q", codec.OKFrame),
--- a/internal/nats/codec/describe_test.go
+++ b/internal/nats/codec/describe_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// describeError is a fault as a client is told it.
+// describeError writes an error with the text that a peer would receive.
 func describeError(err error) string {
 	var fault codec.ProtocolError
 	if !errors.As(err, &fault) {
@@ -88,7 +88,7 @@
 	return fmt.Sprintf("error %q", fault.Error())
 }
 
-// describe is what Parse makes of the first frame, field by field.
+// describe writes the result of Parse for the first frame, field by field.
 func describe(b []byte, limits codec.Limits) string {
 	f, n, err := codec.Parse(b, limits)
 	switch {
@@ -102,9 +102,8 @@
 		f.Header() == nil, string(f.Raw) == string(b[:n]))
 }
 
-// inPieces tells what Parse makes of a frame of which more and more has come: each result with the length from which it
-// stands.
-func inPieces(frame string, limits codec.Limits) string {
+// describePrefixes writes the results of Parse for all prefixes of a frame: each with the length from which it is the result.
+func describePrefixes(frame string, limits codec.Limits) string {
 	var b strings.Builder
 	last := ""
 	for n := range len(frame) + 1 {
--- a/internal/nats/codec/format_test.go
+++ b/internal/nats/codec/format_test.go
@@ -12,7 +12,7 @@
 
 const status = "NATS/1.0 503\r\n\r\n" // 16 bytes
 
-// frames are good frames of every operation.
+// frames are valid frames of every operation.
 var frames = []string{
 	"PING\r\n", "PING\n", "ping\r\n", "PiNg \r\n", "PING\t\r\n", "PING x\r\n", "PONG\r\n", "pong\n", "+OK\r\n",
 	"+ok\r\n", "+OK fine\r\n",
@@ -30,8 +30,8 @@
 	"UNSUB 1 5\r\n", "unsub x 0\n", "UNSUB 1 999999999\r\n",
 }
 
-// badFrames are what no peer may send, and what is not to be told yet.
-var badFrames = []string{
+// invalidFrames are frames that violate the protocol, and incomplete ones.
+var invalidFrames = []string{
 	"", "\r\n", "\n", "\r", " PING\r\n", "HELLO\r\n", "HELLO", "GARBAGE", "GARBAGE!", "GARBAGE!!", "GARBAGES \r\n",
 	"PINGS\r\n", "PINGPONGPING", "P\r\n", "CONNECT{}\r\n", "OK\r\n", "ERR\r\n", "+OKAY\r\n",
 	"\x00\r\n", "PUB\r\n", "PUB a\r\n", "PUB a x\r\n", "PUB a 1 2 3\r\n", "PUB a b c d e f g 1\r\n", "PUB a -1\r\n",
@@ -48,16 +48,16 @@
 	"UNSUB\r\n", "UNSUB 1 x\r\n", "UNSUB 1 -1\r\n", "UNSUB 1 2 3\r\n", "UNSUB 1 9999999999\r\n",
 }
 
-func TestFramesReadInPieces(t *testing.T) {
+func TestParseIncompleteFrames(t *testing.T) {
 	var lines []string
-	for _, frame := range append(slices.Clone(frames), badFrames...) {
-		lines = append(lines, fmt.Sprintf("%q: %s", frame, inPieces(frame, codec.Limits{})))
+	for _, frame := range append(slices.Clone(frames), invalidFrames...) {
+		lines = append(lines, fmt.Sprintf("%q: %s", frame, describePrefixes(frame, codec.Limits{})))
 	}
 	compareLines(t, "frames.txt", lines)
 }
 
-// Frames as long as a limit allows, and longer.
-func TestLimitsOfFrames(t *testing.T) {
+// Frames around the limits of control line and payload.
+func TestParseLimits(t *testing.T) {
 	limits := []struct {
 		name   string
 		limits codec.Limits
@@ -101,8 +101,8 @@
 	compareLines(t, "limits.txt", lines)
 }
 
-// spoilt are the frames that differ from a frame in one byte: left out, replaced or put in before it.
-func spoilt(frame string) (all []string) {
+// corruptions returns the frames that differ from a frame in one byte, which is removed, replaced or inserted.
+func corruptions(frame string) (all []string) {
 	for i := range len(frame) + 1 {
 		for _, c := range "\x00 \t\r\n.*>1x\xff-" {
 			all = append(all, frame[:i]+string(byte(c))+frame[i:])
@@ -117,11 +117,11 @@
 	return all
 }
 
-// Every frame with one byte other than it should be, as a digest of what Parse makes of it.
-func TestSpoiltFrames(t *testing.T) {
+// Every frame with each corruption of one byte, as a digest of the results of Parse.
+func TestParseCorruptedFrames(t *testing.T) {
 	var lines []string
 	for _, frame := range frames {
-		all := spoilt(frame)
+		all := corruptions(frame)
 		var b strings.Builder
 		for _, f := range all {
 			fmt.Fprintf(&b, "%q: %s\n", f, describe([]byte(f), codec.Limits{}))
@@ -131,8 +131,8 @@
 	compareLines(t, "spoilt.txt", lines)
 }
 
-// Drawn streams of frames, some with a fault, that come in pieces: one digest of what is read of each.
-func TestDrawnStreams(t *testing.T) {
+// Random streams of frames, some of them invalid, that arrive in fragments: one digest of the results of Parse for each.
+func TestParseRandomStreams(t *testing.T) {
 	var lines []string
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 24))
@@ -140,7 +140,7 @@
 		for range 1 + rng.IntN(12) {
 			frame := frames[rng.IntN(len(frames))]
 			if rng.IntN(15) == 0 {
-				frame = badFrames[rng.IntN(len(badFrames))]
+				frame = invalidFrames[rng.IntN(len(invalidFrames))]
 			}
 			stream.WriteString(frame)
 		}
@@ -175,7 +175,7 @@
 	return b.String()
 }
 
-func TestSubjectsMatched(t *testing.T) {
+func TestSubjectFunctions(t *testing.T) {
 	subjects := []string{
 		"", ".", "a", "b", "ab", "*", ">", "a.", ".a", "a..b", "a.b", "a.*", "a.>", "*.b", "*.*",
 		"*.>", ">.a", "a.>.b", "a.b.c", "a.*.c", "a.*c", "a.b>", "**", "a b",
--- a/internal/nats/codec/handshake_format_test.go
+++ b/internal/nats/codec/handshake_format_test.go
@@ -41,7 +41,7 @@
 		fmt.Sprintf(" client=%d nonce=%q draining=%t", info.ClientID, info.Nonce, info.LameDuck)
 }
 
-func TestConnectAndInfoRead(t *testing.T) {
+func TestParseConnectAndInfo(t *testing.T) {
 	var lines []string
 	for _, body := range []string{
 		`{"verbose":true,"pedantic":true,"headers":true,"no_responders":true,"name":"n","user":"u","auth_token":"t","echo":false,"lang":"go","tls_required":false,"x":[1, 2]}`,
--- a/internal/nats/codec/parse.go
+++ b/internal/nats/codec/parse.go
@@ -60,7 +60,11 @@
 	i := bytes.IndexByte(b[:min(len(b), limit)], '\n')
 	switch {
 	case i >= 0:
-		return bytes.TrimSuffix(b[:i], []byte{'\r'}), i + 1, nil
+		line = b[:i]
+		if i > 0 && line[i-1] == '\r' {
+			line = line[:i-1]
+		}
+		return line, i + 1, nil
 	case len(b) >= limit:
 		return nil, 0, ErrMaxControlLine
 	case op == None && len(b) >= maxOperationName:
