--- /dev/null
+++ b/internal/simulation/digest_test.go
@@ -0,0 +1,226 @@
+package simulation_test
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"example.org/milletvane/balancer"
+	"example.org/milletvane/internal/simulation"
+)
+
+var update = flag.Bool("update", false, "write the files in testdata anew")
+
+// compareLines compares lines with those of a file in testdata, or writes the file with -update.
+func compareLines(t *testing.T, file string, got []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if *update {
+		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(got) != len(want) {
+		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
+	}
+	differences := 0
+	for i := range min(len(got), len(want)) {
+		if got[i] == want[i] {
+			continue
+		}
+		if differences++; differences <= 5 {
+			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
+		}
+	}
+}
+
+func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
+
+// numbers returns the words of a text that have a digit.
+func numbers(text string) string {
+	var found []string
+	for word := range strings.FieldsSeq(text) {
+		if strings.ContainsAny(word, "0123456789") {
+			found = append(found, strings.Trim(word, ":,."))
+		}
+	}
+	return strings.Join(found, " ")
+}
+
+func describeTally(r *simulation.Tally) string {
+	var b strings.Builder
+	fmt.Fprint(&b, r.Asked, " ", r.Up, " ", r.Refused, " ", r.Failed, " ", r.Attempts, " ", r.Cut, " ", r.Moved, " ",
+		r.Wanted, " ", r.Served, " ", r.Service())
+	for _, violation := range r.Broken {
+		b.WriteString("; " + numbers(violation))
+	}
+	return b.String()
+}
+
+func digestSite() simulation.Site {
+	s := simulation.Site{
+		Rules: balancer.Settings{
+			Gateways: 3, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
+			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
+			Classes: []balancer.Class{{
+				Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second,
+			}},
+		},
+		Delay: time.Millisecond, Lag: time.Second, Arrivals: 8, Life: 30 * time.Second, Load: 0.03,
+		Rejoin: 200 * time.Millisecond, Slack: 50 * time.Millisecond,
+	}
+	for range 8 {
+		s.Nodes = append(s.Nodes, simulation.Kind{
+			Cores: 2, Speed: 1.5, ColdShare: 0.2, ColdFor: 20 * time.Second,
+			Cap: 200, FullTax: 0.1, TipMultiple: 4, TipTime: time.Second, TipSlack: 0.1,
+		})
+	}
+	return s
+}
+
+// scenario is a change of the site, and what happens after the first half minute.
+type scenario struct {
+	name   string
+	change func(*simulation.Site)
+	faults func(*simulation.Fleet)
+}
+
+func deploy(f *simulation.Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
+
+var scenarios = []scenario{
+	{"quiet", func(*simulation.Site) {}, func(*simulation.Fleet) {}},
+	{"deploy", func(*simulation.Site) {}, deploy},
+	{"neighbour", func(*simulation.Site) {}, func(f *simulation.Fleet) {
+		f.Neighbour(0, 0.7, 20*time.Second)
+		f.Neighbour(3, 1.5, 5*time.Second)
+	}},
+	{"drain", func(*simulation.Site) {}, func(f *simulation.Fleet) { f.Drain(2, 10*time.Second) }},
+	{"full nodes", func(s *simulation.Site) {
+		for i := range s.Nodes {
+			s.Nodes[i].Cap = 20 + i
+		}
+	}, deploy},
+	{"slow network", func(s *simulation.Site) { s.Delay, s.Slack = 300*time.Millisecond, time.Second }, deploy},
+	{"timeouts", func(s *simulation.Site) { s.Delay, s.Slack = 1600*time.Millisecond, 0 }, deploy},
+	{"no drain grace", func(s *simulation.Site) { s.Rules.DrainGrace, s.Lag = time.Nanosecond, 4 * time.Second }, deploy},
+	{"cold nodes overloaded", func(s *simulation.Site) {
+		s.Rules.WarmupDuration = 0
+		for i := range s.Nodes {
+			s.Nodes[i].TipMultiple = 1
+		}
+	}, deploy},
+	{"one gateway", func(s *simulation.Site) { s.Rules.Gateways, s.Rules.MaxAttempts = 0, 0 }, deploy},
+}
+
+// Whole runs: the final figures, and a digest of those after every second.
+func TestRunDigests(t *testing.T) {
+	var lines []string
+	for _, c := range scenarios {
+		for seed := range uint64(12) {
+			s := digestSite()
+			c.change(&s)
+			f, err := simulation.NewFleet(seed, s)
+			if err != nil {
+				t.Fatal(err)
+			}
+			f.Run(30 * time.Second)
+			c.faults(f)
+			var course strings.Builder
+			for range 60 {
+				fmt.Fprintln(&course, describeTally(f.Run(time.Second)))
+			}
+			last := describeTally(f.Run(0))
+			lines = append(lines, fmt.Sprintf("%s %d: %s: %s", c.name, seed, last, digest(course.String())))
+		}
+	}
+	compareLines(t, "runs.txt", lines)
+}
+
+// drawKind draws a node's kind with values at and near the bounds.
+func drawKind(r *rand.Rand) simulation.Kind {
+	return simulation.Kind{
+		Cores: float64(1 + r.IntN(4)), Speed: 0.5 + float64(r.IntN(4))/4, ColdShare: float64(r.IntN(5)) / 4,
+		ColdFor: time.Duration(r.IntN(5)) * time.Second, Cap: r.IntN(6), FullTax: float64(r.IntN(4)) / 4,
+		TipMultiple: float64(r.IntN(4)), TipTime: time.Duration(1+r.IntN(3)) * 500 * time.Millisecond,
+		TipSlack: float64(r.IntN(3)) / 2,
+	}
+}
+
+// Drawn calls of one node, with its state after each.
+func TestNodeDigests(t *testing.T) {
+	var lines []string
+	for seed := range uint64(200) {
+		r := rand.New(rand.NewPCG(seed, 5))
+		n, err := simulation.NewNode("s", drawKind(r))
+		if err != nil {
+			t.Fatal(err)
+		}
+		var b strings.Builder
+		now := time.Duration(0)
+		for range 200 {
+			now += time.Duration(r.IntN(4)) * 250 * time.Millisecond
+			load := float64(r.IntN(9)) / 8
+			switch r.IntN(16) {
+			case 0:
+				n.Restart(now)
+			case 1:
+				n.Neighbour(load*2 - 0.5)
+			case 2, 3:
+				n.Change(load - 0.5)
+			case 4, 5, 6:
+				n.Leave(load)
+			default:
+				fmt.Fprint(&b, int(n.Send(now, load)), " ")
+			}
+			fmt.Fprintln(&b, n.Held(), n.Up(), n.Load(now), n.Power(now), n.Warmth(now))
+		}
+		lines = append(lines, fmt.Sprintf("%03d %d %v %v: %s", seed, n.Held(), n.Up(), n.Load(now), digest(b.String())))
+	}
+	compareLines(t, "nodes.txt", lines)
+}
+
+// Drawn events in simulated time, some cancelled, some that add others: their order, and the first of each stream.
+func TestWorldDigests(t *testing.T) {
+	var lines []string
+	for seed := range uint64(100) {
+		w := simulation.New(seed)
+		r := w.Stream("times")
+		var b strings.Builder
+		var pending []*simulation.Event
+		var add func(depth int)
+		add = func(depth int) {
+			name := r.IntN(1000)
+			pending = append(pending, w.At(time.Duration(r.IntN(20)-2), func() {
+				fmt.Fprintln(&b, name, depth, w.Now(), w.Waiting())
+				if depth < 4 {
+					add(depth + 1)
+					w.After(time.Duration(r.IntN(5)-2), func() { fmt.Fprintln(&b, "after", name, w.Now()) })
+				}
+				if r.IntN(3) == 0 {
+					w.Cancel(pending[r.IntN(len(pending))])
+				}
+			}))
+		}
+		for range 30 {
+			add(0)
+		}
+		w.Cancel(nil)
+		for range 10 {
+			fmt.Fprintln(&b, w.Run(w.Now()+2), w.Now(), w.Waiting())
+		}
+		lines = append(lines, fmt.Sprintf("%03d %d: %s", seed, w.Stream("node 1").Uint64(), digest(b.String())))
+	}
+	compareLines(t, "worlds.txt", lines)
+}
