--- a/internal/simulation/change.go
+++ b/internal/simulation/change.go
@@ -24,12 +24,12 @@
 // list tells every gateway of a node, each after the lag.
 func (f *Fleet) list(m *machine) {
 	entry := m.entry()
-	f.World.After(f.site.Lag, func() {
+	f.scheduler.After(f.site.Lag, func() {
 		for _, g := range f.gateways {
 			if entry.State != balancer.Draining {
 				delete(g.told, entry.ID)
 			} else if _, known := g.told[entry.ID]; !known {
-				g.told[entry.ID] = f.World.Now()
+				g.told[entry.ID] = f.scheduler.Now()
 			}
 			g.tell(balancer.EndpointList{Mode: balancer.ListDelta, Servers: []balancer.Server{entry}})
 		}
@@ -56,12 +56,12 @@
 // Drain has a node take nothing new, and Restart has it begin anew, cold, some time later.
 func (f *Fleet) Drain(node int, restart time.Duration) {
 	m := f.nodes[node]
-	m.draining, m.since = true, f.World.Now()
+	m.draining, m.since = true, f.scheduler.Now()
 	f.list(m)
-	f.World.After(restart, func() {
+	f.scheduler.After(restart, func() {
 		f.cut(m)
-		m.draining, m.since = false, f.World.Now()
-		m.Node.Restart(f.World.Now())
+		m.draining, m.since = false, f.scheduler.Now()
+		m.Node.Restart(f.scheduler.Now())
 		f.list(m)
 	})
 }
@@ -69,12 +69,12 @@
 // Deploy drains and restarts the nodes one after another.
 func (f *Fleet) Deploy(every, drain time.Duration) {
 	for i := range f.nodes {
-		f.World.After(time.Duration(i)*every, func() { f.Drain(i, drain) })
+		f.scheduler.After(time.Duration(i)*every, func() { f.Drain(i, drain) })
 	}
 }
 
 // Neighbour takes a part of a node's power for a time.
 func (f *Fleet) Neighbour(node int, part float64, d time.Duration) {
 	f.nodes[node].Neighbour(part)
-	f.World.After(d, func() { f.nodes[node].Neighbour(0) })
+	f.scheduler.After(d, func() { f.nodes[node].Neighbour(0) })
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -114,7 +114,7 @@
 	}, deploy},
 	{"slow network", func(s *simulation.Site) { s.Delay, s.Slack = 300*time.Millisecond, time.Second }, deploy},
 	{"timeouts", func(s *simulation.Site) { s.Delay, s.Slack = 1600*time.Millisecond, 0 }, deploy},
-	{"no drain grace", func(s *simulation.Site) { s.Rules.DrainGrace, s.Lag = time.Nanosecond, 4 * time.Second }, deploy},
+	{"no drain grace", func(s *simulation.Site) { s.Rules.DrainGrace, s.Lag = time.Nanosecond, 4*time.Second }, deploy},
 	{"cold nodes overloaded", func(s *simulation.Site) {
 		s.Rules.WarmupDuration = 0
 		for i := range s.Nodes {
@@ -195,7 +195,7 @@
 func TestWorldDigests(t *testing.T) {
 	var lines []string
 	for seed := range uint64(100) {
-		w := simulation.New(seed)
+		w := simulation.NewScheduler(seed)
 		r := w.Stream("times")
 		var b strings.Builder
 		var pending []*simulation.Event
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -40,14 +40,14 @@
 // Fleet is a site in play.
 type Fleet struct {
 	Tally
-	World    *World
-	site     Site
-	gateways []*gateway
-	nodes    []*machine
-	random   *rand.Rand
-	life     distuv.Exponential
-	load     distuv.Exponential
-	clients  int // that want a connection now
+	scheduler *Scheduler
+	site      Site
+	gateways  []*gateway
+	nodes     []*machine
+	random    *rand.Rand
+	life      distuv.Exponential
+	load      distuv.Exponential
+	clients   int // that want a connection now
 }
 
 type machine struct {
@@ -89,11 +89,11 @@
 
 // NewFleet sets a site up at time 0, which is an hour on the rules' clock.
 func NewFleet(seed uint64, s Site) (*Fleet, error) {
-	f := &Fleet{World: New(seed), site: s}
-	f.World.Run(time.Hour)
-	f.random = f.World.Stream("clients")
-	f.life = distuv.Exponential{Rate: 1 / s.Life.Seconds(), Src: f.World.Stream("lives")}
-	f.load = distuv.Exponential{Rate: 1 / s.Load, Src: f.World.Stream("loads")}
+	f := &Fleet{scheduler: NewScheduler(seed), site: s}
+	f.scheduler.Run(time.Hour)
+	f.random = f.scheduler.Stream("clients")
+	f.life = distuv.Exponential{Rate: 1 / s.Life.Seconds(), Src: f.scheduler.Stream("lives")}
+	f.load = distuv.Exponential{Rate: 1 / s.Load, Src: f.scheduler.Stream("loads")}
 	for i, k := range s.Nodes {
 		n, err := NewNode(fmt.Sprint("s-", i+1), k)
 		if err != nil {
@@ -123,20 +123,20 @@
 
 // Run plays on for a time and returns what came of it so far.
 func (f *Fleet) Run(d time.Duration) *Tally {
-	f.World.Run(f.World.Now() + d)
+	f.scheduler.Run(f.scheduler.Now() + d)
 	return &f.Tally
 }
 
 func (f *Fleet) breaks(format string, args ...any) {
 	if len(f.Broken) < brokenMost {
-		f.Broken = append(f.Broken, fmt.Sprintf("%v: ", f.World.Now()-time.Hour)+fmt.Sprintf(format, args...))
+		f.Broken = append(f.Broken, fmt.Sprintf("%v: ", f.scheduler.Now()-time.Hour)+fmt.Sprintf(format, args...))
 	}
 }
 
 // second adds up what was served in the last one.
 func (f *Fleet) second() {
-	f.World.After(time.Second, func() {
-		now := f.World.Now()
+	f.scheduler.After(time.Second, func() {
+		now := f.scheduler.Now()
 		f.Wanted += float64(f.clients)
 		for _, m := range f.nodes {
 			f.Served += float64(len(m.open)) / max(m.Load(now), 1)
@@ -147,11 +147,11 @@
 
 func (f *Fleet) arrive() {
 	gap := time.Duration(f.random.ExpFloat64() / f.site.Arrivals * float64(time.Second))
-	f.World.After(gap, func() {
-		now := f.World.Now()
+	f.scheduler.After(gap, func() {
+		now := f.scheduler.Now()
 		c := &client{key: fmt.Sprint(f.random.Uint64()), load: f.load.Rand(), end: now + time.Duration(f.life.Rand()*float64(time.Second))}
 		f.clients++
-		f.World.At(c.end, func() { f.clients-- })
+		f.scheduler.At(c.end, func() { f.clients-- })
 		f.ask(c)
 		f.arrive()
 	})
@@ -159,7 +159,7 @@
 
 // ask has a client ask some gateway, unless it wants nothing any more.
 func (f *Fleet) ask(c *client) {
-	now := f.World.Now()
+	now := f.scheduler.Now()
 	if now >= c.end {
 		return
 	}
@@ -169,7 +169,7 @@
 	r := &call{gateway: g, client: c, id: g.last, deadline: now + class.Timeout}
 	g.calls[r.id] = r
 	f.Asked++
-	f.World.At(r.deadline+f.site.Slack, func() {
+	f.scheduler.At(r.deadline+f.site.Slack, func() {
 		if !r.answered {
 			f.breaks("request %d has no answer %v after its deadline", r.id, f.site.Slack)
 		}
@@ -180,12 +180,12 @@
 // again has a client come back.
 func (f *Fleet) again(c *client, after time.Duration) {
 	c.back = true
-	f.World.After(max(after, f.site.Rejoin), func() { f.ask(c) })
+	f.scheduler.After(max(after, f.site.Rejoin), func() { f.ask(c) })
 }
 
 func (g *gateway) tell(ev balancer.Event) {
 	// Actions are valid until the next call alone.
-	for _, a := range slices.Clone(g.balancer.Handle(g.fleet.World.Now(), ev)) {
+	for _, a := range slices.Clone(g.balancer.Handle(g.fleet.scheduler.Now(), ev)) {
 		g.act(a)
 	}
 }
@@ -212,7 +212,7 @@
 			f.again(r.client, 0)
 		}
 	case balancer.SetTimer:
-		f.World.After(a.After, func() { g.tell(balancer.TimerFired{Ref: a.Ref}) })
+		f.scheduler.After(a.After, func() { g.tell(balancer.TimerFired{Ref: a.Ref}) })
 	}
 }
 
@@ -229,7 +229,7 @@
 }
 
 func (g *gateway) send(a balancer.Send) {
-	f, now := g.fleet, g.fleet.World.Now()
+	f, now := g.fleet, g.fleet.scheduler.Now()
 	r := g.calls[a.ID]
 	if r == nil || r.at != nil || r.answered {
 		f.breaks("request %d is sent while an attempt is out, or after its answer", a.ID)
@@ -248,8 +248,8 @@
 		wait = min(wait, a.Timeout)
 	}
 	n := r.attempts
-	r.timeout = f.World.After(wait, func() { r.over(balancer.TimedOut) })
-	f.World.After(f.site.Delay, func() { r.reach(n) })
+	r.timeout = f.scheduler.After(wait, func() { r.over(balancer.TimedOut) })
+	f.scheduler.After(f.site.Delay, func() { r.reach(n) })
 }
 
 // reach brings an attempt to its node, and the node's word back.
@@ -260,14 +260,14 @@
 	}
 	verdict := Full
 	if !m.draining {
-		verdict = m.Send(f.World.Now(), r.client.load)
+		verdict = m.Send(f.scheduler.Now(), r.client.load)
 	}
 	if verdict == Tipped {
-		f.breaks("node %d is tipped over %v after its start", m.id, f.World.Now()-m.since)
+		f.breaks("node %d is tipped over %v after its start", m.id, f.scheduler.Now()-m.since)
 		f.cut(m)
 	}
 	begun := m.since
-	f.World.After(f.site.Delay, func() {
+	f.scheduler.After(f.site.Delay, func() {
 		switch {
 		case r.at != m || r.attempts != n || r.open: // given up meanwhile
 			if verdict == Taken && m.since == begun && m.Up() {
@@ -285,12 +285,12 @@
 
 func (r *call) up() {
 	f := r.gateway.fleet
-	f.World.Cancel(r.timeout)
+	f.scheduler.Cancel(r.timeout)
 	r.open, r.answered = true, true
 	r.at.open[r] = true
 	f.Up++
-	r.leave = f.World.At(r.client.end, func() { r.over(balancer.OK) })
-	r.gateway.tell(balancer.AttemptEstablished{ID: r.id, Attempt: r.attempts - 1, Server: r.at.id, Elapsed: f.World.Now() - r.sent})
+	r.leave = f.scheduler.At(r.client.end, func() { r.over(balancer.OK) })
+	r.gateway.tell(balancer.AttemptEstablished{ID: r.id, Attempt: r.attempts - 1, Server: r.at.id, Elapsed: f.scheduler.Now() - r.sent})
 }
 
 // over ends an attempt, or the connection that it set up.
@@ -299,8 +299,8 @@
 	if m == nil {
 		return
 	}
-	f.World.Cancel(r.timeout)
-	f.World.Cancel(r.leave)
+	f.scheduler.Cancel(r.timeout)
+	f.scheduler.Cancel(r.leave)
 	if r.open && m.open[r] {
 		delete(m.open, r)
 		m.Leave(r.client.load)
@@ -310,5 +310,5 @@
 	if was {
 		delete(r.gateway.calls, r.id)
 	}
-	r.gateway.tell(balancer.AttemptEnded{ID: r.id, Attempt: r.attempts - 1, Server: m.id, Result: result, Elapsed: f.World.Now() - r.sent, Answered: was})
+	r.gateway.tell(balancer.AttemptEnded{ID: r.id, Attempt: r.attempts - 1, Server: m.id, Result: result, Elapsed: f.scheduler.Now() - r.sent, Answered: was})
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -90,7 +90,7 @@
 	}
 	if broken(func(*Site) {}, func(f *Fleet) {
 		for _, g := range f.gateways {
-			g.told[1] = f.World.Now() // the gateways were told, their rules were not
+			g.told[1] = f.scheduler.Now() // the gateways were told, their rules were not
 		}
 	}) == 0 {
 		t.Error("sends to a node that drains were not seen")
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -11,36 +11,36 @@
 	"example.org/milletvane/internal/timerqueue"
 )
 
-// World is simulated time. It is not safe for concurrent use; runs with other seeds are Worlds of their own.
-type World struct {
+// Scheduler is simulated time. It is not safe for concurrent use; runs with other seeds are Worlds of their own.
+type Scheduler struct {
 	seed  uint64
 	now   time.Duration
 	tasks timerqueue.Queue[func()]
 }
 
-// New returns a World at time 0.
-func New(seed uint64) *World { return &World{seed: seed} }
+// NewScheduler returns a World at time 0.
+func NewScheduler(seed uint64) *Scheduler { return &Scheduler{seed: seed} }
 
 // Now is the time: never less than it was.
-func (w *World) Now() time.Duration { return w.now }
+func (w *Scheduler) Now() time.Duration { return w.now }
 
 // Waiting is how many events are to come.
-func (w *World) Waiting() int { return w.tasks.Len() }
+func (w *Scheduler) Waiting() int { return w.tasks.Len() }
 
 // Event is one that is to come.
 type Event = timerqueue.Timer[func()]
 
 // At has f called at a time, behind what was to happen then already. A time that has gone by is now.
-func (w *World) At(at time.Duration, f func()) *Event { return w.tasks.Add(max(at, w.now), f) }
+func (w *Scheduler) At(at time.Duration, f func()) *Event { return w.tasks.Add(max(at, w.now), f) }
 
 // After has f called that much later.
-func (w *World) After(d time.Duration, f func()) *Event { return w.At(w.now+max(d, 0), f) }
+func (w *Scheduler) After(d time.Duration, f func()) *Event { return w.At(w.now+max(d, 0), f) }
 
 // Cancel takes an event back. One that has happened, or nil, is let be.
-func (w *World) Cancel(e *Event) { w.tasks.Remove(e) }
+func (w *Scheduler) Cancel(e *Event) { w.tasks.Remove(e) }
 
 // Run lets time go by until the given one, what happens at it included, and returns how many events happened.
-func (w *World) Run(until time.Duration) (n int) {
+func (w *Scheduler) Run(until time.Duration) (n int) {
 	for {
 		at, ok := w.tasks.Next()
 		if !ok || at > until {
@@ -56,7 +56,7 @@
 
 // Stream returns the random numbers of one actor, from their beginning. They depend on the World's seed and the name
 // alone, so that a draw more in one place changes nothing elsewhere.
-func (w *World) Stream(name string) *rand.Rand {
+func (w *Scheduler) Stream(name string) *rand.Rand {
 	h := xxhash.NewWithSeed(w.seed)
 	h.WriteString(name)
 	return rand.New(rand.NewPCG(w.seed, h.Sum64()))
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -18,7 +18,7 @@
 		n  int
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		w := New(1)
+		w := NewScheduler(1)
 		var want, got []planned
 		for n, at := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 60).Draw(rt, "times") {
 			p := planned{time.Duration(at), n}
@@ -42,7 +42,7 @@
 }
 
 func TestWhatIsPastHappensNow(t *testing.T) {
-	w := New(1)
+	w := NewScheduler(1)
 	w.Run(time.Second)
 	var at time.Duration
 	w.At(0, func() { at = w.Now() })
@@ -53,22 +53,22 @@
 
 // Each actor has a stream of its own: one that draws more moves no other.
 func TestStreamsAreApart(t *testing.T) {
-	first := New(7).Stream("node 1").Uint64()
-	w := New(7)
+	first := NewScheduler(7).Stream("node 1").Uint64()
+	w := NewScheduler(7)
 	for range 10 {
 		w.Stream("node 2").Uint64()
 	}
 	if w.Stream("node 1").Uint64() != first {
 		t.Error("another's draws moved a stream")
 	}
-	if New(8).Stream("node 1").Uint64() == first || w.Stream("node 11").Uint64() == first {
+	if NewScheduler(8).Stream("node 1").Uint64() == first || w.Stream("node 11").Uint64() == first {
 		t.Error("another seed or name gives the same stream")
 	}
 }
 
 // queue plays one server with exponential times at a load, and returns the mean number there.
 func queue(seed uint64, load float64, span time.Duration) float64 {
-	w := New(seed)
+	w := NewScheduler(seed)
 	gap := distuv.Exponential{Rate: load, Src: w.Stream("arrivals")}
 	work := distuv.Exponential{Rate: 1, Src: w.Stream("work")}
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -112,7 +112,7 @@
 func BenchmarkEvents(b *testing.B) {
 	for _, waiting := range []int{1_000, 1_000_000} {
 		b.Run(strconv.Itoa(waiting), func(b *testing.B) {
-			w := New(1)
+			w := NewScheduler(1)
 			r := w.Stream("times")
 			var next func()
 			next = func() { w.After(time.Duration(r.Int64N(int64(time.Second))), next) }
