--- a/internal/simulation/change.go
+++ b/internal/simulation/change.go
@@ -75,6 +75,6 @@
 
 // Neighbour takes a part of a node's power for a time.
 func (f *Fleet) Neighbour(node int, part float64, d time.Duration) {
-	f.nodes[node].Neighbour(part)
-	f.scheduler.After(d, func() { f.nodes[node].Neighbour(0) })
+	f.nodes[node].SetNeighbourRatio(part)
+	f.scheduler.After(d, func() { f.nodes[node].SetNeighbourRatio(0) })
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -82,7 +82,7 @@
 		Rejoin: 200 * time.Millisecond, Slack: 50 * time.Millisecond,
 	}
 	for range 8 {
-		s.Nodes = append(s.Nodes, simulation.Kind{
+		s.Nodes = append(s.Nodes, simulation.NodeSettings{
 			Cores: 2, Speed: 1.5, ColdShare: 0.2, ColdFor: 20 * time.Second,
 			Cap: 200, FullTax: 0.1, TipMultiple: 4, TipTime: time.Second, TipSlack: 0.1,
 		})
@@ -149,8 +149,8 @@
 }
 
 // drawKind draws a node's kind with values at and near the bounds.
-func drawKind(r *rand.Rand) simulation.Kind {
-	return simulation.Kind{
+func drawKind(r *rand.Rand) simulation.NodeSettings {
+	return simulation.NodeSettings{
 		Cores: float64(1 + r.IntN(4)), Speed: 0.5 + float64(r.IntN(4))/4, ColdShare: float64(r.IntN(5)) / 4,
 		ColdFor: time.Duration(r.IntN(5)) * time.Second, Cap: r.IntN(6), FullTax: float64(r.IntN(4)) / 4,
 		TipMultiple: float64(r.IntN(4)), TipTime: time.Duration(1+r.IntN(3)) * 500 * time.Millisecond,
@@ -176,17 +176,17 @@
 			case 0:
 				n.Restart(now)
 			case 1:
-				n.Neighbour(load*2 - 0.5)
+				n.SetNeighbourRatio(load*2 - 0.5)
 			case 2, 3:
-				n.Change(load - 0.5)
+				n.ChangeLoad(load - 0.5)
 			case 4, 5, 6:
-				n.Leave(load)
+				n.Disconnect(load)
 			default:
-				fmt.Fprint(&b, int(n.Send(now, load)), " ")
+				fmt.Fprint(&b, int(n.Connect(now, load)), " ")
 			}
-			fmt.Fprintln(&b, n.Held(), n.Up(), n.Load(now), n.Power(now), n.Warmth(now))
+			fmt.Fprintln(&b, n.Connections(), n.Up(), n.Utilization(now), n.Capacity(now), n.WarmupRatio(now))
 		}
-		lines = append(lines, fmt.Sprintf("%03d %d %v %v: %s", seed, n.Held(), n.Up(), n.Load(now), digest(b.String())))
+		lines = append(lines, fmt.Sprintf("%03d %d %v %v: %s", seed, n.Connections(), n.Up(), n.Utilization(now), digest(b.String())))
 	}
 	compareLines(t, "nodes.txt", lines)
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -14,7 +14,7 @@
 // Site is what a run plays.
 type Site struct {
 	Rules    balancer.Settings // Gateways of these; Seed is each one's own
-	Nodes    []Kind            // one each; ids count from 1
+	Nodes    []NodeSettings    // one each; ids count from 1
 	Delay    time.Duration     // one way between gateways and nodes
 	Lag      time.Duration     // until a gateway is told of a change of a node
 	Arrivals float64           // clients a second
@@ -139,7 +139,7 @@
 		now := f.scheduler.Now()
 		f.Wanted += float64(f.clients)
 		for _, m := range f.nodes {
-			f.Served += float64(len(m.open)) / max(m.Load(now), 1)
+			f.Served += float64(len(m.open)) / max(m.Utilization(now), 1)
 		}
 		f.second()
 	})
@@ -258,11 +258,11 @@
 	if m == nil || r.attempts != n || r.open {
 		return
 	}
-	verdict := Full
+	verdict := Rejected
 	if !m.draining {
-		verdict = m.Send(f.scheduler.Now(), r.client.load)
+		verdict = m.Connect(f.scheduler.Now(), r.client.load)
 	}
-	if verdict == Tipped {
+	if verdict == Crashed {
 		f.breaks("node %d is tipped over %v after its start", m.id, f.scheduler.Now()-m.since)
 		f.cut(m)
 	}
@@ -270,12 +270,12 @@
 	f.scheduler.After(f.site.Delay, func() {
 		switch {
 		case r.at != m || r.attempts != n || r.open: // given up meanwhile
-			if verdict == Taken && m.since == begun && m.Up() {
-				m.Leave(r.client.load)
+			if verdict == Accepted && m.since == begun && m.Up() {
+				m.Disconnect(r.client.load)
 			}
-		case verdict == Taken && m.since == begun && m.Up():
+		case verdict == Accepted && m.since == begun && m.Up():
 			r.up()
-		case verdict == Full:
+		case verdict == Rejected:
 			r.over(balancer.Rejected)
 		default:
 			r.over(balancer.ConnectFailed)
@@ -303,7 +303,7 @@
 	f.scheduler.Cancel(r.leave)
 	if r.open && m.open[r] {
 		delete(m.open, r)
-		m.Leave(r.client.load)
+		m.Disconnect(r.client.load)
 	}
 	was := r.open
 	r.at, r.open = nil, false
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Kind is what nodes of one sort are like.
-type Kind struct {
+// NodeSettings is what nodes of one sort are like.
+type NodeSettings struct {
 	Cores     float64
 	Speed     float64       // of a core, 1 is the reference
 	ColdShare float64       // of its power that a fresh node has
@@ -22,7 +22,7 @@
 
 // Node is one server of long-lived connections. Loads are in cores of reference.
 type Node struct {
-	Kind
+	NodeSettings
 	Name string
 
 	started time.Duration // its latest start
@@ -41,68 +41,68 @@
 }
 
 // NewNode returns a node that has been running since long before.
-func NewNode(name string, k Kind) (*Node, error) {
+func NewNode(name string, k NodeSettings) (*Node, error) {
 	if !(k.Cores > 0) || !(k.Speed > 0) || !(k.ColdShare >= 0 && k.ColdShare <= 1) || !(k.FullTax >= 0 && k.FullTax < 1) {
 		return nil, fmt.Errorf("model: node %s: cores %v, speed %v, cold share %v, full tax %v", name, k.Cores, k.Speed, k.ColdShare, k.FullTax)
 	}
-	return &Node{Kind: k, Name: name, warm: true}, nil
+	return &Node{NodeSettings: k, Name: name, warm: true}, nil
 }
 
 // Restart has it begin anew, cold and empty. What it held is cut off by the caller.
 func (n *Node) Restart(now time.Duration) {
-	*n = Node{Kind: n.Kind, Name: n.Name, started: now, taken: n.taken}
+	*n = Node{NodeSettings: n.NodeSettings, Name: n.Name, started: now, taken: n.taken}
 }
 
-// Neighbour takes a part of its power away, from 0 to 1.
-func (n *Node) Neighbour(part float64) { n.taken = min(max(part, 0), 1) }
+// SetNeighbourRatio takes a part of its power away, from 0 to 1.
+func (n *Node) SetNeighbourRatio(part float64) { n.taken = min(max(part, 0), 1) }
 
-// Warmth is the part of its power that it has for being cold: 1 is warm.
-func (n *Node) Warmth(now time.Duration) float64 {
+// WarmupRatio is the part of its power that it has for being cold: 1 is warm.
+func (n *Node) WarmupRatio(now time.Duration) float64 {
 	if n.warm || n.ColdFor <= 0 || now-n.started >= n.ColdFor {
 		return 1
 	}
 	return n.ColdShare + (1-n.ColdShare)*float64(now-n.started)/float64(n.ColdFor)
 }
 
-// Power is what it can do now.
-func (n *Node) Power(now time.Duration) float64 {
-	p := n.Cores * n.Speed * n.Warmth(now) * (1 - n.taken)
+// Capacity is what it can do now.
+func (n *Node) Capacity(now time.Duration) float64 {
+	p := n.Cores * n.Speed * n.WarmupRatio(now) * (1 - n.taken)
 	if n.Cap > 0 {
 		p *= 1 - n.FullTax*float64(n.held)/float64(n.Cap)
 	}
 	return p
 }
 
-// Verdict is what becomes of a connection that is sent to a node.
-type Verdict int
+// ConnectResult is what becomes of a connection that is sent to a node.
+type ConnectResult int
 
 const (
-	Taken  Verdict = iota
-	Full           // turned away unseen
-	Down           // nobody answers
-	Tipped         // this one was too much: the node falls over with all that it holds
+	Accepted    ConnectResult = iota
+	Rejected                  // turned away unseen
+	Unreachable               // nobody answers
+	Crashed                   // this one was too much: the node falls over with all that it holds
 )
 
-// Send brings a connection of some load. What is turned away counts against a cold node too.
-func (n *Node) Send(now time.Duration, load float64) Verdict {
+// Connect brings a connection of some load. What is turned away counts against a cold node too.
+func (n *Node) Connect(now time.Duration, load float64) ConnectResult {
 	if n.down {
-		return Down
+		return Unreachable
 	}
 	if n.tips(now, load) {
 		n.down, n.held, n.asked = true, 0, 0
-		return Tipped
+		return Crashed
 	}
 	if n.Cap > 0 && n.held >= n.Cap {
-		return Full
+		return Rejected
 	}
 	n.held++
 	n.asked += load
-	return Taken
+	return Accepted
 }
 
 // tips counts what is sent to a cold node within any TipTime.
 func (n *Node) tips(now time.Duration, load float64) bool {
-	if n.Warmth(now) == 1 || n.TipMultiple <= 0 {
+	if n.WarmupRatio(now) == 1 || n.TipMultiple <= 0 {
 		n.sent, n.window = nil, 0
 		return false
 	}
@@ -117,15 +117,15 @@
 	return n.window > n.TipMultiple*rate*n.TipTime.Seconds()+n.TipSlack
 }
 
-// Change alters the load of a connection that it holds.
-func (n *Node) Change(by float64) {
+// ChangeLoad alters the load of a connection that it holds.
+func (n *Node) ChangeLoad(by float64) {
 	if n.held > 0 {
 		n.asked = max(n.asked+by, 0)
 	}
 }
 
-// Leave ends a connection of some load.
-func (n *Node) Leave(load float64) {
+// Disconnect ends a connection of some load.
+func (n *Node) Disconnect(load float64) {
 	if n.held == 0 {
 		return
 	}
@@ -136,15 +136,15 @@
 	n.asked = max(n.asked-load, 0)
 }
 
-// Held is how many connections it holds.
-func (n *Node) Held() int { return n.held }
+// Connections is how many connections it holds.
+func (n *Node) Connections() int { return n.held }
 
-// Load is what is asked of it over what it can do; 0 where nothing is.
-func (n *Node) Load(now time.Duration) float64 {
+// Utilization is what is asked of it over what it can do; 0 where nothing is.
+func (n *Node) Utilization(now time.Duration) float64 {
 	if n.asked == 0 {
 		return 0
 	}
-	return n.asked / max(n.Power(now), 1e-9)
+	return n.asked / max(n.Capacity(now), 1e-9)
 }
 
 // Up reports whether it answers.
--- a/internal/simulation/node_test.go
+++ b/internal/simulation/node_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-var sample = Kind{Cores: 2, Speed: 1.5, ColdShare: 0.2, ColdFor: 20 * time.Second, Cap: 40, FullTax: 0.1,
+var sample = NodeSettings{Cores: 2, Speed: 1.5, ColdShare: 0.2, ColdFor: 20 * time.Second, Cap: 40, FullTax: 0.1,
 	TipMultiple: 4, TipTime: time.Second, TipSlack: 0.1}
 
-func mustNode(t testing.TB, k Kind) *Node {
+func mustNode(t testing.TB, k NodeSettings) *Node {
 	n, err := NewNode("s-1", k)
 	if err != nil {
 		t.Fatal(err)
@@ -27,23 +27,23 @@
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
-	near("warm", n.Power(0), 3)
-	n.Neighbour(0.5)
-	near("with a neighbour", n.Power(0), 1.5)
+	near("warm", n.Capacity(0), 3)
+	n.SetNeighbourRatio(0.5)
+	near("with a neighbour", n.Capacity(0), 1.5)
 	n.Restart(time.Minute)
-	near("cold, with it", n.Power(time.Minute), 0.3)
-	n.Neighbour(0)
-	near("half way", n.Power(time.Minute+10*time.Second), 1.8)
-	near("after it", n.Power(2*time.Minute), 3)
+	near("cold, with it", n.Capacity(time.Minute), 0.3)
+	n.SetNeighbourRatio(0)
+	near("half way", n.Capacity(time.Minute+10*time.Second), 1.8)
+	near("after it", n.Capacity(2*time.Minute), 3)
 	for range 40 {
-		if v := n.Send(2*time.Minute, 0.1); v != Taken {
+		if v := n.Connect(2*time.Minute, 0.1); v != Accepted {
 			t.Fatalf("turned away with %v", v)
 		}
 	}
-	near("full", n.Power(2*time.Minute), 2.7)
-	near("its load", n.Load(2*time.Minute), 4/2.7)
-	if v := n.Send(2*time.Minute, 0.1); v != Full || n.Held() != 40 {
-		t.Errorf("one over its cap: %v, it holds %d", v, n.Held())
+	near("full", n.Capacity(2*time.Minute), 2.7)
+	near("its load", n.Utilization(2*time.Minute), 4/2.7)
+	if v := n.Connect(2*time.Minute, 0.1); v != Rejected || n.Connections() != 40 {
+		t.Errorf("one over its cap: %v, it holds %d", v, n.Connections())
 	}
 }
 
@@ -57,18 +57,18 @@
 		n := mustNode(t, sample)
 		n.Restart(0)
 		for range 10 {
-			n.Send(100*time.Millisecond, c.load/10)
+			n.Connect(100*time.Millisecond, c.load/10)
 		}
 		if n.Up() != c.up {
 			t.Errorf("sent %.3f in a second it is up: %t", c.load, n.Up())
 		}
-		if !c.up && (n.Held() != 0 || n.Send(time.Minute, 0.01) != Down) {
+		if !c.up && (n.Connections() != 0 || n.Connect(time.Minute, 0.01) != Unreachable) {
 			t.Error("one that fell over still holds or takes connections")
 		}
 	}
 	n := mustNode(t, sample)
 	for range 30 {
-		n.Send(0, 1)
+		n.Connect(0, 1)
 	}
 	if !n.Up() {
 		t.Error("a warm node fell over")
@@ -87,7 +87,7 @@
 		for range rapid.IntRange(1, 80).Draw(rt, "sendings") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(rt, "ms")) * time.Millisecond
 			load := float64(rapid.IntRange(0, 16).Draw(rt, "load")) / 16
-			n.Send(now, load)
+			n.Connect(now, load)
 			all = append(all, sending{now, load})
 			want := 0.0
 			for _, s := range all {
@@ -103,7 +103,7 @@
 }
 
 func TestKindsThatAreNone(t *testing.T) {
-	for _, k := range []Kind{{}, {Cores: 1}, {Cores: 1, Speed: 1, ColdShare: 2}, {Cores: math.NaN(), Speed: 1}, {Cores: 1, Speed: 1, FullTax: 1}} {
+	for _, k := range []NodeSettings{{}, {Cores: 1}, {Cores: 1, Speed: 1, ColdShare: 2}, {Cores: math.NaN(), Speed: 1}, {Cores: 1, Speed: 1, FullTax: 1}} {
 		if _, err := NewNode("x", k); err == nil {
 			t.Errorf("%+v makes a node", k)
 		}
