--- a/internal/simulation/change.go
+++ b/internal/simulation/change.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Neighbour takes a part of a node's power for a time.
-func (f *Fleet) Neighbour(node int, part float64, d time.Duration) {
+// AddNoisyNeighbour takes a part of a node's power for a time.
+func (f *Fleet) AddNoisyNeighbour(node int, part float64, d time.Duration) {
 	f.nodes[node].SetNeighbourRatio(part)
 	f.scheduler.After(d, func() { f.nodes[node].SetNeighbourRatio(0) })
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -59,7 +59,7 @@
 	return strings.Join(found, " ")
 }
 
-func describeTally(r *simulation.Tally) string {
+func describeTally(r *simulation.Stats) string {
 	var b strings.Builder
 	fmt.Fprint(&b, r.Asked, " ", r.Up, " ", r.Refused, " ", r.Failed, " ", r.Attempts, " ", r.Cut, " ", r.Moved, " ",
 		r.Wanted, " ", r.Served, " ", r.Service())
@@ -69,8 +69,8 @@
 	return b.String()
 }
 
-func digestSite() simulation.Site {
-	s := simulation.Site{
+func digestSite() simulation.Settings {
+	s := simulation.Settings{
 		Rules: balancer.Settings{
 			Gateways: 3, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
 			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
@@ -93,35 +93,35 @@
 // scenario is a change of the site, and what happens after the first half minute.
 type scenario struct {
 	name   string
-	change func(*simulation.Site)
+	change func(*simulation.Settings)
 	faults func(*simulation.Fleet)
 }
 
 func deploy(f *simulation.Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
 
 var scenarios = []scenario{
-	{"quiet", func(*simulation.Site) {}, func(*simulation.Fleet) {}},
-	{"deploy", func(*simulation.Site) {}, deploy},
-	{"neighbour", func(*simulation.Site) {}, func(f *simulation.Fleet) {
-		f.Neighbour(0, 0.7, 20*time.Second)
-		f.Neighbour(3, 1.5, 5*time.Second)
+	{"quiet", func(*simulation.Settings) {}, func(*simulation.Fleet) {}},
+	{"deploy", func(*simulation.Settings) {}, deploy},
+	{"neighbour", func(*simulation.Settings) {}, func(f *simulation.Fleet) {
+		f.AddNoisyNeighbour(0, 0.7, 20*time.Second)
+		f.AddNoisyNeighbour(3, 1.5, 5*time.Second)
 	}},
-	{"drain", func(*simulation.Site) {}, func(f *simulation.Fleet) { f.Drain(2, 10*time.Second) }},
-	{"full nodes", func(s *simulation.Site) {
+	{"drain", func(*simulation.Settings) {}, func(f *simulation.Fleet) { f.Drain(2, 10*time.Second) }},
+	{"full nodes", func(s *simulation.Settings) {
 		for i := range s.Nodes {
 			s.Nodes[i].Cap = 20 + i
 		}
 	}, deploy},
-	{"slow network", func(s *simulation.Site) { s.Delay, s.Slack = 300*time.Millisecond, time.Second }, deploy},
-	{"timeouts", func(s *simulation.Site) { s.Delay, s.Slack = 1600*time.Millisecond, 0 }, deploy},
-	{"no drain grace", func(s *simulation.Site) { s.Rules.DrainGrace, s.Lag = time.Nanosecond, 4*time.Second }, deploy},
-	{"cold nodes overloaded", func(s *simulation.Site) {
+	{"slow network", func(s *simulation.Settings) { s.Delay, s.Slack = 300*time.Millisecond, time.Second }, deploy},
+	{"timeouts", func(s *simulation.Settings) { s.Delay, s.Slack = 1600*time.Millisecond, 0 }, deploy},
+	{"no drain grace", func(s *simulation.Settings) { s.Rules.DrainGrace, s.Lag = time.Nanosecond, 4*time.Second }, deploy},
+	{"cold nodes overloaded", func(s *simulation.Settings) {
 		s.Rules.WarmupDuration = 0
 		for i := range s.Nodes {
 			s.Nodes[i].TipMultiple = 1
 		}
 	}, deploy},
-	{"one gateway", func(s *simulation.Site) { s.Rules.Gateways, s.Rules.MaxAttempts = 0, 0 }, deploy},
+	{"one gateway", func(s *simulation.Settings) { s.Rules.Gateways, s.Rules.MaxAttempts = 0, 0 }, deploy},
 }
 
 // Whole runs: the final figures, and a digest of those after every second.
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -11,8 +11,8 @@
 	"example.org/milletvane/balancer"
 )
 
-// Site is what a run plays.
-type Site struct {
+// Settings is what a run plays.
+type Settings struct {
 	Rules    balancer.Settings // Gateways of these; Seed is each one's own
 	Nodes    []NodeSettings    // one each; ids count from 1
 	Delay    time.Duration     // one way between gateways and nodes
@@ -24,8 +24,8 @@
 	Slack    time.Duration     // after a request's deadline an answer still counts this long
 }
 
-// Tally is what came of a run.
-type Tally struct {
+// Stats is what came of a run.
+type Stats struct {
 	Asked, Up, Refused, Failed int // requests and their answers
 	Attempts, Cut, Moved       int
 	Wanted, Served             float64  // seconds of connections: wanted, and open at a node that does all that is asked of it
@@ -33,15 +33,15 @@
 }
 
 // Service is the part of the wanted seconds that was served.
-func (t *Tally) Service() float64 { return t.Served / max(t.Wanted, 1e-9) }
+func (t *Stats) Service() float64 { return t.Served / max(t.Wanted, 1e-9) }
 
 const brokenMost = 20
 
 // Fleet is a site in play.
 type Fleet struct {
-	Tally
+	Stats
 	scheduler *Scheduler
-	site      Site
+	site      Settings
 	gateways  []*gateway
 	nodes     []*machine
 	random    *rand.Rand
@@ -88,7 +88,7 @@
 }
 
 // NewFleet sets a site up at time 0, which is an hour on the rules' clock.
-func NewFleet(seed uint64, s Site) (*Fleet, error) {
+func NewFleet(seed uint64, s Settings) (*Fleet, error) {
 	f := &Fleet{scheduler: NewScheduler(seed), site: s}
 	f.scheduler.Run(time.Hour)
 	f.random = f.scheduler.Stream("clients")
@@ -122,9 +122,9 @@
 }
 
 // Run plays on for a time and returns what came of it so far.
-func (f *Fleet) Run(d time.Duration) *Tally {
+func (f *Fleet) Run(d time.Duration) *Stats {
 	f.scheduler.Run(f.scheduler.Now() + d)
-	return &f.Tally
+	return &f.Stats
 }
 
 func (f *Fleet) breaks(format string, args ...any) {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -8,8 +8,8 @@
 	"example.org/milletvane/balancer"
 )
 
-func site(nodes, gateways int) Site {
-	s := Site{
+func site(nodes, gateways int) Settings {
+	s := Settings{
 		Rules: balancer.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
 			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
 			Classes: []balancer.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second}}},
@@ -24,7 +24,7 @@
 	return s
 }
 
-func play(t testing.TB, seed uint64, s Site, more func(*Fleet)) *Tally {
+func play(t testing.TB, seed uint64, s Settings, more func(*Fleet)) *Stats {
 	t.Helper()
 	f, err := NewFleet(seed, s)
 	if err != nil {
@@ -68,7 +68,7 @@
 
 // The checks see what breaks a rule: gateways that know of no drain, and cold nodes that bear less than the rules are told.
 func TestChecksSeeBrokenRules(t *testing.T) {
-	broken := func(change func(*Site), more func(*Fleet)) int {
+	broken := func(change func(*Settings), more func(*Fleet)) int {
 		s := site(12, 3)
 		change(&s)
 		f, err := NewFleet(1, s)
@@ -80,7 +80,7 @@
 		return len(f.Run(time.Minute).Broken)
 	}
 	deploy := func(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
-	if broken(func(s *Site) {
+	if broken(func(s *Settings) {
 		s.Rules.WarmupDuration = 0
 		for i := range s.Nodes {
 			s.Nodes[i].TipMultiple = 1
@@ -88,7 +88,7 @@
 	}, deploy) == 0 {
 		t.Error("rules that know of no cold nodes tip none")
 	}
-	if broken(func(*Site) {}, func(f *Fleet) {
+	if broken(func(*Settings) {}, func(f *Fleet) {
 		for _, g := range f.gateways {
 			g.told[1] = f.scheduler.Now() // the gateways were told, their rules were not
 		}
