--- a/internal/simulation/change.go
+++ b/internal/simulation/change.go
@@ -24,7 +24,7 @@
 // list tells every gateway of a node, each after the lag.
 func (f *Fleet) list(m *machine) {
 	entry := m.entry()
-	f.scheduler.After(f.site.Lag, func() {
+	f.scheduler.After(f.site.DiscoveryDelay, func() {
 		for _, g := range f.gateways {
 			if entry.State != balancer.Draining {
 				delete(g.told, entry.ID)
@@ -46,7 +46,7 @@
 		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.client.key, b.client.key))
 	})
 	for _, r := range held {
-		f.Cut++
+		f.Disconnected++
 		c := r.client
 		r.over(balancer.Reset)
 		f.again(c, 0)
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -61,9 +61,9 @@
 
 func describeTally(r *simulation.Stats) string {
 	var b strings.Builder
-	fmt.Fprint(&b, r.Asked, " ", r.Up, " ", r.Refused, " ", r.Failed, " ", r.Attempts, " ", r.Cut, " ", r.Moved, " ",
-		r.Wanted, " ", r.Served, " ", r.Service())
-	for _, violation := range r.Broken {
+	fmt.Fprint(&b, r.Requests, " ", r.Established, " ", r.Rejected, " ", r.Failed, " ", r.Attempts, " ", r.Disconnected, " ", r.Migrated, " ",
+		r.WantedSeconds, " ", r.ServedSeconds, " ", r.ServedRatio())
+	for _, violation := range r.Violations {
 		b.WriteString("; " + numbers(violation))
 	}
 	return b.String()
@@ -71,20 +71,20 @@
 
 func digestSite() simulation.Settings {
 	s := simulation.Settings{
-		Rules: balancer.Settings{
+		Balancer: balancer.Settings{
 			Gateways: 3, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
 			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
 			Classes: []balancer.Class{{
 				Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second,
 			}},
 		},
-		Delay: time.Millisecond, Lag: time.Second, Arrivals: 8, Life: 30 * time.Second, Load: 0.03,
-		Rejoin: 200 * time.Millisecond, Slack: 50 * time.Millisecond,
+		NetworkDelay: time.Millisecond, DiscoveryDelay: time.Second, ArrivalRate: 8, MeanLifetime: 30 * time.Second, MeanLoad: 0.03,
+		ReconnectDelay: 200 * time.Millisecond, AnswerSlack: 50 * time.Millisecond,
 	}
 	for range 8 {
 		s.Nodes = append(s.Nodes, simulation.NodeSettings{
-			Cores: 2, Speed: 1.5, ColdShare: 0.2, ColdFor: 20 * time.Second,
-			Cap: 200, FullTax: 0.1, TipMultiple: 4, TipTime: time.Second, TipSlack: 0.1,
+			Cores: 2, Speed: 1.5, ColdCapacityRatio: 0.2, WarmupDuration: 20 * time.Second,
+			MaxConnections: 200, FullOverheadRatio: 0.1, ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, ColdOverloadAllowance: 0.1,
 		})
 	}
 	return s
@@ -109,19 +109,19 @@
 	{"drain", func(*simulation.Settings) {}, func(f *simulation.Fleet) { f.Drain(2, 10*time.Second) }},
 	{"full nodes", func(s *simulation.Settings) {
 		for i := range s.Nodes {
-			s.Nodes[i].Cap = 20 + i
+			s.Nodes[i].MaxConnections = 20 + i
 		}
 	}, deploy},
-	{"slow network", func(s *simulation.Settings) { s.Delay, s.Slack = 300*time.Millisecond, time.Second }, deploy},
-	{"timeouts", func(s *simulation.Settings) { s.Delay, s.Slack = 1600*time.Millisecond, 0 }, deploy},
-	{"no drain grace", func(s *simulation.Settings) { s.Rules.DrainGrace, s.Lag = time.Nanosecond, 4*time.Second }, deploy},
+	{"slow network", func(s *simulation.Settings) { s.NetworkDelay, s.AnswerSlack = 300*time.Millisecond, time.Second }, deploy},
+	{"timeouts", func(s *simulation.Settings) { s.NetworkDelay, s.AnswerSlack = 1600*time.Millisecond, 0 }, deploy},
+	{"no drain grace", func(s *simulation.Settings) { s.Balancer.DrainGrace, s.DiscoveryDelay = time.Nanosecond, 4*time.Second }, deploy},
 	{"cold nodes overloaded", func(s *simulation.Settings) {
-		s.Rules.WarmupDuration = 0
+		s.Balancer.WarmupDuration = 0
 		for i := range s.Nodes {
-			s.Nodes[i].TipMultiple = 1
+			s.Nodes[i].ColdOverloadFactor = 1
 		}
 	}, deploy},
-	{"one gateway", func(s *simulation.Settings) { s.Rules.Gateways, s.Rules.MaxAttempts = 0, 0 }, deploy},
+	{"one gateway", func(s *simulation.Settings) { s.Balancer.Gateways, s.Balancer.MaxAttempts = 0, 0 }, deploy},
 }
 
 // Whole runs: the final figures, and a digest of those after every second.
@@ -151,10 +151,10 @@
 // drawKind draws a node's kind with values at and near the bounds.
 func drawKind(r *rand.Rand) simulation.NodeSettings {
 	return simulation.NodeSettings{
-		Cores: float64(1 + r.IntN(4)), Speed: 0.5 + float64(r.IntN(4))/4, ColdShare: float64(r.IntN(5)) / 4,
-		ColdFor: time.Duration(r.IntN(5)) * time.Second, Cap: r.IntN(6), FullTax: float64(r.IntN(4)) / 4,
-		TipMultiple: float64(r.IntN(4)), TipTime: time.Duration(1+r.IntN(3)) * 500 * time.Millisecond,
-		TipSlack: float64(r.IntN(3)) / 2,
+		Cores: float64(1 + r.IntN(4)), Speed: 0.5 + float64(r.IntN(4))/4, ColdCapacityRatio: float64(r.IntN(5)) / 4,
+		WarmupDuration: time.Duration(r.IntN(5)) * time.Second, MaxConnections: r.IntN(6), FullOverheadRatio: float64(r.IntN(4)) / 4,
+		ColdOverloadFactor: float64(r.IntN(4)), ColdOverloadDuration: time.Duration(1+r.IntN(3)) * 500 * time.Millisecond,
+		ColdOverloadAllowance: float64(r.IntN(3)) / 2,
 	}
 }
 
@@ -203,7 +203,7 @@
 		add = func(depth int) {
 			name := r.IntN(1000)
 			pending = append(pending, w.At(time.Duration(r.IntN(20)-2), func() {
-				fmt.Fprintln(&b, name, depth, w.Now(), w.Waiting())
+				fmt.Fprintln(&b, name, depth, w.Now(), w.Pending())
 				if depth < 4 {
 					add(depth + 1)
 					w.After(time.Duration(r.IntN(5)-2), func() { fmt.Fprintln(&b, "after", name, w.Now()) })
@@ -218,7 +218,7 @@
 		}
 		w.Cancel(nil)
 		for range 10 {
-			fmt.Fprintln(&b, w.Run(w.Now()+2), w.Now(), w.Waiting())
+			fmt.Fprintln(&b, w.Run(w.Now()+2), w.Now(), w.Pending())
 		}
 		lines = append(lines, fmt.Sprintf("%03d %d: %s", seed, w.Stream("node 1").Uint64(), digest(b.String())))
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -13,27 +13,27 @@
 
 // Settings is what a run plays.
 type Settings struct {
-	Rules    balancer.Settings // Gateways of these; Seed is each one's own
-	Nodes    []NodeSettings    // one each; ids count from 1
-	Delay    time.Duration     // one way between gateways and nodes
-	Lag      time.Duration     // until a gateway is told of a change of a node
-	Arrivals float64           // clients a second
-	Life     time.Duration     // that a client wants its connection, in the mean
-	Load     float64           // of a connection in cores of reference, in the mean
-	Rejoin   time.Duration     // until a client that was cut off comes again
-	Slack    time.Duration     // after a request's deadline an answer still counts this long
+	Balancer       balancer.Settings // Gateways of these; Seed is each one's own
+	Nodes          []NodeSettings    // one each; ids count from 1
+	NetworkDelay   time.Duration     // one way between gateways and nodes
+	DiscoveryDelay time.Duration     // until a gateway is told of a change of a node
+	ArrivalRate    float64           // clients a second
+	MeanLifetime   time.Duration     // that a client wants its connection, in the mean
+	MeanLoad       float64           // of a connection in cores of reference, in the mean
+	ReconnectDelay time.Duration     // until a client that was cut off comes again
+	AnswerSlack    time.Duration     // after a request's deadline an answer still counts this long
 }
 
 // Stats is what came of a run.
 type Stats struct {
-	Asked, Up, Refused, Failed int // requests and their answers
-	Attempts, Cut, Moved       int
-	Wanted, Served             float64  // seconds of connections: wanted, and open at a node that does all that is asked of it
-	Broken                     []string // rules that were broken, the first few
+	Requests, Established, Rejected, Failed int // requests and their answers
+	Attempts, Disconnected, Migrated        int
+	WantedSeconds, ServedSeconds            float64  // seconds of connections: wanted, and open at a node that does all that is asked of it
+	Violations                              []string // rules that were broken, the first few
 }
 
-// Service is the part of the wanted seconds that was served.
-func (t *Stats) Service() float64 { return t.Served / max(t.Wanted, 1e-9) }
+// ServedRatio is the part of the wanted seconds that was served.
+func (t *Stats) ServedRatio() float64 { return t.ServedSeconds / max(t.WantedSeconds, 1e-9) }
 
 const brokenMost = 20
 
@@ -92,8 +92,8 @@
 	f := &Fleet{scheduler: NewScheduler(seed), site: s}
 	f.scheduler.Run(time.Hour)
 	f.random = f.scheduler.Stream("clients")
-	f.life = distuv.Exponential{Rate: 1 / s.Life.Seconds(), Src: f.scheduler.Stream("lives")}
-	f.load = distuv.Exponential{Rate: 1 / s.Load, Src: f.scheduler.Stream("loads")}
+	f.life = distuv.Exponential{Rate: 1 / s.MeanLifetime.Seconds(), Src: f.scheduler.Stream("lives")}
+	f.load = distuv.Exponential{Rate: 1 / s.MeanLoad, Src: f.scheduler.Stream("loads")}
 	for i, k := range s.Nodes {
 		n, err := NewNode(fmt.Sprint("s-", i+1), k)
 		if err != nil {
@@ -105,8 +105,8 @@
 	for _, m := range f.nodes {
 		list.Servers = append(list.Servers, m.entry())
 	}
-	for i := range max(s.Rules.Gateways, 1) {
-		set := s.Rules
+	for i := range max(s.Balancer.Gateways, 1) {
+		set := s.Balancer
 		set.Seed = uint64(i) + 1
 		b, err := balancer.New(set)
 		if err != nil {
@@ -128,8 +128,8 @@
 }
 
 func (f *Fleet) breaks(format string, args ...any) {
-	if len(f.Broken) < brokenMost {
-		f.Broken = append(f.Broken, fmt.Sprintf("%v: ", f.scheduler.Now()-time.Hour)+fmt.Sprintf(format, args...))
+	if len(f.Violations) < brokenMost {
+		f.Violations = append(f.Violations, fmt.Sprintf("%v: ", f.scheduler.Now()-time.Hour)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -137,16 +137,16 @@
 func (f *Fleet) second() {
 	f.scheduler.After(time.Second, func() {
 		now := f.scheduler.Now()
-		f.Wanted += float64(f.clients)
+		f.WantedSeconds += float64(f.clients)
 		for _, m := range f.nodes {
-			f.Served += float64(len(m.open)) / max(m.Utilization(now), 1)
+			f.ServedSeconds += float64(len(m.open)) / max(m.Utilization(now), 1)
 		}
 		f.second()
 	})
 }
 
 func (f *Fleet) arrive() {
-	gap := time.Duration(f.random.ExpFloat64() / f.site.Arrivals * float64(time.Second))
+	gap := time.Duration(f.random.ExpFloat64() / f.site.ArrivalRate * float64(time.Second))
 	f.scheduler.After(gap, func() {
 		now := f.scheduler.Now()
 		c := &client{key: fmt.Sprint(f.random.Uint64()), load: f.load.Rand(), end: now + time.Duration(f.life.Rand()*float64(time.Second))}
@@ -165,13 +165,13 @@
 	}
 	g := f.gateways[f.random.IntN(len(f.gateways))]
 	g.last++
-	class := f.site.Rules.Classes[0]
+	class := f.site.Balancer.Classes[0]
 	r := &call{gateway: g, client: c, id: g.last, deadline: now + class.Timeout}
 	g.calls[r.id] = r
-	f.Asked++
-	f.scheduler.At(r.deadline+f.site.Slack, func() {
+	f.Requests++
+	f.scheduler.At(r.deadline+f.site.AnswerSlack, func() {
 		if !r.answered {
-			f.breaks("request %d has no answer %v after its deadline", r.id, f.site.Slack)
+			f.breaks("request %d has no answer %v after its deadline", r.id, f.site.AnswerSlack)
 		}
 	})
 	g.tell(balancer.Request{ID: r.id, Class: class.Name, Key: c.key, Timeout: class.Timeout, Load: c.load * 1e6, Reconnecting: c.back})
@@ -180,7 +180,7 @@
 // again has a client come back.
 func (f *Fleet) again(c *client, after time.Duration) {
 	c.back = true
-	f.scheduler.After(max(after, f.site.Rejoin), func() { f.ask(c) })
+	f.scheduler.After(max(after, f.site.ReconnectDelay), func() { f.ask(c) })
 }
 
 func (g *gateway) tell(ev balancer.Event) {
@@ -197,7 +197,7 @@
 		g.send(a)
 	case balancer.Reject:
 		if r := g.answer(a.ID); r != nil {
-			f.Refused++
+			f.Rejected++
 			f.again(r.client, a.RetryAfter)
 		}
 	case balancer.Fail:
@@ -207,7 +207,7 @@
 		}
 	case balancer.Migrate:
 		if r := g.calls[a.ID]; r != nil && r.open {
-			f.Moved++
+			f.Migrated++
 			r.over(balancer.Cancelled)
 			f.again(r.client, 0)
 		}
@@ -235,10 +235,10 @@
 		f.breaks("request %d is sent while an attempt is out, or after its answer", a.ID)
 		return
 	}
-	if r.attempts++; r.attempts > max(f.site.Rules.MaxAttempts, 1) {
+	if r.attempts++; r.attempts > max(f.site.Balancer.MaxAttempts, 1) {
 		f.breaks("request %d is sent %d times", a.ID, r.attempts)
 	}
-	if at, drains := g.told[a.Server]; drains && now-at > f.site.Rules.DrainGrace {
+	if at, drains := g.told[a.Server]; drains && now-at > f.site.Balancer.DrainGrace {
 		f.breaks("request %d is sent to node %d, told to drain %v ago", a.ID, a.Server, now-at)
 	}
 	f.Attempts++
@@ -249,7 +249,7 @@
 	}
 	n := r.attempts
 	r.timeout = f.scheduler.After(wait, func() { r.over(balancer.TimedOut) })
-	f.scheduler.After(f.site.Delay, func() { r.reach(n) })
+	f.scheduler.After(f.site.NetworkDelay, func() { r.reach(n) })
 }
 
 // reach brings an attempt to its node, and the node's word back.
@@ -267,7 +267,7 @@
 		f.cut(m)
 	}
 	begun := m.since
-	f.scheduler.After(f.site.Delay, func() {
+	f.scheduler.After(f.site.NetworkDelay, func() {
 		switch {
 		case r.at != m || r.attempts != n || r.open: // given up meanwhile
 			if verdict == Accepted && m.since == begun && m.Up() {
@@ -288,7 +288,7 @@
 	f.scheduler.Cancel(r.timeout)
 	r.open, r.answered = true, true
 	r.at.open[r] = true
-	f.Up++
+	f.Established++
 	r.leave = f.scheduler.At(r.client.end, func() { r.over(balancer.OK) })
 	r.gateway.tell(balancer.AttemptEstablished{ID: r.id, Attempt: r.attempts - 1, Server: r.at.id, Elapsed: f.scheduler.Now() - r.sent})
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -10,15 +10,15 @@
 
 func site(nodes, gateways int) Settings {
 	s := Settings{
-		Rules: balancer.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
+		Balancer: balancer.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
 			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
 			Classes: []balancer.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second}}},
-		Delay: time.Millisecond, Lag: time.Second, Arrivals: float64(nodes), Life: 30 * time.Second, Load: 0.03,
-		Rejoin: 200 * time.Millisecond, Slack: 50 * time.Millisecond,
+		NetworkDelay: time.Millisecond, DiscoveryDelay: time.Second, ArrivalRate: float64(nodes), MeanLifetime: 30 * time.Second, MeanLoad: 0.03,
+		ReconnectDelay: 200 * time.Millisecond, AnswerSlack: 50 * time.Millisecond,
 	}
 	for range nodes {
 		k := sample
-		k.Cap = 200
+		k.MaxConnections = 200
 		s.Nodes = append(s.Nodes, k)
 	}
 	return s
@@ -35,7 +35,7 @@
 		more(f)
 	}
 	tally := f.Run(2 * time.Minute)
-	for _, b := range tally.Broken {
+	for _, b := range tally.Violations {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	return tally
@@ -44,13 +44,13 @@
 // On a quiet day nearly all that is wanted is served, and a run played again is the same to the last figure.
 func TestQuietDay(t *testing.T) {
 	a := play(t, 1, site(12, 3), nil)
-	if a.Service() < 0.97 || a.Up < 2500 || a.Cut > 0 {
-		t.Errorf("served %.3f: %+v", a.Service(), *a)
+	if a.ServedRatio() < 0.97 || a.Established < 2500 || a.Disconnected > 0 {
+		t.Errorf("served %.3f: %+v", a.ServedRatio(), *a)
 	}
 	if b := play(t, 1, site(12, 3), nil); !reflect.DeepEqual(a, b) {
 		t.Errorf("played again: %+v, not %+v", *b, *a)
 	}
-	if c := play(t, 2, site(12, 3), nil); c.Asked == a.Asked && c.Served == a.Served {
+	if c := play(t, 2, site(12, 3), nil); c.Requests == a.Requests && c.ServedSeconds == a.ServedSeconds {
 		t.Error("another seed plays alike")
 	}
 }
@@ -60,8 +60,8 @@
 	for seed := uint64(1); seed <= 4; seed++ {
 		quiet := play(t, seed, site(12, 3), nil)
 		deploy := play(t, seed, site(12, 3), func(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) })
-		if deploy.Cut == 0 || deploy.Service() >= quiet.Service() || deploy.Service() < 0.5 {
-			t.Errorf("seed %d: served %.3f on the quiet day, %.3f in a deploy with %d cut", seed, quiet.Service(), deploy.Service(), deploy.Cut)
+		if deploy.Disconnected == 0 || deploy.ServedRatio() >= quiet.ServedRatio() || deploy.ServedRatio() < 0.5 {
+			t.Errorf("seed %d: served %.3f on the quiet day, %.3f in a deploy with %d cut", seed, quiet.ServedRatio(), deploy.ServedRatio(), deploy.Disconnected)
 		}
 	}
 }
@@ -77,13 +77,13 @@
 		}
 		f.Run(time.Minute)
 		more(f)
-		return len(f.Run(time.Minute).Broken)
+		return len(f.Run(time.Minute).Violations)
 	}
 	deploy := func(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
 	if broken(func(s *Settings) {
-		s.Rules.WarmupDuration = 0
+		s.Balancer.WarmupDuration = 0
 		for i := range s.Nodes {
-			s.Nodes[i].TipMultiple = 1
+			s.Nodes[i].ColdOverloadFactor = 1
 		}
 	}, deploy) == 0 {
 		t.Error("rules that know of no cold nodes tip none")
@@ -109,5 +109,5 @@
 	for range b.N {
 		f.Run(time.Second)
 	}
-	b.ReportMetric(float64(len(f.Broken)), "broken")
+	b.ReportMetric(float64(len(f.Violations)), "broken")
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -7,17 +7,17 @@
 
 // NodeSettings is what nodes of one sort are like.
 type NodeSettings struct {
-	Cores     float64
-	Speed     float64       // of a core, 1 is the reference
-	ColdShare float64       // of its power that a fresh node has
-	ColdFor   time.Duration // until it has all of it, evenly; 0: it starts warm
-	Cap       int           // connections that it holds at most; 0: no bound
-	FullTax   float64       // of its power that a full table of connections takes
+	Cores             float64
+	Speed             float64       // of a core, 1 is the reference
+	ColdCapacityRatio float64       // of its power that a fresh node has
+	WarmupDuration    time.Duration // until it has all of it, evenly; 0: it starts warm
+	MaxConnections    int           // connections that it holds at most; 0: no bound
+	FullOverheadRatio float64       // of its power that a full table of connections takes
 	// The rule on cold nodes: sent over TipMultiple of what it can take of new load within TipTime, it falls over and stays
 	// down. What it can take is that which fills it over ColdFor. 0: it bears anything.
-	TipMultiple float64
-	TipTime     time.Duration
-	TipSlack    float64 // load that is let pass in any case, for chance
+	ColdOverloadFactor    float64
+	ColdOverloadDuration  time.Duration
+	ColdOverloadAllowance float64 // load that is let pass in any case, for chance
 }
 
 // Node is one server of long-lived connections. Loads are in cores of reference.
@@ -42,8 +42,8 @@
 
 // NewNode returns a node that has been running since long before.
 func NewNode(name string, k NodeSettings) (*Node, error) {
-	if !(k.Cores > 0) || !(k.Speed > 0) || !(k.ColdShare >= 0 && k.ColdShare <= 1) || !(k.FullTax >= 0 && k.FullTax < 1) {
-		return nil, fmt.Errorf("model: node %s: cores %v, speed %v, cold share %v, full tax %v", name, k.Cores, k.Speed, k.ColdShare, k.FullTax)
+	if !(k.Cores > 0) || !(k.Speed > 0) || !(k.ColdCapacityRatio >= 0 && k.ColdCapacityRatio <= 1) || !(k.FullOverheadRatio >= 0 && k.FullOverheadRatio < 1) {
+		return nil, fmt.Errorf("model: node %s: cores %v, speed %v, cold share %v, full tax %v", name, k.Cores, k.Speed, k.ColdCapacityRatio, k.FullOverheadRatio)
 	}
 	return &Node{NodeSettings: k, Name: name, warm: true}, nil
 }
@@ -58,17 +58,17 @@
 
 // WarmupRatio is the part of its power that it has for being cold: 1 is warm.
 func (n *Node) WarmupRatio(now time.Duration) float64 {
-	if n.warm || n.ColdFor <= 0 || now-n.started >= n.ColdFor {
+	if n.warm || n.WarmupDuration <= 0 || now-n.started >= n.WarmupDuration {
 		return 1
 	}
-	return n.ColdShare + (1-n.ColdShare)*float64(now-n.started)/float64(n.ColdFor)
+	return n.ColdCapacityRatio + (1-n.ColdCapacityRatio)*float64(now-n.started)/float64(n.WarmupDuration)
 }
 
 // Capacity is what it can do now.
 func (n *Node) Capacity(now time.Duration) float64 {
 	p := n.Cores * n.Speed * n.WarmupRatio(now) * (1 - n.taken)
-	if n.Cap > 0 {
-		p *= 1 - n.FullTax*float64(n.held)/float64(n.Cap)
+	if n.MaxConnections > 0 {
+		p *= 1 - n.FullOverheadRatio*float64(n.held)/float64(n.MaxConnections)
 	}
 	return p
 }
@@ -92,7 +92,7 @@
 		n.down, n.held, n.asked = true, 0, 0
 		return Crashed
 	}
-	if n.Cap > 0 && n.held >= n.Cap {
+	if n.MaxConnections > 0 && n.held >= n.MaxConnections {
 		return Rejected
 	}
 	n.held++
@@ -102,19 +102,19 @@
 
 // tips counts what is sent to a cold node within any TipTime.
 func (n *Node) tips(now time.Duration, load float64) bool {
-	if n.WarmupRatio(now) == 1 || n.TipMultiple <= 0 {
+	if n.WarmupRatio(now) == 1 || n.ColdOverloadFactor <= 0 {
 		n.sent, n.window = nil, 0
 		return false
 	}
 	old := 0
-	for old < len(n.sent) && n.sent[old].at <= now-n.TipTime {
+	for old < len(n.sent) && n.sent[old].at <= now-n.ColdOverloadDuration {
 		n.window -= n.sent[old].load
 		old++
 	}
 	n.sent = append(n.sent[old:], sending{now, load})
 	n.window += load
-	rate := n.Cores * n.Speed / n.ColdFor.Seconds()
-	return n.window > n.TipMultiple*rate*n.TipTime.Seconds()+n.TipSlack
+	rate := n.Cores * n.Speed / n.WarmupDuration.Seconds()
+	return n.window > n.ColdOverloadFactor*rate*n.ColdOverloadDuration.Seconds()+n.ColdOverloadAllowance
 }
 
 // ChangeLoad alters the load of a connection that it holds.
--- a/internal/simulation/node_test.go
+++ b/internal/simulation/node_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-var sample = NodeSettings{Cores: 2, Speed: 1.5, ColdShare: 0.2, ColdFor: 20 * time.Second, Cap: 40, FullTax: 0.1,
-	TipMultiple: 4, TipTime: time.Second, TipSlack: 0.1}
+var sample = NodeSettings{Cores: 2, Speed: 1.5, ColdCapacityRatio: 0.2, WarmupDuration: 20 * time.Second, MaxConnections: 40, FullOverheadRatio: 0.1,
+	ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, ColdOverloadAllowance: 0.1}
 
 func mustNode(t testing.TB, k NodeSettings) *Node {
 	n, err := NewNode("s-1", k)
@@ -79,7 +79,7 @@
 func TestTipWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		k := sample
-		k.TipSlack = 1e9 // count, but bear all
+		k.ColdOverloadAllowance = 1e9 // count, but bear all
 		n := mustNode(t, k)
 		n.Restart(0)
 		var all []sending
@@ -91,11 +91,11 @@
 			all = append(all, sending{now, load})
 			want := 0.0
 			for _, s := range all {
-				if s.at > now-k.TipTime {
+				if s.at > now-k.ColdOverloadDuration {
 					want += s.load
 				}
 			}
-			if now < k.ColdFor && n.window != want {
+			if now < k.WarmupDuration && n.window != want {
 				rt.Fatalf("at %v the window holds %v, not %v", now, n.window, want)
 			}
 		}
@@ -103,7 +103,7 @@
 }
 
 func TestKindsThatAreNone(t *testing.T) {
-	for _, k := range []NodeSettings{{}, {Cores: 1}, {Cores: 1, Speed: 1, ColdShare: 2}, {Cores: math.NaN(), Speed: 1}, {Cores: 1, Speed: 1, FullTax: 1}} {
+	for _, k := range []NodeSettings{{}, {Cores: 1}, {Cores: 1, Speed: 1, ColdCapacityRatio: 2}, {Cores: math.NaN(), Speed: 1}, {Cores: 1, Speed: 1, FullOverheadRatio: 1}} {
 		if _, err := NewNode("x", k); err == nil {
 			t.Errorf("%+v makes a node", k)
 		}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -24,8 +24,8 @@
 // Now is the time: never less than it was.
 func (w *Scheduler) Now() time.Duration { return w.now }
 
-// Waiting is how many events are to come.
-func (w *Scheduler) Waiting() int { return w.tasks.Len() }
+// Pending is how many events are to come.
+func (w *Scheduler) Pending() int { return w.tasks.Len() }
 
 // Event is one that is to come.
 type Event = timerqueue.Timer[func()]
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -35,7 +35,7 @@
 			want = append(want, p)
 		}
 		slices.SortStableFunc(want, func(a, b planned) int { return int(a.at - b.at) })
-		if n := w.Run(4) + w.Run(9); n != len(want) || !slices.Equal(got, want) || w.Waiting() > 0 {
+		if n := w.Run(4) + w.Run(9); n != len(want) || !slices.Equal(got, want) || w.Pending() > 0 {
 			rt.Fatalf("%d happened: %v, want %v", n, got, want)
 		}
 	})
