--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -192,35 +192,35 @@
 }
 
 // Drawn events in simulated time, some cancelled, some that add others: their order, and the first of each stream.
-func TestWorldDigests(t *testing.T) {
+func TestSchedulerDigests(t *testing.T) {
 	var lines []string
 	for seed := range uint64(100) {
-		w := simulation.NewScheduler(seed)
-		r := w.Stream("times")
+		s := simulation.NewScheduler(seed)
+		r := s.Stream("times")
 		var b strings.Builder
 		var pending []*simulation.Event
 		var add func(depth int)
 		add = func(depth int) {
 			name := r.IntN(1000)
-			pending = append(pending, w.At(time.Duration(r.IntN(20)-2), func() {
-				fmt.Fprintln(&b, name, depth, w.Now(), w.Pending())
+			pending = append(pending, s.At(time.Duration(r.IntN(20)-2), func() {
+				fmt.Fprintln(&b, name, depth, s.Now(), s.Pending())
 				if depth < 4 {
 					add(depth + 1)
-					w.After(time.Duration(r.IntN(5)-2), func() { fmt.Fprintln(&b, "after", name, w.Now()) })
+					s.After(time.Duration(r.IntN(5)-2), func() { fmt.Fprintln(&b, "after", name, s.Now()) })
 				}
 				if r.IntN(3) == 0 {
-					w.Cancel(pending[r.IntN(len(pending))])
+					s.Cancel(pending[r.IntN(len(pending))])
 				}
 			}))
 		}
 		for range 30 {
 			add(0)
 		}
-		w.Cancel(nil)
+		s.Cancel(nil)
 		for range 10 {
-			fmt.Fprintln(&b, w.Run(w.Now()+2), w.Now(), w.Pending())
+			fmt.Fprintln(&b, s.Run(s.Now()+2), s.Now(), s.Pending())
 		}
-		lines = append(lines, fmt.Sprintf("%03d %d: %s", seed, w.Stream("node 1").Uint64(), digest(b.String())))
+		lines = append(lines, fmt.Sprintf("%03d %d: %s", seed, s.Stream("node 1").Uint64(), digest(b.String())))
 	}
 	compareLines(t, "worlds.txt", lines)
 }
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -1,105 +1,133 @@
 package simulation
 
 import (
-	"reflect"
+	"fmt"
 	"testing"
 	"time"
 
+	"github.com/google/go-cmp/cmp"
+
 	"example.org/milletvane/balancer"
 )
 
-func site(nodes, gateways int) Settings {
+func sampleSettings(nodes, gateways int) Settings {
 	s := Settings{
-		Balancer: balancer.Settings{Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
+		Balancer: balancer.Settings{
+			Gateways: gateways, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
 			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
-			Classes: []balancer.Class{{Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second}}},
-		NetworkDelay: time.Millisecond, DiscoveryDelay: time.Second, ArrivalRate: float64(nodes), MeanLifetime: 30 * time.Second, MeanLoad: 0.03,
+			Classes: []balancer.Class{{
+				Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second,
+			}},
+		},
+		NetworkDelay: time.Millisecond, DiscoveryDelay: time.Second, ArrivalRate: float64(nodes),
+		MeanLifetime: 30 * time.Second, MeanLoad: 0.03,
 		ReconnectDelay: 200 * time.Millisecond, AnswerSlack: 50 * time.Millisecond,
 	}
 	for range nodes {
-		k := sample
-		k.MaxConnections = 200
-		s.Nodes = append(s.Nodes, k)
+		n := sampleNode
+		n.MaxConnections = 200
+		s.Nodes = append(s.Nodes, n)
 	}
 	return s
 }
 
-func play(t testing.TB, seed uint64, s Settings, more func(*Fleet)) *Stats {
+// runFleet runs a fleet for two minutes, applies faults if there are any, and runs it for two more. It fails the test if
+// rules are broken.
+func runFleet(t *testing.T, seed uint64, s Settings, faults func(*Fleet)) *Stats {
 	t.Helper()
 	f, err := NewFleet(seed, s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Run(2 * time.Minute)
-	if more != nil {
-		more(f)
+	if faults != nil {
+		faults(f)
 	}
-	tally := f.Run(2 * time.Minute)
-	for _, b := range tally.Violations {
-		t.Errorf("seed %d: %s", seed, b)
+	stats := f.Run(2 * time.Minute)
+	for _, violation := range stats.Violations {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
-	return tally
+	return stats
 }
 
-// On a quiet day nearly all that is wanted is served, and a run played again is the same to the last figure.
-func TestQuietDay(t *testing.T) {
-	a := play(t, 1, site(12, 3), nil)
-	if a.ServedRatio() < 0.97 || a.Established < 2500 || a.Disconnected > 0 {
-		t.Errorf("served %.3f: %+v", a.ServedRatio(), *a)
+func deployAll(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
+
+// Without faults nearly all that is wanted is served, and a run with the same seed gives the same figures.
+func TestFleetWithoutFaults(t *testing.T) {
+	first := runFleet(t, 1, sampleSettings(12, 3), nil)
+	if first.ServedRatio() < 0.97 || first.Established < 2500 || first.Disconnected > 0 {
+		t.Errorf("served %.3f: %+v", first.ServedRatio(), *first)
 	}
-	if b := play(t, 1, site(12, 3), nil); !reflect.DeepEqual(a, b) {
-		t.Errorf("played again: %+v, not %+v", *b, *a)
+	if diff := cmp.Diff(first, runFleet(t, 1, sampleSettings(12, 3), nil)); diff != "" {
+		t.Errorf("another run with the same seed (-first +second):\n%s", diff)
 	}
-	if c := play(t, 2, site(12, 3), nil); c.Requests == a.Requests && c.ServedSeconds == a.ServedSeconds {
-		t.Error("another seed plays alike")
+	other := runFleet(t, 2, sampleSettings(12, 3), nil)
+	if other.Requests == first.Requests && other.ServedSeconds == first.ServedSeconds {
+		t.Error("another seed gives the same run")
 	}
 }
 
-// A rolling deploy breaks no rule, tips no cold node, and costs service.
-func TestDeploy(t *testing.T) {
+// A rolling deploy breaks no rule, overloads no cold node, and reduces the service.
+func TestDeployReducesService(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
-		quiet := play(t, seed, site(12, 3), nil)
-		deploy := play(t, seed, site(12, 3), func(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) })
-		if deploy.Disconnected == 0 || deploy.ServedRatio() >= quiet.ServedRatio() || deploy.ServedRatio() < 0.5 {
-			t.Errorf("seed %d: served %.3f on the quiet day, %.3f in a deploy with %d cut", seed, quiet.ServedRatio(), deploy.ServedRatio(), deploy.Disconnected)
-		}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			quiet := runFleet(t, seed, sampleSettings(12, 3), nil)
+			deploy := runFleet(t, seed, sampleSettings(12, 3), deployAll)
+			served := deploy.ServedRatio()
+			if deploy.Disconnected == 0 || served >= quiet.ServedRatio() || served < 0.5 {
+				t.Errorf("served %.3f without faults, %.3f in a deploy with %d disconnected",
+					quiet.ServedRatio(), served, deploy.Disconnected)
+			}
+		})
 	}
 }
 
-// The checks see what breaks a rule: gateways that know of no drain, and cold nodes that bear less than the rules are told.
-func TestChecksSeeBrokenRules(t *testing.T) {
-	broken := func(change func(*Settings), more func(*Fleet)) int {
-		s := site(12, 3)
-		change(&s)
-		f, err := NewFleet(1, s)
-		if err != nil {
-			t.Fatal(err)
-		}
-		f.Run(time.Minute)
-		more(f)
-		return len(f.Run(time.Minute).Violations)
-	}
-	deploy := func(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
-	if broken(func(s *Settings) {
-		s.Balancer.WarmupDuration = 0
-		for i := range s.Nodes {
-			s.Nodes[i].ColdOverloadFactor = 1
-		}
-	}, deploy) == 0 {
-		t.Error("rules that know of no cold nodes tip none")
-	}
-	if broken(func(*Settings) {}, func(f *Fleet) {
-		for _, g := range f.gateways {
-			g.told[1] = f.scheduler.Now() // the gateways were told, their rules were not
-		}
-	}) == 0 {
-		t.Error("sends to a node that drains were not seen")
+// The checks find what breaks a rule.
+func TestViolationsAreFound(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(*Settings)
+		faults func(*Fleet)
+	}{
+		{
+			"balancers that do not know of warm-up crash cold nodes",
+			func(s *Settings) {
+				s.Balancer.WarmupDuration = 0
+				for i := range s.Nodes {
+					s.Nodes[i].ColdOverloadFactor = 1
+				}
+			},
+			deployAll,
+		},
+		{
+			"balancers that do not know of a drain send to the node",
+			func(*Settings) {},
+			func(f *Fleet) {
+				for _, g := range f.gateways {
+					g.drainingSince[1] = f.scheduler.Now()
+				}
+			},
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := sampleSettings(12, 3)
+			test.change(&s)
+			f, err := NewFleet(1, s)
+			if err != nil {
+				t.Fatal(err)
+			}
+			f.Run(time.Minute)
+			test.faults(f)
+			if stats := f.Run(time.Minute); len(stats.Violations) == 0 {
+				t.Error("no violation found")
+			}
+		})
 	}
 }
 
-// BenchmarkFleet is a second of a fleet's day, at 10 connections a node.
+// BenchmarkFleet is one second of a fleet with 30 connections a node.
 func BenchmarkFleet(b *testing.B) {
-	f, err := NewFleet(1, site(100, 10))
+	f, err := NewFleet(1, sampleSettings(100, 10))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -1,151 +1,174 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"time"
 )
 
-// NodeSettings is what nodes of one sort are like.
+// ErrNodeSettings is wrapped by errors about settings of a node that are out of range.
+var ErrNodeSettings = errors.New("settings out of range")
+
+// minCapacity keeps the utilization of a node without capacity finite, in cores of reference.
+const minCapacity = 1e-9
+
+// NodeSettings describes a node. Its cold overload limit models servers that crash when they get too many connections
+// while they warm up: more than ColdOverloadFactor times the load that would fill the node evenly over WarmupDuration,
+// within any ColdOverloadDuration.
 type NodeSettings struct {
-	Cores             float64
-	Speed             float64       // of a core, 1 is the reference
-	ColdCapacityRatio float64       // of its power that a fresh node has
-	WarmupDuration    time.Duration // until it has all of it, evenly; 0: it starts warm
-	MaxConnections    int           // connections that it holds at most; 0: no bound
-	FullOverheadRatio float64       // of its power that a full table of connections takes
-	// The rule on cold nodes: sent over TipMultiple of what it can take of new load within TipTime, it falls over and stays
-	// down. What it can take is that which fills it over ColdFor. 0: it bears anything.
-	ColdOverloadFactor    float64
-	ColdOverloadDuration  time.Duration
-	ColdOverloadAllowance float64 // load that is let pass in any case, for chance
+	Cores             float64       // above 0
+	Speed             float64       // of a core, above 0; 1 is the reference
+	ColdCapacityRatio float64       // of its capacity that a node has at its start, from 0 to 1
+	WarmupDuration    time.Duration // until it has all of it, rising evenly; 0: it starts warm
+	MaxConnections    int           // 0: no limit
+	FullOverheadRatio float64       // of its capacity that MaxConnections connections take, from 0 and below 1
+
+	ColdOverloadFactor    float64       // 0: no limit
+	ColdOverloadDuration  time.Duration // over which load is summed up
+	ColdOverloadAllowance float64       // added to the limit, in cores of reference
+}
+
+func (s NodeSettings) validate() error {
+	if !(s.Cores > 0) || !(s.Speed > 0) || !inUnitRange(s.ColdCapacityRatio) ||
+		!(s.FullOverheadRatio >= 0 && s.FullOverheadRatio < 1) {
+		return fmt.Errorf("%w: cores %v, speed %v, cold capacity ratio %v, full overhead ratio %v",
+			ErrNodeSettings, s.Cores, s.Speed, s.ColdCapacityRatio, s.FullOverheadRatio)
+	}
+	return nil
 }
 
-// Node is one server of long-lived connections. Loads are in cores of reference.
+func inUnitRange(v float64) bool { return v >= 0 && v <= 1 }
+
+// Node is one server of long-lived connections. Loads and capacities are in cores of reference.
 type Node struct {
-	NodeSettings
-	Name string
-
-	started time.Duration // its latest start
-	warm    bool          // since before the run
-	down    bool          // fell over
-	held    int
-	asked   float64 // load of what it holds
-	taken   float64 // by others, as a neighbour on the machine: a part of its power
-	sent    []sending
-	window  float64 // the sum of sent
+	settings NodeSettings
+
+	startedAt      time.Duration // its latest start
+	startedWarm    bool          // before the simulation began
+	crashed        bool
+	connections    int
+	load           float64 // of all connections
+	neighbourRatio float64 // of its capacity that others on the machine take
+	recent         []offeredLoad
+	recentLoad     float64 // the sum of recent
 }
 
-type sending struct {
+// offeredLoad is a connection that was sent to a cold node, whether or not it was accepted.
+type offeredLoad struct {
 	at   time.Duration
 	load float64
 }
 
-// NewNode returns a node that has been running since long before.
-func NewNode(name string, k NodeSettings) (*Node, error) {
-	if !(k.Cores > 0) || !(k.Speed > 0) || !(k.ColdCapacityRatio >= 0 && k.ColdCapacityRatio <= 1) || !(k.FullOverheadRatio >= 0 && k.FullOverheadRatio < 1) {
-		return nil, fmt.Errorf("model: node %s: cores %v, speed %v, cold share %v, full tax %v", name, k.Cores, k.Speed, k.ColdCapacityRatio, k.FullOverheadRatio)
+// NewNode returns a warm node. The name is for errors, which wrap ErrNodeSettings.
+func NewNode(name string, s NodeSettings) (*Node, error) {
+	if err := s.validate(); err != nil {
+		return nil, fmt.Errorf("simulation: node %s: %w", name, err)
 	}
-	return &Node{NodeSettings: k, Name: name, warm: true}, nil
+	return &Node{settings: s, startedWarm: true}, nil
 }
 
-// Restart has it begin anew, cold and empty. What it held is cut off by the caller.
+// Restart starts the node again, cold and without connections; the caller ends those that it had.
 func (n *Node) Restart(now time.Duration) {
-	*n = Node{NodeSettings: n.NodeSettings, Name: n.Name, started: now, taken: n.taken}
+	*n = Node{settings: n.settings, startedAt: now, neighbourRatio: n.neighbourRatio}
 }
 
-// SetNeighbourRatio takes a part of its power away, from 0 to 1.
-func (n *Node) SetNeighbourRatio(part float64) { n.taken = min(max(part, 0), 1) }
+// SetNeighbourRatio sets the part of its capacity that others on the machine take, limited to 0 to 1.
+func (n *Node) SetNeighbourRatio(ratio float64) { n.neighbourRatio = min(max(ratio, 0), 1) }
 
-// WarmupRatio is the part of its power that it has for being cold: 1 is warm.
+// WarmupRatio returns the part of its capacity that the node has at this point of its warm-up; 1 is warm.
 func (n *Node) WarmupRatio(now time.Duration) float64 {
-	if n.warm || n.WarmupDuration <= 0 || now-n.started >= n.WarmupDuration {
+	s, age := &n.settings, now-n.startedAt
+	if n.startedWarm || s.WarmupDuration <= 0 || age >= s.WarmupDuration {
 		return 1
 	}
-	return n.ColdCapacityRatio + (1-n.ColdCapacityRatio)*float64(now-n.started)/float64(n.WarmupDuration)
+	return s.ColdCapacityRatio + (1-s.ColdCapacityRatio)*float64(age)/float64(s.WarmupDuration)
 }
 
-// Capacity is what it can do now.
+// Capacity returns the load that the node can serve now.
 func (n *Node) Capacity(now time.Duration) float64 {
-	p := n.Cores * n.Speed * n.WarmupRatio(now) * (1 - n.taken)
-	if n.MaxConnections > 0 {
-		p *= 1 - n.FullOverheadRatio*float64(n.held)/float64(n.MaxConnections)
+	s := &n.settings
+	capacity := s.Cores * s.Speed * n.WarmupRatio(now) * (1 - n.neighbourRatio)
+	if s.MaxConnections > 0 {
+		capacity *= 1 - s.FullOverheadRatio*float64(n.connections)/float64(s.MaxConnections)
 	}
-	return p
+	return capacity
 }
 
 // ConnectResult is what becomes of a connection that is sent to a node.
 type ConnectResult int
 
+// The results of Connect.
 const (
 	Accepted    ConnectResult = iota
-	Rejected                  // turned away unseen
-	Unreachable               // nobody answers
-	Crashed                   // this one was too much: the node falls over with all that it holds
+	Rejected                  // the node has MaxConnections connections
+	Unreachable               // the node has crashed before
+	Crashed                   // this connection exceeds the cold overload limit: the node and all its connections are lost
 )
 
-// Connect brings a connection of some load. What is turned away counts against a cold node too.
+// Connect sends a connection of some load to the node. Rejected ones count for the cold overload limit too.
 func (n *Node) Connect(now time.Duration, load float64) ConnectResult {
-	if n.down {
+	if n.crashed {
 		return Unreachable
 	}
-	if n.tips(now, load) {
-		n.down, n.held, n.asked = true, 0, 0
+	if n.exceedsColdLimit(now, load) {
+		n.crashed, n.connections, n.load = true, 0, 0
 		return Crashed
 	}
-	if n.MaxConnections > 0 && n.held >= n.MaxConnections {
+	if limit := n.settings.MaxConnections; limit > 0 && n.connections >= limit {
 		return Rejected
 	}
-	n.held++
-	n.asked += load
+	n.connections++
+	n.load += load
 	return Accepted
 }
 
-// tips counts what is sent to a cold node within any TipTime.
-func (n *Node) tips(now time.Duration, load float64) bool {
-	if n.WarmupRatio(now) == 1 || n.ColdOverloadFactor <= 0 {
-		n.sent, n.window = nil, 0
+// exceedsColdLimit adds a load to those of the last ColdOverloadDuration and compares their sum with the limit.
+func (n *Node) exceedsColdLimit(now time.Duration, load float64) bool {
+	s := &n.settings
+	if n.WarmupRatio(now) == 1 || s.ColdOverloadFactor <= 0 {
+		n.recent, n.recentLoad = nil, 0
 		return false
 	}
-	old := 0
-	for old < len(n.sent) && n.sent[old].at <= now-n.ColdOverloadDuration {
-		n.window -= n.sent[old].load
-		old++
+	expired := 0
+	for expired < len(n.recent) && n.recent[expired].at <= now-s.ColdOverloadDuration {
+		n.recentLoad -= n.recent[expired].load
+		expired++
 	}
-	n.sent = append(n.sent[old:], sending{now, load})
-	n.window += load
-	rate := n.Cores * n.Speed / n.WarmupDuration.Seconds()
-	return n.window > n.ColdOverloadFactor*rate*n.ColdOverloadDuration.Seconds()+n.ColdOverloadAllowance
+	n.recent = append(n.recent[expired:], offeredLoad{at: now, load: load})
+	n.recentLoad += load
+	evenRate := s.Cores * s.Speed / s.WarmupDuration.Seconds()
+	return n.recentLoad > s.ColdOverloadFactor*evenRate*s.ColdOverloadDuration.Seconds()+s.ColdOverloadAllowance
 }
 
-// ChangeLoad alters the load of a connection that it holds.
-func (n *Node) ChangeLoad(by float64) {
-	if n.held > 0 {
-		n.asked = max(n.asked+by, 0)
+// ChangeLoad adds to the load of a connection of the node; a negative change reduces it.
+func (n *Node) ChangeLoad(change float64) {
+	if n.connections > 0 {
+		n.load = max(n.load+change, 0)
 	}
 }
 
 // Disconnect ends a connection of some load.
 func (n *Node) Disconnect(load float64) {
-	if n.held == 0 {
+	if n.connections == 0 {
 		return
 	}
-	if n.held--; n.held == 0 {
-		n.asked = 0 // sums of fractions drift
+	if n.connections--; n.connections == 0 {
+		n.load = 0 // rounding errors of sums must not remain
 		return
 	}
-	n.asked = max(n.asked-load, 0)
+	n.load = max(n.load-load, 0)
 }
 
-// Connections is how many connections it holds.
-func (n *Node) Connections() int { return n.held }
+// Connections returns the number of open connections.
+func (n *Node) Connections() int { return n.connections }
 
-// Utilization is what is asked of it over what it can do; 0 where nothing is.
+// Utilization returns the load over the capacity; 0 without load.
 func (n *Node) Utilization(now time.Duration) float64 {
-	if n.asked == 0 {
+	if n.load == 0 {
 		return 0
 	}
-	return n.asked / max(n.Capacity(now), 1e-9)
+	return n.load / max(n.Capacity(now), minCapacity)
 }
 
-// Up reports whether it answers.
-func (n *Node) Up() bool { return !n.down }
+// Up reports whether the node has not crashed.
+func (n *Node) Up() bool { return !n.crashed }
--- a/internal/simulation/node_test.go
+++ b/internal/simulation/node_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"math"
 	"testing"
 	"time"
@@ -8,104 +9,123 @@
 	"pgregory.net/rapid"
 )
 
-var sample = NodeSettings{Cores: 2, Speed: 1.5, ColdCapacityRatio: 0.2, WarmupDuration: 20 * time.Second, MaxConnections: 40, FullOverheadRatio: 0.1,
-	ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, ColdOverloadAllowance: 0.1}
+var sampleNode = NodeSettings{
+	Cores: 2, Speed: 1.5, ColdCapacityRatio: 0.2, WarmupDuration: 20 * time.Second, MaxConnections: 40,
+	FullOverheadRatio: 0.1, ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, ColdOverloadAllowance: 0.1,
+}
 
-func mustNode(t testing.TB, k NodeSettings) *Node {
-	n, err := NewNode("s-1", k)
+func newNode(t *testing.T, s NodeSettings) *Node {
+	t.Helper()
+	n, err := NewNode("s-1", s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-func TestPowerFollowsWarmthNeighboursAndCrowding(t *testing.T) {
-	n := mustNode(t, sample)
-	near := func(what string, got, want float64) {
+func TestCapacityDependsOnWarmupNeighboursAndConnections(t *testing.T) {
+	n := newNode(t, sampleNode)
+	checkNear := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("%s: %v, want %v", what, got, want)
+			t.Errorf("%s: %v, want %v", name, got, want)
 		}
 	}
-	near("warm", n.Capacity(0), 3)
+	checkNear("warm", n.Capacity(0), 3)
 	n.SetNeighbourRatio(0.5)
-	near("with a neighbour", n.Capacity(0), 1.5)
+	checkNear("with a neighbour", n.Capacity(0), 1.5)
 	n.Restart(time.Minute)
-	near("cold, with it", n.Capacity(time.Minute), 0.3)
+	checkNear("cold, with a neighbour", n.Capacity(time.Minute), 0.3)
 	n.SetNeighbourRatio(0)
-	near("half way", n.Capacity(time.Minute+10*time.Second), 1.8)
-	near("after it", n.Capacity(2*time.Minute), 3)
+	checkNear("half warm", n.Capacity(time.Minute+10*time.Second), 1.8)
+	checkNear("warm again", n.Capacity(2*time.Minute), 3)
 	for range 40 {
-		if v := n.Connect(2*time.Minute, 0.1); v != Accepted {
-			t.Fatalf("turned away with %v", v)
+		if result := n.Connect(2*time.Minute, 0.1); result != Accepted {
+			t.Fatalf("connect: result %v, want %v", result, Accepted)
 		}
 	}
-	near("full", n.Capacity(2*time.Minute), 2.7)
-	near("its load", n.Utilization(2*time.Minute), 4/2.7)
-	if v := n.Connect(2*time.Minute, 0.1); v != Rejected || n.Connections() != 40 {
-		t.Errorf("one over its cap: %v, it holds %d", v, n.Connections())
+	checkNear("full", n.Capacity(2*time.Minute), 2.7)
+	checkNear("utilization", n.Utilization(2*time.Minute), 4/2.7)
+	if result := n.Connect(2*time.Minute, 0.1); result != Rejected || n.Connections() != 40 {
+		t.Errorf("connect to a full node: result %v, %d connections, want %v and 40", result, n.Connections(), Rejected)
 	}
 }
 
-// A cold node bears what fills it over its warm-up, and falls over at more than a multiple of that; a warm one does not.
-func TestColdNodeTips(t *testing.T) {
-	allowed := 4*2*1.5/20 + 0.1 // a second
-	for _, c := range []struct {
-		load float64
-		up   bool
-	}{{0.9 * allowed, true}, {1.1 * allowed, false}} {
-		n := mustNode(t, sample)
-		n.Restart(0)
-		for range 10 {
-			n.Connect(100*time.Millisecond, c.load/10)
-		}
-		if n.Up() != c.up {
-			t.Errorf("sent %.3f in a second it is up: %t", c.load, n.Up())
+// A cold node crashes at more than a multiple of the load that fills it over its warm-up; a warm one does not.
+func TestColdNodeCrashesOfOverload(t *testing.T) {
+	limit := 4*2*1.5/20 + 0.1 // in one second
+	for _, test := range []struct {
+		name   string
+		load   float64
+		wantUp bool
+	}{
+		{"below the limit", 0.9 * limit, true},
+		{"above the limit", 1.1 * limit, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			n := newNode(t, sampleNode)
+			n.Restart(0)
+			for range 10 {
+				n.Connect(100*time.Millisecond, test.load/10)
+			}
+			if n.Up() != test.wantUp {
+				t.Errorf("load of %.3f in a second: up is %t", test.load, n.Up())
+			}
+			if !test.wantUp && (n.Connections() != 0 || n.Connect(time.Minute, 0.01) != Unreachable) {
+				t.Error("a crashed node has connections or can be reached")
+			}
+		})
+	}
+	t.Run("warm", func(t *testing.T) {
+		n := newNode(t, sampleNode)
+		for range 30 {
+			n.Connect(0, 1)
 		}
-		if !c.up && (n.Connections() != 0 || n.Connect(time.Minute, 0.01) != Unreachable) {
-			t.Error("one that fell over still holds or takes connections")
+		if !n.Up() {
+			t.Error("a warm node crashed")
 		}
-	}
-	n := mustNode(t, sample)
-	for range 30 {
-		n.Connect(0, 1)
-	}
-	if !n.Up() {
-		t.Error("a warm node fell over")
-	}
+	})
 }
 
-// The window of a cold node counts the last TipTime and nothing else, against a sum taken anew each time.
-func TestTipWindow(t *testing.T) {
+// The load that a cold node counts is that of the last ColdOverloadDuration, compared with a sum made anew each time.
+func TestColdOverloadWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		k := sample
-		k.ColdOverloadAllowance = 1e9 // count, but bear all
-		n := mustNode(t, k)
+		s := sampleNode
+		s.ColdOverloadAllowance = 1e9 // count, but never crash
+		n := newNode(t, s)
 		n.Restart(0)
-		var all []sending
+		var all []offeredLoad
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(rt, "sendings") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(rt, "ms")) * time.Millisecond
 			load := float64(rapid.IntRange(0, 16).Draw(rt, "load")) / 16
 			n.Connect(now, load)
-			all = append(all, sending{now, load})
+			all = append(all, offeredLoad{at: now, load: load})
 			want := 0.0
-			for _, s := range all {
-				if s.at > now-k.ColdOverloadDuration {
-					want += s.load
+			for _, offered := range all {
+				if offered.at > now-s.ColdOverloadDuration {
+					want += offered.load
 				}
 			}
-			if now < k.WarmupDuration && n.window != want {
-				rt.Fatalf("at %v the window holds %v, not %v", now, n.window, want)
+			if now < s.WarmupDuration && n.recentLoad != want {
+				rt.Fatalf("at %v the recent load is %v, want %v", now, n.recentLoad, want)
 			}
 		}
 	})
 }
 
-func TestKindsThatAreNone(t *testing.T) {
-	for _, k := range []NodeSettings{{}, {Cores: 1}, {Cores: 1, Speed: 1, ColdCapacityRatio: 2}, {Cores: math.NaN(), Speed: 1}, {Cores: 1, Speed: 1, FullOverheadRatio: 1}} {
-		if _, err := NewNode("x", k); err == nil {
-			t.Errorf("%+v makes a node", k)
-		}
+func TestNodeSettingsOutOfRange(t *testing.T) {
+	for name, s := range map[string]NodeSettings{
+		"zero":                {},
+		"no speed":            {Cores: 1},
+		"cold capacity ratio": {Cores: 1, Speed: 1, ColdCapacityRatio: 2},
+		"not a number":        {Cores: math.NaN(), Speed: 1},
+		"full overhead ratio": {Cores: 1, Speed: 1, FullOverheadRatio: 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := NewNode("x", s); !errors.Is(err, ErrNodeSettings) {
+				t.Errorf("%+v: error %v, want %v", s, err, ErrNodeSettings)
+			}
+		})
 	}
 }
