--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -45,10 +45,10 @@
 	clock  func() time.Duration // Unix time, never backwards
 	follow struct {
 		sync.Mutex
-		planapply.Follower
+		planapply.Applier
 		timer *time.Timer // for the next look; nil: none was needed yet
 	}
-	front   atomic.Pointer[natsfront.Front] // while it runs
+	front   atomic.Pointer[natsfront.Frontend] // while it runs
 	watcher *discovery.Watcher
 	cluster atomic.Pointer[cluster.Cluster] // while it runs; nil: there is none
 	figures *metrics.Registry
@@ -97,7 +97,7 @@
 	}
 	g.figures = metrics.New(classes)
 	attempts := backend.New(backend.Options{
-		ConnectTimeout: c.Gateway.ConnectTimeout, TellsLoad: c.Gateway.ReportsConnectionLoad, TellsDelay: c.Gateway.ReportsMessageDelay, Forwards: &g.figures.Forwards,
+		ConnectTimeout: c.Gateway.ConnectTimeout, ReportsLoad: c.Gateway.ReportsConnectionLoad, MeasuresDelay: c.Gateway.ReportsMessageDelay, Forwarded: &g.figures.Forwards,
 	})
 	var ranks func(class, tenant string) int
 	if g.member != nil {
@@ -115,7 +115,7 @@
 	if n := g.nat; n != nil {
 		g.nats = natsbackend.New(g.natsOptions(n))
 	}
-	g.follow.Cold = c.Balancer.WarmupDuration
+	g.follow.WarmupDuration = c.Balancer.WarmupDuration
 	g.usePlan(g.plan)
 	g.watcher.SetHandler(g.post)
 	return g, nil
@@ -189,7 +189,7 @@
 	if l.Mode != balancer.ListDelta || len(l.Servers) > 0 {
 		g.engine.Post(l)
 	}
-	at, ok := g.follow.Again()
+	at, ok := g.follow.NextWarmup()
 	if g.follow.timer != nil {
 		g.follow.timer.Stop()
 	}
@@ -199,7 +199,7 @@
 	g.follow.timer = time.AfterFunc(max(at-g.clock(), 0), func() {
 		g.follow.Lock()
 		defer g.follow.Unlock()
-		g.followed(g.follow.Look(g.clock()))
+		g.followed(g.follow.Tick(g.clock()))
 	})
 }
 
@@ -242,8 +242,8 @@
 
 func (g *Gateway) natsOptions(n *operator.NATS) natsbackend.Options {
 	return natsbackend.Options{
-		ConnectTimeout: g.config.Gateway.ConnectTimeout, NodePort: n.NodePort, PingEvery: n.PingInterval,
-		MaxShared: n.MaxShared, Name: g.config.Name, Forwards: &g.figures.Forwards, Limits: codec.Limits{Payload: max(n.MaxPayload, nodePayload)},
+		ConnectTimeout: g.config.Gateway.ConnectTimeout, NodePort: n.NodePort, PingInterval: n.PingInterval,
+		MaxSharedConns: n.MaxShared, Name: g.config.Name, Forwards: &g.figures.Forwards, Limits: codec.Limits{MaxPayload: max(n.MaxPayload, nodePayload)},
 	}
 }
 
@@ -256,7 +256,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	defer conns.Close()
-	conns.SetBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
+	conns.SetDescriptorBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
 	g.lines.Connect(g.engine, conns)
 	if g.config.InheritedSocket > 0 {
 		if err := hotrestart.PrepareListener(g.config.InheritedSocket, g.config.Listen); err != nil {
@@ -278,7 +278,7 @@
 		}
 		g.front.Store(n)
 		defer n.Close()
-		defer context.AfterFunc(ctx, n.Leave)()
+		defer context.AfterFunc(ctx, n.Shutdown)()
 		g.logger.Info("serving nats", "listen", n.Addr())
 	}
 	watching, stopWatching := context.WithCancel(context.Background())
@@ -325,19 +325,19 @@
 	g.logger.Info("serving", "name", g.config.Name, "listen", f.Addr(), "discovery", g.config.Discovery,
 		"pass", g.config.Gateway.ConnectionsOutliveGateway, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
-	f.Finish()
+	f.Shutdown()
 	stopWatching()
 	wg.Wait()
-	conns.Settle(settleFor)
+	conns.Quiesce(settleFor)
 	return nil
 }
 
 // Ready reports whether clients can be served: the list and what staff said of it are known, and no stop was asked for.
 func (g *Gateway) Ready() bool { return g.serving.Load() && g.engine.Ready() }
 
-func (g *Gateway) listen(conns *reactor.Group) (*frontend.Front, error) {
+func (g *Gateway) listen(conns *reactor.Group) (*frontend.Listener, error) {
 	if g.config.InheritedSocket > 0 {
-		return frontend.Take(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
+		return frontend.ListenFD(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
 	}
 	return frontend.Listen(g.config.Listen, g.engine, conns)
 }
