--- a/internal/lineproto/backend/serverconn_test.go
+++ b/internal/lineproto/backend/serverconn_test.go
@@ -37,7 +37,7 @@
 func (discardHandler) OnData(_ *reactor.Conn, b []byte) int { return len(b) }
 func (discardHandler) OnEnd(*reactor.Conn, error)           {}
 
-// lateConnection is an attempt whose connection stands, but has not been passed to OnOpen yet.
+// lateConnection is an attempt whose connection is established, but has not been passed to OnOpen yet.
 type lateConnection struct {
 	events eventQueue
 	conn   *ServerConn
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -24,7 +24,7 @@
 // Conn is a client's connection.
 type Conn struct {
 	listener *Listener
-	onSeen   func() // tells the reactor that the engine knows the connection
+	onSeen   func() // reports to the reactor that the engine knows the connection
 	conn     *reactor.Conn
 	handle   engine.ClientHandle
 	open     codec.Open
--- a/internal/reactor/read.go
+++ b/internal/reactor/read.go
@@ -30,7 +30,7 @@
 	c.handleReadEnd(errno)
 }
 
-// growIn makes room for at least half a readSize behind the bytes that were not consumed.
+// growIn makes room for at least half a readSize after the bytes that were not consumed.
 func (c *Conn) growIn() {
 	if cap(c.in)-len(c.in) < readSize/2 {
 		c.in = append(make([]byte, 0, 2*cap(c.in)+readSize), c.in...)
