--- a/placement/brute_test.go
+++ b/placement/brute_test.go
@@ -14,8 +14,11 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	flag.Set("rapid.seed", "7")
-	flag.Set("rapid.nofailfile", "true")
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
 	os.Exit(m.Run())
 }
 
@@ -134,8 +137,10 @@
 	if len(b.marks) == 0 || len(o.marks) == 0 {
 		fullest = cmp.Compare(len(b.marks), len(o.marks)) // of a plan that carries nothing none is fuller
 	}
-	goals := map[Goal]int{Uncarried: cmp.Compare(b.value[0], o.value[0]), Crossings: cmp.Compare(b.value[1], o.value[1]),
-		Fullest: fullest, Moved: cmp.Compare(b.moves, o.moves)}
+	goals := map[Goal]int{
+		Uncarried: cmp.Compare(b.value[0], o.value[0]), Crossings: cmp.Compare(b.value[1], o.value[1]),
+		Fullest: fullest, Moved: cmp.Compare(b.moves, o.moves),
+	}
 	for _, g := range order {
 		if goals[g] != 0 {
 			return goals[g]
@@ -257,12 +262,12 @@
 		}
 		q := *p
 		if q.Constraints = cs; brute(&q) != nil {
-			return fmt.Errorf("%v, but these can be met", err)
+			return fmt.Errorf("%w, but these can be met", err)
 		}
 		for i := range cs {
 			q.Constraints = slices.Delete(slices.Clone(cs), i, i+1)
 			if brute(&q) == nil {
-				return fmt.Errorf("%v, of which %s is not needed", err, cs[i].Name)
+				return fmt.Errorf("%w, of which %s is not needed", err, cs[i].Name)
 			}
 		}
 		return nil
@@ -295,7 +300,7 @@
 	if have.value != want.value || have.moves != want.moves || !slices.Equal(have.flows, want.flows) || !slices.Equal(have.loads, want.loads) {
 		return fmt.Errorf("got %+v, want %+v", have, want)
 	}
-	if len(want.marks) > 0 && (Ratio{want.marks[0].k, want.marks[0].of}).lowest() != got.Fullest {
+	if len(want.marks) > 0 && (Ratio{want.marks[0].k, want.marks[0].of}).reduced() != got.Fullest {
 		return fmt.Errorf("fullest %v, want %v", got.Fullest, want.marks[0])
 	}
 	return nil
@@ -306,9 +311,11 @@
 	zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
 	p := &Problem{Zones: zones, DefaultCost: rapid.Int64Range(0, 2).Draw(t, "cost")}
 	for i := range rapid.IntRange(1, 6).Draw(t, "nodes") {
-		p.Nodes = append(p.Nodes, Node{ID: fmt.Sprint("n", i), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
+		p.Nodes = append(p.Nodes, Node{
+			ID: fmt.Sprint("n", i), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
 			Model:    rapid.SampledFrom([]string{"large", "small"}).Draw(t, "model"),
-			Capacity: rapid.Int64Range(0, 3).Draw(t, "capacity"), CurrentLoad: rapid.Int64Range(0, 2).Draw(t, "now")})
+			Capacity: rapid.Int64Range(0, 3).Draw(t, "capacity"), CurrentLoad: rapid.Int64Range(0, 2).Draw(t, "now"),
+		})
 	}
 	if len(zones) > 1 && rapid.Bool().Draw(t, "dear") {
 		p.Crossings = append(p.Crossings, Crossing{"a", "b", 3})
@@ -323,10 +330,19 @@
 		p.Order = rapid.Permutation(DefaultOrder).Draw(t, "order")
 	}
 	for i, c := range []Constraint{
-		{Kind: Carry}, {Kind: Headroom, Part: Ratio{2, 3}}, {Kind: Keep, Class: "x"}, {Kind: Keep, Class: "x", Zones: []string{"a"}},
-		{Kind: KeepOut, Class: "x", Zones: []string{"a"}}, {Kind: Spread, Class: "x", Count: 2}, {Kind: Spread, Class: "x", Count: 2, Least: 2},
-		{Kind: Share, Part: Ratio{1, 2}}, {Kind: Together, Classes: []string{"x", "y"}}, {Kind: Pair, Model: "large", With: "small"},
-		{Kind: Moves, Count: 1}, {Kind: Carry, Class: "y"}, {Kind: Connections, Model: "large", Count: 1, Least: 1},
+		{Kind: Carry},
+		{Kind: Headroom, Part: Ratio{2, 3}},
+		{Kind: Keep, Class: "x"},
+		{Kind: Keep, Class: "x", Zones: []string{"a"}},
+		{Kind: KeepOut, Class: "x", Zones: []string{"a"}},
+		{Kind: Spread, Class: "x", Count: 2},
+		{Kind: Spread, Class: "x", Count: 2, Least: 2},
+		{Kind: Share, Part: Ratio{1, 2}},
+		{Kind: Together, Classes: []string{"x", "y"}},
+		{Kind: Pair, Model: "large", With: "small"},
+		{Kind: Moves, Count: 1},
+		{Kind: Carry, Class: "y"},
+		{Kind: Connections, Model: "large", Count: 1, Least: 1},
 	} {
 		if rapid.IntRange(0, 3).Draw(t, "constrained") == 0 {
 			c.Name = fmt.Sprint("c", i)
--- /dev/null
+++ b/placement/capacity.go
@@ -0,0 +1,67 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+)
+
+// capacities returns what each node may carry under the constraints.
+func (s *planner) capacities(constraints []Constraint) []int64 {
+	nodes := s.index.nodes
+	capacities := make([]int64, len(nodes))
+	for i, n := range nodes {
+		capacities[i] = n.Capacity
+	}
+	for _, c := range constraints {
+		if c.Kind == Pair {
+			for _, unpaired := range s.unpairedNodes(c) {
+				capacities[unpaired] = 0
+			}
+			continue
+		}
+		for i, n := range nodes {
+			capacities[i] = min(capacities[i], s.nodeLimit(c, n))
+		}
+	}
+	return capacities
+}
+
+// nodeLimit returns what a node may carry under a constraint that is not a Pair.
+func (s *planner) nodeLimit(c Constraint, n Node) int64 {
+	switch c.Kind {
+	case Headroom:
+		return c.Part.of(n.Capacity)
+	case Share:
+		return c.Part.of(s.index.totalDemand)
+	case Connections:
+		if n.Model == c.Model {
+			return c.Count * max(c.Least, 1)
+		}
+	}
+	return n.Capacity
+}
+
+// unpairedNodes returns the nodes that a Pair constraint leaves without a partner in their zone. The largest nodes are paired
+// first, and of equal ones the first by name.
+func (s *planner) unpairedNodes(c Constraint) []int {
+	var unpaired []int
+	for _, zoneNodes := range s.index.nodesInZone {
+		var ofModel []int
+		partners := 0
+		for _, i := range zoneNodes {
+			n := s.index.nodes[i]
+			switch {
+			case n.Capacity == 0:
+			case n.Model == c.Model:
+				ofModel = append(ofModel, i)
+			case n.Model == c.With:
+				partners++
+			}
+		}
+		slices.SortStableFunc(ofModel, func(a, b int) int {
+			return cmp.Compare(s.index.nodes[b].Capacity, s.index.nodes[a].Capacity)
+		})
+		unpaired = append(unpaired, ofModel[min(partners, len(ofModel)):]...)
+	}
+	return unpaired
+}
--- a/placement/compare_test.go
+++ b/placement/compare_test.go
@@ -12,7 +12,7 @@
 // why the solver has its own cheapest flows; docs/design/placement.md has the figures.
 
 // linear puts the flow part into the standard form of gonum's simplex: minimise cx where Ax = b, x >= 0.
-func linear(x *indexed, caps []int64) (c []float64, a *mat.Dense, b []float64) {
+func linear(x *index, caps []int64) (c []float64, a *mat.Dense, b []float64) {
 	Z, K := len(x.zones), len(x.classes)
 	rows, cols := K*Z+Z, K*Z*Z+K*Z+Z
 	a = mat.NewDense(rows, cols, nil)
@@ -25,14 +25,14 @@
 				col := row*Z + to
 				a.Set(row, col, 1)
 				a.Set(K*Z+to, col, 1)
-				c[col] = float64(x.cost[z][to])
+				c[col] = float64(x.crossingCost[z][to])
 			}
 			a.Set(row, K*Z*Z+row, 1)
 			c[K*Z*Z+row] = 1e6 // not carried: far dearer than any crossing, but no goal of its own
 		}
 	}
 	for z := range Z {
-		for _, i := range x.inZone[z] {
+		for _, i := range x.nodesInZone[z] {
 			b[K*Z+z] += float64(caps[i])
 		}
 		a.Set(K*Z+z, K*Z*Z+K*Z+z, 1)
@@ -44,8 +44,8 @@
 	for _, size := range []struct{ nodes, zones int }{{50, 3}, {500, 12}} {
 		b.Run(fleetName(size.nodes, size.zones), func(b *testing.B) {
 			p := RandomProblem(size.nodes, size.zones, 1)
-			s := &planner{p: p, x: p.index()}
-			c, a, rhs := linear(s.x, s.caps(p.Constraints))
+			s := &planner{problem: p, index: p.index()}
+			c, a, rhs := linear(s.index, s.capacities(p.Constraints))
 			for b.Loop() {
 				if _, _, err := lp.Simplex(c, a, rhs, 1e-9, nil); err != nil {
 					b.Fatal(err)
@@ -59,10 +59,10 @@
 	for _, size := range []struct{ nodes, zones int }{{50, 3}, {500, 12}} {
 		b.Run(fleetName(size.nodes, size.zones), func(b *testing.B) {
 			p := RandomProblem(size.nodes, size.zones, 1)
-			s := &planner{p: p, x: p.index()}
-			caps := s.caps(p.Constraints)
+			s := &planner{problem: p, index: p.index()}
+			capacities := s.capacities(p.Constraints)
 			for b.Loop() {
-				s.fill(s.build(p.Constraints, choice{}, caps, false))
+				s.minimizeCost(s.buildNetwork(newBranch(p.Constraints), capacities, s.goalsBeforeFullest()))
 			}
 		})
 	}
--- a/placement/contingency.go
+++ b/placement/contingency.go
@@ -1,100 +1,118 @@
 package placement
 
 import (
+	"cmp"
 	"errors"
 	"slices"
-	"sort"
 )
 
 // Contingency is what to do when nodes are lost.
 type Contingency struct {
-	Name      string // as node n1, zone a or batch small 1
-	Lost      []string
-	Plan      *Plan            // nil: none meets the constraints
-	Shortfall int64            // load that can't be carried then, in the plan or, where there is none, at best
-	Conflict  *InfeasibleError // where there is no plan
+	Name      string           // such as "node n1", "zone a" or "batch small 1"
+	Lost      []string         // IDs of nodes, in order
+	Plan      *Plan            // nil: no plan meets the constraints
+	Shortfall int64            // load that is not carried: by the plan, or without one by the best placement there is
+	Conflict  *InfeasibleError // why there is no plan
 }
 
-// Batch is a model's nodes that a rolling deploy restarts together, in the order of their names.
+// Batch is the nodes of a model that a rolling deploy restarts together: Size of them, in the order of their IDs.
 type Batch struct {
 	Model string
-	Size  int
+	Size  int // 0: no nodes are restarted
 }
 
-// Contingencies works out what to do after the loss of any one node, of any zone, and of each batch, from a plan in force:
-// moves are counted from it. Limits of the Moves kind bind the plan itself, not what is done after a loss.
+// Contingencies computes what to do after the loss of each node, each zone and each batch. Moves are counted from the given
+// plan; constraints of the kind Moves don't apply after a loss. The options apply to each solution by itself. If progress is
+// not nil, it is called after each contingency with how many of all are done. The error is that of Problem.Check.
 func Contingencies(p *Problem, plan *Plan, batches []Batch, o Options, progress func(done, all int)) ([]Contingency, error) {
+	list := p.losses(batches)
+	for i := range list {
+		if err := list[i].solve(p, plan, o); err != nil {
+			return nil, err
+		}
+		if progress != nil {
+			progress(i+1, len(list))
+		}
+	}
+	return list, nil
+}
+
+// losses lists the contingencies without their plans.
+func (p *Problem) losses(batches []Batch) []Contingency {
+	nodes := slices.Clone(p.Nodes)
+	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.ID, b.ID) })
 	var list []Contingency
-	lose := func(name string, lost func(Node) bool) {
+	add := func(name string, isLost func(Node) bool) {
 		c := Contingency{Name: name}
-		for _, n := range p.Nodes {
-			if lost(n) && n.Capacity > 0 {
+		for _, n := range nodes {
+			if isLost(n) && n.Capacity > 0 {
 				c.Lost = append(c.Lost, n.ID)
 			}
 		}
 		if len(c.Lost) > 0 {
-			sort.Strings(c.Lost)
 			list = append(list, c)
 		}
 	}
-	nodes := slices.Clone(p.Nodes)
-	slices.SortFunc(nodes, func(a, b Node) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
-	for _, n := range nodes {
-		lose("node "+n.ID, func(m Node) bool { return m.ID == n.ID })
+	for _, node := range nodes {
+		add("node "+node.ID, func(n Node) bool { return n.ID == node.ID })
 	}
-	for _, z := range slices.Sorted(slices.Values(p.Zones)) {
-		lose("zone "+z, func(m Node) bool { return m.Zone == z })
+	for _, zone := range slices.Sorted(slices.Values(p.Zones)) {
+		add("zone "+zone, func(n Node) bool { return n.Zone == zone })
 	}
-	for _, b := range batches {
-		var of []string
-		for _, n := range nodes {
-			if n.Model == b.Model {
-				of = append(of, n.ID)
-			}
-		}
-		for i := 0; b.Size > 0 && i < len(of); i += b.Size {
-			part := of[i:min(i+b.Size, len(of))]
-			lose("batch "+b.Model+" "+part[0], func(m Node) bool { return slices.Contains(part, m.ID) })
+	for _, batch := range batches {
+		for _, ids := range batch.split(nodes) {
+			add("batch "+batch.Model+" "+ids[0], func(n Node) bool { return slices.Contains(ids, n.ID) })
 		}
 	}
-	for i := range list {
-		c := &list[i]
-		q := p.without(c.Lost, plan)
-		got, err := Solve(q, o)
-		switch {
-		case err == nil:
-			c.Plan, c.Shortfall = got, got.Goals.Uncarried
-		case errors.As(err, &c.Conflict):
-			// How much falls short where nothing must be carried: the least that any plan leaves.
-			q.Constraints = slices.DeleteFunc(q.Constraints, func(k Constraint) bool { return k.Kind == Carry || k.Kind == Spread })
-			if got, err := Solve(q, o); err == nil {
-				c.Shortfall = got.Goals.Uncarried
-			}
-		default:
-			return nil, err
-		}
-		if progress != nil {
-			progress(i+1, len(list))
+	return list
+}
+
+// split returns the IDs of the nodes that are restarted together.
+func (b Batch) split(nodes []Node) [][]string {
+	if b.Size <= 0 {
+		return nil
+	}
+	var ids []string
+	for _, n := range nodes {
+		if n.Model == b.Model {
+			ids = append(ids, n.ID)
 		}
 	}
-	return list, nil
+	return slices.Collect(slices.Chunk(ids, b.Size))
+}
+
+// solve finds the plan for a contingency, or how much load falls short.
+func (c *Contingency) solve(p *Problem, inForce *Plan, o Options) error {
+	problem := p.afterLoss(c.Lost, inForce)
+	plan, err := Solve(problem, o)
+	if err == nil {
+		c.Plan, c.Shortfall = plan, plan.Uncarried
+		return nil
+	}
+	if !errors.As(err, &c.Conflict) {
+		return err
+	}
+	// The shortfall is the least that any placement leaves where no load must be carried.
+	problem.Constraints = slices.DeleteFunc(problem.Constraints, func(k Constraint) bool {
+		return k.Kind == Carry || k.Kind == Spread
+	})
+	if plan, err := Solve(problem, o); err == nil {
+		c.Shortfall = plan.Uncarried
+	}
+	return nil
 }
 
-// without is the problem after a loss, with a plan in force.
-func (p *Problem) without(lost []string, plan *Plan) *Problem {
-	q := *p
-	q.Nodes = slices.Clone(p.Nodes)
-	for i := range q.Nodes {
-		n := &q.Nodes[i]
-		if n.CurrentLoad = plan.Load[n.ID]; slices.Contains(lost, n.ID) {
+// afterLoss returns the problem after a loss, with a plan in force.
+func (p *Problem) afterLoss(lost []string, inForce *Plan) *Problem {
+	problem := *p
+	problem.Nodes = slices.Clone(p.Nodes)
+	for i := range problem.Nodes {
+		n := &problem.Nodes[i]
+		n.CurrentLoad = inForce.Load[n.ID]
+		if slices.Contains(lost, n.ID) {
 			n.Capacity, n.CurrentLoad = 0, 0
 		}
 	}
-	q.Constraints = slices.DeleteFunc(slices.Clone(p.Constraints), func(c Constraint) bool { return c.Kind == Moves })
-	return &q
+	problem.Constraints = slices.DeleteFunc(slices.Clone(p.Constraints), func(c Constraint) bool { return c.Kind == Moves })
+	return &problem
 }
--- a/placement/distribute.go
+++ b/placement/distribute.go
@@ -2,118 +2,111 @@
 
 import "container/heap"
 
-// distribute puts a zone's load on its nodes, none over its cap. As little as can be moves from where the plan in force has
-// it. Then units stand as low as can be: each has a mark, the part of its node that is full up to it, and the highest mark is
-// the lowest possible, then the next; of equal marks that of the first node by name counts as lower.
-func distribute(nodes []Node, caps []int64, load int64) []int64 {
+// distribute returns the load of each node of a zone, none over its capacity. As little load as possible moves from the nodes
+// that have it in the plan in force. Beyond that the fullest node is as empty as possible, then the next: each unit of load
+// has a mark, the ratio to which its node is full with it, and the highest mark is the lowest possible. Of equal marks that of
+// the first node by name counts as lower.
+func distribute(nodes []Node, capacities []int64, load int64) []int64 {
 	loads := make([]int64, len(nodes))
-	sum := int64(0)
+	unmoved := int64(0)
 	for i, n := range nodes {
-		loads[i] = min(n.CurrentLoad, caps[i])
-		sum += loads[i]
+		loads[i] = min(n.CurrentLoad, capacities[i])
+		unmoved += loads[i]
 	}
-	if sum > load {
-		level(nodes, loads, sum-load, make([]int64, len(nodes)), loads, -1)
+	if unmoved > load {
+		empty := make([]int64, len(nodes))
+		(&leveller{nodes: nodes, loads: loads, limits: empty, sign: -1}).move(unmoved - load)
 	} else {
-		level(nodes, loads, load-sum, loads, caps, 1)
+		(&leveller{nodes: nodes, loads: loads, limits: capacities, sign: 1}).move(load - unmoved)
 	}
 	return loads
 }
 
-// level changes loads by an amount in all, each between its low and its high. With by 1 each unit goes where it fills least;
-// with -1 each is taken from the fullest. Units go in blocks as large as the order allows.
-func level(nodes []Node, loads []int64, amount int64, low, high []int64, by int64) {
-	lows, highs := append([]int64(nil), low...), append([]int64(nil), high...)
-	q := &fillOrder{nodes: nodes, loads: loads, by: by}
-	for i := range nodes {
-		if by > 0 && loads[i] < highs[i] || by < 0 && loads[i] > lows[i] {
-			q.open = append(q.open, i)
+// leveller adds load where it fills a node least, or takes it from the fullest. It is the heap of the nodes that are not at
+// their limits; the first one is next to change.
+type leveller struct {
+	nodes  []Node
+	loads  []int64
+	limits []int64 // of loads, in the direction of the change
+	sign   int64   // 1: load is added; -1: it is taken away
+	open   []int   // heap of positions in nodes
+}
+
+// move changes the loads by an amount in total, or to their limits. Units move in blocks as large as the order allows.
+func (l *leveller) move(amount int64) {
+	for i := range l.nodes {
+		if l.room(i) > 0 {
+			l.open = append(l.open, i)
 		}
 	}
-	heap.Init(q)
-	for amount > 0 && len(q.open) > 0 {
-		i := q.open[0]
-		block := int64(1)
-		if len(q.open) == 1 {
-			block = amount
-		} else if spare := amount / int64(4*len(q.open)); spare > 1 {
-			// While much is left, blocks small against it can't overshoot the level that all will reach.
-			block = q.blockTo(i, spare)
-		}
-		if by > 0 {
-			block = min(block, highs[i]-loads[i])
-		} else {
-			block = min(block, loads[i]-lows[i])
-		}
-		block = min(block, amount)
-		loads[i] += by * block
+	heap.Init(l)
+	for amount > 0 && len(l.open) > 0 {
+		node := l.open[0]
+		block := min(l.block(node, amount), l.room(node), amount)
+		l.loads[node] += l.sign * block
 		amount -= block
-		if by > 0 && loads[i] >= highs[i] || by < 0 && loads[i] <= lows[i] {
-			heap.Remove(q, 0)
+		if l.room(node) > 0 {
+			heap.Fix(l, 0)
 		} else {
-			heap.Fix(q, 0)
+			heap.Remove(l, 0)
 		}
 	}
 }
 
-// fillOrder has the node first that the next unit goes to, or is taken from.
-type fillOrder struct {
-	nodes []Node
-	loads []int64
-	by    int64
-	open  []int
-}
+// room is how many units a node is from its limit.
+func (l *leveller) room(node int) int64 { return (l.limits[node] - l.loads[node]) * l.sign }
 
-// after is a node's part of its capacity once it has the next unit, or before it gives one up.
-func (q *fillOrder) after(i int) Ratio {
-	n := q.loads[i]
-	if q.by > 0 {
-		n++
+// block is how many units the first node may take at once.
+func (l *leveller) block(node int, amount int64) int64 {
+	if len(l.open) == 1 {
+		return amount
+	}
+	// While much is left, blocks small against it can't overshoot the level that all nodes will reach.
+	if limit := amount / int64(4*len(l.open)); limit > 1 {
+		return l.blockToNext(node, limit)
 	}
-	return Ratio{n, max(q.nodes[i].Capacity, 1)}
+	return 1
 }
 
-// blockTo is how many units a node may take at once: as many as keep it first, at most.
-func (q *fillOrder) blockTo(i int, most int64) int64 {
-	next := -1
-	for _, j := range []int{1, 2} {
-		if j < len(q.open) && (next < 0 || q.before(q.open[j], next)) {
-			next = q.open[j]
-		}
-	}
-	if next < 0 {
-		return most
+// blockToNext is how many units, limit at most, bring the first node to the mark of the one that follows it.
+func (l *leveller) blockToNext(node int, limit int64) int64 {
+	follower := l.open[1]
+	if len(l.open) > 2 && l.before(l.open[2], follower) {
+		follower = l.open[2]
 	}
-	goal := q.after(next)
-	c := max(q.nodes[i].Capacity, 1)
-	at := Ratio{goal.Num, goal.Den}.of(c) // its load at the next one's part
-	room := (at - q.loads[i]) * q.by
-	return min(max(room, 1), most)
+	level := l.mark(follower).of(max(l.nodes[node].Capacity, 1))
+	return min(max((level-l.loads[node])*l.sign, 1), limit)
 }
 
-func (q *fillOrder) before(i, j int) bool {
-	a, b := q.after(i), q.after(j)
-	if q.by < 0 {
-		a, b = b, a
-	}
-	if a.less(b) {
-		return true
+// mark is the ratio to which a node is full with its next unit, or with the one that it would give up.
+func (l *leveller) mark(node int) Ratio {
+	load := l.loads[node]
+	if l.sign > 0 {
+		load++
 	}
-	if b.less(a) {
-		return false
+	return Ratio{load, max(l.nodes[node].Capacity, 1)}
+}
+
+// before reports whether a node changes before another.
+func (l *leveller) before(i, j int) bool {
+	if l.sign < 0 {
+		i, j = j, i
 	}
-	if q.by < 0 {
-		return i > j
+	a, b := l.mark(i), l.mark(j)
+	if a.less(b) || b.less(a) {
+		return a.less(b)
 	}
 	return i < j
 }
 
-func (q *fillOrder) Len() int           { return len(q.open) }
-func (q *fillOrder) Less(a, b int) bool { return q.before(q.open[a], q.open[b]) }
-func (q *fillOrder) Swap(a, b int)      { q.open[a], q.open[b] = q.open[b], q.open[a] }
-func (q *fillOrder) Push(x any)         { q.open = append(q.open, x.(int)) }
-func (q *fillOrder) Pop() any {
-	x := q.open[len(q.open)-1]
-	q.open = q.open[:len(q.open)-1]
-	return x
+func (l *leveller) Len() int           { return len(l.open) }
+func (l *leveller) Less(a, b int) bool { return l.before(l.open[a], l.open[b]) }
+func (l *leveller) Swap(a, b int)      { l.open[a], l.open[b] = l.open[b], l.open[a] }
+func (l *leveller) Push(x any)         { l.open = append(l.open, x.(int)) }
+
+func (l *leveller) Pop() any {
+	last := len(l.open) - 1
+	node := l.open[last]
+	l.open = l.open[:last]
+	return node
 }
--- a/placement/exhaustive_test.go
+++ b/placement/exhaustive_test.go
@@ -14,10 +14,18 @@
 // constraintSets are none, each constraint alone, and each two together.
 func constraintSets() [][]Constraint {
 	all := []Constraint{
-		{Kind: Carry}, {Kind: Headroom, Part: Ratio{2, 3}}, {Kind: Keep, Class: "x"}, {Kind: Keep, Class: "x", Zones: []string{"a"}},
-		{Kind: KeepOut, Class: "x", Zones: []string{"a"}}, {Kind: Spread, Class: "x", Count: 2}, {Kind: Spread, Class: "x", Count: 3},
-		{Kind: Spread, Class: "x", Count: 2, Least: 2}, {Kind: Share, Part: Ratio{1, 2}}, {Kind: Together, Classes: []string{"x"}},
-		{Kind: Pair, Model: "large", With: "small"}, {Kind: Moves, Count: 1},
+		{Kind: Carry},
+		{Kind: Headroom, Part: Ratio{2, 3}},
+		{Kind: Keep, Class: "x"},
+		{Kind: Keep, Class: "x", Zones: []string{"a"}},
+		{Kind: KeepOut, Class: "x", Zones: []string{"a"}},
+		{Kind: Spread, Class: "x", Count: 2},
+		{Kind: Spread, Class: "x", Count: 3},
+		{Kind: Spread, Class: "x", Count: 2, Least: 2},
+		{Kind: Share, Part: Ratio{1, 2}},
+		{Kind: Together, Classes: []string{"x"}},
+		{Kind: Pair, Model: "large", With: "small"},
+		{Kind: Moves, Count: 1},
 	}
 	for i := range all {
 		all[i].Name = fmt.Sprint("c", i)
@@ -53,8 +61,10 @@
 							p.Crossings = append(p.Crossings, Crossing{"a", "b", 2})
 						}
 						for i := range nodes {
-							p.Nodes = append(p.Nodes, Node{ID: fmt.Sprint("n", i), Zone: names[at[i]], Capacity: capacities[caps[i]],
-								Model: []string{"large", "small"}[i%2], CurrentLoad: int64(i % 3 % 2)})
+							p.Nodes = append(p.Nodes, Node{
+								ID: fmt.Sprint("n", i), Zone: names[at[i]], Capacity: capacities[caps[i]],
+								Model: []string{"large", "small"}[i%2], CurrentLoad: int64(i % 3 % 2),
+							})
 						}
 						for z := range zones {
 							p.Demands = append(p.Demands, Demand{names[z], "x", demands[loads[z]]})
--- a/placement/solve_test.go
+++ b/placement/solve_test.go
@@ -8,8 +8,8 @@
 )
 
 // checkPlan holds a plan of any size to what it says of itself.
-func checkPlan(t testing.TB, p *Problem, plan *Plan) {
-	t.Helper()
+func checkPlan(tb testing.TB, p *Problem, plan *Plan) {
+	tb.Helper()
 	zoneOf, in := map[string]string{}, map[string]int64{}
 	var carried, moves int64
 	var fullest Ratio
@@ -20,7 +20,7 @@
 		carried += load
 		moves += max(load-n.CurrentLoad, 0)
 		if load < 0 || load > n.Capacity {
-			t.Errorf("node %s carries %d of %d", n.ID, load, n.Capacity)
+			tb.Errorf("node %s carries %d of %d", n.ID, load, n.Capacity)
 		}
 		if load > 0 && (fullest.Den == 0 || fullest.less(Ratio{load, n.Capacity})) {
 			fullest = Ratio{load, n.Capacity}
@@ -43,14 +43,14 @@
 	}
 	for z, n := range in {
 		if n != 0 {
-			t.Errorf("zone %s: nodes and flows differ by %d", z, n)
+			tb.Errorf("zone %s: nodes and flows differ by %d", z, n)
 		}
 	}
 	for _, d := range p.Demands {
 		total += d.Load
 	}
-	if got := plan.Goals; got.Uncarried != total-carried || got.Crossings != crossings || got.Moves != moves || got.Fullest != fullest.lowest() {
-		t.Errorf("says %+v; it is %d, %d, %v, %d", got, total-carried, crossings, fullest.lowest(), moves)
+	if got := plan.Goals; got.Uncarried != total-carried || got.Crossings != crossings || got.Moves != moves || got.Fullest != fullest.reduced() {
+		tb.Errorf("says %+v; it is %d, %d, %v, %d", got, total-carried, crossings, fullest.reduced(), moves)
 	}
 }
 
@@ -76,11 +76,15 @@
 // A fast machine and a slow one under a headroom that only just fits, and one that does not: the conflict is named with
 // lines, and what each member would have to give.
 func TestPairUnderHeadroom(t *testing.T) {
-	p := &Problem{Zones: []string{"west"},
+	p := &Problem{
+		Zones:   []string{"west"},
 		Nodes:   []Node{{ID: "a", Zone: "west", Model: "small", Capacity: 100}, {ID: "n", Zone: "west", Model: "large", Capacity: 200}},
 		Demands: []Demand{{"west", "plan", 240}},
-		Constraints: []Constraint{{Name: "room", Line: 3, Kind: Headroom, Part: Ratio{8, 10}}, {Name: "pairs", Line: 4, Kind: Pair, Model: "large", With: "small"},
-			{Name: "all", Line: 5, Kind: Carry}},
+		Constraints: []Constraint{
+			{Name: "room", Line: 3, Kind: Headroom, Part: Ratio{8, 10}},
+			{Name: "pairs", Line: 4, Kind: Pair, Model: "large", With: "small"},
+			{Name: "all", Line: 5, Kind: Carry},
+		},
 	}
 	plan, err := Solve(p, Options{})
 	if err != nil || plan.Load["a"] != 80 || plan.Load["n"] != 160 || plan.Fullest != (Ratio{4, 5}) || !plan.Proven {
@@ -101,11 +105,17 @@
 
 // Constraints that fit two at a time and conflict as three.
 func TestThreeConflict(t *testing.T) {
-	p := &Problem{Zones: []string{"a", "b"},
+	p := &Problem{
+		Zones:   []string{"a", "b"},
 		Nodes:   []Node{{ID: "1", Zone: "a", Capacity: 2}, {ID: "2", Zone: "b", Capacity: 2}},
 		Demands: []Demand{{"a", "x", 2}, {"a", "y", 2}},
-		Constraints: []Constraint{{Name: "one", Kind: Together, Classes: []string{"x", "y"}}, {Name: "x", Kind: Carry, Class: "x"},
-			{Name: "y", Kind: Carry, Class: "y"}, {Name: "idle", Kind: KeepOut, Class: "z", Zones: []string{"a"}}}}
+		Constraints: []Constraint{
+			{Name: "one", Kind: Together, Classes: []string{"x", "y"}},
+			{Name: "x", Kind: Carry, Class: "x"},
+			{Name: "y", Kind: Carry, Class: "y"},
+			{Name: "idle", Kind: KeepOut, Class: "z", Zones: []string{"a"}},
+		},
+	}
 	_, err := Solve(p, Options{})
 	var e *InfeasibleError
 	if !errors.As(err, &e) || len(e.Conflict) != 3 {
