--- /dev/null
+++ b/placement/agreement_test.go
@@ -0,0 +1,158 @@
+package placement
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"slices"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+)
+
+func TestMain(m *testing.M) {
+	flag.Parse()
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+// checkAgreement compares the solver with brute force: goals and canonical plan, or the conflict, each member of which must be
+// needed.
+func checkAgreement(p *Problem) error {
+	want := bruteForce(p)
+	got, err := Solve(p, Options{})
+	var conflict *InfeasibleError
+	if errors.As(err, &conflict) {
+		if want != nil {
+			return fmt.Errorf("no plan, but there is %+v", want)
+		}
+		return checkConflict(p, conflict)
+	}
+	if err != nil {
+		return err
+	}
+	if want == nil {
+		return fmt.Errorf("a plan where there is none: %+v", got)
+	}
+	if diff := cmp.Diff(want.comparable(), comparablePlan(p, got)); diff != "" {
+		return fmt.Errorf("plan (-brute force +solver):\n%s", diff)
+	}
+	if len(want.marks) > 0 && (Ratio{want.marks[0].k, want.marks[0].of}).reduced() != got.Fullest {
+		return fmt.Errorf("fullest %v, want %v", got.Fullest, want.marks[0])
+	}
+	return nil
+}
+
+// checkConflict checks that the constraints of a conflict can't be met together, and can without any one of them.
+func checkConflict(p *Problem, conflict *InfeasibleError) error {
+	var constraints []Constraint
+	for _, r := range conflict.Conflict {
+		constraints = append(constraints, r.Constraint)
+	}
+	problem := *p
+	if problem.Constraints = constraints; bruteForce(&problem) != nil {
+		return fmt.Errorf("%w, but these can be met", conflict)
+	}
+	for i := range constraints {
+		problem.Constraints = slices.Delete(slices.Clone(constraints), i, i+1)
+		if bruteForce(&problem) == nil {
+			return fmt.Errorf("%w, of which %s is not needed", conflict, constraints[i].Name)
+		}
+	}
+	return nil
+}
+
+// comparableResult is what the solver and brute force must agree on.
+type comparableResult struct {
+	Uncarried, Crossings, Moves int64
+	Flows                       []int64 // by class, zone of origin and zone
+	Loads                       []int64 // by zone, then node
+}
+
+func (b *bruteBest) comparable() comparableResult {
+	return comparableResult{b.value[0], b.value[1], b.moves, b.flows, b.loads}
+}
+
+func comparablePlan(p *Problem, plan *Plan) comparableResult {
+	x := p.index()
+	result := comparableResult{Uncarried: plan.Uncarried, Crossings: plan.Crossings, Moves: plan.Moves}
+	for _, n := range x.nodes {
+		result.Loads = append(result.Loads, plan.Load[n.ID])
+	}
+	flows := map[Flow]int64{}
+	for _, f := range plan.Flows {
+		flows[Flow{f.Class, f.From, f.To, 0}] = f.Load
+	}
+	for _, class := range x.classes {
+		for _, from := range x.zones {
+			if !slices.ContainsFunc(p.Demands, func(d Demand) bool { return d.Class == class && d.Zone == from }) {
+				continue
+			}
+			for _, to := range x.zones {
+				result.Flows = append(result.Flows, flows[Flow{class, from, to, 0}])
+			}
+		}
+	}
+	return result
+}
+
+// drawProblem draws a small problem.
+func drawProblem(t *rapid.T) *Problem {
+	zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
+	p := &Problem{Zones: zones, DefaultCost: rapid.Int64Range(0, 2).Draw(t, "cost")}
+	for i := range rapid.IntRange(1, 6).Draw(t, "nodes") {
+		p.Nodes = append(p.Nodes, Node{
+			ID: fmt.Sprint("n", i), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
+			Model:    rapid.SampledFrom([]string{"large", "small"}).Draw(t, "model"),
+			Capacity: rapid.Int64Range(0, 3).Draw(t, "capacity"), CurrentLoad: rapid.Int64Range(0, 2).Draw(t, "now"),
+		})
+	}
+	if len(zones) > 1 && rapid.Bool().Draw(t, "dear") {
+		p.Crossings = append(p.Crossings, Crossing{"a", "b", 3})
+	}
+	for _, z := range zones {
+		p.Demands = append(p.Demands, Demand{z, "x", rapid.Int64Range(0, 2).Draw(t, "x")})
+	}
+	if rapid.Bool().Draw(t, "two classes") {
+		p.Demands = append(p.Demands, Demand{"a", "y", rapid.Int64Range(0, 2).Draw(t, "y")})
+	}
+	if rapid.Bool().Draw(t, "ordered") {
+		p.Order = rapid.Permutation(DefaultOrder).Draw(t, "order")
+	}
+	for i, c := range []Constraint{
+		{Kind: Carry},
+		{Kind: Headroom, Part: Ratio{2, 3}},
+		{Kind: Keep, Class: "x"},
+		{Kind: Keep, Class: "x", Zones: []string{"a"}},
+		{Kind: KeepOut, Class: "x", Zones: []string{"a"}},
+		{Kind: Spread, Class: "x", Count: 2},
+		{Kind: Spread, Class: "x", Count: 2, Least: 2},
+		{Kind: Share, Part: Ratio{1, 2}},
+		{Kind: Together, Classes: []string{"x", "y"}},
+		{Kind: Pair, Model: "large", With: "small"},
+		{Kind: Moves, Count: 1},
+		{Kind: Carry, Class: "y"},
+		{Kind: Connections, Model: "large", Count: 1, Least: 1},
+	} {
+		if rapid.IntRange(0, 3).Draw(t, "constrained") == 0 {
+			c.Name = fmt.Sprint("c", i)
+			p.Constraints = append(p.Constraints, c)
+		}
+	}
+	return p
+}
+
+func TestAgreesWithBruteForce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p := drawProblem(t)
+		if err := checkAgreement(p); err != nil {
+			t.Fatalf("%+v: %v", p, err)
+		}
+	})
+}
--- /dev/null
+++ b/placement/bruteconstraints_test.go
@@ -0,0 +1,140 @@
+package placement
+
+import "slices"
+
+// meetsConstraints reports whether the present placement, with its loads by node, is within the nodes' capacities and meets
+// the problem's constraints.
+func (s *bruteSearch) meetsConstraints(loads []int64) bool {
+	for j, n := range s.nodes {
+		if loads[j] > n.Capacity {
+			return false
+		}
+	}
+	return !slices.ContainsFunc(s.problem.Constraints, func(c Constraint) bool { return !s.meets(c, loads) })
+}
+
+func (s *bruteSearch) meets(c Constraint, loads []int64) bool {
+	switch c.Kind {
+	case Carry:
+		return s.carries(c)
+	case Keep, KeepOut:
+		return s.keeps(c)
+	case Spread:
+		return s.countZones(c, max(c.Least, 1)) >= int(c.Count)
+	case Together:
+		return s.countZones(c, 1) <= 1
+	case Headroom, Share, Connections:
+		return s.isWithinNodeLimits(c, loads)
+	case Moves:
+		return s.moves(loads) <= c.Count
+	case Pair:
+		return s.isPaired(c, loads)
+	}
+	return false
+}
+
+// applies reports whether a constraint names the class of a demand.
+func applies(c Constraint, d Demand) bool {
+	return c.Class == d.Class || c.Class == "" && c.Kind == Carry || slices.Contains(c.Classes, d.Class)
+}
+
+func (s *bruteSearch) carries(c Constraint) bool {
+	for i, d := range s.demands {
+		if applies(c, d) && s.units[i][len(s.nodes)] > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+func (s *bruteSearch) keeps(c Constraint) bool {
+	for i, d := range s.demands {
+		for j, n := range s.nodes {
+			if applies(c, d) && s.units[i][j] > 0 && !isAllowedZone(c, d.Zone, n.Zone) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+func isAllowedZone(c Constraint, from, to string) bool {
+	switch {
+	case c.Kind == KeepOut:
+		return !slices.Contains(c.Zones, to)
+	case len(c.Zones) == 0:
+		return from == to
+	}
+	return slices.Contains(c.Zones, to)
+}
+
+// countZones counts the zones that carry some load or more of a constraint's classes.
+func (s *bruteSearch) countZones(c Constraint, minLoad int64) (count int) {
+	byZone := map[string]int64{}
+	for i, d := range s.demands {
+		for j, n := range s.nodes {
+			if applies(c, d) {
+				byZone[n.Zone] += s.units[i][j]
+			}
+		}
+	}
+	for _, load := range byZone {
+		if load >= minLoad {
+			count++
+		}
+	}
+	return count
+}
+
+func (s *bruteSearch) isWithinNodeLimits(c Constraint, loads []int64) bool {
+	for j, n := range s.nodes {
+		switch {
+		case c.Kind == Headroom && loads[j]*c.Part.Den > n.Capacity*c.Part.Num,
+			c.Kind == Share && loads[j]*c.Part.Den > s.totalDemand*c.Part.Num,
+			c.Kind == Connections && n.Model == c.Model && loads[j] > c.Count*max(c.Least, 1):
+			return false
+		}
+	}
+	return true
+}
+
+func (s *bruteSearch) moves(loads []int64) (moved int64) {
+	for j, n := range s.nodes {
+		moved += max(loads[j]-n.CurrentLoad, 0)
+	}
+	return moved
+}
+
+// isPaired reports whether the nodes of a model that a pairing keeps are the only ones of it that carry anything.
+func (s *bruteSearch) isPaired(c Constraint, loads []int64) bool {
+	for _, z := range s.zones {
+		partners := 0
+		var ofModel []int
+		for j, n := range s.nodes {
+			switch {
+			case n.Zone != z || n.Capacity == 0:
+			case n.Model == c.With:
+				partners++
+			case n.Model == c.Model:
+				ofModel = append(ofModel, j)
+			}
+		}
+		for _, j := range ofModel {
+			if loads[j] > 0 && s.countBefore(j, ofModel) >= partners {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// countBefore counts the nodes that are paired before one.
+func (s *bruteSearch) countBefore(node int, others []int) (count int) {
+	capacity := s.nodes[node].Capacity
+	for _, k := range others {
+		if other := s.nodes[k].Capacity; other > capacity || other == capacity && k < node {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/placement/bruteforce_test.go
@@ -0,0 +1,143 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+)
+
+// bruteForce returns the best plan by trying every one: each unit of each demand goes to each node, or is not carried. It
+// shares no code with the solver but for the problem's form. It returns nil if no plan meets the constraints.
+func bruteForce(p *Problem) *bruteBest {
+	s := &bruteSearch{
+		problem: p,
+		zones:   slices.Sorted(slices.Values(p.Zones)),
+		nodes:   slices.Clone(p.Nodes),
+		demands: slices.Clone(p.Demands),
+	}
+	slices.SortFunc(s.nodes, func(a, b Node) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(s.demands, func(a, b Demand) int {
+		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Zone, b.Zone))
+	})
+	for _, d := range s.demands {
+		s.totalDemand += d.Load
+		s.units = append(s.units, make([]int64, len(s.nodes)+1))
+	}
+	s.placeDemand(0)
+	return s.best
+}
+
+// bruteSearch is a search through all placements.
+type bruteSearch struct {
+	problem     *Problem
+	zones       []string
+	nodes       []Node
+	demands     []Demand
+	totalDemand int64
+	units       [][]int64 // of each demand to each node; the last position is not carried
+	best        *bruteBest
+}
+
+// placeDemand tries all ways for a demand and those that follow it.
+func (s *bruteSearch) placeDemand(demand int) {
+	if demand == len(s.demands) {
+		s.evaluate()
+		return
+	}
+	s.placeUnits(demand, 0, s.demands[demand].Load)
+}
+
+// placeUnits tries all ways to place what is left of a demand on a node and those that follow it.
+func (s *bruteSearch) placeUnits(demand, node int, left int64) {
+	if node == len(s.nodes) {
+		s.units[demand][node] = left
+		s.placeDemand(demand + 1)
+		return
+	}
+	for n := int64(0); n <= left; n++ {
+		s.units[demand][node] = n
+		s.placeUnits(demand, node+1, left-n)
+	}
+	s.units[demand][node] = 0
+}
+
+// evaluate compares the present placement with the best, if it meets the constraints.
+func (s *bruteSearch) evaluate() {
+	b := &bruteBest{loads: make([]int64, len(s.nodes))}
+	for i, d := range s.demands {
+		byZone := map[string]int64{}
+		for j, n := range s.nodes {
+			b.loads[j] += s.units[i][j]
+			byZone[n.Zone] += s.units[i][j]
+		}
+		b.value[0] += s.units[i][len(s.nodes)]
+		for _, z := range s.zones {
+			b.flows = append(b.flows, byZone[z])
+			b.value[1] += byZone[z] * s.crossingCost(d.Zone, z)
+		}
+	}
+	if !s.meetsConstraints(b.loads) {
+		return
+	}
+	for j, n := range s.nodes {
+		b.moves += max(b.loads[j]-n.CurrentLoad, 0)
+		for k := int64(1); k <= b.loads[j]; k++ {
+			b.marks = append(b.marks, mark{k, n.Capacity, j})
+		}
+	}
+	slices.SortFunc(b.marks, func(x, y mark) int { return y.compare(x) })
+	if s.best == nil || b.compare(s.best, s.problem.order()) < 0 {
+		s.best = b
+	}
+}
+
+func (s *bruteSearch) crossingCost(from, to string) int64 {
+	if from == to {
+		return 0
+	}
+	for _, c := range s.problem.Crossings {
+		if c.From == from && c.To == to {
+			return c.Cost
+		}
+	}
+	return s.problem.DefaultCost
+}
+
+// mark is the position of a unit of load on its node: the k-th of what that can carry.
+type mark struct {
+	k, of int64
+	node  int
+}
+
+// compare orders marks by their part of the node, then by node.
+func (m mark) compare(o mark) int {
+	return cmp.Or(cmp.Compare(m.k*o.of, o.k*m.of), cmp.Compare(m.node, o.node))
+}
+
+type bruteBest struct {
+	value [2]int64 // not carried, crossings
+	marks []mark   // the highest first
+	moves int64
+	flows []int64
+	loads []int64
+}
+
+// compare orders plans as Goals say, then by flows, then by marks.
+func (b *bruteBest) compare(o *bruteBest, order []Goal) int {
+	fullest := 0
+	if len(b.marks) > 0 && len(o.marks) > 0 {
+		fullest = cmp.Compare(b.marks[0].k*o.marks[0].of, o.marks[0].k*b.marks[0].of)
+	}
+	if len(b.marks) == 0 || len(o.marks) == 0 {
+		fullest = cmp.Compare(len(b.marks), len(o.marks)) // of a plan that carries nothing none is fuller
+	}
+	goals := map[Goal]int{
+		Uncarried: cmp.Compare(b.value[0], o.value[0]), Crossings: cmp.Compare(b.value[1], o.value[1]),
+		Fullest: fullest, Moved: cmp.Compare(b.moves, o.moves),
+	}
+	for _, g := range order {
+		if goals[g] != 0 {
+			return goals[g]
+		}
+	}
+	return cmp.Or(slices.Compare(b.flows, o.flows), slices.CompareFunc(b.marks, o.marks, mark.compare))
+}
--- a/placement/exhaustive_test.go
+++ b/placement/exhaustive_test.go
@@ -46,44 +46,63 @@
 func grid(f func(*Problem)) (count int) {
 	sets := constraintSets()
 	turn := 0
-	names := []string{"a", "b", "c"}
+	gridProblems(func(p *Problem) {
+		for k := range 5 {
+			problem := *p
+			if k > 0 {
+				turn++
+				problem.Constraints = sets[turn%len(sets)]
+			}
+			count++
+			f(&problem)
+		}
+	})
+	return count
+}
+
+// gridProblems calls f with every problem of the grid, without constraints.
+func gridProblems(f func(*Problem)) {
 	for zones := 1; zones <= 3; zones++ {
 		for nodes := 1; nodes <= 6; nodes++ {
 			capacities, demands := []int64{0, 1, 2}, []int64{0, 1, 2}
 			if nodes > 3 {
 				capacities, demands = []int64{1, 2}, []int64{0, 2}
 			}
-			odometer(zones, nodes, true, func(at []int) {
-				odometer(len(capacities), nodes, false, func(caps []int) {
-					odometer(len(demands), zones, false, func(loads []int) {
-						p := &Problem{Zones: names[:zones], DefaultCost: 1, Crossings: []Crossing{{"a", "a", 0}}}
-						if zones > 1 {
-							p.Crossings = append(p.Crossings, Crossing{"a", "b", 2})
-						}
-						for i := range nodes {
-							p.Nodes = append(p.Nodes, Node{
-								ID: fmt.Sprint("n", i), Zone: names[at[i]], Capacity: capacities[caps[i]],
-								Model: []string{"large", "small"}[i%2], CurrentLoad: int64(i % 3 % 2),
-							})
-						}
-						for z := range zones {
-							p.Demands = append(p.Demands, Demand{names[z], "x", demands[loads[z]]})
-						}
-						for k := range 5 {
-							q := *p
-							if k > 0 {
-								turn++
-								q.Constraints = sets[turn%len(sets)]
-							}
-							count++
-							f(&q)
-						}
+			odometer(zones, nodes, true, func(zoneOf []int) {
+				odometer(len(capacities), nodes, false, func(capacityOf []int) {
+					odometer(len(demands), zones, false, func(demandOf []int) {
+						f(gridProblem(zoneOf, valuesAt(capacities, capacityOf), valuesAt(demands, demandOf)))
 					})
 				})
 			})
 		}
 	}
-	return count
+}
+
+func valuesAt(values []int64, positions []int) (at []int64) {
+	for _, i := range positions {
+		at = append(at, values[i])
+	}
+	return at
+}
+
+// gridProblem has a node for each capacity and a zone for each demand.
+func gridProblem(zoneOf []int, capacities, demands []int64) *Problem {
+	names := []string{"a", "b", "c"}[:len(demands)]
+	p := &Problem{Zones: names, DefaultCost: 1, Crossings: []Crossing{{"a", "a", 0}}}
+	if len(names) > 1 {
+		p.Crossings = append(p.Crossings, Crossing{"a", "b", 2})
+	}
+	for i, capacity := range capacities {
+		p.Nodes = append(p.Nodes, Node{
+			ID: fmt.Sprint("n", i), Zone: names[zoneOf[i]], Capacity: capacity,
+			Model: []string{"large", "small"}[i%2], CurrentLoad: int64(i % 3 % 2),
+		})
+	}
+	for i, demand := range demands {
+		p.Demands = append(p.Demands, Demand{names[i], "x", demand})
+	}
+	return p
 }
 
 // odometer calls f with every sequence of n digits below base; with rising only those that never fall.
@@ -123,7 +142,7 @@
 				if _, err := Solve(p, Options{}); err != nil {
 					conflicts.Add(1)
 				}
-				if err := agree(p); err != nil && wrong.Add(1) < 5 {
+				if err := checkAgreement(p); err != nil && wrong.Add(1) < 5 {
 					t.Errorf("%+v: %v", *p, err)
 				}
 			}
--- a/placement/random.go
+++ b/placement/random.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// RandomProblem is a made-up site for measurements: zones unequal in demand, models unequal in speed, as much demand as six tenths of
-// all capacity. The same seed gives the same site.
+// RandomProblem returns a made-up problem for measurements: demand differs between zones and capacity between models, and all
+// demand is six tenths of all capacity. The same seed gives the same problem.
 func RandomProblem(nodes, zones int, seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &Problem{DefaultCost: 10}
--- a/placement/solve_test.go
+++ b/placement/solve_test.go
@@ -5,9 +5,11 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"github.com/google/go-cmp/cmp"
 )
 
-// checkPlan holds a plan of any size to what it says of itself.
+// checkPlan compares the goals of a plan with its loads and flows, and these with each other.
 func checkPlan(tb testing.TB, p *Problem, plan *Plan) {
 	tb.Helper()
 	zoneOf, in := map[string]string{}, map[string]int64{}
@@ -49,12 +51,13 @@
 	for _, d := range p.Demands {
 		total += d.Load
 	}
-	if got := plan.Goals; got.Uncarried != total-carried || got.Crossings != crossings || got.Moves != moves || got.Fullest != fullest.reduced() {
-		tb.Errorf("says %+v; it is %d, %d, %v, %d", got, total-carried, crossings, fullest.reduced(), moves)
+	want := Goals{Uncarried: total - carried, Crossings: crossings, Fullest: fullest.reduced(), Moves: moves}
+	if diff := cmp.Diff(want, plan.Goals); diff != "" {
+		tb.Errorf("goals (-by the loads and flows +by the plan):\n%s", diff)
 	}
 }
 
-func TestPlansAreWhatTheySay(t *testing.T) {
+func TestGoalsMatchLoadsAndFlows(t *testing.T) {
 	for seed := range uint64(5) {
 		p := RandomProblem(60, 5, seed)
 		plan, err := Solve(p, Options{})
@@ -73,30 +76,45 @@
 	}
 }
 
-// A fast machine and a slow one under a headroom that only just fits, and one that does not: the conflict is named with
-// lines, and what each member would have to give.
-func TestPairUnderHeadroom(t *testing.T) {
-	p := &Problem{
-		Zones:   []string{"west"},
-		Nodes:   []Node{{ID: "a", Zone: "west", Model: "small", Capacity: 100}, {ID: "n", Zone: "west", Model: "large", Capacity: 200}},
-		Demands: []Demand{{"west", "plan", 240}},
+// pairProblem has a large node that counts only beside the small one, under a headroom that just fits a load of 240.
+func pairProblem(load int64) *Problem {
+	return &Problem{
+		Zones: []string{"west"},
+		Nodes: []Node{
+			{ID: "a", Zone: "west", Model: "small", Capacity: 100},
+			{ID: "n", Zone: "west", Model: "large", Capacity: 200},
+		},
+		Demands: []Demand{{"west", "plan", load}},
 		Constraints: []Constraint{
 			{Name: "room", Line: 3, Kind: Headroom, Part: Ratio{8, 10}},
 			{Name: "pairs", Line: 4, Kind: Pair, Model: "large", With: "small"},
 			{Name: "all", Line: 5, Kind: Carry},
 		},
 	}
-	plan, err := Solve(p, Options{})
-	if err != nil || plan.Load["a"] != 80 || plan.Load["n"] != 160 || plan.Fullest != (Ratio{4, 5}) || !plan.Proven {
-		t.Fatalf("%+v, %v", plan, err)
+}
+
+// The conflict names the constraints with their lines, and what each would have to give.
+func TestPairUnderHeadroom(t *testing.T) {
+	plan, err := Solve(pairProblem(240), Options{})
+	if err != nil {
+		t.Fatal(err)
 	}
-	p.Demands[0].Load = 241
-	_, err = Solve(p, Options{})
-	var e *InfeasibleError
-	if !errors.As(err, &e) || len(e.Conflict) != 2 {
-		t.Fatalf("%v", err)
+	if diff := cmp.Diff(map[string]int64{"a": 80, "n": 160}, plan.Load); diff != "" {
+		t.Errorf("load (-want +got):\n%s", diff)
 	}
-	for _, want := range []string{"room (line 3): 805/1000 would do in place of 8/10", "all (line 5): without it 1 units from west are not carried"} {
+	if plan.Fullest != (Ratio{4, 5}) || !plan.Proven {
+		t.Errorf("fullest %v, proven %t", plan.Fullest, plan.Proven)
+	}
+
+	_, err = Solve(pairProblem(241), Options{})
+	var conflict *InfeasibleError
+	if !errors.As(err, &conflict) || len(conflict.Conflict) != 2 {
+		t.Fatalf("%v, want a conflict of 2 constraints", err)
+	}
+	for _, want := range []string{
+		"room (line 3): 805/1000 would do in place of 8/10",
+		"all (line 5): without it 1 units from west are not carried",
+	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
@@ -104,7 +122,7 @@
 }
 
 // Constraints that fit two at a time and conflict as three.
-func TestThreeConflict(t *testing.T) {
+func TestConflictOfThreeConstraints(t *testing.T) {
 	p := &Problem{
 		Zones:   []string{"a", "b"},
 		Nodes:   []Node{{ID: "1", Zone: "a", Capacity: 2}, {ID: "2", Zone: "b", Capacity: 2}},
@@ -117,34 +135,42 @@
 		},
 	}
 	_, err := Solve(p, Options{})
-	var e *InfeasibleError
-	if !errors.As(err, &e) || len(e.Conflict) != 3 {
-		t.Errorf("%v", err)
+	var conflict *InfeasibleError
+	if !errors.As(err, &conflict) || len(conflict.Conflict) != 3 {
+		t.Errorf("%v, want a conflict of 3 constraints", err)
 	}
 }
 
-func TestOddSizes(t *testing.T) {
+func TestSolveEdgeCases(t *testing.T) {
+	node := func(id string, capacity int64) Node { return Node{ID: id, Zone: "a", Capacity: capacity} }
 	for name, p := range map[string]*Problem{
-		"nothing":      {},
-		"one node":     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: 5}}, Demands: []Demand{{"a", "x", 3}}},
-		"no node":      {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 3}}},
-		"no demand":    {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: 5}}},
-		"no capacity":  {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a"}}, Demands: []Demand{{"a", "x", 3}}},
-		"a bare zone":  {Zones: []string{"a", "b"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: 5}}, Demands: []Demand{{"b", "x", 3}}, DefaultCost: 1},
-		"the most":     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: MaxLoad}}, Demands: []Demand{{"a", "x", MaxLoad}}},
-		"over all":     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: 2}, {ID: "2", Zone: "a", Capacity: 3}}, Demands: []Demand{{"a", "x", 9}}},
-		"zero classes": {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 0}}},
+		"nothing":     {},
+		"one node":    {Zones: []string{"a"}, Nodes: []Node{node("1", 5)}, Demands: []Demand{{"a", "x", 3}}},
+		"no node":     {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 3}}},
+		"no demand":   {Zones: []string{"a"}, Nodes: []Node{node("1", 5)}},
+		"no capacity": {Zones: []string{"a"}, Nodes: []Node{node("1", 0)}, Demands: []Demand{{"a", "x", 3}}},
+		"zone without nodes": {
+			Zones: []string{"a", "b"}, Nodes: []Node{node("1", 5)}, Demands: []Demand{{"b", "x", 3}}, DefaultCost: 1,
+		},
+		"largest figures": {
+			Zones: []string{"a"}, Nodes: []Node{node("1", MaxLoad)}, Demands: []Demand{{"a", "x", MaxLoad}},
+		},
+		"demand over all capacity": {
+			Zones: []string{"a"}, Nodes: []Node{node("1", 2), node("2", 3)}, Demands: []Demand{{"a", "x", 9}},
+		},
+		"demand of 0": {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 0}}},
 	} {
-		plan, err := Solve(p, Options{})
-		if err != nil {
-			t.Errorf("%s: %v", name, err)
-			continue
-		}
-		checkPlan(t, p, plan)
+		t.Run(name, func(t *testing.T) {
+			plan, err := Solve(p, Options{})
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkPlan(t, p, plan)
+		})
 	}
 }
 
-func TestBadProblems(t *testing.T) {
+func TestCheckReportsInvalidProblems(t *testing.T) {
 	for want, p := range map[string]*Problem{
 		`node 1: "b" is no zone`:      {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "b"}}},
 		`node "1" is given twice`:     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a"}, {ID: "1", Zone: "a"}}},
@@ -152,13 +178,15 @@
 		`demand "a x" is given twice`: {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 1}, {"a", "x", 2}}},
 		`room: 3/2 is no part`:        {Constraints: []Constraint{{Name: "room", Kind: Headroom, Part: Ratio{3, 2}}}},
 	} {
-		if _, err := Solve(p, Options{}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			if _, err := Solve(p, Options{}); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("%v, want %s", err, want)
+			}
+		})
 	}
 }
 
-// Each loss has its plan, or the word that none exists and by how much.
+// Each loss has a plan, or a conflict and a shortfall.
 func TestContingencies(t *testing.T) {
 	p := RandomProblem(12, 3, 3)
 	plan, err := Solve(p, Options{})
@@ -174,7 +202,7 @@
 		kind, _, _ := strings.Cut(c.Name, " ")
 		kinds[kind]++
 		if (c.Plan == nil) != (c.Conflict != nil) || c.Plan == nil && c.Shortfall == 0 {
-			t.Errorf("%s: plan %v, short %d, %v", c.Name, c.Plan != nil, c.Shortfall, c.Conflict)
+			t.Errorf("%s: has a plan: %t, shortfall %d, conflict %v", c.Name, c.Plan != nil, c.Shortfall, c.Conflict)
 		}
 		for _, id := range c.Lost {
 			if c.Plan != nil && c.Plan.Load[id] != 0 {
@@ -183,7 +211,7 @@
 		}
 	}
 	if kinds["node"] != 12 || kinds["zone"] == 0 || kinds["batch"] == 0 {
-		t.Errorf("%v", kinds)
+		t.Errorf("contingencies by kind: %v", kinds)
 	}
 }
 
