--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -1,151 +1,174 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"time"
 )
 
-// Kind is what nodes of one sort are like.
-type Kind struct {
-	Cores     float64
-	Speed     float64       // of a core, 1 is the reference
-	ColdShare float64       // of its power that a fresh node has
-	ColdFor   time.Duration // until it has all of it, evenly; 0: it starts warm
-	Cap       int           // connections that it holds at most; 0: no bound
-	FullTax   float64       // of its power that a full table of connections takes
-	// The rule on cold nodes: sent over TipMultiple of what it can take of new load within TipTime, it falls over and stays
-	// down. What it can take is that which fills it over ColdFor. 0: it bears anything.
-	TipMultiple float64
-	TipTime     time.Duration
-	TipSlack    float64 // load that is let pass in any case, for chance
+// ErrNodeSettings is wrapped by errors about settings of a node that are out of range.
+var ErrNodeSettings = errors.New("settings out of range")
+
+// minCapacity keeps the utilization of a node without capacity finite, in cores of reference.
+const minCapacity = 1e-9
+
+// NodeSettings describes a node. Its cold overload limit models servers that crash when they get too many connections
+// while they warm up: more than ColdOverloadFactor times the load that would fill the node evenly over WarmupDuration,
+// within any ColdOverloadDuration.
+type NodeSettings struct {
+	Cores             float64       // above 0
+	Speed             float64       // of a core, above 0; 1 is the reference
+	ColdCapacityRatio float64       // of its capacity that a node has at its start, from 0 to 1
+	WarmupDuration    time.Duration // until it has all of it, rising evenly; 0: it starts warm
+	MaxConnections    int           // 0: no limit
+	FullOverheadRatio float64       // of its capacity that MaxConnections connections take, from 0 and below 1
+
+	ColdOverloadFactor    float64       // 0: no limit
+	ColdOverloadDuration  time.Duration // over which load is summed up
+	ColdOverloadAllowance float64       // added to the limit, in cores of reference
 }
 
-// Node is one server of long-lived connections. Loads are in cores of reference.
+func (s NodeSettings) validate() error {
+	if !(s.Cores > 0) || !(s.Speed > 0) || !inUnitRange(s.ColdCapacityRatio) ||
+		!(s.FullOverheadRatio >= 0 && s.FullOverheadRatio < 1) {
+		return fmt.Errorf("%w: cores %v, speed %v, cold capacity ratio %v, full overhead ratio %v",
+			ErrNodeSettings, s.Cores, s.Speed, s.ColdCapacityRatio, s.FullOverheadRatio)
+	}
+	return nil
+}
+
+func inUnitRange(v float64) bool { return v >= 0 && v <= 1 }
+
+// Node is one server of long-lived connections. Loads and capacities are in cores of reference.
 type Node struct {
-	Kind
-	Name string
-
-	started time.Duration // its latest start
-	warm    bool          // since before the run
-	down    bool          // fell over
-	held    int
-	asked   float64 // load of what it holds
-	taken   float64 // by others, as a neighbour on the machine: a part of its power
-	sent    []sending
-	window  float64 // the sum of sent
+	settings NodeSettings
+
+	startedAt      time.Duration // its latest start
+	startedWarm    bool          // before the simulation began
+	crashed        bool
+	connections    int
+	load           float64 // of all connections
+	neighbourRatio float64 // of its capacity that others on the machine take
+	recent         []offeredLoad
+	recentLoad     float64 // the sum of recent
 }
 
-type sending struct {
+// offeredLoad is a connection that was sent to a cold node, whether or not it was accepted.
+type offeredLoad struct {
 	at   time.Duration
 	load float64
 }
 
-// NewNode returns a node that has been running since long before.
-func NewNode(name string, k Kind) (*Node, error) {
-	if !(k.Cores > 0) || !(k.Speed > 0) || !(k.ColdShare >= 0 && k.ColdShare <= 1) || !(k.FullTax >= 0 && k.FullTax < 1) {
-		return nil, fmt.Errorf("model: node %s: cores %v, speed %v, cold share %v, full tax %v", name, k.Cores, k.Speed, k.ColdShare, k.FullTax)
+// NewNode returns a warm node. The name is for errors, which wrap ErrNodeSettings.
+func NewNode(name string, s NodeSettings) (*Node, error) {
+	if err := s.validate(); err != nil {
+		return nil, fmt.Errorf("simulation: node %s: %w", name, err)
 	}
-	return &Node{Kind: k, Name: name, warm: true}, nil
+	return &Node{settings: s, startedWarm: true}, nil
 }
 
-// Restart has it begin anew, cold and empty. What it held is cut off by the caller.
+// Restart starts the node again, cold and without connections; the caller ends those that it had.
 func (n *Node) Restart(now time.Duration) {
-	*n = Node{Kind: n.Kind, Name: n.Name, started: now, taken: n.taken}
+	*n = Node{settings: n.settings, startedAt: now, neighbourRatio: n.neighbourRatio}
 }
 
-// Neighbour takes a part of its power away, from 0 to 1.
-func (n *Node) Neighbour(part float64) { n.taken = min(max(part, 0), 1) }
+// SetNeighbourRatio sets the part of its capacity that others on the machine take, limited to 0 to 1.
+func (n *Node) SetNeighbourRatio(ratio float64) { n.neighbourRatio = min(max(ratio, 0), 1) }
 
-// Warmth is the part of its power that it has for being cold: 1 is warm.
-func (n *Node) Warmth(now time.Duration) float64 {
-	if n.warm || n.ColdFor <= 0 || now-n.started >= n.ColdFor {
+// WarmupRatio returns the part of its capacity that the node has at this point of its warm-up; 1 is warm.
+func (n *Node) WarmupRatio(now time.Duration) float64 {
+	s, age := &n.settings, now-n.startedAt
+	if n.startedWarm || s.WarmupDuration <= 0 || age >= s.WarmupDuration {
 		return 1
 	}
-	return n.ColdShare + (1-n.ColdShare)*float64(now-n.started)/float64(n.ColdFor)
+	return s.ColdCapacityRatio + (1-s.ColdCapacityRatio)*float64(age)/float64(s.WarmupDuration)
 }
 
-// Power is what it can do now.
-func (n *Node) Power(now time.Duration) float64 {
-	p := n.Cores * n.Speed * n.Warmth(now) * (1 - n.taken)
-	if n.Cap > 0 {
-		p *= 1 - n.FullTax*float64(n.held)/float64(n.Cap)
+// Capacity returns the load that the node can serve now.
+func (n *Node) Capacity(now time.Duration) float64 {
+	s := &n.settings
+	capacity := s.Cores * s.Speed * n.WarmupRatio(now) * (1 - n.neighbourRatio)
+	if s.MaxConnections > 0 {
+		capacity *= 1 - s.FullOverheadRatio*float64(n.connections)/float64(s.MaxConnections)
 	}
-	return p
+	return capacity
 }
 
-// Verdict is what becomes of a connection that is sent to a node.
-type Verdict int
+// ConnectResult is what becomes of a connection that is sent to a node.
+type ConnectResult int
 
+// The results of Connect.
 const (
-	Taken  Verdict = iota
-	Full           // turned away unseen
-	Down           // nobody answers
-	Tipped         // this one was too much: the node falls over with all that it holds
+	Accepted    ConnectResult = iota
+	Rejected                  // the node has MaxConnections connections
+	Unreachable               // the node has crashed before
+	Crashed                   // this connection exceeds the cold overload limit: the node and all its connections are lost
 )
 
-// Send brings a connection of some load. What is turned away counts against a cold node too.
-func (n *Node) Send(now time.Duration, load float64) Verdict {
-	if n.down {
-		return Down
+// Connect sends a connection of some load to the node. Rejected ones count for the cold overload limit too.
+func (n *Node) Connect(now time.Duration, load float64) ConnectResult {
+	if n.crashed {
+		return Unreachable
 	}
-	if n.tips(now, load) {
-		n.down, n.held, n.asked = true, 0, 0
-		return Tipped
+	if n.exceedsColdLimit(now, load) {
+		n.crashed, n.connections, n.load = true, 0, 0
+		return Crashed
 	}
-	if n.Cap > 0 && n.held >= n.Cap {
-		return Full
+	if limit := n.settings.MaxConnections; limit > 0 && n.connections >= limit {
+		return Rejected
 	}
-	n.held++
-	n.asked += load
-	return Taken
+	n.connections++
+	n.load += load
+	return Accepted
 }
 
-// tips counts what is sent to a cold node within any TipTime.
-func (n *Node) tips(now time.Duration, load float64) bool {
-	if n.Warmth(now) == 1 || n.TipMultiple <= 0 {
-		n.sent, n.window = nil, 0
+// exceedsColdLimit adds a load to those of the last ColdOverloadDuration and compares their sum with the limit.
+func (n *Node) exceedsColdLimit(now time.Duration, load float64) bool {
+	s := &n.settings
+	if n.WarmupRatio(now) == 1 || s.ColdOverloadFactor <= 0 {
+		n.recent, n.recentLoad = nil, 0
 		return false
 	}
-	old := 0
-	for old < len(n.sent) && n.sent[old].at <= now-n.TipTime {
-		n.window -= n.sent[old].load
-		old++
+	expired := 0
+	for expired < len(n.recent) && n.recent[expired].at <= now-s.ColdOverloadDuration {
+		n.recentLoad -= n.recent[expired].load
+		expired++
 	}
-	n.sent = append(n.sent[old:], sending{now, load})
-	n.window += load
-	rate := n.Cores * n.Speed / n.ColdFor.Seconds()
-	return n.window > n.TipMultiple*rate*n.TipTime.Seconds()+n.TipSlack
+	n.recent = append(n.recent[expired:], offeredLoad{at: now, load: load})
+	n.recentLoad += load
+	evenRate := s.Cores * s.Speed / s.WarmupDuration.Seconds()
+	return n.recentLoad > s.ColdOverloadFactor*evenRate*s.ColdOverloadDuration.Seconds()+s.ColdOverloadAllowance
 }
 
-// Change alters the load of a connection that it holds.
-func (n *Node) Change(by float64) {
-	if n.held > 0 {
-		n.asked = max(n.asked+by, 0)
+// ChangeLoad adds to the load of a connection of the node; a negative change reduces it.
+func (n *Node) ChangeLoad(change float64) {
+	if n.connections > 0 {
+		n.load = max(n.load+change, 0)
 	}
 }
 
-// Leave ends a connection of some load.
-func (n *Node) Leave(load float64) {
-	if n.held == 0 {
+// Disconnect ends a connection of some load.
+func (n *Node) Disconnect(load float64) {
+	if n.connections == 0 {
 		return
 	}
-	if n.held--; n.held == 0 {
-		n.asked = 0 // sums of fractions drift
+	if n.connections--; n.connections == 0 {
+		n.load = 0 // rounding errors of sums must not remain
 		return
 	}
-	n.asked = max(n.asked-load, 0)
+	n.load = max(n.load-load, 0)
 }
 
-// Held is how many connections it holds.
-func (n *Node) Held() int { return n.held }
+// Connections returns the number of open connections.
+func (n *Node) Connections() int { return n.connections }
 
-// Load is what is asked of it over what it can do; 0 where nothing is.
-func (n *Node) Load(now time.Duration) float64 {
-	if n.asked == 0 {
+// Utilization returns the load over the capacity; 0 without load.
+func (n *Node) Utilization(now time.Duration) float64 {
+	if n.load == 0 {
 		return 0
 	}
-	return n.asked / max(n.Power(now), 1e-9)
+	return n.load / max(n.Capacity(now), minCapacity)
 }
 
-// Up reports whether it answers.
-func (n *Node) Up() bool { return !n.down }
+// Up reports whether the node has not crashed.
+func (n *Node) Up() bool { return !n.crashed }
