--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -95,7 +95,7 @@
 func newSite(t *testing.T) *site {
 	t.Helper()
 	s := &site{t: t, dir: t.TempDir()}
-	var nodes []fakeserver.Node
+	var nodes []fakeserver.Endpoint
 	for i := range 2 {
 		server, err := fakeserver.NewLineServer()
 		if err != nil {
@@ -103,7 +103,7 @@
 		}
 		t.Cleanup(server.Close)
 		s.servers = append(s.servers, server)
-		nodes = append(nodes, fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.InService, Weight: 1})
+		nodes = append(nodes, fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.StateInService, Weight: 1})
 	}
 	var err error
 	if s.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", 7, nodes...); err != nil {
@@ -116,7 +116,7 @@
 
 func (s *site) reserve() string {
 	s.t.Helper()
-	addr, release, err := fakeserver.Reserve()
+	addr, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/gateway/nats_test.go
+++ b/gateway/nats_test.go
@@ -49,7 +49,7 @@
 func newFleet(t *testing.T, nodes int, alone bool, extra string) *fleet {
 	t.Parallel()
 	f := &fleet{t: t, cluster: fakeserver.NewNATSCluster(fakeserver.NewLedger(), alone), done: make(chan error, 1)}
-	var list []fakeserver.Node
+	var list []fakeserver.Endpoint
 	for i := range nodes {
 		n, err := f.cluster.Node(fmt.Sprint("node", i+1))
 		if err != nil {
@@ -57,7 +57,7 @@
 		}
 		t.Cleanup(n.Close)
 		f.nodes = append(f.nodes, n)
-		list = append(list, f.entry(i, fakeserver.InService))
+		list = append(list, f.entry(i, fakeserver.StateInService))
 	}
 	var err error
 	if f.catalog, err = fakeserver.NewCatalog(list...); err != nil {
@@ -102,7 +102,7 @@
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, release, err := fakeserver.Reserve()
+	addr, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,14 +110,14 @@
 	return addr
 }
 
-func (f *fleet) entry(i int, state string) fakeserver.Node {
-	return fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.nodes[i].Addr(), State: state, Weight: 1}
+func (f *fleet) entry(i int, state string) fakeserver.Endpoint {
+	return fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.nodes[i].Addr(), State: state, Weight: 1}
 }
 
 // drain has the list and, with tell, the node itself say that a node drains.
 func (f *fleet) drain(i int, tell bool) {
 	f.nodes[i].Drain(tell)
-	f.catalog.Set(f.entry(i, fakeserver.Terminating))
+	f.catalog.SetEndpoint(f.entry(i, fakeserver.StateTerminating))
 }
 
 // connect returns a client that does not come again by itself.
@@ -614,7 +614,7 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	catalog, err := fakeserver.NewCatalog(fakeserver.Node{ID: "s-00000001", Addr: s.Addr(), State: fakeserver.InService, Weight: 1})
+	catalog, err := fakeserver.NewCatalog(fakeserver.Endpoint{ID: "s-00000001", Addr: s.Addr(), State: fakeserver.StateInService, Weight: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/gateway/upgrade_test.go
+++ b/gateway/upgrade_test.go
@@ -45,15 +45,15 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	p := &platform{t: t, listener: l.(*net.TCPListener), server: newPeer(t), temp: t.TempDir()}
-	if p.catalog, err = fakeserver.NewCatalog(p.node(fakeserver.InService)); err != nil {
+	if p.catalog, err = fakeserver.NewCatalog(p.node(fakeserver.StateInService)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.catalog.Close)
 	return p
 }
 
-func (p *platform) node(state string) fakeserver.Node {
-	return fakeserver.Node{ID: "s-00000001", Addr: p.server.l.Addr().String(), State: state, Weight: 1}
+func (p *platform) node(state string) fakeserver.Endpoint {
+	return fakeserver.Endpoint{ID: "s-00000001", Addr: p.server.l.Addr().String(), State: state, Weight: 1}
 }
 
 func (p *platform) start() *process {
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -97,9 +97,9 @@
 		}
 		t := newTable(out, "node", "state", "sessions", "subscriptions")
 		for i, node := range fleet.list {
-			state := fakeserver.InService
+			state := fakeserver.StateInService
 			if i == drained {
-				state = fakeserver.Terminating
+				state = fakeserver.StateTerminating
 			}
 			t.AppendRow([]any{node.Name, state, node.Conns(), node.Subs()})
 		}
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -30,7 +30,7 @@
 	if err := pin(cpuList(0, c.Int("cores"))...); err != nil {
 		return nil, err
 	}
-	return fakeserver.NewCatalog(fakeserver.Node{ID: "s-00000001", Addr: c.String("to"), State: fakeserver.InService, Weight: 1})
+	return fakeserver.NewCatalog(fakeserver.Endpoint{ID: "s-00000001", Addr: c.String("to"), State: fakeserver.StateInService, Weight: 1})
 }
 
 // lineGateway is a gateway confined to its cores in front of one server.
@@ -44,7 +44,7 @@
 				return err
 			}
 			defer catalog.Close()
-			listen, release, err := fakeserver.Reserve()
+			listen, release, err := fakeserver.ReserveAddress()
 			if err != nil {
 				return err
 			}
--- a/internal/experiment/natsfleet.go
+++ b/internal/experiment/natsfleet.go
@@ -36,12 +36,12 @@
 
 // startNATSGate starts a gateway in front of a catalog and waits until it serves. Operators call at admin; empty: nowhere.
 func startNATSGate(ctx context.Context, catalog string, admin string, cores int, logger *slog.Logger) (*natsGate, error) {
-	lines, releaseLines, err := fakeserver.Reserve()
+	lines, releaseLines, err := fakeserver.ReserveAddress()
 	if err != nil {
 		return nil, err
 	}
 	defer releaseLines()
-	listen, releaseListen, err := fakeserver.Reserve()
+	listen, releaseListen, err := fakeserver.ReserveAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -84,27 +84,27 @@
 
 func startNodes(n int) (*nodes, error) {
 	f := &nodes{cluster: fakeserver.NewNATSCluster(fakeserver.NewLedger(), false)}
-	var entries []fakeserver.Node
+	var entries []fakeserver.Endpoint
 	for i := range n {
 		node, err := f.cluster.Node(fmt.Sprint("node", i+1))
 		if err != nil {
 			return nil, err
 		}
 		f.list = append(f.list, node)
-		entries = append(entries, f.entry(i, fakeserver.InService))
+		entries = append(entries, f.entry(i, fakeserver.StateInService))
 	}
 	var err error
 	f.catalog, err = fakeserver.NewCatalog(entries...)
 	return f, err
 }
 
-func (f *nodes) entry(i int, state string) fakeserver.Node {
-	return fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.list[i].Addr(), Zone: "lab", State: state, Weight: 1}
+func (f *nodes) entry(i int, state string) fakeserver.Endpoint {
+	return fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.list[i].Addr(), Zone: "lab", State: state, Weight: 1}
 }
 
 func (f *nodes) drain(i int) {
 	f.list[i].Drain(true)
-	f.catalog.Set(f.entry(i, fakeserver.Terminating))
+	f.catalog.SetEndpoint(f.entry(i, fakeserver.StateTerminating))
 }
 
 func (f *nodes) close() {
--- a/internal/experiment/planrun.go
+++ b/internal/experiment/planrun.go
@@ -55,7 +55,7 @@
 		DefaultCost: 3,
 		Constraints: []placement.Constraint{{Name: "all", Kind: placement.Carry}, {Name: "room", Kind: placement.Headroom, Part: placement.Ratio{Num: 9, Den: 10}}},
 	}
-	var entries []fakeserver.Node
+	var entries []fakeserver.Endpoint
 	for i, zone := range []string{"west", "west", "west", "north", "north", "north", "east", "east", "east"} {
 		l, err := fakeserver.NewLineServer()
 		if err != nil {
@@ -67,7 +67,7 @@
 		}
 		s.problem.Nodes = append(s.problem.Nodes, n)
 		s.servers[n.ID] = l
-		entries = append(entries, fakeserver.Node{ID: n.ID, Addr: l.Addr(), Zone: zone, Kind: n.Model, State: fakeserver.InService, Weight: 1})
+		entries = append(entries, fakeserver.Endpoint{ID: n.ID, Addr: l.Addr(), Zone: zone, Kind: n.Model, State: fakeserver.StateInService, Weight: 1})
 	}
 	best, err := placement.Solve(s.problem, placement.Options{})
 	if err != nil {
@@ -111,7 +111,7 @@
 }
 
 func (s *site) gate(ctx context.Context, zone string, plan *operator.Plan, logger *slog.Logger) (*zoneGate, error) {
-	listen, release, err := fakeserver.Reserve()
+	listen, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		return nil, err
 	}
@@ -313,7 +313,7 @@
 			s.mu.Lock()
 			s.servers[n.ID] = l
 			s.mu.Unlock()
-			s.catalog.Set(fakeserver.Node{ID: n.ID, Addr: l.Addr(), Zone: n.Zone, Kind: n.Model, State: fakeserver.InService, Weight: 1,
+			s.catalog.SetEndpoint(fakeserver.Endpoint{ID: n.ID, Addr: l.Addr(), Zone: n.Zone, Kind: n.Model, State: fakeserver.StateInService, Weight: 1,
 				StartedMS: time.Now().UnixMilli()})
 		}
 	})
@@ -413,7 +413,7 @@
 		time.Sleep(amidAfter) // discovery is late
 		for _, n := range s.problem.Nodes {
 			if n.Zone == lost {
-				s.catalog.Set(fakeserver.Node{ID: n.ID, Addr: s.servers[n.ID].Addr(), Zone: n.Zone, State: fakeserver.Terminated})
+				s.catalog.SetEndpoint(fakeserver.Endpoint{ID: n.ID, Addr: s.servers[n.ID].Addr(), Zone: n.Zone, State: fakeserver.StateTerminated})
 			}
 		}
 	}); err != nil {
--- a/internal/experiment/powerfleet.go
+++ b/internal/experiment/powerfleet.go
@@ -28,7 +28,7 @@
 	mu      sync.Mutex
 	catalog *fakeserver.Catalog // nil: down
 	version int64
-	entries []fakeserver.Node
+	entries []fakeserver.Endpoint
 	nodes   []*fakeserver.LineServer
 	started []time.Time
 	down    []bool // tipped, and down for good
@@ -36,7 +36,7 @@
 
 // reserve keeps an address for the fleet's time.
 func (f *powerFleet) reserve() (string, error) {
-	addr, release, err := fakeserver.Reserve()
+	addr, release, err := fakeserver.ReserveAddress()
 	if err == nil {
 		f.release = append(f.release, release)
 	}
@@ -52,7 +52,7 @@
 			return err
 		}
 		f.nodes = append(f.nodes, s)
-		f.entries = append(f.entries, fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: s.Addr(), State: fakeserver.InService, Weight: 1})
+		f.entries = append(f.entries, fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: s.Addr(), State: fakeserver.StateInService, Weight: 1})
 	}
 	f.started, f.down, f.version = make([]time.Time, n), make([]bool, n), 7
 	var err error
@@ -135,8 +135,8 @@
 func (f *powerFleet) retire(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.entries[i].State = fakeserver.Terminated
-	f.catalog.Set(f.entries[i])
+	f.entries[i].State = fakeserver.StateTerminated
+	f.catalog.SetEndpoint(f.entries[i])
 	f.version++
 }
 
--- a/internal/experiment/silentwatch.go
+++ b/internal/experiment/silentwatch.go
@@ -83,8 +83,8 @@
 	}
 	defer catalog.Close()
 	var nodes []*fakeserver.LineServer
-	entry := func(i int, state string) fakeserver.Node {
-		return fakeserver.Node{ID: fmt.Sprintf("s-%08x", i+1), Addr: nodes[i].Addr(), State: state, Weight: 1}
+	entry := func(i int, state string) fakeserver.Endpoint {
+		return fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: nodes[i].Addr(), State: state, Weight: 1}
 	}
 	for i := range 3 {
 		n, err := fakeserver.NewLineServer()
@@ -93,9 +93,9 @@
 		}
 		defer n.Close()
 		nodes = append(nodes, n)
-		catalog.Set(entry(i, fakeserver.InService))
+		catalog.SetEndpoint(entry(i, fakeserver.StateInService))
 	}
-	listen, release, err := fakeserver.Reserve()
+	listen, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		return p, err
 	}
@@ -118,9 +118,9 @@
 		return p, err
 	}
 	time.Sleep(silentAfter + time.Duration(rnd.Int64N(int64(time.Second))))
-	began, silent := catalog.Silence(), time.Now()
+	began, silent := catalog.StallWatches(), time.Now()
 	time.Sleep(500 * time.Millisecond)
-	catalog.Set(entry(0, fakeserver.Terminating))
+	catalog.SetEndpoint(entry(0, fakeserver.StateTerminating))
 	changed := time.Now()
 	counts := silent.Add(6 * time.Second)
 	if c := began.Add(figures.wait + 2*time.Second); c.After(counts) {
--- a/internal/fakeserver/address.go
+++ b/internal/fakeserver/address.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reserve returns an address of loopback that nobody but who is told it can have until release: a program that is yet to
+// ReserveAddress returns an address of loopback that nobody but who is told it can have until release: a program that is yet to
 // start, or to start again, finds its port free. One that was merely free a moment ago may by then be another's, or one
 // end of any connection. Who listens there must ask for the address's reuse, as net.Listen does.
-func Reserve() (addr string, release func(), err error) {
+func ReserveAddress() (addr string, release func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return "", nil, fmt.Errorf("standin: no address to reserve: %w", err)
--- a/internal/fakeserver/address_test.go
+++ b/internal/fakeserver/address_test.go
@@ -13,7 +13,7 @@
 
 // A reserved address is for who is told it: the kernel gives its port to no connection and to nobody who takes any.
 func TestReservedAddressesAreNobodyElses(t *testing.T) {
-	addr, release, err := fakeserver.Reserve()
+	addr, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakeserver/catalog.go
+++ b/internal/fakeserver/catalog.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Node is an entry of a Catalog.
-type Node struct {
+// Endpoint is an entry of a Catalog.
+type Endpoint struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
@@ -26,9 +26,9 @@
 
 // States of a Node.
 const (
-	InService   = "in_service"
-	Terminating = "terminating"
-	Terminated  = "terminated"
+	StateInService   = "in_service"
+	StateTerminating = "terminating"
+	StateTerminated  = "terminated"
 )
 
 // waitMost bounds the time that a watch waits.
@@ -41,7 +41,7 @@
 
 	mu      sync.Mutex
 	version int64
-	nodes   []Node
+	nodes   []Endpoint
 	changed []int64 // the version of each node's last change
 	news    chan struct{}
 	asked   time.Time     // when the last watch began
@@ -49,10 +49,10 @@
 }
 
 // NewCatalog starts a service on a port of loopback that the kernel picks.
-func NewCatalog(nodes ...Node) (*Catalog, error) { return NewCatalogAt("127.0.0.1:0", 1, nodes...) }
+func NewCatalog(nodes ...Endpoint) (*Catalog, error) { return NewCatalogAt("127.0.0.1:0", 1, nodes...) }
 
 // NewCatalogAt starts a service at an address, with a list of a version.
-func NewCatalogAt(addr string, version int64, nodes ...Node) (*Catalog, error) {
+func NewCatalogAt(addr string, version int64, nodes ...Endpoint) (*Catalog, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -74,8 +74,8 @@
 // Close ends the service and all calls that wait.
 func (c *Catalog) Close() { c.server.Close() }
 
-// Set adds a node or changes the one with its id; watches hear of it at once.
-func (c *Catalog) Set(n Node) {
+// SetEndpoint adds a node or changes the one with its id; watches hear of it at once.
+func (c *Catalog) SetEndpoint(n Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
@@ -86,7 +86,7 @@
 		}
 	}
 	if at < 0 {
-		c.nodes, c.changed = append(c.nodes, Node{}), append(c.changed, 0)
+		c.nodes, c.changed = append(c.nodes, Endpoint{}), append(c.changed, 0)
 		at = len(c.nodes) - 1
 	}
 	c.nodes[at], c.changed[at] = n, c.version
@@ -94,8 +94,8 @@
 	c.news = make(chan struct{})
 }
 
-// Silence has all watches that are open say nothing more, not even that they end. It tells when the last of them began.
-func (c *Catalog) Silence() (began time.Time) {
+// StallWatches has all watches that are open say nothing more, not even that they end. It tells when the last of them began.
+func (c *Catalog) StallWatches() (began time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	close(c.silence)
@@ -104,18 +104,18 @@
 }
 
 type answer struct {
-	Version int64  `json:"version"`
-	Full    bool   `json:"full"`
-	Servers []Node `json:"servers"`
+	Version int64      `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []Endpoint `json:"servers"`
 }
 
 // since is what has changed after a version; with full it is the whole list.
 func (c *Catalog) since(after int64, full bool) (a answer, news, silence <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a = answer{Version: c.version, Full: full, Servers: []Node{}}
+	a = answer{Version: c.version, Full: full, Servers: []Endpoint{}}
 	for i, n := range c.nodes {
-		if full && n.State != Terminated || !full && c.changed[i] > after {
+		if full && n.State != StateTerminated || !full && c.changed[i] > after {
 			a.Servers = append(a.Servers, n)
 		}
 	}
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -80,7 +80,7 @@
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, release, err := fakeserver.Reserve()
+	addr, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
