--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -433,7 +433,7 @@
 
 // serverWithout is the number of the server that does not have the last request.
 func (s *sharedSocket) serverWithout() int {
-	if s.site.servers[0].Names()[requestName(s.requests)] > 0 {
+	if s.site.servers[0].OpenedByName()[requestName(s.requests)] > 0 {
 		return 1
 	}
 	return 0
--- a/internal/experiment/fleetfaults.go
+++ b/internal/experiment/fleetfaults.go
@@ -319,7 +319,7 @@
 	p.count(all)
 	names := map[string]int{}
 	for _, node := range f.nodes {
-		for name, k := range node.Names() {
+		for name, k := range node.OpenedByName() {
 			names[name] += k
 		}
 	}
--- a/internal/experiment/planrun.go
+++ b/internal/experiment/planrun.go
@@ -298,7 +298,7 @@
 	warm := map[string]int{}
 	for _, n := range s.problem.Nodes {
 		if n.Zone == lost {
-			warm[n.ID] = s.servers[n.ID].MostWithin(time.Second)
+			warm[n.ID] = s.servers[n.ID].MaxOpenedWithin(time.Second)
 		}
 	}
 	_, err := run(s.plan, "back", func(func(string, *zoneGate), map[string]*zoneGate) {
@@ -320,7 +320,7 @@
 	worst := 0.0
 	now := s.running()
 	for id, was := range warm {
-		got, limit := now[id].MostWithin(time.Second), was*4/5
+		got, limit := now[id].MaxOpenedWithin(time.Second), was*4/5
 		if part := float64(got) / float64(max(limit, 1)); part >= worst {
 			worst, r.ColdMost, r.ColdLimit = part, got, limit
 		}
--- a/internal/experiment/powerfleet.go
+++ b/internal/experiment/powerfleet.go
@@ -181,7 +181,7 @@
 func (f *powerFleet) toRetired(seed uint64) (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name, k := range f.nodes[f.retired].Names() {
+	for name, k := range f.nodes[f.retired].OpenedByName() {
 		if strings.HasPrefix(name, fmt.Sprintf("%x-", seed)) {
 			n += k
 		}
@@ -197,7 +197,7 @@
 		var fall []*fakeserver.LineServer
 		for i, n := range f.nodes {
 			cold := !f.started[i].IsZero() && time.Since(f.started[i]) < faultCold
-			if cold && !f.down[i] && n.MostWithin(time.Second) > tips() {
+			if cold && !f.down[i] && n.MaxOpenedWithin(time.Second) > tips() {
 				f.down[i] = true
 				tipped++
 				fall = append(fall, n)
--- a/internal/experiment/tiersplay.go
+++ b/internal/experiment/tiersplay.go
@@ -91,7 +91,7 @@
 		return p, err
 	}
 	for _, n := range f.nodes {
-		n.SetRoom(tierRoom)
+		n.SetCapacity(tierRoom)
 	}
 	for _, g := range f.list {
 		if err := g.start(program); err != nil {
--- a/internal/fakeserver/lineserver.go
+++ b/internal/fakeserver/lineserver.go
@@ -69,8 +69,8 @@
 // Late counts the openings that came after Drain.
 func (s *LineServer) Late() int64 { return s.late.Load() }
 
-// MostWithin is the largest number of openings in any span of time.
-func (s *LineServer) MostWithin(span time.Duration) (most int) {
+// MaxOpenedWithin is the largest number of openings in any span of time.
+func (s *LineServer) MaxOpenedWithin(span time.Duration) (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	from := 0
@@ -83,15 +83,15 @@
 	return most
 }
 
-// Names counts the openings by the client's name for them.
-func (s *LineServer) Names() map[string]int {
+// OpenedByName counts the openings by the client's name for them.
+func (s *LineServer) OpenedByName() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.names)
 }
 
-// SetRoom bounds the connections that it holds; it turns away what comes beyond.
-func (s *LineServer) SetRoom(n int) {
+// SetCapacity bounds the connections that it holds; it turns away what comes beyond.
+func (s *LineServer) SetCapacity(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.room = n
