--- a/gateway/nats_test.go
+++ b/gateway/nats_test.go
@@ -48,10 +48,10 @@
 
 func newFleet(t *testing.T, nodes int, alone bool, extra string) *fleet {
 	t.Parallel()
-	f := &fleet{t: t, cluster: fakeserver.NewNATSCluster(fakeserver.NewLedger(), alone), done: make(chan error, 1)}
+	f := &fleet{t: t, cluster: fakeserver.NewNATSCluster(fakeserver.NewDeliveryLog(), alone), done: make(chan error, 1)}
 	var list []fakeserver.Endpoint
 	for i := range nodes {
-		n, err := f.cluster.Node(fmt.Sprint("node", i+1))
+		n, err := f.cluster.StartNode(fmt.Sprint("node", i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,7 +139,7 @@
 func (f *fleet) holder() int {
 	f.t.Helper()
 	for i, n := range f.nodes {
-		if n.Conns() > 0 {
+		if n.ConnectionCount() > 0 {
 			return i
 		}
 	}
@@ -197,7 +197,7 @@
 	eventually(t, "nodes hold nothing", func() bool {
 		n := 0
 		for _, node := range f.nodes {
-			n += node.Conns() + node.Subs()
+			n += node.ConnectionCount() + node.SubscriptionCount()
 		}
 		return n == 0
 	})
@@ -212,7 +212,7 @@
 			t.Fatalf("request %d: %v, %v", i, m, err)
 		}
 	}
-	if most, overlapping, _ := f.cluster.Requests(); most != 1 || overlapping != 0 {
+	if most, overlapping, _ := f.cluster.AttemptStats(); most != 1 || overlapping != 0 {
 		t.Errorf("%d attempts at most, %d at once", most, overlapping)
 	}
 }
@@ -223,7 +223,7 @@
 	f := newFleet(t, 2, true, "")
 	nc := f.connect()
 	at := f.holder()
-	f.nodes[at].Work(func([]byte) ([]byte, time.Duration) { return nil, 0 })
+	f.nodes[at].SetHandler(func([]byte) ([]byte, time.Duration) { return nil, 0 })
 	for i := range 6 {
 		if _, err := nc.Request(fmt.Sprintf("svc.safe.%d", i), []byte(fmt.Sprint("s", i)), patience); err != nil {
 			t.Errorf("safe request %d: %v", i, err)
@@ -238,7 +238,7 @@
 			timedOut++
 		}
 	}
-	most, overlapping, _ := f.cluster.Requests()
+	most, overlapping, _ := f.cluster.AttemptStats()
 	if most > 5 || overlapping != 0 {
 		t.Errorf("%d attempts at most, %d at once", most, overlapping)
 	}
@@ -262,7 +262,7 @@
 	nc.Flush()
 	for i := range n {
 		during(i)
-		f.cluster.Stream(1, i)
+		f.cluster.PublishStream(1, i)
 		if i%10 == 0 {
 			time.Sleep(time.Millisecond)
 		}
@@ -281,7 +281,7 @@
 	}
 	lost := 0
 	for i := range n {
-		if !seen[i] && !f.cluster.Excused(1, i) {
+		if !seen[i] && !f.cluster.LossExcused(1, i) {
 			lost++
 		}
 	}
@@ -300,7 +300,7 @@
 			f.stream(nc, 3000, func(i int) {
 				if i == 500 || i == 900 || i == 905 {
 					for j, n := range f.nodes {
-						if n.Conns() > 0 {
+						if n.ConnectionCount() > 0 {
 							drained |= 1 << j
 							f.drain(j, tell)
 							break
@@ -310,7 +310,7 @@
 			})
 			eventually(t, "nothing is left at a drained node", func() bool {
 				for j, n := range f.nodes {
-					if drained&(1<<j) != 0 && n.Conns() > 0 {
+					if drained&(1<<j) != 0 && n.ConnectionCount() > 0 {
 						return false
 					}
 				}
@@ -327,7 +327,7 @@
 func TestNATSFailuresMoveTheSession(t *testing.T) {
 	for name, fail := range map[string]func(*fakeserver.NATSNode){
 		"kill": (*fakeserver.NATSNode).Kill, "hang": (*fakeserver.NATSNode).Hang,
-		"cut": func(n *fakeserver.NATSNode) { n.Cut(); time.Sleep(5 * time.Millisecond); n.Kill() },
+		"cut": func(n *fakeserver.NATSNode) { n.CutMidMessage(); time.Sleep(5 * time.Millisecond); n.Kill() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, false, "")
@@ -340,7 +340,7 @@
 				if i == 1000 {
 					eventually(t, "it stands elsewhere", func() bool {
 						for j, n := range f.nodes {
-							if j != at && n.Subs() > 0 {
+							if j != at && n.SubscriptionCount() > 0 {
 								return true
 							}
 						}
@@ -359,7 +359,7 @@
 func TestNATSClientDropsInItsSetUp(t *testing.T) {
 	f := newFleet(t, 1, false, "")
 	f.connect().Close()
-	f.nodes[0].Mute()
+	f.nodes[0].IgnorePings()
 	for i := range 20 {
 		c, err := net.Dial("tcp", f.addr)
 		if err != nil {
@@ -367,11 +367,11 @@
 		}
 		fmt.Fprint(c, "CONNECT {}\r\nSUB a 1\r\nPING\r\n")
 		if i%2 == 0 { // the others are gone before anything is sent
-			eventually(t, "it is half set up", func() bool { return f.nodes[0].Conns() > 0 })
+			eventually(t, "it is half set up", func() bool { return f.nodes[0].ConnectionCount() > 0 })
 		}
 		c.Close()
 	}
-	eventually(t, "the node holds nothing", func() bool { return f.nodes[0].Conns() == 0 && f.nodes[0].Subs() == 0 })
+	eventually(t, "the node holds nothing", func() bool { return f.nodes[0].ConnectionCount() == 0 && f.nodes[0].SubscriptionCount() == 0 })
 }
 
 // Bad input is answered with the protocol's own words, and closed.
@@ -418,7 +418,7 @@
 	e.expect("PONG\r\n")
 	e.send("SUB in 1\r\n")
 	e.expect("+OK\r\n")
-	f.nodes[0].Work(func(b []byte) ([]byte, time.Duration) { return b, 50 * time.Millisecond })
+	f.nodes[0].SetHandler(func(b []byte) ([]byte, time.Duration) { return b, 50 * time.Millisecond })
 	e.send("PUB svc.safe.1 in 2\r\nhi\r\nPUB svc.safe.2 in 2\r\nho\r\n")
 	var got []string
 	for range 6 {
@@ -438,14 +438,14 @@
 	var lame atomic.Bool
 	nc := f.connect(nats.LameDuckModeHandler(func(*nats.Conn) { lame.Store(true) }))
 	for _, n := range f.nodes {
-		n.Work(func(b []byte) ([]byte, time.Duration) { return b, 200 * time.Millisecond })
+		n.SetHandler(func(b []byte) ([]byte, time.Duration) { return b, 200 * time.Millisecond })
 	}
 	answered := make(chan error, 1)
 	go func() {
 		_, err := nc.Request("svc.safe.1", []byte("x"), patience)
 		answered <- err
 	}()
-	eventually(t, "the request is out", func() bool { most, _, _ := f.cluster.Requests(); return most == 1 })
+	eventually(t, "the request is out", func() bool { most, _, _ := f.cluster.AttemptStats(); return most == 1 })
 	f.stop()
 	if err := <-answered; err != nil {
 		t.Errorf("the request under way: %v", err)
@@ -460,7 +460,9 @@
 func TestNATSDrainWithMessagesQueued(t *testing.T) {
 	f := newFleet(t, 3, false, "")
 	f.connect().Close()
-	eventually(t, "the first is gone", func() bool { return f.nodes[0].Conns()+f.nodes[1].Conns()+f.nodes[2].Conns() == 0 })
+	eventually(t, "the first is gone", func() bool {
+		return f.nodes[0].ConnectionCount()+f.nodes[1].ConnectionCount()+f.nodes[2].ConnectionCount() == 0
+	})
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -470,11 +472,11 @@
 	e.send("CONNECT {\"headers\":true}\r\nSUB stream.1 1\r\nSUB in.* 2\r\nPING\r\n")
 	e.expect("PONG\r\n")
 	at := f.holder()
-	f.nodes[at].Work(func(b []byte) ([]byte, time.Duration) { return b, 300 * time.Millisecond })
+	f.nodes[at].SetHandler(func(b []byte) ([]byte, time.Duration) { return b, 300 * time.Millisecond })
 	for i := range 5 {
 		e.send(fmt.Sprintf("PUB svc.safe.%d in.%d 2\r\nr%d\r\n", i, i, i))
 	}
-	eventually(t, "requests are out", func() bool { most, _, _ := f.cluster.Requests(); return most == 1 })
+	eventually(t, "requests are out", func() bool { most, _, _ := f.cluster.AttemptStats(); return most == 1 })
 	const n = 200
 	big := strings.Repeat("x", 20_000) // in all, more than any buffer on the way
 	for i := range n / 2 {
@@ -519,12 +521,12 @@
 	}
 	nc.Flush()
 	at := f.holder()
-	f.nodes[1-at].Mute() // the set-up there is never confirmed
+	f.nodes[1-at].IgnorePings() // the set-up there is never confirmed
 	f.drain(at, true)
-	eventually(t, "the set-up is half done", func() bool { return f.nodes[1-at].Subs() > 0 })
+	eventually(t, "the set-up is half done", func() bool { return f.nodes[1-at].SubscriptionCount() > 0 })
 	nc.Close()
 	eventually(t, "no node holds anything", func() bool {
-		return f.nodes[0].Conns()+f.nodes[0].Subs()+f.nodes[1].Conns()+f.nodes[1].Subs() == 0
+		return f.nodes[0].ConnectionCount()+f.nodes[0].SubscriptionCount()+f.nodes[1].ConnectionCount()+f.nodes[1].SubscriptionCount() == 0
 	})
 }
 
@@ -543,7 +545,7 @@
 		e.expect(want + "\r\n")
 	}
 	e.ends()
-	eventually(t, "the node holds nothing", func() bool { return f.nodes[0].Conns() == 0 })
+	eventually(t, "the node holds nothing", func() bool { return f.nodes[0].ConnectionCount() == 0 })
 }
 
 // Where no other node can take a session, its client is told and closed.
@@ -580,7 +582,7 @@
 	}
 	at := f.holder()
 	f.drain(at, true)
-	eventually(t, "it has moved", func() bool { return f.nodes[at].Conns() == 0 })
+	eventually(t, "it has moved", func() bool { return f.nodes[at].ConnectionCount() == 0 })
 	for range 5 {
 		f.nodes[1-at].Publish("few", nil)
 	}
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -78,7 +78,7 @@
 				default:
 					answered.Add(1)
 				}
-				fleet.cluster.Stream(i, k)
+				fleet.cluster.PublishStream(i, k)
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
@@ -101,7 +101,7 @@
 			if i == drained {
 				state = fakeserver.StateTerminating
 			}
-			t.AppendRow([]any{node.Name, state, node.Conns(), node.Subs()})
+			t.AppendRow([]any{node.Name, state, node.ConnectionCount(), node.SubscriptionCount()})
 		}
 		t.AppendFooter([]any{fmt.Sprintf("%.0f s", time.Since(began).Seconds()), fmt.Sprintf("asked %d", asked.Load()),
 			fmt.Sprintf("answered %d", answered.Load()), fmt.Sprintf("moves %d", moves)})
@@ -118,12 +118,12 @@
 		select {
 		case <-tick.C:
 			if drained >= 0 {
-				moves = max(moves, held[drained]-fleet.list[drained].Conns())
+				moves = max(moves, held[drained]-fleet.list[drained].ConnectionCount())
 			}
 			show()
 		case <-drainAt:
 			for i, node := range fleet.list { // the one that has most to lose
-				if held[i] = node.Conns(); drained < 0 || held[i] > held[drained] {
+				if held[i] = node.ConnectionCount(); drained < 0 || held[i] > held[drained] {
 					drained = i
 				}
 			}
@@ -139,7 +139,7 @@
 	if err := gate.close(); err != nil {
 		return err
 	}
-	most, overlapping, late := fleet.cluster.Requests()
+	most, overlapping, late := fleet.cluster.AttemptStats()
 	fmt.Fprintf(out, "\n%d sessions, %d cut off; %d moved off the node that drained\n", sessions, cuts.Load(), moves)
 	fmt.Fprintf(out, "%d requests: %d answered, %d refused or failed at once, %d without answer; %d attempts at most, %d at once, %d late\n",
 		asked.Load(), answered.Load(), refused.Load(), failed.Load(), most, overlapping, late)
--- a/internal/experiment/natsdrain.go
+++ b/internal/experiment/natsdrain.go
@@ -124,7 +124,7 @@
 	}
 	defer fleet.close()
 	for i, n := range fleet.list {
-		n.Work(worker(r.Seed, uint64(i)))
+		n.SetHandler(worker(r.Seed, uint64(i)))
 	}
 	gate, err := startNATSGate(ctx, fleet.catalog.Addr(), "", 2, slogTo(c.Root().ErrWriter, c.Bool("log")))
 	if err != nil {
@@ -176,7 +176,7 @@
 		wg.Go(func() {
 			n := c.Int("messages")
 			for seq := range n {
-				fleet.cluster.Stream(i, seq)
+				fleet.cluster.PublishStream(i, seq)
 				time.Sleep(span / time.Duration(n))
 			}
 		})
@@ -222,7 +222,7 @@
 	}
 	time.Sleep(drainSettle)
 	r.count(sessions, each)
-	r.Most, r.Overlapping, r.Late = fleet.cluster.Requests()
+	r.Most, r.Overlapping, r.Late = fleet.cluster.AttemptStats()
 	r.Seconds = int(time.Since(began).Seconds())
 	return r, nil
 }
@@ -360,7 +360,7 @@
 func (r *drainResult) streamed(s *drainSession, i int, fleet *nodes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sent := fleet.cluster.Sent(i)
+	sent := fleet.cluster.StreamLength(i)
 	r.Sent += sent
 	times := make([]int, sent)
 	last := -1
@@ -376,7 +376,7 @@
 	for seq, n := range times {
 		switch {
 		case n > 0:
-		case fleet.cluster.Excused(i, seq):
+		case fleet.cluster.LossExcused(i, seq):
 			r.Lost++
 		default:
 			r.LostElse++
--- a/internal/experiment/natsfleet.go
+++ b/internal/experiment/natsfleet.go
@@ -83,10 +83,10 @@
 }
 
 func startNodes(n int) (*nodes, error) {
-	f := &nodes{cluster: fakeserver.NewNATSCluster(fakeserver.NewLedger(), false)}
+	f := &nodes{cluster: fakeserver.NewNATSCluster(fakeserver.NewDeliveryLog(), false)}
 	var entries []fakeserver.Endpoint
 	for i := range n {
-		node, err := f.cluster.Node(fmt.Sprint("node", i+1))
+		node, err := f.cluster.StartNode(fmt.Sprint("node", i+1))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/fakeserver/ledger.go
+++ b/internal/fakeserver/ledger.go
@@ -15,8 +15,8 @@
 	drainFor = 500 * time.Millisecond
 )
 
-// Ledger writes down what nodes see of requests and numbered streams. The cluster's lock guards it; a nil one notes nothing.
-type Ledger struct {
+// DeliveryLog writes down what nodes see of requests and numbered streams. The cluster's lock guards it; a nil one notes nothing.
+type DeliveryLog struct {
 	attempts map[string][]*attempt // by the request's id, which is its payload's first word
 	open     map[*natsConn]map[string]*attempt
 	late     int
@@ -35,20 +35,20 @@
 	holders map[int][]*NATSNode // of each message: who was to hand it over
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{attempts: map[string][]*attempt{}, open: map[*natsConn]map[string]*attempt{}, streams: map[int]*stream{},
+// NewDeliveryLog returns an empty ledger.
+func NewDeliveryLog() *DeliveryLog {
+	return &DeliveryLog{attempts: map[string][]*attempt{}, open: map[*natsConn]map[string]*attempt{}, streams: map[int]*stream{},
 		bad: map[*NATSNode]bool{}}
 }
 
-func (l *Ledger) failed(n *NATSNode) {
+func (l *DeliveryLog) failed(n *NATSNode) {
 	if l != nil {
 		l.bad[n] = true
 	}
 }
 
 // attempt notes a request that came. Its end is the end of the inbox's subscription, by an answer or by UNSUB.
-func (l *Ledger) attempt(c *natsConn, f *codec.Frame) {
+func (l *DeliveryLog) attempt(c *natsConn, f *codec.Frame) {
 	if l == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 // late reports whether nothing new may come to a node any more.
 func late(n *NATSNode) bool { return n.draining && time.Since(n.drainedAt) > drainFor }
 
-func (l *Ledger) withdrawn(c *natsConn, sid string) {
+func (l *DeliveryLog) withdrawn(c *natsConn, sid string) {
 	if l == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-func (l *Ledger) stream(session int) *stream {
+func (l *DeliveryLog) stream(session int) *stream {
 	s := l.streams[session]
 	if s == nil {
 		s = &stream{holders: map[int][]*NATSNode{}}
@@ -90,7 +90,7 @@
 	return s
 }
 
-func (l *Ledger) subscribed(c *natsConn, subject []byte) {
+func (l *DeliveryLog) subscribed(c *natsConn, subject []byte) {
 	if l == nil {
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 // streamed notes a numbered message and who was to hand it over.
-func (l *Ledger) streamed(session, seq int, holders []*NATSNode) {
+func (l *DeliveryLog) streamed(session, seq int, holders []*NATSNode) {
 	if l == nil {
 		return
 	}
@@ -116,8 +116,8 @@
 	s.holders[seq] = holders
 }
 
-// Requests sums up the requests seen: the most attempts for one, and how many had two at once.
-func (c *NATSCluster) Requests() (most, overlapping, late int) {
+// AttemptStats sums up the requests seen: the most attempts for one, and how many had two at once.
+func (c *NATSCluster) AttemptStats() (most, overlapping, late int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, as := range c.ledger.attempts {
@@ -137,8 +137,8 @@
 	return most, overlapping, c.ledger.late
 }
 
-// Excused reports whether a numbered message may be missing: each node that was to hand it over has failed.
-func (c *NATSCluster) Excused(session, seq int) bool {
+// LossExcused reports whether a numbered message may be missing: each node that was to hand it over has failed.
+func (c *NATSCluster) LossExcused(session, seq int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.ledger.streams[session]
@@ -153,8 +153,8 @@
 	return true
 }
 
-// Sent is how many numbered messages a session's stream had.
-func (c *NATSCluster) Sent(session int) int {
+// StreamLength is how many numbered messages a session's stream had.
+func (c *NATSCluster) StreamLength(session int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.ledger.streams[session]; s != nil {
--- a/internal/fakeserver/natsnode.go
+++ b/internal/fakeserver/natsnode.go
@@ -13,14 +13,14 @@
 // NATSCluster is a set of NATS nodes that pass messages on to each other at once, or stand alone.
 type NATSCluster struct {
 	alone  bool
-	ledger *Ledger
+	ledger *DeliveryLog
 
 	mu    sync.Mutex // of all nodes' connections and subscriptions, so that messages have one order
 	nodes []*NATSNode
 }
 
 // NewNATSCluster returns a cluster without nodes. The ledger may be nil; with alone its nodes share no messages.
-func NewNATSCluster(ledger *Ledger, alone bool) *NATSCluster {
+func NewNATSCluster(ledger *DeliveryLog, alone bool) *NATSCluster {
 	return &NATSCluster{ledger: ledger, alone: alone}
 }
 
@@ -69,8 +69,8 @@
 	sent func()
 }
 
-// Node starts a node on a port of loopback that the kernel picks.
-func (c *NATSCluster) Node(name string) (*NATSNode, error) {
+// StartNode starts a node on a port of loopback that the kernel picks.
+func (c *NATSCluster) StartNode(name string) (*NATSNode, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -83,14 +83,14 @@
 	return n, nil
 }
 
-// Work sets how requests are answered. It must not block.
-func (n *NATSNode) Work(f func(body []byte) ([]byte, time.Duration)) { n.work = f }
+// SetHandler sets how requests are answered. It must not block.
+func (n *NATSNode) SetHandler(f func(body []byte) ([]byte, time.Duration)) { n.work = f }
 
 // Addr is where the node listens.
 func (n *NATSNode) Addr() string { return n.listener.Addr().String() }
 
-// Conns is the number of connections that have said CONNECT.
-func (n *NATSNode) Conns() (count int) {
+// ConnectionCount is the number of connections that have said CONNECT.
+func (n *NATSNode) ConnectionCount() (count int) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	for c := range n.conns {
@@ -101,8 +101,8 @@
 	return count
 }
 
-// Subs is the number of subscriptions at the node.
-func (n *NATSNode) Subs() (count int) {
+// SubscriptionCount is the number of subscriptions at the node.
+func (n *NATSNode) SubscriptionCount() (count int) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	for c := range n.conns {
@@ -131,8 +131,8 @@
 	n.cluster.ledger.failed(n)
 }
 
-// Mute has the node answer no PING, so that no set-up is confirmed.
-func (n *NATSNode) Mute() {
+// IgnorePings has the node answer no PING, so that no set-up is confirmed.
+func (n *NATSNode) IgnorePings() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.mute = true
@@ -162,8 +162,8 @@
 	n.wg.Wait()
 }
 
-// Cut ends one connection in the middle of a message's payload.
-func (n *NATSNode) Cut() bool {
+// CutMidMessage ends one connection in the middle of a message's payload.
+func (n *NATSNode) CutMidMessage() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	for c := range n.conns {
@@ -415,8 +415,8 @@
 	return n.deliver(nil, []byte(subject), nil, body, 0, nil)
 }
 
-// Stream publishes the next numbered message of a session's stream somewhere in the cluster.
-func (c *NATSCluster) Stream(session, seq int) {
+// PublishStream publishes the next numbered message of a session's stream somewhere in the cluster.
+func (c *NATSCluster) PublishStream(session, seq int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	subject := "stream." + strconv.Itoa(session)
