--- a/internal/fakeserver/address.go
+++ b/internal/fakeserver/address.go
@@ -6,33 +6,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReserveAddress returns an address of loopback that nobody but who is told it can have until release: a program that is yet to
-// start, or to start again, finds its port free. One that was merely free a moment ago may by then be another's, or one
-// end of any connection. Who listens there must ask for the address's reuse, as net.Listen does.
+// ReserveAddress returns a loopback address whose port the kernel gives to nobody else until release is called. Only a
+// listener that sets SO_REUSEADDR, as net.Listen does, can use it. A program can thus be started, and restarted, on a
+// port that is certain to be free; a port that was merely free a moment ago may have been taken in the meantime.
 func ReserveAddress() (addr string, release func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return "", nil, fmt.Errorf("standin: no address to reserve: %w", err)
+		return "", nil, fmt.Errorf("fakeserver: create socket to reserve a loopback address: %w", err)
 	}
+	release = func() { _ = unix.Close(fd) }
 	port, err := bindLoopback(fd)
 	if err != nil {
-		unix.Close(fd)
-		return "", nil, fmt.Errorf("standin: no address to reserve: %w", err)
+		release()
+		return "", nil, fmt.Errorf("fakeserver: bind socket to reserve a loopback address: %w", err)
 	}
-	return fmt.Sprint("127.0.0.1:", port), func() { unix.Close(fd) }, nil
+	return fmt.Sprintf("127.0.0.1:%d", port), release, nil
 }
 
-// bindLoopback binds a socket to a port of the kernel's choice. It is never listened on: who does has the port's connections.
-func bindLoopback(fd int) (int, error) {
+// bindLoopback binds a socket to a port chosen by the kernel. The socket must never listen, as it would then receive
+// the connections that are meant for the port's user.
+func bindLoopback(fd int) (port int, err error) {
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
-		return 0, err
+		return 0, fmt.Errorf("set SO_REUSEADDR: %w", err)
 	}
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		return 0, err
+		return 0, fmt.Errorf("bind: %w", err)
 	}
-	sa, err := unix.Getsockname(fd)
+	bound, err := unix.Getsockname(fd)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("getsockname: %w", err)
 	}
-	return sa.(*unix.SockaddrInet4).Port, nil
+	inet4, ok := bound.(*unix.SockaddrInet4)
+	if !ok {
+		return 0, fmt.Errorf("getsockname: unexpected address type %T", bound)
+	}
+	return inet4.Port, nil
 }
--- a/internal/fakeserver/address_test.go
+++ b/internal/fakeserver/address_test.go
@@ -11,42 +11,65 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// A reserved address is for who is told it: the kernel gives its port to no connection and to nobody who takes any.
-func TestReservedAddressesAreNobodyElses(t *testing.T) {
+func TestReserveAddressKeepsPortExclusive(t *testing.T) {
 	addr, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, text, _ := net.SplitHostPort(addr)
-	port, _ := strconv.Atoi(text)
-	// As the kernel looks when it chooses: a port that is bound by who does not share it is not free.
-	taken := func() error {
-		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer unix.Close(fd)
-		return unix.Bind(fd, &unix.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
-	}
-	if err := taken(); !errors.Is(err, unix.EADDRINUSE) {
-		t.Errorf("another could have the reserved port: %v", err)
+	if err := bindExclusively(t, addr); !errors.Is(err, unix.EADDRINUSE) {
+		t.Errorf("binding the reserved port without SO_REUSEADDR: got error %v, want %v", err, unix.EADDRINUSE)
 	}
-	for range 2 { // a program, and the one after it
-		l, err := net.Listen("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.Close()
-		l.Close()
+	for range 2 { // a program, and the one that replaces it
+		acceptOneConnection(t, addr)
 	}
 	release()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		t.Fatal("not given back: ", err)
+		t.Fatalf("listening after release: %v", err)
+	}
+	closeOrFail(t, l)
+}
+
+// bindExclusively binds a port as the kernel does when it chooses one: without sharing it.
+func bindExclusively(t *testing.T, addr string) error {
+	t.Helper()
+	_, text, err := net.SplitHostPort(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	port, err := strconv.Atoi(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := unix.Close(fd); err != nil {
+			t.Error(err)
+		}
+	}()
+	return unix.Bind(fd, &unix.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
+}
+
+func acceptOneConnection(t *testing.T, addr string) {
+	t.Helper()
+	l, err := net.Listen("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeOrFail(t, c)
+	closeOrFail(t, l)
+}
+
+func closeOrFail(t *testing.T, c interface{ Close() error }) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
 	}
-	l.Close()
 }
--- a/internal/fakeserver/catalog.go
+++ b/internal/fakeserver/catalog.go
@@ -1,12 +1,10 @@
-// Package fakeserver holds the peers that experiments and tests start in process: discovery's list of servers, a
-// server of lines and a NATS server, each with switches for faults. They speak the published protocols on
-// loopback and are no part of the balancer.
 package fakeserver
 
 import (
 	"encoding/json"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -19,131 +17,157 @@
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // in_service, terminating or terminated
+	State     string  `json:"state"` // one of the State constants
 	Weight    float64 `json:"weight"`
 	StartedMS int64   `json:"started_ms"`
 }
 
-// States of a Node.
+// States of an Endpoint.
 const (
 	StateInService   = "in_service"
 	StateTerminating = "terminating"
 	StateTerminated  = "terminated"
 )
 
-// waitMost bounds the time that a watch waits.
-const waitMost = 60 * time.Second
+const (
+	maxWatchDuration         = 60 * time.Second
+	catalogReadHeaderTimeout = 5 * time.Second
+)
 
-// Catalog is discovery's service: the list of nodes over HTTP, whole or from a version on.
+// Catalog is a fake discovery service: it serves a versioned list of endpoints over HTTP, either complete or only what
+// changed after a version. A watch is a call for changes that waits until there are some.
 type Catalog struct {
 	listener net.Listener
 	server   *http.Server
+	wg       sync.WaitGroup
 
-	mu      sync.Mutex
-	version int64
-	nodes   []Endpoint
-	changed []int64 // the version of each node's last change
-	news    chan struct{}
-	asked   time.Time     // when the last watch began
-	silence chan struct{} // closed when the watches that are open fall silent; calls that come later are served
+	mu             sync.Mutex
+	version        int64
+	endpoints      []Endpoint
+	changedAt      []int64       // the version of each endpoint's last change
+	changed        chan struct{} // closed at the next change
+	lastWatchStart time.Time
+	stalled        chan struct{} // closed when the watches that are open now stall
 }
 
-// NewCatalog starts a service on a port of loopback that the kernel picks.
-func NewCatalog(nodes ...Endpoint) (*Catalog, error) { return NewCatalogAt("127.0.0.1:0", 1, nodes...) }
+// NewCatalog starts a service on a loopback port chosen by the kernel.
+func NewCatalog(endpoints ...Endpoint) (*Catalog, error) {
+	return NewCatalogAt(anyLoopbackPort, 1, endpoints...)
+}
 
-// NewCatalogAt starts a service at an address, with a list of a version.
-func NewCatalogAt(addr string, version int64, nodes ...Endpoint) (*Catalog, error) {
-	l, err := net.Listen("tcp", addr)
+// NewCatalogAt starts a service at an address, with a list that has the given version.
+func NewCatalogAt(addr string, version int64, endpoints ...Endpoint) (*Catalog, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &Catalog{listener: l, version: version, news: make(chan struct{}), silence: make(chan struct{})}
-	for _, n := range nodes {
-		c.nodes, c.changed = append(c.nodes, n), append(c.changed, version)
+	c := &Catalog{
+		listener:  listener,
+		version:   version,
+		endpoints: slices.Clone(endpoints),
+		changedAt: slices.Repeat([]int64{version}, len(endpoints)),
+		changed:   make(chan struct{}),
+		stalled:   make(chan struct{}),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", c.members)
-	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go c.server.Serve(l)
+	mux.HandleFunc("GET /catalog/members", c.serveMembers)
+	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: catalogReadHeaderTimeout}
+	c.wg.Go(func() { _ = c.server.Serve(listener) }) // ends with http.ErrServerClosed
 	return c, nil
 }
 
-// Addr is where the service listens.
+// Addr returns the address on which the service listens.
 func (c *Catalog) Addr() string { return c.listener.Addr().String() }
 
-// Close ends the service and all calls that wait.
-func (c *Catalog) Close() { c.server.Close() }
+// Close ends the service and all watches. It does not wait for their handlers.
+func (c *Catalog) Close() {
+	_ = c.server.Close()
+	c.wg.Wait()
+}
 
-// SetEndpoint adds a node or changes the one with its id; watches hear of it at once.
-func (c *Catalog) SetEndpoint(n Endpoint) {
+// SetEndpoint adds an endpoint or replaces the one with its ID; open watches are answered at once.
+func (c *Catalog) SetEndpoint(endpoint Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
-	at := -1
-	for i := range c.nodes {
-		if c.nodes[i].ID == n.ID {
-			at = i
-		}
-	}
-	if at < 0 {
-		c.nodes, c.changed = append(c.nodes, Endpoint{}), append(c.changed, 0)
-		at = len(c.nodes) - 1
+	i := slices.IndexFunc(c.endpoints, func(e Endpoint) bool { return e.ID == endpoint.ID })
+	if i < 0 {
+		i = len(c.endpoints)
+		c.endpoints = append(c.endpoints, Endpoint{})
+		c.changedAt = append(c.changedAt, 0)
 	}
-	c.nodes[at], c.changed[at] = n, c.version
-	close(c.news)
-	c.news = make(chan struct{})
+	c.endpoints[i] = endpoint
+	c.changedAt[i] = c.version
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// StallWatches has all watches that are open say nothing more, not even that they end. It tells when the last of them began.
-func (c *Catalog) StallWatches() (began time.Time) {
+// StallWatches makes all open watches stall: they send nothing more and do not end, while later calls are served. It
+// returns when the last watch was started.
+func (c *Catalog) StallWatches() (lastWatchStart time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	close(c.silence)
-	c.silence = make(chan struct{})
-	return c.asked
+	close(c.stalled)
+	c.stalled = make(chan struct{})
+	return c.lastWatchStart
 }
 
-type answer struct {
+// memberList is the answer to a call.
+type memberList struct {
 	Version int64      `json:"version"`
 	Full    bool       `json:"full"`
 	Servers []Endpoint `json:"servers"`
 }
 
-// since is what has changed after a version; with full it is the whole list.
-func (c *Catalog) since(after int64, full bool) (a answer, news, silence <-chan struct{}) {
+// watch tells an open call of later events.
+type watch struct{ changed, stalled <-chan struct{} }
+
+// members returns the complete list, or what changed after a version, together with a watch for what happens next.
+func (c *Catalog) members(after int64, full bool) (memberList, watch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a = answer{Version: c.version, Full: full, Servers: []Endpoint{}}
-	for i, n := range c.nodes {
-		if full && n.State != StateTerminated || !full && c.changed[i] > after {
-			a.Servers = append(a.Servers, n)
+	list := memberList{Version: c.version, Full: full, Servers: []Endpoint{}}
+	for i, endpoint := range c.endpoints {
+		if full && endpoint.State != StateTerminated || !full && c.changedAt[i] > after {
+			list.Servers = append(list.Servers, endpoint)
 		}
 	}
-	return a, c.news, c.silence
+	return list, watch{changed: c.changed, stalled: c.stalled}
 }
 
-func (c *Catalog) members(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	after, err := strconv.ParseInt(q.Get("after"), 10, 64)
-	a, news, silence := c.since(after, err != nil)
-	if err == nil && len(a.Servers) == 0 {
-		c.mu.Lock()
-		c.asked = time.Now()
-		c.mu.Unlock()
-		ms, _ := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
-		timer := time.NewTimer(min(time.Duration(ms)*time.Millisecond, waitMost))
-		defer timer.Stop()
-		select {
-		case <-news:
-			a, _, _ = c.since(after, false)
-		case <-timer.C:
-		case <-silence:
-			<-r.Context().Done()
-			return
-		case <-r.Context().Done():
+func (c *Catalog) serveMembers(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
+	full := err != nil
+	list, events := c.members(after, full)
+	if !full && len(list.Servers) == 0 {
+		waitMS, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64) // without a valid time it does not wait
+		timeout := min(time.Duration(waitMS)*time.Millisecond, maxWatchDuration)
+		if !c.awaitChange(r, events, timeout) {
 			return
 		}
+		list, _ = c.members(after, false)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(a)
+	_ = json.NewEncoder(w).Encode(list) // fails only when the caller is gone
+}
+
+// awaitChange blocks until the list changes or the timeout passes. It reports whether the call is to be answered.
+func (c *Catalog) awaitChange(r *http.Request, w watch, timeout time.Duration) bool {
+	c.mu.Lock()
+	c.lastWatchStart = time.Now()
+	c.mu.Unlock()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-w.changed:
+		return true
+	case <-timer.C:
+		return true
+	case <-w.stalled:
+		<-r.Context().Done()
+		return false
+	case <-r.Context().Done():
+		return false
+	}
 }
--- a/internal/fakeserver/lineserver.go
+++ b/internal/fakeserver/lineserver.go
@@ -3,127 +3,90 @@
 import (
 	"bufio"
 	"fmt"
+	"io"
 	"maps"
 	"net"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
-// LineServer is a server of lines: it answers OPEN with UP and returns each line of an open connection.
+// maxLineBytes bounds a line; a client that sends a longer one is disconnected.
+const maxLineBytes = 4 << 10
+
+// LineServer is a fake server of the line protocol: it answers OPEN with UP and echoes each line of an established
+// connection. OPEN beyond its capacity is rejected with BUSY.
 type LineServer struct {
 	listener net.Listener
 	wg       sync.WaitGroup
 
-	mu       sync.Mutex
-	conns    map[net.Conn]*lineConn
-	draining bool
-	room     int // connections that it holds at the most; 0: without end
-	held     int
-	times    []time.Time    // of all openings
-	names    map[string]int // openings by the client's name for them
-
-	opened atomic.Int64
-	late   atomic.Int64
+	mu           sync.Mutex
+	conns        map[net.Conn]struct{}
+	capacity     int // established connections; 0: unlimited
+	established  int
+	openedAt     []time.Time // of each connection that was established, in order
+	openedByName map[string]int
 }
 
-type lineConn struct {
-	w    *bufio.Writer
-	mu   sync.Mutex // of the writer
-	open bool
-}
-
-// NewLineServer starts a server on a port of loopback that the kernel picks.
-func NewLineServer() (*LineServer, error) { return NewLineServerAt("127.0.0.1:0") }
+// NewLineServer starts a server on a loopback port chosen by the kernel.
+func NewLineServer() (*LineServer, error) { return NewLineServerAt(anyLoopbackPort) }
 
 // NewLineServerAt starts a server at an address.
 func NewLineServerAt(addr string) (*LineServer, error) {
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &LineServer{listener: l, conns: map[net.Conn]*lineConn{}, names: map[string]int{}}
+	s := &LineServer{listener: listener, conns: map[net.Conn]struct{}{}, openedByName: map[string]int{}}
 	s.wg.Go(s.accept)
 	return s, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address on which the server listens.
 func (s *LineServer) Addr() string { return s.listener.Addr().String() }
 
-// Open counts the connections that stand.
-func (s *LineServer) Open() (n int) {
+// Opened returns how many connections were ever established.
+func (s *LineServer) Opened() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.conns {
-		if c.open {
-			n++
-		}
-	}
-	return n
+	return int64(len(s.openedAt))
 }
 
-// Opened counts the connections that ever stood, and Late those that came after Drain.
-func (s *LineServer) Opened() int64 { return s.opened.Load() }
-
-// Late counts the openings that came after Drain.
-func (s *LineServer) Late() int64 { return s.late.Load() }
-
-// MaxOpenedWithin is the largest number of openings in any span of time.
-func (s *LineServer) MaxOpenedWithin(span time.Duration) (most int) {
+// MaxOpenedWithin returns the largest number of connections that were established within any period of the given
+// duration, which must be positive.
+func (s *LineServer) MaxOpenedWithin(period time.Duration) (maxOpened int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from := 0
-	for to, at := range s.times {
-		for at.Sub(s.times[from]) >= span {
-			from++
+	first := 0
+	for last, at := range s.openedAt {
+		for at.Sub(s.openedAt[first]) >= period {
+			first++
 		}
-		most = max(most, to-from+1)
+		maxOpened = max(maxOpened, last-first+1)
 	}
-	return most
+	return maxOpened
 }
 
-// OpenedByName counts the openings by the client's name for them.
+// OpenedByName returns how often connections were established under each request name that clients gave.
 func (s *LineServer) OpenedByName() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.names)
+	return maps.Clone(s.openedByName)
 }
 
-// SetCapacity bounds the connections that it holds; it turns away what comes beyond.
-func (s *LineServer) SetCapacity(n int) {
+// SetCapacity bounds the established connections; 0 means unlimited. Those that are established already stay.
+func (s *LineServer) SetCapacity(connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.room = n
-}
-
-// Drain turns new connections away and sends those that stand away, one after another.
-func (s *LineServer) Drain(between time.Duration) {
-	s.mu.Lock()
-	s.draining = true
-	conns := make(map[net.Conn]*lineConn, len(s.conns))
-	for nc, c := range s.conns {
-		if c.open {
-			conns[nc] = c
-		}
-	}
-	s.mu.Unlock()
-	for nc, c := range conns {
-		c.mu.Lock()
-		c.w.WriteString("MOVE\r\n")
-		c.w.Flush()
-		c.mu.Unlock()
-		nc.Close()
-		time.Sleep(between)
-	}
+	s.capacity = connections
 }
 
-// Close ends the server with all its connections.
+// Close ends the server with all its connections and waits for its goroutines.
 func (s *LineServer) Close() {
-	s.listener.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
-	for nc := range s.conns {
-		nc.Close()
+	for conn := range s.conns {
+		_ = conn.Close()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
@@ -131,71 +94,91 @@
 
 func (s *LineServer) accept() {
 	for {
-		nc, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		c := &lineConn{w: bufio.NewWriter(nc)}
 		s.mu.Lock()
-		s.conns[nc] = c
+		s.conns[conn] = struct{}{}
 		s.mu.Unlock()
 		s.wg.Go(func() {
-			s.serve(nc, c)
-			nc.Close()
-			s.mu.Lock()
-			delete(s.conns, nc)
-			if c.open {
-				s.held--
-			}
-			s.mu.Unlock()
+			established := s.serve(conn)
+			_ = conn.Close()
+			s.remove(conn, established)
 		})
 	}
 }
 
-func (s *LineServer) serve(nc net.Conn, c *lineConn) {
-	r := bufio.NewReaderSize(nc, 4<<10)
+func (s *LineServer) remove(conn net.Conn, wasEstablished bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
+	if wasEstablished {
+		s.established--
+	}
+}
+
+// serve answers lines until the connection ends, and reports whether it was established.
+func (s *LineServer) serve(conn net.Conn) (established bool) {
+	r := bufio.NewReaderSize(conn, maxLineBytes)
+	w := bufio.NewWriter(conn)
 	for {
 		line, err := r.ReadSlice('\n')
 		if err != nil {
-			return
+			return established
 		}
-		c.mu.Lock()
-		switch {
-		case c.open:
-			c.w.Write(line)
-		case strings.HasPrefix(string(line), "OPEN "):
-			s.mu.Lock()
-			turnedAway := s.draining || s.room > 0 && s.held >= s.room
-			if c.open = !turnedAway; c.open {
-				s.held++
-				s.times = append(s.times, time.Now())
-				if words := strings.Fields(string(line)); len(words) > 1 {
-					s.names[words[1]]++
-				}
-			}
-			s.mu.Unlock()
-			if turnedAway {
-				s.late.Add(1)
-				c.w.WriteString("BUSY\r\n")
-			} else {
-				fmt.Fprintf(c.w, "UP r%d\r\n", s.opened.Add(1))
-			}
-		case strings.HasPrefix(string(line), "STATS"):
-			s.mu.Lock()
-			n := len(s.conns)
-			s.mu.Unlock()
-			fmt.Fprintf(c.w, "PONG inflight=%d\r\n", n)
-		case strings.HasPrefix(string(line), "PING"):
-			c.w.WriteString("PONG\r\n")
-		default:
-			c.w.WriteString("ERR\r\n")
+		if established {
+			_, err = w.Write(line)
+		} else {
+			established, err = s.answer(w, string(line))
 		}
-		if r.Buffered() == 0 {
-			err = c.w.Flush()
+		if err == nil && r.Buffered() == 0 {
+			err = w.Flush()
 		}
-		c.mu.Unlock()
 		if err != nil {
-			return
+			return established
 		}
 	}
 }
+
+// answer handles a line of a connection that is not established. It reports whether the connection now is.
+func (s *LineServer) answer(w io.Writer, line string) (established bool, err error) {
+	switch {
+	case strings.HasPrefix(line, "OPEN "):
+		number, admitted := s.admit(line)
+		if !admitted {
+			_, err = io.WriteString(w, "BUSY\r\n")
+			return false, err
+		}
+		_, err = fmt.Fprintf(w, "UP r%d\r\n", number)
+		return true, err
+	case strings.HasPrefix(line, "STATS"):
+		_, err = fmt.Fprintf(w, "PONG inflight=%d\r\n", s.connectionCount())
+	case strings.HasPrefix(line, "PING"):
+		_, err = io.WriteString(w, "PONG\r\n")
+	default:
+		_, err = io.WriteString(w, "ERR\r\n")
+	}
+	return false, err
+}
+
+// admit establishes a connection if the server has capacity for it. Connections are numbered from 1.
+func (s *LineServer) admit(line string) (number int, admitted bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.capacity > 0 && s.established >= s.capacity {
+		return 0, false
+	}
+	s.established++
+	s.openedAt = append(s.openedAt, time.Now())
+	if words := strings.Fields(line); len(words) > 1 {
+		s.openedByName[words[1]]++
+	}
+	return len(s.openedAt), true
+}
+
+func (s *LineServer) connectionCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
+}
--- /dev/null
+++ b/internal/fakeserver/natscluster.go
@@ -0,0 +1,139 @@
+package fakeserver
+
+import (
+	"bytes"
+	"strconv"
+	"sync"
+
+	"example.org/milletvane/internal/nats/codec"
+)
+
+// Properties that every fake NATS server announces.
+const (
+	natsVersion    = "2.10.0"
+	natsMaxPayload = 1 << 20 // bytes
+	natsProtocol   = 1
+)
+
+// appendServerInfo appends the INFO frame of a server.
+func appendServerInfo(b []byte, name string, lameDuck bool) []byte {
+	return codec.AppendJSON(b, "INFO", codec.ServerInfo{
+		ID: name, Name: name, Version: natsVersion, Headers: true,
+		MaxPayload: natsMaxPayload, Proto: natsProtocol, LameDuck: lameDuck,
+	})
+}
+
+// NATSCluster is a set of fake NATS servers that forward messages to each other without delay, or are isolated.
+type NATSCluster struct {
+	isolated bool
+	log      *DeliveryLog
+
+	mu    sync.Mutex // guards the state of all nodes and connections, so that messages have one order
+	nodes []*NATSNode
+}
+
+// NewNATSCluster returns a cluster without nodes. The log may be nil; AttemptStats, LossExcused and StreamLength must
+// then not be called. The nodes of an isolated cluster share no messages.
+func NewNATSCluster(log *DeliveryLog, isolated bool) *NATSCluster {
+	return &NATSCluster{log: log, isolated: isolated}
+}
+
+// StartNode starts a node on a loopback port chosen by the kernel. The caller closes the node.
+func (c *NATSCluster) StartNode(name string) (*NATSNode, error) {
+	listener, err := listenLoopback()
+	if err != nil {
+		return nil, err
+	}
+	n := &NATSNode{Name: name, cluster: c, listener: listener, conns: map[*natsConn]struct{}{}}
+	c.mu.Lock()
+	c.nodes = append(c.nodes, n)
+	c.mu.Unlock()
+	n.wg.Go(n.accept)
+	return n, nil
+}
+
+// PublishStream publishes a numbered message of a session's stream: once in the cluster, or once at every node if these
+// are isolated.
+func (c *NATSCluster) PublishStream(session, number int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	subject := []byte(streamSubjectPrefix + strconv.Itoa(session))
+	c.log.published(session, number, c.subscribedNodes(subject))
+	for _, n := range c.nodes {
+		if n.dead {
+			continue
+		}
+		c.deliver(n, nil, message{subject: subject, body: []byte(strconv.Itoa(number))})
+		if !c.isolated {
+			return
+		}
+	}
+}
+
+// subscribedNodes returns the running nodes at which a subject is subscribed to. The lock is held.
+func (c *NATSCluster) subscribedNodes(subject []byte) (nodes []*NATSNode) {
+	for _, n := range c.nodes {
+		if !n.dead && n.hasSubscription(subject) {
+			nodes = append(nodes, n)
+		}
+	}
+	return nodes
+}
+
+// message is a message on its way to its subscribers.
+type message struct {
+	subject, reply []byte
+	body           []byte // headers, then payload
+	headerBytes    int    // of the body; 0: without headers
+}
+
+// frame encodes the message for a subscription.
+func (m message) frame(sid string) []byte {
+	b := make([]byte, 0, 64+len(m.subject)+len(m.reply)+len(m.body))
+	b = codec.AppendMsg(b, m.subject, []byte(sid), m.reply, m.headerBytes, len(m.body))
+	b = append(b, m.body...)
+	return append(b, "\r\n"...)
+}
+
+// deliver queues a message published at a node for all its subscribers, one of each queue group, and returns their
+// number. The sender may be nil. The lock is held.
+func (c *NATSCluster) deliver(at *NATSNode, sender *natsConn, m message) (count int) {
+	servedGroups := map[string]bool{}
+	for _, n := range c.nodes {
+		if n.dead || c.isolated && n != at {
+			continue
+		}
+		for conn := range n.conns {
+			if conn != sender || conn.echo {
+				count += conn.deliver(m, servedGroups)
+			}
+		}
+	}
+	return count
+}
+
+// natsSubscription is a subscription of a connection.
+type natsSubscription struct {
+	subject, queueGroup []byte
+	maxMessages         int // after which it ends; 0: unlimited
+	delivered           int
+}
+
+func (s *natsSubscription) isComplete() bool {
+	return s.maxMessages > 0 && s.delivered >= s.maxMessages
+}
+
+// accepts reports whether a message is to be delivered to the subscription, and marks its queue group as served.
+func (s *natsSubscription) accepts(subject []byte, servedGroups map[string]bool) bool {
+	if !codec.Match(s.subject, subject) || servedGroups[string(s.queueGroup)] {
+		return false
+	}
+	if len(s.queueGroup) > 0 {
+		servedGroups[string(s.queueGroup)] = true
+	}
+	return true
+}
+
+func newNATSSubscription(f *codec.Frame) *natsSubscription {
+	return &natsSubscription{subject: bytes.Clone(f.Subject), queueGroup: bytes.Clone(f.Queue)}
+}
--- /dev/null
+++ b/internal/fakeserver/natsconn.go
@@ -0,0 +1,255 @@
+package fakeserver
+
+import (
+	"bytes"
+	"net"
+	"sync"
+
+	"example.org/milletvane/internal/nats/codec"
+)
+
+const (
+	natsReadBytes         = 64 << 10
+	serviceSubjectPrefix  = "svc."
+	unauthorizedUser      = "nobody" // its CONNECT is rejected
+	authorizationErrorMsg = "Authorization Violation"
+)
+
+// natsConn is a connection of a client or a gateway to a node. Its state is guarded by the cluster's lock, which the
+// caller of its methods holds, but for writeLoop and readLoop.
+type natsConn struct {
+	node   *NATSNode
+	socket net.Conn
+
+	connected     bool // it has sent CONNECT
+	noResponders  bool
+	echo          bool
+	subscriptions map[string]*natsSubscription // by SID
+	closed        bool
+
+	queueChanged sync.Cond
+	queue        []outgoing
+}
+
+// outgoing is what is queued to be written. written, which may be nil, is called without the lock once it has been.
+type outgoing struct {
+	data    []byte
+	written func()
+}
+
+func newNATSConn(n *NATSNode, socket net.Conn) *natsConn {
+	c := &natsConn{node: n, socket: socket, subscriptions: map[string]*natsSubscription{}, echo: true}
+	c.queueChanged.L = &n.cluster.mu
+	return c
+}
+
+// push queues data, unless the connection is closed or its node hangs.
+func (c *natsConn) push(data []byte, written func()) {
+	if c.closed || c.node.hung {
+		return
+	}
+	c.queue = append(c.queue, outgoing{data: data, written: written})
+	c.queueChanged.Signal()
+}
+
+// disconnect closes the socket; the read loop then cleans up. It needs no lock.
+func (c *natsConn) disconnect() { _ = c.socket.Close() }
+
+// reset closes the connection so that the peer sees it reset.
+func (c *natsConn) reset() {
+	if tcp, ok := c.socket.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
+	}
+	c.close()
+}
+
+func (c *natsConn) close() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	c.disconnect()
+	c.queueChanged.Broadcast()
+	delete(c.node.conns, c)
+	for sid := range c.subscriptions {
+		c.node.cluster.log.subscriptionEnded(c, sid)
+	}
+}
+
+// deliver queues a message for each matching subscription and returns their number.
+func (c *natsConn) deliver(m message, servedGroups map[string]bool) (count int) {
+	for sid, subscription := range c.subscriptions {
+		if !subscription.accepts(m.subject, servedGroups) {
+			continue
+		}
+		c.push(m.frame(sid), nil)
+		count++
+		subscription.delivered++
+		if subscription.isComplete() {
+			delete(c.subscriptions, sid)
+			c.node.cluster.log.subscriptionEnded(c, sid)
+		}
+	}
+	return count
+}
+
+// writeLoop writes what is queued, everything that is there at once.
+func (c *natsConn) writeLoop() {
+	for {
+		items, ok := c.awaitQueue()
+		if !ok {
+			return
+		}
+		buffers := make(net.Buffers, len(items))
+		for i, item := range items {
+			buffers[i] = item.data
+		}
+		if _, err := buffers.WriteTo(c.socket); err != nil {
+			return
+		}
+		for _, item := range items {
+			if item.written != nil {
+				item.written()
+			}
+		}
+	}
+}
+
+// awaitQueue takes all that is queued, and waits for it. It returns false once the connection is closed.
+func (c *natsConn) awaitQueue() (items []outgoing, ok bool) {
+	c.node.cluster.mu.Lock()
+	defer c.node.cluster.mu.Unlock()
+	for !c.closed && (len(c.queue) == 0 || c.node.hung) {
+		c.queueChanged.Wait()
+	}
+	items, c.queue = c.queue, nil
+	return items, !c.closed
+}
+
+// readLoop handles frames until the connection ends.
+func (c *natsConn) readLoop() {
+	mu := &c.node.cluster.mu
+	defer func() {
+		mu.Lock()
+		defer mu.Unlock()
+		c.close()
+	}()
+	var pending []byte
+	buf := make([]byte, natsReadBytes)
+	for {
+		n, err := c.socket.Read(buf)
+		if err != nil {
+			return
+		}
+		rest, err := c.handleFrames(append(pending, buf[:n]...))
+		if err != nil {
+			mu.Lock()
+			c.push(codec.AppendErr(nil, err.Error()), c.disconnect)
+			mu.Unlock()
+			return
+		}
+		pending = bytes.Clone(rest)
+	}
+}
+
+// handleFrames handles the complete frames in a buffer and returns what is left of it. The lock is taken for each.
+func (c *natsConn) handleFrames(buf []byte) (rest []byte, err error) {
+	for len(buf) > 0 {
+		f, n, err := codec.Parse(buf, codec.Limits{})
+		if err != nil {
+			return nil, err
+		}
+		if n == 0 {
+			break
+		}
+		c.node.cluster.mu.Lock()
+		c.handle(&f)
+		c.node.cluster.mu.Unlock()
+		buf = buf[n:]
+	}
+	return buf, nil
+}
+
+// handle handles one frame. A node that hangs only records it.
+func (c *natsConn) handle(f *codec.Frame) {
+	switch f.Op {
+	case codec.Sub:
+		c.subscribe(f)
+		return
+	case codec.Unsub:
+		c.unsubscribe(f)
+		return
+	case codec.Pub, codec.HPub:
+		if isServiceRequest(f) {
+			c.node.cluster.log.attemptStarted(c, f)
+		}
+	}
+	if !c.node.hung {
+		c.respond(f)
+	}
+}
+
+func (c *natsConn) subscribe(f *codec.Frame) {
+	c.subscriptions[string(f.SID)] = newNATSSubscription(f)
+	c.node.cluster.log.subscribed(c, f.Subject)
+}
+
+// unsubscribe ends a subscription, at once or after a number of messages.
+func (c *natsConn) unsubscribe(f *codec.Frame) {
+	sid := string(f.SID)
+	if f.Max == 0 {
+		c.node.cluster.log.subscriptionEnded(c, sid)
+	}
+	subscription := c.subscriptions[sid]
+	if subscription == nil {
+		return
+	}
+	subscription.maxMessages = f.Max
+	if f.Max == 0 || subscription.isComplete() {
+		delete(c.subscriptions, sid)
+	}
+}
+
+func (c *natsConn) respond(f *codec.Frame) {
+	switch f.Op {
+	case codec.Connect:
+		c.connect(f)
+	case codec.Ping:
+		if !c.node.ignoresPings {
+			c.push([]byte(codec.PongFrame), nil)
+		}
+	case codec.Pub, codec.HPub:
+		if isServiceRequest(f) {
+			c.node.handleRequest(f)
+		} else {
+			c.publish(f)
+		}
+	}
+}
+
+func (c *natsConn) connect(f *codec.Frame) {
+	options, _, err := codec.ParseConnect(f.Body)
+	if err != nil || options.User == unauthorizedUser {
+		c.push(codec.AppendErr(nil, authorizationErrorMsg), c.disconnect)
+		return
+	}
+	c.connected = true
+	c.noResponders = options.NoResponders && options.Headers
+	c.echo = options.Echo == nil || *options.Echo
+}
+
+// publish delivers a message. A request that reaches nobody is answered so, if the client understands that.
+func (c *natsConn) publish(f *codec.Frame) {
+	cluster := c.node.cluster
+	m := message{subject: f.Subject, reply: f.Reply, body: f.Body, headerBytes: f.Headers}
+	if cluster.deliver(c.node, c, m) > 0 || len(f.Reply) == 0 || !c.noResponders {
+		return
+	}
+	status := codec.AppendStatus(nil, codec.StatusNoResponders, "", 0)
+	cluster.deliver(c.node, nil, message{subject: f.Reply, body: status, headerBytes: len(status)})
+}
+
+// isServiceRequest reports whether the node itself answers a message.
+func isServiceRequest(f *codec.Frame) bool {
+	return bytes.HasPrefix(f.Subject, []byte(serviceSubjectPrefix)) && len(f.Reply) > 0
+}
--- a/internal/fakeserver/natsecho.go
+++ b/internal/fakeserver/natsecho.go
@@ -8,8 +8,15 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// NATSEcho is the least NATS server for benchmarks: a connection is given back what it publishes on the subject that it has
-// subscribed to last, and a request is answered with its payload.
+const (
+	echoReadBytes   = 128 << 10
+	echoWriteBytes  = 64 << 10
+	echoMaxPayload  = 64 << 10
+	gatewayInboxTag = '!' // begins the SIDs of a gateway's subscriptions for single requests
+)
+
+// NATSEcho is a minimal NATS server for benchmarks: a connection receives what it publishes on its latest subscription,
+// and a request is answered with its payload.
 type NATSEcho struct {
 	listener net.Listener
 	wg       sync.WaitGroup
@@ -17,99 +24,130 @@
 	conns    map[net.Conn]struct{}
 }
 
-// NewNATSEcho starts a server on a port of loopback that the kernel picks.
+// NewNATSEcho starts a server on a loopback port chosen by the kernel.
 func NewNATSEcho() (*NATSEcho, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := listenLoopback()
 	if err != nil {
 		return nil, err
 	}
-	s := &NATSEcho{listener: l, conns: map[net.Conn]struct{}{}}
-	s.wg.Go(func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			s.conns[c] = struct{}{}
-			s.mu.Unlock()
-			s.wg.Go(func() {
-				s.serve(c)
-				c.Close()
-				s.mu.Lock()
-				delete(s.conns, c)
-				s.mu.Unlock()
-			})
-		}
-	})
+	s := &NATSEcho{listener: listener, conns: map[net.Conn]struct{}{}}
+	s.wg.Go(s.accept)
 	return s, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address on which the server listens.
 func (s *NATSEcho) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the server with all its connections.
+// Close ends the server with all its connections and waits for its goroutines.
 func (s *NATSEcho) Close() {
-	s.listener.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
-	for c := range s.conns {
-		c.Close()
+	for conn := range s.conns {
+		_ = conn.Close()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-func (s *NATSEcho) serve(c net.Conn) {
-	w := bufio.NewWriterSize(c, 64<<10)
-	w.Write(codec.AppendJSON(nil, "INFO", codec.ServerInfo{ID: "echo", Name: "echo", Version: "2.10.0", Headers: true,
-		MaxPayload: 1 << 20, Proto: 1}))
-	if w.Flush() != nil {
+func (s *NATSEcho) accept() {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		s.conns[conn] = struct{}{}
+		s.mu.Unlock()
+		s.wg.Go(func() {
+			serveEcho(conn)
+			_ = conn.Close()
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			delete(s.conns, conn)
+		})
+	}
+}
+
+// serveEcho handles frames until the connection ends or sends something that is not understood.
+func serveEcho(conn net.Conn) {
+	e := echoConn{w: bufio.NewWriterSize(conn, echoWriteBytes)}
+	if _, err := e.w.Write(appendServerInfo(nil, "echo", false)); err != nil || e.w.Flush() != nil {
 		return
 	}
-	buf, kept := make([]byte, 128<<10), 0
-	var sid, inbox, head []byte
+	buf, buffered := make([]byte, echoReadBytes), 0
 	for {
-		n, err := c.Read(buf[kept:])
+		n, err := conn.Read(buf[buffered:])
 		if err != nil {
 			return
 		}
-		b := buf[:kept+n]
-		for len(b) > 0 {
-			f, n, err := codec.Parse(b, codec.Limits{Payload: 64 << 10})
-			if err != nil {
-				return
-			}
-			if n == 0 {
-				break
-			}
-			switch f.Op {
-			case codec.Ping:
-				w.WriteString(codec.PongFrame)
-			case codec.Sub:
-				if len(f.SID) > 0 && f.SID[0] == '!' {
-					inbox = append(inbox[:0], f.SID...) // of a gateway's request; what follows is its message
-				} else {
-					sid = append(sid[:0], f.SID...)
-				}
-			case codec.Pub, codec.HPub:
-				head = head[:0]
-				switch {
-				case len(f.Reply) > 0 && len(inbox) > 0:
-					head = codec.AppendMsg(head, f.Reply, inbox, nil, f.Headers, len(f.Body))
-				case len(f.Reply) > 0:
-					head = codec.AppendMsg(head, f.Reply, sid, nil, f.Headers, len(f.Body))
-				default:
-					head = codec.AppendMsg(head, f.Subject, sid, nil, f.Headers, len(f.Body))
-				}
-				w.Write(head)
-				w.Write(f.Body)
-				w.WriteString("\r\n")
-			}
-			b = b[n:]
+		rest, err := e.handleFrames(buf[:buffered+n])
+		if err != nil {
+			return
 		}
-		kept = copy(buf, b)
-		if kept == len(buf) || w.Flush() != nil {
+		buffered = copy(buf, rest)
+		if buffered == len(buf) || e.w.Flush() != nil {
 			return
 		}
 	}
 }
+
+// echoConn is the protocol state of one connection. Its slices are reused, so that a message costs no allocation.
+type echoConn struct {
+	w        *bufio.Writer
+	sid      []byte
+	inboxSID []byte // of a gateway's request, whose message follows its subscription
+	head     []byte
+}
+
+// handleFrames handles the complete frames in a buffer and returns what is left of it.
+func (e *echoConn) handleFrames(buf []byte) (rest []byte, err error) {
+	for len(buf) > 0 {
+		f, n, err := codec.Parse(buf, codec.Limits{Payload: echoMaxPayload})
+		if err != nil {
+			return nil, err
+		}
+		if n == 0 {
+			break
+		}
+		if err := e.handle(&f); err != nil {
+			return nil, err
+		}
+		buf = buf[n:]
+	}
+	return buf, nil
+}
+
+func (e *echoConn) handle(f *codec.Frame) (err error) {
+	switch f.Op {
+	case codec.Ping:
+		_, err = e.w.WriteString(codec.PongFrame)
+	case codec.Sub:
+		if len(f.SID) > 0 && f.SID[0] == gatewayInboxTag {
+			e.inboxSID = append(e.inboxSID[:0], f.SID...)
+		} else {
+			e.sid = append(e.sid[:0], f.SID...)
+		}
+	case codec.Pub, codec.HPub:
+		err = e.echo(f)
+	}
+	return err
+}
+
+func (e *echoConn) echo(f *codec.Frame) error {
+	subject, sid := f.Subject, e.sid
+	if len(f.Reply) > 0 {
+		subject = f.Reply
+		if len(e.inboxSID) > 0 {
+			sid = e.inboxSID
+		}
+	}
+	e.head = codec.AppendMsg(e.head[:0], subject, sid, nil, f.Headers, len(f.Body))
+	if _, err := e.w.Write(e.head); err != nil {
+		return err
+	}
+	if _, err := e.w.Write(f.Body); err != nil {
+		return err
+	}
+	_, err := e.w.WriteString("\r\n")
+	return err
+}
