--- a/internal/fakeserver/natscluster.go
+++ b/internal/fakeserver/natscluster.go
@@ -125,7 +125,7 @@
 
 // accepts reports whether a message is to be delivered to the subscription, and marks its queue group as served.
 func (s *natsSubscription) accepts(subject []byte, servedGroups map[string]bool) bool {
-	if !codec.Match(s.subject, subject) || servedGroups[string(s.queueGroup)] {
+	if !codec.MatchesSubject(s.subject, subject) || servedGroups[string(s.queueGroup)] {
 		return false
 	}
 	if len(s.queueGroup) > 0 {
--- a/internal/fakeserver/natsconn.go
+++ b/internal/fakeserver/natsconn.go
@@ -197,15 +197,15 @@
 // unsubscribe ends a subscription, at once or after a number of messages.
 func (c *natsConn) unsubscribe(f *codec.Frame) {
 	sid := string(f.SID)
-	if f.Max == 0 {
+	if f.MaxMessages == 0 {
 		c.node.cluster.log.subscriptionEnded(c, sid)
 	}
 	subscription := c.subscriptions[sid]
 	if subscription == nil {
 		return
 	}
-	subscription.maxMessages = f.Max
-	if f.Max == 0 || subscription.isComplete() {
+	subscription.maxMessages = f.MaxMessages
+	if f.MaxMessages == 0 || subscription.isComplete() {
 		delete(c.subscriptions, sid)
 	}
 }
@@ -241,7 +241,7 @@
 // publish delivers a message. A request that reaches nobody is answered so, if the client understands that.
 func (c *natsConn) publish(f *codec.Frame) {
 	cluster := c.node.cluster
-	m := message{subject: f.Subject, reply: f.Reply, body: f.Body, headerBytes: f.Headers}
+	m := message{subject: f.Subject, reply: f.Reply, body: f.Body, headerBytes: f.HeaderSize}
 	if cluster.deliver(c.node, c, m) > 0 || len(f.Reply) == 0 || !c.noResponders {
 		return
 	}
--- a/internal/fakeserver/natsecho.go
+++ b/internal/fakeserver/natsecho.go
@@ -102,7 +102,7 @@
 // handleFrames handles the complete frames in a buffer and returns what is left of it.
 func (e *echoConn) handleFrames(buf []byte) (rest []byte, err error) {
 	for len(buf) > 0 {
-		f, n, err := codec.Parse(buf, codec.Limits{Payload: echoMaxPayload})
+		f, n, err := codec.Parse(buf, codec.Limits{MaxPayload: echoMaxPayload})
 		if err != nil {
 			return nil, err
 		}
@@ -141,7 +141,7 @@
 			sid = e.inboxSID
 		}
 	}
-	e.head = codec.AppendMsg(e.head[:0], subject, sid, nil, f.Headers, len(f.Body))
+	e.head = codec.AppendMsg(e.head[:0], subject, sid, nil, f.HeaderSize, len(f.Body))
 	if _, err := e.w.Write(e.head); err != nil {
 		return err
 	}
--- a/internal/fakeserver/natsnode.go
+++ b/internal/fakeserver/natsnode.go
@@ -148,7 +148,7 @@
 func (n *NATSNode) hasSubscription(subject []byte) bool {
 	for c := range n.conns {
 		for _, subscription := range c.subscriptions {
-			if codec.Match(subscription.subject, subject) {
+			if codec.MatchesSubject(subscription.subject, subject) {
 				return true
 			}
 		}
