--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -61,7 +61,8 @@
 
 func describeTally(r *simulation.Stats) string {
 	var b strings.Builder
-	fmt.Fprint(&b, r.Requests, " ", r.Established, " ", r.Rejected, " ", r.Failed, " ", r.Attempts, " ", r.Disconnected, " ", r.Migrated, " ",
+	fmt.Fprint(&b, r.Requests, " ", r.Established, " ", r.Rejected, " ", r.Failed, " ",
+		r.Attempts, " ", r.Disconnected, " ", r.Migrated, " ",
 		r.WantedSeconds, " ", r.ServedSeconds, " ", r.ServedRatio())
 	for _, violation := range r.Violations {
 		b.WriteString("; " + numbers(violation))
@@ -78,13 +79,15 @@
 				Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second,
 			}},
 		},
-		NetworkDelay: time.Millisecond, DiscoveryDelay: time.Second, ArrivalRate: 8, MeanLifetime: 30 * time.Second, MeanLoad: 0.03,
+		NetworkDelay: time.Millisecond, DiscoveryDelay: time.Second, ArrivalRate: 8,
+		MeanLifetime: 30 * time.Second, MeanLoad: 0.03,
 		ReconnectDelay: 200 * time.Millisecond, AnswerSlack: 50 * time.Millisecond,
 	}
 	for range 8 {
 		s.Nodes = append(s.Nodes, simulation.NodeSettings{
 			Cores: 2, Speed: 1.5, ColdCapacityRatio: 0.2, WarmupDuration: 20 * time.Second,
-			MaxConnections: 200, FullOverheadRatio: 0.1, ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, ColdOverloadAllowance: 0.1,
+			MaxConnections: 200, FullOverheadRatio: 0.1,
+			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, ColdOverloadAllowance: 0.1,
 		})
 	}
 	return s
@@ -112,9 +115,13 @@
 			s.Nodes[i].MaxConnections = 20 + i
 		}
 	}, deploy},
-	{"slow network", func(s *simulation.Settings) { s.NetworkDelay, s.AnswerSlack = 300*time.Millisecond, time.Second }, deploy},
+	{"slow network", func(s *simulation.Settings) {
+		s.NetworkDelay, s.AnswerSlack = 300*time.Millisecond, time.Second
+	}, deploy},
 	{"timeouts", func(s *simulation.Settings) { s.NetworkDelay, s.AnswerSlack = 1600*time.Millisecond, 0 }, deploy},
-	{"no drain grace", func(s *simulation.Settings) { s.Balancer.DrainGrace, s.DiscoveryDelay = time.Nanosecond, 4*time.Second }, deploy},
+	{"no drain grace", func(s *simulation.Settings) {
+		s.Balancer.DrainGrace, s.DiscoveryDelay = time.Nanosecond, 4*time.Second
+	}, deploy},
 	{"cold nodes overloaded", func(s *simulation.Settings) {
 		s.Balancer.WarmupDuration = 0
 		for i := range s.Nodes {
@@ -152,7 +159,8 @@
 func drawKind(r *rand.Rand) simulation.NodeSettings {
 	return simulation.NodeSettings{
 		Cores: float64(1 + r.IntN(4)), Speed: 0.5 + float64(r.IntN(4))/4, ColdCapacityRatio: float64(r.IntN(5)) / 4,
-		WarmupDuration: time.Duration(r.IntN(5)) * time.Second, MaxConnections: r.IntN(6), FullOverheadRatio: float64(r.IntN(4)) / 4,
+		WarmupDuration: time.Duration(r.IntN(5)) * time.Second, MaxConnections: r.IntN(6),
+		FullOverheadRatio:  float64(r.IntN(4)) / 4,
 		ColdOverloadFactor: float64(r.IntN(4)), ColdOverloadDuration: time.Duration(1+r.IntN(3)) * 500 * time.Millisecond,
 		ColdOverloadAllowance: float64(r.IntN(3)) / 2,
 	}
@@ -186,7 +194,8 @@
 			}
 			fmt.Fprintln(&b, n.Connections(), n.Up(), n.Utilization(now), n.Capacity(now), n.WarmupRatio(now))
 		}
-		lines = append(lines, fmt.Sprintf("%03d %d %v %v: %s", seed, n.Connections(), n.Up(), n.Utilization(now), digest(b.String())))
+		lines = append(lines, fmt.Sprintf("%03d %d %v %v: %s",
+			seed, n.Connections(), n.Up(), n.Utilization(now), digest(b.String())))
 	}
 	compareLines(t, "nodes.txt", lines)
 }
