--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -125,6 +125,38 @@
 	}
 }
 
+// A request may be sent to a draining node until the DrainGrace has passed.
+func TestDrainGraceDecidesWhatIsAViolation(t *testing.T) {
+	grace := sampleSettings(1, 1).Balancer.DrainGrace
+	for _, test := range []struct {
+		name  string
+		after time.Duration
+		want  []string
+	}{
+		{"at the end of the grace", grace, nil},
+		{"after the grace", grace + 1, []string{
+			"500.000001ms: request 7 is sent to node 1, known to be draining for 500.000001ms",
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := sampleSettings(1, 1)
+			s.ArrivalRate = 1e-6 // no request but the test's own
+			f, err := NewFleet(1, s)
+			if err != nil {
+				t.Fatal(err)
+			}
+			g := f.gateways[0]
+			g.drainingSince[1] = f.scheduler.Now()
+			f.Run(test.after)
+			g.requests[7] = &request{gateway: g, client: &client{}, id: 7, deadline: f.scheduler.Now() + time.Second}
+			g.send(balancer.Send{ID: 7, Server: 1})
+			if diff := cmp.Diff(test.want, f.Violations); diff != "" {
+				t.Errorf("violations (-want +got):\n%s", diff)
+			}
+		})
+	}
+}
+
 // BenchmarkFleet is one second of a fleet with 30 connections a node.
 func BenchmarkFleet(b *testing.B) {
 	f, err := NewFleet(1, sampleSettings(100, 10))
