--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,4 @@
-// Command lab runs experiments with a gateway between stand-ins, all on loopback.
+// Command experiment measures and tests a gateway between fake servers and clients, all on loopback.
 package main
 
 import (
--- /dev/null
+++ b/internal/experiment/experiment.go
@@ -0,0 +1,74 @@
+// Package experiment implements the program "experiment": benchmarks, fault-injection runs and a demo. Each of its
+// sub-commands starts fake servers, gateways and clients on loopback, puts load on them and reports what it measured.
+//
+// A sub-command owns all that it starts and ends it before it returns. Run may be called from several goroutines, but
+// for the benchmarks: these pin all threads of the process to some of its processors. The balancer does not import this
+// package.
+package experiment
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+	"github.com/urfave/cli/v3"
+)
+
+const programName = "experiment"
+
+// Run executes a command line, whose first element is the program's name, and returns the program's exit code: 0, or 1
+// if the experiment could not be run or found a fault. Errors are printed to errs.
+func Run(ctx context.Context, args []string, out, errs io.Writer) int {
+	root := &cli.Command{
+		Name: programName, Usage: "experiments with a gateway between fake servers and clients, on loopback",
+		Writer: out, ErrWriter: errs,
+		Commands: []*cli.Command{
+			demoCommand(),
+			lineBenchCommand(), natsBenchCommand(), natsIdleCommand(),
+			planRunCommand(), planDrawCommand(), planCurveCommand(),
+			natsDrainCommand(),
+			plainProxyCommand(), lineGatewayCommand(), natsGatewayCommand(),
+			silentWatchCommand(), fleetFaultsCommand(),
+		},
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // Run itself chooses the exit code
+	}
+	if err := root.Run(ctx, args); err != nil {
+		_, _ = fmt.Fprintf(errs, "%s: %v\n", programName, err)
+		return 1
+	}
+	return 0
+}
+
+func newTable(out io.Writer, headings ...any) table.Writer {
+	t := table.NewWriter()
+	t.SetOutputMirror(out)
+	t.AppendHeader(headings)
+	return t
+}
+
+func writeJSON(out io.Writer, v any) error { return json.NewEncoder(out).Encode(v) }
+
+// writeResult writes a result as one line of JSON with the flag "json", and indented otherwise.
+func writeResult(c *cli.Command, v any) error {
+	out := c.Root().Writer
+	if c.Bool("json") {
+		return writeJSON(out, v)
+	}
+	text, err := json.MarshalIndent(v, "", "  ")
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintln(out, string(text))
+	return err
+}
+
+// newLogger returns the logger of a gateway in an experiment, which discards everything unless it is enabled.
+func newLogger(errs io.Writer, enabled bool) *slog.Logger {
+	if enabled {
+		return slog.New(slog.NewTextHandler(errs, nil))
+	}
+	return slog.New(slog.DiscardHandler)
+}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/experiment_test.go
@@ -20,16 +20,17 @@
 
 func run(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
-	code = Run(context.Background(), append([]string{"lab"}, args...), &o, &e)
+	code = Run(context.Background(), append([]string{programName}, args...), &o, &e)
 	return code, o.String(), e.String()
 }
 
-var small = []string{"nats-drain", "--json", "--sessions", "20", "--requests", "2000", "--messages", "100", "--span", "4s"}
+// smallDrain is nats-drain on a small scale.
+var smallDrain = []string{"nats-drain", "--json", "--sessions", "20", "--requests", "2000", "--messages", "100", "--span", "4s"}
 
-// A drain, a kill and a hang under load, on a small scale: all is accounted for.
-func TestDrainAccountsForAll(t *testing.T) {
+// A drain, a kill and a hang under load lose no request or message that is not excused.
+func TestNATSDrainAccountsForAll(t *testing.T) {
 	t.Parallel()
-	code, out, errs := run(append(small, "--seed", "5")...)
+	code, out, errs := run(append(smallDrain, "--seed", "5")...)
 	var r drainResult
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatalf("%v: %s%s", err, out, errs)
@@ -39,13 +40,16 @@
 	}
 }
 
-// The ledgers see what is wrong, or their word above would be worth nothing.
-func TestDrainSeesPlantedFaults(t *testing.T) {
-	for fault, want := range map[string]string{"double": "messages_doubled", "lose": "messages_lost_other",
-		"late": "sends_late", "overlap": "attempts_overlapping"} {
+// The result shows faults; otherwise the test above would prove nothing.
+func TestNATSDrainDetectsPlantedFaults(t *testing.T) {
+	fields := map[string]string{
+		"double": "messages_doubled", "lose": "messages_lost_other",
+		"late": "sends_late", "overlap": "attempts_overlapping",
+	}
+	for fault, want := range fields {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			code, out, errs := run(append(small, "--seed", "6", "--plant", fault)...)
+			code, out, errs := run(append(smallDrain, "--seed", "6", "--plant", fault)...)
 			if code != 1 || !strings.Contains(errs, want) {
 				t.Errorf("exit %d, %s%s", code, out, errs)
 			}
@@ -61,8 +65,8 @@
 	}
 }
 
-// Gateways go by a plan, through a restart and the loss of a zone. Few connections leave much to chance, hence the allowance;
-// the keys are the same in each run.
+// Gateways follow a plan through a restart and the loss of a zone. Few connections leave much to chance, hence the allowed
+// deviation; the keys are the same in each run.
 func TestPlanRun(t *testing.T) {
 	t.Parallel()
 	code, out, errs := run("plan-run", "--json", "--each", "8", "--most-off", "0.12")
@@ -70,7 +74,7 @@
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatalf("%v: %s%s", err, out, errs)
 	}
-	if code != 0 || r.Restarted != 1 || 2*r.With > r.Without {
+	if code != 0 || r.Restarted != 1 || 2*r.CrossingsWith > r.CrossingsWithout {
 		t.Errorf("exit %d, %s%s", code, out, errs)
 	}
 }
@@ -94,7 +98,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	if _, err := imagepng.Decode(f); err != nil {
 		t.Error(err)
 	}
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -1,9 +1,11 @@
 package experiment
 
 import (
+	"bufio"
 	"context"
 	"fmt"
-	"log/slog"
+	"net"
+	"time"
 
 	"github.com/urfave/cli/v3"
 
@@ -12,58 +14,143 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// lineSettings are the settings that experiments with lines go by.
+const readyPollInterval = 10 * time.Millisecond
+
+// lineSettings are the platform's settings of experiments with the line protocol.
 const lineSettings = `{"caps":{"max_attempts":5,"connect_timeout_ns":1000000000,"retry_after":true,"max_retry_after_ns":2000000000},
  "discovery":"ask","family_info":{"mode":"proxy"},
  "rules":{"start_capacity":0.2,"cold_ns":11000000000,"tip_multiple":4,"fall_ns":1000000000,"stop_sending_within_ns":500000000},
  "classes":[{"name":"lines","effect":"idempotent","group":"all","give_up_ns":5000000000,"slo_ns":1000000000}]}`
 
-// lineConfig is a gateway's configuration in front of a catalog.
+func noEnvironment(string) string { return "" }
+
+// lineConfig returns the configuration of a gateway that listens at an address and uses a discovery service.
 func lineConfig(listen, discovery string, cores int) (*config.Config, error) {
-	text := fmt.Sprintf(`{"name":"lab","listen":%q,"discovery":%q,"limits":{"cores":%d,"memory_mb":512,"sockets":8192},"settings":%s}`,
-		listen, discovery, cores, lineSettings)
-	return config.Parse([]byte(text), func(string) string { return "" })
+	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"limits":{"cores":%d,"memory_mb":512,"sockets":8192},"settings":%s}`,
+		programName, listen, discovery, cores, lineSettings)
+	return config.Parse([]byte(text), noEnvironment)
+}
+
+// localGateway is a gateway that runs in this process.
+type localGateway struct {
+	addr   string // where clients connect
+	cancel context.CancelFunc
+	done   chan struct{} // closed when it has ended
+	err    error         // valid once it has ended
+}
+
+// startGateway runs a gateway until ctx is done or it is closed, and waits until it serves. Readiness is determined at
+// the address of its line protocol.
+func startGateway(ctx context.Context, conf *config.Config, lineAddr string, options ...gateway.Option) (*localGateway, error) {
+	g, err := gateway.New(*conf, options...)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	local := &localGateway{addr: lineAddr, cancel: cancel, done: make(chan struct{})}
+	go func() {
+		defer close(local.done)
+		local.err = g.Run(ctx)
+	}()
+	if err := awaitReady(ctx, lineAddr); err != nil {
+		_ = local.close() // the first error is the one that counts
+		return nil, fmt.Errorf("gateway at %s is not ready: %w", lineAddr, err)
+	}
+	return local, nil
+}
+
+func (g *localGateway) wait() error {
+	<-g.done
+	return g.err
+}
+
+func (g *localGateway) close() error {
+	g.cancel()
+	return g.wait()
+}
+
+// awaitReady waits until a gateway answers PING with PONG: it has an endpoint list and can serve.
+func awaitReady(ctx context.Context, addr string) error {
+	for !answersPing(addr) {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(readyPollInterval):
+		}
+	}
+	return nil
+}
+
+func answersPing(addr string) bool {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		return false
+	}
+	defer closeQuietly(conn)
+	if err := conn.SetDeadline(time.Now().Add(time.Second)); err != nil {
+		return false
+	}
+	if _, err := fmt.Fprint(conn, "PING\r\n"); err != nil {
+		return false
+	}
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && line == "PONG\r\n"
 }
 
-// confined keeps a program that benchmarks start to its cores, and lists the one server that it is to stand before.
-func confined(c *cli.Command) (*fakeserver.Catalog, error) {
-	if err := pin(cpuList(0, c.Int("cores"))...); err != nil {
+// closeQuietly closes a connection whose data has been received already, so that an error has no consequence.
+func closeQuietly(conn net.Conn) { _ = conn.Close() }
+
+// startConfined pins a program that a benchmark starts to its cores, and starts a catalog of the one server that it is
+// to use.
+func startConfined(c *cli.Command) (*fakeserver.Catalog, error) {
+	if err := pinToCPUs(cpuRange(0, c.Int("cores"))...); err != nil {
 		return nil, err
 	}
-	return fakeserver.NewCatalog(fakeserver.Endpoint{ID: "s-00000001", Addr: c.String("to"), State: fakeserver.StateInService, Weight: 1})
+	return fakeserver.NewCatalog(inServiceEndpoint(0, c.String("to")))
 }
 
-// lineGateway is a gateway confined to its cores in front of one server.
-func lineGateway() *cli.Command {
+// endpointID returns the ID of a fake server.
+func endpointID(index int) string { return fmt.Sprintf("s-%08x", index+1) }
+
+func inServiceEndpoint(index int, addr string) fakeserver.Endpoint {
+	return fakeserver.Endpoint{ID: endpointID(index), Addr: addr, State: fakeserver.StateInService, Weight: 1}
+}
+
+func confinedFlags() []cli.Flag {
+	return []cli.Flag{&cli.IntFlag{Name: "cores", Value: 1}, &cli.StringFlag{Name: "to", Required: true}}
+}
+
+// lineGatewayCommand runs a gateway, confined to its cores, in front of one server of the line protocol.
+func lineGatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name: "line-gateway", Hidden: true, Usage: "a gateway, which benchmarks start",
-		Flags: []cli.Flag{&cli.IntFlag{Name: "cores", Value: 1}, &cli.StringFlag{Name: "to", Required: true}},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			catalog, err := confined(c)
-			if err != nil {
-				return err
-			}
-			defer catalog.Close()
-			listen, release, err := fakeserver.ReserveAddress()
-			if err != nil {
-				return err
-			}
-			defer release()
-			conf, err := lineConfig(listen, catalog.Addr(), c.Int("cores"))
-			if err != nil {
-				return err
-			}
-			gateway.Confine(conf.Limits)
-			g, err := gateway.New(*conf, gateway.WithLogger(slog.New(slog.DiscardHandler)))
-			if err != nil {
-				return err
-			}
-			go func() {
-				if awaitReady(ctx, listen) == nil {
-					fmt.Fprintln(c.Root().Writer, listen)
-				}
-			}()
-			return g.Run(ctx)
-		},
+		Flags:  confinedFlags(),
+		Action: runLineGateway,
+	}
+}
+
+func runLineGateway(ctx context.Context, c *cli.Command) error {
+	catalog, err := startConfined(c)
+	if err != nil {
+		return err
+	}
+	defer catalog.Close()
+	listen, release, err := fakeserver.ReserveAddress()
+	if err != nil {
+		return err
+	}
+	defer release()
+	conf, err := lineConfig(listen, catalog.Addr(), c.Int("cores"))
+	if err != nil {
+		return err
+	}
+	gateway.Confine(conf.Limits)
+	g, err := startGateway(ctx, conf, listen, gateway.WithLogger(newLogger(nil, false)))
+	if err != nil {
+		return err
+	}
+	if _, err := fmt.Fprintln(c.Root().Writer, g.addr); err != nil {
+		return err
 	}
+	return g.wait()
 }
--- a/internal/experiment/natsfleet.go
+++ b/internal/experiment/natsfleet.go
@@ -4,15 +4,13 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net"
-	"strings"
-	"sync"
+
+	"github.com/urfave/cli/v3"
 
 	"example.org/milletvane/config"
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/gateway"
 	"example.org/milletvane/internal/fakeserver"
-	"example.org/milletvane/internal/nats/codec"
 )
 
 // natsSettings are the platform's settings of experiments with NATS, and natsOperator is their operator file.
@@ -27,196 +25,118 @@
   (request (subject "svc.safe.>") (class "safe") (deadline "3s") (key (token 2)))
   (request (subject "svc.unsafe.>") (class "unsafe") (deadline "3s") (key (token 2))))`
 
-// natsGate is a gateway that speaks NATS, in this process.
-type natsGate struct {
-	addr string
-	stop context.CancelFunc
-	done chan error
+// natsGatewayOptions say how a NATS gateway is run.
+type natsGatewayOptions struct {
+	catalogAddr string
+	adminAddr   string // empty: no operators' address
+	cores       int
+	logger      *slog.Logger
 }
 
-// startNATSGate starts a gateway in front of a catalog and waits until it serves. Operators call at admin; empty: nowhere.
-func startNATSGate(ctx context.Context, catalog string, admin string, cores int, logger *slog.Logger) (*natsGate, error) {
-	lines, releaseLines, err := fakeserver.ReserveAddress()
+// startNATSGateway starts a gateway that speaks NATS and waits until it serves.
+func startNATSGateway(ctx context.Context, o natsGatewayOptions) (*localGateway, error) {
+	lineAddr, releaseLine, err := fakeserver.ReserveAddress()
 	if err != nil {
 		return nil, err
 	}
-	defer releaseLines()
-	listen, releaseListen, err := fakeserver.ReserveAddress()
+	defer releaseLine()
+	natsAddr, releaseNATS, err := fakeserver.ReserveAddress()
 	if err != nil {
 		return nil, err
 	}
-	defer releaseListen()
-	conf, err := config.Parse([]byte(fmt.Sprintf(`{"name":"lab","listen":%q,"discovery":%q,"admin_addr":%q,
-	 "limits":{"cores":%d,"memory_mb":2048,"sockets":16384},"settings":%s}`, lines, catalog, admin, cores, natsSettings)),
-		func(string) string { return "" })
+	defer releaseNATS()
+	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"admin_addr":%q,
+	 "limits":{"cores":%d,"memory_mb":2048,"sockets":16384},"settings":%s}`,
+		programName, lineAddr, o.catalogAddr, o.adminAddr, o.cores, natsSettings)
+	conf, err := config.Parse([]byte(text), noEnvironment)
 	if err != nil {
 		return nil, err
 	}
-	op, err := operator.Parse("lab", []byte(fmt.Sprintf(natsOperator, listen)), nil)
+	settings, err := operator.Parse(programName, fmt.Appendf(nil, natsOperator, natsAddr), nil)
 	if err != nil {
 		return nil, err
 	}
-	g, err := gateway.New(*conf, gateway.WithLogger(logger), gateway.WithOperator(op))
+	g, err := startGateway(ctx, conf, lineAddr, gateway.WithLogger(o.logger), gateway.WithOperator(settings))
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithCancel(ctx)
-	n := &natsGate{addr: listen, stop: cancel, done: make(chan error, 1)}
-	go func() { n.done <- g.Run(ctx) }()
-	if err := awaitReady(ctx, lines); err != nil {
-		cancel()
-		return nil, err
+	g.addr = natsAddr
+	return g, nil
+}
+
+// natsGatewayCommand runs a gateway that speaks NATS, confined to its cores, in front of one node.
+func natsGatewayCommand() *cli.Command {
+	return &cli.Command{
+		Name: "nats-gateway", Hidden: true, Usage: "a gateway that speaks NATS, which benchmarks start",
+		Flags:  confinedFlags(),
+		Action: runNATSGateway,
 	}
-	return n, nil
 }
 
-func (g *natsGate) close() error {
-	g.stop()
-	return <-g.done
+func runNATSGateway(ctx context.Context, c *cli.Command) error {
+	catalog, err := startConfined(c)
+	if err != nil {
+		return err
+	}
+	defer catalog.Close()
+	cores := c.Int("cores")
+	gateway.Confine(config.Limits{Cores: float64(cores), MemoryMB: 512})
+	g, err := startNATSGateway(ctx, natsGatewayOptions{
+		catalogAddr: catalog.Addr(), cores: cores, logger: newLogger(nil, false),
+	})
+	if err != nil {
+		return err
+	}
+	if _, err := fmt.Fprintln(c.Root().Writer, g.addr); err != nil {
+		return err
+	}
+	return g.wait()
 }
 
-// nodes are stand-in NATS nodes with their catalog.
-type nodes struct {
+// natsFleet is a cluster of fake NATS nodes with their catalog.
+type natsFleet struct {
 	cluster *fakeserver.NATSCluster
-	list    []*fakeserver.NATSNode
+	nodes   []*fakeserver.NATSNode
 	catalog *fakeserver.Catalog
 }
 
-func startNodes(n int) (*nodes, error) {
-	f := &nodes{cluster: fakeserver.NewNATSCluster(fakeserver.NewDeliveryLog(), false)}
-	var entries []fakeserver.Endpoint
-	for i := range n {
-		node, err := f.cluster.StartNode(fmt.Sprint("node", i+1))
+func startNATSFleet(size int) (*natsFleet, error) {
+	f := &natsFleet{cluster: fakeserver.NewNATSCluster(fakeserver.NewDeliveryLog(), false)}
+	var endpoints []fakeserver.Endpoint
+	for i := range size {
+		node, err := f.cluster.StartNode(fmt.Sprintf("node%d", i+1))
 		if err != nil {
+			f.close()
 			return nil, err
 		}
-		f.list = append(f.list, node)
-		entries = append(entries, f.entry(i, fakeserver.StateInService))
+		f.nodes = append(f.nodes, node)
+		endpoints = append(endpoints, f.endpoint(i, fakeserver.StateInService))
 	}
 	var err error
-	f.catalog, err = fakeserver.NewCatalog(entries...)
-	return f, err
-}
-
-func (f *nodes) entry(i int, state string) fakeserver.Endpoint {
-	return fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.list[i].Addr(), Zone: "lab", State: state, Weight: 1}
-}
-
-func (f *nodes) drain(i int) {
-	f.list[i].Drain(true)
-	f.catalog.SetEndpoint(f.entry(i, fakeserver.StateTerminating))
-}
-
-func (f *nodes) close() {
-	f.catalog.Close()
-	for _, n := range f.list {
-		n.Close()
-	}
-}
-
-// tamper stands between clients and a gateway. It passes all on as it comes, but for the one fault that it is to plant
-// among the messages to clients.
-type tamper struct {
-	listener net.Listener
-	to       string
-	wg       sync.WaitGroup
-	mu       sync.Mutex
-	fault    string // "", "double" or "lose"
-	conns    []net.Conn
-}
-
-func startTamper(to string) (*tamper, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
+	if f.catalog, err = fakeserver.NewCatalog(endpoints...); err != nil {
+		f.close()
 		return nil, err
 	}
-	p := &tamper{listener: l, to: to}
-	p.wg.Go(func() {
-		for {
-			a, err := l.Accept()
-			if err != nil {
-				return
-			}
-			b, err := net.Dial("tcp", to)
-			if err != nil {
-				a.Close()
-				continue
-			}
-			p.mu.Lock()
-			p.conns = append(p.conns, a, b)
-			p.mu.Unlock()
-			p.wg.Go(func() { pass(a, b) })
-			p.wg.Go(func() { p.frames(b, a) })
-		}
-	})
-	return p, nil
+	return f, nil
 }
 
-// plant has the next streamed message doubled or lost.
-func (p *tamper) plant(fault string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.fault = fault
-}
-
-func (p *tamper) close() {
-	p.listener.Close()
-	p.mu.Lock()
-	for _, c := range p.conns {
-		c.Close()
+func (f *natsFleet) endpoint(index int, state string) fakeserver.Endpoint {
+	return fakeserver.Endpoint{
+		ID: endpointID(index), Addr: f.nodes[index].Addr(), Zone: programName, State: state, Weight: 1,
 	}
-	p.mu.Unlock()
-	p.wg.Wait()
 }
 
-func (p *tamper) frames(from, to net.Conn) {
-	defer from.Close()
-	defer to.Close()
-	buf := make([]byte, 64<<10)
-	var in []byte
-	for {
-		n, err := from.Read(buf)
-		if err != nil {
-			return
-		}
-		in = append(in, buf[:n]...)
-		var out []byte
-		for len(in) > 0 {
-			f, n, err := codec.Parse(in, codec.Limits{})
-			if err != nil {
-				return
-			}
-			if n == 0 {
-				break
-			}
-			times := 1
-			if f.Op == codec.Msg && strings.HasPrefix(string(f.Subject), "stream.") {
-				p.mu.Lock()
-				switch p.fault {
-				case "double":
-					times = 2
-				case "lose":
-					times = 0
-				}
-				p.fault = ""
-				p.mu.Unlock()
-			}
-			for range times {
-				out = append(out, f.Raw...)
-			}
-			in = in[n:]
-		}
-		in = append([]byte(nil), in...)
-		if _, err := to.Write(out); err != nil {
-			return
-		}
-	}
+// drain puts a node into lame duck mode, which its clients and the catalog learn.
+func (f *natsFleet) drain(index int) {
+	f.nodes[index].Drain(true)
+	f.catalog.SetEndpoint(f.endpoint(index, fakeserver.StateTerminating))
 }
 
-// slogTo is a logger for a gateway in an experiment; quiet unless asked for.
-func slogTo(errs interface{ Write([]byte) (int, error) }, on bool) *slog.Logger {
-	if on {
-		return slog.New(slog.NewTextHandler(errs, nil))
+func (f *natsFleet) close() {
+	if f.catalog != nil {
+		f.catalog.Close()
+	}
+	for _, node := range f.nodes {
+		node.Close()
 	}
-	return slog.New(slog.DiscardHandler)
 }
--- /dev/null
+++ b/internal/experiment/natsidle.go
@@ -0,0 +1,100 @@
+package experiment
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"example.org/milletvane/internal/fakeserver"
+)
+
+const idleDuration = 3 * time.Second // while pings go on
+
+// idleResult is the memory, in bytes, that idle sessions cost a gateway.
+type idleResult struct {
+	Sessions   int   `json:"sessions"`
+	Before     int64 `json:"rss_before"`
+	After      int64 `json:"rss_after"`
+	PerSession int64 `json:"bytes_a_session"`
+}
+
+func natsIdleCommand() *cli.Command {
+	return &cli.Command{
+		Name: "nats-idle", Usage: "measure what an idle NATS session costs the gateway in memory",
+		Flags: []cli.Flag{
+			&cli.BoolFlag{Name: "json", Usage: "a row of JSON"},
+			&cli.IntFlag{Name: "sessions", Value: 2000, Usage: "clients, each with one subscription"},
+		},
+		Action: func(_ context.Context, c *cli.Command) error {
+			result, err := measureIdle(c)
+			if err != nil {
+				return err
+			}
+			if c.Bool("json") {
+				return writeJSON(c.Root().Writer, result)
+			}
+			_, err = fmt.Fprintf(c.Root().Writer, "%d idle sessions: %d bytes each\n", result.Sessions, result.PerSession)
+			return err
+		},
+	}
+}
+
+func measureIdle(c *cli.Command) (result idleResult, err error) {
+	server, err := fakeserver.NewNATSEcho()
+	if err != nil {
+		return result, err
+	}
+	defer server.Close()
+	gateway, err := startChild(c.Root().ErrWriter, "nats-gateway", "--cores", "1", "--to", server.Addr())
+	if err != nil {
+		return result, err
+	}
+	defer gateway.stop()
+	result.Sessions = c.Int("sessions")
+	pid := gateway.cmd.Process.Pid
+	if result.Before, err = residentSetSize(pid); err != nil {
+		return result, err
+	}
+	var conns []net.Conn
+	defer func() {
+		for _, conn := range conns {
+			closeQuietly(conn)
+		}
+	}()
+	for range result.Sessions {
+		conn, _, err := dialNATS(gateway.addr)
+		if err != nil {
+			return result, err
+		}
+		conns = append(conns, conn)
+	}
+	time.Sleep(idleDuration)
+	if result.After, err = residentSetSize(pid); err != nil {
+		return result, err
+	}
+	result.PerSession = (result.After - result.Before) / int64(result.Sessions)
+	return result, nil
+}
+
+// residentSetSize returns a process's resident memory in bytes.
+func residentSetSize(pid int) (int64, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		return 0, err
+	}
+	for line := range strings.Lines(string(text)) {
+		value, ok := strings.CutPrefix(line, "VmRSS:")
+		if !ok {
+			continue
+		}
+		kilobytes, err := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(value), "kB")), 10, 64)
+		return kilobytes << 10, err
+	}
+	return 0, fmt.Errorf("status of process %d has no VmRSS", pid)
+}
--- a/internal/experiment/plainproxy.go
+++ b/internal/experiment/plainproxy.go
@@ -9,53 +9,63 @@
 	"github.com/urfave/cli/v3"
 )
 
-// plainProxy is the yardstick: a read and a write loop each way, and nothing else.
-func plainProxy() *cli.Command {
+const proxyBufferBytes = 32 << 10
+
+// plainProxyCommand is the baseline of benchmarks: a read and write loop for each direction, and nothing else.
+func plainProxyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plain-proxy", Hidden: true, Usage: "the plainest proxy, which benchmarks start",
-		Flags: []cli.Flag{&cli.IntFlag{Name: "cores", Value: 1}, &cli.StringFlag{Name: "to", Required: true}},
-		Action: func(_ context.Context, c *cli.Command) error {
-			if err := pin(cpuList(0, c.Int("cores"))...); err != nil {
-				return err
-			}
-			runtime.GOMAXPROCS(c.Int("cores"))
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				return err
-			}
-			fmt.Fprintln(c.Root().Writer, l.Addr())
-			for {
-				a, err := l.Accept()
-				if err != nil {
-					return err
-				}
-				go func() {
-					b, err := net.Dial("tcp", c.String("to"))
-					if err != nil {
-						a.Close()
-						return
-					}
-					go pass(a, b)
-					pass(b, a)
-				}()
-			}
-		},
+		Name: "plain-proxy", Hidden: true, Usage: "a plain proxy, which benchmarks start",
+		Flags:  confinedFlags(),
+		Action: runPlainProxy,
 	}
 }
 
-// pass copies from one connection to the other. It reads and writes by itself, as io.Copy would have the kernel splice.
-func pass(from, to net.Conn) {
-	defer from.Close()
-	defer to.Close()
-	b := make([]byte, 32<<10)
+func runPlainProxy(_ context.Context, c *cli.Command) error {
+	cores := c.Int("cores")
+	if err := pinToCPUs(cpuRange(0, cores)...); err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(cores)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	if _, err := fmt.Fprintln(c.Root().Writer, listener.Addr()); err != nil {
+		return err
+	}
 	for {
-		n, err := from.Read(b)
+		client, err := listener.Accept()
+		if err != nil {
+			return err
+		}
+		go proxyPlainly(client, c.String("to")) // until the process is killed
+	}
+}
+
+func proxyPlainly(client net.Conn, serverAddr string) {
+	server, err := net.Dial("tcp", serverAddr)
+	if err != nil {
+		closeQuietly(client)
+		return
+	}
+	go copyConn(server, client)
+	copyConn(client, server)
+}
+
+// copyConn copies from one connection to the other until either ends, and closes both. It reads and writes itself, as
+// io.Copy would have the kernel splice.
+func copyConn(to, from net.Conn) {
+	defer closeQuietly(from)
+	defer closeQuietly(to)
+	buf := make([]byte, proxyBufferBytes)
+	for {
+		n, readErr := from.Read(buf)
 		if n > 0 {
-			if _, err := to.Write(b[:n]); err != nil {
+			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
 		}
-		if err != nil {
+		if readErr != nil {
 			return
 		}
 	}
--- a/internal/experiment/planrun.go
+++ b/internal/experiment/planrun.go
@@ -1,17 +1,10 @@
 package experiment
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"maps"
-	"math"
-	"net"
-	"strings"
 	"sync"
 	"time"
 
@@ -20,416 +13,232 @@
 	"example.org/milletvane/config/operator"
 	"example.org/milletvane/gateway"
 	"example.org/milletvane/internal/fakeserver"
-	"example.org/milletvane/placement"
 )
 
-// planResult compares where connections went with where the plan wanted them.
-type planResult struct {
-	Opened       int     `json:"opened"`
-	Failed       int     `json:"failed"`
-	Without      int64   `json:"crossings_without_plan"`
-	With         int64   `json:"crossings_with_plan"`
-	Planned      int64   `json:"crossings_planned"` // the plan's own figure, for as many connections
-	Worst        float64 `json:"worst_deviation"`   // of a node's part from the plan's
-	AfterLoss    float64 `json:"worst_deviation_after_loss"`
-	LostZoneSent int64   `json:"sent_to_lost_zone"`
-	Restarted    int     `json:"gateways_restarted"`
-	ColdMost     int     `json:"cold_most_in_a_second"` // openings at a node of the zone that comes back
-	ColdLimit    int     `json:"cold_limit"`            // tip multiple times the cold share of what that node had when warm
+const (
+	disturbanceDelay = 500 * time.Millisecond // from the start of a phase's load
+	restartedZone    = "west"                 // whose gateway is replaced
+	lostZone         = "east"
+)
+
+func planRunCommand() *cli.Command {
+	return &cli.Command{
+		Name: "plan-run", Usage: "compare gateways that go by a plan with ones that do not, lose a zone and restart a gateway",
+		Flags: []cli.Flag{
+			&cli.BoolFlag{Name: "json", Usage: "the result as one JSON object"},
+			&cli.IntFlag{Name: "each", Value: 60, Usage: "connections for each unit of load; few make chance show"},
+			&cli.FloatFlag{Name: "most-off", Value: 0.05, Usage: "part by which a node's load may be off its plan"},
+			&cli.BoolFlag{Name: "log", Usage: "show the gateways' logs"},
+		},
+		Action: func(ctx context.Context, c *cli.Command) error {
+			result, err := runPlan(ctx, c.Int("each"), newLogger(c.Root().ErrWriter, c.Bool("log")))
+			if err != nil {
+				return err
+			}
+			return errors.Join(writeResult(c, result), result.faults(c.Float("most-off")))
+		},
+	}
 }
 
-// site is three uneven zones: the first brings more than its own nodes carry.
-type site struct {
-	problem *placement.Problem
-	mu      sync.Mutex // guards servers: some come back while clients come
-	servers map[string]*fakeserver.LineServer
-	catalog *fakeserver.Catalog
-	plan    *operator.Plan
+// planRun is a run of plan-run.
+type planRun struct {
+	site               *planSite
+	connectionsPerUnit int
+	logger             *slog.Logger
+	result             *planResult
 }
 
-func newSite() (*site, error) {
-	s := &site{servers: map[string]*fakeserver.LineServer{}}
-	s.problem = &placement.Problem{Zones: []string{"west", "north", "east"},
-		Demands:     []placement.Demand{{Zone: "west", Class: "lines", Load: 400}, {Zone: "north", Class: "lines", Load: 120}, {Zone: "east", Class: "lines", Load: 80}},
-		Crossings:   []placement.Crossing{{From: "west", To: "east", Cost: 2}, {From: "east", To: "west", Cost: 2}},
-		DefaultCost: 3,
-		Constraints: []placement.Constraint{{Name: "all", Kind: placement.Carry}, {Name: "room", Kind: placement.Headroom, Part: placement.Ratio{Num: 9, Den: 10}}},
+func runPlan(ctx context.Context, connectionsPerUnit int, logger *slog.Logger) (*planResult, error) {
+	site, err := newPlanSite()
+	if err != nil {
+		return nil, err
 	}
-	var entries []fakeserver.Endpoint
-	for i, zone := range []string{"west", "west", "west", "north", "north", "north", "east", "east", "east"} {
-		l, err := fakeserver.NewLineServer()
-		if err != nil {
+	defer site.close()
+	r := &planRun{site: site, connectionsPerUnit: connectionsPerUnit, logger: logger, result: &planResult{}}
+	r.result.CrossingsPlanned = site.plan.Goals.Crossings * int64(connectionsPerUnit)
+	for _, step := range []func(context.Context) error{r.compare, r.loseZone, r.restoreZone} {
+		if err := step(ctx); err != nil {
 			return nil, err
 		}
-		n := placement.Node{ID: fmt.Sprintf("s-%08x", i+1), Zone: zone, Model: "small", Capacity: 100}
-		if i%3 == 0 {
-			n.Model, n.Capacity = "large", 150
-		}
-		s.problem.Nodes = append(s.problem.Nodes, n)
-		s.servers[n.ID] = l
-		entries = append(entries, fakeserver.Endpoint{ID: n.ID, Addr: l.Addr(), Zone: zone, Kind: n.Model, State: fakeserver.StateInService, Weight: 1})
 	}
-	best, err := placement.Solve(s.problem, placement.Options{})
+	return r.result, nil
+}
+
+// compare puts load on gateways without a plan and on ones with it, one of which is restarted meanwhile.
+func (r *planRun) compare(ctx context.Context) error {
+	came, err := r.runPhase(ctx, planPhase{name: "without"})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	s.plan = &operator.Plan{Version: 1, Load: best.Load, Flows: best.Flows, Goals: best.Goals}
-	losses, err := placement.Contingencies(s.problem, best, nil, placement.Options{}, nil)
+	r.result.CrossingsWithout = came.crossingCost(r.site.problem)
+	came, err = r.runPhase(ctx, planPhase{name: "with", plan: r.site.plan, disturb: r.restartGateway})
 	if err != nil {
-		return nil, err
-	}
-	for _, c := range losses {
-		pc := operator.PlanContingency{Name: c.Name, Lost: c.Lost, Short: c.Shortfall}
-		if c.Plan != nil {
-			pc.Load, pc.Flows = c.Plan.Load, c.Plan.Flows
-		}
-		s.plan.Contingencies = append(s.plan.Contingencies, pc)
+		return err
 	}
-	s.catalog, err = fakeserver.NewCatalog(entries...)
-	return s, err
+	r.result.CrossingsWith = came.crossingCost(r.site.problem)
+	r.result.MaxDeviation = came.maxDeviation(r.site.plan.Load, r.connectionsPerUnit)
+	return nil
 }
 
-func (s *site) close() {
-	s.catalog.Close()
-	for _, l := range s.running() {
-		l.Close()
+// restartGateway starts a gateway of a zone anew while clients come.
+func (r *planRun) restartGateway(ctx context.Context, gateways *zoneGateways) error {
+	replacement, err := r.startZoneGateway(ctx, restartedZone, r.site.plan)
+	if err != nil {
+		return err
 	}
+	gateways.replace(restartedZone, replacement)
+	r.result.Restarted++
+	return nil
 }
 
-// running are the servers as they are now.
-func (s *site) running() map[string]*fakeserver.LineServer {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return maps.Clone(s.servers)
-}
-
-// zoneGate is a gateway of a zone.
-type zoneGate struct {
-	addr string
-	stop context.CancelFunc
-	done chan error
-}
-
-func (s *site) gate(ctx context.Context, zone string, plan *operator.Plan, logger *slog.Logger) (*zoneGate, error) {
-	listen, release, err := fakeserver.ReserveAddress()
+// loseZone loses a zone while clients come, and then measures how the rest carries the load.
+func (r *planRun) loseZone(ctx context.Context) error {
+	contingency, err := r.contingency()
 	if err != nil {
-		return nil, err
+		return err
 	}
-	defer release()
-	conf, err := lineConfig(listen, s.catalog.Addr(), 1)
+	_, err = r.runPhase(ctx, planPhase{
+		name: "losing", plan: r.site.plan,
+		disturb: func(context.Context, *zoneGateways) error {
+			r.site.loseZone(lostZone)
+			return nil
+		},
+	})
 	if err != nil {
-		return nil, err
-	}
-	conf.Balancer.Gateways = len(s.problem.Zones)
-	var op *operator.Settings
-	if plan != nil {
-		op = &operator.Settings{Plan: &operator.PlanSettings{Zone: zone, Plan: plan}}
+		return err
 	}
-	g, err := gateway.New(*conf, gateway.WithLogger(logger), gateway.WithOperator(op))
+	came, err := r.runPhase(ctx, planPhase{name: "after", plan: r.site.plan})
 	if err != nil {
-		return nil, err
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	z := &zoneGate{addr: listen, stop: cancel, done: make(chan error, 1)}
-	go func() { z.done <- g.Run(ctx) }()
-	return z, awaitReady(ctx, listen)
-}
-
-func (z *zoneGate) close() {
-	z.stop()
-	<-z.done
-}
-
-// load opens connections, as many from each zone as its demand, one key each, and ends them at once. It returns how many came
-// to each node from each zone, and how many were not served.
-func (s *site) load(each int, gates func(zone string) string, phase string) (map[string]map[string]int64, int) {
-	came := map[string]map[string]int64{}
-	failed := 0
-	var mu sync.Mutex
-	for _, d := range s.problem.Demands {
-		servers, before := s.running(), map[string]int64{}
-		for id, l := range servers {
-			before[id] = l.Opened()
-		}
-		var wg sync.WaitGroup
-		const clients = 32
-		for c := range clients {
-			wg.Go(func() {
-				for k := c; k < int(d.Load)*each; k += clients {
-					if err := openOnce(gates(d.Zone), fmt.Sprintf("%s-%s-%d", phase, d.Zone, k)); err != nil {
-						mu.Lock()
-						failed++
-						mu.Unlock()
-					}
-				}
-			})
-		}
-		wg.Wait()
-		came[d.Zone] = map[string]int64{}
-		for id, l := range servers {
-			came[d.Zone][id] = l.Opened() - before[id]
-		}
+		return err
 	}
-	return came, failed
-}
-
-// openOnce opens a connection under a key, as clients do: one that was refused or cut off comes again a few times.
-func openOnce(addr, key string) error {
-	var last error
-	for try := range 20 {
-		if last = func() error {
-			c, err := net.Dial("tcp", addr)
-			if err != nil {
-				return err
-			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(5 * time.Second))
-			fmt.Fprintf(c, "OPEN %s.%d %s c=lines,d=3000\r\n", key, try, key)
-			line, err := bufio.NewReader(c).ReadString('\n')
-			var wait int
-			if n, _ := fmt.Sscanf(line, "BUSY %d", &wait); n == 1 { // come again when told
-				time.Sleep(time.Duration(wait) * time.Millisecond)
-			}
-			if err == nil && !strings.HasPrefix(line, "UP") {
-				err = fmt.Errorf("answered %q", line)
-			}
-			return err
-		}(); last == nil {
-			return nil
-		}
-		time.Sleep(50 * time.Millisecond)
+	r.result.DeviationAfterLoss = came.maxDeviation(contingency.Load, r.connectionsPerUnit)
+	for _, node := range r.site.nodesOf(lostZone) {
+		r.result.SentToLostZone += came.atNode(node.ID)
 	}
-	return last
+	return nil
 }
 
-func (s *site) crossings(came map[string]map[string]int64) (sum int64) {
-	cost := func(from, to string) int64 {
-		if from == to {
-			return 0
-		}
-		for _, c := range s.problem.Crossings {
-			if c.From == from && c.To == to {
-				return c.Cost
-			}
+func (r *planRun) contingency() (operator.PlanContingency, error) {
+	var found operator.PlanContingency
+	for _, c := range r.site.plan.Contingencies {
+		if c.Name == "zone "+lostZone {
+			found = c
 		}
-		return s.problem.DefaultCost
 	}
-	for from, by := range came {
-		for _, n := range s.problem.Nodes {
-			sum += by[n.ID] * cost(from, n.Zone)
-		}
+	if len(found.Flows) == 0 {
+		return found, fmt.Errorf("the plan has no flows for the loss of %s: %d units short", lostZone, found.Short)
 	}
-	return sum
+	return found, nil
 }
 
-// deviation is by how much the node that is furthest from its planned load is off, as a part of that.
-func deviation(came map[string]map[string]int64, load map[string]int64, each int) (worst float64) {
-	for id, want := range load {
-		var got int64
-		for _, by := range came {
-			got += by[id]
-		}
-		if want > 0 {
-			worst = max(worst, math.Abs(float64(got)/float64(want*int64(each))-1))
-		}
+// restoreZone has the lost zone come back cold while clients come, and measures how much its nodes get at once. A node
+// that starts can do a fifth of what it did when warm, and bears four times that over a second.
+func (r *planRun) restoreZone(ctx context.Context) error {
+	warm := r.maxOpenings()
+	_, err := r.runPhase(ctx, planPhase{
+		name: "back", plan: r.site.plan,
+		disturb: func(context.Context, *zoneGateways) error { return r.site.restoreZone(lostZone) },
+	})
+	if err != nil {
+		return err
 	}
-	return worst
-}
-
-func planRun() *cli.Command {
-	return &cli.Command{
-		Name: "plan-run", Usage: "compare gateways that go by a plan with ones that do not, lose a zone and restart a gateway",
-		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "json", Usage: "the result as one JSON object"},
-			&cli.IntFlag{Name: "each", Value: 60, Usage: "connections for each unit of load; few make chance show"},
-			&cli.FloatFlag{Name: "most-off", Value: 0.05, Usage: "part by which a node's load may be off its plan"},
-			&cli.BoolFlag{Name: "log", Usage: "show the gateways' logs"},
-		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			r, err := runPlan(ctx, c.Int("each"), slogTo(c.Root().ErrWriter, c.Bool("log")))
-			if err != nil {
-				return err
-			}
-			out := c.Root().Writer
-			if c.Bool("json") {
-				err = json.NewEncoder(out).Encode(r)
-			} else {
-				err = r.show(out)
-			}
-			return errors.Join(err, r.faults(c.Float("most-off")))
-		},
+	maxLoad := 0.0
+	for id, openings := range r.maxOpenings() {
+		limit := warm[id] * 4 / 5
+		if load := float64(openings) / float64(max(limit, 1)); load >= maxLoad {
+			maxLoad = load
+			r.result.ColdOpenings, r.result.ColdLimit = openings, limit
+		}
 	}
+	return nil
 }
 
-func (r *planResult) show(out io.Writer) error {
-	text, err := json.MarshalIndent(r, "", "  ")
-	if err == nil {
-		_, err = fmt.Fprintln(out, string(text))
+// maxOpenings returns the most connections that came to each node of the lost zone in a second.
+func (r *planRun) maxOpenings() map[string]int {
+	openings, servers := map[string]int{}, r.site.currentServers()
+	for _, node := range r.site.nodesOf(lostZone) {
+		openings[node.ID] = servers[node.ID].MaxOpenedWithin(time.Second)
 	}
-	return err
+	return openings
 }
 
-// amidAfter is how long after clients begin to come something happens.
-const amidAfter = 500 * time.Millisecond
-
-func (r *planResult) faults(mostOff float64) error {
-	var errs []error
-	if r.Worst > mostOff || r.AfterLoss > mostOff {
-		errs = append(errs, fmt.Errorf("a node is off its plan by %.3f, after the loss by %.3f; %.2f is allowed", r.Worst, r.AfterLoss, mostOff))
-	}
-	if r.Failed > 0 || r.LostZoneSent > 0 {
-		errs = append(errs, fmt.Errorf("%d not served, %d sent to the lost zone", r.Failed, r.LostZoneSent))
-	}
-	if r.ColdMost > r.ColdLimit {
-		errs = append(errs, fmt.Errorf("a cold node had %d openings in a second and bears %d", r.ColdMost, r.ColdLimit))
-	}
-	if r.With >= r.Without {
-		errs = append(errs, fmt.Errorf("crossings are %d with the plan and %d without", r.With, r.Without))
-	}
-	return errors.Join(errs...)
+// planPhase is load on one gateway a zone.
+type planPhase struct {
+	name    string
+	plan    *operator.Plan                             // nil: gateways without a plan
+	disturb func(context.Context, *zoneGateways) error // called while clients come; may be nil
 }
 
-// runPhase has clients come to gateways that go by a plan, while something may happen to these.
-type runPhase func(plan *operator.Plan, phase string, amid func(set func(zone string, g *zoneGate), old map[string]*zoneGate)) (map[string]map[string]int64, error)
-
-// comeBack has a lost zone come back cold while clients come, and looks how much its nodes get at once. A node that starts can
-// do a fifth of what it did, and bears four times that over a second.
-func (s *site) comeBack(r *planResult, lost string, run runPhase) error {
-	warm := map[string]int{}
-	for _, n := range s.problem.Nodes {
-		if n.Zone == lost {
-			warm[n.ID] = s.servers[n.ID].MaxOpenedWithin(time.Second)
+func (r *planRun) runPhase(ctx context.Context, phase planPhase) (came arrivals, err error) {
+	gateways := &zoneGateways{byZone: map[string]*localGateway{}}
+	defer gateways.close()
+	for _, zone := range r.site.problem.Zones {
+		g, err := r.startZoneGateway(ctx, zone, phase.plan)
+		if err != nil {
+			return nil, err
 		}
+		gateways.byZone[zone] = g
 	}
-	_, err := run(s.plan, "back", func(func(string, *zoneGate), map[string]*zoneGate) {
-		for _, n := range s.problem.Nodes {
-			if n.Zone != lost {
-				continue
-			}
-			l, err := fakeserver.NewLineServer()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			s.servers[n.ID] = l
-			s.mu.Unlock()
-			s.catalog.SetEndpoint(fakeserver.Endpoint{ID: n.ID, Addr: l.Addr(), Zone: n.Zone, Kind: n.Model, State: fakeserver.StateInService, Weight: 1,
-				StartedMS: time.Now().UnixMilli()})
-		}
-	})
-	worst := 0.0
-	now := s.running()
-	for id, was := range warm {
-		got, limit := now[id].MaxOpenedWithin(time.Second), was*4/5
-		if part := float64(got) / float64(max(limit, 1)); part >= worst {
-			worst, r.ColdMost, r.ColdLimit = part, got, limit
-		}
+	var wg sync.WaitGroup
+	var disturbErr error
+	if phase.disturb != nil {
+		wg.Go(func() {
+			time.Sleep(disturbanceDelay)
+			disturbErr = phase.disturb(ctx, gateways)
+		})
 	}
-	return err
+	came, failed := r.site.load(r.connectionsPerUnit, gateways.addr, phase.name)
+	wg.Wait()
+	r.result.Failed += failed
+	r.result.Opened += int(came.total())
+	return came, disturbErr
 }
 
-func runPlan(ctx context.Context, each int, logger *slog.Logger) (r *planResult, err error) {
-	s, err := newSite()
+func (r *planRun) startZoneGateway(ctx context.Context, zone string, plan *operator.Plan) (*localGateway, error) {
+	listen, release, err := fakeserver.ReserveAddress()
 	if err != nil {
 		return nil, err
 	}
-	defer s.close()
-	r = &planResult{Planned: s.plan.Goals.Crossings * int64(each)}
-	var run runPhase = func(plan *operator.Plan, phase string, amid func(set func(zone string, g *zoneGate), old map[string]*zoneGate)) (map[string]map[string]int64, error) {
-		var mu sync.Mutex
-		gates := map[string]*zoneGate{}
-		for _, z := range s.problem.Zones {
-			g, err := s.gate(ctx, z, plan, logger)
-			if err != nil {
-				return nil, err
-			}
-			gates[z] = g
-		}
-		var wg sync.WaitGroup
-		defer func() {
-			wg.Wait()
-			for _, g := range gates {
-				g.close()
-			}
-		}()
-		if amid != nil {
-			old := maps.Clone(gates)
-			wg.Go(func() {
-				time.Sleep(amidAfter)
-				amid(func(zone string, g *zoneGate) {
-					mu.Lock()
-					defer mu.Unlock()
-					gates[zone] = g
-				}, old)
-			})
-		}
-		came, failed := s.load(each, func(z string) string {
-			mu.Lock()
-			defer mu.Unlock()
-			return gates[z].addr
-		}, phase)
-		r.Failed += failed
-		for _, by := range came {
-			for _, n := range by {
-				r.Opened += int(n)
-			}
-		}
-		return came, nil
-	}
-	came, err := run(nil, "without", nil)
+	defer release()
+	conf, err := lineConfig(listen, r.site.catalog.Addr(), 1)
 	if err != nil {
 		return nil, err
 	}
-	r.Without = s.crossings(came)
-	// A gateway is stopped while clients come, and another takes its place.
-	if came, err = run(s.plan, "with", func(set func(string, *zoneGate), old map[string]*zoneGate) {
-		if g, err := s.gate(ctx, "west", s.plan, logger); err == nil {
-			old["west"].close()
-			set("west", g)
-			r.Restarted++
-		}
-	}); err != nil {
-		return nil, err
+	conf.Balancer.Gateways = len(r.site.problem.Zones)
+	var settings *operator.Settings
+	if plan != nil {
+		settings = &operator.Settings{Plan: &operator.PlanSettings{Zone: zone, Plan: plan}}
 	}
-	r.With, r.Worst = s.crossings(came), deviation(came, s.plan.Load, each)
+	return startGateway(ctx, conf, listen, gateway.WithLogger(r.logger), gateway.WithOperator(settings))
+}
 
-	const lost = "east"
-	var after operator.PlanContingency
-	for _, c := range s.plan.Contingencies {
-		if c.Name == "zone "+lost {
-			after = c
-		}
-	}
-	if len(after.Flows) == 0 {
-		return nil, fmt.Errorf("the plan has no word for the loss of %s: %d units short", lost, after.Short)
-	}
-	// A zone is lost while clients come; then its part is looked at alone.
-	if _, err = run(s.plan, "losing", func(func(string, *zoneGate), map[string]*zoneGate) {
-		for _, n := range s.problem.Nodes {
-			if n.Zone == lost {
-				s.servers[n.ID].Close()
-			}
-		}
-		time.Sleep(amidAfter) // discovery is late
-		for _, n := range s.problem.Nodes {
-			if n.Zone == lost {
-				s.catalog.SetEndpoint(fakeserver.Endpoint{ID: n.ID, Addr: s.servers[n.ID].Addr(), Zone: n.Zone, State: fakeserver.StateTerminated})
-			}
-		}
-	}); err != nil {
-		return nil, err
-	}
-	if came, err = run(s.plan, "after", nil); err != nil {
-		return nil, err
-	}
-	r.AfterLoss = deviation(came, after.Load, each)
-	defer func() { err = errors.Join(err, s.comeBack(r, lost, run)) }()
-	for _, by := range came {
-		for _, n := range s.problem.Nodes {
-			if n.Zone == lost {
-				r.LostZoneSent += by[n.ID]
-			}
-		}
+// zoneGateways are the gateways that clients use. Methods may be called from several goroutines.
+type zoneGateways struct {
+	mu     sync.Mutex
+	byZone map[string]*localGateway
+}
+
+func (z *zoneGateways) addr(zone string) string {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	return z.byZone[zone].addr
+}
+
+// replace closes a zone's gateway and lets clients use another.
+func (z *zoneGateways) replace(zone string, replacement *localGateway) {
+	z.mu.Lock()
+	old := z.byZone[zone]
+	z.mu.Unlock()
+	_ = old.close() // its failures show as connections that were not served
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	z.byZone[zone] = replacement
+}
+
+func (z *zoneGateways) close() {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	for _, g := range z.byZone {
+		_ = g.close()
 	}
-	return r, nil
 }
--- /dev/null
+++ b/internal/experiment/powerscript.go
@@ -0,0 +1,49 @@
+package experiment
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// powerScript is what chance decides of a loss of power; times are from the return of power.
+type powerScript struct {
+	serverStarts  []time.Duration
+	processStarts []time.Duration
+	catalogStart  time.Duration
+	secondLoss    time.Duration // one process loses power again then; 0: none
+	secondLossOf  int
+	description   []string
+}
+
+func (s *powerScript) describe(format string, args ...any) {
+	s.description = append(s.description, fmt.Sprintf(format, args...))
+}
+
+// drawPowerScript draws a script; the same seed and sizes give the same.
+func drawPowerScript(seed uint64, servers, processes int) (s powerScript) {
+	rng := rand.New(rand.NewPCG(seed, 3))
+	between := func(from, to time.Duration) time.Duration { return from + time.Duration(rng.Int64N(int64(to-from))) }
+	for i := range servers {
+		start := between(0, 500*time.Millisecond)
+		s.serverStarts = append(s.serverStarts, start)
+		s.describe("node %d at %v", i, start.Round(time.Millisecond))
+	}
+	halfIsLate := rng.IntN(2) == 0
+	for i := range processes {
+		start := between(0, time.Second)
+		if halfIsLate && i >= processes/2 {
+			start += 2 * time.Second
+		}
+		s.processStarts = append(s.processStarts, start)
+		s.describe("gateway %d at %v", i, start.Round(time.Millisecond))
+	}
+	s.catalogStart = between(3*time.Second, 5*time.Second)
+	s.describe("discovery at %v", s.catalogStart.Round(time.Millisecond))
+	if rng.IntN(3) == 0 {
+		s.secondLoss = between(1500*time.Millisecond, 2500*time.Millisecond)
+		s.secondLossOf = 1 + rng.IntN(processes-1)
+		s.describe("gateway %d loses power again at %v", s.secondLossOf, s.secondLoss.Round(time.Millisecond))
+	}
+	return s
+}
