--- /dev/null
+++ b/internal/simulation/digest_test.go
@@ -0,0 +1,235 @@
+package simulation_test
+
+import (
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"example.org/milletvane/balancer"
+	"example.org/milletvane/internal/simulation"
+)
+
+var update = flag.Bool("update", false, "write the files in testdata anew")
+
+// compareLines compares lines with those of a file in testdata, or writes the file with -update.
+func compareLines(t *testing.T, file string, got []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if *update {
+		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	if len(got) != len(want) {
+		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
+	}
+	differences := 0
+	for i := range min(len(got), len(want)) {
+		if got[i] == want[i] {
+			continue
+		}
+		if differences++; differences <= 5 {
+			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
+		}
+	}
+}
+
+func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
+
+// numbers returns the words of a text that have a digit.
+func numbers(text string) string {
+	var found []string
+	for word := range strings.FieldsSeq(text) {
+		if strings.ContainsAny(word, "0123456789") {
+			found = append(found, strings.Trim(word, ":,."))
+		}
+	}
+	return strings.Join(found, " ")
+}
+
+func describeTally(r *simulation.Stats) string {
+	var b strings.Builder
+	fmt.Fprint(&b, r.Requests, " ", r.Established, " ", r.Rejected, " ", r.Failed, " ",
+		r.Attempts, " ", r.Disconnected, " ", r.Migrated, " ",
+		r.WantedSeconds, " ", r.ServedSeconds, " ", r.ServedRatio())
+	for _, violation := range r.Violations {
+		b.WriteString("; " + numbers(violation))
+	}
+	return b.String()
+}
+
+func digestSite() simulation.Settings {
+	s := simulation.Settings{
+		Balancer: balancer.Settings{
+			Gateways: 3, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
+			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, MaxRetryAfter: 2 * time.Second,
+			Classes: []balancer.Class{{
+				Name: "c", SetupLatencyObjective: 800 * time.Millisecond, Timeout: 3 * time.Second,
+			}},
+		},
+		NetworkDelay: time.Millisecond, DiscoveryDelay: time.Second, ArrivalRate: 8,
+		MeanLifetime: 30 * time.Second, MeanLoad: 0.03,
+		ReconnectDelay: 200 * time.Millisecond, AnswerSlack: 50 * time.Millisecond,
+	}
+	for range 8 {
+		s.Nodes = append(s.Nodes, simulation.NodeSettings{
+			Cores: 2, Speed: 1.5, ColdCapacityRatio: 0.2, WarmupDuration: 20 * time.Second,
+			MaxConnections: 200, FullOverheadRatio: 0.1,
+			ColdOverloadFactor: 4, ColdOverloadDuration: time.Second, ColdOverloadAllowance: 0.1,
+		})
+	}
+	return s
+}
+
+// scenario is a change of the site, and what happens after the first half minute.
+type scenario struct {
+	name   string
+	change func(*simulation.Settings)
+	faults func(*simulation.Fleet)
+}
+
+func deploy(f *simulation.Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
+
+var scenarios = []scenario{
+	{"quiet", func(*simulation.Settings) {}, func(*simulation.Fleet) {}},
+	{"deploy", func(*simulation.Settings) {}, deploy},
+	{"neighbour", func(*simulation.Settings) {}, func(f *simulation.Fleet) {
+		f.AddNoisyNeighbour(0, 0.7, 20*time.Second)
+		f.AddNoisyNeighbour(3, 1.5, 5*time.Second)
+	}},
+	{"drain", func(*simulation.Settings) {}, func(f *simulation.Fleet) { f.Drain(2, 10*time.Second) }},
+	{"full nodes", func(s *simulation.Settings) {
+		for i := range s.Nodes {
+			s.Nodes[i].MaxConnections = 20 + i
+		}
+	}, deploy},
+	{"slow network", func(s *simulation.Settings) {
+		s.NetworkDelay, s.AnswerSlack = 300*time.Millisecond, time.Second
+	}, deploy},
+	{"timeouts", func(s *simulation.Settings) { s.NetworkDelay, s.AnswerSlack = 1600*time.Millisecond, 0 }, deploy},
+	{"no drain grace", func(s *simulation.Settings) {
+		s.Balancer.DrainGrace, s.DiscoveryDelay = time.Nanosecond, 4*time.Second
+	}, deploy},
+	{"cold nodes overloaded", func(s *simulation.Settings) {
+		s.Balancer.WarmupDuration = 0
+		for i := range s.Nodes {
+			s.Nodes[i].ColdOverloadFactor = 1
+		}
+	}, deploy},
+	{"one gateway", func(s *simulation.Settings) { s.Balancer.Gateways, s.Balancer.MaxAttempts = 0, 0 }, deploy},
+}
+
+// Whole runs: the final figures, and a digest of those after every second.
+func TestRunDigests(t *testing.T) {
+	var lines []string
+	for _, c := range scenarios {
+		for seed := range uint64(12) {
+			s := digestSite()
+			c.change(&s)
+			f, err := simulation.NewFleet(seed, s)
+			if err != nil {
+				t.Fatal(err)
+			}
+			f.Run(30 * time.Second)
+			c.faults(f)
+			var course strings.Builder
+			for range 60 {
+				fmt.Fprintln(&course, describeTally(f.Run(time.Second)))
+			}
+			last := describeTally(f.Run(0))
+			lines = append(lines, fmt.Sprintf("%s %d: %s: %s", c.name, seed, last, digest(course.String())))
+		}
+	}
+	compareLines(t, "runs.txt", lines)
+}
+
+// drawKind draws a node's kind with values at and near the bounds.
+func drawKind(r *rand.Rand) simulation.NodeSettings {
+	return simulation.NodeSettings{
+		Cores: float64(1 + r.IntN(4)), Speed: 0.5 + float64(r.IntN(4))/4, ColdCapacityRatio: float64(r.IntN(5)) / 4,
+		WarmupDuration: time.Duration(r.IntN(5)) * time.Second, MaxConnections: r.IntN(6),
+		FullOverheadRatio:  float64(r.IntN(4)) / 4,
+		ColdOverloadFactor: float64(r.IntN(4)), ColdOverloadDuration: time.Duration(1+r.IntN(3)) * 500 * time.Millisecond,
+		ColdOverloadAllowance: float64(r.IntN(3)) / 2,
+	}
+}
+
+// Drawn calls of one node, with its state after each.
+func TestNodeDigests(t *testing.T) {
+	var lines []string
+	for seed := range uint64(200) {
+		r := rand.New(rand.NewPCG(seed, 5))
+		n, err := simulation.NewNode("s", drawKind(r))
+		if err != nil {
+			t.Fatal(err)
+		}
+		var b strings.Builder
+		now := time.Duration(0)
+		for range 200 {
+			now += time.Duration(r.IntN(4)) * 250 * time.Millisecond
+			load := float64(r.IntN(9)) / 8
+			switch r.IntN(16) {
+			case 0:
+				n.Restart(now)
+			case 1:
+				n.SetNeighbourRatio(load*2 - 0.5)
+			case 2, 3:
+				n.ChangeLoad(load - 0.5)
+			case 4, 5, 6:
+				n.Disconnect(load)
+			default:
+				fmt.Fprint(&b, int(n.Connect(now, load)), " ")
+			}
+			fmt.Fprintln(&b, n.Connections(), n.Up(), n.Utilization(now), n.Capacity(now), n.WarmupRatio(now))
+		}
+		lines = append(lines, fmt.Sprintf("%03d %d %v %v: %s",
+			seed, n.Connections(), n.Up(), n.Utilization(now), digest(b.String())))
+	}
+	compareLines(t, "nodes.txt", lines)
+}
+
+// Drawn events in simulated time, some cancelled, some that add others: their order, and the first of each stream.
+func TestSchedulerDigests(t *testing.T) {
+	var lines []string
+	for seed := range uint64(100) {
+		s := simulation.NewScheduler(seed)
+		r := s.Stream("times")
+		var b strings.Builder
+		var pending []*simulation.Event
+		var add func(depth int)
+		add = func(depth int) {
+			name := r.IntN(1000)
+			pending = append(pending, s.At(time.Duration(r.IntN(20)-2), func() {
+				fmt.Fprintln(&b, name, depth, s.Now(), s.Pending())
+				if depth < 4 {
+					add(depth + 1)
+					s.After(time.Duration(r.IntN(5)-2), func() { fmt.Fprintln(&b, "after", name, s.Now()) })
+				}
+				if r.IntN(3) == 0 {
+					s.Cancel(pending[r.IntN(len(pending))])
+				}
+			}))
+		}
+		for range 30 {
+			add(0)
+		}
+		s.Cancel(nil)
+		for range 10 {
+			fmt.Fprintln(&b, s.Run(s.Now()+2), s.Now(), s.Pending())
+		}
+		lines = append(lines, fmt.Sprintf("%03d %d: %s", seed, s.Stream("node 1").Uint64(), digest(b.String())))
+	}
+	compareLines(t, "worlds.txt", lines)
+}
