--- a/gateway/run.go
+++ b/gateway/run.go
@@ -162,7 +162,7 @@
 		return func() {}, nil
 	}
 	g.natsBackend.Connect(g.engine, conns)
-	front, err := natsfrontend.Listen(g.config.Name, *g.natsSettings, g.engine, g.natsBackend, conns, g.logger)
+	front, err := natsfrontend.Listen(g.config.Name, *g.natsSettings, g.engine, g.natsBackend, conns)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/nats/frontend/frontend.go
+++ b/internal/nats/frontend/frontend.go
@@ -8,7 +8,6 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"runtime"
 	"strconv"
@@ -45,9 +44,7 @@
 }
 
 // Listen opens the listener and accepts connections until Close.
-func Listen(
-	name string, settings operator.NATS, e Engine, b *backend.Backend, g *reactor.Group, _ *slog.Logger,
-) (*Frontend, error) {
+func Listen(name string, settings operator.NATS, e Engine, b *backend.Backend, g *reactor.Group) (*Frontend, error) {
 	f := &Frontend{
 		engine: e, backend: b, name: name,
 		id: "GW" + strconv.FormatUint(rand.Uint64(), 36), sessions: map[*Session]struct{}{},
