--- a/config/format_test.go
+++ b/config/format_test.go
@@ -2,33 +2,14 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the expected files in testdata anew")
 
-// checkGolden compares an output with its file in testdata.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
+	"example.org/milletvane/internal/golden"
+)
 
 // appendConfig prints a configuration field by field.
 func appendConfig(b *bytes.Buffer, c *Config) {
@@ -122,7 +103,7 @@
 		}
 		appendConfig(&b, got)
 	}
-	checkGolden(t, "read.txt", b.Bytes())
+	golden.Check(t, "read.txt", b.Bytes())
 }
 
 // Each fault's message, word by word.
@@ -149,7 +130,7 @@
 		}
 		appendResult(&b, got, err)
 	}
-	checkGolden(t, "faults.txt", b.Bytes())
+	golden.Check(t, "faults.txt", b.Bytes())
 }
 
 // The environment's keys by name, and which value goes over which.
@@ -189,5 +170,5 @@
 		appendResult(&one, got, err)
 		b.WriteString(strings.ReplaceAll(one.String(), path, "FILE"))
 	}
-	checkGolden(t, "environment.txt", b.Bytes())
+	golden.Check(t, "environment.txt", b.Bytes())
 }
--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -11,30 +10,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the expected files in testdata anew")
 
-// checkGolden compares an output with its file in testdata.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
+	"example.org/milletvane/internal/golden"
+)
 
 // appendSettings prints what an operator file holds, field by field.
 func appendSettings(b *bytes.Buffer, s *Settings) {
@@ -133,7 +111,7 @@
 				s, err := Parse(name+".edn", text, classes)
 				appendResult(&b, s, err)
 			}
-			checkGolden(t, "deploy-"+name+".txt", b.Bytes())
+			golden.Check(t, "deploy-"+name+".txt", b.Bytes())
 		})
 	}
 }
@@ -199,7 +177,7 @@
 				s, err := Parse("op.edn", change.of(t, c.form), c.classes)
 				appendResult(&b, s, err)
 			}
-			checkGolden(t, "forms-"+strings.ReplaceAll(c.name, " ", "-")+".txt", b.Bytes())
+			golden.Check(t, "forms-"+strings.ReplaceAll(c.name, " ", "-")+".txt", b.Bytes())
 		})
 	}
 }
@@ -268,5 +246,5 @@
 	load("a plan named from the root")
 	write("op.edn", []byte(clusterForm+planUseForm))
 	load("key and plan")
-	checkGolden(t, "beside.txt", b.Bytes())
+	golden.Check(t, "beside.txt", b.Bytes())
 }
--- a/config/operator/plan_format_test.go
+++ b/config/operator/plan_format_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 
+	"example.org/milletvane/internal/golden"
+
 	"github.com/cespare/xxhash/v2"
 
 	"example.org/milletvane/placement"
@@ -62,7 +64,7 @@
 // Plan files are written byte for byte as by earlier builds.
 func TestFormatOfPlanWritten(t *testing.T) {
 	for name, p := range map[string]*Plan{"plan-full.edn": fullPlan(), "plan-zero.edn": {}} {
-		t.Run(name, func(t *testing.T) { checkGolden(t, name, p.Marshal()) })
+		t.Run(name, func(t *testing.T) { golden.Check(t, name, p.Marshal()) })
 	}
 }
 
@@ -88,7 +90,7 @@
 			}
 			var b bytes.Buffer
 			appendPlan(&b, p)
-			checkGolden(t, name+".fields", b.Bytes())
+			golden.Check(t, name+".fields", b.Bytes())
 			if again := p.Marshal(); !bytes.Equal(again, text) {
 				t.Errorf("written again:\n%s\nwant:\n%s", again, text)
 			}
@@ -134,5 +136,5 @@
 	check("cut in a list", []byte(base[:len(base)-3]))
 	check("format alone", sealed("(format 1)\n"))
 	check("empty", nil)
-	checkGolden(t, "plan-forms.txt", b.Bytes())
+	golden.Check(t, "plan-forms.txt", b.Bytes())
 }
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -3,46 +3,16 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
-)
-
-var updateFormats = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// checkGolden compares text with a file under testdata, byte for byte.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFormats {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		var g, w string
-		if i < len(gotLines) {
-			g = gotLines[i]
-		}
-		if i < len(wantLines) {
-			w = wantLines[i]
-		}
-		if g != w {
-			t.Fatalf("%s: line %d is %q, want %q", path, i+1, g, w)
-		}
-	}
-}
+	"example.org/milletvane/internal/golden"
+)
 
 // dateHeader is the one part of a response that differs from run to run.
 var dateHeader = regexp.MustCompile(`Date: [^\r]+ GMT\r\n`)
@@ -131,5 +101,5 @@
 	for _, request := range goldenRequests {
 		r.play(t, request.line, request.rest)
 	}
-	checkGolden(t, "answers.txt", r.text.Bytes())
+	golden.Check(t, "answers.txt", r.text.Bytes())
 }
--- a/internal/cli/format_test.go
+++ b/internal/cli/format_test.go
@@ -2,37 +2,15 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the expected files in testdata anew")
 
-// checkGolden compares an output with its file in testdata.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
+	"example.org/milletvane/internal/golden"
+)
 
 // formatDir is a directory with files by name.
 func formatDir(t *testing.T, files map[string]string) string {
@@ -100,7 +78,7 @@
 	} {
 		appendRun(&b, dir, env, "check-config")
 	}
-	checkGolden(t, "check-config.txt", b.Bytes())
+	golden.Check(t, "check-config.txt", b.Bytes())
 }
 
 const formatPlacement = `(placement
@@ -167,13 +145,13 @@
 	plan("op.edn", "diff", "--plan", "DIR/second.edn", "--from", "DIR/plan.edn")
 	plan("op.edn", "diff", "--plan", "DIR/third.edn", "--from", "DIR/second.edn")
 	plan("op.edn", "diff", "--plan", "DIR/third.edn", "--from", "DIR/absent.edn")
-	checkGolden(t, "plan.txt", b.Bytes())
+	golden.Check(t, "plan.txt", b.Bytes())
 	for _, name := range []string{"plan.edn", "second.edn", "third.edn", "small-plan.edn"} {
 		text, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkGolden(t, name, text)
+		golden.Check(t, name, text)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "none.edn")); err == nil {
 		t.Error("a plan was written that could not be solved")
@@ -209,5 +187,5 @@
 			fmt.Fprintf(&b, "%s\n", strings.TrimSpace(name))
 		}
 	}
-	checkGolden(t, "usage.txt", b.Bytes())
+	golden.Check(t, "usage.txt", b.Bytes())
 }
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -3,51 +3,17 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 )
 
-var updateFormats = flag.Bool("update", false, "rewrite the golden files in testdata")
-
-// checkGolden compares text with a file under testdata, byte for byte.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFormats {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		var g, w string
-		if i < len(gotLines) {
-			g = gotLines[i]
-		}
-		if i < len(wantLines) {
-			w = wantLines[i]
-		}
-		if g != w {
-			t.Fatalf("%s: line %d is %q, want %q", path, i+1, g, w)
-		}
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs", path)
-	}
-}
-
 // writeList writes a list as the engine gets it, field by field. The text does not follow the names in the code, so that the
 // golden files stay as they are.
 func writeList(w *bytes.Buffer, l engine.EndpointList) {
@@ -139,7 +105,7 @@
 		writeList(&got, m.EngineList(balancer.ListComplete))
 		got.WriteByte('\n')
 	}
-	checkGolden(t, "decoded.txt", got.Bytes())
+	golden.Check(t, "decoded.txt", got.Bytes())
 }
 
 // encode writes a list in discovery's form, as it is stored and sent to peers.
@@ -164,7 +130,7 @@
 		{Name: "b", Server: balancer.Server{State: balancer.Draining}},
 		{Name: "c", Server: balancer.Server{State: balancer.Removed, Cell: -1, Capacity: -2, Started: -1}},
 	}))
-	checkGolden(t, "encoded.txt", got.Bytes())
+	golden.Check(t, "encoded.txt", got.Bytes())
 }
 
 // Servers keep their numbers: other gateways and stored state depend on them.
@@ -177,5 +143,5 @@
 	} {
 		fmt.Fprintf(&got, "%q %d\n", id, uint64(ServerID(id)))
 	}
-	checkGolden(t, "numbers.txt", got.Bytes())
+	golden.Check(t, "numbers.txt", got.Bytes())
 }
--- a/internal/discovery/session_test.go
+++ b/internal/discovery/session_test.go
@@ -13,6 +13,8 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/engine"
 )
@@ -250,5 +252,5 @@
 	} {
 		fmt.Fprintf(&got, "# %s\n%s\n", c.name, session(t, c.set, c.known, c.steps))
 	}
-	checkGolden(t, "requests.txt", got.Bytes())
+	golden.Check(t, "requests.txt", got.Bytes())
 }
--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"cmp"
-	"flag"
 	"fmt"
 	"hash/crc32"
 	"os"
@@ -14,12 +13,12 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/engine"
 )
 
-var update = flag.Bool("update", false, "write the expected files in testdata anew")
-
 // The processes and times of the files in testdata. Process 1 runs on every machine.
 const (
 	writerStartedAt = 1790000000000000010
@@ -28,27 +27,6 @@
 
 var writtenAt = time.Date(2026, 9, 21, 14, 13, 20, 10, time.UTC)
 
-// checkGolden compares an output with its file in testdata.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // fullSnapshot has a value of its own in every field.
 func fullSnapshot() Snapshot {
 	return Snapshot{
@@ -159,7 +137,7 @@
 			dir := filepath.Join(t.TempDir(), "a", "state")
 			NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger).Write(r)
 			path := filepath.Join(dir, writerFile)
-			checkGolden(t, name, mustRead(t, path))
+			golden.Check(t, name, mustRead(t, path))
 			for at, want := range map[string]os.FileMode{path: 0o600, dir: 0o700} {
 				info, err := os.Stat(at)
 				if err != nil {
@@ -215,7 +193,7 @@
 			}
 			var b bytes.Buffer
 			appendSnapshot(&b, r)
-			checkGolden(t, strings.TrimSuffix(name, ".state")+".fields", b.Bytes())
+			golden.Check(t, strings.TrimSuffix(name, ".state")+".fields", b.Bytes())
 			NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger).Write(r)
 			if again := mustRead(t, filepath.Join(dir, writerFile)); !bytes.Equal(again, text) {
 				t.Errorf("written again:\n%s\nwant:\n%s", again, text)
@@ -356,7 +334,7 @@
 	for _, c := range slices.Concat(bodyForms(t), damagedForms(t), placedForms()) {
 		appendRead(t, &out, c)
 	}
-	checkGolden(t, "forms.txt", out.Bytes())
+	golden.Check(t, "forms.txt", out.Bytes())
 }
 
 // Of several processes the last born before this one counts, and of those after it any that is ready and runs.
--- a/internal/lineproto/codec/format_test.go
+++ b/internal/lineproto/codec/format_test.go
@@ -3,49 +3,17 @@
 import (
 	"crypto/sha256"
 	"errors"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/internal/lineproto/codec"
 )
 
-var update = flag.Bool("update", false, "rewrite the files in testdata")
-
-// compareLines compares lines with those of a file in testdata, or writes the file with -update.
-func compareLines(t *testing.T, file string, got []string) {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if *update {
-		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if len(got) != len(want) {
-		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
-	}
-	differ := 0
-	for i := range min(len(got), len(want)) {
-		if got[i] == want[i] {
-			continue
-		}
-		if differ++; differ <= 5 {
-			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
-		}
-	}
-}
-
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
 // The readers' results as text, field by field.
@@ -197,7 +165,7 @@
 		line := append([]byte("OPEN i k c=a"), byte(c), '\r', '\n')
 		lines = append(lines, fmt.Sprintf("%q: %s", line, describeOpen(line)))
 	}
-	compareLines(t, "open_read.txt", lines)
+	golden.CheckLines(t, "open_read.txt", lines)
 }
 
 func TestOpenLinesForwarded(t *testing.T) {
@@ -218,7 +186,7 @@
 				wait)))
 		}
 	}
-	compareLines(t, "open_forwarded.txt", lines)
+	golden.CheckLines(t, "open_forwarded.txt", lines)
 }
 
 func TestRequestKindsRead(t *testing.T) {
@@ -231,7 +199,7 @@
 	} {
 		lines = append(lines, fmt.Sprintf("%q: %s", line, inPieces(line, describeKind)))
 	}
-	compareLines(t, "first_lines.txt", lines)
+	golden.CheckLines(t, "first_lines.txt", lines)
 }
 
 func TestServerLinesRead(t *testing.T) {
@@ -251,7 +219,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("%q in pieces: %s", line, inPieces(line, describeReply)))
 	}
-	compareLines(t, "server_lines.txt", lines)
+	golden.CheckLines(t, "server_lines.txt", lines)
 }
 
 func TestProbeAnswersRead(t *testing.T) {
@@ -272,7 +240,7 @@
 	} {
 		lines = append(lines, fmt.Sprintf("report %q: %s", report, describeReport([]byte(report))))
 	}
-	compareLines(t, "probe_answers.txt", lines)
+	golden.CheckLines(t, "probe_answers.txt", lines)
 }
 
 func TestLinesWritten(t *testing.T) {
@@ -289,7 +257,7 @@
 	} {
 		lines = append(lines, fmt.Sprintf("busy %d: %q", after.Nanoseconds(), codec.Busy(after)))
 	}
-	compareLines(t, "written.txt", lines)
+	golden.CheckLines(t, "written.txt", lines)
 }
 
 // Each line with any one byte corrupted, as a digest of what all readers make of it.
@@ -309,7 +277,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("%q, %d lines: %s", line, len(all), digest(b.String())))
 	}
-	compareLines(t, "spoilt.txt", lines)
+	golden.CheckLines(t, "spoilt.txt", lines)
 }
 
 // linePieces are the parts of random lines.
@@ -345,5 +313,5 @@
 		}
 		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(b.String())))
 	}
-	compareLines(t, "drawn.txt", lines)
+	golden.CheckLines(t, "drawn.txt", lines)
 }
--- a/internal/maintenance/format_test.go
+++ b/internal/maintenance/format_test.go
@@ -6,40 +6,18 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write the expected files in testdata anew")
+	"example.org/milletvane/internal/golden"
+)
 
 const idLimit = 8192 // bytes of the longest id
 
-// checkGolden compares an output with its file in testdata.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
-
 // short is an id, or the beginning of one that is too long to print.
 func short(id string) string {
 	if len(id) > 80 {
@@ -102,7 +80,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&b, "folder mode %o\n", info.Mode().Perm())
-	checkGolden(t, "written.txt", b.Bytes())
+	golden.Check(t, "written.txt", b.Bytes())
 }
 
 // Files of earlier builds are taken up, and all else that stands in the directory is passed over and stays.
@@ -141,7 +119,7 @@
 		}
 		appendDirectory(t, &b, dir)
 	}
-	checkGolden(t, "read.txt", b.Bytes())
+	golden.Check(t, "read.txt", b.Bytes())
 }
 
 // What one process does with the directory, another takes up at its next sync, in this order.
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -2,32 +2,11 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
-)
-
-var updateFormats = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// checkGolden compares text with a file under testdata, byte for byte.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *updateFormats {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs, got\n%s", path, got)
-	}
-}
+	"example.org/milletvane/internal/golden"
+)
 
 // The metrics page, for each kind of settings and with every metric at another value.
 func TestPageGolden(t *testing.T) {
@@ -60,7 +39,7 @@
 		fmt.Fprintf(&got, "# %s: counted\n%s", c.name, r.AppendStatsd([]byte("before\n")))
 	}
 	fmt.Fprintf(&got, "# prefix\n%s\n", Prefix)
-	checkGolden(t, "page.txt", got.Bytes())
+	golden.Check(t, "page.txt", got.Bytes())
 }
 
 // Requests counted by priority, with priorities out of range. The golden file keeps its older words.
@@ -88,5 +67,5 @@
 	none.AddOffered(0)
 	none.AddRejected(1)
 	none.AddShed(2)
-	checkGolden(t, "ranks.txt", got.Bytes())
+	golden.Check(t, "ranks.txt", got.Bytes())
 }
--- a/internal/nats/codec/append_format_test.go
+++ b/internal/nats/codec/append_format_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/internal/nats/codec"
 )
 
@@ -63,5 +65,5 @@
 			}
 		}
 	}
-	compareLines(t, "written.txt", lines)
+	golden.CheckLines(t, "written.txt", lines)
 }
--- a/internal/nats/codec/describe_test.go
+++ b/internal/nats/codec/describe_test.go
@@ -3,47 +3,12 @@
 import (
 	"crypto/sha256"
 	"errors"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
-	"testing"
 
 	"example.org/milletvane/internal/nats/codec"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew")
-
-// compareLines compares lines with those of a file in testdata, or writes the file with -update.
-func compareLines(t *testing.T, file string, got []string) {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if *update {
-		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if len(got) != len(want) {
-		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
-	}
-	differ := 0
-	for i := range min(len(got), len(want)) {
-		if got[i] == want[i] {
-			continue
-		}
-		if differ++; differ <= 5 {
-			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
-		}
-	}
-}
-
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
 func operation(op codec.Op) string {
--- a/internal/nats/codec/format_test.go
+++ b/internal/nats/codec/format_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/internal/nats/codec"
 )
 
@@ -53,7 +55,7 @@
 	for _, frame := range append(slices.Clone(frames), invalidFrames...) {
 		lines = append(lines, fmt.Sprintf("%q: %s", frame, describePrefixes(frame, codec.Limits{})))
 	}
-	compareLines(t, "frames.txt", lines)
+	golden.CheckLines(t, "frames.txt", lines)
 }
 
 // Frames around the limits of control line and payload.
@@ -98,7 +100,7 @@
 			}
 		}
 	}
-	compareLines(t, "limits.txt", lines)
+	golden.CheckLines(t, "limits.txt", lines)
 }
 
 // corruptions returns the frames that differ from a frame in one byte, which is removed, replaced or inserted.
@@ -128,7 +130,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("%q, %d frames: %s", frame, len(all), digest(b.String())))
 	}
-	compareLines(t, "spoilt.txt", lines)
+	golden.CheckLines(t, "spoilt.txt", lines)
 }
 
 // Random streams of frames, some of them invalid, that arrive in fragments: one digest of the results of Parse for each.
@@ -150,7 +152,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(readStream(rng, stream.String(), limits))))
 	}
-	compareLines(t, "streams.txt", lines)
+	golden.CheckLines(t, "streams.txt", lines)
 }
 
 func readStream(rng *rand.Rand, stream string, limits codec.Limits) string {
@@ -198,5 +200,5 @@
 		}
 		lines = append(lines, line.String())
 	}
-	compareLines(t, "subjects.txt", lines)
+	golden.CheckLines(t, "subjects.txt", lines)
 }
--- a/internal/nats/codec/handshake_format_test.go
+++ b/internal/nats/codec/handshake_format_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/internal/nats/codec"
 )
 
@@ -58,5 +60,5 @@
 	} {
 		lines = append(lines, fmt.Sprintf("info %q: %s", body, describeInfo([]byte(body))))
 	}
-	compareLines(t, "connect_info.txt", lines)
+	golden.CheckLines(t, "connect_info.txt", lines)
 }
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -2,37 +2,13 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the expected files in testdata anew")
 
-// checkGolden compares an output with its file in testdata.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", path, got, want)
-	}
-}
+	"example.org/milletvane/internal/golden"
+)
 
 // appendAll prints what the three readers make of pairs, field by field, or their faults.
 func appendAll(b *bytes.Buffer, p Pairs) {
@@ -128,7 +104,7 @@
 			}
 		}
 	}
-	checkGolden(t, "values.txt", b.Bytes())
+	golden.Check(t, "values.txt", b.Bytes())
 }
 
 // Nested JSON becomes pairs, or a fault.
@@ -156,7 +132,7 @@
 			fmt.Fprintf(&b, "%q=%q\n", path, p[path])
 		}
 	}
-	checkGolden(t, "flatten.txt", b.Bytes())
+	golden.Check(t, "flatten.txt", b.Bytes())
 }
 
 func TestFormatOfBools(t *testing.T) {
--- a/internal/simproto/format_test.go
+++ b/internal/simproto/format_test.go
@@ -3,53 +3,21 @@
 import (
 	"crypto/sha256"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"testing/iotest"
 	"time"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/discovery/refresh"
 	"example.org/milletvane/internal/simproto"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew")
-
-// compareLines compares lines with those of a file in testdata, or writes the file with -update.
-func compareLines(t *testing.T, file string, got []string) {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if *update {
-		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if len(got) != len(want) {
-		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
-	}
-	differ := 0
-	for i := range min(len(got), len(want)) {
-		if got[i] == want[i] {
-			continue
-		}
-		if differ++; differ <= 5 {
-			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
-		}
-	}
-}
-
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
 // fieldWriter writes the fields of an event that are not zero.
@@ -383,7 +351,7 @@
 	for _, line := range eventLines() {
 		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchOf(line))))
 	}
-	compareLines(t, "events.txt", lines)
+	golden.CheckLines(t, "events.txt", lines)
 }
 
 func TestRowsRead(t *testing.T) {
@@ -431,7 +399,7 @@
 			}
 		}
 	}
-	compareLines(t, "rows.txt", lines)
+	golden.CheckLines(t, "rows.txt", lines)
 }
 
 // settingPaths are the settings that are read, and some that are not.
@@ -478,7 +446,7 @@
 		"rules.ask_within_ns=4000000 rules.start_capacity=1 classes.count=3 classes.0.name=a classes.0.effect=deduplicated classes.0.group=zone classes.0.window_ns=5000000 classes.0.worth=2 " +
 		"classes.0.slo_ns=12 classes.0.give_up_ns=13 classes.1.name=b classes.1.effect=idempotent classes.1.group=all classes.2.name=c classes.2.effect=at_most_once classes.2.group=cell " +
 		"classes.3.name=beyond family_info.message_aim_ns=1000000,null family_info.tenant_quota_connections=7.5,null,3 tenants.count=2 tenants.0.name=t tenants.1.name=u tenants.2.name=beyond")
-	compareLines(t, "settings.txt", lines)
+	golden.CheckLines(t, "settings.txt", lines)
 }
 
 // mixedInput has every event and several batches.
@@ -512,7 +480,7 @@
 			lines = append(lines, "\t"+line)
 		}
 	}
-	compareLines(t, "batches.txt", lines)
+	golden.CheckLines(t, "batches.txt", lines)
 }
 
 // What is read does not depend on the pieces that the input comes in.
@@ -565,7 +533,7 @@
 			start += len(line)
 		}
 	}
-	compareLines(t, "spoilt.txt", lines)
+	golden.CheckLines(t, "spoilt.txt", lines)
 }
 
 // Drawn batches, as a digest of each.
@@ -599,7 +567,7 @@
 		}
 		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(describeText(b.String()))))
 	}
-	compareLines(t, "drawn.txt", lines)
+	golden.CheckLines(t, "drawn.txt", lines)
 }
 
 func TestActionsWritten(t *testing.T) {
@@ -630,5 +598,5 @@
 		add(fmt.Sprint("broken at ", instance), simproto.AppendBroken([]byte("before\n"), instance, "why\nand why"))
 	}
 	add("yield", simproto.AppendYield([]byte("before\n")))
-	compareLines(t, "actions.txt", lines)
+	golden.CheckLines(t, "actions.txt", lines)
 }
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -2,50 +2,18 @@
 
 import (
 	"crypto/sha256"
-	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"example.org/milletvane/internal/golden"
+
 	"example.org/milletvane/balancer"
 	"example.org/milletvane/internal/simulation"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew")
-
-// compareLines compares lines with those of a file in testdata, or writes the file with -update.
-func compareLines(t *testing.T, file string, got []string) {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if *update {
-		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	if len(got) != len(want) {
-		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
-	}
-	differences := 0
-	for i := range min(len(got), len(want)) {
-		if got[i] == want[i] {
-			continue
-		}
-		if differences++; differences <= 5 {
-			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
-		}
-	}
-}
-
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
 // numbers returns the words of a text that have a digit.
@@ -152,7 +120,7 @@
 			lines = append(lines, fmt.Sprintf("%s %d: %s: %s", c.name, seed, last, digest(course.String())))
 		}
 	}
-	compareLines(t, "runs.txt", lines)
+	golden.CheckLines(t, "runs.txt", lines)
 }
 
 // drawKind draws a node's kind with values at and near the bounds.
@@ -197,7 +165,7 @@
 		lines = append(lines, fmt.Sprintf("%03d %d %v %v: %s",
 			seed, n.Connections(), n.Up(), n.Utilization(now), digest(b.String())))
 	}
-	compareLines(t, "nodes.txt", lines)
+	golden.CheckLines(t, "nodes.txt", lines)
 }
 
 // Drawn events in simulated time, some cancelled, some that add others: their order, and the first of each stream.
@@ -231,5 +199,5 @@
 		}
 		lines = append(lines, fmt.Sprintf("%03d %d: %s", seed, s.Stream("node 1").Uint64(), digest(b.String())))
 	}
-	compareLines(t, "worlds.txt", lines)
+	golden.CheckLines(t, "worlds.txt", lines)
 }
