--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -29,7 +29,7 @@
 // are is the same at every gateway, so that one who reconnects elsewhere is answered alike. What a server
 // holds already is never shed.
 func (b *Balancer) isShedByFleet(r *request) bool {
-	return !r.MidFlow && r.clientFraction(fleetShedFraction) < b.fleetShedLevel-float64(r.Priority)
+	return !r.MidFlow && r.clientFraction(fleetShedPurpose) < b.fleetShedLevel-float64(r.Priority)
 }
 
 // shedRatio is the part of the requests that is shed since too few attempts are established, at whatever
@@ -50,7 +50,7 @@
 
 // shedsForFailures reports whether a request is shed since too few attempts are established.
 func (b *Balancer) shedsForFailures(r *request) bool {
-	return r.clientFraction(shedFraction) < b.shedRatio()
+	return r.clientFraction(shedPurpose) < b.shedRatio()
 }
 
 // shedsForSlowness reports whether a request is shed since a good part of this gateway's own connections is
@@ -62,7 +62,7 @@
 // of what this gateway has.
 func (b *Balancer) shedsForSlowness(r *request, limitRatio float64) bool {
 	threshold := slowRatioThreshold * limitRatio
-	return r.clientFraction(shedFraction) < (b.slowRatio-threshold)/(1-threshold)
+	return r.clientFraction(shedPurpose) < (b.slowRatio-threshold)/(1-threshold)
 }
 
 // logShedding logs when this gateway starts and stops to shed.
@@ -88,7 +88,7 @@
 // first. If loads are not known, the priority weight alone ranks requests.
 func (b *Balancer) limitRatio(r *request) float64 {
 	highest := 0.0
-	for class := range b.settings.statedClasses() {
+	for class := range b.settings.configuredClasses() {
 		highest = max(highest, b.settings.Classes[class].PriorityWeight/b.classLoad(class))
 	}
 	return minLimitRatio + (1-minLimitRatio)*min(b.priorityPerLoad(r)/max(highest, minPriorityPerLoad), 1)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("rejected before the timeout: %+v", got)
 	}
 	h.now += 10 * ms
-	h.handle(TimerFired{Ref: oneShotTimer})
+	h.handle(TimerFired{Ref: waitTimer})
 	if diff := cmp.Diff([]Reject{{ID: id}}, h.rejections()); diff != "" {
 		t.Fatalf("rejections at the timeout (-want +got):\n%s", diff)
 	}
@@ -70,7 +70,7 @@
 	h.request(idempotentClass, "g")
 	timers := 0
 	for _, a := range actionsOf[SetTimer](h.advance(sec)) {
-		if a.Ref == oneShotTimer {
+		if a.Ref == waitTimer {
 			timers++
 		}
 	}
@@ -104,7 +104,7 @@
 		h.request(idempotentClass, "")
 		h.handle(Shutdown{Deadline: h.now + 200*ms})
 		h.now += 200 * ms
-		h.handle(TimerFired{Ref: oneShotTimer})
+		h.handle(TimerFired{Ref: waitTimer})
 		if len(h.rejections()) != 1 {
 			t.Errorf("at the deadline: %+v", h.lastActions)
 		}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -23,8 +23,8 @@
 
 // References of timers.
 const (
-	sweepTimer   = 1 // the next sweep
-	oneShotTimer = 2 // a request has waited long enough
+	sweepTimer = 1 // the next sweep
+	waitTimer  = 2 // a request has waited long enough
 )
 
 // Balancer makes the decisions of one gateway. It is not safe for concurrent use.
@@ -41,10 +41,10 @@
 	randomState uint64
 
 	// The endpoint list.
-	servers       map[ServerID]*server
-	sortedServers []*server // every server of servers, by id
-	hasList       bool      // a list has come
-	evictedAt     time.Duration
+	servers        map[ServerID]*server
+	sortedServers  []*server // every server of servers, by id
+	hasList        bool      // a list has come
+	lastEvictionAt time.Duration
 
 	// The lookup table.
 	table        table
@@ -63,22 +63,22 @@
 	groupConnections   map[string]int
 	tenantConnections  []float64 // by index of the tenant
 	load               loadSum
-	classLoads         []ewma // known loads of connections by class
-	overallLoad        ewma   // and of all classes together
+	classMeanLoads     []ewma // known loads of connections by class
+	overallMeanLoad    ewma   // and of all classes together
 	connectionCapacity ewma   // connections that a warm server of weight 1 can hold, by load reports
 
 	// Rates.
-	admitted          slidingWindow   // requests
-	retries           slidingWindow   // attempts after each request's first
+	requestWindow     slidingWindow   // requests
+	retryWindow       slidingWindow   // attempts after each request's first
 	recentRequests    decayingCounter // requests
 	recentEstablished decayingCounter // attempts that were established
 	recentFailures    decayingCounter // attempts that timed out or ended in an error
 
 	// Overload.
-	fleetShedLevel float64
-	slowRatio      float64       // part of the connections that are on slow servers
-	isShedding     bool          // as last logged
-	sampledAt      time.Duration // when a server was last polled for capacity to migrate to
+	fleetShedLevel    float64
+	slowRatio         float64       // part of the connections that are on slow servers
+	isShedding        bool          // as last logged
+	capacitySampledAt time.Duration // when a server was last polled for capacity to migrate to
 }
 
 // New returns a Balancer, or a *SettingError that names the setting it cannot work with.
@@ -107,10 +107,10 @@
 		b.tenantIndex[t.Name] = i
 	}
 	b.load = newLoadSum(len(b.settings.Classes))
-	b.classLoads = make([]ewma, len(b.settings.Classes))
+	b.classMeanLoads = make([]ewma, len(b.settings.Classes))
 	budget := b.retryBudget()
-	b.admitted = slidingWindow{length: budget.window}
-	b.retries = slidingWindow{length: budget.window, inclusive: true}
+	b.requestWindow = slidingWindow{length: budget.window}
+	b.retryWindow = slidingWindow{length: budget.window, inclusive: true}
 	return b, nil
 }
 
@@ -119,7 +119,7 @@
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = b.actions[:0]
-	b.start()
+	b.ensureStarted()
 	switch ev := event.(type) {
 	case EndpointList:
 		b.onEndpointList(ev)
@@ -151,13 +151,13 @@
 	return b.actions
 }
 
-// start sets the first timer of the sweeps with the first event.
-func (b *Balancer) start() {
+// ensureStarted sets the first timer of the sweeps with the first event.
+func (b *Balancer) ensureStarted() {
 	if b.started {
 		return
 	}
 	b.started, b.startedAt = true, b.now
-	b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
+	b.emit(SetTimer{After: sweepInterval, Ref: sweepTimer})
 }
 
 func (b *Balancer) onTimerFired(ev TimerFired) {
@@ -169,7 +169,7 @@
 
 // sweep does what has become due since the last sweep.
 func (b *Balancer) sweep() {
-	b.act(SetTimer{After: sweepInterval, Ref: sweepTimer})
+	b.emit(SetTimer{After: sweepInterval, Ref: sweepTimer})
 	onSlowServers := 0
 	for _, s := range b.sortedServers {
 		if b.now < s.pausedUntil {
@@ -179,14 +179,14 @@
 		b.growLoadLimit(s)
 		b.migrateFrom(s)
 	}
-	b.evictEndpoints()
+	b.evictRemovedServers()
 	b.slowRatio = float64(onSlowServers) / float64(max(b.connections, 1))
 	b.logShedding()
 }
 
-func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) log(message string, attrs ...slog.Attr) { b.act(Log{message, attrs}) }
+func (b *Balancer) log(message string, attrs ...slog.Attr) { b.emit(Log{message, attrs}) }
 
 // random returns this gateway's next random number in [0, 1), for jitter.
 func (b *Balancer) random() float64 {
--- a/balancer/balancer_settings_test.go
+++ b/balancer/balancer_settings_test.go
@@ -174,7 +174,7 @@
 	case 8:
 		r.feed(TimerFired{Ref: sweepTimer})
 	case 9:
-		r.feed(TimerFired{Ref: oneShotTimer})
+		r.feed(TimerFired{Ref: waitTimer})
 	}
 }
 
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,7 +35,7 @@
 	ejections    int           // since its process started
 	ejectedUntil time.Duration // 0: not ejected
 	onProbation  bool          // back from ejection; one attempt at a time until one is established
-	trialAt      time.Duration // reinstated and not yet sent to: to be tried from then on; 0: no trial due
+	trialDueAt   time.Duration // reinstated and not yet sent to: to be tried from then on; 0: no trial due
 
 	messageDelay   time.Duration // as last reported
 	messageDelayAt time.Duration
@@ -45,14 +45,14 @@
 
 	migrationCredit float64 // connections that may migrate and have not yet
 
-	utilization           float64       // as last reported
-	reportedAt            time.Duration // 0: never
-	connectionUtilization float64       // utilization by one connection, by the last report; 0: unknown
-	polledAt              time.Duration // 0: never
-	sentSinceReport       int           // attempts
+	utilization              float64       // as last reported
+	reportedAt               time.Duration // 0: never
+	utilizationPerConnection float64       // utilization by one connection, by the last report; 0: unknown
+	polledAt                 time.Duration // 0: never
+	attemptsSinceReport      int           // attempts
 
-	warmupLookups decayingCounter // lookups that gave it while it was warming up
-	warmupSentAt  time.Duration   // when it was last sent a connection on its warm-up budget
+	warmupLookups    decayingCounter // lookups that gave it while it was warming up
+	lastWarmupSendAt time.Duration   // when it was last sent a connection on its warm-up budget
 }
 
 func compareServerIDs(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
@@ -64,14 +64,14 @@
 }
 
 func (b *Balancer) onEndpointList(ev EndpointList) {
-	suspected := b.suspectedRemovals()
+	suspected := b.countSuspectedRemovals()
 	if ev.Mode != ListDelta {
 		b.removeUnlisted(ev.Servers)
 	}
 	for _, entry := range ev.Servers {
 		b.updateServer(entry)
 	}
-	if n := b.suspectedRemovals(); n > suspected {
+	if n := b.countSuspectedRemovals(); n > suspected {
 		b.log("removals suspected", slog.Int("servers", n-suspected))
 	}
 	b.hasList = b.hasList || ev.Mode == ListComplete || len(ev.Servers) > 0
@@ -162,7 +162,7 @@
 
 func (b *Balancer) suspectRemoval(s *server) {
 	if s.removalSuspectedAt == 0 {
-		s.removalSuspectedAt, s.confirmedAlive = b.now, s.hasEstablished()
+		s.removalSuspectedAt, s.confirmedAlive = b.now, s.hasEstablishedConnection()
 	}
 }
 
@@ -173,8 +173,8 @@
 	b.log("removal confirmed", serverAttr(s))
 }
 
-// suspectedRemovals is the number of servers that are suspected to be removed.
-func (b *Balancer) suspectedRemovals() (n int) {
+// countSuspectedRemovals is the number of servers that are suspected to be removed.
+func (b *Balancer) countSuspectedRemovals() (n int) {
 	for _, s := range b.sortedServers {
 		if s.removalSuspectedAt > 0 {
 			n++
@@ -186,16 +186,17 @@
 // awaitsConfirmation reports whether a server is suspected to be removed and nothing showed that it serves.
 func (s *server) awaitsConfirmation() bool { return s.removalSuspectedAt > 0 && !s.confirmedAlive }
 
-// hasEstablished reports whether this gateway has an established connection to a server.
-func (s *server) hasEstablished() bool { return len(s.inFlight) > s.pendingAttempts }
+// hasEstablishedConnection reports whether this gateway has an established connection to a server.
+func (s *server) hasEstablishedConnection() bool { return len(s.inFlight) > s.pendingAttempts }
 
-// evictEndpoints forgets servers that were removed long ago and hold nothing. A server that is suspected to
-// be removed, and to which nothing was sent for that long, is taken for removed.
-func (b *Balancer) evictEndpoints() {
-	if b.now-b.evictedAt < evictionInterval {
+// evictRemovedServers deletes the records of servers that were removed long ago and have no connections. The
+// removal of a server that has been suspected for longer than removedServerRetention, and that has no
+// connections, is confirmed.
+func (b *Balancer) evictRemovedServers() {
+	if b.now-b.lastEvictionAt < evictionInterval {
 		return
 	}
-	b.evictedAt = b.now
+	b.lastEvictionAt = b.now
 	retention := max(removedServerRetention, b.settings.FlowRetention)
 	b.sortedServers = slices.DeleteFunc(b.sortedServers, func(s *server) bool {
 		if len(s.inFlight) > 0 {
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -27,7 +27,7 @@
 	b.groupConnections[r.Group]++
 	b.connections++
 	s.pendingAttempts++
-	s.sentSinceReport++
+	s.attemptsSinceReport++
 	b.addLoad(r, 1)
 }
 
@@ -80,22 +80,22 @@
 
 // observeLoad takes a connection's load into the means by which unknown loads are estimated.
 func (b *Balancer) observeLoad(class int, load float64) {
-	b.classLoads[class].add(load)
-	b.overallLoad.add(load)
+	b.classMeanLoads[class].add(load)
+	b.overallMeanLoad.add(load)
 }
 
 // meanLoad is the load of a mean connection, in the unit of all loads; 1 as long as none is known.
 func (b *Balancer) meanLoad() float64 {
-	if b.overallLoad.isKnown() {
-		return b.overallLoad.value
+	if b.overallMeanLoad.isKnown() {
+		return b.overallMeanLoad.value
 	}
 	return 1
 }
 
 // classLoad is the load of a connection of a class whose own is not known.
 func (b *Balancer) classLoad(class int) float64 {
-	if b.classLoads[class].isKnown() {
-		return b.classLoads[class].value
+	if b.classMeanLoads[class].isKnown() {
+		return b.classMeanLoads[class].value
 	}
 	return b.meanLoad()
 }
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -26,7 +26,7 @@
 
 // pollForRequest polls servers for their load on behalf of a request, which waits for the reports.
 func (b *Balancer) pollForRequest(r *request, servers []*server) {
-	r.polled, r.waitUntil = servers, b.now+loadPollTimeout
+	r.polledServers, r.waitUntil = servers, b.now+loadPollTimeout
 	r.pollRounds++
 	for _, s := range servers {
 		if b.now-s.polledAt > loadPollTimeout || s.polledAt == 0 {
@@ -34,12 +34,12 @@
 		}
 	}
 	b.waiting = append(b.waiting, r)
-	b.act(SetTimer{After: loadPollTimeout, Ref: oneShotTimer})
+	b.emit(SetTimer{After: loadPollTimeout, Ref: waitTimer})
 }
 
 func (b *Balancer) poll(s *server) {
 	s.polledAt = b.now
-	b.act(PollLoad{Server: s.ID})
+	b.emit(PollLoad{Server: s.ID})
 }
 
 // needsPoll reports whether a server's load is unknown and it is to be polled before it is sent to.
@@ -58,7 +58,7 @@
 
 // projectedUtilization is the utilization that a server would report with one connection more.
 func (b *Balancer) projectedUtilization(s *server) float64 {
-	return s.utilization + float64(s.sentSinceReport+1)*s.connectionUtilization
+	return s.utilization + float64(s.attemptsSinceReport+1)*s.utilizationPerConnection
 }
 
 func (b *Balancer) onLoadReport(ev LoadReport) {
@@ -67,11 +67,11 @@
 		return
 	}
 	s.utilization, s.reportedAt = ev.Utilization, b.now
-	s.sentSinceReport, s.connectionUtilization = 0, 0
+	s.attemptsSinceReport, s.utilizationPerConnection = 0, 0
 	if ev.Connections > 0 && ev.Utilization > minUtilization {
-		s.connectionUtilization = ev.Utilization / ev.Connections
+		s.utilizationPerConnection = ev.Utilization / ev.Connections
 		if b.isWarm(s) {
-			b.connectionCapacity.add(1 / s.connectionUtilization / s.Capacity)
+			b.connectionCapacity.add(1 / s.utilizationPerConnection / s.Capacity)
 		}
 	}
 	b.limitByReport(s)
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -73,7 +73,7 @@
 		t.Fatal("did not wait for the report of the table entry")
 	}
 	h.now += loadPollTimeout
-	h.handle(TimerFired{Ref: oneShotTimer})
+	h.handle(TimerFired{Ref: waitTimer})
 	if diff := cmp.Diff([]ServerID{polls[1].Server}, h.sentTo()); diff != "" {
 		t.Errorf("servers sent to (-want +got):\n%s", diff)
 	}
--- a/balancer/lookup.go
+++ b/balancer/lookup.go
@@ -78,11 +78,14 @@
 	return b.tableServers[b.table.at(r.placementHash, n)]
 }
 
-// groupShards is the number of lookups over which a group is spread: as many as its members need, with the
-// load bound of a server each. This protects from a hot group that no gateway sees whole, as each holds a few
-// of its members: how many there are in all is inferred from those here, and from a guess while there are
-// few. It costs if a group is taken for larger than it is, as each shard costs the server it is placed at.
-func (b *Balancer) groupShards(r *request) float64 {
+// groupShardCount returns the number of lookups over which a group is spread: its estimated members in the
+// fleet divided by the load bound of one server, and at least 1. The result need not be whole.
+//
+// Sharding limits the load of a hot group of which each gateway sees only a few members: the size in the
+// fleet is inferred from the members at this gateway, and from a prior estimate while this gateway has few
+// connections. Overestimating a group is expensive, because a group adds a fixed cost to each server that
+// holds one of its shards.
+func (b *Balancer) groupShardCount(r *request) float64 {
 	if r.Group == "" {
 		return 1
 	}
@@ -95,7 +98,7 @@
 }
 
 // groupShard is the lookup that is the ordinary placement of a request: its client's shard of the group.
-func (b *Balancer) groupShard(r *request) int { return int(r.clientFraction(0) * b.groupShards(r)) }
+func (b *Balancer) groupShard(r *request) int { return int(r.clientFraction(0) * b.groupShardCount(r)) }
 
 // UnreachableServers is the number of ready servers without an entry in the lookup table, to which no request
 // is sent by its key. It is 0 while the table is to be built anew for the next request.
--- a/balancer/lookup_test.go
+++ b/balancer/lookup_test.go
@@ -149,8 +149,8 @@
 		key := fmt.Sprint("k", i)
 		b.Handle(0, Request{ID: RequestID(i), Class: idempotentClass, Group: group, Key: key, Timeout: sec})
 	}
-	large := b.groupShards(&request{Request: Request{Group: "g0"}})
-	small := b.groupShards(&request{Request: Request{Group: "g1"}})
+	large := b.groupShardCount(&request{Request: Request{Group: "g0"}})
+	small := b.groupShardCount(&request{Request: Request{Group: "g1"}})
 	if large < 10 || small > large/2 {
 		t.Errorf("half of all connections over %.1f entries, a tenth over %.1f", large, small)
 	}
--- a/balancer/maglev.go
+++ b/balancer/maglev.go
@@ -32,8 +32,8 @@
 
 // cursor is a server's position in its permutation of the slots.
 type cursor struct {
-	pos, skip    uint32
-	credit, gain float64 // turns that it may take, and what each round adds to them
+	pos, skip              uint32
+	credit, creditPerRound float64 // turns that it may take, and what each round adds to them
 }
 
 // buildTable builds a Maglev table. The servers come sorted by id; weights are above 0. Servers take turns,
@@ -52,7 +52,7 @@
 	for filled := 0; ; {
 		for i := range cursors {
 			c := &cursors[i]
-			if c.credit += c.gain; c.credit < 1 {
+			if c.credit += c.creditPerRound; c.credit < 1 {
 				continue
 			}
 			c.credit--
@@ -78,9 +78,9 @@
 	cursors := make([]cursor, len(servers))
 	for i, s := range servers {
 		cursors[i] = cursor{
-			pos:  uint32(hashID(s.id, offsetSeed) % tableSize),
-			skip: uint32(hashID(s.id, skipSeed)%(tableSize-1)) + 1,
-			gain: s.weight / highest,
+			pos:            uint32(hashID(s.id, offsetSeed) % tableSize),
+			skip:           uint32(hashID(s.id, skipSeed)%(tableSize-1)) + 1,
+			creditPerRound: s.weight / highest,
 		}
 	}
 	return cursors
--- a/balancer/migration.go
+++ b/balancer/migration.go
@@ -60,7 +60,7 @@
 }
 
 func (b *Balancer) migrate(r *request) {
-	b.act(Migrate{ID: r.ID})
+	b.emit(Migrate{ID: r.ID})
 	r.finished = true
 }
 
@@ -78,8 +78,8 @@
 	b.refreshTable()
 	s := b.tableServers[int(b.random()*float64(len(b.tableServers)))]
 	isUnknown := !b.hasFreshReport(s) && b.now-s.polledAt > loadReportTTL
-	if b.settings.CanPollLoad && b.sampledAt < b.now && isUnknown {
-		b.sampledAt = b.now
+	if b.settings.CanPollLoad && b.capacitySampledAt < b.now && isUnknown {
+		b.capacitySampledAt = b.now
 		b.poll(s)
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -123,7 +123,7 @@
 func (b *Balancer) onServerReinstated(ev ServerReinstated) {
 	if s := b.servers[ev.Server]; s != nil {
 		s.resetHealth()
-		s.trialAt = b.now + time.Duration(b.random()*float64(reinstatementSpread))
+		s.trialDueAt = b.now + time.Duration(b.random()*float64(reinstatementSpread))
 	}
 }
 
@@ -135,8 +135,8 @@
 		return nil
 	}
 	for _, s := range b.tableServers {
-		if s.trialAt > 0 && b.now >= s.trialAt && s.State == Ready {
-			s.trialAt = 0
+		if s.trialDueAt > 0 && b.now >= s.trialDueAt && s.State == Ready {
+			s.trialDueAt = 0
 			return s
 		}
 	}
@@ -145,5 +145,5 @@
 
 // isKnownHealthy reports whether this gateway has connections to a server and nothing speaks against it.
 func (b *Balancer) isKnownHealthy(s *server) bool {
-	return s.hasEstablished() && s.ejectedUntil == 0 && b.now >= s.pausedUntil
+	return s.hasEstablishedConnection() && s.ejectedUntil == 0 && b.now >= s.pausedUntil
 }
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -6,13 +6,13 @@
 	// maxLookups bounds the lookups of one search for an alternate: more cost more than they found.
 	maxLookups = 160
 
-	// maxNearLookups bounds the lookups for a member of a group, so that the group stays together, and those
-	// that may lead to a server that is warming up.
-	maxNearLookups = 8
+	// shortSearchLookups bounds the lookups for a member of a group, so that the group stays on few servers,
+	// and the lookups that may lead to a server that is warming up.
+	shortSearchLookups = 8
 
-	// reconnectSpread is the number of lookups, from the second on, over which reconnecting clients spread if
-	// nothing shows that the server of the first serves.
-	reconnectSpread = 4
+	// reconnectLookups is the number of lookups, from the second on, over which reconnecting clients are
+	// spread if the server of the first is not known to be healthy.
+	reconnectLookups = 4
 
 	// loadBoundRatio and loadBoundSlack bound the load of a server before requests overflow to alternates: it
 	// may exceed its fair share by this ratio, and by this many mean connections more.
@@ -38,7 +38,7 @@
 	if s := b.trialServer(r); s != nil {
 		return s
 	}
-	if s := b.unpolledEntry(r); s != nil {
+	if s := b.unpolledMidFlowServer(r); s != nil {
 		return s
 	}
 	if b.shedsForFailures(r) {
@@ -52,7 +52,7 @@
 // drains, within the grace. This protects connections from being reset when gateways and servers change
 // together. It can miss a connection that an alternate took.
 func (b *Balancer) midFlowServer(r *request) *server {
-	if !r.isFirstOfMidFlow() {
+	if !r.isFirstMidFlowAttempt() {
 		return nil
 	}
 	if s := b.servers[r.Owner]; r.OwnerKnown && s != nil && b.acceptsMidFlow(s) {
@@ -74,10 +74,11 @@
 	return s.State == Ready || s.State == Draining && b.now-s.unavailableSince < b.usableDrainGrace()
 }
 
-// unpolledEntry returns the ordinary placement of a mid-flow request if that server's load is unknown: the
-// connection is a load on its owner already, and no report shows which server that is.
-func (b *Balancer) unpolledEntry(r *request) *server {
-	if !r.isFirstOfMidFlow() {
+// unpolledMidFlowServer returns the ordinary placement of a mid-flow request if that server's load is unknown
+// and it is eligible; otherwise it returns nil. The server is not polled first: the connection is part of its
+// owner's load already, and no load report shows which server the owner is.
+func (b *Balancer) unpolledMidFlowServer(r *request) *server {
+	if !r.isFirstMidFlowAttempt() {
 		return nil
 	}
 	if s := b.lookup(r, b.groupShard(r)); b.needsPoll(s) && b.isEligible(r, s) {
@@ -88,12 +89,12 @@
 
 // placement is the state of one search for a server.
 type placement struct {
-	first       int     // the lookup that is tried before the others
-	lookups     int     // the others: from 0 on so many
-	meanLoad    float64 // of a connection
-	fairShare   float64 // load for each unit of capacity above which a server is over its fair share
-	limitRatio  float64 // part of a server's load limit that the request may fill
-	onlyWarming bool    // only a server that is warming up may take the request
+	firstLookup      int     // the lookup that is tried before the others
+	lookups          int     // the others: from 0 on so many
+	meanLoad         float64 // of a connection
+	boundPerCapacity float64 // load for each unit of capacity above which a server is over its fair share
+	limitRatio       float64 // part of a server's load limit that the request may fill
+	warmingOnly      bool    // only a server that is warming up may take the request
 
 	toPoll   []*server // servers whose load is unknown
 	best     *server   // of those that something speaks against
@@ -106,18 +107,18 @@
 // costs if a group is better kept whole, as each shard costs the server it is placed at.
 func (b *Balancer) newPlacement(r *request) placement {
 	p := placement{
-		first:      b.groupShard(r),
-		lookups:    maxLookups,
-		meanLoad:   b.meanLoad(),
-		limitRatio: b.limitRatio(r),
+		firstLookup: b.groupShard(r),
+		lookups:     maxLookups,
+		meanLoad:    b.meanLoad(),
+		limitRatio:  b.limitRatio(r),
 	}
-	p.fairShare = (1 + loadBoundRatio) * (b.totalLoad() + p.meanLoad) / b.totalWeight
-	p.onlyWarming = b.shedsForSlowness(r, p.limitRatio)
-	if r.Reconnecting && !b.isKnownHealthy(b.lookup(r, p.first)) {
-		p.first += 1 + int(mix(uint64(r.ID), keySeed)%reconnectSpread)
+	p.boundPerCapacity = (1 + loadBoundRatio) * (b.totalLoad() + p.meanLoad) / b.totalWeight
+	p.warmingOnly = b.shedsForSlowness(r, p.limitRatio)
+	if r.Reconnecting && !b.isKnownHealthy(b.lookup(r, p.firstLookup)) {
+		p.firstLookup += 1 + int(mix(uint64(r.ID), keySeed)%reconnectLookups)
 	}
-	if p.onlyWarming || r.Group != "" {
-		p.lookups = maxNearLookups
+	if p.warmingOnly || r.Group != "" {
+		p.lookups = shortSearchLookups
 	}
 	return p
 }
@@ -152,10 +153,10 @@
 		found := b.rankOf(r, s, p)
 		switch {
 		case !b.isWarm(s):
-			if found.suitsWarmup() && i <= maxNearLookups && b.admitToWarmingServer(r, s) {
+			if found.suitsWarmup() && i <= shortSearchLookups && b.admitToWarmingServer(r, s) {
 				return s
 			}
-		case found.isClear():
+		case found.isBestPossible():
 			return s
 		case p.best == nil || found.less(p.bestRank):
 			p.best, p.bestRank = s, found
@@ -168,14 +169,14 @@
 // then the other shards and their alternates.
 func (b *Balancer) candidate(r *request, p *placement, i int) *server {
 	if i == 0 {
-		return b.lookup(r, p.first)
+		return b.lookup(r, p.firstLookup)
 	}
 	return b.lookup(r, i-1)
 }
 
 // isShedFrom reports whether the request is shed as far as a server is concerned: what is shed since warm
 // servers are slow may still fit the budget of one that is warming up.
-func (b *Balancer) isShedFrom(s *server, p *placement) bool { return p.onlyWarming && b.isWarm(s) }
+func (b *Balancer) isShedFrom(s *server, p *placement) bool { return p.warmingOnly && b.isWarm(s) }
 
 // mustPollFirst reports whether a server is to be polled before the request is sent to it.
 func (b *Balancer) mustPollFirst(r *request, s *server) bool {
--- a/balancer/rank_test.go
+++ b/balancer/rank_test.go
@@ -61,7 +61,7 @@
 func (o objections) rank(b *Balancer) rank {
 	s := &server{Server: Server{ID: 1, Capacity: 1}, polledAt: b.now}
 	r := &request{}
-	p := placement{meanLoad: 1, fairShare: 1e9}
+	p := placement{meanLoad: 1, boundPerCapacity: 1e9}
 	if o.ejected {
 		s.ejectedUntil = b.now + time.Second
 	}
@@ -72,7 +72,7 @@
 		s.onProbation, s.pendingAttempts = true, 1
 	}
 	if o.overFairShare {
-		p.fairShare = -1e9
+		p.boundPerCapacity = -1e9
 	}
 	if !o.unreported {
 		s.reportedAt, s.utilization = b.now, o.utilization
@@ -96,7 +96,7 @@
 				t.Errorf("rank of %+v is less than that of %+v: %v, want %v", x, y, got, want)
 			}
 		}
-		if got, want := x.rank(b).isClear(), x.weight() == 0; got != want {
+		if got, want := x.rank(b).isBestPossible(), x.weight() == 0; got != want {
 			t.Errorf("nothing speaks against %+v: %v, want %v", x, got, want)
 		}
 		if got, want := x.rank(b).suitsWarmup(), x.weight() < 2; got != want {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -21,9 +21,9 @@
 	clientHash    uint64 // hash of what distinguishes its client from the others of its group
 	deadline      time.Duration
 
-	waitUntil  time.Duration // 0: it never waited
-	polled     []*server     // whose load reports it waits for
-	pollRounds int           // how often it waited for load reports
+	waitUntil     time.Duration // 0: it never waited
+	polledServers []*server     // whose load reports it waits for
+	pollRounds    int           // how often it waited for load reports
 
 	attempts     int
 	triedServers []ServerID
@@ -40,9 +40,9 @@
 
 // Purposes of a client's fraction that concern no server.
 const (
-	shardFraction     = iota // choice of a shard of the client's group
-	shedFraction             // shedding by this gateway
-	fleetShedFraction        // shedding by the fleet
+	groupShardPurpose = iota // choice of a shard of the client's group
+	shedPurpose              // shedding by this gateway
+	fleetShedPurpose         // shedding by the fleet
 )
 
 // clientFraction is a number in [0, 1) that every gateway computes alike for a client and a purpose, which is
@@ -50,8 +50,8 @@
 // are.
 func (r *request) clientFraction(purpose uint64) float64 { return fraction(mix(r.clientHash, purpose)) }
 
-// isFirstOfMidFlow reports whether this is the first attempt for a connection that some server already holds.
-func (r *request) isFirstOfMidFlow() bool { return r.MidFlow && r.attempts == 0 }
+// isFirstMidFlowAttempt reports whether the next attempt is the first one of a mid-flow request.
+func (r *request) isFirstMidFlowAttempt() bool { return r.MidFlow && r.attempts == 0 }
 
 func (b *Balancer) newRequest(ev Request) *request {
 	class, ok := b.classIndex[ev.Class]
@@ -87,7 +87,7 @@
 	if b.requests[ev.ID] != nil {
 		return
 	}
-	b.admitted.add(b.now)
+	b.requestWindow.add(b.now)
 	b.recentRequests.add(b.now, 1)
 	if class, ok := b.classIndex[ev.Class]; ok && ev.Load > 0 {
 		b.observeLoad(class, ev.Load)
@@ -133,7 +133,7 @@
 	if r.waitUntil == 0 {
 		wait := max(min(firstListTimeout, r.deadline-answerMargin-b.now), 0)
 		r.waitUntil = b.now + wait
-		b.act(SetTimer{After: wait, Ref: oneShotTimer})
+		b.emit(SetTimer{After: wait, Ref: waitTimer})
 	}
 }
 
@@ -144,10 +144,10 @@
 	for _, r := range waiting {
 		switch {
 		case r.finished:
-		case b.now < r.waitUntil && slices.ContainsFunc(r.polled, (*server).awaitsReport):
+		case b.now < r.waitUntil && slices.ContainsFunc(r.polledServers, (*server).awaitsReport):
 			b.waiting = append(b.waiting, r)
 		default:
-			r.polled = nil
+			r.polledServers = nil
 			b.dispatch(r)
 		}
 	}
@@ -158,5 +158,5 @@
 	for _, r := range b.requests {
 		r.deadline, r.waitUntil = min(r.deadline, end), min(r.waitUntil, end-answerMargin)
 	}
-	b.act(SetTimer{After: max(end-answerMargin-b.now, 0), Ref: oneShotTimer})
+	b.emit(SetTimer{After: max(end-answerMargin-b.now, 0), Ref: waitTimer})
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -27,7 +27,7 @@
 	}
 	s := b.place(r)
 	if s == nil {
-		if len(r.polled) == 0 {
+		if len(r.polledServers) == 0 {
 			b.waitOrAnswer(r)
 		}
 		return
@@ -50,13 +50,13 @@
 
 func (b *Balancer) send(r *request, s *server) {
 	if r.attempts > 0 {
-		b.retries.add(b.now)
+		b.retryWindow.add(b.now)
 	}
 	b.attach(r, s)
 	r.attempts++
 	r.sentAt = b.now
 	r.triedServers = append(r.triedServers, s.ID)
-	b.act(Send{ID: r.ID, Server: s.ID, Timeout: b.attemptTimeout(r), ConnectTimeout: b.connectTimeout(r, s)})
+	b.emit(Send{ID: r.ID, Server: s.ID, Timeout: b.attemptTimeout(r), ConnectTimeout: b.connectTimeout(r, s)})
 }
 
 // answer gives the final answer: a rejection if the class's idempotency allows it, else a failure. Its
@@ -65,9 +65,9 @@
 func (b *Balancer) answer(r *request) {
 	if b.mayReject(r) {
 		after := time.Duration((1 - b.random()/2) * float64(b.settings.MaxRetryAfter))
-		b.act(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShedByFleet(r)})
+		b.emit(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShedByFleet(r)})
 	} else {
-		b.act(Fail{ID: r.ID})
+		b.emit(Fail{ID: r.ID})
 	}
 	b.finish(r)
 }
@@ -160,7 +160,8 @@
 // costs if many servers are down and most first attempts fail.
 func (b *Balancer) hasRetryBudget() bool {
 	budget := b.retryBudget()
-	return float64(b.retries.count(b.now)+1) <= budget.min+budget.ratio*float64(b.admitted.count(b.now))
+	return float64(b.retryWindow.count(b.now)+1) <=
+		budget.min+budget.ratio*float64(b.requestWindow.count(b.now))
 }
 
 func (b *Balancer) onAttemptEstablished(ev AttemptEstablished) {
@@ -189,7 +190,7 @@
 	}
 	b.scoreResult(s, ev.Result, established, held)
 	if ev.Result == NotSent && ev.Attempt > 0 {
-		b.retries.remove(r.sentAt)
+		b.retryWindow.remove(r.sentAt)
 	}
 	if ev.Answered || r.finished {
 		b.finish(r)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -108,7 +108,7 @@
 			if got := float64(len(audit.retries)); got < wanted {
 				t.Errorf("%v retries, at least %.0f are wanted", got, wanted)
 			}
-			kept := len(h.balancer.admitted.buckets) + len(h.balancer.retries.buckets)
+			kept := len(h.balancer.requestWindow.buckets) + len(h.balancer.retryWindow.buckets)
 			if kept > 2*maxWindowBuckets {
 				t.Errorf("%d buckets kept", kept)
 			}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -141,5 +141,5 @@
 	return s
 }
 
-// statedClasses are the classes of the settings as given, without the added one.
-func (s *Settings) statedClasses() []Class { return s.Classes[:len(s.Classes)-1] }
+// configuredClasses are the classes of the settings as given, without the added one.
+func (s *Settings) configuredClasses() []Class { return s.Classes[:len(s.Classes)-1] }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -35,18 +35,18 @@
 // there are and however seldom each does. It costs if much of the fleet is warming up and little else has
 // capacity.
 func (b *Balancer) admitToWarmingServer(r *request, s *server) bool {
-	rate := warmupBudgetRatio * max(b.settings.ColdOverloadFactor, 1) * b.warmConnections(s) /
+	rate := warmupBudgetRatio * max(b.settings.ColdOverloadFactor, 1) * b.warmConnectionCapacity(s) /
 		b.settings.WarmupDuration.Seconds() / float64(b.settings.Gateways)
-	arrivalRatio := max(maxNearLookups*s.Capacity/b.totalWeight, minWarmupArrivalRatio)
+	arrivalRatio := max(shortSearchLookups*s.Capacity/b.totalWeight, minWarmupArrivalRatio)
 	lookups := max(b.arrivalRate()*arrivalRatio,
 		s.warmupLookups.value(b.now)*math.Ln2/evidenceHalfLife.Seconds())
 	s.warmupLookups.add(b.now, 1)
 	spacing := min(warmupSpacingRatio/rate, b.settings.ColdOverloadDuration.Seconds())
-	tooSoon := (b.now - s.warmupSentAt).Seconds() < spacing
+	tooSoon := (b.now - s.lastWarmupSendAt).Seconds() < spacing
 	if tooSoon || fraction(mix(uint64(r.ID), uint64(s.ID))) >= rate/lookups {
 		return false
 	}
-	s.warmupSentAt = b.now
+	s.lastWarmupSendAt = b.now
 	return true
 }
 
@@ -62,9 +62,10 @@
 	return max(requests/seen, requests+added) / span
 }
 
-// warmConnections estimates how many connections a server takes when it is warm, from the reports of warm
-// servers, or else from what they hold: that is all they take if the fleet is full, and too few if it is not.
-func (b *Balancer) warmConnections(s *server) float64 {
+// warmConnectionCapacity estimates how many connections of all gateways together a server can hold when it is
+// warm. The estimate is based on the load reports of warm servers. Without reports it is based on the
+// connections that warm servers hold now, which underestimates the capacity unless the fleet is full.
+func (b *Balancer) warmConnectionCapacity(s *server) float64 {
 	if b.connectionCapacity.isKnown() {
 		return max(b.connectionCapacity.value*s.Capacity, minWarmConnections)
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -25,7 +25,7 @@
 func (h *harness) resetArrivals(s *server) {
 	h.balancer.now += ms
 	h.balancer.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
-	s.warmupSentAt, s.Started = 0, h.balancer.now-sec
+	s.lastWarmupSendAt, s.Started = 0, h.balancer.now-sec
 	h.balancer.recentRequests.add(h.balancer.now, 1)
 }
 
@@ -64,7 +64,7 @@
 // isSentToWarmup looks a request up as in a table of some servers, one of which warms up, until that one
 // admits it.
 func (h *harness) isSentToWarmup(id RequestID, s *server, servers uint64) bool {
-	for lookup := range uint64(maxNearLookups) {
+	for lookup := range uint64(shortSearchLookups) {
 		if mix(uint64(id), lookup)%servers == 0 && h.admitsToWarmup(id, s) {
 			return true
 		}
@@ -144,7 +144,7 @@
 				h.now = start + 9*sec
 				h.listDelta(Server{ID: warmingServer, Capacity: 1, Started: start})
 				s := h.balancer.servers[warmingServer]
-				capacity += h.balancer.warmConnections(s) / float64(gateways)
+				capacity += h.balancer.warmConnectionCapacity(s) / float64(gateways)
 			}
 			// Three times what fills it over the warm-up, which is thirty connections.
 			const allowed = 3.0 * 30 / 20 * 2
@@ -195,20 +195,20 @@
 func TestWarmupBudgetFollowsLoadReports(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	s := h.balancer.sortedServers[0]
-	if got := h.balancer.warmConnections(s); got != minWarmConnections {
+	if got := h.balancer.warmConnectionCapacity(s); got != minWarmConnections {
 		t.Errorf("capacity of %v connections without reports", got)
 	}
 	for range 20 {
 		h.handle(LoadReport{Server: h.balancer.sortedServers[1].ID, Utilization: 0.25, Connections: 10})
 	}
-	if got := h.balancer.warmConnections(s); got < 0.6*40 || got > 40 {
+	if got := h.balancer.warmConnectionCapacity(s); got < 0.6*40 || got > 40 {
 		t.Errorf("capacity of %v connections where 10 are a quarter of the load", got)
 	}
 	s.Started = h.now
 	for range 20 {
 		h.handle(LoadReport{Server: s.ID, Utilization: 0.25, Connections: 1000})
 	}
-	if got := h.balancer.warmConnections(s); got > 40 {
+	if got := h.balancer.warmConnectionCapacity(s); got > 40 {
 		t.Errorf("capacity of %v connections by the report of a server that is warming up", got)
 	}
 }
@@ -250,7 +250,7 @@
 		h.now += interval
 		h.balancer.now, s.Started = h.now, h.now
 		h.balancer.recentRequests.add(h.now, 1)
-		for lookup := range uint64(maxNearLookups) {
+		for lookup := range uint64(shortSearchLookups) {
 			if mix(uint64(id), lookup)%servers == 0 && elapsed >= learning && h.admitsToWarmup(id, s) {
 				sent++
 			}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -44,10 +44,10 @@
 // Snapshot returns what the Balancer has learned.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
-		MeanLoad:           b.overallLoad.snapshot(),
+		MeanLoad:           b.overallMeanLoad.snapshot(),
 		ConnectionCapacity: b.connectionCapacity.snapshot(),
 	}
-	for _, mean := range b.classLoads {
+	for _, mean := range b.classMeanLoads {
 		snapshot.ClassLoads = append(snapshot.ClassLoads, mean.snapshot())
 	}
 	for _, s := range b.sortedServers {
@@ -60,11 +60,11 @@
 // that were draining or removed by then count as such for long.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	b.now = max(b.now, now)
-	b.overallLoad = snapshot.MeanLoad.restore()
+	b.overallMeanLoad = snapshot.MeanLoad.restore()
 	b.connectionCapacity = snapshot.ConnectionCapacity.restore()
-	if len(snapshot.ClassLoads) == len(b.classLoads) {
+	if len(snapshot.ClassLoads) == len(b.classMeanLoads) {
 		for i, mean := range snapshot.ClassLoads {
-			b.classLoads[i] = mean.restore()
+			b.classMeanLoads[i] = mean.restore()
 		}
 	}
 	for _, k := range snapshot.Servers {
