--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	// minLimitRatio is the part of a server's load limit that requests of the lowest priority may fill, so
-	// that none starves.
-	minLimitRatio = 0.5
+	// minPriorityLimitRatio is the part of a server's load limit that requests of the lowest priority may
+	// fill, so that none starves.
+	minPriorityLimitRatio = 0.5
 
 	// slowRatioThreshold is the part of this gateway's connections on slow servers, times the part of a limit
 	// that a request may fill, from which some requests are shed.
 	slowRatioThreshold = 0.3
 
-	// maxSetupRatio bounds the attempts for each one that is established; requests beyond that are shed.
-	maxSetupRatio = 1.5
+	// maxAttemptsPerEstablished bounds the attempts for each one that is established; requests beyond that
+	// are shed.
+	maxAttemptsPerEstablished = 1.5
 
-	// movedGroupCost is what a group's last member costs a server, in mean connections, where members share
+	// sharedGroupCost is what a group's last member costs a server, in mean connections, where members share
 	// it and priorities rank connections.
-	movedGroupCost = 2 * newGroupCost
+	sharedGroupCost = 2 * newGroupCost
 
 	// minPriorityPerLoad keeps the highest priority for its load above 0, if all weights are 0.
 	minPriorityPerLoad = 1e-12
@@ -32,42 +33,42 @@
 	return !r.MidFlow && r.clientFraction(fleetShedFraction) < b.fleetShedLevel-float64(r.Priority)
 }
 
-// shedRatio is the part of the requests that is shed since too few attempts are established, at whatever
-// servers; 0 or less sheds none.
+// failureShedRatio is the part of the requests that is shed since too few attempts are established, at
+// whatever servers; 0 or less sheds none.
 //
 // This protects from an overload of what all set-ups share, as a database: asked for more than it can do it
 // answers none in time, and the reconnecting clients keep that up. Meanwhile nothing migrates, as each
 // migration is a set-up, and no server's limit is lowered for a time-out. It works for any failure of set-ups
 // that ejections do not end. It costs if a gateway reaches few servers, until the failing ones are ejected.
-func (b *Balancer) shedRatio() float64 {
+func (b *Balancer) failureShedRatio() float64 {
 	if b.recentFailures.sum == 0 {
 		return 0
 	}
 	established := b.recentEstablished.value(b.now)
 	attempts := established + b.recentFailures.value(b.now)
-	return (attempts - maxSetupRatio*(established+1)) / (attempts + 1)
+	return (attempts - maxAttemptsPerEstablished*(established+1)) / (attempts + 1)
 }
 
-// shedsForFailures reports whether a request is shed since too few attempts are established.
-func (b *Balancer) shedsForFailures(r *request) bool {
-	return r.clientFraction(shedFraction) < b.shedRatio()
+// isShedForFailures reports whether a request is shed since too few attempts are established.
+func (b *Balancer) isShedForFailures(r *request) bool {
+	return r.clientFraction(shedFraction) < b.failureShedRatio()
 }
 
-// shedsForSlowness reports whether a request is shed since a good part of this gateway's own connections is
+// isShedForSlowness reports whether a request is shed since a good part of this gateway's own connections is
 // on slow servers: the more, the larger that part is and the smaller the part of a limit that the request may
 // fill.
 //
 // What a gateway holds is a sample of the fleet, so this protects from an overload of which each gateway sees
 // little, and which clients that disconnect and reconnect keep up. It costs if a few slow servers hold most
 // of what this gateway has.
-func (b *Balancer) shedsForSlowness(r *request, limitRatio float64) bool {
+func (b *Balancer) isShedForSlowness(r *request, limitRatio float64) bool {
 	threshold := slowRatioThreshold * limitRatio
 	return r.clientFraction(shedFraction) < (b.slowRatio-threshold)/(1-threshold)
 }
 
 // logShedding logs when this gateway starts and stops to shed.
 func (b *Balancer) logShedding() {
-	shedding := b.slowRatio > slowRatioThreshold || b.shedRatio() > 0
+	shedding := b.slowRatio > slowRatioThreshold || b.failureShedRatio() > 0
 	if shedding == b.isShedding {
 		return
 	}
@@ -76,12 +77,12 @@
 	if shedding {
 		message = "load shedding started"
 	}
-	b.log(message, slog.Float64("slow_ratio", roundTo(b.slowRatio, 100)),
-		slog.Float64("recent_failures", roundTo(b.recentFailures.value(b.now), 10)))
+	b.log(message, slog.Float64("slow_ratio", roundToFraction(b.slowRatio, 100)),
+		slog.Float64("recent_failures", roundToFraction(b.recentFailures.value(b.now), 10)))
 }
 
-// roundTo rounds a value for the log to a part of 1.
-func roundTo(value, part float64) float64 { return math.Round(value*part) / part }
+// roundToFraction rounds a value for the log to a part of 1.
+func roundToFraction(value, part float64) float64 { return math.Round(value*part) / part }
 
 // limitRatio is the part of a server's load limit that a request may fill: all for the highest priority for
 // its load, less for the others. This protects from an overload in which the capacity goes to whoever asks
@@ -91,7 +92,8 @@
 	for class := range b.settings.statedClasses() {
 		highest = max(highest, b.settings.Classes[class].PriorityWeight/b.classLoad(class))
 	}
-	return minLimitRatio + (1-minLimitRatio)*min(b.priorityPerLoad(r)/max(highest, minPriorityPerLoad), 1)
+	return minPriorityLimitRatio +
+		(1-minPriorityLimitRatio)*min(b.priorityPerLoad(r)/max(highest, minPriorityPerLoad), 1)
 }
 
 // priorityPerLoad ranks a connection by its priority weight for its load. Members of a group that is at the
@@ -106,7 +108,7 @@
 		weight *= b.settings.OverQuotaWeightFactor
 	}
 	if r.Group != "" && r.server != nil {
-		load += movedGroupCost * b.meanLoad() / float64(r.server.groupConnections[r.Group])
+		load += sharedGroupCost * b.meanLoad() / float64(r.server.groupConnections[r.Group])
 	}
 	return weight / load
 }
@@ -142,15 +144,15 @@
 // freeCapacityRatio is the part of the table's weight that can take more: of the servers that reported their
 // loads, if they can.
 func (b *Balancer) freeCapacityRatio() float64 {
-	free, all := 0.0, 0.0
+	free, total := 0.0, 0.0
 	for _, s := range b.tableServers {
 		if b.settings.CanPollLoad && !b.hasFreshReport(s) {
 			continue
 		}
-		all += s.Capacity
+		total += s.Capacity
 		if b.hasCapacity(s, 0, 1) {
 			free += s.Capacity
 		}
 	}
-	return free / max(all, minTotalWeight)
+	return free / max(total, minTotalWeight)
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -146,7 +146,7 @@
 
 // The ratio of free capacity is exactly 1 where every server has capacity, so that no migration is lost to
 // rounding. Where servers are polled it counts those that reported.
-func TestAvailableCapacityCountsReportingServers(t *testing.T) {
+func TestFreeCapacityCountsReportingServers(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		canPollLoad bool
--- a/balancer/balancer_settings_test.go
+++ b/balancer/balancer_settings_test.go
@@ -230,10 +230,10 @@
 	if found := findNonFinite(reflect.ValueOf(b), "balancer", map[uintptr]bool{}); found != "" {
 		r.t.Fatal(found)
 	}
-	for _, f := range []float64{b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate()} {
+	for _, f := range []float64{b.failureShedRatio(), b.freeCapacityRatio(), b.arrivalRate()} {
 		if math.IsNaN(f) || math.IsInf(f, 0) {
 			r.t.Fatalf("shed ratio %v, free capacity %v, arrivals %v",
-				b.shedRatio(), b.freeCapacityRatio(), b.arrivalRate())
+				b.failureShedRatio(), b.freeCapacityRatio(), b.arrivalRate())
 		}
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -146,7 +146,7 @@
 	h := newHarness(t, advisorySettings(), 6)
 	entry := h.tableEntry("g")
 	h.listDelta(Server{ID: entry, State: Removed})
-	first := h.sendOnTrial("g", entry)
+	first := h.requireSingleTrial("g", entry)
 	h.endAttempt(first, 0, TimedOut)
 	for range 100 {
 		h.advance(sec)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -157,9 +157,9 @@
 	return h.balancer.tableServers[h.balancer.table.at(hashKey(key), 0)].ID
 }
 
-// sendOnTrial checks that a group's next request goes to a server and the one that follows to another, as the
+// requireSingleTrial checks that a group's next request goes to a server and the one that follows to another, as the
 // first attempt is pending. It returns the first.
-func (h *harness) sendOnTrial(group string, server ServerID) Send {
+func (h *harness) requireSingleTrial(group string, server ServerID) Send {
 	h.t.Helper()
 	h.request(idempotentClass, group)
 	first := h.onlySend()
--- a/balancer/loadlimit.go
+++ b/balancer/loadlimit.go
@@ -29,9 +29,9 @@
 	// more and is dropped.
 	limitDropFactor = 4.0
 
-	// objectiveMetParts is the part of the objective, as 1 / objectiveMetParts, up to which a message delay
-	// shows that a server is not slow any more.
-	objectiveMetParts = 3
+	// objectiveMetDivisor is the part of the objective, as 1 / objectiveMetDivisor, up to which a message
+	// delay shows that a server is not slow any more.
+	objectiveMetDivisor = 3
 )
 
 // onMessageDelay follows the delay of a server's messages. Work piles up where a server is sent more than it
@@ -41,51 +41,51 @@
 	if s == nil {
 		return
 	}
-	last, since := s.messageDelay, b.now-s.messageDelayAt
-	if since > messageDelayTTL {
-		last = 0
+	previous, elapsed := s.messageDelay, b.now-s.messageDelayAt
+	if elapsed > messageDelayTTL {
+		previous = 0
 	}
 	s.messageDelay, s.messageDelayAt = ev.Delay, b.now
 	switch {
-	case ev.Delay <= b.messageObjective/objectiveMetParts:
+	case ev.Delay <= b.messageObjective/objectiveMetDivisor:
 		s.pausedUntil = 0
-	case last > 0 && ev.Delay < last: // the backlog shrinks at this load
+	case previous > 0 && ev.Delay < previous: // the backlog shrinks at this load
 		b.lowerLoadLimit(s, 1, messageDelayTTL)
-	case last > 0 && since > 0:
-		b.lowerLoadLimit(s, limitCutRatio/(1+float64(ev.Delay-last)/float64(since)), messageDelayTTL)
+	case previous > 0 && elapsed > 0:
+		b.lowerLoadLimit(s, limitCutRatio/(1+float64(ev.Delay-previous)/float64(elapsed)), messageDelayTTL)
 	default:
 		b.lowerLoadLimit(s, limitCutRatio, messageDelayTTL)
 	}
 }
 
-// limitByReport lets a server's limit follow its load report, to the load from here at which the server would
-// be well used if all gateways did the same.
+// adjustLimitToReport lets a server's limit follow its load report, to the load from here at which the server
+// would be well used if all gateways did the same.
 //
 // This protects from placing on until messages are slow, and from a limit that was cut at a bad moment and
 // kept long after, as limits grow slowly by themselves: a server at a sixth of its capacity was seen kept out
 // for ten seconds while clients were rejected. It works for whatever takes a server's capacity. It costs if
 // reports are wrong by more than lies between lowUtilization and highUtilization.
-func (b *Balancer) limitByReport(s *server) {
-	u, least := s.utilization, b.minLoadLimit()
+func (b *Balancer) adjustLimitToReport(s *server) {
+	u, minLimit := s.utilization, b.minLoadLimit()
 	switch {
 	case u > highUtilization:
-		limit := max(b.serverLoad(s)*targetUtilization/u, least)
+		limit := max(b.serverLoad(s)*targetUtilization/u, minLimit)
 		if s.loadLimit == 0 || limit < s.loadLimit {
 			s.loadLimit, s.limitLoweredAt = limit, b.now
 		}
 	case u < lowUtilization && s.loadLimit > 0:
-		s.loadLimit = max(s.loadLimit, (b.serverLoad(s)+least)*targetUtilization/max(u, minUtilization))
+		s.loadLimit = max(s.loadLimit, (b.serverLoad(s)+minLimit)*targetUtilization/max(u, minUtilization))
 	}
 }
 
-// limitAfterFailure lowers a server's limit if a result shows that it is overloaded.
-func (b *Balancer) limitAfterFailure(s *server, result Result) {
+// lowerLimitAfterFailure lowers a server's limit if a result shows that it is overloaded.
+func (b *Balancer) lowerLimitAfterFailure(s *server, result Result) {
 	switch result {
 	case Rejected:
 		b.lowerLoadLimit(s, 1, rejectedPause)
 	case TimedOut, Errored: // work piles up there, or nothing answers
 		b.recentFailures.add(b.now, 1)
-		if b.shedRatio() <= 0 {
+		if b.failureShedRatio() <= 0 {
 			b.lowerLoadLimit(s, limitCutRatio, 0)
 		}
 	}
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -74,6 +74,6 @@
 			b.connectionCapacity.add(1 / s.connectionUtilization / s.Capacity)
 		}
 	}
-	b.limitByReport(s)
+	b.adjustLimitToReport(s)
 	b.dispatchWaiting()
 }
--- a/balancer/migration.go
+++ b/balancer/migration.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	// migrationRatio is the part of a slow server's connections that may migrate each second if all other
+	// migrationRate is the part of a slow server's connections that may migrate each second if all other
 	// servers have capacity. As a few are to migrate soon, minMigratable is the number of which it is a part
 	// at least.
-	migrationRatio = 1.0
-	minMigratable  = 5.0
+	migrationRate = 1.0
+	minMigratable = 5.0
 
-	// groupMigrationRatio is the part that a group has in the choice of the connections that migrate, so that
-	// its members go together. The rest is their clients' own.
-	groupMigrationRatio = 0.8
+	// groupMigrationWeight is the part that a group has in the choice of the connections that migrate, so
+	// that its members go together. The rest is their clients' own.
+	groupMigrationWeight = 0.8
 
 	// evacuationRatio is the part of its connections that leaves a server to be evacuated with each sweep, if
 	// all others have capacity.
@@ -21,7 +21,7 @@
 // migrateFrom migrates what is due off a server: while set-ups fail it moves nothing, as each migration is
 // one.
 func (b *Balancer) migrateFrom(s *server) {
-	switch setupsFail := b.shedRatio() > 0; {
+	switch setupsFail := b.failureShedRatio() > 0; {
 	case !setupsFail && s.Evacuate && s.State == Draining:
 		b.evacuate(s)
 	case !setupsFail && s.State == Ready && s.messageDelay >= b.messageObjective && b.now < s.pausedUntil:
@@ -38,9 +38,9 @@
 func (b *Balancer) migrateFromSlow(s *server) {
 	b.sampleCapacity()
 	migratable := max(float64(len(s.inFlight)+1), minMigratable)
-	s.migrationCredit += migrationRatio * b.freeCapacityRatio() * migratable * sweepInterval.Seconds()
+	s.migrationCredit += migrationRate * b.freeCapacityRatio() * migratable * sweepInterval.Seconds()
 	for ; s.migrationCredit >= 1; s.migrationCredit-- {
-		r := b.lowestPriority(s)
+		r := b.lowestPriorityConnection(s)
 		if r == nil || b.serverLoad(s)-(1-r.migrationOrder(s))*b.meanLoad() <= s.loadLimit {
 			return
 		}
@@ -48,8 +48,8 @@
 	}
 }
 
-// lowestPriority returns the connection to a server that is to migrate first, or nil.
-func (b *Balancer) lowestPriority(s *server) (lowest *request) {
+// lowestPriorityConnection returns the connection to a server that is to migrate first, or nil.
+func (b *Balancer) lowestPriorityConnection(s *server) (lowest *request) {
 	for _, r := range s.inFlight {
 		if r.established && !r.finished && !b.isShedByFleet(r) &&
 			(lowest == nil || b.priorityPerLoad(r) < b.priorityPerLoad(lowest)) {
@@ -68,8 +68,8 @@
 // every gateway. A group's members go together, as what the group costs the server is paid until the last has
 // gone.
 func (r *request) migrationOrder(s *server) float64 {
-	return groupMigrationRatio*fraction(mix(r.placementHash, uint64(s.ID))) +
-		(1-groupMigrationRatio)*r.clientFraction(uint64(s.ID))
+	return groupMigrationWeight*fraction(mix(r.placementHash, uint64(s.ID))) +
+		(1-groupMigrationWeight)*r.clientFraction(uint64(s.ID))
 }
 
 // sampleCapacity polls one server whose load is not known, once a sweep: a gateway that holds few connections
@@ -87,11 +87,11 @@
 // evacuate migrates connections off a draining server, a part of them with each sweep while others have
 // capacity. This protects them from being reset when the server is restarted.
 func (b *Balancer) evacuate(s *server) {
-	n := int(math.Ceil(evacuationRatio * b.freeCapacityRatio() * float64(len(s.inFlight))))
+	remaining := int(math.Ceil(evacuationRatio * b.freeCapacityRatio() * float64(len(s.inFlight))))
 	for _, r := range s.inFlight {
-		if n > 0 && r.established && !r.finished {
+		if remaining > 0 && r.established && !r.finished {
 			b.migrate(r)
-			n--
+			remaining--
 		}
 	}
 }
--- a/balancer/migration_test.go
+++ b/balancer/migration_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestBriefMessageDelayMigratesNothing(t *testing.T) {
+func TestMessageDelayBelowObjectiveMigratesNothing(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	id, server := h.establish(idempotentClass, "g")
 	// Above a third of the class's latency objective, below the objective.
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -48,12 +48,12 @@
 //
 // established says that the attempt had been established, and held how many connections and attempts the
 // server had until then.
-func (b *Balancer) scoreResult(s *server, result Result, established bool, held int) {
+func (b *Balancer) scoreResult(s *server, result Result, established bool, inFlight int) {
 	if result == OK || result == Cancelled || result == NotSent {
 		return
 	}
-	b.limitAfterFailure(s, result)
-	score := failureScore(result, established, held)
+	b.lowerLimitAfterFailure(s, result)
+	score := failureScore(result, established, inFlight)
 	if s.onProbation || s.awaitsConfirmation() && result != Rejected {
 		score = ejectionScore
 	}
@@ -70,7 +70,7 @@
 }
 
 // failureScore is what a result adds to the failure score of its server.
-func failureScore(result Result, established bool, held int) float64 {
+func failureScore(result Result, established bool, inFlight int) float64 {
 	switch result {
 	case Rejected:
 		return rejectedScore
@@ -80,7 +80,7 @@
 		return attemptFailedScore
 	case Reset:
 		if established {
-			return brokenConnectionsScore / float64(1+held)
+			return brokenConnectionsScore / float64(1+inFlight)
 		}
 		return attemptFailedScore
 	}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// isKnownHealthy reports whether this gateway has connections to a server and nothing speaks against it.
-func (b *Balancer) isKnownHealthy(s *server) bool {
+// isObservedHealthy reports whether this gateway has connections to a server and nothing speaks against it.
+func (b *Balancer) isObservedHealthy(s *server) bool {
 	return s.hasEstablished() && s.ejectedUntil == 0 && b.now >= s.pausedUntil
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -24,7 +24,7 @@
 	if len(logs) != 1 || !strings.Contains(logs[0].Message, "ended") {
 		t.Errorf("log lines at the end of the ejection: %+v", logs)
 	}
-	first := h.sendOnTrial("g", server)
+	first := h.requireSingleTrial("g", server)
 	h.handle(AttemptEnded{ID: first.ID, Server: server, Result: TimedOut, Elapsed: 300 * ms})
 	if h.balancer.servers[server].ejectedUntil == 0 {
 		t.Error("not ejected again after a failure on probation")
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -41,7 +41,7 @@
 	if s := b.unpolledEntry(r); s != nil {
 		return s
 	}
-	if b.shedsForFailures(r) {
+	if b.isShedForFailures(r) {
 		return nil
 	}
 	return b.search(r)
@@ -112,8 +112,8 @@
 		limitRatio: b.limitRatio(r),
 	}
 	p.fairShare = (1 + loadBoundRatio) * (b.totalLoad() + p.meanLoad) / b.totalWeight
-	p.onlyWarming = b.shedsForSlowness(r, p.limitRatio)
-	if r.Reconnecting && !b.isKnownHealthy(b.lookup(r, p.first)) {
+	p.onlyWarming = b.isShedForSlowness(r, p.limitRatio)
+	if r.Reconnecting && !b.isObservedHealthy(b.lookup(r, p.first)) {
 		p.first += 1 + int(mix(uint64(r.ID), keySeed)%reconnectSpread)
 	}
 	if p.onlyWarming || r.Group != "" {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -10,13 +10,13 @@
 	defaultRetryBudgetMin    = 10.0
 	maxRetryBudgetRatio      = 0.2
 
-	// drainGraceTenths is the part of the DrainGrace, in tenths, in which sends to a draining server still
-	// start.
-	drainGraceTenths = 9
+	// usableDrainGraceTenths is the part of the DrainGrace, in tenths, in which sends to a draining server
+	// still start.
+	usableDrainGraceTenths = 9
 
-	// setupObjectiveParts is the part of a request's time-out, as 1 / setupObjectiveParts, that an attempt
-	// has if its class states no objective.
-	setupObjectiveParts = 3
+	// defaultSetupObjectiveDivisor is the part of a request's time-out, as 1 / defaultSetupObjectiveDivisor,
+	// that an attempt has if its class states no objective.
+	defaultSetupObjectiveDivisor = 3
 )
 
 // dispatch disposes of a request that has no attempt in flight: it is sent, waits, or gets its final answer.
@@ -64,8 +64,8 @@
 // together.
 func (b *Balancer) answer(r *request) {
 	if b.mayReject(r) {
-		after := time.Duration((1 - b.random()/2) * float64(b.settings.MaxRetryAfter))
-		b.act(Reject{ID: r.ID, RetryAfter: after, ShedByFleet: b.isShedByFleet(r)})
+		retryAfter := time.Duration((1 - b.random()/2) * float64(b.settings.MaxRetryAfter))
+		b.act(Reject{ID: r.ID, RetryAfter: retryAfter, ShedByFleet: b.isShedByFleet(r)})
 	} else {
 		b.act(Fail{ID: r.ID})
 	}
@@ -104,15 +104,15 @@
 // the last attempt all that is left. One that is given up sooner was measured to be work lost at servers that
 // are busy with the set-ups of others.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
-	left := r.deadline - b.now
+	remaining := r.deadline - b.now
 	if r.attempts >= b.settings.MaxAttempts {
-		return left
+		return remaining
 	}
 	objective := b.class(r).SetupLatencyObjective
 	if objective == 0 {
-		objective = r.Timeout / setupObjectiveParts
+		objective = r.Timeout / defaultSetupObjectiveDivisor
 	}
-	return min(objective, left)
+	return min(objective, remaining)
 }
 
 // connectTimeout bounds the time until an attempt's connection is established; 0 is no bound. This prevents
@@ -133,7 +133,7 @@
 
 // usableDrainGrace is how long sends to a server may start after it has begun to drain.
 func (b *Balancer) usableDrainGrace() time.Duration {
-	return b.settings.DrainGrace * drainGraceTenths / 10
+	return b.settings.DrainGrace * usableDrainGraceTenths / 10
 }
 
 // retryBudget limits the retries of a time window.
@@ -164,7 +164,7 @@
 }
 
 func (b *Balancer) onAttemptEstablished(ev AttemptEstablished) {
-	r := b.requestOf(ev.ID, ev.Attempt, ev.Server)
+	r := b.requestForAttempt(ev.ID, ev.Attempt, ev.Server)
 	if r == nil || r.established {
 		return
 	}
@@ -177,7 +177,7 @@
 }
 
 func (b *Balancer) onAttemptEnded(ev AttemptEnded) {
-	r := b.requestOf(ev.ID, ev.Attempt, ev.Server)
+	r := b.requestForAttempt(ev.ID, ev.Attempt, ev.Server)
 	if r == nil {
 		return
 	}
@@ -198,8 +198,9 @@
 	b.dispatch(r)
 }
 
-// requestOf returns the request whose present attempt an event concerns, or nil if it is late or unknown.
-func (b *Balancer) requestOf(id RequestID, attempt int, server ServerID) *request {
+// requestForAttempt returns the request whose present attempt an event concerns, or nil if it is late or
+// unknown.
+func (b *Balancer) requestForAttempt(id RequestID, attempt int, server ServerID) *request {
 	r := b.requests[id]
 	if r == nil || r.server == nil || r.server.ID != server || attempt != r.attempts-1 {
 		return nil
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -67,9 +67,9 @@
 			b.classLoads[i] = mean.restore()
 		}
 	}
-	for _, k := range snapshot.Servers {
-		if s := b.servers[k.ID]; s != nil && s.Started == k.Started {
-			s.restore(b.now, k)
+	for _, saved := range snapshot.Servers {
+		if s := b.servers[saved.ID]; s != nil && s.Started == saved.Started {
+			s.restore(b.now, saved)
 		}
 	}
 	for _, s := range b.sortedServers {
@@ -98,15 +98,15 @@
 }
 
 // restore takes over what was learned of the same process. Nothing lasts longer than if it had begun now.
-func (s *server) restore(now time.Duration, k ServerSnapshot) {
-	if k.LoadLimit >= 0 && k.LoadLimit < maxLoadLimit {
-		s.loadLimit = k.LoadLimit
+func (s *server) restore(now time.Duration, saved ServerSnapshot) {
+	if saved.LoadLimit >= 0 && saved.LoadLimit < maxLoadLimit {
+		s.loadLimit = saved.LoadLimit
 	}
-	s.limitLoweredAt = min(k.LimitLoweredAt, now)
-	s.pausedUntil = min(k.PausedUntil, now+messageDelayTTL)
-	s.ejections = max(k.Ejections, 0)
-	s.ejectedUntil = min(k.EjectedUntil, now+baseEjectionDuration<<maxEjectionDoublings)
-	s.failureScore = decayingCounter{k.FailureScore, min(k.FailureScoreAt, now)}
+	s.limitLoweredAt = min(saved.LimitLoweredAt, now)
+	s.pausedUntil = min(saved.PausedUntil, now+messageDelayTTL)
+	s.ejections = max(saved.Ejections, 0)
+	s.ejectedUntil = min(saved.EjectedUntil, now+baseEjectionDuration<<maxEjectionDoublings)
+	s.failureScore = decayingCounter{saved.FailureScore, min(saved.FailureScoreAt, now)}
 }
 
 func (e *ewma) snapshot() WeightedMean { return WeightedMean{e.value, e.weight} }
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -85,11 +85,11 @@
 
 // trim drops the buckets that have left the window.
 func (w *slidingWindow) trim(now time.Duration) {
-	until := now - w.length
+	cutoff := now - w.length
 	if w.inclusive {
-		until--
+		cutoff--
 	}
-	for len(w.buckets) > 0 && w.buckets[0].last <= until {
+	for len(w.buckets) > 0 && w.buckets[0].last <= cutoff {
 		w.total -= w.buckets[0].count
 		w.buckets = w.buckets[1:]
 	}
