--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -41,7 +41,7 @@
 	if s := b.unpolledMidFlowServer(r); s != nil {
 		return s
 	}
-	if b.shedsForFailures(r) {
+	if b.isShedForFailures(r) {
 		return nil
 	}
 	return b.search(r)
@@ -113,8 +113,8 @@
 		limitRatio:  b.limitRatio(r),
 	}
 	p.boundPerCapacity = (1 + loadBoundRatio) * (b.totalLoad() + p.meanLoad) / b.totalWeight
-	p.warmingOnly = b.shedsForSlowness(r, p.limitRatio)
-	if r.Reconnecting && !b.isKnownHealthy(b.lookup(r, p.firstLookup)) {
+	p.warmingOnly = b.isShedForSlowness(r, p.limitRatio)
+	if r.Reconnecting && !b.isObservedHealthy(b.lookup(r, p.firstLookup)) {
 		p.firstLookup += 1 + int(mix(uint64(r.ID), keySeed)%reconnectLookups)
 	}
 	if p.warmingOnly || r.Group != "" {
