--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Action is an output of a Balancer, to be carried out by its host. The concrete types are those below.
+// Action is an output of a Balancer, which its host carries out. The concrete types are those below.
 type Action interface{ action() }
 
 type (
@@ -14,30 +14,30 @@
 	Send struct {
 		ID      RequestID
 		Server  ServerID
-		Timeout time.Duration // of the attempt; 0: until the client gives up
-		// ConnectTimeout bounds the time until the connection is established: one that is established later
-		// must carry nothing, as by then the server may drain, or the time to repeat the request be over. 0:
-		// no bound.
+		Timeout time.Duration // of the attempt; zero means until the client gives up
+		// ConnectTimeout bounds the time until the connection is established. Nothing may be sent over a
+		// connection that is established later, because the server may be draining by then, or the dedup
+		// window may have passed. Zero means no bound.
 		ConnectTimeout time.Duration
 	}
 
-	// Reject is a final answer: the request was not done, and a retry is harmless.
+	// Reject is a final answer that tells the client that it may safely retry.
 	Reject struct {
 		ID          RequestID
-		RetryAfter  time.Duration // 0: not stated
-		ShedByFleet bool          // by the FleetShedLevel, not for want of capacity here
+		RetryAfter  time.Duration // zero means that none is stated
+		ShedByFleet bool          // the FleetShedLevel caused it, not a lack of capacity at this gateway
 	}
 
-	// Fail is a final answer that leaves open whether the request was done.
+	// Fail is a final answer that does not tell whether the request was processed.
 	Fail struct{ ID RequestID }
 
 	// Migrate ends an open connection gracefully; its client reconnects with a new request.
 	Migrate struct{ ID RequestID }
 
-	// PollLoad asks a server for its load. A LoadReport answers it, or nothing does.
+	// PollLoad asks a server for its load. The host reports the answer as a LoadReport, if there is one.
 	PollLoad struct{ Server ServerID }
 
-	// SetTimer asks for a TimerFired after the given time.
+	// SetTimer asks the host for a TimerFired with the same Ref after the given time.
 	SetTimer struct {
 		After time.Duration
 		Ref   int64
@@ -45,7 +45,7 @@
 
 	// Log adds a line to the gateway's log.
 	Log struct {
-		Message string // a constant
+		Message string // a constant; values are in Attrs
 		Attrs   []slog.Attr
 	}
 )
@@ -58,7 +58,7 @@
 func (SetTimer) action() {}
 func (Log) action()      {}
 
-// String returns the line as text: the message, then key=value for each attribute.
+// String returns the message, followed by key=value for each attribute.
 func (l Log) String() string {
 	var text strings.Builder
 	text.WriteString(l.Message)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,89 +7,96 @@
 	"time"
 )
 
-// Idempotency states what repeating a request of a class may do.
+// Idempotency states whether a request of a class may be repeated.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent         Idempotency = iota // may be repeated and rejected freely
-	WithIdempotencyKey                    // repeats are discarded within a DedupScope, for a DedupWindow
-	NonIdempotent                         // may be repeated or rejected only if no attempt ran
+	Idempotent         Idempotency = iota // may always be repeated and rejected
+	WithIdempotencyKey                    // servers of a DedupScope discard repeats during the DedupWindow
+	NonIdempotent                         // may be repeated or rejected only if no attempt has run
 )
 
-// DedupScope is the set of servers that discard each other's repeats of a request with an idempotency key.
+// DedupScope is the set of servers that share their record of idempotency keys. A server discards a request
+// whose key any server of its scope has seen within the DedupWindow.
 type DedupScope int
 
 // The deduplication scopes.
 const (
-	DedupScopeAll DedupScope = iota
-	DedupScopeZone
-	DedupScopeCell
+	DedupScopeAll  DedupScope = iota // all servers
+	DedupScopeZone                   // the servers of one zone
+	DedupScopeCell                   // the servers of one cell
 )
 
-// Class is one class of requests. Zero values have the stated meaning.
+// Class holds the properties of one class of requests.
 type Class struct {
-	Name                    string
-	Idempotency             Idempotency
-	DedupScope              DedupScope    // for WithIdempotencyKey
-	DedupWindow             time.Duration // for WithIdempotencyKey: how long repeats are recognised
-	PriorityWeight          float64       // value of a connection beside other classes'; 0 is taken as 1
-	SetupLatencyObjective   time.Duration // 0 is taken as a third of the request's Timeout
-	Timeout                 time.Duration // after which its clients give up; 0: each request states its own
-	MessageLatencyObjective time.Duration // 0: none stated
+	Name        string
+	Idempotency Idempotency
+
+	// DedupScope and DedupWindow apply to WithIdempotencyKey only. DedupWindow is how long after the first
+	// attempt the servers of the scope recognise repeats.
+	DedupScope  DedupScope
+	DedupWindow time.Duration
+
+	PriorityWeight          float64       // value of one connection relative to other classes; defaults to 1
+	SetupLatencyObjective   time.Duration // defaults to a third of the request's Timeout
+	Timeout                 time.Duration // how long clients wait; zero means that each request states it
+	MessageLatencyObjective time.Duration // zero means no objective
 }
 
 // Tenant is one of the customers that share the service.
 type Tenant struct {
 	Name            string
-	ConnectionQuota float64 // open connections, all gateways together; 0: no quota
+	ConnectionQuota float64 // open connections at all gateways together; zero means no quota
 }
 
-// Settings are what a gateway is configured with at its start. Zero values have the stated meaning.
+// Settings holds the configuration of a gateway's Balancer, which is fixed at its start.
 type Settings struct {
-	Seed     uint64 // this gateway's own; for jitter only, never for placement
-	Gateways int    // gateways that share the load; 0 is taken as 1
+	Seed     uint64 // seed of this gateway's jitter; placement never depends on it
+	Gateways int    // number of gateways that share the load; defaults to 1
 	Classes  []Class
 	Tenants  []Tenant
 
-	OverQuotaWeightFactor float64       // part of the PriorityWeight left above a tenant's quota; 0: all
-	MaxAttempts           int           // attempts for one request; 0 is taken as 1
-	MaxRetryAfter         time.Duration // longest Retry-After that clients follow; 0: none is given
+	OverQuotaWeightFactor float64       // PriorityWeight is multiplied by it above a quota; zero means 1
+	MaxAttempts           int           // attempts for one request, the first included; defaults to 1
+	MaxRetryAfter         time.Duration // longest Retry-After that clients follow; zero means none is sent
 	CanPollLoad           bool          // servers answer PollLoad with a LoadReport
 
-	FlowRetention     time.Duration // for which servers keep connections whose packets stopped; 0: not at all
-	DrainGrace        time.Duration // sends to a draining or removed server must stop within this
-	RemovalIsAdvisory bool          // servers listed as removed may still be sent to; only draining binds
+	// FlowRetention is how long servers keep a connection after its packets have stopped arriving. Zero means
+	// that they do not keep it.
+	FlowRetention     time.Duration
+	DrainGrace        time.Duration // time after which nothing may be sent to a draining or removed server
+	RemovalIsAdvisory bool          // servers listed as removed may still be sent to; draining always binds
 
-	// A server whose process has started has its whole capacity after WarmupDuration; 0: at once. Until then
-	// it fails if it is sent more than ColdOverloadFactor times its capacity for ColdOverloadDuration, of
-	// which 0 is taken as a second.
+	// WarmupDuration is the time after its start in which a server's process reaches its full capacity. Zero
+	// means that it has full capacity at once. A server that is warming up fails if it is sent more than
+	// ColdOverloadFactor times its capacity for ColdOverloadDuration, which defaults to one second.
 	WarmupDuration       time.Duration
 	ColdOverloadFactor   float64
 	ColdOverloadDuration time.Duration
 
-	// In each RetryBudgetWindow RetryBudgetMin retries are allowed, and RetryBudgetRatio more for each
-	// request. A window of 0 stands for the balancer's own budget.
+	// Within any RetryBudgetWindow, RetryBudgetMin retries are allowed, plus RetryBudgetRatio retries for
+	// each request of the window. A RetryBudgetWindow of zero means the default retry budget.
 	RetryBudgetWindow time.Duration
 	RetryBudgetMin    float64
 	RetryBudgetRatio  float64
 }
 
-// SettingError names a setting that a Balancer cannot work with. It is mended in the configuration.
+// SettingError reports a setting that is out of range. The operator has to correct the configuration.
 type SettingError struct {
-	Setting string // the field of Settings, or the class
+	Setting string // name of the field of Settings, or of the class
 	Problem string
 }
 
 func (e *SettingError) Error() string { return "balancer: " + e.Setting + " " + e.Problem }
 
-// defaultColdOverloadDuration is the meaning of a ColdOverloadDuration of 0.
+// defaultColdOverloadDuration applies if ColdOverloadDuration is zero.
 const defaultColdOverloadDuration = time.Second
 
-// defaultPriorityWeight is the meaning of a PriorityWeight of 0.
+// defaultPriorityWeight applies if a class's PriorityWeight is zero.
 const defaultPriorityWeight = 1
 
-// validate returns a SettingError for the first setting that is out of range.
+// validate returns a *SettingError for the first setting that is out of range, or nil.
 func (s *Settings) validate() error {
 	for _, f := range []struct {
 		name  string
@@ -107,25 +114,25 @@
 		{"OverQuotaWeightFactor", s.OverQuotaWeightFactor},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
-			return &SettingError{f.name, fmt.Sprintf("is %v, not a finite number of 0 or more", f.value)}
+			return &SettingError{f.name, fmt.Sprintf("is %v, want a finite number of 0 or more", f.value)}
 		}
 	}
 	names := make(map[string]bool, len(s.Classes))
 	for _, c := range s.Classes {
 		if names[c.Name] {
-			return &SettingError{fmt.Sprintf("class %q", c.Name), "is given twice"}
+			return &SettingError{fmt.Sprintf("class %q", c.Name), "is configured more than once"}
 		}
 		names[c.Name] = true
 		if c.SetupLatencyObjective < 0 || c.Timeout < 0 || c.DedupWindow < 0 ||
 			c.MessageLatencyObjective < 0 || c.PriorityWeight < 0 {
-			return &SettingError{fmt.Sprintf("class %q", c.Name), "has a negative number"}
+			return &SettingError{fmt.Sprintf("class %q", c.Name), "has a negative weight or duration"}
 		}
 	}
 	return nil
 }
 
-// withDefaults returns the settings with zero values replaced by what they mean. A last class is added, of
-// the strictest kind, for requests that no class describes.
+// withDefaults returns the settings with zero values replaced by their defaults. It appends a non-idempotent
+// class, the strictest kind, which applies to requests of unknown classes.
 func (s Settings) withDefaults() Settings {
 	s.Gateways = max(s.Gateways, 1)
 	s.MaxAttempts = max(s.MaxAttempts, 1)
@@ -141,5 +148,5 @@
 	return s
 }
 
-// configuredClasses are the classes of the settings as given, without the added one.
+// configuredClasses returns the configured classes, without the one that withDefaults appends.
 func (s *Settings) configuredClasses() []Class { return s.Classes[:len(s.Classes)-1] }
