--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,15 +1,16 @@
-// Package balancer makes the decisions of a gateway that balances long-lived connections: events go in,
-// actions come out.
+// Package balancer decides for a gateway which server each long-lived connection goes to. A Balancer takes
+// events and returns the actions that its host has to carry out.
 //
-// Every gateway builds the same Maglev table from the endpoint list and places a connection at the entry of
-// its key's hash, so gateways agree without shared state. Where that server cannot or should not serve,
-// further lookups of the same key in the same table give alternates. Servers that fail are ejected for a
-// time, slow servers get a load limit and lose connections, servers that have just started are sent no more
-// than a budget, and requests that exceed the capacity of all are rejected, by priority.
+// Every gateway builds the same Maglev table from the endpoint list and places a connection by a hash of its
+// group or key, so gateways agree without shared state. If the server found cannot or should not serve the
+// connection, further lookups of the same key in the same table give alternates. Servers that fail are
+// ejected for a limited time. Slow servers get a load limit, and some of their connections are migrated.
+// Servers that have just started are sent connections within a warm-up budget. Requests that exceed the
+// capacity of all servers are rejected by priority.
 //
-// A Balancer does no I/O, reads no clock, starts no goroutine and keeps no global state: the same events give
-// the same actions. Its host owns it, calls it from one goroutine at a time, passes the time with each event
-// and carries out the actions.
+// A Balancer performs no I/O, reads no clock, starts no goroutine and keeps no global state, so the same
+// events always give the same actions. Its host owns it, calls it from one goroutine at a time, passes the
+// time with each event and carries out the actions.
 package balancer
 
 import (
@@ -17,14 +18,14 @@
 	"time"
 )
 
-// sweepInterval is the time between two sweeps, which do what is due at a time rather than by an event:
-// ejections end, load limits grow, connections migrate.
+// sweepInterval is the time between two sweeps. A sweep does the work that depends on time instead of an
+// event: it ends ejections, raises load limits and migrates connections.
 const sweepInterval = 250 * time.Millisecond
 
-// References of timers.
+// Values of SetTimer.Ref.
 const (
-	sweepTimer = 1 // the next sweep
-	waitTimer  = 2 // a request has waited long enough
+	sweepTimer = 1 // the next sweep is due
+	waitTimer  = 2 // the wait of a request is over
 )
 
 // Balancer makes the decisions of one gateway. It is not safe for concurrent use.
@@ -32,18 +33,18 @@
 	settings         Settings
 	classIndex       map[string]int // index into settings.Classes by name
 	tenantIndex      map[string]int // index into settings.Tenants by name
-	messageObjective time.Duration  // shortest MessageLatencyObjective of all classes; 0: none stated
+	messageObjective time.Duration  // shortest MessageLatencyObjective of all classes; zero means none
 
 	now         time.Duration
 	started     bool
-	startedAt   time.Duration // the first event
-	actions     []Action      // answers to the present event
+	startedAt   time.Duration // time of the first event
+	actions     []Action      // actions for the current event
 	randomState uint64
 
 	// The endpoint list.
 	servers        map[ServerID]*server
-	sortedServers  []*server // every server of servers, by id
-	hasList        bool      // a list has come
+	sortedServers  []*server // the values of servers, sorted by ID
+	hasList        bool      // a list has been received
 	lastEvictionAt time.Duration
 
 	// The lookup table.
@@ -51,37 +52,37 @@
 	tableIsStale bool // the list has changed since the table was built
 	tableWeights []weightedServer
 	tableServers []*server // the servers of tableWeights
-	totalWeight  float64   // the sum of their capacities
+	totalWeight  float64   // the sum of tableWeights
 	pastTables   []pastTable
 
 	// Requests.
 	requests map[RequestID]*request
-	waiting  []*request // for the first list or a load report, in order of arrival
+	waiting  []*request // requests that wait for the first list or a load report, in order of arrival
 
-	// Connections and their loads. Connections include attempts that are not established yet.
+	// Connections and their loads. Attempts that are not established yet count as connections.
 	connections        int
 	groupConnections   map[string]int
-	tenantConnections  []float64 // by index of the tenant
+	tenantConnections  []float64 // by index into settings.Tenants
 	load               loadSum
-	classMeanLoads     []ewma // known loads of connections by class
-	overallMeanLoad    ewma   // and of all classes together
-	connectionCapacity ewma   // connections that a warm server of weight 1 can hold, by load reports
+	classMeanLoads     []ewma // mean of the known loads of connections, by class
+	overallMeanLoad    ewma   // mean of the known loads of connections of all classes
+	connectionCapacity ewma   // connections that a warm server of capacity 1 can hold, by load reports
 
 	// Rates.
-	requestWindow     slidingWindow   // requests
-	retryWindow       slidingWindow   // attempts after each request's first
+	requestWindow     slidingWindow   // requests, for the retry budget
+	retryWindow       slidingWindow   // attempts after the first of a request, for the retry budget
 	recentRequests    decayingCounter // requests
 	recentEstablished decayingCounter // attempts that were established
 	recentFailures    decayingCounter // attempts that timed out or ended in an error
 
 	// Overload.
 	fleetShedLevel    float64
-	slowRatio         float64       // part of the connections that are on slow servers
-	isShedding        bool          // as last logged
-	capacitySampledAt time.Duration // when a server was last polled for capacity to migrate to
+	slowRatio         float64       // fraction of the connections that are at slow servers
+	isShedding        bool          // this gateway sheds load, as last logged
+	capacitySampledAt time.Duration // when a server was last polled to find capacity for migrations
 }
 
-// New returns a Balancer, or a *SettingError that names the setting it cannot work with.
+// New returns a Balancer with the given settings. If a setting is out of range, New returns a *SettingError.
 func New(settings Settings) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -114,8 +115,9 @@
 	return b, nil
 }
 
-// Handle takes one event and returns the actions that answer it, valid until the next call. now is the time
-// on the event clock; a time before that of the last event is taken as that time.
+// Handle processes one event and returns the actions to carry out. The returned slice is valid until the next
+// call. now is the time on the event clock. A time before that of an earlier event counts as the latest time
+// that was passed.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = b.actions[:0]
@@ -151,7 +153,7 @@
 	return b.actions
 }
 
-// ensureStarted sets the first timer of the sweeps with the first event.
+// ensureStarted sets the timer of the first sweep when the first event is handled.
 func (b *Balancer) ensureStarted() {
 	if b.started {
 		return
@@ -167,20 +169,20 @@
 	b.dispatchWaiting()
 }
 
-// sweep does what has become due since the last sweep.
+// sweep does the work that has become due since the last sweep, and sets the timer of the next one.
 func (b *Balancer) sweep() {
 	b.emit(SetTimer{After: sweepInterval, Ref: sweepTimer})
-	onSlowServers := 0
+	slowConnections := 0
 	for _, s := range b.sortedServers {
 		if b.now < s.pausedUntil {
-			onSlowServers += len(s.inFlight)
+			slowConnections += len(s.inFlight)
 		}
 		b.endEjection(s)
 		b.growLoadLimit(s)
 		b.migrateFrom(s)
 	}
 	b.evictRemovedServers()
-	b.slowRatio = float64(onSlowServers) / float64(max(b.connections, 1))
+	b.slowRatio = float64(slowConnections) / float64(max(b.connections, 1))
 	b.logShedding()
 }
 
@@ -188,7 +190,7 @@
 
 func (b *Balancer) log(message string, attrs ...slog.Attr) { b.emit(Log{message, attrs}) }
 
-// random returns this gateway's next random number in [0, 1), for jitter.
+// random returns the next pseudo-random number in [0, 1) of this gateway. It is used for jitter only.
 func (b *Balancer) random() float64 {
 	b.randomState = mix(b.randomState, keySeed)
 	return fraction(b.randomState)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -9,45 +9,45 @@
 	// firstListTimeout is how long a request waits for the first endpoint list.
 	firstListTimeout = 500 * time.Millisecond
 
-	// answerMargin is how long before its deadline a request is answered.
+	// answerMargin is how long before its deadline a request gets its final answer at the latest.
 	answerMargin = 20 * time.Millisecond
 )
 
-// request is a request that is waiting, has an attempt in flight or an open connection.
+// request holds the state of a request that is waiting, has an attempt in flight or has an open connection.
 type request struct {
 	Request
 	classIndex    int
-	placementHash uint64 // hash of what places it
-	clientHash    uint64 // hash of what distinguishes its client from the others of its group
+	placementHash uint64 // hash of the group, or of the client if there is none; decides the placement
+	clientHash    uint64 // hash of the client, which distinguishes it from the others of its group
 	deadline      time.Duration
 
-	waitUntil     time.Duration // 0: it never waited
-	polledServers []*server     // whose load reports it waits for
-	pollRounds    int           // how often it waited for load reports
+	waitUntil     time.Duration // end of the current or last wait; zero means that it has not waited
+	polledServers []*server     // servers whose load reports the request waits for
+	pollRounds    int           // how often the request has waited for load reports
 
 	attempts     int
 	triedServers []ServerID
-	server       *server       // of the attempt in flight
-	sentAt       time.Duration // its last attempt
-	established  bool
-	finished     bool // answered, or its client disconnected
-	load         float64
-
-	mayHaveRun bool          // an attempt may have run
-	firstRanOn *server       // of the first such attempt
-	firstRanAt time.Duration // when it was sent
+	server       *server       // server of the attempt in flight; nil if there is none
+	sentAt       time.Duration // when the last attempt was sent
+	established  bool          // the connection of the attempt in flight is established
+	finished     bool          // the request is answered or migrated, or its client has disconnected
+	load         float64       // load of the connection, in microseconds of work per second; zero: unknown
+
+	mayHaveRun bool          // a server may have processed an attempt
+	firstRanOn *server       // server of the first such attempt
+	firstRanAt time.Duration // when the first such attempt was sent
 }
 
-// Purposes of a client's fraction that concern no server.
+// Purposes of a client's fraction that do not depend on a server.
 const (
-	groupShardPurpose = iota // choice of a shard of the client's group
+	groupShardPurpose = iota // choice of the client's shard of its group
 	shedPurpose              // shedding by this gateway
 	fleetShedPurpose         // shedding by the fleet
 )
 
-// clientFraction is a number in [0, 1) that every gateway computes alike for a client and a purpose, which is
-// one of the above or a server's id. Where a fraction of the clients is to be taken, it decides which those
-// are.
+// clientFraction returns a number in [0, 1) that depends only on the client and the purpose, so that all
+// gateways compute the same one. The purpose is one of the constants above or a server's ID. Where a decision
+// applies to a fraction of the clients, it applies to those whose number is below that fraction.
 func (r *request) clientFraction(purpose uint64) float64 { return fraction(mix(r.clientHash, purpose)) }
 
 // isFirstMidFlowAttempt reports whether the next attempt is the first one of a mid-flow request.
@@ -64,10 +64,11 @@
 	return r
 }
 
-// requestHashes returns the hash that places a request, of its group or else its client, and the one that
-// distinguishes its client from others.
+// requestHashes returns the placement hash and the client hash of a request. The placement hash is that of
+// the group, or the client hash if the request has no group. A request without a key takes its group's hash
+// as its client hash.
 func requestHashes(ev Request) (placement, client uint64) {
-	client = mix(uint64(ev.ID), keySeed) // without a key there is nothing that gateways could agree on
+	client = mix(uint64(ev.ID), keySeed) // without key and group, gateways have nothing to agree on
 	if ev.Key != "" {
 		client = hashKey(ev.Key)
 	}
@@ -95,7 +96,7 @@
 	b.dispatch(b.newRequest(ev))
 }
 
-// onAdoptedConnection accounts for a connection that is older than this Balancer.
+// onAdoptedConnection accounts for a connection that was opened before this Balancer was started.
 func (b *Balancer) onAdoptedConnection(ev AdoptedConnection) {
 	s := b.servers[ev.Server]
 	if s == nil || b.requests[ev.ID] != nil {
@@ -113,8 +114,8 @@
 	}
 }
 
-// finish notes that a request is owed no answer any more, and forgets it unless an attempt is still in
-// flight.
+// finish records that a request needs no answer any more. It deletes the request unless an attempt is still
+// in flight.
 func (b *Balancer) finish(r *request) {
 	r.finished = true
 	if r.server == nil {
@@ -122,8 +123,9 @@
 	}
 }
 
-// waitOrAnswer disposes of a request that no server may take now. Only the first list is waited for: whatever
-// else keeps a request out lasts longer than a client should wait.
+// waitOrAnswer handles a request for which no server is available: the request waits for the first endpoint
+// list, or gets its final answer. It does not wait for anything else here, as any other obstacle lasts longer
+// than a client should wait.
 func (b *Balancer) waitOrAnswer(r *request) {
 	if b.hasList || r.waitUntil > 0 && b.now >= r.waitUntil {
 		b.answer(r)
@@ -137,7 +139,7 @@
 	}
 }
 
-// dispatchWaiting dispatches the waiting requests again. Those stay that wait for load reports.
+// dispatchWaiting dispatches the waiting requests again, except those that still wait for load reports.
 func (b *Balancer) dispatchWaiting() {
 	waiting := b.waiting
 	b.waiting = nil
@@ -153,7 +155,7 @@
 	}
 }
 
-// capDeadlines lets no request wait past the end of the program.
+// capDeadlines limits the deadline and the wait of every request to the end of the process.
 func (b *Balancer) capDeadlines(end time.Duration) {
 	for _, r := range b.requests {
 		r.deadline, r.waitUntil = min(r.deadline, end), min(r.waitUntil, end-answerMargin)
