--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -52,7 +52,7 @@
 	tableIsStale bool // the list has changed since the table was built
 	tableWeights []weightedServer
 	tableServers []*server // the servers of tableWeights
-	totalWeight  float64   // the sum of tableWeights
+	totalWeight  float64   // the sum of tableWeights, at least minTotalWeight
 	pastTables   []pastTable
 
 	// Requests.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -9,77 +9,77 @@
 )
 
 const (
-	// removedServerRetention is how long a removed server that holds nothing is remembered, so that a fleet
-	// whose machines get new ids does not grow the memory.
+	// removedServerRetention is how long the record of a removed server without connections is kept. The
+	// limit bounds the memory in a fleet whose machines get new IDs.
 	removedServerRetention = 10 * time.Minute
 
-	// evictionInterval is the least time between two searches for servers to forget, which pass over all
-	// servers.
+	// evictionInterval is the minimum time between two evictions, as each one iterates over all servers.
 	evictionInterval = removedServerRetention / 10
 )
 
-// server is what is known of a server: its entry in the endpoint list and what was observed of its process.
+// server holds what the Balancer knows of a server: its entry in the endpoint list and what was observed of
+// its process.
 type server struct {
 	Server
-	unavailableSince   time.Duration // when it was learned that it drains or is removed
-	hasDrained         bool          // listed as draining since its process started
-	removalSuspectedAt time.Duration // listed as removed since then, which is unconfirmed; 0: not suspected
-	confirmedAlive     bool          // and yet it had an established connection then or since
+	unavailableSince   time.Duration // when it became known as draining or removed
+	hasDrained         bool          // it was listed as draining since its process started
+	removalSuspectedAt time.Duration // since when its removal is suspected; zero means that it is not
+	confirmedAlive     bool          // it had an established connection when suspected or later
 
-	inFlight         []*request // connections, and attempts that are not established yet
-	pendingAttempts  int        // of these, attempts that are not established yet
+	inFlight         []*request // connections, including attempts that are not established yet
+	pendingAttempts  int        // number of attempts in inFlight that are not established yet
 	groupConnections map[string]int
 	load             loadSum
 
 	failureScore decayingCounter
-	ejections    int           // since its process started
-	ejectedUntil time.Duration // 0: not ejected
-	onProbation  bool          // back from ejection; one attempt at a time until one is established
-	trialDueAt   time.Duration // reinstated and not yet sent to: to be tried from then on; 0: no trial due
+	ejections    int           // number of ejections since its process started
+	ejectedUntil time.Duration // zero means not ejected
+	onProbation  bool          // its ejection is over and no attempt was established since
+	trialDueAt   time.Duration // reinstated: from when on it is sent one trial; zero means no trial is due
 
 	messageDelay   time.Duration // as last reported
 	messageDelayAt time.Duration
-	pausedUntil    time.Duration // it is given nothing new before
-	loadLimit      float64       // load from this gateway that it is held to take; 0: no limit known
+	pausedUntil    time.Duration // it counts as slow and is to be sent nothing new until then
+	loadLimit      float64       // load from this gateway that it can take; zero means no known limit
 	limitLoweredAt time.Duration
 
-	migrationCredit float64 // connections that may migrate and have not yet
+	migrationCredit float64 // number of connections that are still due to be migrated off it
 
 	utilization              float64       // as last reported
-	reportedAt               time.Duration // 0: never
-	utilizationPerConnection float64       // utilization by one connection, by the last report; 0: unknown
-	polledAt                 time.Duration // 0: never
-	attemptsSinceReport      int           // attempts
+	reportedAt               time.Duration // zero means never
+	utilizationPerConnection float64       // utilization by one connection; zero means unknown
+	polledAt                 time.Duration // zero means never
+	attemptsSinceReport      int           // attempts sent to it since the last report
 
-	warmupLookups    decayingCounter // lookups that gave it while it was warming up
-	lastWarmupSendAt time.Duration   // when it was last sent a connection on its warm-up budget
+	warmupLookups    decayingCounter // lookups that led to it while it was warming up
+	lastWarmupSendAt time.Duration   // when it was last sent a connection within its warm-up budget
 }
 
 func compareServerIDs(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
 
-// IsEjected reports whether the Balancer keeps a server out of use for its failures.
+// IsEjected reports whether a server is ejected for its failures.
 func (b *Balancer) IsEjected(id ServerID) bool {
 	s := b.servers[id]
 	return s != nil && s.ejectedUntil > 0
 }
 
 func (b *Balancer) onEndpointList(ev EndpointList) {
-	suspected := b.countSuspectedRemovals()
+	suspectedBefore := b.countSuspectedRemovals()
 	if ev.Mode != ListDelta {
 		b.removeUnlisted(ev.Servers)
 	}
 	for _, entry := range ev.Servers {
 		b.updateServer(entry)
 	}
-	if n := b.countSuspectedRemovals(); n > suspected {
-		b.log("removals suspected", slog.Int("servers", n-suspected))
+	if suspected := b.countSuspectedRemovals(); suspected > suspectedBefore {
+		b.log("removals suspected", slog.Int("servers", suspected-suspectedBefore))
 	}
 	b.hasList = b.hasList || ev.Mode == ListComplete || len(ev.Servers) > 0
 	b.tableIsStale = true
 	b.dispatchWaiting()
 }
 
-// removeUnlisted takes the servers that a whole list leaves out for listed as removed.
+// removeUnlisted treats the servers that a complete list leaves out as listed as removed.
 func (b *Balancer) removeUnlisted(list []Server) {
 	listed := make(map[ServerID]bool, len(list))
 	for _, entry := range list {
@@ -92,7 +92,8 @@
 	}
 }
 
-// updateServer takes over an entry of the list.
+// updateServer applies an entry of the list. A capacity that is not positive and finite counts as 1, and an
+// entry without a zone keeps the known zone.
 func (b *Balancer) updateServer(entry Server) {
 	if !(entry.Capacity > 0) || math.IsInf(entry.Capacity, 1) {
 		entry.Capacity = 1
@@ -119,7 +120,7 @@
 		groupConnections: map[string]int{},
 		unavailableSince: b.now,
 	}
-	if entry.State != Removed { // one first listed as removed is not suspected but was never there
+	if entry.State != Removed { // a server that is new and listed as removed is removed, not suspected
 		s.State = Ready
 	}
 	b.servers[entry.ID] = s
@@ -128,20 +129,23 @@
 	return s
 }
 
-// resetHealth forgets what was learned of a server's process.
+// resetHealth discards what was observed of a server's process, as after its restart.
 func (s *server) resetHealth() {
 	s.hasDrained, s.onProbation = false, false
 	s.failureScore, s.ejectedUntil, s.ejections = decayingCounter{}, 0, 0
 	s.loadLimit, s.pausedUntil = 0, 0
 }
 
-// setState follows the list. If removal is advisory, a server that is listed as removed, or left out, is only
-// suspected to be: it keeps its slots in the table, as its own connections and results tell more. One
-// established connection and it serves as before; until then one attempt at a time may try it, and the first
-// failure confirms the removal, as does an ejection at that time. This protects from lists that are wrong,
-// empty or stale, and spares the table a second change when the correct one comes. It costs an attempt if the
-// server is gone and no connection showed that. Draining binds until the next start, whatever a stale list
-// says later.
+// setState applies the state of a server in the list.
+//
+// If removal is advisory, a ready server that is listed as removed, or left out, is only suspected to be
+// removed. It keeps its slots in the table, because its connections and the results of its attempts are
+// better evidence than the list. Once it has an established connection, it serves as before. Until then only
+// one attempt at a time is sent to it. The first failure confirms the removal, and so does an ejection. This
+// guards against lists that are wrong, empty or stale, and avoids a second change of the table when the
+// correct list arrives. It costs one attempt if the server is gone and no connection has shown that.
+//
+// Draining is final until the server's process restarts, whatever a stale list says later.
 func (b *Balancer) setState(s *server, state ServerState) {
 	if b.settings.RemovalIsAdvisory {
 		switch {
@@ -152,8 +156,8 @@
 			return
 		}
 	}
-	leaves := state != Ready && s.State == Ready
-	if leaves || b.settings.RemovalIsAdvisory && state == Draining && !s.hasDrained {
+	becomesUnavailable := state != Ready && s.State == Ready
+	if becomesUnavailable || b.settings.RemovalIsAdvisory && state == Draining && !s.hasDrained {
 		s.unavailableSince = b.now
 	}
 	s.hasDrained = s.hasDrained && state != Ready || state == Draining
@@ -166,14 +170,14 @@
 	}
 }
 
-// confirmRemoval takes a server that is suspected to be removed for removed.
+// confirmRemoval marks a server whose removal was suspected as removed.
 func (b *Balancer) confirmRemoval(s *server) {
 	s.State, s.unavailableSince, s.removalSuspectedAt = Removed, b.now, 0
 	b.tableIsStale = true
 	b.log("removal confirmed", serverAttr(s))
 }
 
-// countSuspectedRemovals is the number of servers that are suspected to be removed.
+// countSuspectedRemovals returns the number of servers that are suspected to be removed.
 func (b *Balancer) countSuspectedRemovals() (n int) {
 	for _, s := range b.sortedServers {
 		if s.removalSuspectedAt > 0 {
@@ -183,10 +187,11 @@
 	return n
 }
 
-// awaitsConfirmation reports whether a server is suspected to be removed and nothing showed that it serves.
+// awaitsConfirmation reports whether a server is suspected to be removed and no established connection has
+// shown that it still serves.
 func (s *server) awaitsConfirmation() bool { return s.removalSuspectedAt > 0 && !s.confirmedAlive }
 
-// hasEstablishedConnection reports whether this gateway has an established connection to a server.
+// hasEstablishedConnection reports whether this gateway has an established connection to the server.
 func (s *server) hasEstablishedConnection() bool { return len(s.inFlight) > s.pendingAttempts }
 
 // evictRemovedServers deletes the records of servers that were removed long ago and have no connections. The
--- a/balancer/lookup.go
+++ b/balancer/lookup.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	// maxPastTables bounds the tables that are kept for mid-flow requests.
+	// maxPastTables is the maximum number of past tables, which are kept for mid-flow requests.
 	maxPastTables = 2
 
-	// minTotalWeight stands for the sum of capacities while no server is in the table, as before any
-	// placement.
+	// minTotalWeight is used as the sum of weights while the table has no servers, as before the first
+	// placement. It avoids a division by zero.
 	minTotalWeight = 1e-9
 
-	// groupPriorRatio is the part of all connections that a group is guessed to have, and groupPriorWeight
-	// the number of connections seen that outweighs the guess.
+	// groupPriorRatio is the prior estimate of the fraction of all connections that belong to one group.
+	// groupPriorWeight is the weight of this estimate, in observed connections.
 	groupPriorRatio  = 0.05
 	groupPriorWeight = 2.0
 )
 
-// pastTable is a table that was replaced, which mid-flow requests may still have been placed by. It holds the
-// ids of its servers, since a server may be evicted, and listed again, while the table is valid.
+// pastTable is a table that was replaced. The connections of mid-flow requests may have been placed by it. It
+// holds the IDs of its servers instead of their records, since a server may be evicted and listed again while
+// the past table is valid.
 type pastTable struct {
 	table     table
-	servers   []ServerID
+	servers   []ServerID // the IDs that the indexes of table refer to
 	expiresAt time.Duration
 }
 
-// pastServer returns the server where the ordinary placement of a request was; nil: it was evicted since.
+// pastServer returns the server at which a past table placed a request, or nil if it has been evicted.
 func (b *Balancer) pastServer(p pastTable, r *request) *server {
 	return b.servers[p.servers[p.table.at(r.placementHash, 0)]]
 }
 
-// refreshTable builds the table anew if the list has changed since, and keeps the one before for mid-flow
-// requests. It is called by the next placement and not with the list, since most changes of a list come in a
-// run and a gateway among many places few connections between them.
+// refreshTable rebuilds the table if the list has changed since it was built, and keeps the previous table
+// for mid-flow requests. It is called by the next placement and not when a list arrives, since lists mostly
+// change several times in a row, and one of many gateways places few connections in between.
 func (b *Balancer) refreshTable() {
 	if !b.tableIsStale {
 		return
@@ -51,8 +52,8 @@
 		}
 	}
 	if slices.Equal(weights, b.tableWeights) {
-		b.tableServers = servers // a server that was evicted and listed again has another record
-		return                   // nothing that the table's entries depend on has changed
+		b.tableServers = servers // a server that was evicted and listed again has a new record
+		return                   // the table depends on the weights only
 	}
 	b.keepPastTable()
 	b.table, b.tableWeights, b.tableServers = buildTable(weights), weights, servers
@@ -73,7 +74,8 @@
 	}
 }
 
-// lookup returns the server of a request's n-th lookup in the table: 0 is its ordinary placement.
+// lookup returns the server that a request's n-th lookup in the table gives. Lookup 0 gives the table
+// entry of its own hash, further lookups give alternates.
 func (b *Balancer) lookup(r *request, n int) *server {
 	return b.tableServers[b.table.at(r.placementHash, n)]
 }
@@ -89,19 +91,21 @@
 	if r.Group == "" {
 		return 1
 	}
-	held := float64(b.connections)
-	fleet := (held + 1) * float64(b.settings.Gateways)
+	connections := float64(b.connections)
+	fleetConnections := (connections + 1) * float64(b.settings.Gateways)
 	members := float64(b.groupConnections[r.Group]) + groupPriorWeight*groupPriorRatio
-	ratio := members / (held + groupPriorWeight)
-	bound := (1+loadBoundRatio)*fleet/float64(len(b.tableServers)) + loadBoundSlack
-	return max(ratio*fleet/bound, 1)
+	groupRatio := members / (connections + groupPriorWeight)
+	bound := (1+loadBoundRatio)*fleetConnections/float64(len(b.tableServers)) + loadBoundSlack
+	return max(groupRatio*fleetConnections/bound, 1)
 }
 
-// groupShard is the lookup that is the ordinary placement of a request: its client's shard of the group.
+// groupShard returns the number of the lookup that is a request's ordinary placement, which is its client's
+// shard of the group.
 func (b *Balancer) groupShard(r *request) int { return int(r.clientFraction(0) * b.groupShardCount(r)) }
 
-// UnreachableServers is the number of ready servers without an entry in the lookup table, to which no request
-// is sent by its key. It is 0 while the table is to be built anew for the next request.
+// UnreachableServers returns the number of ready servers without an entry in the lookup table. No request is
+// placed at such a server by its key. The result is 0 while the table is due to be rebuilt for the next
+// request.
 func (b *Balancer) UnreachableServers() int {
 	if b.tableIsStale {
 		return 0
--- a/balancer/maglev.go
+++ b/balancer/maglev.go
@@ -7,39 +7,41 @@
 )
 
 const (
-	// tableSize is the number of slots, a prime: 20 for each of 100 servers, since a gateway that places
-	// little must build a table cheaply. It never follows the list, as another size would reshuffle every
-	// key.
+	// tableSize is the number of slots, a prime: about 20 for each of 100 servers. It is no larger because a
+	// gateway that places few connections must build a table cheaply. It does not depend on the number of
+	// servers, as another size would move every key.
 	tableSize = 2039
 
-	// The seeds are the same for every gateway, or their tables would differ.
+	// All gateways use the same seeds, as their tables would differ otherwise.
 	offsetSeed uint64 = 0x6d617374687562a1
 	skipSeed   uint64 = 0x6d617374687562b2
 	keySeed    uint64 = 0x6d617374687562c3
 )
 
-// weightedServer is one server's part in the table.
+// weightedServer is a server of a table with its weight.
 type weightedServer struct {
 	id     ServerID
 	weight float64
 }
 
-// table maps each slot to an index of the servers that it was built from.
+// table maps each slot to an index into the servers that it was built from.
 type table []uint16
 
-// emptySlot marks a slot that no server has yet.
+// emptySlot marks a slot that is not assigned to a server yet.
 const emptySlot = ^uint16(0)
 
 // cursor is a server's position in its permutation of the slots.
 type cursor struct {
 	pos, skip              uint32
-	credit, creditPerRound float64 // turns that it may take, and what each round adds to them
+	credit, creditPerRound float64 // number of slots it may take now, and what each round adds to that
 }
 
-// buildTable builds a Maglev table. The servers come sorted by id; weights are above 0. Servers take turns,
-// each at the first empty slot of its own permutation; a server of lower weight sits some turns out, so that
-// turns are in proportion to weights. Counts are within one slot of that proportion for each server and
-// round.
+// buildTable builds a Maglev table. The servers must be sorted by ID and their weights positive. buildTable
+// returns nil if there are no servers.
+//
+// The servers take turns, and each takes the first empty slot of its own permutation. A server of lower
+// weight skips some turns, so that the slots are in proportion to the weights: after each round, every
+// server's count is within one slot of its proportion.
 func buildTable(servers []weightedServer) table {
 	if len(servers) == 0 {
 		return nil
@@ -69,25 +71,25 @@
 	}
 }
 
-// newCursors places a cursor for each server at the start of its permutation.
+// newCursors returns a cursor for each server, at the start of the server's permutation.
 func newCursors(servers []weightedServer) []cursor {
-	highest := 0.0
+	maxWeight := 0.0
 	for _, s := range servers {
-		highest = max(highest, s.weight)
+		maxWeight = max(maxWeight, s.weight)
 	}
 	cursors := make([]cursor, len(servers))
 	for i, s := range servers {
 		cursors[i] = cursor{
 			pos:            uint32(hashID(s.id, offsetSeed) % tableSize),
 			skip:           uint32(hashID(s.id, skipSeed)%(tableSize-1)) + 1,
-			creditPerRound: s.weight / highest,
+			creditPerRound: s.weight / maxWeight,
 		}
 	}
 	return cursors
 }
 
-// at returns the server index of the n-th lookup of a hashed key: 0 is its ordinary placement, the others are
-// its alternates.
+// at returns the server index that the n-th lookup of a hashed key gives. Lookup 0 gives the entry of the key
+// itself, further lookups give alternates.
 func (t table) at(key uint64, n int) int {
 	if n > 0 {
 		key = mix(key, uint64(n))
@@ -107,5 +109,5 @@
 	return xxhash.Sum64(b[:])
 }
 
-// fraction maps a hash to [0, 1).
+// fraction maps a hash to a number in [0, 1).
 func fraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -31,7 +31,7 @@
 	sentAt       time.Duration // when the last attempt was sent
 	established  bool          // the connection of the attempt in flight is established
 	finished     bool          // the request is answered or migrated, or its client has disconnected
-	load         float64       // load of the connection, in microseconds of work per second; zero: unknown
+	load         float64       // load of the connection, in the unit of Request.Load; zero means unknown
 
 	mayHaveRun bool          // a server may have processed an attempt
 	firstRanOn *server       // server of the first such attempt
