--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -3,30 +3,32 @@
 import "slices"
 
 const (
-	// maxLookups bounds the lookups of one search for an alternate: more cost more than they found.
+	// maxLookups bounds the lookups of one search. Further lookups cost more than they found.
 	maxLookups = 160
 
 	// shortSearchLookups bounds the lookups for a member of a group, so that the group stays on few servers,
 	// and the lookups that may lead to a server that is warming up.
 	shortSearchLookups = 8
 
-	// reconnectLookups is the number of lookups, from the second on, over which reconnecting clients are
-	// spread if the server of the first is not known to be healthy.
+	// reconnectLookups is the number of lookups after the first over which reconnecting clients are spread if
+	// the server of the first is not known to be healthy.
 	reconnectLookups = 4
 
-	// loadBoundRatio and loadBoundSlack bound the load of a server before requests overflow to alternates: it
-	// may exceed its fair share by this ratio, and by this many mean connections more.
+	// loadBoundRatio and loadBoundSlack are the load bound, above which requests overflow to alternates: the
+	// load of a server may exceed its fair share by loadBoundRatio, plus loadBoundSlack mean connections.
 	loadBoundRatio = 0.5
 	loadBoundSlack = 4.0
 
-	// newGroupCost is what the first member of a group is taken to cost a server, in mean connections.
+	// newGroupCost is the load that the first member of a group is assumed to add to a server, in mean
+	// connections.
 	newGroupCost = 4.0
 )
 
-// place returns the server for a request's next attempt: that of the first lookup that nothing speaks
-// against, or else the one with the best rank. It never returns one without capacity, nor one that is warming
-// up and has no budget left, and nil if there is no other. A request may then be waiting for load reports;
-// else it is to be rejected.
+// place returns the server for a request's next attempt, or nil if there is none now. It returns the first
+// server in the order of the lookups that has the best possible rank, or else the server with the best rank.
+// The search never returns a server without capacity, nor a server that is warming up and has no budget left.
+// If place returns nil and the request's polledServers is not empty, the request waits for load reports. If
+// place returns nil otherwise, the request has to wait for the first list or be answered.
 func (b *Balancer) place(r *request) *server {
 	b.refreshTable()
 	if s := b.midFlowServer(r); s != nil {
@@ -47,10 +49,11 @@
 	return b.search(r)
 }
 
-// midFlowServer returns the server that is known to own a mid-flow request's connection. If none is, it
-// returns a guess while a past table is valid: the server where the ordinary placement was then, also if that
-// drains, within the grace. This protects connections from being reset when gateways and servers change
-// together. It can miss a connection that an alternate took.
+// midFlowServer returns the server that is known to own a mid-flow request's connection. If the owner is
+// unknown, it returns the server at which a past table placed the request, if that table is still valid and
+// the server is ready or within its drain grace. Otherwise it returns nil. This keeps connections from being
+// reset when gateways and servers change at the same time. The guess is wrong for a connection at an
+// alternate.
 func (b *Balancer) midFlowServer(r *request) *server {
 	if !r.isFirstMidFlowAttempt() {
 		return nil
@@ -69,14 +72,15 @@
 	return nil
 }
 
-// acceptsMidFlow reports whether mid-flow requests may be sent to a server.
+// acceptsMidFlow reports whether mid-flow requests may be sent to a server: it is ready, or it drains and the
+// usable part of its drain grace is not over.
 func (b *Balancer) acceptsMidFlow(s *server) bool {
 	return s.State == Ready || s.State == Draining && b.now-s.unavailableSince < b.usableDrainGrace()
 }
 
 // unpolledMidFlowServer returns the ordinary placement of a mid-flow request if that server's load is unknown
-// and it is eligible; otherwise it returns nil. The server is not polled first: the connection is part of its
-// owner's load already, and no load report shows which server the owner is.
+// and it is eligible; otherwise it returns nil. The server is not polled first, as the connection is part of
+// its owner's load already, and no load report shows which server the owner is.
 func (b *Balancer) unpolledMidFlowServer(r *request) *server {
 	if !r.isFirstMidFlowAttempt() {
 		return nil
@@ -87,24 +91,25 @@
 	return nil
 }
 
-// placement is the state of one search for a server.
+// placement holds the parameters and the state of one search for a server.
 type placement struct {
-	firstLookup      int     // the lookup that is tried before the others
-	lookups          int     // the others: from 0 on so many
-	meanLoad         float64 // of a connection
-	boundPerCapacity float64 // load for each unit of capacity above which a server is over its fair share
-	limitRatio       float64 // part of a server's load limit that the request may fill
+	firstLookup      int     // number of the lookup that is tried before the others
+	lookups          int     // how many further lookups are tried, counted from lookup 0
+	meanLoad         float64 // mean load of a connection
+	boundPerCapacity float64 // load bound per unit of capacity, without loadBoundSlack
+	limitRatio       float64 // fraction of a server's load limit that the request may use
 	warmingOnly      bool    // only a server that is warming up may take the request
 
 	toPoll   []*server // servers whose load is unknown
-	best     *server   // of those that something speaks against
+	best     *server   // the warm server with the best rank so far
 	bestRank rank
 }
 
-// newPlacement states the terms of a search.
+// newPlacement returns the parameters of the search for a request's server.
 //
-// The bound on a server's share of the load protects from hot groups, and from any uneven draw of keys. It
-// costs if a group is better kept whole, as each shard costs the server it is placed at.
+// The load bound protects servers from hot groups and from an uneven distribution of keys. It is harmful
+// where a group is better kept on one server, because a group adds a fixed cost to each server that holds a
+// shard.
 func (b *Balancer) newPlacement(r *request) placement {
 	p := placement{
 		firstLookup: b.groupShard(r),
@@ -123,7 +128,9 @@
 	return p
 }
 
-// search goes through the lookups of a request. The first server that nothing speaks against serves.
+// search returns the first suitable server of a request's lookups. If there is none, it polls the servers of
+// unknown load and returns nil. If there are no such servers either, it returns the server with the best
+// rank, or nil.
 func (b *Balancer) search(r *request) *server {
 	p := b.newPlacement(r)
 	if s := b.firstSuitable(r, &p); s != nil {
@@ -136,8 +143,9 @@
 	return p.best
 }
 
-// firstSuitable returns the first server that nothing speaks against, or nil. It notes in the placement which
-// servers are to be polled, and the best of the others.
+// firstSuitable returns the first server that has the best possible rank, or that is warming up and admits
+// the request. It returns nil if there is none. It records in the placement which servers are to be polled,
+// and which of the others has the best rank.
 func (b *Balancer) firstSuitable(r *request, p *placement) *server {
 	for i := range p.lookups + 1 {
 		s := b.candidate(r, p, i)
@@ -150,23 +158,23 @@
 		case len(p.toPoll) > 0, !b.hasCapacityFor(r, s, p):
 			continue
 		}
-		found := b.rankOf(r, s, p)
+		k := b.rankOf(r, s, p)
 		switch {
 		case !b.isWarm(s):
-			if found.suitsWarmup() && i <= shortSearchLookups && b.admitToWarmingServer(r, s) {
+			if k.suitsWarmup() && i <= shortSearchLookups && b.admitToWarmingServer(r, s) {
 				return s
 			}
-		case found.isBestPossible():
+		case k.isBestPossible():
 			return s
-		case p.best == nil || found.less(p.bestRank):
-			p.best, p.bestRank = s, found
+		case p.best == nil || k.less(p.bestRank):
+			p.best, p.bestRank = s, k
 		}
 	}
 	return nil
 }
 
-// candidate returns the server of the i-th step of a search: the client's own shard of its group comes first,
-// then the other shards and their alternates.
+// candidate returns the server for the i-th step of a search. Step 0 tries the client's own shard of its
+// group. The following steps try the lookups from 0 on, which are the other shards and their alternates.
 func (b *Balancer) candidate(r *request, p *placement, i int) *server {
 	if i == 0 {
 		return b.lookup(r, p.firstLookup)
@@ -174,16 +182,17 @@
 	return b.lookup(r, i-1)
 }
 
-// isShedFrom reports whether the request is shed as far as a server is concerned: what is shed since warm
-// servers are slow may still fit the budget of one that is warming up.
+// isShedFrom reports whether load shedding keeps the request from a server. A request that is shed because
+// warm servers are slow may still be sent to a server that is warming up, within its budget.
 func (b *Balancer) isShedFrom(s *server, p *placement) bool { return p.warmingOnly && b.isWarm(s) }
 
-// mustPollFirst reports whether a server is to be polled before the request is sent to it.
+// mustPollFirst reports whether a server must be polled before the request is sent to it.
 func (b *Balancer) mustPollFirst(r *request, s *server) bool {
 	return r.pollRounds < maxPollRounds && b.needsPoll(s)
 }
 
-// hasCapacityFor reports whether a server can take the request within its part of the load limit.
+// hasCapacityFor reports whether a server can take the request within the fraction of its load limit that the
+// request may use.
 func (b *Balancer) hasCapacityFor(r *request, s *server, p *placement) bool {
 	return b.hasCapacity(s, b.addedLoad(r, s, p), p.limitRatio)
 }
@@ -194,9 +203,9 @@
 	}
 }
 
-// addedLoad is the load that a request is taken to add to a server. The client's fraction stands for its
-// connection, so that limits of less than one connection are kept by chance. The first member of a group
-// costs more, so that scarce capacity is not spread over many groups.
+// addedLoad returns the load that a request is assumed to add to a server. The mean load is multiplied by the
+// client's fraction, so that a load limit below one connection admits a corresponding share of the clients.
+// The first member of a group adds more, so that scarce capacity is not divided among many groups.
 func (b *Balancer) addedLoad(r *request, s *server, p *placement) float64 {
 	added := r.clientFraction(uint64(s.ID)) * p.meanLoad
 	if r.Group != "" && s.groupConnections[r.Group] == 0 {
--- a/balancer/rank.go
+++ b/balancer/rank.go
@@ -2,20 +2,22 @@
 
 import "slices"
 
-// rank says what speaks against a server for a request. Ranks are compared field by field, in this order.
+// rank holds the drawbacks of a server for a request. The fields are compared in the order of their
+// declaration, and lower is better.
 type rank struct {
-	// penalty is 2 for an ejected server, plus 1 if an earlier attempt of the request went there, plus 1 if
-	// the server has not answered a poll.
+	// penalty is the sum of 2 if the server is ejected, 1 if an earlier attempt of the request went to it,
+	// and 1 if it has not answered a poll.
 	penalty int
 
-	// probationAttemptPending reports that the server is on probation, or suspected to be removed without a
-	// sign that it serves, and that an attempt there is not established yet.
+	// probationAttemptPending is set if the server is on probation, or is suspected to be removed and not
+	// confirmed alive, and an attempt at it is not established yet.
 	probationAttemptPending bool
 
-	overLoadBound bool    // with the request its load would exceed the load bound
-	utilization   float64 // projected from its load report; 0 if at most lowUtilization or not reported
+	overLoadBound bool    // with the request, the server's load would exceed the load bound
+	utilization   float64 // projected from the load report; 0 if it is at most lowUtilization or unknown
 }
 
+// rankOf returns the rank of a server for a request.
 func (b *Balancer) rankOf(r *request, s *server, p *placement) rank {
 	k := rank{
 		probationAttemptPending: (s.onProbation || s.awaitsConfirmation()) && s.pendingAttempts > 0,
@@ -31,7 +33,7 @@
 	if !b.settings.CanPollLoad || b.needsPoll(s) || !b.isWarm(s) {
 		return k
 	}
-	if !b.hasFreshReport(s) { // polled and not answered: it serves if all that answered are full
+	if !b.hasFreshReport(s) { // polled without an answer: used if all servers that answered are full
 		k.penalty++
 	} else if u := b.projectedUtilization(s); u > lowUtilization {
 		k.utilization = k.roundUtilization(u)
@@ -39,9 +41,9 @@
 	return k
 }
 
-// roundUtilization drops the digits of a utilization that are lost when it is added to the number which
-// stands for all else that speaks against the server. Servers whose utilizations differ by rounding errors
-// alone then tie, and the one that was looked up first is preferred.
+// roundUtilization drops the low-order digits of a utilization by adding the weights of the other drawbacks
+// and subtracting them again. Servers whose utilizations differ only by rounding errors then have equal
+// ranks, and the one that was looked up first is preferred.
 func (k rank) roundUtilization(u float64) float64 {
 	base := float64(4 * k.penalty)
 	if k.probationAttemptPending {
@@ -53,13 +55,13 @@
 	return base + u - base
 }
 
-// isBestPossible reports whether nothing speaks against the server.
+// isBestPossible reports whether the server has no drawback.
 func (k rank) isBestPossible() bool { return k == rank{} }
 
-// suitsWarmup reports whether a server that is warming up may be sent a connection.
+// suitsWarmup reports whether a server of this rank may be sent a connection while it is warming up.
 func (k rank) suitsWarmup() bool { return k.penalty == 0 && !k.probationAttemptPending }
 
-// less reports whether less speaks against the server of k than against that of other.
+// less reports whether k is a better rank than other.
 func (k rank) less(other rank) bool {
 	switch {
 	case k.penalty != other.penalty:
