--- a/balancer/balancer_events_test.go
+++ b/balancer/balancer_events_test.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// overloadWindow is the time over which the budget of a server that is warming up is held.
+	// overloadWindow is the time over which the warm-up budget of a server is checked.
 	overloadWindow = 2 * sec
 
-	// answerTolerance is how long past its deadline a request may still be answered.
+	// answerTolerance is how long after its deadline a request may still be answered.
 	answerTolerance = 16 * ms
 )
 
-// drivenRequest is what a driver knows of a request, apart from the Balancer.
-type drivenRequest struct {
+// requestModel is a driver's record of a request, which is kept independently of the Balancer.
+type requestModel struct {
 	Request
 	deadline      time.Duration
-	pending       *Send // the attempt that has not ended; nil: none
+	pending       *Send // the attempt that has not ended, or nil
 	attempts      int
 	isEstablished bool
-	isDone        bool     // answered, migrated, or its client disconnected
-	ranOn         []Server // servers at which attempts may have run
-	ranAt         time.Duration
+	isDone        bool          // it is answered or migrated, or its client has disconnected
+	ranOn         []Server      // servers that may have processed an attempt
+	ranAt         time.Duration // when the first such attempt ended
 }
 
-// driver feeds a Balancer random events and checks its actions against what must hold at one gateway: sends
-// to available servers alone, idempotency, the budgets, and one answer in time for each request.
+// driver feeds a Balancer random events and checks the invariants of its actions at one gateway: it sends
+// only to available servers, respects idempotency and the retry and warm-up budgets, and answers each request
+// once and in time.
 type driver struct {
 	t        *testing.T
 	random   *rand.Rand
 	settings Settings
 	balancer *Balancer
 	now      time.Duration
-	log      []string // of all actions
+	log      []string // all actions with their times
 
 	servers          map[ServerID]Server // as last listed
 	unavailableSince map[ServerID]time.Duration
-	hasDrained       map[ServerID]bool // listed as draining since its start; where removal is advisory
+	hasDrained       map[ServerID]bool // listed as draining since its start; used only if removal is advisory
 
-	unfinished []*drivenRequest
-	requests   map[RequestID]*drivenRequest
+	unfinished []*requestModel
+	requests   map[RequestID]*requestModel
 
 	timersAt  []time.Duration
 	timerRefs []int64
@@ -55,8 +56,8 @@
 	retryBudget retryBudgetAudit
 }
 
-// newDriver returns a driver of a Balancer with seven servers. Seeds differ in what binds: removal, and the
-// retry budget's minimum and ratio.
+// newDriver returns a driver of a Balancer with seven servers. The seed decides whether removal is advisory,
+// and which retry budget applies.
 func newDriver(t *testing.T, seed uint64) *driver {
 	t.Helper()
 	settings := testSettings()
@@ -75,7 +76,7 @@
 		t: t, random: rand.New(rand.NewPCG(seed, 7)), settings: settings,
 		balancer: newBalancer(t, settings), now: 50 * sec,
 		servers: map[ServerID]Server{}, unavailableSince: map[ServerID]time.Duration{},
-		hasDrained: map[ServerID]bool{}, requests: map[RequestID]*drivenRequest{},
+		hasDrained: map[ServerID]bool{}, requests: map[RequestID]*requestModel{},
 		warmupSends: map[ServerID][]time.Duration{},
 	}
 	var list []Server
@@ -88,17 +89,17 @@
 	return d
 }
 
-// feed has the Balancer handle an event, and checks its actions.
+// feed passes an event to the Balancer and checks the actions that it returns.
 func (d *driver) feed(ev Event) {
 	d.t.Helper()
 	for _, a := range d.balancer.Handle(d.now, ev) {
 		d.log = append(d.log, fmt.Sprintf("%v %+v", d.now, a))
 		d.check(a)
 	}
-	// A request without further attempts is answered by the event that ended the last one.
+	// The event that ends the last attempt of a request must also answer the request.
 	for _, r := range d.unfinished {
 		if r.pending == nil && !r.isDone {
-			d.t.Fatalf("%v: after %+v request %d has neither an attempt nor an answer", d.now, ev, r.ID)
+			d.t.Fatalf("%v: after %+v, request %d has no pending attempt and no answer", d.now, ev, r.ID)
 		}
 	}
 }
@@ -111,11 +112,11 @@
 	case Reject:
 		d.checkReject(a)
 	case Fail:
-		d.answer(a.ID)
+		d.recordAnswer(a.ID)
 	case Migrate:
 		r := d.requests[a.ID]
 		if r == nil || r.isDone || !r.isEstablished {
-			d.t.Fatalf("request %d is migrated, which has no established connection", a.ID)
+			d.t.Fatalf("migrated request %d, which has no established connection", a.ID)
 		}
 		r.isDone = true
 	case SetTimer:
@@ -128,19 +129,19 @@
 	d.t.Helper()
 	r := d.requests[a.ID]
 	if r == nil || r.isDone {
-		d.t.Fatalf("request %d is sent, which is done or unknown", a.ID)
+		d.t.Fatalf("sent request %d, which is done or unknown", a.ID)
 	}
 	if r.pending != nil {
-		d.t.Fatalf("two attempts of request %d at once", a.ID)
+		d.t.Fatalf("sent request %d while its previous attempt is pending", a.ID)
 	}
 	s, isListed := d.servers[a.Server]
 	if !isListed {
-		d.t.Fatalf("sent to server %d, which no list named", a.Server)
+		d.t.Fatalf("sent to server %d, which has never been listed", a.Server)
 	}
 	d.checkAvailable(s)
 	d.checkIdempotency(r, s)
 	if r.attempts++; r.attempts > d.settings.MaxAttempts {
-		d.t.Fatalf("attempt %d of request %d", r.attempts, a.ID)
+		d.t.Fatalf("sent attempt %d of request %d, which exceeds MaxAttempts", r.attempts, a.ID)
 	}
 	if r.attempts > 1 {
 		d.retryBudget.addRetry(d.t, d.now, &d.settings)
@@ -161,28 +162,28 @@
 		isUnavailable = d.hasDrained[s.ID]
 	}
 	if since := d.now - d.unavailableSince[s.ID]; isUnavailable && since > d.settings.DrainGrace {
-		d.t.Fatalf("sent to server %d, %v after it was listed in state %v", s.ID, since, s.State)
+		d.t.Fatalf("sent to server %d, %v after it became unavailable (state %v)", s.ID, since, s.State)
 	}
 }
 
-// checkIdempotency fails the test if a request that may have run must not be sent to a server.
-func (d *driver) checkIdempotency(r *drivenRequest, s Server) {
+// checkIdempotency fails the test if a request that may have run already must not be sent to a server.
+func (d *driver) checkIdempotency(r *requestModel, s Server) {
 	d.t.Helper()
 	if len(r.ranOn) == 0 {
 		return
 	}
 	switch class := d.class(r); class.Idempotency {
 	case NonIdempotent:
-		d.t.Fatalf("non-idempotent request %d is retried", r.ID)
+		d.t.Fatalf("retried non-idempotent request %d, which may have run", r.ID)
 	case WithIdempotencyKey:
 		if r.ranOn[0].Cell != s.Cell || d.now-r.ranAt > class.DedupWindow {
-			d.t.Fatalf("request %d with a key is retried outside its dedup scope or window", r.ID)
+			d.t.Fatalf("retried request %d with an idempotency key outside its dedup scope or window", r.ID)
 		}
 	}
 }
 
-// checkWarmupBudget holds the sends of this gateway to a server that is warming up to its part of the budget,
-// which is reckoned from the most connections that any server has.
+// checkWarmupBudget fails the test if this gateway's sends to a server that is warming up exceed its share of
+// the warm-up budget. The budget is calculated from the largest number of connections at any server.
 func (d *driver) checkWarmupBudget(id ServerID, age time.Duration) {
 	d.t.Helper()
 	sent := 0
@@ -199,9 +200,10 @@
 	capacity := max(float64(connections*d.settings.Gateways)*4, minWarmConnections*gateways)
 	allowed := d.settings.ColdOverloadFactor * capacity * overloadWindow.Seconds() /
 		d.settings.WarmupDuration.Seconds() / gateways
-	// Below one connection chance decides; TestWholeFleetStaysWithinWarmupBudget holds the sum of gateways.
+	// A share below one connection is met only on average; TestWholeFleetStaysWithinWarmupBudget checks the
+	// sum over all gateways.
 	if float64(sent) > allowed+3 {
-		d.t.Fatalf("%d connections in %v to server %d, %v after its start; %.1f allowed",
+		d.t.Fatalf("sent %d connections in %v to server %d, %v after its start; want at most %.1f + 3",
 			sent, overloadWindow, id, age, allowed)
 	}
 }
@@ -209,40 +211,40 @@
 func (d *driver) checkReject(a Reject) {
 	d.t.Helper()
 	if a.RetryAfter < 0 || a.RetryAfter > d.settings.MaxRetryAfter {
-		d.t.Fatalf("request %d is rejected with RetryAfter %v", a.ID, a.RetryAfter)
+		d.t.Fatalf("rejected request %d with RetryAfter %v, want 0 to MaxRetryAfter", a.ID, a.RetryAfter)
 	}
-	r := d.answer(a.ID)
+	r := d.recordAnswer(a.ID)
 	class := d.class(r)
 	isSafe := class.Idempotency == Idempotent ||
 		class.Idempotency == WithIdempotencyKey && class.DedupScope == DedupScopeAll
 	if len(r.ranOn) > 0 && !isSafe {
-		d.t.Fatalf("request %d is rejected though it may have run", a.ID)
+		d.t.Fatalf("rejected request %d, which may have run and is not safe to retry", a.ID)
 	}
 }
 
-// answer notes a final answer to a request.
-func (d *driver) answer(id RequestID) *drivenRequest {
+// recordAnswer records the final answer to a request and checks that the answer is due and in time.
+func (d *driver) recordAnswer(id RequestID) *requestModel {
 	d.t.Helper()
 	r := d.requests[id]
 	if r == nil || r.isDone {
-		d.t.Fatalf("request %d is answered, which is done or unknown", id)
+		d.t.Fatalf("answered request %d, which is done or unknown", id)
 	}
 	if r.pending != nil {
-		d.t.Fatalf("request %d is answered while an attempt is pending", id)
+		d.t.Fatalf("answered request %d while an attempt is pending", id)
 	}
 	if r.deadline+answerTolerance < d.now {
-		d.t.Fatalf("request %d is answered %v late", id, d.now-r.deadline)
+		d.t.Fatalf("answered request %d %v after its deadline", id, d.now-r.deadline)
 	}
 	r.isDone = true
 	return r
 }
 
-func (d *driver) class(r *drivenRequest) Class {
+func (d *driver) class(r *requestModel) Class {
 	return d.settings.Classes[d.balancer.classIndex[r.Class]]
 }
 
 // endAttempt ends a request's pending attempt.
-func (d *driver) endAttempt(r *drivenRequest, result Result) {
+func (d *driver) endAttempt(r *requestModel, result Result) {
 	d.t.Helper()
 	server := r.pending.Server
 	isAnswered := r.isDone || r.isEstablished || result == OK
@@ -258,20 +260,21 @@
 	})
 }
 
-// step lets some time pass, and has a request come in, or something happen to one or to the list.
+// step advances the time, and then feeds a new request, an event of an existing request and a list, each with
+// some probability.
 func (d *driver) step(id RequestID) {
 	d.t.Helper()
 	d.now += time.Duration(d.random.IntN(13)) * ms
 	d.fireTimers()
 	d.endLateAttempts()
-	d.unfinished = slices.DeleteFunc(d.unfinished, func(r *drivenRequest) bool {
+	d.unfinished = slices.DeleteFunc(d.unfinished, func(r *requestModel) bool {
 		return r.isDone && r.pending == nil
 	})
 	if d.random.IntN(4) > 0 {
 		d.request(id)
 	}
 	if n := len(d.unfinished); n > 0 {
-		d.disturb(d.unfinished[max(0, n-1-d.random.IntN(40))])
+		d.feedRequestEvent(d.unfinished[max(0, n-1-d.random.IntN(40))])
 	}
 	if d.random.IntN(60) == 0 {
 		d.changeList()
@@ -292,7 +295,8 @@
 	}
 }
 
-// endLateAttempts times attempts out at the deadlines of their requests.
+// endLateAttempts ends attempts as timed out at the deadlines of their requests. It fails the test if a
+// request without an attempt has no answer in time.
 func (d *driver) endLateAttempts() {
 	d.t.Helper()
 	for _, r := range d.unfinished {
@@ -300,7 +304,7 @@
 			d.endAttempt(r, TimedOut)
 		}
 		if r.pending == nil && !r.isDone && d.now > r.deadline+answerTolerance {
-			d.t.Fatalf("request %d has no answer, its deadline was %v ago", r.ID, d.now-r.deadline)
+			d.t.Fatalf("request %d has no answer %v after its deadline", r.ID, d.now-r.deadline)
 		}
 	}
 }
@@ -308,7 +312,7 @@
 func (d *driver) request(id RequestID) {
 	d.t.Helper()
 	class := d.settings.Classes[d.random.IntN(len(d.settings.Classes))]
-	r := &drivenRequest{Request: Request{
+	r := &requestModel{Request: Request{
 		ID: id, Class: class.Name, Key: strconv.Itoa(d.random.IntN(50)),
 		Group: fmt.Sprint("g", d.random.IntN(8)), Timeout: time.Duration(200+d.random.IntN(1800)) * ms,
 		MidFlow: d.random.IntN(9) == 0,
@@ -319,8 +323,8 @@
 	d.feed(r.Request)
 }
 
-// disturb has something happen to a request, or nothing.
-func (d *driver) disturb(r *drivenRequest) {
+// feedRequestEvent feeds a random event of a request, or none.
+func (d *driver) feedRequestEvent(r *requestModel) {
 	d.t.Helper()
 	switch dice := d.random.IntN(12); {
 	case r.pending != nil && !r.isEstablished && dice < 6:
@@ -342,7 +346,7 @@
 	}
 }
 
-// changeList changes the state of a server, or sends a list without changes.
+// changeList feeds a list that changes the state of a server, or a list without changes.
 func (d *driver) changeList() {
 	d.t.Helper()
 	if d.random.IntN(4) == 0 {
@@ -372,8 +376,8 @@
 	d.feed(EndpointList{Mode: ListDelta, Servers: []Server{s}})
 }
 
-// drive plays random events and returns all actions.
-func drive(t *testing.T, seed uint64, steps int) []string {
+// runRandomEvents feeds a Balancer random events and returns its actions as text.
+func runRandomEvents(t *testing.T, seed uint64, steps int) []string {
 	t.Helper()
 	d := newDriver(t, seed)
 	for i := range steps {
@@ -384,16 +388,16 @@
 
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range uint64(30) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { drive(t, seed, 3000) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runRandomEvents(t, seed, 3000) })
 	}
 }
 
 func TestSameEventsGiveTheSameActions(t *testing.T) {
-	first := drive(t, 99, 1500)
+	first := runRandomEvents(t, 99, 1500)
 	if len(first) < 1000 {
-		t.Fatalf("only %d actions", len(first))
+		t.Fatalf("got %d actions, want at least 1000", len(first))
 	}
-	if diff := cmp.Diff(first, drive(t, 99, 1500)); diff != "" {
-		t.Errorf("the same events gave other actions:\n%s", diff)
+	if diff := cmp.Diff(first, runRandomEvents(t, 99, 1500)); diff != "" {
+		t.Errorf("the same events gave different actions (-first +second):\n%s", diff)
 	}
 }
--- a/balancer/balancer_settings_test.go
+++ b/balancer/balancer_settings_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// findNonFinite names a number in a Balancer's state that is NaN or infinite; empty: there is none.
+// findNonFinite returns the path and value of a number in a Balancer's state that is NaN or infinite, or ""
+// if there is none.
 func findNonFinite(v reflect.Value, path string, seen map[uintptr]bool) string {
 	switch v.Kind() {
 	case reflect.Float64:
@@ -46,7 +47,7 @@
 	return ""
 }
 
-// drawDuration draws a duration up to a maximum, or 0, which stands for a setting that is left out.
+// drawDuration draws a duration up to a maximum, or 0, which means that the setting is left out.
 func drawDuration(t *rapid.T, label string, maximum time.Duration) time.Duration {
 	t.Helper()
 	if rapid.IntRange(0, 4).Draw(t, label+" stated") == 0 {
@@ -55,7 +56,7 @@
 	return time.Duration(rapid.Int64Range(1, int64(maximum)).Draw(t, label))
 }
 
-// drawFloat is like drawDuration.
+// drawFloat draws a number up to a maximum, or 0, which means that the setting is left out.
 func drawFloat(t *rapid.T, label string, maximum float64) float64 {
 	t.Helper()
 	if rapid.IntRange(0, 4).Draw(t, label+" stated") == 0 {
@@ -64,7 +65,7 @@
 	return rapid.Float64Range(0, maximum).Draw(t, label)
 }
 
-// drawSettings draws any settings that a deployment may have.
+// drawSettings draws valid settings.
 func drawSettings(t *rapid.T) Settings {
 	t.Helper()
 	settings := Settings{
@@ -103,7 +104,7 @@
 	return settings
 }
 
-// settingsRun feeds random events to a Balancer with drawn settings.
+// settingsRun feeds a Balancer with drawn settings random events and checks its actions.
 type settingsRun struct {
 	t        *rapid.T
 	settings Settings
@@ -125,13 +126,13 @@
 		case Reject:
 			r.answers[a.ID]++
 			if a.RetryAfter < 0 || a.RetryAfter > r.settings.MaxRetryAfter {
-				r.t.Fatalf("RetryAfter is %v", a.RetryAfter)
+				r.t.Fatalf("got RetryAfter %v, want 0 to MaxRetryAfter", a.RetryAfter)
 			}
 		case Fail:
 			r.answers[a.ID]++
 		case SetTimer:
 			if a.After < 0 {
-				r.t.Fatalf("timer after %v", a.After)
+				r.t.Fatalf("got a timer after %v, want 0 or more", a.After)
 			}
 		}
 	}
@@ -140,14 +141,14 @@
 func (r *settingsRun) checkSend(a Send) {
 	r.t.Helper()
 	if _, isPending := r.pending[a.ID]; isPending || r.answers[a.ID] > 0 {
-		r.t.Fatalf("%d is sent while an attempt is pending, or after its answer", a.ID)
+		r.t.Fatalf("sent request %d while an attempt is pending, or after its answer", a.ID)
 	}
 	if a.Timeout < 0 || a.ConnectTimeout < 0 {
-		r.t.Fatalf("%+v", a)
+		r.t.Fatalf("got a negative timeout: %+v", a)
 	}
 	r.pending[a.ID] = a
 	if r.attempts[a.ID]++; r.attempts[a.ID] > max(r.settings.MaxAttempts, 1) {
-		r.t.Fatalf("%d attempts, %d are allowed", r.attempts[a.ID], r.settings.MaxAttempts)
+		r.t.Fatalf("sent attempt %d, MaxAttempts is %d", r.attempts[a.ID], r.settings.MaxAttempts)
 	}
 }
 
@@ -163,7 +164,7 @@
 		r.lastID++
 		r.feed(r.request())
 	case 4, 5, 6:
-		for id, s := range r.pending { // any one of them
+		for id, s := range r.pending { // ends an arbitrary one
 			r.endAttempt(id, s)
 			break
 		}
@@ -205,7 +206,7 @@
 	}
 }
 
-// endAttempt ends an attempt, half of them after their connection was established.
+// endAttempt ends an attempt. With a probability of one half, the attempt's connection is established first.
 func (r *settingsRun) endAttempt(id RequestID, s Send) {
 	r.t.Helper()
 	attempt := r.attempts[id] - 1
@@ -223,7 +224,7 @@
 	})
 }
 
-// checkFinite fails the test if the Balancer's state, or a ratio that it comes to, is not finite.
+// checkFinite fails the test if a number in the Balancer's state, or a value derived from it, is not finite.
 func (r *settingsRun) checkFinite() {
 	r.t.Helper()
 	b := r.balancer
@@ -232,15 +233,15 @@
 	}
 	for _, f := range []float64{b.failureShedRatio(), b.freeCapacityRatio(), b.arrivalRate()} {
 		if math.IsNaN(f) || math.IsInf(f, 0) {
-			r.t.Fatalf("shed ratio %v, free capacity %v, arrivals %v",
+			r.t.Fatalf("got shed ratio %v, free capacity ratio %v, arrival rate %v, want finite values",
 				b.failureShedRatio(), b.freeCapacityRatio(), b.arrivalRate())
 		}
 	}
 }
 
-// Whatever its settings, a Balancer's state stays finite, no attempt is made that the settings forbid, and
-// each request has at most one answer.
-func TestAnySettingsGiveFiniteFiguresAndOneAnswer(t *testing.T) {
+// With any valid settings and any events, the numbers in a Balancer's state stay finite, no request gets more
+// attempts than MaxAttempts, and each request has at most one answer.
+func TestRandomSettingsGiveFiniteStateAndOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := drawSettings(t)
 		r := &settingsRun{
@@ -256,7 +257,7 @@
 		}
 		for id, n := range r.answers {
 			if n > 1 {
-				t.Fatalf("%d has %d answers", id, n)
+				t.Fatalf("request %d has %d answers, want at most 1", id, n)
 			}
 		}
 	})
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -12,10 +12,10 @@
 		change func(*Settings)
 	}{
 		{"negative duration", func(s *Settings) { s.DrainGrace = -1 }},
-		{"class twice", func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) }},
+		{"duplicate class", func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) }},
 		{"negative priority weight", func(s *Settings) { s.Classes[0].PriorityWeight = -1 }},
 		{"negative retry budget minimum", func(s *Settings) { s.RetryBudgetMin = -1 }},
-		{"retry budget ratio that is no number", func(s *Settings) { s.RetryBudgetRatio = math.NaN() }},
+		{"NaN retry budget ratio", func(s *Settings) { s.RetryBudgetRatio = math.NaN() }},
 		{"negative retry budget window", func(s *Settings) { s.RetryBudgetWindow = -sec }},
 		{"infinite cold overload factor", func(s *Settings) { s.ColdOverloadFactor = math.Inf(1) }},
 	} {
@@ -23,7 +23,7 @@
 			settings := testSettings()
 			c.change(&settings)
 			if b, err := New(settings); err == nil || b != nil {
-				t.Error("accepted")
+				t.Error("New accepted the settings, want an error and no Balancer")
 			}
 		})
 	}
@@ -43,15 +43,15 @@
 		event Event
 	}{
 		{"request whose ID is in use", Request{ID: id, Class: idempotentClass, Group: "g", Timeout: sec}},
-		{"unknown attempt established", AttemptEstablished{ID: 77, Server: 100}},
-		{"attempt out of range established", AttemptEstablished{ID: id, Server: s.Server, Attempt: 5}},
-		{"unknown attempt ended", AttemptEnded{ID: 77, Server: 100, Result: OK}},
-		{"attempt out of range ended", AttemptEnded{ID: id, Server: s.Server, Attempt: 4, Result: Reset}},
-		{"unknown client disconnected", ClientDisconnected{ID: 77}},
+		{"established attempt of an unknown request", AttemptEstablished{ID: 77, Server: 100}},
+		{"established attempt out of range", AttemptEstablished{ID: id, Server: s.Server, Attempt: 5}},
+		{"ended attempt of an unknown request", AttemptEnded{ID: 77, Server: 100, Result: OK}},
+		{"ended attempt out of range", AttemptEnded{ID: id, Server: s.Server, Attempt: 4, Result: Reset}},
+		{"disconnected client of an unknown request", ClientDisconnected{ID: 77}},
 		{"unknown timer", TimerFired{Ref: 12345}},
-		{"load of an unknown connection", LoadChanged{ID: 77, Load: 1}},
-		{"delay at an unknown server", MessageDelay{ID: 77, Server: 4242, Delay: sec}},
-		{"adopted at an unknown server", AdoptedConnection{Request: Request{ID: 78}, Server: 4242}},
+		{"load of an unknown request", LoadChanged{ID: 77, Load: 1}},
+		{"message delay at an unknown server", MessageDelay{ID: 77, Server: 4242, Delay: sec}},
+		{"connection at an unknown server", AdoptedConnection{Request: Request{ID: 78}, Server: 4242}},
 		{"empty list delta", EndpointList{Mode: ListDelta}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				switch a.(type) {
 				case Log, SetTimer:
 				default:
-					t.Errorf("answered with %+v", a)
+					t.Errorf("got action %+v, want none but Log and SetTimer", a)
 				}
 			}
 		})
@@ -67,15 +67,16 @@
 	h.handle(ClientDisconnected{ID: id})
 	h.endAttempt(s, 0, TimedOut)
 	if len(h.lastActions) > 0 {
-		t.Errorf("after the client disconnected: %+v", h.lastActions)
+		t.Errorf("attempt ended after its client disconnected: got actions %+v, want none", h.lastActions)
 	}
 	if len(h.balancer.requests) > 0 {
-		t.Errorf("%d requests kept", len(h.balancer.requests))
+		t.Errorf("got %d requests in memory after the last one ended, want 0", len(h.balancer.requests))
 	}
 }
 
-// Any number of servers and gateways, with all servers replaced at once and capacities that differ by a
-// factor of a thousand: each request is sent, or not where there is no server, and nothing panics.
+// Each request is sent to a server of the current list, or to none if the list is empty, for any number of
+// servers and gateways. All servers are replaced at once, and capacities differ by a factor of 1000. Guards
+// against panics and sends to replaced servers at the extremes.
 func TestFleetOfAnySizeIsServed(t *testing.T) {
 	for _, gateways := range []int{0, 1, 1000} {
 		for _, n := range []int{0, 1, 2, 100, 1000} {
@@ -91,7 +92,8 @@
 	}
 }
 
-// replaceFleet lists n servers with IDs of a round, and checks that requests go to them alone.
+// replaceFleet lists n servers whose IDs belong to a round, and checks that requests go to these servers
+// only.
 func (h *harness) replaceFleet(n, round int) {
 	h.t.Helper()
 	const idsInRound = 5000
@@ -105,17 +107,18 @@
 		h.request(idempotentClass, fmt.Sprint("g", i%4))
 		sentTo := h.sentTo()
 		if len(sentTo) != min(n, 1) {
-			h.t.Fatalf("%d sends", len(sentTo))
+			h.t.Fatalf("got %d sends, want one, or none if there are no servers", len(sentTo))
 		}
 		for _, server := range sentTo {
 			if int(server)/idsInRound != round {
-				h.t.Fatalf("sent to %d, which round %d does not list", server, round)
+				h.t.Fatalf("sent to server %d, which is not in the list of round %d", server, round)
 			}
 		}
 	}
 }
 
-// BenchmarkRequest is a connection from its request to its end at one of many gateways.
+// BenchmarkRequest measures the events of one connection, from its request to its end, at one of many
+// gateways.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{10, 100} {
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -20,7 +20,7 @@
 			h.listDelta(Server{ID: server, State: c.state})
 			for range 50 {
 				if _, got := h.establish(idempotentClass, "g"); got == server {
-					t.Fatal("sent to it")
+					t.Fatal("sent a request to the unavailable server")
 				}
 			}
 		})
@@ -32,12 +32,12 @@
 	h.listComplete(testServers(1)...)
 	for i := range 20 {
 		if _, got := h.establish(idempotentClass, fmt.Sprint("g", i)); got != 100 {
-			t.Fatalf("sent to %d", got)
+			t.Fatalf("sent to server %d, want 100", got)
 		}
 	}
 }
 
-// Lists that change nothing do not displace the table from before the last change.
+// Lists that change nothing do not displace the past table from before the last change.
 func TestUnchangedListKeepsPastTables(t *testing.T) {
 	h := newHarness(t, testSettings(), 5)
 	h.balancer.refreshTable()
@@ -49,24 +49,25 @@
 		h.balancer.refreshTable()
 	}
 	if after != 1 || len(h.balancer.pastTables) != 1 {
-		t.Errorf("%d past tables, then %d", after, len(h.balancer.pastTables))
+		t.Errorf("got %d past tables after a change, then %d, want 1 each", after, len(h.balancer.pastTables))
 	}
 }
 
-// A list that wrongly names all servers as removed, leaves all of them out, or is out of date, leaves the
-// fleet served by the same table, and the correct list changes nothing.
+// If removal is advisory, a wrong list does not take servers out of use: one that lists all servers as
+// removed, leaves all of them out, or is out of date. The correct list that follows leads to the same table
+// weights.
 func TestWrongListLeavesFleetServed(t *testing.T) {
 	removed := testServers(8)
 	for i := range removed {
 		removed[i].State = Removed
 	}
 	const staleServer = 700
-	// Two servers are missing, and one no longer exists.
+	// The stale list lacks two servers and has one that no longer exists.
 	stale := append(testServers(6), Server{ID: staleServer, Capacity: 1})
 	for _, c := range []struct {
 		name         string
 		wrong        EndpointList
-		refillsTable bool // as the table had no entries of the missing servers
+		refillsTable bool // the correct list changes the table, which the wrong list changed too
 	}{
 		{"all removed", EndpointList{Mode: ListDelta, Servers: removed}, false},
 		{"empty", EndpointList{Mode: ListComplete}, false},
@@ -85,29 +86,30 @@
 			h.handle(c.wrong)
 			changed := 0
 			for group, before := range servers {
-				if h.establishPastServer(group, staleServer) != before {
+				if h.establishUnlessAt(group, staleServer) != before {
 					changed++
 				}
 			}
 			if changed > 8 {
-				t.Errorf("%d of 30 groups are sent elsewhere", changed)
+				t.Errorf("%d of 30 groups are sent to another server than before, want at most 8", changed)
 			}
 			pastTables := len(h.balancer.pastTables)
 			h.listComplete(testServers(8)...)
 			h.balancer.refreshTable()
 			unexported := cmp.AllowUnexported(weightedServer{})
 			if diff := cmp.Diff(weights, h.balancer.tableWeights, unexported); diff != "" {
-				t.Errorf("the table after the correct list (-want +got):\n%s", diff)
+				t.Errorf("table weights after the correct list (-want +got):\n%s", diff)
 			}
 			if !c.refillsTable && len(h.balancer.pastTables) != pastTables {
-				t.Error("the correct list refilled the table")
+				t.Error("the correct list replaced the table, want no change")
 			}
 		})
 	}
 }
 
-// establishPastServer is like establish, but no connection to one server is ever established.
-func (h *harness) establishPastServer(group string, unreachable ServerID) ServerID {
+// establishUnlessAt is like establish, but an attempt at the unreachable server fails to connect. It returns
+// the server at which the connection is established.
+func (h *harness) establishUnlessAt(group string, unreachable ServerID) ServerID {
 	h.t.Helper()
 	h.request(idempotentClass, group)
 	s := h.onlySend()
@@ -119,7 +121,8 @@
 	return s.Server
 }
 
-// A server whose first mention in a list is as removed was never ready, whether removal is advisory or not.
+// A server that is listed as removed the first time it is listed gets no requests, whether removal is
+// advisory or not.
 func TestServerFirstListedAsRemovedGetsNoRequests(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -130,18 +133,18 @@
 			h.listDelta(Server{ID: 900, State: Removed})
 			for i := range 60 {
 				if h.request(idempotentClass, fmt.Sprint("g", i)); h.onlySend().Server == 900 {
-					t.Fatal("sent to it")
+					t.Fatal("sent a request to the removed server")
 				}
 			}
 			h.listDelta(Server{ID: 900, State: Ready})
 			if h.balancer.servers[900].State != Ready {
-				t.Error("not ready once it is listed as ready")
+				t.Error("the server is not ready after it was listed as ready")
 			}
 		})
 	}
 }
 
-// Where removal is advisory, a failed attempt confirms the removal of a server without live connections.
+// If removal is advisory, a failed attempt confirms the removal of a server without established connections.
 func TestFailureConfirmsRemoval(t *testing.T) {
 	h := newHarness(t, advisorySettings(), 6)
 	entry := h.tableEntry("g")
@@ -151,12 +154,12 @@
 	for range 100 {
 		h.advance(sec)
 		if h.request(idempotentClass, "g"); h.onlySend().Server == entry {
-			t.Fatal("sent to a server whose removal was confirmed")
+			t.Fatal("sent a request to a server whose removal was confirmed")
 		}
 	}
 	h.listDelta(Server{ID: entry, State: Ready})
 	if h.request(idempotentClass, "g"); h.onlySend().Server != entry {
-		t.Error("not sent to once it is listed as ready again")
+		t.Error("the request is not sent to the server after it was listed as ready again")
 	}
 }
 
@@ -171,24 +174,24 @@
 	h.listDelta(Server{ID: server, State: Removed})
 	h.now += 2 * sec
 	if _, got := h.establish(idempotentClass, "g"); got != server {
-		t.Fatalf("removed, but with a live connection: sent to %d, not %d", got, server)
+		t.Fatalf("listed as removed, with an established connection: sent to server %d, want %d", got, server)
 	}
-	h.listDelta(Server{ID: server, State: Draining}) // the grace starts now
+	h.listDelta(Server{ID: server, State: Draining}) // the drain grace starts now
 	h.now += 300 * ms
 	if got := sendMidFlow(); got != server {
-		t.Errorf("within the grace a mid-flow request goes to %d, not %d", got, server)
+		t.Errorf("within the drain grace: mid-flow request sent to server %d, want %d", got, server)
 	}
 	h.now += 300 * ms
 	for _, c := range []struct {
 		name  string
 		state ServerState
-	}{{"draining", Draining}, {"removed", Removed}, {"ready, by a stale list", Ready}} {
+	}{{"draining", Draining}, {"removed", Removed}, {"ready by a stale list", Ready}} {
 		h.listDelta(Server{ID: server, State: c.state})
 		if got := sendMidFlow(); got == server {
-			t.Errorf("drained, then listed as %s: a mid-flow request is sent to it", c.name)
+			t.Errorf("drained, then listed as %s: a mid-flow request is sent to the server", c.name)
 		}
 		if _, got := h.establish(idempotentClass, "g"); got == server {
-			t.Errorf("drained, then listed as %s: a request is sent to it", c.name)
+			t.Errorf("drained, then listed as %s: a request is sent to the server", c.name)
 		}
 	}
 	h.listDelta(Server{ID: server, State: Ready, Started: h.now - 30*sec})
@@ -198,11 +201,11 @@
 		isUsed = isUsed || h.onlySend().Server == server
 	}
 	if !isUsed {
-		t.Error("not sent to after a restart")
+		t.Error("no request is sent to the server after its restart")
 	}
 }
 
-// A fleet whose servers get new IDs over and over does not grow the memory.
+// Guards against memory that grows without bound in a fleet whose servers repeatedly get new IDs.
 func TestRemovedServersAreEvicted(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -230,18 +233,18 @@
 				kept = max(kept, len(h.balancer.sortedServers), len(h.balancer.servers))
 			}
 			if kept > 200 {
-				t.Errorf("%d servers kept of 1200", kept)
+				t.Errorf("up to %d of 1200 servers in memory, want at most 200", kept)
 			}
 		})
 	}
 }
 
-// inconsistentLists draws lists with servers twice, unknown IDs, drains of servers that were never ready, and
-// with empty and stale lists among them.
+// inconsistentLists draws lists that contain servers twice, unknown IDs, and draining servers that were never
+// ready. Some lists are empty, and some are repeated later as stale lists.
 type inconsistentLists struct {
 	random *rand.Rand
 	past   []EndpointList
-	named  map[ServerID]bool // by any list
+	listed map[ServerID]bool // servers that any list contained
 }
 
 func (l *inconsistentLists) next(now time.Duration) EndpointList {
@@ -258,19 +261,19 @@
 	}
 	l.past = append(l.past, list)
 	for _, s := range list.Servers {
-		l.named[s.ID] = true
+		l.listed[s.ID] = true
 	}
 	return list
 }
 
-// Gateways that are given the same lists send a new key to the same server, and never to one that no list
-// named.
+// Gateways that receive the same lists send a new key to the same server, and never to a server that no list
+// contained.
 func TestGatewaysAgreeOnInconsistentLists(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			lists := inconsistentLists{
 				random: rand.New(rand.NewPCG(seed, 5)),
-				past:   []EndpointList{{Mode: ListComplete}}, named: map[ServerID]bool{},
+				past:   []EndpointList{{Mode: ListComplete}}, listed: map[ServerID]bool{},
 			}
 			settings := testSettings()
 			settings.RemovalIsAdvisory = seed%2 == 0
@@ -290,13 +293,13 @@
 				}
 				first := gateways[0].sendOnce(now, list, request)
 				for _, s := range first {
-					if !lists.named[s.Server] {
-						t.Fatalf("sent to %d, which no list named", s.Server)
+					if !lists.listed[s.Server] {
+						t.Fatalf("sent to server %d, which no list contained", s.Server)
 					}
 				}
 				for _, h := range gateways[1:] {
 					if diff := cmp.Diff(first, h.sendOnce(now, list, request)); diff != "" {
-						t.Fatalf("list %d: sends of two gateways differ:\n%s", i, diff)
+						t.Fatalf("list %d: sends of two gateways differ (-first +other):\n%s", i, diff)
 					}
 				}
 			}
@@ -304,7 +307,7 @@
 	}
 }
 
-// sendOnce handles a list and a request, and ends each attempt of it at once. It returns the sends.
+// sendOnce feeds a list and a request, and ends each attempt of the request at once. It returns the sends.
 func (h *harness) sendOnce(now time.Duration, list EndpointList, request Request) []Send {
 	h.now = now
 	h.handle(list)
@@ -316,8 +319,8 @@
 	return sends
 }
 
-// Guards against a table that leads to the record of an evicted server even after that server has returned,
-// so that it gets nothing.
+// A server that is evicted and listed again gets a new record. Guards against a table that still refers to
+// the evicted record, so that the returned server gets no requests.
 func TestReturnedServerIsUsedAfterItsEviction(t *testing.T) {
 	const requests = 300
 	for _, c := range []struct {
@@ -327,23 +330,24 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, c.settings, 3)
 			const returned ServerID = 101
-			if before := h.countSentTo(returned, requests); before == 0 {
-				t.Fatal("not sent to at first")
+			if before := h.countSendsTo(returned, requests); before == 0 {
+				t.Fatal("no request is sent to the server before its removal")
 			}
 			h.listDelta(Server{ID: returned, State: Removed})
 			h.advance(40 * time.Minute)
 			h.listComplete(testServers(3)...)
-			if after := h.countSentTo(returned, requests); after < requests/6 {
-				t.Errorf("after its return it gets %d of %d requests, its share is a third", after, requests)
+			if after := h.countSendsTo(returned, requests); after < requests/6 {
+				t.Errorf("returned server got %d of %d requests, want at least a sixth", after, requests)
 			}
 			if n := h.balancer.UnreachableServers(); n > 0 {
-				t.Errorf("%d ready servers without an entry in the table", n)
+				t.Errorf("got %d ready servers without an entry in the table, want 0", n)
 			}
 		})
 	}
 }
 
-// Guards against the same in a past table, by which mid-flow requests are sent.
+// A past table, which places mid-flow requests, finds a server that was evicted and listed again. Guards
+// against past tables that refer to the evicted record.
 func TestPastTableLeadsToServerThatReturnedAfterItsEviction(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	const returned ServerID = 101
@@ -356,15 +360,16 @@
 	back := append(testServers(3), Server{ID: 900, Capacity: 1})
 	back[1].Started = -time.Hour
 	h.listComplete(back...)
-	h.request(idempotentClass, "other") // the table from before the removal becomes a past table
+	h.request(idempotentClass, "other") // makes the table from before the removal a past table
 	h.handle(Request{ID: 500, Class: idempotentClass, Group: group, MidFlow: true, Timeout: sec})
 	if got := h.onlySend().Server; got != returned {
-		t.Errorf("sent to %d, not to its previous entry %d", got, returned)
+		t.Errorf("sent to server %d, want the previous entry %d", got, returned)
 	}
 }
 
-// countSentTo has requests of groups of their own come in, answers them, and counts those sent to a server.
-func (h *harness) countSentTo(server ServerID, requests int) (count int) {
+// countSendsTo feeds requests, each of its own group, and answers them. It returns how many were sent to a
+// server.
+func (h *harness) countSendsTo(server ServerID, requests int) (count int) {
 	h.t.Helper()
 	for range requests {
 		h.request(idempotentClass, fmt.Sprint("of its own ", h.lastID))
--- a/balancer/example_restore_test.go
+++ b/balancer/example_restore_test.go
@@ -7,7 +7,8 @@
 	"example.org/milletvane/balancer"
 )
 
-// The Balancer of a new process takes over what that of the process before has learned, once it has the list.
+// The Balancer of a new process restores what the Balancer of the previous process has learned, after it has
+// received the endpoint list.
 func ExampleBalancer_Restore() {
 	settings := balancer.Settings{MaxAttempts: 2}
 	list := balancer.EndpointList{
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/milletvane/balancer"
 )
 
-// A host feeds a Balancer its events, each with the time, and carries out the actions.
+// A host passes events to a Balancer, each with the current time, and carries out the returned actions.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Gateways:    2,
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -10,25 +10,25 @@
 	"unicode/utf8"
 )
 
-// The policy that deploy/balancer.toml names is this package, file by file, and each file is short and narrow
-// enough to be read.
-func TestPolicyFilesAreNamedShortAndNarrow(t *testing.T) {
+// deploy/balancer.toml lists every source file of this package as policy. Each of these files has at most 300
+// lines, and no file of the package has a line of more than 110 columns.
+func TestPolicyFilesAreListedAndWithinLimits(t *testing.T) {
 	const maxLines = 300
 	named := policyFiles(t)
 	for _, name := range sourceFiles(t) {
 		if !slices.Contains(named, "balancer/"+name) {
-			t.Errorf("policy does not name %s", name)
+			t.Errorf("policy in deploy/balancer.toml does not list %s", name)
 		}
 	}
 	for _, name := range named {
 		if n := len(readLines(t, filepath.Join("..", name))); n > maxLines {
-			t.Errorf("%s has %d lines, %d at most", name, n, maxLines)
+			t.Errorf("%s has %d lines, want at most %d", name, n, maxLines)
 		}
 	}
 	checkWidths(t)
 }
 
-// policyFiles returns the files that deploy/balancer.toml names as the policy.
+// policyFiles returns the files that deploy/balancer.toml lists as policy.
 func policyFiles(t *testing.T) (names []string) {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -37,7 +37,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy *= *\[(.*?)\]`).FindSubmatch(deploy)
 	if line == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml has no list of policy files")
 	}
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(line[1], -1) {
 		names = append(names, string(name[1]))
@@ -45,7 +45,7 @@
 	return names
 }
 
-// sourceFiles returns the names of the package's files that are no tests.
+// sourceFiles returns the names of the package's Go files that are not tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -55,7 +55,7 @@
 	return slices.DeleteFunc(names, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// readLines returns the lines of a file. A last line break ends a line and begins none.
+// readLines returns the lines of a file. A line break at the end of the file does not start another line.
 func readLines(t *testing.T, name string) []string {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -65,7 +65,8 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
 
-// checkWidths holds the lines of all files of the package, tests included, to a width.
+// checkWidths checks that all lines of the package, tests included, have at most 110 columns. A tab counts as
+// 4.
 func checkWidths(t *testing.T) {
 	t.Helper()
 	const maxColumns, tabWidth = 110, 4
@@ -77,13 +78,13 @@
 		for i, l := range readLines(t, name) {
 			l = strings.ReplaceAll(l, "\t", strings.Repeat(" ", tabWidth))
 			if n := utf8.RuneCountInString(l); n > maxColumns {
-				t.Errorf("%s:%d has %d columns, %d at most", name, i+1, n, maxColumns)
+				t.Errorf("%s:%d has %d columns, want at most %d", name, i+1, n, maxColumns)
 			}
 		}
 	}
 }
 
-// The README shows the example that the tests run.
+// The README contains the code of the example that the tests run.
 func TestReadmeShowsTheExample(t *testing.T) {
 	readme, err := os.ReadFile("../README.md")
 	if err != nil {
@@ -96,10 +97,10 @@
 	_, body, found := strings.Cut(string(source), "func Example() {\n")
 	body, _, ends := strings.Cut(body, "\t// Output:")
 	if !found || !ends {
-		t.Fatal("no example")
+		t.Fatal("found no Example function with an output comment in example_test.go")
 	}
 	body = strings.ReplaceAll("\n"+body, "\n\t", "\n")
 	if !strings.Contains(string(readme), "```go"+body+"```") {
-		t.Errorf("README.md does not hold the example:%s", body)
+		t.Errorf("README.md does not contain the example:%s", body)
 	}
 }
--- a/balancer/lookup_test.go
+++ b/balancer/lookup_test.go
@@ -13,7 +13,7 @@
 		group := fmt.Sprint("g", i)
 		_, got := h.establish(idempotentClass, group)
 		if want := h.tableEntry(group); got != want {
-			t.Errorf("group %s is sent to %d, its entry is %d", group, got, want)
+			t.Errorf("group %s: sent to server %d, want %d", group, got, want)
 		}
 	}
 }
@@ -22,7 +22,7 @@
 	h := newHarness(t, testSettings(), 9)
 	h.handle(Request{ID: 1, Class: idempotentClass, Key: "alone", Timeout: sec})
 	if want := h.tableEntry("alone"); h.onlySend().Server != want {
-		t.Errorf("sent to %d, not %d", h.onlySend().Server, want)
+		t.Errorf("sent to server %d, want %d", h.onlySend().Server, want)
 	}
 	h.handle(Request{ID: 2, Class: idempotentClass, Timeout: sec}) // without a key
 	h.onlySend()
@@ -36,7 +36,7 @@
 		connections[server]++
 	}
 	if len(connections) < 2 || len(connections) == 8 {
-		t.Errorf("a large group is on %d of 8 servers: %v", len(connections), connections)
+		t.Errorf("large group is on %d of 8 servers, want 2 to 7: %v", len(connections), connections)
 	}
 }
 
@@ -48,7 +48,7 @@
 		second.request(idempotentClass, group)
 		for attempt := range 2 {
 			if diff := cmp.Diff(first.onlySend(), second.onlySend()); diff != "" {
-				t.Fatalf("group %s, attempt %d: sends of two gateways differ:\n%s", group, attempt, diff)
+				t.Fatalf("group %s, attempt %d: sends differ (-first +second):\n%s", group, attempt, diff)
 			}
 			if attempt == 0 {
 				first.endAttempt(first.onlySend(), 0, ConnectFailed)
@@ -65,13 +65,13 @@
 	midFlow := Request{ID: 500, Class: idempotentClass, Group: "g", MidFlow: true, Timeout: sec}
 	h.handle(midFlow)
 	if got := h.onlySend().Server; got != owner {
-		t.Errorf("within the grace: sent to %d, not to its owner %d", got, owner)
+		t.Errorf("within the drain grace: sent to server %d, want its owner %d", got, owner)
 	}
-	h.now += 500 * ms // past the drain grace
+	h.now += 500 * ms // to the end of the drain grace
 	midFlow.ID++
 	h.handle(midFlow)
 	if got := h.onlySend().Server; got == owner {
-		t.Error("sent to a draining server past the grace")
+		t.Error("sent to a draining server after the drain grace")
 	}
 }
 
@@ -86,17 +86,18 @@
 			ID: RequestID(1000 + i), Class: idempotentClass, Group: group, MidFlow: true, Timeout: sec,
 		})
 		if want := servers[table.at(hashKey(group), 0)].ID; h.onlySend().Server != want {
-			t.Fatalf("group %s is sent to %d, its previous entry is %d", group, h.onlySend().Server, want)
+			t.Fatalf("group %s: sent to %d, want its previous entry %d", group, h.onlySend().Server, want)
 		}
 	}
-	h.now += 6 * sec // past the flow retention
+	h.now += 6 * sec // past FlowRetention
 	h.handle(Request{ID: 2000, Class: idempotentClass, Group: "x", MidFlow: true, Timeout: sec})
 	if want := h.tableEntry("x"); h.onlySend().Server != want {
-		t.Errorf("past the flow retention: sent to %d, the entry is %d", h.onlySend().Server, want)
+		t.Errorf("past FlowRetention: sent to server %d, want the entry %d", h.onlySend().Server, want)
 	}
 }
 
-// A mid-flow request is sent to its key's entry at once: no load report tells who its owner is.
+// A mid-flow request is sent to its table entry without a load poll, since a load report does not show which
+// server owns its connection.
 func TestMidFlowRequestIsSentWithoutPolling(t *testing.T) {
 	h := newHarness(t, pollingSettings(), 8)
 	h.handle(Request{ID: 1, Class: idempotentClass, Key: "a", Timeout: 2 * sec, MidFlow: true})
@@ -107,8 +108,9 @@
 	}
 }
 
-// A reconnecting client may have lost its connection to the entry, which this gateway cannot know, unless it
-// has a live connection there itself.
+// A reconnecting client may have lost its connection because its table entry fails. The client is sent to
+// another server unless this gateway has an established connection to the entry itself, which shows that it
+// serves.
 func TestReconnectingClientSkipsEntryWithoutLiveConnection(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	send := func(id RequestID, isReconnecting bool) ServerID {
@@ -125,19 +127,19 @@
 		}
 	}
 	if skipped < 4 {
-		t.Errorf("%d of 8 skipped the entry", skipped)
+		t.Errorf("%d of 8 reconnecting clients skipped the entry, want at least 4", skipped)
 	}
 	if got := send(1, false); got != entry {
-		t.Fatalf("a new client is sent to %d, the entry is %d", got, entry)
+		t.Fatalf("new client: sent to server %d, want the entry %d", got, entry)
 	}
 	h.handle(AttemptEstablished{ID: 1, Server: entry, Elapsed: 10 * ms})
 	if got := send(1000, true); got != entry {
-		t.Errorf("sent to %d, though there is a live connection at the entry %d", got, entry)
+		t.Errorf("with a connection to the entry: sent to server %d, want the entry %d", got, entry)
 	}
 }
 
-// Where many gateways have a few members each of a group too large for one server, they spread it between
-// them, and leave a small group in one place.
+// If each of many gateways has a few members of a group that is too large for one server, the gateways spread
+// the group over many entries. A smaller group is spread over fewer.
 func TestGroupLargeAcrossGatewaysIsSharded(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 200
@@ -152,12 +154,12 @@
 	large := b.groupShardCount(&request{Request: Request{Group: "g0"}})
 	small := b.groupShardCount(&request{Request: Request{Group: "g1"}})
 	if large < 10 || small > large/2 {
-		t.Errorf("half of all connections over %.1f entries, a tenth over %.1f", large, small)
+		t.Errorf("half of all connections are spread over %.1f entries, a tenth over %.1f", large, small)
 	}
 }
 
-// placeGroup places the members of a group on a fleet of 80 servers, each by a gateway of its own that has
-// the servers' load reports alone. It returns over how many servers they are and how many are rejected.
+// placeGroup places the members of a group on a fleet of 80 servers. Each member comes to its own gateway,
+// which knows only the servers' load reports. It returns the number of servers used and of members rejected.
 func placeGroup(
 	t *testing.T, group string, members int, utilization func(server, member int) float64,
 ) (servers, rejected int) {
@@ -180,24 +182,25 @@
 	return len(used), rejected
 }
 
-// Where the fleet is busy, the members of a group go to near lookups, though servers of later lookups report
-// less, one at one time and another at the next. With searches that went on until some server had capacity,
-// 57 groups were over 550 servers after a restart of the fleet; as a group costs each of its servers as much
-// as several connections, this alone filled the fleet.
+// In a busy fleet, the members of a group stay within the lookups of a short search, although other servers
+// report less load at one time or another. Guards against a search that goes on until some server has
+// capacity: after a restart of the fleet it spread 57 groups over 550 servers. A group adds the load of
+// several connections to each of its servers, so this alone filled the fleet.
 func TestBusyFleetKeepsGroupsTogether(t *testing.T) {
 	busy := func(server, member int) float64 { return 0.62 + 0.2*float64((server*37+member*13)%80)/80 }
 	for _, group := range []string{"a", "b", "c"} {
 		t.Run(group, func(t *testing.T) {
 			if servers, rejected := placeGroup(t, group, 60, busy); servers > 9 || rejected > 0 {
-				t.Errorf("%d servers for 60 members, %d rejected", servers, rejected)
+				t.Errorf("60 members use %d servers, %d rejected; want at most 9 and none", servers, rejected)
 			}
 		})
 	}
 }
 
-// Where the servers of near lookups are full, members of a group are rejected, as they may come again while a
-// group that is spread stays so. Requests without a group are sent wherever there is capacity.
-func TestGroupMembersAreRejectedWhenNearLookupsAreFull(t *testing.T) {
+// If all servers of a short search are full, members of a group are rejected. A rejected member can retry
+// later, whereas a group that has been spread stays spread. Requests without a group are sent wherever there
+// is capacity.
+func TestGroupMembersAreRejectedWhenShortSearchFindsNoCapacity(t *testing.T) {
 	mostlyFull := func(server, _ int) float64 {
 		if server%20 == 7 {
 			return 0.2
@@ -208,14 +211,14 @@
 	for _, group := range []string{"a", "b", "c", "d"} {
 		servers, rejected := placeGroup(t, group, 20, mostlyFull)
 		if servers > 4 {
-			t.Errorf("group %s: at %d servers, 4 have capacity", group, servers)
+			t.Errorf("group %s: uses %d servers, but only 4 have capacity", group, servers)
 		}
 		rejections = max(rejections, rejected)
 	}
 	if rejections == 0 {
-		t.Error("no member of any group is rejected")
+		t.Error("no member of any group is rejected, want at least one")
 	}
 	if _, rejected := placeGroup(t, "", 20, mostlyFull); rejected > 0 {
-		t.Errorf("%d requests without a group rejected, though servers have capacity", rejected)
+		t.Errorf("got %d rejected requests without a group, want 0 as servers have capacity", rejected)
 	}
 }
--- a/balancer/maglev_test.go
+++ b/balancer/maglev_test.go
@@ -20,7 +20,7 @@
 
 func equalWeight(int) float64 { return 1 }
 
-// slotCounts counts the slots of each of n servers. It panics on a slot that none of them has.
+// slotCounts returns the number of slots of each of n servers. It panics if a slot belongs to none of them.
 func slotCounts(t table, n int) []int {
 	counts := make([]int, n)
 	for _, i := range t {
@@ -36,7 +36,7 @@
 		}
 	}
 	if maxServers := 200; tableSize < 10*maxServers {
-		t.Errorf("%d slots are fewer than 10 for each of %d servers", tableSize, maxServers)
+		t.Errorf("got %d slots, want at least 10 for each of %d servers", tableSize, maxServers)
 	}
 }
 
@@ -45,11 +45,11 @@
 		t.Run(fmt.Sprint(n, " servers"), func(t *testing.T) {
 			table := buildTable(weightedServers(n, equalWeight))
 			if len(table) != tableSize {
-				t.Fatalf("%d slots", len(table))
+				t.Fatalf("got %d slots, want tableSize", len(table))
 			}
 			for i, count := range slotCounts(table, n) {
 				if count < tableSize/n || count > tableSize/n+1 {
-					t.Errorf("server %d has %d slots of %d", i, count, tableSize)
+					t.Errorf("server %d has %d of %d slots, want an equal share", i, count, tableSize)
 				}
 			}
 		})
@@ -62,18 +62,18 @@
 	for i, count := range slotCounts(buildTable(servers), 9) {
 		want := tableSize * servers[i].weight / total
 		if math.Abs(float64(count)-want) > 2 {
-			t.Errorf("server %d of weight %v has %d slots, not about %.0f", i, servers[i].weight, count, want)
+			t.Errorf("server %d of weight %v has %d slots, want %.0f ± 2", i, servers[i].weight, count, want)
 		}
 	}
 }
 
 func TestNoServersGiveNoTable(t *testing.T) {
 	if table := buildTable(nil); table != nil {
-		t.Errorf("a table of %d slots for no servers", len(table))
+		t.Errorf("got a table of %d slots for no servers, want nil", len(table))
 	}
 }
 
-// The removal of a server changes few slots but its own.
+// The removal of a server changes few slots of the other servers.
 func TestRemovalMovesFewSlotsOfOtherServers(t *testing.T) {
 	for _, n := range []int{8, 12, 20, 40, 80} {
 		t.Run(fmt.Sprint(n, " servers"), func(t *testing.T) {
@@ -89,13 +89,13 @@
 				}
 			}
 			if ratio := float64(changed) / tableSize; ratio > 0.06 {
-				t.Errorf("%.3f of the slots moved between the other servers", ratio)
+				t.Errorf("a fraction %.3f of the slots moved between other servers, want at most 0.06", ratio)
 			}
 		})
 	}
 }
 
-// Gateways build the same table whatever the order of their lists and their own seeds.
+// Gateways build the same table, whatever the order of the servers in their lists and their own seeds.
 func TestGatewaysBuildTheSameTable(t *testing.T) {
 	list := testServers(12)
 	var first table
@@ -110,19 +110,19 @@
 		b.Handle(0, EndpointList{Mode: ListComplete, Servers: shuffled})
 		b.refreshTable()
 		if len(b.table) != tableSize {
-			t.Fatalf("seed %d: a table of %d slots", seed, len(b.table))
+			t.Fatalf("seed %d: got a table of %d slots, want tableSize", seed, len(b.table))
 		}
 		if first == nil {
 			first = b.table
 		}
 		if diff := cmp.Diff(first, b.table); diff != "" {
-			t.Errorf("seed %d: another table:\n%s", seed, diff)
+			t.Errorf("seed %d: table differs (-first +got):\n%s", seed, diff)
 		}
 	}
 }
 
 // weightChange changes the weights of a few servers, as a new placement plan does. It returns how many slots
-// changed and how many must have: the sum of what servers gain.
+// changed, and how many had to change, which is the sum of the slots that servers gained.
 func weightChange(random *rand.Rand) (changed, needed float64) {
 	n := 9 + random.IntN(12)
 	before := weightedServers(n, func(int) float64 { return 40 + random.Float64()*80 })
@@ -146,22 +146,23 @@
 	return changed, needed
 }
 
-// Plans change weights, and each key that moves is a client that is set up anew later.
+// A change of weights, as by a new placement plan, moves few slots. Each key that moves means that its
+// clients have to be set up at another server later.
 func TestChangedWeightsMoveFewSlots(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	worst, sum, runs := 0.0, 0.0, 0
+	maxRatio, sum, runs := 0.0, 0.0, 0
 	for range 200 {
 		changed, needed := weightChange(random)
 		if needed < 20 {
 			continue
 		}
 		ratio := changed / needed
-		worst, sum, runs = max(worst, ratio), sum+ratio, runs+1
+		maxRatio, sum, runs = max(maxRatio, ratio), sum+ratio, runs+1
 	}
-	t.Logf("%d changes: %.2f times the slots needed moved on average, %.2f at worst",
-		runs, sum/float64(runs), worst)
+	t.Logf("%d changes: ratio of moved to needed slots %.2f on average, %.2f at most",
+		runs, sum/float64(runs), maxRatio)
 	if sum/float64(runs) > 5 {
-		t.Error("a change of weights reshuffles the table")
+		t.Error("changes of weights move more than 5 times the needed slots on average")
 	}
 }
 
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -10,22 +10,22 @@
 	"pgregory.net/rapid"
 )
 
-// fleetStart is when the servers of a warmingFleet that warm up start.
+// fleetStart is when those servers of a warmingFleet start that are warming up.
 const fleetStart = 100 * sec
 
-// warmingFleet is a fleet of gateways that send to the same servers, some of which are warming up.
+// warmingFleet holds gateways that send to the same servers, some of which are warming up.
 type warmingFleet struct {
 	random       *rand.Rand
 	settings     Settings
 	gateways     []*Balancer
-	list         EndpointList    // with the servers that are warming up
-	listedAt     []time.Duration // when each gateway gets the list; 0: it has it
-	firstWarming ServerID        // the servers from this one on are warming up
-	age          time.Duration   // of the gateways at fleetStart
-	rejectRatio  float64         // of attempts that are rejected by their server, and retried
+	list         EndpointList    // the list that includes the servers that are warming up
+	listedAt     []time.Duration // when each gateway receives the list; zero means that it has the list
+	firstWarming ServerID        // servers with this ID or a higher one are warming up
+	age          time.Duration   // how long the gateways have been running at fleetStart
+	rejectRatio  float64         // fraction of the attempts that their server rejects, which are retried
 	budget       float64         // sends to one server that the settings allow in ColdOverloadDuration
 	lastID       RequestID
-	sends        map[ServerID][]time.Duration // to servers that are warming up
+	sends        map[ServerID][]time.Duration // times of the sends to servers that are warming up
 }
 
 func drawWarmingFleet(t *rapid.T) *warmingFleet {
@@ -69,7 +69,8 @@
 
 func seconds(n float64) time.Duration { return time.Duration(n * 1e9) }
 
-// request has a request come to a gateway; some get several times the mean.
+// request feeds a request to a random gateway and ends or establishes its attempts. Some gateways get several
+// times the mean number of requests.
 func (f *warmingFleet) request(now time.Duration, group string, isReconnecting bool) {
 	i := int(math.Pow(f.random.Float64(), 1.5) * float64(len(f.gateways)))
 	b := f.gateways[i]
@@ -97,8 +98,8 @@
 	}
 }
 
-// reconnectGroup has the members of a group reconnect within a duration: as large a part of the fleet as was
-// seen, which is 111 clients of 300 gateways.
+// reconnectGroup has the members of a group reconnect within a duration. Their number is in proportion to a
+// case that was observed, with 111 clients at 300 gateways.
 func (f *warmingFleet) reconnectGroup(start, duration time.Duration, group string) {
 	clients := max(111*len(f.gateways)/300, 6)
 	for i := range clients {
@@ -106,21 +107,21 @@
 	}
 }
 
-// maxSends is the most that one server that is warming up was sent within ColdOverloadDuration.
-func (f *warmingFleet) maxSends() (most int) {
+// maxSends returns the largest number of sends within ColdOverloadDuration to one server that is warming up.
+func (f *warmingFleet) maxSends() (maximum int) {
 	for _, at := range f.sends {
 		from := 0
 		for to := range at {
 			for at[to]-at[from] >= f.settings.ColdOverloadDuration {
 				from++
 			}
-			most = max(most, to-from+1)
+			maximum = max(maximum, to-from+1)
 		}
 	}
-	return most
+	return maximum
 }
 
-// warmingGroup is a group whose table entry is a server that is warming up.
+// warmingGroup returns a group whose table entry is a server that is warming up.
 func (f *warmingFleet) warmingGroup(t *rapid.T) string {
 	t.Helper()
 	b := newBalancer(t, f.settings)
@@ -133,19 +134,19 @@
 	return group
 }
 
-// Whatever the fleet, its traffic and its groups are, what all gateways together send to a server that is
-// warming up within ColdOverloadDuration stays within N + 2 x root of N + 2, N being the budget: also where
-// all gateways have only just started and know nothing of their traffic, where they get the list at different
-// times, and where attempts are rejected and retried. In the middle of it a large group reconnects within
-// 0.3 s, and its entry is a server that is warming up. By chance one of 2,400 draws exceeded it (12 sent of
-// 11.7), and more do where one group is most of the traffic.
+// The number of sends of all gateways together to a server that is warming up stays within N + 2√N + 2 in any
+// ColdOverloadDuration, where N is the budget. This holds for any fleet, traffic and groups, also if all
+// gateways have just started and do not know the rate of their requests yet, if they receive the list at
+// different times, and if attempts are rejected and retried. During the run, a large group reconnects within
+// 0.3 s, and its table entry is a server that is warming up. The bound is statistical: one of 2,400 draws
+// exceeded it (12 sends, bound 11.7), and more draws do if one group makes up most of the traffic.
 func TestWholeFleetStaysWithinWarmupBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawWarmingFleet(t)
 		gateways := float64(len(f.gateways))
 		rate := rapid.Float64Range(0.3, 1.5).Draw(t, "requests a second for each gateway")
 		if gateways < 80 {
-			rate *= 80 / (gateways + 10) // the fewer gateways, the more requests each of them gets
+			rate *= 80 / (gateways + 10) // each gateway gets more requests if there are fewer gateways
 		}
 		groups := rapid.IntRange(6, 40).Draw(t, "groups")
 		group := f.warmingGroup(t)
@@ -161,7 +162,7 @@
 			f.request(now, fmt.Sprint("g", f.random.IntN(f.random.IntN(groups)+1)), f.random.IntN(3) > 0)
 		}
 		if limit := f.budget + 2*math.Sqrt(f.budget) + 2; float64(f.maxSends()) > limit {
-			t.Fatalf("%d sent in %v, the limit is %.1f for a budget of %.1f",
+			t.Fatalf("got %d sends in %v, want at most %.1f for a budget of %.1f",
 				f.maxSends(), f.settings.ColdOverloadDuration, limit, f.budget)
 		}
 	})
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// warmingServer is the ID of a server that warms up beside the testServers.
+// warmingServer is the ID of a server that is warming up, in addition to the testServers.
 const warmingServer ServerID = 900
 
-// newWarmupHarness returns a harness with n warm servers and one that warms up, and whose Balancer has run
-// for long.
+// newWarmupHarness returns a harness with n warm servers and one that is warming up. Its Balancer has been
+// running for an hour.
 func newWarmupHarness(t *testing.T, settings Settings, n int) (*harness, *server) {
 	t.Helper()
 	h := newHarness(t, settings, n)
@@ -20,8 +20,8 @@
 	return h, h.balancer.servers[warmingServer]
 }
 
-// resetArrivals makes the Balancer that of another gateway, with one request in its memory, at a time when a
-// server has been warming up for a second.
+// resetArrivals makes the Balancer act as that of another gateway, which has counted one request, and at
+// which the server has been warming up for one second.
 func (h *harness) resetArrivals(s *server) {
 	h.balancer.now += ms
 	h.balancer.recentRequests, s.warmupLookups = decayingCounter{}, decayingCounter{}
@@ -29,13 +29,13 @@
 	h.balancer.recentRequests.add(h.balancer.now, 1)
 }
 
-// admitsToWarmup reports whether a request of the given ID is admitted to a server that is warming up.
+// admitsToWarmup reports whether a request with the given ID is admitted to a server that is warming up.
 func (h *harness) admitsToWarmup(id RequestID, s *server) bool {
 	return h.balancer.admitToWarmingServer(&request{Request: Request{ID: id}}, s)
 }
 
-// A burst in which each gateway has one request, its first for long, stays within the warm-up budget in the
-// mean over many bursts.
+// A burst in which each gateway gets one request, the first for a long time, stays within the warm-up budget
+// on average over many bursts.
 func TestBurstAcrossGatewaysStaysWithinWarmupBudget(t *testing.T) {
 	const members, bursts = 13, 60
 	for _, gateways := range []int{3, 80, 300} {
@@ -54,15 +54,15 @@
 				limit := settings.ColdOverloadFactor * minWarmConnections /
 					settings.WarmupDuration.Seconds() * overloadDuration.Seconds()
 				if mean := float64(sent) / bursts; mean > 1.2*limit || mean < 0.2*limit {
-					t.Errorf("%.2f in a burst, the limit is %.2f", mean, limit)
+					t.Errorf("%.2f sends per burst, want 0.2 to 1.2 times %.2f", mean, limit)
 				}
 			})
 		}
 	}
 }
 
-// isSentToWarmup looks a request up as in a table of some servers, one of which warms up, until that one
-// admits it.
+// isSentToWarmup reports whether the server that is warming up admits a request. Each lookup leads to that
+// server with the probability that it has in a table of the given number of servers.
 func (h *harness) isSentToWarmup(id RequestID, s *server, servers uint64) bool {
 	for lookup := range uint64(shortSearchLookups) {
 		if mix(uint64(id), lookup)%servers == 0 && h.admitsToWarmup(id, s) {
@@ -72,9 +72,10 @@
 	return false
 }
 
-// The members of a large group share their lookups, so that many may try one server at once, however many
-// servers there are. In a fleet of 300 gateways 111 members came back together, and servers were overloaded
-// from 15 connections on.
+// A burst of reconnecting members of one group does not overload a server that is warming up. The members of
+// a group have the same lookups, so many may reach one server at once, whatever the number of servers. In a
+// fleet of 300 gateways, 111 members reconnected together, and a server was overloaded from 15 connections
+// on.
 func TestGroupBurstDoesNotOverloadWarmingServer(t *testing.T) {
 	const members, bursts, capacity, overload = 111, 200, 20, 15
 	settings := testSettings()
@@ -89,19 +90,19 @@
 		}
 	}
 	if mean := float64(sent) / bursts; mean >= overload || mean < 1 {
-		t.Errorf("%.2f in a burst", mean)
+		t.Errorf("%.2f sends per burst, want at least 1 and less than 15", mean)
 	}
 }
 
-// gatewaysInTurn are gateways that get requests in turn.
-type gatewaysInTurn struct {
+// roundRobinGateways holds gateways that get requests in turn.
+type roundRobinGateways struct {
 	gateways []*harness
 	requests int
 }
 
-// serve has requests come in and establishes their connections, which end at once unless they are kept. It
-// returns how many were sent to warmingServer.
-func (g *gatewaysInTurn) serve(requests int, isKept bool) (warming int) {
+// serve feeds requests and establishes their connections, which end at once unless isKept is set. It returns
+// how many attempts were sent to warmingServer.
+func (g *roundRobinGateways) serve(requests int, isKept bool) (warming int) {
 	for range requests {
 		h := g.gateways[g.requests%len(g.gateways)]
 		g.requests++
@@ -122,22 +123,22 @@
 	return warming
 }
 
-// The warm-up budget holds over one gateway as over 235 that get the same requests between them, also when
-// the clients of a lost part of the fleet reconnect at once.
+// The warm-up budget holds for any number of gateways that share the same requests, even when the clients of
+// a lost part of the fleet reconnect at once.
 func TestWarmupBudgetHoldsAtAnyNumberOfGateways(t *testing.T) {
 	for _, gateways := range []int{1, 4, 235} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			const overloadDuration = 2 * sec
 			settings := testSettings()
 			settings.Gateways, settings.ColdOverloadDuration = gateways, overloadDuration
-			g := &gatewaysInTurn{}
+			g := &roundRobinGateways{}
 			for range gateways {
 				g.gateways = append(g.gateways, newHarness(t, settings, 8))
 			}
 			start := g.gateways[0].now
-			total := g.serve(240, true) // thirty for each warm server
+			total := g.serve(240, true) // 30 for each warm server
 			if total > 0 {
-				t.Errorf("%d sent to a server that is not listed yet", total)
+				t.Errorf("got %d sends to a server that is not listed yet, want 0", total)
 			}
 			capacity := 0.0
 			for _, h := range g.gateways {
@@ -146,7 +147,8 @@
 				s := h.balancer.servers[warmingServer]
 				capacity += h.balancer.warmConnectionCapacity(s) / float64(gateways)
 			}
-			// Three times what fills it over the warm-up, which is thirty connections.
+			// The budget is ColdOverloadFactor (3) times the rate that fills the server with 30 connections
+			// over the warm-up of 20 s, for a window of 2 s.
 			const allowed = 3.0 * 30 / 20 * 2
 			for window := range 5 {
 				for _, h := range g.gateways {
@@ -154,12 +156,12 @@
 				}
 				sent := g.serve(300, false)
 				if float64(sent) > allowed {
-					t.Errorf("%d sent in window %d, %.1f are allowed", sent, window, allowed)
+					t.Errorf("got %d sends in window %d, want at most %.1f", sent, window, allowed)
 				}
 				total += sent
 			}
 			if total == 0 || capacity > 31 {
-				t.Errorf("%d sent to a server with a capacity of %.0f connections", total, capacity)
+				t.Errorf("got %d sends and a capacity of %.0f, want some and at most 31", total, capacity)
 			}
 		})
 	}
@@ -178,7 +180,7 @@
 		sent += len(h.sends())
 	}
 	if sent > 4 {
-		t.Errorf("%d sent at once to four servers that are warming up", sent)
+		t.Errorf("got %d sends at once to 4 servers that are warming up, want at most 4", sent)
 	}
 	for range 15 {
 		h.advance(sec)
@@ -186,35 +188,35 @@
 		sent += len(h.sends())
 	}
 	if sent == 0 {
-		t.Error("nothing sent to a fleet that is warming up in 15 s")
+		t.Error("got no send in 15 s to a fleet that is warming up")
 	}
 }
 
-// The warm-up budget follows the connections and the utilization that warm servers report, as a fleet with
-// little traffic has fewer connections than it can bear.
+// The estimated capacity follows the connections and the utilization that warm servers report. Guards against
+// an estimate that is too low in a fleet with little traffic, which has fewer connections than it can hold.
 func TestWarmupBudgetFollowsLoadReports(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	s := h.balancer.sortedServers[0]
 	if got := h.balancer.warmConnectionCapacity(s); got != minWarmConnections {
-		t.Errorf("capacity of %v connections without reports", got)
+		t.Errorf("without reports: got a capacity of %v connections, want minWarmConnections", got)
 	}
 	for range 20 {
 		h.handle(LoadReport{Server: h.balancer.sortedServers[1].ID, Utilization: 0.25, Connections: 10})
 	}
 	if got := h.balancer.warmConnectionCapacity(s); got < 0.6*40 || got > 40 {
-		t.Errorf("capacity of %v connections where 10 are a quarter of the load", got)
+		t.Errorf("10 connections at utilization 0.25: got a capacity of %v, want 24 to 40", got)
 	}
 	s.Started = h.now
 	for range 20 {
 		h.handle(LoadReport{Server: s.ID, Utilization: 0.25, Connections: 1000})
 	}
 	if got := h.balancer.warmConnectionCapacity(s); got > 40 {
-		t.Errorf("capacity of %v connections by the report of a server that is warming up", got)
+		t.Errorf("after reports of a server that is warming up: got a capacity of %v, want at most 40", got)
 	}
 }
 
-// Where many gateways share a server that warms up each tries it seldom. Together they use its budget, and
-// stay within it, however many they are and however often requests come.
+// Many gateways together use the warm-up budget of a server and stay within it, although each one's lookups
+// rarely lead to the server, for any number of gateways and any rate of requests.
 func TestManyGatewaysUseWarmupBudget(t *testing.T) {
 	const duration, members = 10 * sec, 50
 	for _, c := range []struct {
@@ -233,15 +235,15 @@
 			}
 			budget := warmupBudgetRatio * 3 * minWarmConnections / 2 * duration.Seconds()
 			if n := float64(sent); n > 1.3*budget || n < 0.15*budget {
-				t.Errorf("%d sent of %.1f", sent, budget)
+				t.Errorf("got %d sends, want 0.15 to 1.3 times the budget of %.1f", sent, budget)
 			}
 		})
 	}
 }
 
-// sendToWarmup has requests with IDs from a first one come at an interval, first for 10 s, in which the
-// Balancer learns the arrival rate, then for a duration in which it returns how many it admits to
-// warmingServer, whose warm-up begins anew each time.
+// sendToWarmup counts requests at an interval, first for 10 s, in which the Balancer learns the arrival rate,
+// and then for a duration. It returns how many requests are admitted to warmingServer in that duration. The
+// server's warm-up restarts with each request. IDs count up from first.
 func (h *harness) sendToWarmup(first RequestID, interval, duration time.Duration, servers uint64) (sent int) {
 	const learning = 10 * sec
 	s := h.balancer.servers[warmingServer]
@@ -260,7 +262,8 @@
 	return sent
 }
 
-// Requests that are shed as warm servers are slow may go to a server that warms up, within its budget.
+// Requests that are shed because warm servers are slow may be sent to a server that is warming up, within its
+// budget.
 func TestShedRequestsUseWarmupBudget(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways, settings.WarmupDuration = 300, sec/100
@@ -270,17 +273,17 @@
 	sent := 0
 	for i := range 200 {
 		h.now += 500 * ms
-		h.balancer.servers[warmingServer].Started = h.now // begins its warm-up anew
+		h.balancer.servers[warmingServer].Started = h.now // restarts its warm-up
 		h.handle(Request{ID: RequestID(i + 1), Class: idempotentClass, Timeout: 2 * sec})
 		for _, server := range h.sentTo() {
 			if server != warmingServer {
-				t.Fatalf("sent to warm server %d though all requests are shed", server)
+				t.Fatalf("sent to warm server %d although all requests are shed", server)
 			}
 			sent++
 		}
 		h.balancer.slowRatio = 1
 	}
 	if sent == 0 {
-		t.Error("nothing sent to the server that is warming up, whose budget is unused")
+		t.Error("got no send to the server that is warming up, whose budget is unused")
 	}
 }
