--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -139,11 +139,12 @@
 // setState applies the state of a server in the list.
 //
 // If removal is advisory, a ready server that is listed as removed, or left out, is only suspected to be
-// removed. It keeps its slots in the table, because its connections and the results of its attempts are
-// better evidence than the list. Once it has an established connection, it serves as before. Until then only
-// one attempt at a time is sent to it. The first failure confirms the removal, and so does an ejection. This
-// guards against lists that are wrong, empty or stale, and avoids a second change of the table when the
-// correct list arrives. It costs one attempt if the server is gone and no connection has shown that.
+// removed, unless it is ejected. A suspected server keeps its slots in the table, because its connections and
+// the results of its attempts are better evidence than the list. Once it has an established connection, it
+// serves as before. Until then only one attempt at a time is sent to it. The first failure confirms the
+// removal, and so does an ejection. This guards against lists that are wrong, empty or stale, and avoids a
+// second change of the table when the correct list arrives. It costs one attempt if the server is gone and no
+// connection has shown that.
 //
 // Draining is final until the server's process restarts, whatever a stale list says later.
 func (b *Balancer) setState(s *server, state ServerState) {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -127,7 +127,7 @@
 	for _, c := range []struct {
 		name     string
 		settings Settings
-	}{{"removal binds", testSettings()}, {"removal is advisory", advisorySettings()}} {
+	}{{"removal is binding", testSettings()}, {"removal is advisory", advisorySettings()}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, c.settings, 3)
 			h.listDelta(Server{ID: 900, State: Removed})
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestOnlyDrainingBindsWhereRemovalIsAdvisory(t *testing.T) {
+func TestOnlyDrainingIsBindingIfRemovalIsAdvisory(t *testing.T) {
 	h := newHarness(t, advisorySettings(), 5)
 	_, server := h.establish(idempotentClass, "g")
 	sendMidFlow := func() ServerID {
@@ -210,7 +210,7 @@
 	for _, c := range []struct {
 		name     string
 		settings Settings
-	}{{"removal binds", testSettings()}, {"removal is advisory", advisorySettings()}} {
+	}{{"removal is binding", testSettings()}, {"removal is advisory", advisorySettings()}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, c.settings, 0)
 			kept := 0
@@ -326,7 +326,7 @@
 	for _, c := range []struct {
 		name     string
 		settings Settings
-	}{{"removal binds", testSettings()}, {"removal is advisory", advisorySettings()}} {
+	}{{"removal is binding", testSettings()}, {"removal is advisory", advisorySettings()}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, c.settings, 3)
 			const returned ServerID = 101
@@ -337,7 +337,7 @@
 			h.advance(40 * time.Minute)
 			h.listComplete(testServers(3)...)
 			if after := h.countSendsTo(returned, requests); after < requests/6 {
-				t.Errorf("returned server got %d of %d requests, want at least a sixth", after, requests)
+				t.Errorf("returned server got %d of %d requests, want a third, at least a sixth", after, requests)
 			}
 			if n := h.balancer.UnreachableServers(); n > 0 {
 				t.Errorf("got %d ready servers without an entry in the table, want 0", n)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -15,7 +15,7 @@
 // The states of a server.
 const (
 	Ready    ServerState = iota
-	Draining             // finishes its work and is sent no new requests
+	Draining             // finishes its work and is sent nothing new
 	Removed              // is not part of the fleet any more
 )
 
--- a/balancer/lookup.go
+++ b/balancer/lookup.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// lookup returns the server that a request's n-th lookup in the table gives. Lookup 0 gives the table
-// entry of its own hash, further lookups give alternates.
+// lookup returns the server that a request's n-th lookup in the table gives. Lookup 0 gives the table entry
+// of the request's placement hash, further lookups give alternates.
 func (b *Balancer) lookup(r *request, n int) *server {
 	return b.tableServers[b.table.at(r.placementHash, n)]
 }
--- a/balancer/maglev.go
+++ b/balancer/maglev.go
@@ -88,8 +88,8 @@
 	return cursors
 }
 
-// at returns the server index that the n-th lookup of a hashed key gives. Lookup 0 gives the entry of the key
-// itself, further lookups give alternates.
+// at returns the server index that the n-th lookup of a hashed key gives. Lookup 0 gives the entry of the
+// hash itself, further lookups give alternates.
 func (t table) at(key uint64, n int) int {
 	if n > 0 {
 		key = mix(key, uint64(n))
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	// maxLookups bounds the lookups of one search. Further lookups cost more than they found.
+	// maxLookups bounds the lookups of one search. More lookups were not worth their cost.
 	maxLookups = 160
 
 	// shortSearchLookups bounds the lookups for a member of a group, so that the group stays on few servers,
