--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -157,8 +157,8 @@
 	return h.balancer.tableServers[h.balancer.table.at(hashKey(key), 0)].ID
 }
 
-// requireSingleTrial checks that a group's next request goes to a server and the one that follows to another, as the
-// first attempt is pending. It returns the first.
+// requireSingleTrial checks that the next request of a group goes to the given server, and the one after it
+// to another server because the first attempt is still pending. It returns the first Send.
 func (h *harness) requireSingleTrial(group string, server ServerID) Send {
 	h.t.Helper()
 	h.request(idempotentClass, group)
