--- a/balancer/lookup_test.go
+++ b/balancer/lookup_test.go
@@ -154,7 +154,7 @@
 	large := b.groupShardCount(&request{Request: Request{Group: "g0"}})
 	small := b.groupShardCount(&request{Request: Request{Group: "g1"}})
 	if large < 10 || small > large/2 {
-		t.Errorf("half of all connections are spread over %.1f entries, a tenth over %.1f", large, small)
+		t.Errorf("large group: %.1f shards, want at least 10; small: %.1f, want at most half", large, small)
 	}
 }
 
