--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -66,7 +66,7 @@
 	// that they do not keep it.
 	FlowRetention     time.Duration
 	DrainGrace        time.Duration // time after which nothing may be sent to a draining or removed server
-	RemovalIsAdvisory bool          // servers listed as removed may still be sent to; draining always binds
+	RemovalIsAdvisory bool          // servers listed as removed may still be sent to; draining is binding
 
 	// WarmupDuration is the time after its start in which a server's process reaches its full capacity. Zero
 	// means that it has full capacity at once. A server that is warming up fails if it is sent more than
