--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,40 +6,42 @@
 )
 
 const (
-	// minPriorityLimitRatio is the part of a server's load limit that requests of the lowest priority may
-	// fill, so that none starves.
+	// minPriorityLimitRatio is the fraction of a server's load limit that requests of the lowest priority may
+	// use. It is above 0 so that they are not starved.
 	minPriorityLimitRatio = 0.5
 
-	// slowRatioThreshold is the part of this gateway's connections on slow servers, times the part of a limit
-	// that a request may fill, from which some requests are shed.
+	// slowRatioThreshold is the threshold of shedding for slowness: some requests are shed when the fraction
+	// of this gateway's connections that are on slow servers exceeds this value times the request's
+	// limitRatio.
 	slowRatioThreshold = 0.3
 
-	// maxAttemptsPerEstablished bounds the attempts for each one that is established; requests beyond that
-	// are shed.
+	// maxAttemptsPerEstablished bounds the number of attempts for each established one. Requests beyond the
+	// bound are shed.
 	maxAttemptsPerEstablished = 1.5
 
-	// sharedGroupCost is what a group's last member costs a server, in mean connections, where members share
-	// it and priorities rank connections.
+	// sharedGroupCost is the load, in mean connections, that priorityPerLoad charges for a group at a server.
+	// The members of the group at that server share it equally, so the last one left bears all of it.
 	sharedGroupCost = 2 * newGroupCost
 
-	// minPriorityPerLoad keeps the highest priority for its load above 0, if all weights are 0.
+	// minPriorityPerLoad keeps the highest priority per load above 0 if all priority weights are 0.
 	minPriorityPerLoad = 1e-12
 )
 
-// isShedByFleet reports whether the fleet sheds a request. Which clients of the priority at the level those
-// are is the same at every gateway, so that one who reconnects elsewhere is answered alike. What a server
-// holds already is never shed.
+// isShedByFleet reports whether the shed level of the fleet rejects a request. At the priority where the
+// level falls, every gateway selects the same clients, so a client that reconnects through another gateway
+// gets the same answer. Mid-flow requests are never shed, because a server already holds their connections.
 func (b *Balancer) isShedByFleet(r *request) bool {
 	return !r.MidFlow && r.clientFraction(fleetShedPurpose) < b.fleetShedLevel-float64(r.Priority)
 }
 
-// failureShedRatio is the part of the requests that is shed since too few attempts are established, at
-// whatever servers; 0 or less sheds none.
+// failureShedRatio returns the fraction of requests to shed because too few attempts are established, counted
+// over all servers. Zero or a negative value sheds none.
 //
-// This protects from an overload of what all set-ups share, as a database: asked for more than it can do it
-// answers none in time, and the reconnecting clients keep that up. Meanwhile nothing migrates, as each
-// migration is a set-up, and no server's limit is lowered for a time-out. It works for any failure of set-ups
-// that ejections do not end. It costs if a gateway reaches few servers, until the failing ones are ejected.
+// It protects from an overload of something that all set-ups share, such as a database: under more load than
+// it can serve it answers nothing in time, and reconnecting clients keep the load up. While the value is
+// positive, nothing migrates, because each migration is a set-up, and a timeout or an error lowers no
+// server's load limit. This works for any failure of set-ups that ejections do not end. Its cost is that a
+// gateway that reaches few servers sheds requests until the failing servers are ejected.
 func (b *Balancer) failureShedRatio() float64 {
 	if b.recentFailures.sum == 0 {
 		return 0
@@ -49,24 +51,24 @@
 	return (attempts - maxAttemptsPerEstablished*(established+1)) / (attempts + 1)
 }
 
-// isShedForFailures reports whether a request is shed since too few attempts are established.
+// isShedForFailures reports whether a request is shed because too few attempts are established.
 func (b *Balancer) isShedForFailures(r *request) bool {
 	return r.clientFraction(shedPurpose) < b.failureShedRatio()
 }
 
-// isShedForSlowness reports whether a request is shed since a good part of this gateway's own connections is
-// on slow servers: the more, the larger that part is and the smaller the part of a limit that the request may
-// fill.
+// isShedForSlowness reports whether a request is shed because many of this gateway's connections are on slow
+// servers. The probability grows with the fraction of connections on slow servers, and is higher for a
+// request with a smaller limitRatio.
 //
-// What a gateway holds is a sample of the fleet, so this protects from an overload of which each gateway sees
-// little, and which clients that disconnect and reconnect keep up. It costs if a few slow servers hold most
-// of what this gateway has.
+// The connections of a gateway are a sample of the fleet's. This protects from an overload of which each
+// gateway sees little, and which clients keep up by disconnecting and reconnecting. Its cost is that requests
+// are shed needlessly if a few slow servers hold most of this gateway's connections.
 func (b *Balancer) isShedForSlowness(r *request, limitRatio float64) bool {
 	threshold := slowRatioThreshold * limitRatio
 	return r.clientFraction(shedPurpose) < (b.slowRatio-threshold)/(1-threshold)
 }
 
-// logShedding logs when this gateway starts and stops to shed.
+// logShedding logs when this gateway starts or stops shedding load.
 func (b *Balancer) logShedding() {
 	shedding := b.slowRatio > slowRatioThreshold || b.failureShedRatio() > 0
 	if shedding == b.isShedding {
@@ -81,12 +83,15 @@
 		slog.Float64("recent_failures", roundToFraction(b.recentFailures.value(b.now), 10)))
 }
 
-// roundToFraction rounds a value for the log to a part of 1.
-func roundToFraction(value, part float64) float64 { return math.Round(value*part) / part }
+// roundToFraction rounds a value that is logged to a multiple of 1/denominator.
+func roundToFraction(value, denominator float64) float64 {
+	return math.Round(value*denominator) / denominator
+}
 
-// limitRatio is the part of a server's load limit that a request may fill: all for the highest priority for
-// its load, less for the others. This protects from an overload in which the capacity goes to whoever asks
-// first. If loads are not known, the priority weight alone ranks requests.
+// limitRatio returns the fraction of a server's load limit that a request may use, from minPriorityLimitRatio
+// to 1. It is 1 for requests with the highest priority per load and smaller for all others, so that under
+// overload the capacity does not go to whichever request comes first. If loads are unknown, the priority
+// weight alone ranks requests.
 func (b *Balancer) limitRatio(r *request) float64 {
 	highest := 0.0
 	for class := range b.settings.configuredClasses() {
@@ -96,8 +101,8 @@
 		(1-minPriorityLimitRatio)*min(b.priorityPerLoad(r)/max(highest, minPriorityPerLoad), 1)
 }
 
-// priorityPerLoad ranks a connection by its priority weight for its load. Members of a group that is at the
-// connection's server share what the group costs there.
+// priorityPerLoad returns the priority weight of a connection divided by its load. If the connection belongs
+// to a group and is at a server, the load includes its share of the group's cost there.
 func (b *Balancer) priorityPerLoad(r *request) float64 {
 	load := r.load
 	if load == 0 {
@@ -113,8 +118,8 @@
 	return weight / load
 }
 
-// isOverQuota reports whether a request's tenant uses its quota of connections, as far as this gateway can
-// infer.
+// isOverQuota reports whether a request's tenant has reached its quota of connections. The gateway
+// extrapolates from its own connections to those of all gateways.
 func (b *Balancer) isOverQuota(r *request) bool {
 	t, ok := b.tenantIndex[r.Tenant]
 	if !ok {
@@ -124,9 +129,12 @@
 	return quota > 0 && b.tenantConnections[t]*float64(b.settings.Gateways) >= quota
 }
 
-// hasCapacity reports whether a server can take another connection of the given load within a part of its
-// load limit. One that holds nothing from here takes one in any case: nothing more would be observed of it
-// otherwise, and a limit that no new group fits in would keep it out for minutes where connections are few.
+// hasCapacity reports whether a server can take another connection of the given load within the fraction
+// limitRatio of its load limit. If servers can be polled, one with a fresh load report is judged by its
+// utilization instead. Once limitGrowthDelay has passed since the limit was lowered, a server that is not
+// paused and has no connections from this gateway can always take one: otherwise the gateway would observe
+// nothing more of it, and where connections are few, a limit too low for any new group would keep the server
+// out of use for minutes.
 func (b *Balancer) hasCapacity(s *server, load, limitRatio float64) bool {
 	if b.settings.CanPollLoad && b.hasFreshReport(s) {
 		return b.projectedUtilization(s) <= maxUtilization
@@ -141,8 +149,8 @@
 		len(s.inFlight) == 0 && b.now-s.limitLoweredAt > limitGrowthDelay
 }
 
-// freeCapacityRatio is the part of the table's weight that can take more: of the servers that reported their
-// loads, if they can.
+// freeCapacityRatio returns the fraction of the lookup table's capacity, from 0 to 1, that belongs to servers
+// that can take more connections. If servers can be polled, it counts only those with a fresh load report.
 func (b *Balancer) freeCapacityRatio() float64 {
 	free, total := 0.0, 0.0
 	for _, s := range b.tableServers {
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// loadSum adds up the loads of connections.
+// loadSum is a sum of the loads of connections.
 type loadSum struct {
 	known   float64
 	unknown []int // connections of unknown load, by class
@@ -10,7 +10,8 @@
 
 func newLoadSum(classes int) loadSum { return loadSum{unknown: make([]int, classes)} }
 
-// add adds a connection's load, or with a sign of -1 takes it away.
+// add adds a connection's load if sign is 1, or subtracts it if sign is -1. A load of 0 is unknown and
+// counted by class.
 func (l *loadSum) add(class int, load float64, sign int) {
 	if load > 0 {
 		l.known += float64(sign) * load
@@ -19,7 +20,7 @@
 	}
 }
 
-// attach accounts for a request's attempt at a server.
+// attach adds a request's attempt to the counts and loads of a server.
 func (b *Balancer) attach(r *request, s *server) {
 	r.server = s
 	s.inFlight = append(s.inFlight, r)
@@ -31,7 +32,7 @@
 	b.addLoad(r, 1)
 }
 
-// detach undoes attach when the attempt has ended.
+// detach undoes attach when the attempt has ended. It does nothing if the request has no attempt.
 func (b *Balancer) detach(r *request) {
 	s := r.server
 	if s == nil {
@@ -51,12 +52,12 @@
 		s.pendingAttempts--
 	}
 	if len(s.inFlight) == 0 {
-		s.load.known = 0 // without what rounding left over
+		s.load.known = 0 // discards accumulated rounding errors
 	}
 	r.server = nil
 }
 
-// addLoad adds the load of a request's connection to all sums, or with a sign of -1 takes it away.
+// addLoad adds the load of a request's connection to all sums if sign is 1, or subtracts it if sign is -1.
 func (b *Balancer) addLoad(r *request, sign int) {
 	if t, ok := b.tenantIndex[r.Tenant]; ok {
 		b.tenantConnections[t] += float64(sign)
@@ -78,13 +79,13 @@
 	}
 }
 
-// observeLoad takes a connection's load into the means by which unknown loads are estimated.
+// observeLoad adds a connection's load to the means that serve as estimates of unknown loads.
 func (b *Balancer) observeLoad(class int, load float64) {
 	b.classMeanLoads[class].add(load)
 	b.overallMeanLoad.add(load)
 }
 
-// meanLoad is the load of a mean connection, in the unit of all loads; 1 as long as none is known.
+// meanLoad returns the mean load of a connection, in the unit of all loads, or 1 while no load is known.
 func (b *Balancer) meanLoad() float64 {
 	if b.overallMeanLoad.isKnown() {
 		return b.overallMeanLoad.value
@@ -92,7 +93,8 @@
 	return 1
 }
 
-// classLoad is the load of a connection of a class whose own is not known.
+// classLoad returns the estimated load of a connection of a class whose load is unknown: the mean of the
+// class, or of all classes if none of the class is known.
 func (b *Balancer) classLoad(class int) float64 {
 	if b.classMeanLoads[class].isKnown() {
 		return b.classMeanLoads[class].value
@@ -100,13 +102,14 @@
 	return b.meanLoad()
 }
 
-// serverLoad is the load of a server from this gateway.
+// serverLoad returns the load of this gateway's connections to a server.
 func (b *Balancer) serverLoad(s *server) float64 { return b.estimateLoad(&s.load) }
 
-// totalLoad is the load of all servers from this gateway.
+// totalLoad returns the load of this gateway's connections to all servers.
 func (b *Balancer) totalLoad() float64 { return b.estimateLoad(&b.load) }
 
-// estimateLoad completes a sum by estimates for the connections whose load is unknown.
+// estimateLoad returns a load sum in which the connections of unknown load count with the estimate of their
+// class.
 func (b *Balancer) estimateLoad(l *loadSum) float64 {
 	load := l.known
 	for class, n := range l.unknown {
--- a/balancer/loadlimit.go
+++ b/balancer/loadlimit.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// A load limit is the load from this gateway that a server is held to be able to take. There is none until
-// something shows that the server is overloaded.
+// A load limit is the load from this gateway that a server is assumed to be able to take. A server has none
+// until something shows that it is overloaded.
 
 const (
-	// messageDelayTTL is how long a reported message delay holds: reports come once a second.
+	// messageDelayTTL is how long a reported message delay is valid. Reports come once a second.
 	messageDelayTTL = 2500 * time.Millisecond
 
-	// rejectedPause is how long a server that rejected an attempt is given nothing new.
+	// rejectedPause is how long a server that rejected an attempt gets no new requests.
 	rejectedPause = time.Second
 
-	// limitCutRatio is the part of its load that a slow server's limit falls to. It falls lower as the delay
-	// grows, to minLimitCutRatio at the least.
+	// limitCutRatio is the fraction of a slow server's load to which its limit is cut. The fraction is
+	// smaller the faster the message delay grows, down to minLimitCutRatio.
 	limitCutRatio    = 0.85
 	minLimitCutRatio = 0.5
 
-	// limitCutInterval is the least time between two cuts of a limit, so that one slow spell does not count
-	// for each connection that reports it.
+	// limitCutInterval is the minimum time between two cuts of a limit, so that one slow period does not cut
+	// it once for each connection that reports the delay.
 	limitCutInterval = time.Second
 
-	// limitGrowthDelay is the time after a cut from which a limit grows, by limitGrowthRatio a second.
+	// limitGrowthDelay is the time after a cut during which a limit does not grow. Afterwards it grows at a
+	// rate of limitGrowthRatio per second.
 	limitGrowthDelay = 1500 * time.Millisecond
 	limitGrowthRatio = 0.1
 
-	// limitDropFactor is the multiple of a server's fair share of the load above which its limit binds no
-	// more and is dropped.
+	// limitDropFactor is the multiple of a server's fair share of the load above which its limit has no
+	// effect and is removed.
 	limitDropFactor = 4.0
 
-	// objectiveMetDivisor is the part of the objective, as 1 / objectiveMetDivisor, up to which a message
-	// delay shows that a server is not slow any more.
+	// objectiveMetDivisor is the divisor of the message latency objective that gives the delay up to which a
+	// server is no longer slow.
 	objectiveMetDivisor = 3
 )
 
-// onMessageDelay follows the delay of a server's messages. Work piles up where a server is sent more than it
-// can do, so the growth of the delay shows how much more that is.
+// onMessageDelay adjusts a server's load limit to the reported delay of its messages. A server that is sent
+// more work than it can do builds up a backlog, so the growth rate of the delay shows by how much it is
+// overloaded.
 func (b *Balancer) onMessageDelay(ev MessageDelay) {
 	s := b.servers[ev.Server]
 	if s == nil {
@@ -58,13 +60,14 @@
 	}
 }
 
-// adjustLimitToReport lets a server's limit follow its load report, to the load from here at which the server
-// would be well used if all gateways did the same.
+// adjustLimitToReport sets a server's limit from its load report to the load from this gateway at which the
+// server would have targetUtilization if all gateways did the same.
 //
-// This protects from placing on until messages are slow, and from a limit that was cut at a bad moment and
-// kept long after, as limits grow slowly by themselves: a server at a sixth of its capacity was seen kept out
-// for ten seconds while clients were rejected. It works for whatever takes a server's capacity. It costs if
-// reports are wrong by more than lies between lowUtilization and highUtilization.
+// This stops placements on a server before its messages become slow. It also corrects a limit that was cut at
+// a bad moment, since limits grow slowly by themselves: a server that used a sixth of its capacity was once
+// kept out of use for ten seconds while clients were rejected. This works whatever takes up a server's
+// capacity. It does harm if reports are wrong by more than the distance between lowUtilization and
+// highUtilization.
 func (b *Balancer) adjustLimitToReport(s *server) {
 	u, minLimit := s.utilization, b.minLoadLimit()
 	switch {
@@ -78,12 +81,12 @@
 	}
 }
 
-// lowerLimitAfterFailure lowers a server's limit if a result shows that it is overloaded.
+// lowerLimitAfterFailure lowers a server's limit if a result shows that the server is overloaded.
 func (b *Balancer) lowerLimitAfterFailure(s *server, result Result) {
 	switch result {
 	case Rejected:
 		b.lowerLoadLimit(s, 1, rejectedPause)
-	case TimedOut, Errored: // work piles up there, or nothing answers
+	case TimedOut, Errored: // the server has a backlog, or nothing answers
 		b.recentFailures.add(b.now, 1)
 		if b.failureShedRatio() <= 0 {
 			b.lowerLoadLimit(s, limitCutRatio, 0)
@@ -91,13 +94,14 @@
 	}
 }
 
-// lowerLoadLimit lowers a server's limit to a part of its load, once in limitCutInterval at most, and gives
-// it nothing new for the time of the pause.
+// lowerLoadLimit lowers a server's limit to a fraction of its load, at most once per limitCutInterval, and
+// gives the server no new requests during the pause.
 //
-// This protects from overload that feeds itself: a server on which work piles up answers none in time and
-// loses connections, whose clients reconnect and are more work. It works for whatever takes a server's
-// capacity: a hang, a slow spell, another program on its machine, a hot group, too few servers. It costs if
-// slowness passes by itself within a second, since the limit grows more slowly than it falls.
+// This protects from overload that sustains itself: a server with a growing backlog answers no request in
+// time and loses connections, and the clients that reconnect add to its work. This works whatever takes up a
+// server's capacity: a hang, a slow period, another program on its machine, a hot group, or too few servers.
+// It does harm if the slowness passes by itself within a second, because the limit grows more slowly than it
+// falls.
 func (b *Balancer) lowerLoadLimit(s *server, ratio float64, pause time.Duration) {
 	s.pausedUntil = max(s.pausedUntil, b.now+pause)
 	if s.loadLimit != 0 && b.now-s.limitLoweredAt < limitCutInterval {
@@ -107,12 +111,13 @@
 	if s.loadLimit > 0 {
 		load = min(load, s.loadLimit)
 	}
-	// A gateway that holds few of a server's connections learns of few chances to cut.
+	// A gateway with few connections to a server has few occasions to cut its limit, so it cuts more.
 	ratio = max(ratio-(1-ratio)/float64(max(len(s.inFlight), 1)), minLimitCutRatio)
 	s.loadLimit, s.limitLoweredAt = max(load*ratio, b.minLoadLimit()), b.now
 }
 
-// growLoadLimit lets a limit grow while nothing speaks against it, and drops one that no longer binds.
+// growLoadLimit raises a limit that was not lowered for limitGrowthDelay, and removes one that no longer has
+// an effect.
 func (b *Balancer) growLoadLimit(s *server) {
 	if s.loadLimit == 0 || b.now-s.limitLoweredAt <= limitGrowthDelay {
 		return
@@ -124,5 +129,5 @@
 	}
 }
 
-// minLoadLimit is the least load limit: one mean connection of all gateways together.
+// minLoadLimit returns the lowest load limit, which is one mean connection divided among all gateways.
 func (b *Balancer) minLoadLimit() float64 { return b.meanLoad() / float64(b.settings.Gateways) }
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// loadReportTTL is how long a load report is placed by.
+	// loadReportTTL is how long a load report is valid for placement.
 	loadReportTTL = time.Second
 
 	// loadPollTimeout is how long a request waits for load reports.
 	loadPollTimeout = 100 * time.Millisecond
 
-	// maxPolledServers is the number of servers that are polled at once for a request, and maxPollRounds how
-	// often that is done.
+	// maxPolledServers is the number of servers that are polled at once for a request, and maxPollRounds is
+	// the number of times that a request may wait for load reports.
 	maxPolledServers = 2
 	maxPollRounds    = 3
 )
 
-// Utilizations, as parts of a server's capacity.
+// Utilizations, as fractions of a server's capacity.
 const (
-	targetUtilization = 0.7  // a server is well used, which load limits aim at
-	highUtilization   = 0.8  // above which a server's load limit falls to the target
-	lowUtilization    = 0.6  // below which it rises to the target; up to it nothing speaks against a server
-	maxUtilization    = 0.85 // up to which a server is given more
-	minUtilization    = 0.1  // reports of less are taken for this where something is divided by them
+	targetUtilization = 0.7  // load limits aim at it
+	highUtilization   = 0.8  // above it, a server's load limit is lowered to the target
+	lowUtilization    = 0.6  // below it, the limit is raised; up to it, utilization does not affect the rank
+	maxUtilization    = 0.85 // above it, a server gets no new connections
+	minUtilization    = 0.1  // lower bound of utilizations that are used as divisors
 )
 
-// pollForRequest polls servers for their load on behalf of a request, which waits for the reports.
+// pollForRequest makes a request wait for load reports and polls the given servers, except those whose last
+// poll may still be answered.
 func (b *Balancer) pollForRequest(r *request, servers []*server) {
 	r.polledServers, r.waitUntil = servers, b.now+loadPollTimeout
 	r.pollRounds++
@@ -42,21 +43,22 @@
 	b.emit(PollLoad{Server: s.ID})
 }
 
-// needsPoll reports whether a server's load is unknown and it is to be polled before it is sent to.
+// needsPoll reports whether a server's load is unknown and the server must be polled before a request is sent
+// to it.
 func (b *Balancer) needsPoll(s *server) bool {
 	return b.settings.CanPollLoad && s.ejectedUntil == 0 && b.isWarm(s) && !b.hasFreshReport(s) &&
 		(s.polledAt == 0 || b.now-s.polledAt > loadReportTTL)
 }
 
-// awaitsReport reports whether a server was polled and has not answered yet.
+// awaitsReport reports whether a server has not answered its last poll yet.
 func (s *server) awaitsReport() bool { return s.reportedAt < s.polledAt }
 
-// hasFreshReport reports whether a server's load report is recent enough to place by.
+// hasFreshReport reports whether a server's last load report is recent enough to use for placement.
 func (b *Balancer) hasFreshReport(s *server) bool {
 	return s.reportedAt > 0 && b.now-s.reportedAt <= loadReportTTL
 }
 
-// projectedUtilization is the utilization that a server would report with one connection more.
+// projectedUtilization returns the utilization that a server would report with one more connection.
 func (b *Balancer) projectedUtilization(s *server) float64 {
 	return s.utilization + float64(s.attemptsSinceReport+1)*s.utilizationPerConnection
 }
--- a/balancer/migration.go
+++ b/balancer/migration.go
@@ -3,23 +3,23 @@
 import "math"
 
 const (
-	// migrationRate is the part of a slow server's connections that may migrate each second if all other
-	// servers have capacity. As a few are to migrate soon, minMigratable is the number of which it is a part
-	// at least.
+	// migrationRate is the fraction of a slow server's connections that may migrate each second if all other
+	// servers have capacity. The fraction is taken of at least minMigratable connections, so that a few
+	// connections also migrate soon.
 	migrationRate = 1.0
 	minMigratable = 5.0
 
-	// groupMigrationWeight is the part that a group has in the choice of the connections that migrate, so
-	// that its members go together. The rest is their clients' own.
+	// groupMigrationWeight is the weight of a connection's group in its migrationOrder, so that the members
+	// of a group migrate together. The client has the remaining weight.
 	groupMigrationWeight = 0.8
 
-	// evacuationRatio is the part of its connections that leaves a server to be evacuated with each sweep, if
-	// all others have capacity.
+	// evacuationRatio is the fraction of its connections that an evacuated server loses with each sweep if
+	// all other servers have capacity.
 	evacuationRatio = 0.5
 )
 
-// migrateFrom migrates what is due off a server: while set-ups fail it moves nothing, as each migration is
-// one.
+// migrateFrom migrates the connections that are due to leave a server. It migrates none while set-ups fail,
+// because each migration is a set-up.
 func (b *Balancer) migrateFrom(s *server) {
 	switch setupsFail := b.failureShedRatio() > 0; {
 	case !setupsFail && s.Evacuate && s.State == Draining:
@@ -31,10 +31,12 @@
 	}
 }
 
-// migrateFromSlow migrates connections off a server whose messages miss every objective, at a rate that falls
-// with the capacity of the others, those of the lowest priority for their load first. This protects from
-// servers that hang or slow down with their connections, and lets an overloaded one recover. It costs if all
-// are overloaded: without capacity elsewhere a migration is a reconnect for nothing, hence the rate.
+// migrateFromSlow migrates connections off a server whose messages miss every latency objective. Connections
+// with the lowest priority per load go first, and the rate falls with the free capacity of the other servers.
+//
+// This protects clients from servers that hang or become slow, and lets an overloaded server recover. The
+// rate depends on the capacity because a migration without capacity elsewhere is a useless reconnect; that is
+// the cost if all servers are overloaded.
 func (b *Balancer) migrateFromSlow(s *server) {
 	b.sampleCapacity()
 	migratable := max(float64(len(s.inFlight)+1), minMigratable)
@@ -48,7 +50,8 @@
 	}
 }
 
-// lowestPriorityConnection returns the connection to a server that is to migrate first, or nil.
+// lowestPriorityConnection returns the established connection to a server with the lowest priority per load,
+// or nil if none can migrate. A client that the fleet would shed on its return does not migrate.
 func (b *Balancer) lowestPriorityConnection(s *server) (lowest *request) {
 	for _, r := range s.inFlight {
 		if r.established && !r.finished && !b.isShedByFleet(r) &&
@@ -64,16 +67,18 @@
 	r.finished = true
 }
 
-// migrationOrder is a number in [0, 1) that decides which connections migrate last off a server, alike at
-// every gateway. A group's members go together, as what the group costs the server is paid until the last has
-// gone.
+// migrationOrder returns a number in [0, 1), the same at every gateway, that decides which connections
+// migrate last off a server: the lower it is, the further the server's load must exceed its limit. The
+// members of a group migrate together, because the server bears the cost of the group until its last member
+// has left.
 func (r *request) migrationOrder(s *server) float64 {
 	return groupMigrationWeight*fraction(mix(r.placementHash, uint64(s.ID))) +
 		(1-groupMigrationWeight)*r.clientFraction(uint64(s.ID))
 }
 
-// sampleCapacity polls one server whose load is not known, once a sweep: a gateway that holds few connections
-// learns of the servers that hold them alone, and would find no capacity while others stand idle.
+// sampleCapacity polls one random server whose load is unknown, at most once per sweep. Without it, a gateway
+// with few connections would know only the loads of the servers that hold them, and would find no free
+// capacity while other servers are idle.
 func (b *Balancer) sampleCapacity() {
 	b.refreshTable()
 	s := b.tableServers[int(b.random()*float64(len(b.tableServers)))]
@@ -84,8 +89,8 @@
 	}
 }
 
-// evacuate migrates connections off a draining server, a part of them with each sweep while others have
-// capacity. This protects them from being reset when the server is restarted.
+// evacuate migrates a fraction of the connections off a draining server with each sweep, as far as other
+// servers have capacity. This protects the connections from being reset when the server restarts.
 func (b *Balancer) evacuate(s *server) {
 	remaining := int(math.Ceil(evacuationRatio * b.freeCapacityRatio() * float64(len(s.inFlight))))
 	for _, r := range s.inFlight {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -9,45 +9,44 @@
 	// ejectionScore is the failure score at which a server is ejected.
 	ejectionScore = 1.0
 
-	// suspicionScore is the failure score above which a server counts as failing when a shared fault is
-	// searched.
+	// suspicionScore is the failure score above which a server counts as failing in hasSharedFault.
 	suspicionScore = ejectionScore / 2
 
-	// baseEjectionDuration is how long a server's first ejection lasts. Each that follows lasts twice as long
-	// as the one before, up to maxEjectionDoublings times.
+	// baseEjectionDuration is the duration of a server's first ejection. Each further ejection doubles the
+	// duration, at most maxEjectionDoublings times.
 	baseEjectionDuration = 5 * time.Second
 	maxEjectionDoublings = 2
 
-	// maxEjectionRatio is the part of the ready servers above which failures are taken for a shared fault, so
-	// that none is ejected and the list is trusted.
+	// maxEjectionRatio is the fraction of ready servers that may fail at once. Above it the failures are
+	// attributed to a shared fault: no server is ejected, and the endpoint list is trusted.
 	maxEjectionRatio = 0.5
 
-	// reinstatementSpread is the time within which a reinstated server is first tried, by each gateway at a
-	// time of its own.
+	// reinstatementSpread is the interval after a reinstatement within which each gateway picks a random time
+	// for its trial of the server.
 	reinstatementSpread = time.Second
 )
 
-// What a result adds to a server's failure score.
+// Increments of a server's failure score by result.
 const (
 	rejectedScore      = 0.25
-	connectFailedScore = ejectionScore // nothing accepts connections there
-	attemptFailedScore = 0.5           // timed out, errored or reset before it was established
+	connectFailedScore = ejectionScore // the server accepts no connections
+	attemptFailedScore = 0.5           // timed out, errored, or reset before it was established
 
-	// brokenConnectionsScore is shared by the connections of a server: one that breaks may be shed; if all
-	// do, the process is gone.
+	// brokenConnectionsScore is divided among the connections of a server: a single broken connection may
+	// have been shed by the server, but if all break, the process is gone.
 	brokenConnectionsScore = 2.0
 )
 
-// scoreResult adds a result to a server's failure score and ejects the server if that is high enough: it is
-// then the last resort for a time.
+// scoreResult adds a result to a server's failure score and ejects the server if the score reaches
+// ejectionScore. Until its ejection ends, the server is used only as a last resort.
 //
-// This protects from servers that are down or answer nothing before the list shows it, and works for any
-// fault of one server. A fault of something shared is blamed on none: if more than maxEjectionRatio of the
-// servers are failing, the list is trusted. It costs if so many are really down, as requests are then still
-// placed there.
+// This protects from servers that are down or answer nothing while the endpoint list still shows them as
+// ready, and works for any fault of a single server. If more than maxEjectionRatio of the servers are
+// failing, the cause is taken to be shared, no server is ejected, and the list is trusted. The cost is that,
+// if that many servers really are down, requests are still placed on them.
 //
-// established says that the attempt had been established, and held how many connections and attempts the
-// server had until then.
+// established reports whether the attempt had been established, and inFlight is the number of connections and
+// attempts at the server before the attempt ended.
 func (b *Balancer) scoreResult(s *server, result Result, established bool, inFlight int) {
 	if result == OK || result == Cancelled || result == NotSent {
 		return
@@ -62,14 +61,14 @@
 	}
 	switch {
 	case b.hasSharedFault():
-	case s.removalSuspectedAt > 0: // the list was right
+	case s.removalSuspectedAt > 0: // the failures agree with the list
 		b.confirmRemoval(s)
 	default:
 		b.eject(s, result)
 	}
 }
 
-// failureScore is what a result adds to the failure score of its server.
+// failureScore returns the increment of a server's failure score for a result.
 func failureScore(result Result, established bool, inFlight int) float64 {
 	switch result {
 	case Rejected:
@@ -87,7 +86,8 @@
 	return 0
 }
 
-// hasSharedFault reports whether so many servers are failing that the cause is taken to be shared.
+// hasSharedFault reports whether more than maxEjectionRatio of the ready servers are failing, so that the
+// cause is taken to be shared.
 func (b *Balancer) hasSharedFault() bool {
 	ready, failing := 0.0, 0.0
 	for _, s := range b.sortedServers {
@@ -110,7 +110,7 @@
 		slog.Duration("duration", duration))
 }
 
-// endEjection puts a server whose ejection is over on probation.
+// endEjection puts a server on probation once its ejection has expired.
 func (b *Balancer) endEjection(s *server) {
 	if s.ejectedUntil <= 0 || b.now < s.ejectedUntil {
 		return
@@ -119,7 +119,7 @@
 	b.log("outlier ejection ended", serverAttr(s))
 }
 
-// onServerReinstated forgets a server's failures and has it tried soon.
+// onServerReinstated clears a server's failures and schedules a trial of it.
 func (b *Balancer) onServerReinstated(ev ServerReinstated) {
 	if s := b.servers[ev.Server]; s != nil {
 		s.resetHealth()
@@ -127,9 +127,10 @@
 	}
 }
 
-// trialServer returns a server that staff reinstated and nothing was sent to since, or nil. One connection
-// shows staff and gateway whether it serves, for which the budget of a warming server would have them wait.
-// Each gateway begins at another time, so that together they stay within what the server can take.
+// trialServer returns a reinstated server whose trial is due and marks the trial as done, or returns nil. One
+// connection shows the operator and this gateway whether the server works; with the warm-up budget alone they
+// would have to wait for that. Each gateway holds its trial at another time, so that all gateways together do
+// not exceed what the server can take.
 func (b *Balancer) trialServer(r *request) *server {
 	if r.attempts > 0 || r.MidFlow {
 		return nil
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// isObservedHealthy reports whether this gateway has connections to a server and nothing speaks against it.
+// isObservedHealthy reports whether this gateway has an established connection to a server that is neither
+// ejected nor paused.
 func (b *Balancer) isObservedHealthy(s *server) bool {
 	return s.hasEstablishedConnection() && s.ejectedUntil == 0 && b.now >= s.pausedUntil
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -4,22 +4,23 @@
 
 const (
 	// defaultRetryBudgetWindow, defaultRetryBudgetMin and maxRetryBudgetRatio are the retry budget if the
-	// settings state none: in this time so many retries are allowed in any case, and this part of the
-	// requests more. A stated ratio never exceeds that either.
+	// settings give none: within each window, defaultRetryBudgetMin retries are always allowed, plus
+	// maxRetryBudgetRatio for each request. maxRetryBudgetRatio also caps a ratio from the settings.
 	defaultRetryBudgetWindow = 10 * time.Second
 	defaultRetryBudgetMin    = 10.0
 	maxRetryBudgetRatio      = 0.2
 
-	// usableDrainGraceTenths is the part of the DrainGrace, in tenths, in which sends to a draining server
-	// still start.
+	// usableDrainGraceTenths is the share of the DrainGrace, in tenths, during which sends to a draining
+	// server may still start.
 	usableDrainGraceTenths = 9
 
-	// defaultSetupObjectiveDivisor is the part of a request's time-out, as 1 / defaultSetupObjectiveDivisor,
-	// that an attempt has if its class states no objective.
+	// defaultSetupObjectiveDivisor is the divisor of a request's timeout that gives the timeout of an attempt
+	// if the class states no SetupLatencyObjective.
 	defaultSetupObjectiveDivisor = 3
 )
 
-// dispatch disposes of a request that has no attempt in flight: it is sent, waits, or gets its final answer.
+// dispatch handles a request that has no attempt in flight: it sends the request, makes it wait, or gives its
+// final answer.
 func (b *Balancer) dispatch(r *request) {
 	if !b.mayAttempt(r) {
 		b.answer(r)
@@ -35,7 +36,7 @@
 	b.send(r, s)
 }
 
-// mayAttempt reports whether a request may have a further attempt, at whatever server.
+// mayAttempt reports whether a request may have another attempt at any server.
 func (b *Balancer) mayAttempt(r *request) bool {
 	switch {
 	case r.mayHaveRun && b.class(r).Idempotency == NonIdempotent,
@@ -59,9 +60,9 @@
 	b.emit(Send{ID: r.ID, Server: s.ID, Timeout: b.attemptTimeout(r), ConnectTimeout: b.connectTimeout(r, s)})
 }
 
-// answer gives the final answer: a rejection if the class's idempotency allows it, else a failure. Its
-// Retry-After is drawn from the second half of MaxRetryAfter, so that rejected clients do not come back
-// together.
+// answer gives a request its final answer: a rejection if mayReject allows it, a failure otherwise. The
+// Retry-After of a rejection is random between half of MaxRetryAfter and all of it, so that rejected clients
+// do not return at the same time.
 func (b *Balancer) answer(r *request) {
 	if b.mayReject(r) {
 		retryAfter := time.Duration((1 - b.random()/2) * float64(b.settings.MaxRetryAfter))
@@ -72,14 +73,15 @@
 	b.finish(r)
 }
 
-// mayReject reports whether a retry of the request by its client is harmless, at whatever server.
+// mayReject reports whether the client may safely retry the request, whichever server gets the retry.
 func (b *Balancer) mayReject(r *request) bool {
 	c := b.class(r)
 	return !r.mayHaveRun || c.Idempotency == Idempotent ||
 		c.Idempotency == WithIdempotencyKey && c.DedupScope == DedupScopeAll
 }
 
-// isEligible reports whether the list and the class's idempotency allow an attempt at a server.
+// isEligible reports whether the endpoint list and the idempotency of the request's class allow an attempt at
+// a server.
 func (b *Balancer) isEligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
@@ -100,9 +102,10 @@
 	return true
 }
 
-// attemptTimeout is the time that the present attempt has: all in which a set-up meets its objective, or for
-// the last attempt all that is left. One that is given up sooner was measured to be work lost at servers that
-// are busy with the set-ups of others.
+// attemptTimeout returns the timeout of the current attempt: the set-up latency objective or, for the last
+// attempt, all the time that is left. It never exceeds the time that is left. A shorter timeout wastes work:
+// measurements showed that servers busy with other set-ups lose the work on attempts that are abandoned
+// earlier.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	remaining := r.deadline - b.now
 	if r.attempts >= b.settings.MaxAttempts {
@@ -115,35 +118,37 @@
 	return min(objective, remaining)
 }
 
-// connectTimeout bounds the time until an attempt's connection is established; 0 is no bound. This prevents
-// late connections: to a server that drains by then, or drains now and takes mid-flow requests, or after the
-// window in which repeats of a request with an idempotency key are discarded.
+// connectTimeout returns the bound on the time until an attempt's connection is established. Zero means no
+// bound. It prevents connections that are established too late: to a server that has started to drain since,
+// to a draining server that still takes mid-flow requests, or after the window in which repeats of a request
+// with an idempotency key are discarded.
 func (b *Balancer) connectTimeout(r *request, s *server) time.Duration {
 	timeout := b.usableDrainGrace()
 	if s.State != Ready {
 		timeout -= b.now - s.unavailableSince
 	}
 	if c := b.class(r); r.mayHaveRun && c.Idempotency == WithIdempotencyKey {
-		if left := r.firstRanAt + c.DedupWindow - b.now; timeout == 0 || left < timeout {
-			timeout = left
+		if remaining := r.firstRanAt + c.DedupWindow - b.now; timeout == 0 || remaining < timeout {
+			timeout = remaining
 		}
 	}
 	return timeout
 }
 
-// usableDrainGrace is how long sends to a server may start after it has begun to drain.
+// usableDrainGrace returns how long after a server starts to drain sends to it may still start.
 func (b *Balancer) usableDrainGrace() time.Duration {
 	return b.settings.DrainGrace * usableDrainGraceTenths / 10
 }
 
-// retryBudget limits the retries of a time window.
+// retryBudget limits the retries within a time window.
 type retryBudget struct {
 	window time.Duration
-	min    float64 // retries that are allowed in any case
-	ratio  float64 // further retries for each request
+	min    float64 // retries that are always allowed
+	ratio  float64 // additional retries for each request
 }
 
-// retryBudget is the stated retry budget, except for a ratio above the balancer's own, or the balancer's own.
+// retryBudget returns the retry budget from the settings, with its ratio capped at maxRetryBudgetRatio, or
+// the default budget if the settings give none.
 func (b *Balancer) retryBudget() retryBudget {
 	if b.settings.RetryBudgetWindow > 0 {
 		return retryBudget{
@@ -155,9 +160,10 @@
 	return retryBudget{defaultRetryBudgetWindow, defaultRetryBudgetMin, maxRetryBudgetRatio}
 }
 
-// hasRetryBudget reports whether the retry budget covers one more retry. This protects from faults that hit
-// many and would multiply the load; a stated budget is also kept in any window that ends with a retry. It
-// costs if many servers are down and most first attempts fail.
+// hasRetryBudget reports whether the retry budget allows one more retry. It protects from faults that affect
+// many requests, whose retries would multiply the load. A budget from the settings holds for every window
+// that ends with a retry, not only on average. Its cost is that requests stay unretried if many servers are
+// down and most first attempts fail.
 func (b *Balancer) hasRetryBudget() bool {
 	budget := b.retryBudget()
 	return float64(b.retryWindow.count(b.now)+1) <=
@@ -199,8 +205,8 @@
 	b.dispatch(r)
 }
 
-// requestForAttempt returns the request whose present attempt an event concerns, or nil if it is late or
-// unknown.
+// requestForAttempt returns the request whose current attempt an event refers to, or nil if the event is late
+// or the request is unknown.
 func (b *Balancer) requestForAttempt(id RequestID, attempt int, server ServerID) *request {
 	r := b.requests[id]
 	if r == nil || r.server == nil || r.server.ID != server || attempt != r.attempts-1 {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Snapshot is what a Balancer has learned beyond the list and its requests, to be restored by the one of the
-// next process. Times are on the event clock, which both processes share.
+// Snapshot holds what a Balancer has learned apart from the endpoint list and its requests. The Balancer of
+// the next process restores it. Times are on the event clock, which both processes share.
 type Snapshot struct {
 	Servers            []ServerSnapshot `json:"Servers"`
-	ClassLoads         []WeightedMean   `json:"Classes"` // mean loads by class, in the settings' order
-	MeanLoad           WeightedMean     `json:"Load"`    // and of all classes together
-	ConnectionCapacity WeightedMean     `json:"Bears"`   // of a warm server of weight 1
+	ClassLoads         []WeightedMean   `json:"Classes"` // mean loads by class, in the order of the settings
+	MeanLoad           WeightedMean     `json:"Load"`    // mean load of all classes together
+	ConnectionCapacity WeightedMean     `json:"Bears"`   // connections that a warm server of capacity 1 holds
 }
 
-// WeightedMean is a mean and its weight, in samples.
+// WeightedMean is a mean value with its weight, the number of samples.
 type WeightedMean struct {
 	Value  float64 `json:"Value"`
 	Weight float64 `json:"Weight"`
 }
 
-// ServerSnapshot is what a Balancer has learned of one server's process.
+// ServerSnapshot holds what a Balancer has learned of one process of a server.
 type ServerSnapshot struct {
 	ID             ServerID      `json:"ID"`
-	Started        time.Duration `json:"Started"` // start of that process
-	LoadLimit      float64       `json:"Limit"`   // 0: none
+	Started        time.Duration `json:"Started"` // when that process started
+	LoadLimit      float64       `json:"Limit"`   // 0: no limit
 	LimitLoweredAt time.Duration `json:"CutAt"`
 	PausedUntil    time.Duration `json:"PausedUntil"`
 	EjectedUntil   time.Duration `json:"Ejected"` // 0: not ejected
@@ -31,12 +31,12 @@
 }
 
 const (
-	// maxLoadLimit bounds the load limits of a snapshot. One above it has grown while no server was ready and
-	// binds nothing.
+	// maxLoadLimit bounds the load limits in a snapshot. A higher limit has grown while no server was ready
+	// and has no effect.
 	maxLoadLimit = 1e15
 
-	// maxMeanValue and maxMeanWeight bound the means that are restored. Others are none that a Balancer
-	// recorded.
+	// maxMeanValue and maxMeanWeight bound the means that are restored. Values outside these bounds cannot
+	// come from a Balancer.
 	maxMeanValue  = 1e18
 	maxMeanWeight = 1e6
 )
@@ -56,8 +56,9 @@
 	return snapshot
 }
 
-// Restore takes over what the Balancer of an earlier process has learned, of servers that run since. Servers
-// that were draining or removed by then count as such for long.
+// Restore adopts what the Balancer of an earlier process has learned of the server processes that still run.
+// It skips servers that are not in the endpoint list. Servers that drain or are removed count as if they had
+// done so for at least the DrainGrace.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	b.now = max(b.now, now)
 	b.overallMeanLoad = snapshot.MeanLoad.restore()
@@ -97,7 +98,8 @@
 	}
 }
 
-// restore takes over what was learned of the same process. Nothing lasts longer than if it had begun now.
+// restore adopts a snapshot of the same server process. Nothing that it restores lasts longer than if it
+// started now.
 func (s *server) restore(now time.Duration, saved ServerSnapshot) {
 	if saved.LoadLimit >= 0 && saved.LoadLimit < maxLoadLimit {
 		s.loadLimit = saved.LoadLimit
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// maxEWMAWeight bounds the weight of the past in a moving average, in samples: from then on each sample
-	// counts for a 50th, and what is older fades.
+	// maxEWMAWeight bounds the weight of past samples in a moving average. Once it is reached, each new
+	// sample counts for a 50th and older samples fade.
 	maxEWMAWeight = 50
 
-	// evidenceHalfLife is the time in which a decaying counter halves. Failures that no others follow are
-	// soon forgotten.
+	// evidenceHalfLife is the half-life of a decaying counter. It is short so that isolated failures are soon
+	// forgotten.
 	evidenceHalfLife = 3 * time.Second
 
-	// maxWindowBuckets bounds the memory of a sliding window: events closer than this part of its length
-	// share a bucket, at any rate of events.
+	// maxWindowBuckets bounds the memory of a sliding window at any rate of events: events that are closer
+	// together than the window's length divided by maxWindowBuckets share a bucket.
 	maxWindowBuckets = 4096
 )
 
@@ -27,13 +27,13 @@
 	e.value += (sample - e.value) / e.weight
 }
 
-// isKnown reports whether a sample was ever added.
+// isKnown reports whether the average has any samples.
 func (e *ewma) isKnown() bool { return e.weight > 0 }
 
-// decayingCounter is a sum that halves in evidenceHalfLife.
+// decayingCounter is a sum that halves every evidenceHalfLife.
 type decayingCounter struct {
 	sum float64
-	at  time.Duration // of the last addition
+	at  time.Duration // time of the last addition
 }
 
 func (c *decayingCounter) value(now time.Duration) float64 {
@@ -43,24 +43,24 @@
 	return c.sum * math.Exp2(-float64(now-c.at)/float64(evidenceHalfLife))
 }
 
-// add adds to the counter and returns its new value.
+// add adds v to the counter and returns its new value.
 func (c *decayingCounter) add(now time.Duration, v float64) float64 {
 	c.sum, c.at = c.value(now)+v, now
 	return c.sum
 }
 
-// slidingWindow counts the events of the time that is its length and ends now, within the precision of a
+// slidingWindow counts the events in the interval of the given length that ends now. Its precision is one
 // bucket.
 type slidingWindow struct {
 	length    time.Duration
-	inclusive bool     // events count up to exactly its length ago, and a bucket until its last event leaves
-	buckets   []bucket // in order of time
+	inclusive bool     // events exactly length old count, and a bucket stays until its last event leaves
+	buckets   []bucket // oldest first
 	total     int
 }
 
-// bucket counts events that are close to each other.
+// bucket counts events that are close together.
 type bucket struct {
-	first, last time.Duration // last is the time by which the bucket leaves the window; see inclusive
+	first, last time.Duration // last decides when the bucket leaves the window; see inclusive
 	count       int
 }
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// remove takes back one event that was added at the given time.
+// remove removes one event that was added at the given time.
 func (w *slidingWindow) remove(at time.Duration) {
 	for i := range w.buckets {
 		b := &w.buckets[i]
