--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -9,15 +9,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Before the first endpoint list a request waits for it: for firstListTimeout, and not past its deadline.
+// A request that arrives before the first endpoint list waits for the list: for firstListTimeout at most, and
+// not past its deadline.
 func TestRequestWaitsForFirstListUntilTimeout(t *testing.T) {
 	h := newHarnessWithoutList(t, testSettings())
 	id := h.request(nonIdempotentClass, "g")
 	if len(h.sends())+len(h.rejections()) > 0 || len(actionsOf[SetTimer](h.lastActions)) != 2 {
-		t.Fatalf("does not wait: %+v", h.lastActions)
+		t.Fatalf("before the first list: got actions %+v, want no answer and two timers", h.lastActions)
 	}
 	if got := h.advance(firstListTimeout - 10*ms); len(actionsOf[Reject](got)) > 0 {
-		t.Fatalf("rejected before the timeout: %+v", got)
+		t.Fatalf("before the timeout: got actions %+v, want no rejection", got)
 	}
 	h.now += 10 * ms
 	h.handle(TimerFired{Ref: waitTimer})
@@ -25,20 +26,20 @@
 		t.Fatalf("rejections at the timeout (-want +got):\n%s", diff)
 	}
 	if got := h.advance(sec); len(actionsOf[Reject](got))+len(actionsOf[Fail](got)) > 0 {
-		t.Errorf("answered twice: %+v", got)
+		t.Errorf("after the rejection: got actions %+v, want no second answer", got)
 	}
 }
 
-// A list without servers is a list: no request waits for another.
+// A list without servers counts as the first list, so no request waits for another one.
 func TestEmptyListRejectsAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	h.listComplete()
 	if h.request(nonIdempotentClass, "g"); len(h.rejections()) != 1 {
-		t.Errorf("actions %+v", h.lastActions)
+		t.Errorf("got actions %+v, want one rejection", h.lastActions)
 	}
 }
 
-// Rejected clients are given different times to come back after, so that they do not come together.
+// Rejected clients get different Retry-After times so that they do not all return at once.
 func TestRetryAfterIsSpread(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 2 * sec
@@ -51,7 +52,7 @@
 		shortest, longest = min(shortest, after), max(longest, after)
 	}
 	if shortest < 0 || longest > settings.MaxRetryAfter || longest-shortest < settings.MaxRetryAfter/3 {
-		t.Errorf("RetryAfter is from %v to %v", shortest, longest)
+		t.Errorf("got RetryAfter from %v to %v, want a third of MaxRetryAfter between", shortest, longest)
 	}
 }
 
@@ -60,11 +61,11 @@
 	id := h.request(idempotentClass, "g")
 	h.listDelta(testServers(3)...)
 	if h.onlySend().ID != id {
-		t.Errorf("sent %+v", h.onlySend())
+		t.Errorf("got %+v, want a send of the waiting request", h.onlySend())
 	}
 }
 
-// A waiting request sets one timer. One for each sweep floods the event loop under overload.
+// A waiting request sets one timer only. One timer per sweep would flood the event loop under overload.
 func TestWaitingRequestSetsOneTimer(t *testing.T) {
 	h := newHarnessWithoutList(t, testSettings())
 	h.request(idempotentClass, "g")
@@ -75,28 +76,28 @@
 		}
 	}
 	if timers > 0 {
-		t.Errorf("%d more timers while it waited", timers)
+		t.Errorf("got %d more timers while the request waited, want none", timers)
 	}
 }
 
-// At a shutdown every pending request is answered by the deadline. Established connections are left alone.
+// At a shutdown every pending request is answered by the deadline. Established connections stay open.
 func TestShutdownAnswersWaitingRequests(t *testing.T) {
-	t.Run("attempt that fails at the deadline", func(t *testing.T) {
+	t.Run("attempt that times out at the deadline", func(t *testing.T) {
 		h := newHarness(t, testSettings(), 5)
 		established, server := h.establish(idempotentClass, "")
 		h.request(idempotentClass, "")
 		pending := h.onlySend()
 		h.handle(Shutdown{Deadline: h.now + 300*ms})
 		if timers := actionsOf[SetTimer](h.lastActions); len(timers) != 1 || timers[0].After > 300*ms {
-			t.Errorf("timers %+v", timers)
+			t.Errorf("got timers %+v, want one within 300 ms", timers)
 		}
 		h.now += 300 * ms
 		h.endAttempt(pending, 0, TimedOut)
 		if len(h.rejections()) != 1 || len(h.sends()) != 0 {
-			t.Errorf("at the deadline: %+v", h.lastActions)
+			t.Errorf("at the deadline: got actions %+v, want one rejection", h.lastActions)
 		}
 		if got := actionsOf[Migrate](h.advance(sec)); len(got) != 0 {
-			t.Errorf("connection %d at %d is migrated", established, server)
+			t.Errorf("connection %d to server %d was migrated, want it to stay", established, server)
 		}
 	})
 	t.Run("request that waits for the first list", func(t *testing.T) {
@@ -106,7 +107,7 @@
 		h.now += 200 * ms
 		h.handle(TimerFired{Ref: waitTimer})
 		if len(h.rejections()) != 1 {
-			t.Errorf("at the deadline: %+v", h.lastActions)
+			t.Errorf("at the deadline: got actions %+v, want one rejection", h.lastActions)
 		}
 	})
 }
@@ -123,7 +124,7 @@
 		return h.balancer.priorityPerLoad(&request{Request: Request{Class: idempotentClass, Tenant: tenant}})
 	}
 	if within, over := weight("within"), weight("over"); over >= within {
-		t.Errorf("weight is %v within the quota and %v over it", within, over)
+		t.Errorf("got a weight of %v within the quota and %v over it, want less over it", within, over)
 	}
 }
 
@@ -137,15 +138,15 @@
 	h.balancer.lowerLoadLimit(s, 1, 0)
 	s.loadLimit = 40
 	if h.request(idempotentClass, "g"); len(h.sends()) > 0 {
-		t.Error("a request of low priority was sent")
+		t.Error("a request of low priority was sent, want it held back")
 	}
 	if h.request(highPriorityClass, "g"); len(h.sends()) != 1 {
-		t.Error("a request of high priority was not sent")
+		t.Error("a request of high priority was not sent, want it sent")
 	}
 }
 
-// The ratio of free capacity is exactly 1 where every server has capacity, so that no migration is lost to
-// rounding. Where servers are polled it counts those that reported.
+// The free capacity is exactly 1 if every server has capacity, so that rounding delays no migration. If
+// servers can be polled, it counts only those that have reported.
 func TestFreeCapacityCountsReportingServers(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -166,14 +167,14 @@
 				h.handle(LoadReport{Server: id, Utilization: utilization, Connections: 10})
 			}
 			if got := h.balancer.freeCapacityRatio(); got != c.want {
-				t.Errorf("free capacity is %v, want %v", got, c.want)
+				t.Errorf("got a free capacity ratio of %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Where most connections of a gateway are at slow servers, the fleet counts as overloaded: a part of the
-// requests is rejected at once, those of the lowest priority first, until the servers are well again.
+// If most of a gateway's connections are at slow servers, the fleet counts as overloaded: the gateway sheds
+// some of the requests, those of the lowest priority first, until the servers are fast again.
 func TestOverloadedFleetShedsLowestPriorityFirst(t *testing.T) {
 	h := newHarness(t, testSettings(), 40)
 	var ids []RequestID
@@ -192,7 +193,7 @@
 		sent[class] += len(h.sends())
 	}
 	if sent[idempotentClass] > 70 || sent[highPriorityClass] <= sent[idempotentClass] {
-		t.Errorf("sent of 100 each: %v", sent)
+		t.Errorf("got %v sent of 100 each, want at most 70 of low priority and more of high", sent)
 	}
 	for _, id := range ids[:28] {
 		if r := h.balancer.requests[id]; r.server != nil {
@@ -201,12 +202,12 @@
 	}
 	h.advance(sweepInterval)
 	if h.request(idempotentClass, "after"); len(h.sends()) != 1 {
-		t.Errorf("after the overload: %+v", h.lastActions)
+		t.Errorf("after the overload: got actions %+v, want one send", h.lastActions)
 	}
 }
 
-// Where set-ups time out at every server, a part of the requests is rejected, no server's load limit is
-// lowered for it, and all requests are sent again once set-ups succeed.
+// If set-ups time out at every server, the gateway sheds some requests and lowers no server's load limit for
+// the timeouts. Once set-ups succeed again, it sends all requests.
 func TestSetupTimeoutsAcrossFleetShedLoad(t *testing.T) {
 	h := newHarness(t, testSettings(), 40)
 	attempts, limited := 0, 0
@@ -222,10 +223,11 @@
 		}
 	}
 	if attempts > 200 || limited > 40 {
-		t.Errorf("%d attempts for 400 requests, %d at servers whose limit was lowered", attempts, limited)
+		t.Errorf("got %d attempts, want at most 200; got %d at limited servers, want at most 40",
+			attempts, limited)
 	}
 	if attempts < 20 {
-		t.Errorf("%d attempts for 400 requests: too few to notice that the fleet recovered", attempts)
+		t.Errorf("got %d attempts for 400 requests, want 20 or more to notice a recovery", attempts)
 	}
 	h.advance(30 * sec)
 	sent := 0
@@ -238,11 +240,12 @@
 		}
 	}
 	if sent < 38 {
-		t.Errorf("%d of 40 sent after the overload", sent)
+		t.Errorf("after the overload: got %d of 40 requests sent, want 38 or more", sent)
 	}
 }
 
-// shedClients are the keys of the 400 requests of a priority that are rejected at a fleet's shed level.
+// shedClients sends 400 requests of one priority at a fleet shed level and returns the keys of those
+// rejected.
 func shedClients(t *testing.T, seed uint64, level float64, priority int, midFlow bool) (keys []string) {
 	t.Helper()
 	settings := testSettings()
@@ -258,7 +261,7 @@
 		})
 		for _, a := range h.rejections() {
 			if !a.ShedByFleet {
-				t.Fatalf("%+v is not marked as shed by the fleet", a)
+				t.Fatalf("got %+v, want ShedByFleet set", a)
 			}
 			keys = append(keys, key)
 		}
@@ -266,8 +269,8 @@
 	return keys
 }
 
-// The fleet sheds all requests of priorities below its level and a part of those at it: the same clients at
-// every gateway. Mid-flow requests are not shed, and what is shed is not retried.
+// The fleet sheds all requests of priorities below its level and a fraction of those at it. Every gateway
+// sheds the same clients. Mid-flow requests are not shed, and a request that is shed is not retried.
 func TestFleetSheddingRejectsByPriority(t *testing.T) {
 	for _, c := range []struct {
 		level    float64
@@ -280,13 +283,13 @@
 			shed := shedClients(t, 1, c.level, c.priority, false)
 			ratio, isExact := float64(len(shed))/400, c.ratio == 0 || c.ratio == 1
 			if math.Abs(ratio-c.ratio) > 0.08 || isExact && ratio != c.ratio {
-				t.Errorf("%.2f rejected, want %.2f", ratio, c.ratio)
+				t.Errorf("got a fraction of %.2f rejected, want %.2f", ratio, c.ratio)
 			}
 			if diff := cmp.Diff(shed, shedClients(t, 2, c.level, c.priority, false)); diff != "" {
-				t.Errorf("two gateways shed different clients:\n%s", diff)
+				t.Errorf("two gateways shed different clients (-first +second):\n%s", diff)
 			}
 			if n := len(shedClients(t, 1, c.level, c.priority, true)); n > 0 {
-				t.Errorf("%d mid-flow requests rejected", n)
+				t.Errorf("got %d mid-flow requests rejected, want none", n)
 			}
 		})
 	}
@@ -297,7 +300,7 @@
 		h.handle(FleetShedLevel{Level: 1})
 		h.handle(AttemptEnded{ID: 1, Server: s.Server, Result: ConnectFailed})
 		if r := h.rejections(); len(r) != 1 || !r[0].ShedByFleet || len(h.sends()) > 0 {
-			t.Errorf("actions %+v", h.lastActions)
+			t.Errorf("got actions %+v, want one rejection that is shed by the fleet", h.lastActions)
 		}
 	})
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -15,7 +15,7 @@
 	sec = time.Second
 )
 
-// Classes of testSettings.
+// The names of the classes in testSettings.
 const (
 	idempotentClass    = "idempotent"
 	keyedClass         = "with idempotency key"
@@ -50,21 +50,21 @@
 	}
 }
 
-// advisorySettings are testSettings under which a server listed as removed may still be sent to.
+// advisorySettings returns testSettings under which a server listed as removed may still be sent to.
 func advisorySettings() Settings {
 	settings := testSettings()
 	settings.RemovalIsAdvisory = true
 	return settings
 }
 
-// pollingSettings are testSettings of one gateway of many, which may poll servers for their load.
+// pollingSettings returns testSettings for one of 300 gateways, which may poll servers for their load.
 func pollingSettings() Settings {
 	settings := testSettings()
 	settings.Gateways, settings.CanPollLoad = 300, true
 	return settings
 }
 
-// testServers are n ready servers with IDs from 100.
+// testServers returns n ready servers with ids from 100 on.
 func testServers(n int) []Server {
 	var list []Server
 	for i := range n {
@@ -83,7 +83,7 @@
 	return b
 }
 
-// harness feeds events to one Balancer and keeps the actions that answer them.
+// harness feeds events to one Balancer and keeps the actions that answer the latest one.
 type harness struct {
 	t           *testing.T
 	balancer    *Balancer
@@ -92,13 +92,13 @@
 	lastID      RequestID
 }
 
-// newHarnessWithoutList returns a harness whose Balancer has had no endpoint list yet.
+// newHarnessWithoutList returns a harness whose Balancer has not received an endpoint list.
 func newHarnessWithoutList(t *testing.T, settings Settings) *harness {
 	t.Helper()
 	return &harness{t: t, balancer: newBalancer(t, settings), now: 100 * sec}
 }
 
-// newHarness returns a harness whose Balancer has n servers.
+// newHarness returns a harness whose Balancer has a list of n servers.
 func newHarness(t *testing.T, settings Settings, n int) *harness {
 	t.Helper()
 	h := newHarnessWithoutList(t, settings)
@@ -119,7 +119,7 @@
 	h.handle(EndpointList{Mode: ListDelta, Servers: servers})
 }
 
-// advance lets time pass, with the sweep timer firing at its interval, and returns all actions.
+// advance lets time pass while the sweep timer fires at its interval, and returns all actions.
 func (h *harness) advance(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		h.now += min(sweepInterval, end-h.now)
@@ -128,7 +128,7 @@
 	return all
 }
 
-// request has a request of a class and group come in, with a key of its own.
+// request feeds a request of the given class and group, with a client key of its own, and returns its id.
 func (h *harness) request(class, group string) RequestID {
 	h.lastID++
 	h.handle(Request{
@@ -137,7 +137,8 @@
 	return h.lastID
 }
 
-// establish has a request come in and the connection of its attempt be established.
+// establish feeds a request and has the connection of its attempt established. It returns the request and the
+// server.
 func (h *harness) establish(class, group string) (RequestID, ServerID) {
 	h.t.Helper()
 	id := h.request(class, group)
@@ -151,7 +152,7 @@
 	h.handle(AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Result: result, Elapsed: 10 * ms})
 }
 
-// tableEntry is the server at the table entry of a key.
+// tableEntry returns the server at the table entry of a key.
 func (h *harness) tableEntry(key string) ServerID {
 	h.balancer.refreshTable()
 	return h.balancer.tableServers[h.balancer.table.at(hashKey(key), 0)].ID
@@ -164,10 +165,10 @@
 	h.request(idempotentClass, group)
 	first := h.onlySend()
 	if first.Server != server {
-		h.t.Fatalf("group %s goes to %d, not %d", group, first.Server, server)
+		h.t.Fatalf("got a request of group %s sent to server %d, want %d", group, first.Server, server)
 	}
 	if h.request(idempotentClass, group); h.onlySend().Server == server {
-		h.t.Error("a second attempt before the first was established")
+		h.t.Error("a second attempt was sent before the first was established, want another server")
 	}
 	return first
 }
@@ -181,10 +182,10 @@
 	return found
 }
 
-// sends are those of the latest event.
+// sends returns the Sends of the latest event.
 func (h *harness) sends() []Send { return actionsOf[Send](h.lastActions) }
 
-// sentTo are the servers that the latest event sent to.
+// sentTo returns the servers that the latest event sent to.
 func (h *harness) sentTo() (servers []ServerID) {
 	for _, s := range h.sends() {
 		servers = append(servers, s.Server)
@@ -192,23 +193,24 @@
 	return servers
 }
 
-// rejections are those of the latest event.
+// rejections returns the Rejects of the latest event.
 func (h *harness) rejections() []Reject { return actionsOf[Reject](h.lastActions) }
 
-// onlySend returns the one Send of the latest event.
+// onlySend returns the Send of the latest event and fails the test unless there is exactly one.
 func (h *harness) onlySend() Send {
 	h.t.Helper()
 	sends := h.sends()
 	if len(sends) != 1 {
-		h.t.Fatalf("%d sends, not one: %+v", len(sends), h.lastActions)
+		h.t.Fatalf("got %d sends, want 1: %+v", len(sends), h.lastActions)
 	}
 	return sends[0]
 }
 
-// retryBudgetAudit counts the retry budget anew from every request admitted and every retry sent.
+// retryBudgetAudit recounts the retry budget from all requests that were admitted and all retries that were
+// sent.
 type retryBudgetAudit struct{ admitted, retries []time.Duration }
 
-// addRetry counts a retry and holds the window that ends with it to the budget.
+// addRetry records a retry and checks the budget of the window that ends with it.
 func (a *retryBudgetAudit) addRetry(t *testing.T, now time.Duration, settings *Settings) {
 	t.Helper()
 	a.retries = append(a.retries, now)
@@ -228,18 +230,18 @@
 	}
 	allowed := settings.RetryBudgetMin + settings.RetryBudgetRatio*float64(admitted)
 	if float64(retries) > allowed {
-		t.Fatalf("%v: %d retries, %v are allowed for %d requests", now, retries, allowed, admitted)
+		t.Fatalf("%v: got %d retries, want at most %v for %d requests", now, retries, allowed, admitted)
 	}
 }
 
-// TestMain fixes the seed of drawn tests, and leaves no file where one fails.
+// TestMain fixes the seed of the property tests, and keeps them from writing files when they fail.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	setFlag("rapid.seed", "9")
 	setFlag("rapid.nofailfile", "true")
 	setFlag("rapid.shrinktime", "5s")
 	if flag.Lookup("rapid.checks").Value.String() == "100" {
-		setFlag("rapid.checks", "30") // some 10 s under the race detector
+		setFlag("rapid.checks", "30") // takes about 10 s under the race detector
 	}
 	os.Exit(m.Run())
 }
--- a/balancer/loadlimit_test.go
+++ b/balancer/loadlimit_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A load limit follows the utilization that a server reports: down before its messages are slow, up as soon
-// as it has capacity again.
+// A server's load limit follows the utilization that it reports: it falls before messages become slow and
+// rises as soon as the server has capacity again.
 func TestLoadLimitFollowsReports(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for i := range 20 {
@@ -18,7 +18,7 @@
 	}
 	s := h.balancer.servers[100]
 	load := h.balancer.serverLoad(s)
-	// The reports come one after another: each finds the limit that the one before left.
+	// The cases run in order: each starts from the limit that the previous one left.
 	for _, c := range []struct {
 		name                   string
 		utilization, low, high float64
@@ -31,14 +31,14 @@
 	} {
 		h.handle(LoadReport{Server: 100, Utilization: c.utilization})
 		if s.loadLimit < c.low || s.loadLimit > c.high {
-			t.Errorf("%s: at a load of %.1f a report of %.2f makes the limit %.2f, want %.2f to %.2f",
+			t.Errorf("%s: at a load of %.1f and a report of %.2f: got a limit of %.2f, want %.2f to %.2f",
 				c.name, load, c.utilization, s.loadLimit, c.low, c.high)
 		}
 	}
-	h.handle(LoadReport{Server: 999, Utilization: 2}) // of a server that is not listed
+	h.handle(LoadReport{Server: 999, Utilization: 2}) // an unlisted server is ignored
 }
 
-// Where no message delays are measured, set-ups that time out lower the limit.
+// If no message delays are measured, set-ups that time out lower the limit.
 func TestSetupTimeoutsLowerLoadLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	_, server := h.establish(idempotentClass, "g")
@@ -48,16 +48,16 @@
 	load := h.balancer.serverLoad(h.balancer.servers[server])
 	h.request(idempotentClass, "g")
 	if h.onlySend().Server != server {
-		t.Fatalf("sent to %d", h.onlySend().Server)
+		t.Fatalf("request sent to server %d, want the server of the other connections", h.onlySend().Server)
 	}
 	h.endAttempt(h.onlySend(), 0, TimedOut)
 	if limit := h.balancer.servers[server].loadLimit; limit == 0 || limit >= load {
-		t.Errorf("limit %v at a load of %v", limit, load)
+		t.Errorf("got a limit of %v at a load of %v, want a limit below the load", limit, load)
 	}
 }
 
-// A server near its limit takes members of groups that it has before those of new groups, since each group
-// costs it something once.
+// A server near its limit takes members of groups that it already has, but no members of new groups, because
+// each group has a cost of its own.
 func TestServerNearLoadLimitTakesOnlyItsOwnGroups(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	for range 20 {
@@ -66,15 +66,15 @@
 	s := h.balancer.sortedServers[0]
 	s.loadLimit, s.limitLoweredAt = 22, h.now
 	if h.request(highPriorityClass, "new"); len(h.sends()) > 0 {
-		t.Error("a member of a new group was sent")
+		t.Error("a member of a new group was sent, want it held back")
 	}
 	if h.request(highPriorityClass, "present"); len(h.sends()) != 1 {
-		t.Error("a member of a group that the server has was not sent")
+		t.Error("a member of a group that the server has was not sent, want it sent")
 	}
 }
 
-// At a limit below one connection for each gateway a part of the clients is admitted: the same ones at every
-// gateway.
+// At a limit below one connection for each gateway, a fraction of the clients is admitted. Every gateway
+// admits the same clients.
 func TestLoadLimitBelowOneConnectionAdmitsPartOfClients(t *testing.T) {
 	settings := testSettings()
 	settings.Gateways = 200
@@ -90,7 +90,7 @@
 			actions := b.Handle(0, Request{ID: 1, Class: idempotentClass, Key: key, Timeout: sec})
 			isSent := len(actionsOf[Send](actions)) == 1
 			if before, isKnown := admitted[key]; isKnown && before != isSent {
-				t.Fatalf("gateways differ on %s", key)
+				t.Fatalf("gateways differ on client %s, want the same decision", key)
 			}
 			admitted[key] = isSent
 			if isSent {
@@ -98,13 +98,14 @@
 			}
 		}
 		if count < 40 || count > 240 {
-			t.Errorf("seed %d: %d of 400 admitted at a limit of half a connection", settings.Seed, count)
+			t.Errorf("seed %d: got %d of 400 admitted at a limit of half a connection, want 40 to 240",
+				settings.Seed, count)
 		}
 	}
 }
 
-// A server without connections gives no further signals: a limit under the cost of any new group must not
-// exclude it for ever.
+// A server without connections from a gateway gives it no further signals, so a limit below the cost of any
+// new group must not keep the server out of use forever.
 func TestIdleServerIsSentOneRequestDespiteLoadLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	id, server := h.establish(idempotentClass, "g")
@@ -115,13 +116,13 @@
 		ID: 900, Class: idempotentClass, Key: "a", Group: "b", Timeout: 2 * sec, Load: 1000,
 	}
 	if h.handle(request); len(h.sends()) > 0 {
-		t.Error("sent to a server that has just reported twice its capacity")
+		t.Error("a request was sent to a server that just reported twice its capacity, want none")
 	}
 	h.advance(2 * sec)
 	for i, want := range []int{1, 0} {
 		request.ID++
 		if h.handle(request); len(h.sends()) != want {
-			t.Errorf("request %d: %d sent, want %d", i, len(h.sends()), want)
+			t.Errorf("request %d: got %d sends, want %d", i, len(h.sends()), want)
 		}
 	}
 }
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -7,25 +7,27 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// newPollingHarness returns a harness of a Balancer that may poll servers for their load, after the first
-// request, and the polls for it.
+// newPollingHarness returns a harness whose Balancer may poll servers for their load and has handled one
+// request, and returns the polls for that request.
 func newPollingHarness(t *testing.T, n int) (*harness, []PollLoad) {
 	t.Helper()
 	h := newHarness(t, pollingSettings(), n)
 	h.handle(Request{ID: 1, Class: idempotentClass, Key: "a", Timeout: 2 * sec})
 	polls := actionsOf[PollLoad](h.lastActions)
 	if len(polls) != maxPolledServers || len(h.sends()) != 0 {
-		t.Fatalf("%d polls and %d sends before any report", len(polls), len(h.sends()))
+		t.Fatalf("before any report: got %d polls and %d sends, want maxPolledServers polls and no send",
+			len(polls), len(h.sends()))
 	}
 	return h, polls
 }
 
-// A gateway with few connections of its own does not know the load of a server: it polls the table entry and
-// another server, and sends to the entry if it has capacity, else to the server with the lower utilization.
+// A gateway with few connections of its own does not know the load of a server. It polls the server at the
+// table entry and another one. It sends to the former if that has capacity, and to the one with the lower
+// utilization otherwise.
 func TestPollsServersBeforeSending(t *testing.T) {
 	for _, c := range []struct {
 		utilizations [maxPolledServers]float64
-		want         int // index of the poll
+		want         int // index of the poll whose server gets the request
 	}{
 		{[maxPolledServers]float64{0.4, 0.1}, 0},
 		{[maxPolledServers]float64{0.8, 0.1}, 1},
@@ -43,34 +45,34 @@
 	}
 }
 
-// Where the polled servers are full others are polled, and the request is rejected only after maxPollRounds.
+// If the polled servers are full, others are polled. The request is rejected only after maxPollRounds.
 func TestPollsFurtherServersWhenPolledOnesAreFull(t *testing.T) {
 	h, polls := newPollingHarness(t, maxPollRounds*maxPolledServers)
 	polled := map[ServerID]bool{}
 	for round := 1; len(polls) > 0; round++ {
 		for _, p := range polls {
 			if polled[p.Server] {
-				t.Fatalf("server %d is polled twice while its report is fresh", p.Server)
+				t.Fatalf("server %d was polled again while its report was fresh, want one poll", p.Server)
 			}
 			polled[p.Server] = true
 			h.handle(LoadReport{Server: p.Server, Utilization: 1.5, Connections: 30})
 		}
 		polls = actionsOf[PollLoad](h.lastActions)
 		if round > maxPollRounds {
-			t.Fatalf("more than %d rounds of polls", maxPollRounds)
+			t.Fatalf("got more rounds of polls, want at most %d", maxPollRounds)
 		}
 	}
 	if n := len(h.rejections()); n != 1 || len(polled) != maxPollRounds*maxPolledServers {
-		t.Errorf("%d rejections after %d servers were polled", n, len(polled))
+		t.Errorf("got %d rejections after polls of %d servers, want one after all rounds", n, len(polled))
 	}
 }
 
-// A server that does not report within the poll timeout is skipped for one that does.
+// A server that does not report within the poll timeout is skipped in favor of one that does.
 func TestServerWithoutReportIsSkippedAfterPollTimeout(t *testing.T) {
 	h, polls := newPollingHarness(t, 8)
 	h.handle(LoadReport{Server: polls[1].Server, Utilization: 0.3, Connections: 30})
 	if len(h.sends()) != 0 {
-		t.Fatal("did not wait for the report of the table entry")
+		t.Fatal("the request was sent before the table entry reported, want it to wait")
 	}
 	h.now += loadPollTimeout
 	h.handle(TimerFired{Ref: waitTimer})
@@ -85,6 +87,6 @@
 	h.handle(LoadReport{Server: polls[0].Server, Utilization: 0.3, Connections: 30})
 	h.advance(sec)
 	if n := len(h.sends()); n != 0 || len(h.balancer.waiting) != 0 {
-		t.Errorf("%d sent, %d still waiting", n, len(h.balancer.waiting))
+		t.Errorf("got %d sends and %d waiting requests, want none", n, len(h.balancer.waiting))
 	}
 }
--- a/balancer/migration.go
+++ b/balancer/migration.go
@@ -76,9 +76,9 @@
 		(1-groupMigrationWeight)*r.clientFraction(uint64(s.ID))
 }
 
-// sampleCapacity polls one random server whose load is unknown, at most once per sweep. Without it, a gateway
-// with few connections would know only the loads of the servers that hold them, and would find no free
-// capacity while other servers are idle.
+// sampleCapacity polls a randomly chosen server if its load is unknown, at most once per sweep. Without it, a
+// gateway with few connections would know only the loads of the servers that hold them, and would find no
+// free capacity while other servers are idle.
 func (b *Balancer) sampleCapacity() {
 	b.refreshTable()
 	s := b.tableServers[int(b.random()*float64(len(b.tableServers)))]
--- a/balancer/migration_test.go
+++ b/balancer/migration_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newSlowServerHarness returns a harness of one gateway of many whose only connection, of a group, is at a
-// server that reports too much load.
+// newSlowServerHarness returns a harness of one gateway of many. Its only connection belongs to the given
+// group and is at a server that sweepSlowServer overloads. The request and that server are returned too.
 func newSlowServerHarness(t *testing.T, group, key string) (*harness, RequestID, ServerID) {
 	t.Helper()
 	h := newHarness(t, pollingSettings(), 8)
@@ -18,12 +18,12 @@
 		h.handle(LoadReport{Server: p.Server, Utilization: 0.3, Connections: 20})
 	}
 	h.handle(AttemptEstablished{ID: 1, Server: slow, Elapsed: 10 * ms})
-	h.advance(2 * loadReportTTL) // until the reports are stale
+	h.advance(2 * loadReportTTL) // until the reports have expired
 	return h, 1, slow
 }
 
-// sweepSlowServer has a slow server report and delay messages of a connection, and all servers that are then
-// polled report that they have capacity. It returns the actions of the sweep.
+// sweepSlowServer has the slow server report an overload and delay the messages of a connection, and runs one
+// sweep. Every server that the sweep polls reports free capacity. It returns the actions of the sweep.
 func (h *harness) sweepSlowServer(id RequestID, slow ServerID) []Action {
 	h.handle(LoadReport{Server: slow, Utilization: 1.4, Connections: 40})
 	h.handle(MessageDelay{ID: id, Server: slow, Delay: sec / 2})
@@ -34,8 +34,8 @@
 	return actions
 }
 
-// A gateway that has no report but of the slow server polls others for capacity, and migrates connections
-// once there is some.
+// A gateway whose only report is that of the slow server polls others for capacity, and migrates connections
+// once another server has some.
 func TestPollsForCapacityBeforeMigratingOffSlowServer(t *testing.T) {
 	const groups, sweeps = 20, 12
 	migrated, polled := 0, 0
@@ -45,7 +45,7 @@
 			actions := h.sweepSlowServer(id, slow)
 			for _, p := range actionsOf[PollLoad](actions) {
 				if p.Server == slow {
-					t.Fatal("the slow server is polled for capacity")
+					t.Fatal("the slow server was polled for capacity, want another server")
 				}
 				polled++
 			}
@@ -53,12 +53,12 @@
 		}
 	}
 	if polled == 0 || polled > groups*sweeps || migrated < 5 || migrated > 15 {
-		t.Errorf("%d polls; %d of 20 migrated off servers at twice their capacity", polled, migrated)
+		t.Errorf("got %d polls, want 1 to 240; got %d of 20 migrated, want 5 to 15", polled, migrated)
 	}
 }
 
-// Over all gateways a group leaves a slow server altogether, or stays: the server bears the group's cost
-// until the last of its connections has left.
+// Over all gateways a group either leaves a slow server completely or stays, because the server bears the
+// cost of the group until its last connection has left.
 func TestGroupsMigrateTogetherOffSlowServers(t *testing.T) {
 	const groups, members = 30, 10
 	split := 0
@@ -75,13 +75,13 @@
 		}
 	}
 	if split > groups/3 {
-		t.Errorf("%d of %d groups split", split, groups)
+		t.Errorf("got %d of %d groups split, want a third at most", split, groups)
 	}
 }
 
 func TestSlowServerGetsNoNewRequestsAndItsConnectionsMigrate(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
-	for i := range 40 { // most of the gateway's connections are at servers that are well
+	for i := range 40 { // most of the gateway's connections are at healthy servers
 		h.establish(idempotentClass, fmt.Sprint("g", i))
 	}
 	id, slow := h.establish(idempotentClass, "g")
@@ -89,22 +89,22 @@
 		h.establish(idempotentClass, "g")
 	}
 	if got := len(h.balancer.servers[slow].inFlight); got < 3 {
-		t.Fatalf("%d connections at the server", got)
+		t.Fatalf("got %d connections at the server, want 3 or more", got)
 	}
 	migrated := 0
 	for i := range 4 {
 		h.handle(MessageDelay{ID: id, Server: slow, Delay: time.Duration(200+900*i) * ms})
 		if _, got := h.establish(idempotentClass, "g"); got == slow {
-			t.Fatal("a request is sent to the slow server")
+			t.Fatal("a request was sent to the slow server, want another server")
 		}
 		migrated += len(actionsOf[Migrate](h.advance(sec)))
 	}
 	if migrated == 0 {
-		t.Error("no connection is migrated")
+		t.Error("no connection migrated off the slow server, want at least one")
 	}
 	h.handle(MessageDelay{ID: id, Server: slow, Delay: 10 * ms})
 	if h.balancer.now < h.balancer.servers[slow].pausedUntil {
-		t.Error("still paused once messages are fast again")
+		t.Error("the server is still paused after its messages became fast again")
 	}
 }
 
@@ -114,7 +114,7 @@
 	// Above a third of the class's latency objective, below the objective.
 	h.handle(MessageDelay{ID: id, Server: server, Delay: 40 * ms})
 	if got := actionsOf[Migrate](h.advance(2 * sec)); len(got) > 0 {
-		t.Errorf("migrated %+v", got)
+		t.Errorf("got migrations %+v, want none", got)
 	}
 }
 
@@ -130,6 +130,6 @@
 	h.balancer.migrateFrom(s)
 	got := actionsOf[Migrate](h.balancer.actions)
 	if len(got) == 0 || got[0].ID != small {
-		t.Errorf("migrated %+v, the only connection of its group is %d", got, small)
+		t.Errorf("got migrations %+v, want first %d, the only connection of its group", got, small)
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -13,21 +13,21 @@
 	h.request(idempotentClass, "g")
 	h.endAttempt(h.onlySend(), 0, ConnectFailed)
 	if len(actionsOf[Log](h.lastActions)) != 1 {
-		t.Errorf("no log line: %+v", h.lastActions)
+		t.Errorf("got actions %+v, want one log line", h.lastActions)
 	}
 	for range 5 {
 		if _, got := h.establish(idempotentClass, "g"); got == server {
-			t.Fatal("sent to an ejected server")
+			t.Fatal("a request was sent to the ejected server, want another server")
 		}
 	}
 	logs := actionsOf[Log](h.advance(baseEjectionDuration + sec))
 	if len(logs) != 1 || !strings.Contains(logs[0].Message, "ended") {
-		t.Errorf("log lines at the end of the ejection: %+v", logs)
+		t.Errorf("at the end of the ejection: got log lines %+v, want one that contains \"ended\"", logs)
 	}
 	first := h.requireSingleTrial("g", server)
 	h.handle(AttemptEnded{ID: first.ID, Server: server, Result: TimedOut, Elapsed: 300 * ms})
 	if h.balancer.servers[server].ejectedUntil == 0 {
-		t.Error("not ejected again after a failure on probation")
+		t.Error("the server is not ejected again after a failure on probation, want it ejected")
 	}
 }
 
@@ -46,7 +46,7 @@
 		}
 	}
 	if ejected > 4 {
-		t.Errorf("%d of 8 servers ejected", ejected)
+		t.Errorf("got %d of 8 servers ejected, want at most 4", ejected)
 	}
 }
 
@@ -55,15 +55,16 @@
 	s := h.balancer.sortedServers[0]
 	h.balancer.scoreResult(s, ConnectFailed, false, 0)
 	if s.ejectedUntil == 0 {
-		t.Fatal("not ejected")
+		t.Fatal("the server is not ejected after a failed connect, want it ejected")
 	}
 	h.listDelta(Server{ID: s.ID, Started: h.now})
 	if s.ejectedUntil != 0 || s.failureScore.sum != 0 {
-		t.Errorf("after a restart: ejected until %v, failure score %v", s.ejectedUntil, s.failureScore.sum)
+		t.Errorf("after a restart: got ejected until %v and failure score %v, want 0",
+			s.ejectedUntil, s.failureScore.sum)
 	}
 }
 
-// A reinstated server is sent one request on trial, whatever its warm-up budget allows.
+// A reinstated server gets exactly one trial request, whatever its warm-up budget allows.
 func TestReinstatedServerIsTriedOnce(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	reinstated := h.balancer.sortedServers[2].ID
@@ -82,6 +83,6 @@
 		}
 	}
 	if sent != 1 {
-		t.Errorf("%d requests sent at once to a reinstated server that is warming up", sent)
+		t.Errorf("got %d requests sent to a reinstated server that is warming up, want 1", sent)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -14,13 +14,13 @@
 	for attempt := range 3 {
 		s := h.onlySend()
 		if tried[s.Server] {
-			t.Errorf("attempt %d goes to %d again", attempt, s.Server)
+			t.Errorf("attempt %d went to server %d again, want another server", attempt, s.Server)
 		}
 		tried[s.Server] = true
 		h.endAttempt(s, attempt, TimedOut)
 	}
 	if len(h.rejections()) != 1 {
-		t.Errorf("after the last attempt: %+v", h.lastActions)
+		t.Errorf("after the last attempt: got actions %+v, want one rejection", h.lastActions)
 	}
 }
 
@@ -41,11 +41,11 @@
 			h.request(nonIdempotentClass, "g")
 			h.endAttempt(h.onlySend(), 0, c.result)
 			if got := len(h.sends()) == 1; got != c.isRetried {
-				t.Errorf("retried: %v, want %v", got, c.isRetried)
+				t.Errorf("got retried = %v, want %v", got, c.isRetried)
 			}
 			fails := len(actionsOf[Fail](h.lastActions)) == 1
 			if fails == c.isRetried || len(h.rejections()) > 0 {
-				t.Errorf("actions %+v", h.lastActions)
+				t.Errorf("got actions %+v, want a failure only if there is no retry", h.lastActions)
 			}
 		})
 	}
@@ -59,16 +59,17 @@
 	second := h.onlySend()
 	a, b := h.balancer.servers[first.Server], h.balancer.servers[second.Server]
 	if a.Cell != b.Cell || a == b {
-		t.Errorf("servers %d and %d, cells %d and %d", a.ID, b.ID, a.Cell, b.Cell)
+		t.Errorf("got servers %d and %d in cells %d and %d, want two servers of one cell",
+			a.ID, b.ID, a.Cell, b.Cell)
 	}
 	h.now += 3 * sec // past the dedup window
 	h.balancer.requests[second.ID].deadline = h.now + sec
 	h.endAttempt(second, 1, TimedOut)
 	if len(h.sends()) > 0 {
-		t.Errorf("retried after the dedup window: %+v", h.lastActions)
+		t.Errorf("after the dedup window: got actions %+v, want no retry", h.lastActions)
 	}
 	if len(actionsOf[Fail](h.lastActions)) != 1 || len(h.rejections()) > 0 {
-		t.Errorf("answers: %+v", h.lastActions)
+		t.Errorf("after the dedup window: got actions %+v, want one failure and no rejection", h.lastActions)
 	}
 }
 
@@ -77,13 +78,13 @@
 	h.request("unknown", "g")
 	h.endAttempt(h.onlySend(), 0, TimedOut)
 	if len(actionsOf[Fail](h.lastActions)) != 1 {
-		t.Errorf("actions %+v", h.lastActions)
+		t.Errorf("got actions %+v, want one failure", h.lastActions)
 	}
 }
 
-// Every retry of a long run with bursts and pauses keeps to the budget of the window that ends with it, and
-// the budget is used. A token bucket, which keeps to it on average alone, would either exceed it where the
-// requests that earned a retry have left the window, or never give back the minimum.
+// In a long run with bursts and pauses, every retry stays within the budget of the window that ends with it,
+// and the budget is used. A token bucket, which bounds only the average, would either exceed the budget once
+// the requests that earned a retry have left the window, or never regain the minimum.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	for _, c := range []struct{ minimum, ratio float64 }{{5, 0}, {0, 0.1}, {5, 0.1}, {2.5, 0.02}, {0, 0}} {
 		t.Run(fmt.Sprintf("minimum %v, ratio %v", c.minimum, c.ratio), func(t *testing.T) {
@@ -106,17 +107,18 @@
 			windows := float64(h.now-100*sec) / float64(settings.RetryBudgetWindow)
 			wanted := (windows*c.minimum + requests*c.ratio) / 4
 			if got := float64(len(audit.retries)); got < wanted {
-				t.Errorf("%v retries, at least %.0f are wanted", got, wanted)
+				t.Errorf("got %v retries, want %.0f or more", got, wanted)
 			}
 			kept := len(h.balancer.requestWindow.buckets) + len(h.balancer.retryWindow.buckets)
 			if kept > 2*maxWindowBuckets {
-				t.Errorf("%d buckets kept", kept)
+				t.Errorf("got %d buckets, want at most maxWindowBuckets for each of the two windows", kept)
 			}
 		})
 	}
 }
 
-// retryRejected has a request come in, of which each attempt has even odds to be rejected by its server.
+// retryRejected feeds a request whose attempts are each rejected by the server with a probability of one
+// half, and checks each retry against the budget.
 func (h *harness) retryRejected(random *rand.Rand, audit *retryBudgetAudit, settings *Settings) {
 	h.t.Helper()
 	h.request(idempotentClass, fmt.Sprint("g", h.lastID))
@@ -136,30 +138,30 @@
 	}
 }
 
-// A connection that is established late carries nothing: not past the grace of a server that drains or may
-// begin to, nor past the dedup window.
+// A connection that is established too late must carry nothing: neither after the drain grace of a server
+// that drains or may start to drain, nor after the dedup window.
 func TestConnectTimeoutIsBoundedByDrainGraceAndDedupWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].DedupWindow, settings.Classes[1].DedupScope = 400*ms, DedupScopeAll
 	h := newHarness(t, settings, 4)
 	h.request(idempotentClass, "")
 	if s := h.onlySend(); s.ConnectTimeout <= 0 || s.ConnectTimeout >= settings.DrainGrace {
-		t.Errorf("to a ready server: %+v", s)
+		t.Errorf("to a ready server: got %+v, want a ConnectTimeout above 0 and below the DrainGrace", s)
 	}
 
 	id, first := h.request(keyedClass, ""), h.onlySend()
 	h.now += 150 * ms
 	h.handle(AttemptEnded{ID: id, Server: first.Server, Result: Reset})
 	if s := h.onlySend(); s.ConnectTimeout != 250*ms {
-		t.Errorf("a retry 150 ms into a dedup window of 400 ms: %+v", s)
+		t.Errorf("retry 150 ms into a dedup window of 400 ms: got %+v, want a ConnectTimeout of 250 ms", s)
 	}
 
-	// No dedup window has begun for a request that never ran.
+	// The dedup window of a request that never ran has not started.
 	id, first = h.request(keyedClass, ""), h.onlySend()
 	h.now += 150 * ms
 	h.handle(AttemptEnded{ID: id, Server: first.Server, Result: Rejected})
 	if s := h.onlySend(); s.ConnectTimeout <= 250*ms {
-		t.Errorf("a retry of a request that never ran: %+v", s)
+		t.Errorf("retry of a request that never ran: got %+v, want a ConnectTimeout above 250 ms", s)
 	}
 
 	h.balancer.refreshTable()
@@ -170,6 +172,6 @@
 		ID: 900, Class: idempotentClass, MidFlow: true, OwnerKnown: true, Owner: owner, Timeout: sec,
 	})
 	if s := h.onlySend(); s.Server != owner || s.ConnectTimeout <= 0 || s.ConnectTimeout >= 200*ms {
-		t.Errorf("a mid-flow request to a server that has drained for 300 of 500 ms: %+v", s)
+		t.Errorf("mid-flow request, 300 ms into a drain grace of 500 ms: got %+v, want below 200 ms", s)
 	}
 }
