--- a/balancer/loadlimit_test.go
+++ b/balancer/loadlimit_test.go
@@ -57,7 +57,7 @@
 }
 
 // A server near its limit takes members of groups that it already has, but no members of new groups, because
-// each group has a cost of its own.
+// each new group adds a cost once.
 func TestServerNearLoadLimitTakesOnlyItsOwnGroups(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	for range 20 {
--- a/balancer/stats_test.go
+++ b/balancer/stats_test.go
@@ -25,7 +25,8 @@
 				now += sec / inWindow
 			}
 			if len(w.buckets) > maxWindowBuckets+1 || w.total < c.low || w.total > c.high {
-				t.Errorf("got %d buckets with a total of %d, want both within their bounds", len(w.buckets), w.total)
+				t.Errorf("got %d buckets with a total of %d, want both within bounds",
+					len(w.buckets), w.total)
 			}
 		})
 	}
