--- a/balancer/digest_test.go
+++ b/balancer/digest_test.go
@@ -13,11 +13,11 @@
 	"example.org/milletvane/balancer"
 )
 
-// The digests keep the decisions as they are. Each stream draws settings, a fleet and its faults from a seed,
-// feeds a Balancer through its exported interface, and reacts to its actions as servers and clients would.
-// The digest of a stream covers every field of every action, of the snapshots taken in between and of the
-// answers to which servers are ejected; times and floats are exact. Of a log line it covers that it came, but
-// not its text.
+// The digests guard against unintended changes of decisions. Each stream draws settings, a fleet and its
+// faults from a seed, feeds a Balancer through its exported API, and reacts to its actions like servers and
+// clients. The digest of a stream covers every field of every action, the snapshots taken in between, and
+// which servers are ejected; times and floats are exact. Of a log line it covers only that it occurred, not
+// its text.
 const (
 	digestStreams   = 360
 	streamsPerGroup = 10
@@ -26,7 +26,7 @@
 
 var (
 	digestFile    = filepath.Join("testdata", "digests.txt")
-	updateDigests = flag.Bool("update-digests", false, "record the digests anew")
+	updateDigests = flag.Bool("update-digests", false, "record the digests again")
 )
 
 func TestActionsMatchTheRecordedDigests(t *testing.T) {
@@ -40,7 +40,7 @@
 				for seed := first; seed < first+streamsPerGroup; seed++ {
 					digests[seed], coverages[seed] = runStream(t, uint64(seed))
 					if !*updateDigests && digests[seed] != want[seed] {
-						t.Errorf("stream %d has digest %s, recorded is %s", seed, digests[seed], want[seed])
+						t.Errorf("stream %d: got digest %s, want %s", seed, digests[seed], want[seed])
 					}
 				}
 			})
@@ -48,16 +48,16 @@
 	})
 	total := coverage{}
 	for _, c := range coverages {
-		for what, n := range c {
-			total[what] += n
+		for name, n := range c {
+			total[name] += n
 		}
 	}
-	for _, what := range mustOccur {
-		if total[what] == 0 {
-			t.Errorf("no stream shows: %s", what)
+	for _, name := range requiredCoverage {
+		if total[name] == 0 {
+			t.Errorf("got no stream with %q, want at least one", name)
 		}
 	}
-	t.Logf("occurred in all streams together: %v", total)
+	t.Logf("coverage of all streams: %v", total)
 	if *updateDigests && !t.Failed() {
 		if err := os.WriteFile(digestFile, []byte(strings.Join(digests, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
@@ -77,31 +77,33 @@
 	}
 	lines := strings.Fields(string(text))
 	if len(lines) != digestStreams {
-		t.Fatalf("%s holds %d digests, want %d", digestFile, len(lines), digestStreams)
+		t.Fatalf("%s: got %d digests, want %d", digestFile, len(lines), digestStreams)
 	}
 	return lines
 }
 
-// coverage counts what occurred in a stream.
+// coverage counts the events, actions and states that occurred in a stream.
 type coverage map[string]int
 
-// mustOccur lists what all streams together have to show for the digests to mean anything.
-var mustOccur = []string{
-	"list of changes", "complete list", "cached list", "request", "adopted connection", "established",
-	"load changed", "message delay", "load report", "fleet load shedding", "ended", "client disconnected",
-	"server reinstated", "shutdown", "timer fired",
-	"send", "reject", "reject for fleet load shedding", "reject with advice", "fail", "migrate",
+// requiredCoverage lists what must occur at least once in all streams together for the digests to be
+// meaningful.
+var requiredCoverage = []string{
+	"list delta", "complete list", "cached list", "request", "adopted connection", "attempt established",
+	"load changed", "message delay", "load report", "fleet shed level", "attempt ended",
+	"client disconnected", "server reinstated", "shutdown", "timer fired",
+	"send", "reject", "reject for fleet load shedding", "reject with retry-after", "fail", "migrate",
 	"poll load", "set timer", "log line",
-	"ok", "errored", "full", "timed out", "connect failed", "reset", "cancelled", "never sent",
+	"ok", "errored", "rejected", "timed out", "connect failed", "reset", "cancelled", "not sent",
 	"retry", "retry after an attempt that may have run", "send to a server that is warming up",
-	"send without establish limit", "send of a mid-flow request", "send to a draining server",
-	"server ejected", "limit learned", "server capacity learned", "server paused", "repeated ejection",
-	"restored snapshot", "migrate off a drained server", "reject while waiting for the first list",
-	"migrate for slow messages", "poll load on a timer", "forgotten server",
+	"send without connect timeout", "send of a mid-flow request", "send to a draining server",
+	"server ejected", "load limit set", "connection capacity estimated", "server paused",
+	"repeated ejection", "restored snapshot", "migrate off a draining server",
+	"reject while waiting for the first list", "migrate off a slow server", "poll load on a timer",
+	"evicted server",
 }
 
-// add adds a record of a kind to the digest.
-func (s *stream) add(kind byte, fields ...uint64) {
+// record adds a record of the given kind to the digest.
+func (s *stream) record(kind byte, fields ...uint64) {
 	s.buffer = append(s.buffer[:0], kind)
 	for _, f := range fields {
 		s.buffer = binary.LittleEndian.AppendUint64(s.buffer, f)
@@ -109,75 +111,77 @@
 	s.hash.Write(s.buffer)
 }
 
-func bit(b bool) uint64 {
+func boolToUint64(b bool) uint64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (s *stream) digest(a balancer.Action) {
+func (s *stream) recordAction(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
-		s.add(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout), uint64(a.ConnectTimeout))
+		s.record(1, uint64(a.ID), uint64(a.Server), uint64(a.Timeout), uint64(a.ConnectTimeout))
 	case balancer.Reject:
-		s.add(2, uint64(a.ID), uint64(a.RetryAfter), bit(a.ShedByFleet))
+		s.record(2, uint64(a.ID), uint64(a.RetryAfter), boolToUint64(a.ShedByFleet))
 	case balancer.Fail:
-		s.add(3, uint64(a.ID))
+		s.record(3, uint64(a.ID))
 	case balancer.Migrate:
-		s.add(4, uint64(a.ID))
+		s.record(4, uint64(a.ID))
 	case balancer.PollLoad:
-		s.add(5, uint64(a.Server))
+		s.record(5, uint64(a.Server))
 	case balancer.SetTimer:
-		s.add(6, uint64(a.After), uint64(a.Ref))
+		s.record(6, uint64(a.After), uint64(a.Ref))
 	case balancer.Log:
-		s.add(7)
+		s.record(7)
 	default:
-		s.t.Errorf("an action of a kind that the digest does not know: %T", a)
+		s.t.Errorf("got an action of type %T, want one that the digest covers", a)
 	}
 }
 
-// observe adds the snapshot and the ejected servers to the digest.
-func (s *stream) observe() {
-	for _, h := range s.hosts {
-		s.add(8, uint64(h.ID), bit(s.balancer.IsEjected(h.ID)))
-		if s.balancer.IsEjected(h.ID) {
+// recordState adds the snapshot and the ejections of all servers to the digest.
+func (s *stream) recordState() {
+	for _, server := range s.servers {
+		s.record(8, uint64(server.ID), boolToUint64(s.balancer.IsEjected(server.ID)))
+		if s.balancer.IsEjected(server.ID) {
 			s.coverage["server ejected"]++
 		}
 	}
-	s.digestSnapshot(s.balancer.Snapshot())
+	s.recordSnapshot(s.balancer.Snapshot())
 }
 
-func (s *stream) digestSnapshot(l balancer.Snapshot) {
-	mean := func(m balancer.WeightedMean) { s.add(9, math.Float64bits(m.Value), math.Float64bits(m.Weight)) }
-	mean(l.MeanLoad)
-	mean(l.ConnectionCapacity)
-	if l.ConnectionCapacity.Weight > 0 {
-		s.coverage["server capacity learned"]++
+func (s *stream) recordSnapshot(snapshot balancer.Snapshot) {
+	recordMean := func(m balancer.WeightedMean) {
+		s.record(9, math.Float64bits(m.Value), math.Float64bits(m.Weight))
 	}
-	for _, m := range l.ClassLoads {
-		mean(m)
+	recordMean(snapshot.MeanLoad)
+	recordMean(snapshot.ConnectionCapacity)
+	if snapshot.ConnectionCapacity.Weight > 0 {
+		s.coverage["connection capacity estimated"]++
+	}
+	for _, m := range snapshot.ClassLoads {
+		recordMean(m)
 	}
 	present := map[balancer.ServerID]bool{}
-	for _, k := range l.Servers {
-		present[k.ID] = true
-		s.add(10, uint64(k.ID), uint64(k.Started), math.Float64bits(k.LoadLimit), uint64(k.LimitLoweredAt),
-			uint64(k.PausedUntil), uint64(k.EjectedUntil), uint64(k.Ejections),
-			math.Float64bits(k.FailureScore),
-			uint64(k.FailureScoreAt))
-		if k.LoadLimit > 0 {
-			s.coverage["limit learned"]++
+	for _, saved := range snapshot.Servers {
+		present[saved.ID] = true
+		s.record(10, uint64(saved.ID), uint64(saved.Started),
+			math.Float64bits(saved.LoadLimit), uint64(saved.LimitLoweredAt),
+			uint64(saved.PausedUntil), uint64(saved.EjectedUntil), uint64(saved.Ejections),
+			math.Float64bits(saved.FailureScore), uint64(saved.FailureScoreAt))
+		if saved.LoadLimit > 0 {
+			s.coverage["load limit set"]++
 		}
-		if k.PausedUntil > s.now {
+		if saved.PausedUntil > s.now {
 			s.coverage["server paused"]++
 		}
-		if k.Ejections > 1 {
+		if saved.Ejections > 1 {
 			s.coverage["repeated ejection"]++
 		}
 	}
-	for _, h := range s.hosts {
-		if h.State == balancer.Removed && !present[h.ID] {
-			s.coverage["forgotten server"]++
+	for _, server := range s.servers {
+		if server.State == balancer.Removed && !present[server.ID] {
+			s.coverage["evicted server"]++
 		}
 	}
 }
--- a/balancer/stream_faults_test.go
+++ b/balancer/stream_faults_test.go
@@ -8,137 +8,142 @@
 	"example.org/milletvane/balancer"
 )
 
-// fault changes how a server fares.
-func (s *stream) fault() {
-	h := s.anyHost()
-	if h.condition = s.usual; s.oneIn(2) {
-		h.condition = condition(s.rnd.IntN(int(conditions)))
+// changeCondition changes the condition of a random server for a time.
+func (s *stream) changeCondition() {
+	server := s.randomServer()
+	if server.condition = s.commonFault; s.oneIn(2) {
+		server.condition = condition(s.rnd.IntN(int(numConditions)))
 	}
-	switch h.condition {
+	switch server.condition {
 	case crashed:
-		s.resetAll(h, time.Millisecond+s.upTo(300*time.Millisecond))
+		s.resetConnections(server, time.Millisecond+s.randomDuration(300*time.Millisecond))
 	case slow:
-		s.slowDown(h, 3+s.rnd.IntN(6))
+		s.slowDown(server, 3+s.rnd.IntN(6))
 	}
-	s.later(s.upTo(15*time.Second), func() { h.condition = healthy })
+	s.schedule(s.randomDuration(15*time.Second), func() { server.condition = healthy })
 }
 
-// resetAll breaks a server's connections within a time.
-func (s *stream) resetAll(h *host, within time.Duration) {
-	for _, c := range s.live {
-		if c.server == h.ID {
-			s.later(s.upTo(within), func() { s.end(c, balancer.Reset, c.established) })
+// resetConnections breaks all connections of a server within a time.
+func (s *stream) resetConnections(server *fakeServer, within time.Duration) {
+	for _, c := range s.connections {
+		if c.server == server.ID {
+			s.schedule(s.randomDuration(within), func() { s.end(c, balancer.Reset, c.established) })
 		}
 	}
 }
 
-// slowDown has some connections of a server tell of messages that take longer and longer.
-func (s *stream) slowDown(h *host, times int) {
-	if times == 0 || h.condition != slow {
+// slowDown reports growing message delays of up to three connections of a server, for the given number of
+// rounds.
+func (s *stream) slowDown(server *fakeServer, rounds int) {
+	if rounds == 0 || server.condition != slow {
 		return
 	}
-	h.delay += 30*time.Millisecond + s.upTo(500*time.Millisecond)
-	told := 0
-	for _, c := range slices.Clone(s.live) {
-		if c.server == h.ID && c.established && told < 3 {
-			told++
-			s.feed("message delay", balancer.MessageDelay{ID: c.request.ID, Server: h.ID, Delay: h.delay})
+	server.delay += 30*time.Millisecond + s.randomDuration(500*time.Millisecond)
+	reported := 0
+	for _, c := range slices.Clone(s.connections) {
+		if c.server == server.ID && c.established && reported < 3 {
+			reported++
+			s.feed("message delay",
+				balancer.MessageDelay{ID: c.request.ID, Server: server.ID, Delay: server.delay})
 		}
 	}
 	if s.oneIn(3) {
-		s.reportLoad(h.ID)
+		s.feedLoadReport(server.ID)
 	}
-	s.later(500*time.Millisecond+s.upTo(600*time.Millisecond), func() { s.slowDown(h, times-1) })
+	s.schedule(500*time.Millisecond+s.randomDuration(600*time.Millisecond),
+		func() { s.slowDown(server, rounds-1) })
 }
 
-// changeList feeds a list that differs from the last, or one that is old or wrong.
-func (s *stream) changeList() {
-	h := s.anyHost()
+// feedListChange feeds a list that differs from the previous one, or one that is old or wrong.
+func (s *stream) feedListChange() {
+	server := s.randomServer()
 	switch s.rnd.IntN(12) {
 	case 0:
-		h = s.addHost()
+		server = s.addServer()
 	case 1, 2:
-		h.State, h.Evacuate = balancer.Draining, s.oneIn(2)
-		defer s.midFlowAfter(h)
+		server.State, server.Evacuate = balancer.Draining, s.oneIn(2)
+		defer s.scheduleMidFlow(server)
 	case 3:
-		h.State = balancer.Removed
-		defer s.midFlowAfter(h)
-		s.resetAll(h, time.Second)
+		server.State = balancer.Removed
+		defer s.scheduleMidFlow(server)
+		s.resetConnections(server, time.Second)
 	case 4, 5, 6:
-		h.State, h.Evacuate = balancer.Ready, false
+		server.State, server.Evacuate = balancer.Ready, false
 	case 7:
-		s.reboot(h)
+		s.restartProcess(server)
 	case 8:
-		h.Capacity = []float64{0, -1, 0.5, 3, math.NaN(), math.Inf(1)}[s.rnd.IntN(6)]
-	case 9: // nothing new
+		server.Capacity = []float64{0, -1, 0.5, 3, math.NaN(), math.Inf(1)}[s.rnd.IntN(6)]
+	case 9: // a delta without entries
 		s.feedList(balancer.ListDelta, nil)
 		return
-	case 10: // an old list, or an empty one
+	case 10: // an old list, possibly an empty one
 		old := s.pastLists[s.rnd.IntN(len(s.pastLists))]
 		s.feedList(
 			[]balancer.ListMode{balancer.ListComplete, balancer.ListCached}[s.rnd.IntN(2)], old.Servers)
 		return
 	case 11:
-		s.feedList(balancer.ListComplete, s.entries())
+		s.feedList(balancer.ListComplete, s.listEntries())
 		return
 	}
 	if s.oneIn(5) {
-		s.feedList(balancer.ListComplete, s.entries())
+		s.feedList(balancer.ListComplete, s.listEntries())
 		return
 	}
-	s.feedList(balancer.ListDelta, []balancer.Server{h.Server})
+	s.feedList(balancer.ListDelta, []balancer.Server{server.Server})
 }
 
-// midFlowAfter sends requests of a server that has just left the table, around the times up to which it may
-// still be sent some.
-func (s *stream) midFlowAfter(h *host) {
-	s.sendRequest(s.drawRequest()) // the table is filled by the next placement
-	times := []time.Duration{s.settings.FlowRetention}
+// scheduleMidFlow sends mid-flow requests for a server that has just left the table, around the times until
+// which requests may still be sent to it.
+func (s *stream) scheduleMidFlow(server *fakeServer) {
+	s.sendRequest(s.drawRequest()) // its placement builds the new table
+	delays := []time.Duration{s.settings.FlowRetention}
 	for range 3 {
-		times = append(times, s.upTo(s.settings.DrainGrace+100*time.Millisecond))
+		delays = append(delays, s.randomDuration(s.settings.DrainGrace+100*time.Millisecond))
 	}
-	for _, after := range times {
+	for _, after := range delays {
 		if after > time.Minute {
 			continue
 		}
-		s.later(after, func() {
+		s.schedule(after, func() {
 			r := s.drawRequest()
-			r.MidFlow, r.OwnerKnown, r.Owner = true, s.oneIn(2), h.ID
+			r.MidFlow, r.OwnerKnown, r.Owner = true, s.oneIn(2), server.ID
 			s.sendRequest(r)
 		})
 	}
 }
 
-// reboot restarts a server's process.
-func (s *stream) reboot(h *host) {
-	h.Started, h.State, h.Evacuate, h.condition = s.now, balancer.Ready, false, healthy
-	s.resetAll(h, 100*time.Millisecond)
+// restartProcess restarts the process of a server.
+func (s *stream) restartProcess(server *fakeServer) {
+	server.Started, server.State, server.Evacuate, server.condition = s.now, balancer.Ready, false, healthy
+	s.resetConnections(server, 100*time.Millisecond)
 }
 
-// reinstate has staff put a server back into use, for some after a restart.
-func (s *stream) reinstate(h *host) {
-	s.feed("server reinstated", balancer.ServerReinstated{Server: h.ID})
+// reinstate has an operator put a server back into use, in half of the cases after a restart.
+func (s *stream) reinstate(server *fakeServer) {
+	s.feed("server reinstated", balancer.ServerReinstated{Server: server.ID})
 	if s.oneIn(2) {
-		s.reboot(h)
-		s.feedList(balancer.ListDelta, []balancer.Server{h.Server})
+		s.restartProcess(server)
+		s.feedList(balancer.ListDelta, []balancer.Server{server.Server})
 	}
 }
 
-// oddEvent feeds what comes late, twice, or of what is not known.
-func (s *stream) oddEvent() {
-	known := balancer.RequestID(1 + s.rnd.IntN(int(s.nextRequest)+1))
-	unknown := s.nextRequest + 1000
-	server := s.anyHost().ID
+// feedUnexpectedEvent feeds an event that is late or repeated, or that refers to an unknown request or
+// server.
+func (s *stream) feedUnexpectedEvent() {
+	known := balancer.RequestID(1 + s.rnd.IntN(int(s.nextRequestID)+1))
+	unknown := s.nextRequestID + 1000
+	server := s.randomServer().ID
 	switch s.rnd.IntN(9) {
 	case 0:
-		if c := s.anyLive(isEstablished); c != nil {
+		if c := s.randomConnection(isEstablished); c != nil {
 			s.feed("request", c.request)
 		}
 	case 1:
-		s.feed("established",
+		s.feed("attempt established",
 			balancer.AttemptEstablished{ID: known, Attempt: s.rnd.IntN(3), Server: server + 50})
 	case 2:
-		s.feed("ended", balancer.AttemptEnded{ID: known, Attempt: 7, Server: server, Result: balancer.Reset})
+		s.feed("attempt ended",
+			balancer.AttemptEnded{ID: known, Attempt: 7, Server: server, Result: balancer.Reset})
 	case 3:
 		s.feed("client disconnected", balancer.ClientDisconnected{ID: unknown})
 	case 4:
@@ -154,75 +159,76 @@
 	}
 }
 
-// restart hands what the Balancer has learned and its open connections to a second one, for some streams with
-// figures that no Balancer gives.
-func (s *stream) restart() {
+// restartBalancer passes a snapshot and the open connections to a second Balancer. Some streams put values
+// into the snapshot that no Balancer produces.
+func (s *stream) restartBalancer() {
 	s.coverage["restored snapshot"]++
 	snapshot := s.balancer.Snapshot()
-	s.digestSnapshot(snapshot)
+	s.recordSnapshot(snapshot)
 	if s.oneIn(4) {
-		s.spoil(&snapshot)
+		s.corruptSnapshot(&snapshot)
 	}
 	s.settings.Seed++
 	s.balancer = s.newBalancer()
-	s.feedList([]balancer.ListMode{balancer.ListComplete, balancer.ListCached}[s.rnd.IntN(2)], s.entries())
+	s.feedList(
+		[]balancer.ListMode{balancer.ListComplete, balancer.ListCached}[s.rnd.IntN(2)], s.listEntries())
 	s.balancer.Restore(s.now, snapshot)
-	s.digestSnapshot(s.balancer.Snapshot())
-	inherited := s.live
-	s.live = nil
+	s.recordSnapshot(s.balancer.Snapshot())
+	inherited := s.connections
+	s.connections = nil
 	for _, c := range inherited {
 		if !c.established || s.oneIn(6) {
 			continue
 		}
 		c.attempt, s.attempts[c.request.ID] = 0, 1
-		s.live = append(s.live, c)
+		s.connections = append(s.connections, c)
 		s.feed("adopted connection", balancer.AdoptedConnection{Request: c.request, Server: c.server})
-		life := s.upTo(20 * time.Second)
-		s.later(life, func() { s.end(c, balancer.OK, true) })
+		life := s.randomDuration(20 * time.Second)
+		s.schedule(life, func() { s.end(c, balancer.OK, true) })
 	}
 	s.feed("adopted connection",
-		balancer.AdoptedConnection{Request: balancer.Request{ID: s.nextRequest + 5000}, Server: 1})
+		balancer.AdoptedConnection{Request: balancer.Request{ID: s.nextRequestID + 5000}, Server: 1})
 }
 
-// spoil puts figures into a snapshot that have to be passed over or bounded.
-func (s *stream) spoil(l *balancer.Snapshot) {
-	l.MeanLoad.Value = math.NaN()
-	l.ConnectionCapacity.Weight = 1e9
+// corruptSnapshot puts values into a snapshot that Restore must ignore or bound.
+func (s *stream) corruptSnapshot(snapshot *balancer.Snapshot) {
+	snapshot.MeanLoad.Value = math.NaN()
+	snapshot.ConnectionCapacity.Weight = 1e9
 	if s.oneIn(2) {
-		l.ClassLoads = l.ClassLoads[1:]
+		snapshot.ClassLoads = snapshot.ClassLoads[1:]
 	}
-	for i := range l.Servers {
-		k := &l.Servers[i]
+	for i := range snapshot.Servers {
+		saved := &snapshot.Servers[i]
 		switch s.rnd.IntN(6) {
 		case 0:
-			k.LoadLimit = math.Inf(1)
+			saved.LoadLimit = math.Inf(1)
 		case 1:
-			k.LoadLimit, k.LimitLoweredAt = -3, s.now+time.Hour
+			saved.LoadLimit, saved.LimitLoweredAt = -3, s.now+time.Hour
 		case 2:
-			k.PausedUntil, k.EjectedUntil, k.Ejections = s.now+time.Hour, s.now+time.Hour, -4
+			saved.PausedUntil, saved.EjectedUntil, saved.Ejections = s.now+time.Hour, s.now+time.Hour, -4
 		case 3:
-			k.Started++
+			saved.Started++
 		case 4:
-			k.FailureScore, k.FailureScoreAt = 0.9, s.now+time.Minute
+			saved.FailureScore, saved.FailureScoreAt = 0.9, s.now+time.Minute
 		}
 	}
 }
 
-// lastQuarter does near a stream's end what changes all that follows: a shutdown, or a long silence after
-// which servers that are gone may be forgotten.
-func (s *stream) lastQuarter() {
+// shutDownOrIdle feeds an event that affects the rest of the stream: a shutdown, or a long idle time after
+// which removed servers may be evicted. Some streams have neither.
+func (s *stream) shutDownOrIdle() {
 	switch s.rnd.IntN(6) {
 	case 0:
-		s.feed("shutdown", balancer.Shutdown{Deadline: s.now + s.upTo(time.Second)})
+		s.feed("shutdown", balancer.Shutdown{Deadline: s.now + s.randomDuration(time.Second)})
 	case 1, 2:
-		for _, h := range s.hosts[:(len(s.hosts)+1)/2] {
-			h.State = balancer.Removed
+		for _, server := range s.servers[:(len(s.servers)+1)/2] {
+			server.State = balancer.Removed
 		}
-		s.feedList(balancer.ListDelta, s.entries())
-		s.wait(8 * time.Second)
-		s.now += 9*time.Minute + s.upTo(time.Minute)
-		s.wait(time.Second) // the timers are late, and all else that was due
-		s.now += 70*time.Second + s.upTo(time.Minute)
-		s.wait(time.Second)
+		s.feedList(balancer.ListDelta, s.listEntries())
+		s.advance(8 * time.Second)
+		s.now += 9*time.Minute + s.randomDuration(time.Minute)
+		s.advance(time.Second) // timers and everything else that is due are late
+		s.now += 70*time.Second + s.randomDuration(time.Minute)
+		s.advance(time.Second)
 	}
 }
--- a/balancer/stream_reactions_test.go
+++ b/balancer/stream_reactions_test.go
@@ -7,6 +7,7 @@
 	"example.org/milletvane/balancer"
 )
 
+// react answers an action like the servers, clients and timers of a gateway.
 func (s *stream) react(a balancer.Action, cause string) {
 	switch a := a.(type) {
 	case balancer.Send:
@@ -26,17 +27,17 @@
 			s.coverage["poll load on a timer"]++
 		}
 		if !s.oneIn(5) {
-			s.later(s.upTo(130*time.Millisecond), func() { s.reportLoad(a.Server) })
+			s.schedule(s.randomDuration(130*time.Millisecond), func() { s.feedLoadReport(a.Server) })
 		}
 	case balancer.SetTimer:
 		s.coverage["set timer"]++
 		after := max(a.After, 0)
 		if s.oneIn(4) {
-			after += s.upTo(30 * time.Millisecond)
+			after += s.randomDuration(30 * time.Millisecond)
 		}
-		asked := s.balancer
-		s.later(after, func() {
-			if s.balancer == asked {
+		asking := s.balancer
+		s.schedule(after, func() {
+			if s.balancer == asking {
 				s.feed("timer fired", balancer.TimerFired{Ref: a.Ref})
 			}
 		})
@@ -50,119 +51,120 @@
 		s.coverage["reject for fleet load shedding"]++
 	}
 	if a.RetryAfter > 0 {
-		s.coverage["reject with advice"]++
+		s.coverage["reject with retry-after"]++
 	}
-	if !s.listed {
+	if !s.hasList {
 		s.coverage["reject while waiting for the first list"]++
 	}
 	if r := s.requests[a.ID]; s.oneIn(4) {
-		s.later(a.RetryAfter+s.upTo(time.Second), func() { s.comeAgain(r) })
+		s.schedule(a.RetryAfter+s.randomDuration(time.Second), func() { s.reconnect(r) })
 	}
 }
 
-// comeAgain sends a client's next request, of the same key and group.
-func (s *stream) comeAgain(r balancer.Request) {
-	s.nextRequest++
-	r.ID, r.Reconnecting, r.MidFlow, r.OwnerKnown = s.nextRequest, !s.oneIn(4), false, false
+// reconnect sends a client's next request, with the same key and group.
+func (s *stream) reconnect(r balancer.Request) {
+	s.nextRequestID++
+	r.ID, r.Reconnecting, r.MidFlow, r.OwnerKnown = s.nextRequestID, !s.oneIn(4), false, false
 	s.sendRequest(r)
 }
 
 func (s *stream) onMigrate(a balancer.Migrate) {
-	i := slices.IndexFunc(s.live, func(c *connection) bool { return c.request.ID == a.ID })
+	i := slices.IndexFunc(s.connections, func(c *connection) bool { return c.request.ID == a.ID })
 	if i < 0 {
-		return // a connection adopted from a process before, of which this driver lost sight
+		return // an adopted connection that the stream no longer tracks
 	}
-	c := s.live[i]
-	if h := s.hostByID[c.server]; h.State == balancer.Draining {
-		s.coverage["migrate off a drained server"]++
+	c := s.connections[i]
+	if server := s.serverByID[c.server]; server.State == balancer.Draining {
+		s.coverage["migrate off a draining server"]++
 	} else {
-		s.coverage["migrate for slow messages"]++
+		s.coverage["migrate off a slow server"]++
 	}
-	c.left = true
-	s.later(s.upTo(200*time.Millisecond), func() { s.end(c, balancer.OK, true) })
+	c.leaving = true
+	s.schedule(s.randomDuration(200*time.Millisecond), func() { s.end(c, balancer.OK, true) })
 	if !s.oneIn(8) {
-		s.later(s.upTo(700*time.Millisecond), func() { s.comeAgain(c.request) })
+		s.schedule(s.randomDuration(700*time.Millisecond), func() { s.reconnect(c.request) })
 	}
 }
 
-// onSend starts an attempt and draws how it goes on.
+// onSend starts an attempt and draws its outcome.
 func (s *stream) onSend(a balancer.Send) {
-	r, h := s.requests[a.ID], s.hostByID[a.Server]
+	r, server := s.requests[a.ID], s.serverByID[a.Server]
 	c := &connection{request: r, attempt: s.attempts[a.ID], server: a.Server}
 	s.attempts[a.ID]++
-	s.live = append(s.live, c)
-	s.coverSend(a, c, h)
+	s.connections = append(s.connections, c)
+	s.countSendCoverage(a, c, server)
 
-	setUp := s.upTo(60 * time.Millisecond)
+	setUpTime := s.randomDuration(60 * time.Millisecond)
 	limit := a.Timeout
 	if limit == 0 {
 		limit = time.Second
 	}
 	fail := func(after time.Duration, result balancer.Result) {
-		s.later(after, func() { s.end(c, result, false) })
+		s.schedule(after, func() { s.end(c, result, false) })
 	}
-	fate := h.condition
-	if fate != healthy && fate != crashed && s.oneIn(4) {
-		fate = healthy
+	behavior := server.condition
+	if behavior != healthy && behavior != crashed && s.oneIn(4) {
+		behavior = healthy
 	}
 	switch {
-	case s.jammed || fate == hanging:
+	case s.setupsHang || behavior == hanging:
 		fail(limit, balancer.TimedOut)
-	case fate == crashed:
-		fail(setUp, balancer.ConnectFailed)
-	case fate == full, s.flaky && s.oneIn(2):
-		fail(setUp, balancer.Rejected)
-	case fate == failing:
-		fail(setUp, []balancer.Result{balancer.Errored, balancer.Reset}[s.rnd.IntN(2)])
+	case behavior == crashed:
+		fail(setUpTime, balancer.ConnectFailed)
+	case behavior == full, s.rejectsHalf && s.oneIn(2):
+		fail(setUpTime, balancer.Rejected)
+	case behavior == failing:
+		fail(setUpTime, []balancer.Result{balancer.Errored, balancer.Reset}[s.rnd.IntN(2)])
 	case s.oneIn(60):
 		fail(0, balancer.NotSent)
 	case s.rnd.IntN(60) == 0:
-		fail(setUp, balancer.Cancelled)
+		fail(setUpTime, balancer.Cancelled)
 	case s.oneIn(25):
-		fail(setUp, balancer.Errored)
-	case setUp > limit:
+		fail(setUpTime, balancer.Errored)
+	case setUpTime > limit:
 		fail(limit, balancer.TimedOut)
-	case s.oneIn(30) && a.ConnectTimeout > 0: // stands too late to carry anything
+	case s.oneIn(30) && a.ConnectTimeout > 0: // established too late to carry anything
 		fail(a.ConnectTimeout, balancer.NotSent)
 	case s.oneIn(12): // a short answer
-		s.later(setUp, func() { s.end(c, balancer.OK, true) })
+		s.schedule(setUpTime, func() { s.end(c, balancer.OK, true) })
 	default:
-		s.later(setUp, func() { s.establish(c) })
+		s.schedule(setUpTime, func() { s.establish(c) })
 	}
 }
 
-func (s *stream) coverSend(a balancer.Send, c *connection, h *host) {
+func (s *stream) countSendCoverage(a balancer.Send, c *connection, server *fakeServer) {
 	if c.attempt > 0 {
 		s.coverage["retry"]++
 		if s.mayHaveRun[a.ID] {
 			s.coverage["retry after an attempt that may have run"]++
 		}
 	}
-	if h.Started > 0 && s.now-h.Started < s.settings.WarmupDuration {
+	if server.Started > 0 && s.now-server.Started < s.settings.WarmupDuration {
 		s.coverage["send to a server that is warming up"]++
 	}
 	if a.ConnectTimeout == 0 {
-		s.coverage["send without establish limit"]++
+		s.coverage["send without connect timeout"]++
 	}
 	if c.request.MidFlow {
 		s.coverage["send of a mid-flow request"]++
 	}
-	if h.State == balancer.Draining {
+	if server.State == balancer.Draining {
 		s.coverage["send to a draining server"]++
 	}
 }
 
 func (s *stream) establish(c *connection) {
-	if !slices.Contains(s.live, c) {
+	if !slices.Contains(s.connections, c) {
 		return
 	}
 	c.established = true
-	s.feed("established", balancer.AttemptEstablished{
+	s.feed("attempt established", balancer.AttemptEstablished{
 		ID: c.request.ID, Attempt: c.attempt, Server: c.server,
-		Elapsed: s.upTo(90 * time.Millisecond),
+		Elapsed: s.randomDuration(90 * time.Millisecond),
 	})
-	life := s.upTo([]time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}[s.rnd.IntN(3)])
-	s.later(life, func() {
+	life := s.randomDuration([]time.Duration{
+		300 * time.Millisecond, 5 * time.Second, 40 * time.Second}[s.rnd.IntN(3)])
+	s.schedule(life, func() {
 		result := balancer.OK
 		switch s.rnd.IntN(12) {
 		case 0:
@@ -176,23 +178,23 @@
 	})
 }
 
-// end ends an attempt that has not ended yet.
+// end ends an attempt, unless it has already ended.
 func (s *stream) end(c *connection, result balancer.Result, answered bool) {
-	i := slices.Index(s.live, c)
+	i := slices.Index(s.connections, c)
 	if i < 0 {
 		return
 	}
-	s.live = slices.Delete(s.live, i, i+1)
+	s.connections = slices.Delete(s.connections, i, i+1)
 	s.coverage[[...]string{
-		"ok", "errored", "full", "timed out", "connect failed", "reset", "cancelled",
-		"never sent",
+		"ok", "errored", "rejected", "timed out", "connect failed", "reset", "cancelled",
+		"not sent",
 	}[result]]++
 	if !result.NeverRan() {
 		s.mayHaveRun[c.request.ID] = true
 	}
-	s.feed("ended", balancer.AttemptEnded{
+	s.feed("attempt ended", balancer.AttemptEnded{
 		ID: c.request.ID, Attempt: c.attempt,
 		Server: c.server, Result: result,
-		Elapsed: s.upTo(300 * time.Millisecond), Answered: answered || c.left,
+		Elapsed: s.randomDuration(300 * time.Millisecond), Answered: answered || c.leaving,
 	})
 }
--- a/balancer/stream_test.go
+++ b/balancer/stream_test.go
@@ -12,7 +12,7 @@
 	"example.org/milletvane/balancer"
 )
 
-// condition is how a server of a stream fares.
+// condition is how a server of a stream behaves.
 type condition int
 
 const (
@@ -22,16 +22,16 @@
 	slow
 	full
 	failing
-	conditions
+	numConditions
 )
 
-// host is a server of a stream: what the list says of it and how it fares.
-type host struct {
+// fakeServer is a server of a stream: its entry in the endpoint list and its behavior.
+type fakeServer struct {
 	balancer.Server
-	condition condition
-	others    float64 // load by other gateways, as a part of what it can do
-	capacity  float64 // connections from this gateway that make up its whole load
-	delay     time.Duration
+	condition          condition
+	otherUtilization   float64 // by the load of other gateways, as a fraction of its capacity
+	connectionCapacity float64 // connections from this gateway that use its whole capacity
+	delay              time.Duration
 }
 
 // connection is an attempt that has not ended.
@@ -40,16 +40,16 @@
 	attempt     int
 	server      balancer.ServerID
 	established bool
-	left        bool // its client disconnected, or it is to migrate
+	leaving     bool // its client disconnected, or a Migrate ended it
 }
 
-// reaction is something that the world does in answer, later.
-type reaction struct {
+// scheduledCall is a call that the stream makes at a later time, such as the reaction to an action.
+type scheduledCall struct {
 	at  time.Duration
 	run func()
 }
 
-// stream drives one Balancer.
+// stream drives one Balancer with events that it draws from a seed.
 type stream struct {
 	t        *testing.T
 	rnd      *rand.Rand
@@ -57,102 +57,105 @@
 	balancer *balancer.Balancer
 	now      time.Duration
 
-	hosts       []*host
-	hostByID    map[balancer.ServerID]*host
-	nextHost    balancer.ServerID
-	listed      bool
-	pastLists   []balancer.EndpointList
-	nextRequest balancer.RequestID
-	requests    map[balancer.RequestID]balancer.Request
-	attempts    map[balancer.RequestID]int
-	mayHaveRun  map[balancer.RequestID]bool
-	live        []*connection // in order of their sends
-	reactions   []reaction    // by time
-	jammed      bool          // what all set-ups share answers nothing
-	groups      int
-	faults      int       // in a hundred steps
-	usual       condition // that half of the faults bring
-	flaky       bool      // every other attempt is rejected
-	pace        time.Duration
-	grain       time.Duration // times are multiples of it, so that in some streams many are equal; 0: any
+	servers       []*fakeServer
+	serverByID    map[balancer.ServerID]*fakeServer
+	nextServerID  balancer.ServerID
+	hasList       bool
+	pastLists     []balancer.EndpointList
+	nextRequestID balancer.RequestID
+	requests      map[balancer.RequestID]balancer.Request
+	attempts      map[balancer.RequestID]int
+	mayHaveRun    map[balancer.RequestID]bool
+	connections   []*connection   // in the order of their sends
+	scheduled     []scheduledCall // by time
+	setupsHang    bool            // every set-up times out, as if a shared dependency hung
+	groupCount    int
+	faultPercent  int       // probability that a step changes a server's condition
+	commonFault   condition // the condition that half of these changes bring
+	rejectsHalf   bool      // half of the attempts are rejected
+	meanStep      time.Duration
+	timeUnit      time.Duration // steps are multiples of it, for equal times in some streams; 0: any
 
 	hash     hash.Hash
 	buffer   []byte
 	coverage coverage
 }
 
+// runStream runs the stream of a seed and returns its digest and coverage.
 func runStream(t *testing.T, seed uint64) (digest string, c coverage) {
 	t.Helper()
 	s := &stream{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 31)), now: time.Hour, hash: sha256.New(), coverage: coverage{},
-		hostByID: map[balancer.ServerID]*host{}, nextHost: 100,
+		serverByID: map[balancer.ServerID]*fakeServer{}, nextServerID: 100,
 		requests: map[balancer.RequestID]balancer.Request{},
 		attempts: map[balancer.RequestID]int{}, mayHaveRun: map[balancer.RequestID]bool{},
 	}
-	s.grain = []time.Duration{0, 1, 10, 50}[s.rnd.IntN(4)] * time.Millisecond
+	s.timeUnit = []time.Duration{0, 1, 10, 50}[s.rnd.IntN(4)] * time.Millisecond
 	s.settings = s.drawSettings()
 	s.balancer = s.newBalancer()
 	s.drawFleet()
-	s.start()
+	s.feedFirstList()
 	half := digestSteps / 2
 	for step := range digestSteps {
-		s.wait(time.Duration(s.rnd.ExpFloat64() * float64(s.pace)).Truncate(s.grain))
+		s.advance(time.Duration(s.rnd.ExpFloat64() * float64(s.meanStep)).Truncate(s.timeUnit))
 		s.step()
 		if step == half && s.oneIn(2) {
-			s.restart()
+			s.restartBalancer()
 		}
 		if step%10 == 0 {
-			s.observe()
+			s.recordState()
 		}
 		if step == digestSteps-60 {
-			s.lastQuarter()
+			s.shutDownOrIdle()
 		}
 	}
-	s.observe()
+	s.recordState()
 	return hex.EncodeToString(s.hash.Sum(nil)[:8]), s.coverage
 }
 
+// oneIn draws a boolean that is true with a probability of 1/n.
 func (s *stream) oneIn(n int) bool { return s.rnd.IntN(n) == 0 }
 
-// upTo is a time up to most, which is above 0.
-func (s *stream) upTo(most time.Duration) time.Duration {
+// randomDuration returns a random duration below most, which must be above 0.
+func (s *stream) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(s.rnd.Int64N(int64(most)))
 }
 
-// wait lets time pass: timers fire and the world reacts.
-func (s *stream) wait(d time.Duration) {
+// advance lets time pass and runs the calls that become due.
+func (s *stream) advance(d time.Duration) {
 	for end := s.now + d; ; {
-		if len(s.reactions) == 0 || s.reactions[0].at > end {
+		if len(s.scheduled) == 0 || s.scheduled[0].at > end {
 			s.now = max(s.now, end)
 			return
 		}
-		next := s.reactions[0]
-		s.reactions = s.reactions[1:]
+		next := s.scheduled[0]
+		s.scheduled = s.scheduled[1:]
 		s.now = max(s.now, next.at)
 		next.run()
 	}
 }
 
-// later has the world react after a time, behind what is due at the same time already.
-func (s *stream) later(d time.Duration, run func()) {
+// schedule runs a function after a time, behind the calls that are already scheduled for the same time.
+func (s *stream) schedule(d time.Duration, run func()) {
 	at := s.now + d
-	i, _ := slices.BinarySearchFunc(s.reactions, at, func(r reaction, at time.Duration) int {
+	i, _ := slices.BinarySearchFunc(s.scheduled, at, func(r scheduledCall, at time.Duration) int {
 		if r.at <= at {
 			return -1
 		}
 		return 1
 	})
-	s.reactions = slices.Insert(s.reactions, i, reaction{at, run})
+	s.scheduled = slices.Insert(s.scheduled, i, scheduledCall{at, run})
 }
 
-func (s *stream) feed(what string, event balancer.Event) {
-	s.coverage[what]++
-	s.add(0, uint64(s.now))
+// feed passes an event to the Balancer, adds the actions to the digest and reacts to them.
+func (s *stream) feed(eventName string, event balancer.Event) {
+	s.coverage[eventName]++
+	s.record(0, uint64(s.now))
 	actions := slices.Clone(s.balancer.Handle(s.now, event))
 	for _, a := range actions {
-		s.digest(a)
+		s.recordAction(a)
 	}
 	for _, a := range actions {
-		s.react(a, what)
+		s.react(a, eventName)
 	}
 }
--- a/balancer/stream_world_test.go
+++ b/balancer/stream_world_test.go
@@ -8,78 +8,79 @@
 	"example.org/milletvane/balancer"
 )
 
+// step feeds one random event or changes the condition of a server.
 func (s *stream) step() {
-	if s.rnd.IntN(100) < s.faults {
-		s.fault()
+	if s.rnd.IntN(100) < s.faultPercent {
+		s.changeCondition()
 		return
 	}
-	switch dice := s.rnd.IntN(100); {
-	case dice < 42:
+	switch roll := s.rnd.IntN(100); {
+	case roll < 42:
 		s.sendRequest(s.drawRequest())
-	case dice < 46:
+	case roll < 46:
 		s.sendRequest(s.drawMidFlow())
-	case dice < 47:
+	case roll < 47:
 		s.burst(5 + s.rnd.IntN(30))
-	case dice < 60:
-		s.delayMessage()
-	case dice < 68:
-		s.changeLoad()
-	case dice < 72:
+	case roll < 60:
+		s.feedMessageDelay()
+	case roll < 68:
+		s.feedLoadChange()
+	case roll < 72:
 		s.disconnect()
-	case dice < 78:
-		s.endOne()
-	case dice < 84:
-		s.reportLoad(s.anyHost().ID)
-	case dice < 89:
-		s.changeList()
-	case dice < 90:
-		s.feed("fleet load shedding",
+	case roll < 78:
+		s.endRandomConnection()
+	case roll < 84:
+		s.feedLoadReport(s.randomServer().ID)
+	case roll < 89:
+		s.feedListChange()
+	case roll < 90:
+		s.feed("fleet shed level",
 			balancer.FleetShedLevel{Level: []float64{0, 0, 0.3, 1, 1.4}[s.rnd.IntN(5)]})
-	case dice < 92:
-		s.reinstate(s.anyHost())
-	case dice < 93:
-		s.jammed = !s.jammed && s.oneIn(2)
+	case roll < 92:
+		s.reinstate(s.randomServer())
+	case roll < 93:
+		s.setupsHang = !s.setupsHang && s.oneIn(2)
 	default:
-		s.oddEvent()
+		s.feedUnexpectedEvent()
 	}
 }
 
-func (s *stream) anyHost() *host { return s.hosts[s.rnd.IntN(len(s.hosts))] }
+func (s *stream) randomServer() *fakeServer { return s.servers[s.rnd.IntN(len(s.servers))] }
 
-// anyLive is a live connection that satisfies a condition, or nil.
-func (s *stream) anyLive(is func(*connection) bool) *connection {
-	var all []*connection
-	for _, c := range s.live {
-		if !c.left && is(c) {
-			all = append(all, c)
+// randomConnection returns a random connection that matches and is not leaving, or nil.
+func (s *stream) randomConnection(matches func(*connection) bool) *connection {
+	var matching []*connection
+	for _, c := range s.connections {
+		if !c.leaving && matches(c) {
+			matching = append(matching, c)
 		}
 	}
-	if len(all) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	return all[s.rnd.IntN(len(all))]
+	return matching[s.rnd.IntN(len(matching))]
 }
 
 func isEstablished(c *connection) bool { return c.established }
 
 func (s *stream) drawRequest() balancer.Request {
-	s.nextRequest++
+	s.nextRequestID++
 	class := []string{
 		"idempotent", "idempotent", "idempotent", "with key", "non-idempotent",
 		"with key everywhere", "not in the settings",
 	}[s.rnd.IntN(7)]
 	r := balancer.Request{
-		ID: s.nextRequest, Class: class,
+		ID: s.nextRequestID, Class: class,
 		Timeout: 50*time.Millisecond +
-			s.upTo([]time.Duration{150 * time.Millisecond, 3 * time.Second}[s.rnd.IntN(2)]),
+			s.randomDuration([]time.Duration{150 * time.Millisecond, 3 * time.Second}[s.rnd.IntN(2)]),
 		Priority: s.rnd.IntN(3), Reconnecting: s.oneIn(5),
 		Tenant: []string{"", "small", "large", "free"}[s.rnd.IntN(4)],
 	}
 	if !s.oneIn(8) {
 		r.Key = fmt.Sprint("client ", s.rnd.IntN(400))
 	}
-	if s.groups > 0 && !s.oneIn(6) { // a few are much larger than the rest
-		r.Group = fmt.Sprint("group ", s.rnd.IntN(s.rnd.IntN(s.groups)+1))
+	if s.groupCount > 0 && !s.oneIn(6) { // a few groups are much larger than the rest
+		r.Group = fmt.Sprint("group ", s.rnd.IntN(s.rnd.IntN(s.groupCount)+1))
 	}
 	if s.oneIn(3) {
 		r.Load = 200 + 3000*s.rnd.Float64()
@@ -87,12 +88,12 @@
 	return r
 }
 
-// drawMidFlow is a request of which some server holds the connection already.
+// drawMidFlow returns a request whose connection some server already holds.
 func (s *stream) drawMidFlow() balancer.Request {
 	r := s.drawRequest()
 	r.MidFlow = true
 	if s.oneIn(2) {
-		r.OwnerKnown, r.Owner = true, s.anyHost().ID
+		r.OwnerKnown, r.Owner = true, s.randomServer().ID
 	}
 	return r
 }
@@ -102,6 +103,7 @@
 	s.feed("request", r)
 }
 
+// burst sends n requests of one group at once, most of them reconnecting.
 func (s *stream) burst(n int) {
 	group := s.drawRequest().Group
 	for range n {
@@ -111,38 +113,38 @@
 	}
 }
 
-func (s *stream) delayMessage() {
-	c := s.anyLive(isEstablished)
+func (s *stream) feedMessageDelay() {
+	c := s.randomConnection(isEstablished)
 	if c == nil {
 		return
 	}
-	h := s.hostByID[c.server]
-	if h.condition == slow && !s.oneIn(6) {
-		h.delay += s.upTo(400 * time.Millisecond)
+	server := s.serverByID[c.server]
+	if server.condition == slow && !s.oneIn(6) {
+		server.delay += s.randomDuration(400 * time.Millisecond)
 	} else {
-		h.delay = s.upTo(50 * time.Millisecond)
+		server.delay = s.randomDuration(50 * time.Millisecond)
 	}
-	s.feed("message delay", balancer.MessageDelay{ID: c.request.ID, Server: c.server, Delay: h.delay})
+	s.feed("message delay", balancer.MessageDelay{ID: c.request.ID, Server: c.server, Delay: server.delay})
 }
 
-func (s *stream) changeLoad() {
-	if c := s.anyLive(isEstablished); c != nil {
+func (s *stream) feedLoadChange() {
+	if c := s.randomConnection(isEstablished); c != nil {
 		s.feed("load changed", balancer.LoadChanged{ID: c.request.ID, Load: 100 + 5000*s.rnd.Float64()})
 	}
 }
 
 func (s *stream) disconnect() {
-	c := s.anyLive(func(*connection) bool { return true })
+	c := s.randomConnection(func(*connection) bool { return true })
 	if c == nil {
 		return
 	}
-	c.left = true
+	c.leaving = true
 	s.feed("client disconnected", balancer.ClientDisconnected{ID: c.request.ID})
-	s.later(s.upTo(50*time.Millisecond), func() { s.end(c, balancer.Cancelled, true) })
+	s.schedule(s.randomDuration(50*time.Millisecond), func() { s.end(c, balancer.Cancelled, true) })
 }
 
-func (s *stream) endOne() {
-	if c := s.anyLive(isEstablished); c != nil {
+func (s *stream) endRandomConnection() {
+	if c := s.randomConnection(isEstablished); c != nil {
 		s.end(c,
 			[]balancer.Result{
 				balancer.OK, balancer.OK, balancer.Cancelled, balancer.Reset,
@@ -150,22 +152,25 @@
 	}
 }
 
-// reportLoad feeds what a server says of its load, with all gateways' connections unless it does not say.
-func (s *stream) reportLoad(id balancer.ServerID) {
-	h := s.hostByID[id]
+// feedLoadReport feeds a load report of a server. Some reports leave out the number of connections of all
+// gateways.
+func (s *stream) feedLoadReport(id balancer.ServerID) {
+	server := s.serverByID[id]
 	held := 0
-	for _, c := range s.live {
+	for _, c := range s.connections {
 		if c.server == id {
 			held++
 		}
 	}
-	report := balancer.LoadReport{Server: id, Utilization: h.others + float64(held)/h.capacity}
-	if h.condition == slow {
+	report := balancer.LoadReport{Server: id,
+		Utilization: server.otherUtilization + float64(held)/server.connectionCapacity}
+	if server.condition == slow {
 		report.Utilization += 0.5
 	}
 	if !s.oneIn(4) {
-		report.Connections = math.Floor(h.others*h.capacity) + float64(held*max(s.settings.Gateways, 1))
+		report.Connections = math.Floor(server.otherUtilization*server.connectionCapacity) +
+			float64(held*max(s.settings.Gateways, 1))
 	}
-	h.others = max(0, min(h.others+0.3*(s.rnd.Float64()-0.5), 1.2))
+	server.otherUtilization = max(0, min(server.otherUtilization+0.3*(s.rnd.Float64()-0.5), 1.2))
 	s.feed("load report", report)
 }
