--- a/balancer/stream_reactions_test.go
+++ b/balancer/stream_reactions_test.go
@@ -162,8 +162,8 @@
 		ID: c.request.ID, Attempt: c.attempt, Server: c.server,
 		Elapsed: s.randomDuration(90 * time.Millisecond),
 	})
-	life := s.randomDuration([]time.Duration{
-		300 * time.Millisecond, 5 * time.Second, 40 * time.Second}[s.rnd.IntN(3)])
+	life := s.randomDuration(
+		[]time.Duration{300 * time.Millisecond, 5 * time.Second, 40 * time.Second}[s.rnd.IntN(3)])
 	s.schedule(life, func() {
 		result := balancer.OK
 		switch s.rnd.IntN(12) {
--- a/balancer/stream_world_test.go
+++ b/balancer/stream_world_test.go
@@ -162,8 +162,8 @@
 			held++
 		}
 	}
-	report := balancer.LoadReport{Server: id,
-		Utilization: server.otherUtilization + float64(held)/server.connectionCapacity}
+	report := balancer.LoadReport{Server: id, Utilization: server.otherUtilization +
+		float64(held)/server.connectionCapacity}
 	if server.condition == slow {
 		report.Utilization += 0.5
 	}
