--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -17,7 +17,7 @@
 
 // Utilizations, as fractions of a server's capacity.
 const (
-	targetUtilization = 0.7  // load limits aim at it
+	targetUtilization = 0.7  // load limits aim at this utilization
 	highUtilization   = 0.8  // above it, a server's load limit is lowered to the target
 	lowUtilization    = 0.6  // below it, the limit is raised; up to it, utilization does not affect the rank
 	maxUtilization    = 0.85 // above it, a server gets no new connections
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -14,8 +14,8 @@
 	// server may still start.
 	usableDrainGraceTenths = 9
 
-	// defaultSetupObjectiveDivisor is the divisor of a request's timeout that gives the timeout of an attempt
-	// if the class states no SetupLatencyObjective.
+	// defaultSetupObjectiveDivisor gives the set-up latency objective of a class that states none: the
+	// timeout of the request divided by this value.
 	defaultSetupObjectiveDivisor = 3
 )
 
@@ -188,13 +188,13 @@
 	if r == nil {
 		return
 	}
-	s, held, established := r.server, len(r.server.inFlight), r.established
+	s, inFlight, established := r.server, len(r.server.inFlight), r.established
 	b.detach(r)
 	r.established = false
 	if !ev.Result.NeverRan() && !r.mayHaveRun {
 		r.mayHaveRun, r.firstRanOn, r.firstRanAt = true, s, r.sentAt
 	}
-	b.scoreResult(s, ev.Result, established, held)
+	b.scoreResult(s, ev.Result, established, inFlight)
 	if ev.Result == NotSent && ev.Attempt > 0 {
 		b.retryWindow.remove(r.sentAt)
 	}
