--- a/placement/agreement_test.go
+++ b/placement/agreement_test.go
@@ -22,9 +22,9 @@
 	os.Exit(m.Run())
 }
 
-// checkAgreement compares the solver with brute force: goals and canonical plan, or the conflict, each member of which must be
+// compareWithBruteForce compares the solver with brute force: goals and canonical plan, or the conflict, each member of which must be
 // needed.
-func checkAgreement(p *Problem) error {
+func compareWithBruteForce(p *Problem) error {
 	want := bruteForce(p)
 	got, err := Solve(p, Options{})
 	var conflict *InfeasibleError
@@ -40,11 +40,11 @@
 	if want == nil {
 		return fmt.Errorf("a plan where there is none: %+v", got)
 	}
-	if diff := cmp.Diff(want.comparable(), comparablePlan(p, got)); diff != "" {
+	if diff := cmp.Diff(want.comparable(), toComparable(p, got)); diff != "" {
 		return fmt.Errorf("plan (-brute force +solver):\n%s", diff)
 	}
-	if len(want.marks) > 0 && (Ratio{want.marks[0].k, want.marks[0].of}).reduced() != got.Fullest {
-		return fmt.Errorf("fullest %v, want %v", got.Fullest, want.marks[0])
+	if len(want.unitRatios) > 0 && (Ratio{want.unitRatios[0].unit, want.unitRatios[0].capacity}).reduced() != got.Fullest {
+		return fmt.Errorf("fullest %v, want %v", got.Fullest, want.unitRatios[0])
 	}
 	return nil
 }
@@ -75,11 +75,11 @@
 	Loads                       []int64 // by zone, then node
 }
 
-func (b *bruteBest) comparable() comparableResult {
-	return comparableResult{b.value[0], b.value[1], b.moves, b.flows, b.loads}
+func (b *brutePlan) comparable() comparableResult {
+	return comparableResult{b.costs[0], b.costs[1], b.moves, b.flows, b.loads}
 }
 
-func comparablePlan(p *Problem, plan *Plan) comparableResult {
+func toComparable(p *Problem, plan *Plan) comparableResult {
 	x := p.index()
 	result := comparableResult{Uncarried: plan.Uncarried, Crossings: plan.Crossings, Moves: plan.Moves}
 	for _, n := range x.nodes {
@@ -102,8 +102,8 @@
 	return result
 }
 
-// drawProblem draws a small problem.
-func drawProblem(t *rapid.T) *Problem {
+// drawSmallProblem draws a small problem.
+func drawSmallProblem(t *rapid.T) *Problem {
 	zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
 	p := &Problem{Zones: zones, DefaultCost: rapid.Int64Range(0, 2).Draw(t, "cost")}
 	for i := range rapid.IntRange(1, 6).Draw(t, "nodes") {
@@ -150,8 +150,8 @@
 
 func TestAgreesWithBruteForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawProblem(t)
-		if err := checkAgreement(p); err != nil {
+		p := drawSmallProblem(t)
+		if err := compareWithBruteForce(p); err != nil {
 			t.Fatalf("%+v: %v", p, err)
 		}
 	})
--- a/placement/bruteconstraints_test.go
+++ b/placement/bruteconstraints_test.go
@@ -16,41 +16,41 @@
 func (s *bruteSearch) meets(c Constraint, loads []int64) bool {
 	switch c.Kind {
 	case Carry:
-		return s.carries(c)
+		return s.meetsCarry(c)
 	case Keep, KeepOut:
-		return s.keeps(c)
+		return s.meetsKeep(c)
 	case Spread:
 		return s.countZones(c, max(c.Least, 1)) >= int(c.Count)
 	case Together:
 		return s.countZones(c, 1) <= 1
 	case Headroom, Share, Connections:
-		return s.isWithinNodeLimits(c, loads)
+		return s.meetsNodeLimits(c, loads)
 	case Moves:
-		return s.moves(loads) <= c.Count
+		return s.countMoves(loads) <= c.Count
 	case Pair:
-		return s.isPaired(c, loads)
+		return s.meetsPair(c, loads)
 	}
 	return false
 }
 
-// applies reports whether a constraint names the class of a demand.
-func applies(c Constraint, d Demand) bool {
+// appliesTo reports whether a constraint names the class of a demand.
+func appliesTo(c Constraint, d Demand) bool {
 	return c.Class == d.Class || c.Class == "" && c.Kind == Carry || slices.Contains(c.Classes, d.Class)
 }
 
-func (s *bruteSearch) carries(c Constraint) bool {
+func (s *bruteSearch) meetsCarry(c Constraint) bool {
 	for i, d := range s.demands {
-		if applies(c, d) && s.units[i][len(s.nodes)] > 0 {
+		if appliesTo(c, d) && s.units[i][len(s.nodes)] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *bruteSearch) keeps(c Constraint) bool {
+func (s *bruteSearch) meetsKeep(c Constraint) bool {
 	for i, d := range s.demands {
 		for j, n := range s.nodes {
-			if applies(c, d) && s.units[i][j] > 0 && !isAllowedZone(c, d.Zone, n.Zone) {
+			if appliesTo(c, d) && s.units[i][j] > 0 && !isAllowedZone(c, d.Zone, n.Zone) {
 				return false
 			}
 		}
@@ -73,7 +73,7 @@
 	byZone := map[string]int64{}
 	for i, d := range s.demands {
 		for j, n := range s.nodes {
-			if applies(c, d) {
+			if appliesTo(c, d) {
 				byZone[n.Zone] += s.units[i][j]
 			}
 		}
@@ -86,7 +86,7 @@
 	return count
 }
 
-func (s *bruteSearch) isWithinNodeLimits(c Constraint, loads []int64) bool {
+func (s *bruteSearch) meetsNodeLimits(c Constraint, loads []int64) bool {
 	for j, n := range s.nodes {
 		switch {
 		case c.Kind == Headroom && loads[j]*c.Part.Den > n.Capacity*c.Part.Num,
@@ -98,15 +98,15 @@
 	return true
 }
 
-func (s *bruteSearch) moves(loads []int64) (moved int64) {
+func (s *bruteSearch) countMoves(loads []int64) (moved int64) {
 	for j, n := range s.nodes {
 		moved += max(loads[j]-n.CurrentLoad, 0)
 	}
 	return moved
 }
 
-// isPaired reports whether the nodes of a model that a pairing keeps are the only ones of it that carry anything.
-func (s *bruteSearch) isPaired(c Constraint, loads []int64) bool {
+// meetsPair reports whether the nodes of a model that a pairing keeps are the only ones of it that carry anything.
+func (s *bruteSearch) meetsPair(c Constraint, loads []int64) bool {
 	for _, z := range s.zones {
 		partners := 0
 		var ofModel []int
@@ -120,7 +120,7 @@
 			}
 		}
 		for _, j := range ofModel {
-			if loads[j] > 0 && s.countBefore(j, ofModel) >= partners {
+			if loads[j] > 0 && s.countPairedBefore(j, ofModel) >= partners {
 				return false
 			}
 		}
@@ -128,8 +128,8 @@
 	return true
 }
 
-// countBefore counts the nodes that are paired before one.
-func (s *bruteSearch) countBefore(node int, others []int) (count int) {
+// countPairedBefore counts the nodes that are paired before one.
+func (s *bruteSearch) countPairedBefore(node int, others []int) (count int) {
 	capacity := s.nodes[node].Capacity
 	for _, k := range others {
 		if other := s.nodes[k].Capacity; other > capacity || other == capacity && k < node {
--- a/placement/bruteforce_test.go
+++ b/placement/bruteforce_test.go
@@ -7,7 +7,7 @@
 
 // bruteForce returns the best plan by trying every one: each unit of each demand goes to each node, or is not carried. It
 // shares no code with the solver but for the problem's form. It returns nil if no plan meets the constraints.
-func bruteForce(p *Problem) *bruteBest {
+func bruteForce(p *Problem) *brutePlan {
 	s := &bruteSearch{
 		problem: p,
 		zones:   slices.Sorted(slices.Values(p.Zones)),
@@ -34,7 +34,7 @@
 	demands     []Demand
 	totalDemand int64
 	units       [][]int64 // of each demand to each node; the last position is not carried
-	best        *bruteBest
+	best        *brutePlan
 }
 
 // placeDemand tries all ways for a demand and those that follow it.
@@ -62,17 +62,17 @@
 
 // evaluate compares the present placement with the best, if it meets the constraints.
 func (s *bruteSearch) evaluate() {
-	b := &bruteBest{loads: make([]int64, len(s.nodes))}
+	b := &brutePlan{loads: make([]int64, len(s.nodes))}
 	for i, d := range s.demands {
 		byZone := map[string]int64{}
 		for j, n := range s.nodes {
 			b.loads[j] += s.units[i][j]
 			byZone[n.Zone] += s.units[i][j]
 		}
-		b.value[0] += s.units[i][len(s.nodes)]
+		b.costs[0] += s.units[i][len(s.nodes)]
 		for _, z := range s.zones {
 			b.flows = append(b.flows, byZone[z])
-			b.value[1] += byZone[z] * s.crossingCost(d.Zone, z)
+			b.costs[1] += byZone[z] * s.crossingCost(d.Zone, z)
 		}
 	}
 	if !s.meetsConstraints(b.loads) {
@@ -81,10 +81,10 @@
 	for j, n := range s.nodes {
 		b.moves += max(b.loads[j]-n.CurrentLoad, 0)
 		for k := int64(1); k <= b.loads[j]; k++ {
-			b.marks = append(b.marks, mark{k, n.Capacity, j})
+			b.unitRatios = append(b.unitRatios, unitRatio{k, n.Capacity, j})
 		}
 	}
-	slices.SortFunc(b.marks, func(x, y mark) int { return y.compare(x) })
+	slices.SortFunc(b.unitRatios, func(x, y unitRatio) int { return y.compare(x) })
 	if s.best == nil || b.compare(s.best, s.problem.order()) < 0 {
 		s.best = b
 	}
@@ -102,36 +102,36 @@
 	return s.problem.DefaultCost
 }
 
-// mark is the position of a unit of load on its node: the k-th of what that can carry.
-type mark struct {
-	k, of int64
-	node  int
+// unitRatio is the position of a unit of load on its node: the k-th of what that can carry.
+type unitRatio struct {
+	unit, capacity int64
+	node           int
 }
 
 // compare orders marks by their part of the node, then by node.
-func (m mark) compare(o mark) int {
-	return cmp.Or(cmp.Compare(m.k*o.of, o.k*m.of), cmp.Compare(m.node, o.node))
+func (m unitRatio) compare(o unitRatio) int {
+	return cmp.Or(cmp.Compare(m.unit*o.capacity, o.unit*m.capacity), cmp.Compare(m.node, o.node))
 }
 
-type bruteBest struct {
-	value [2]int64 // not carried, crossings
-	marks []mark   // the highest first
-	moves int64
-	flows []int64
-	loads []int64
+type brutePlan struct {
+	costs      [2]int64    // not carried, crossings
+	unitRatios []unitRatio // the highest first
+	moves      int64
+	flows      []int64
+	loads      []int64
 }
 
 // compare orders plans as Goals say, then by flows, then by marks.
-func (b *bruteBest) compare(o *bruteBest, order []Goal) int {
+func (b *brutePlan) compare(o *brutePlan, order []Goal) int {
 	fullest := 0
-	if len(b.marks) > 0 && len(o.marks) > 0 {
-		fullest = cmp.Compare(b.marks[0].k*o.marks[0].of, o.marks[0].k*b.marks[0].of)
+	if len(b.unitRatios) > 0 && len(o.unitRatios) > 0 {
+		fullest = cmp.Compare(b.unitRatios[0].unit*o.unitRatios[0].capacity, o.unitRatios[0].unit*b.unitRatios[0].capacity)
 	}
-	if len(b.marks) == 0 || len(o.marks) == 0 {
-		fullest = cmp.Compare(len(b.marks), len(o.marks)) // of a plan that carries nothing none is fuller
+	if len(b.unitRatios) == 0 || len(o.unitRatios) == 0 {
+		fullest = cmp.Compare(len(b.unitRatios), len(o.unitRatios)) // of a plan that carries nothing none is fuller
 	}
 	goals := map[Goal]int{
-		Uncarried: cmp.Compare(b.value[0], o.value[0]), Crossings: cmp.Compare(b.value[1], o.value[1]),
+		Uncarried: cmp.Compare(b.costs[0], o.costs[0]), Crossings: cmp.Compare(b.costs[1], o.costs[1]),
 		Fullest: fullest, Moved: cmp.Compare(b.moves, o.moves),
 	}
 	for _, g := range order {
@@ -139,5 +139,5 @@
 			return goals[g]
 		}
 	}
-	return cmp.Or(slices.Compare(b.flows, o.flows), slices.CompareFunc(b.marks, o.marks, mark.compare))
+	return cmp.Or(slices.Compare(b.flows, o.flows), slices.CompareFunc(b.unitRatios, o.unitRatios, unitRatio.compare))
 }
--- a/placement/candidate.go
+++ b/placement/candidate.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// candidate is the best placement of a branch, by zones. It may break constraints that the branch has not decided.
+// candidate is the best placement that the relaxation of a branch allows, by zones. It may violate constraints on which the
+// branch has no decision yet.
 type candidate struct {
 	index      *index
 	order      []Goal
 	goals      Goals
-	flows      []int64 // by class, zone of origin and zone
+	flows      []int64 // by class, zone of origin and destination zone
 	uncarried  []int64 // by class and zone of origin
 	capacities []int64 // by node
 }
 
-// newCandidate reads a placement from a network that is filled.
+// newCandidate reads a placement from a network with its maximum flow. It leaves the goals of the candidate empty.
 func (s *planner) newCandidate(n *flowNetwork, capacities []int64) *candidate {
 	c := &candidate{
 		index: s.index, order: s.problem.order(), capacities: capacities,
@@ -20,17 +21,17 @@
 	}
 	for i, arc := range n.flows {
 		if arc >= 0 {
-			c.flows[i] = n.carried(arc)
+			c.flows[i] = n.flowOn(arc)
 		}
 	}
 	for i, arc := range n.uncarried {
-		c.uncarried[i] = n.carried(arc)
+		c.uncarried[i] = n.flowOn(arc)
 	}
 	return c
 }
 
-// betterThan compares candidates by their goals, and equal ones by their flows.
-func (c *candidate) betterThan(other *candidate) bool {
+// isBetterThan reports whether a candidate is better than another by its goals or, if all goals are equal, by its flows.
+func (c *candidate) isBetterThan(other *candidate) bool {
 	a, b := c.goals, other.goals
 	for _, goal := range c.order {
 		switch {
@@ -47,8 +48,9 @@
 	return slices.Compare(c.flows, other.flows) < 0
 }
 
-// firstBroken returns the first constraint of a branch that is not decided and that the candidate does not meet, or -1.
-func (c *candidate) firstBroken(b branch) int {
+// firstViolated returns the position of the first Together or Spread constraint of a branch that the candidate violates, or -1
+// if it violates none.
+func (c *candidate) firstViolated(b branch) int {
 	for i, constraint := range b.constraints {
 		switch constraint.Kind {
 		case Together:
@@ -64,7 +66,7 @@
 	return -1
 }
 
-// isTogether reports whether one zone carries all that is carried of a constraint's classes.
+// isTogether reports whether a single zone carries everything that is carried of a constraint's Classes.
 func (c *candidate) isTogether(constraint Constraint) bool {
 	used := -1
 	for class, name := range c.index.classes {
@@ -84,7 +86,7 @@
 	return true
 }
 
-// isSpread reports whether enough zones carry a constraint's class.
+// isSpread reports whether enough zones carry enough load of a constraint's Class.
 func (c *candidate) isSpread(constraint Constraint) bool {
 	zones := 0
 	if class := slices.Index(c.index.classes, constraint.Class); class >= 0 {
@@ -97,18 +99,18 @@
 	return zones >= int(constraint.Count)
 }
 
-// carriedByZone returns what each zone carries of a class.
+// carriedByZone returns how much load of a class each zone carries.
 func (c *candidate) carriedByZone(class int) []int64 {
 	carried := make([]int64, len(c.index.zones))
 	for from := range carried {
 		for to := range carried {
-			carried[to] += c.flows[c.index.flowAt(class, from, to)]
+			carried[to] += c.flows[c.index.flowPosition(class, from, to)]
 		}
 	}
 	return carried
 }
 
-// plan distributes the load of each zone over its nodes.
+// plan returns the candidate as a plan: it distributes the load of each zone over the nodes of the zone.
 func (c *candidate) plan() *Plan {
 	p := &Plan{Goals: c.goals, Load: map[string]int64{}}
 	c.addFlows(p)
@@ -131,17 +133,17 @@
 	return p
 }
 
-// addFlows adds the flows to a plan, and the demands that are not carried.
+// addFlows adds the flows and the load that is not carried to a plan.
 func (c *candidate) addFlows(p *Plan) {
 	zones := c.index.zones
 	for class, name := range c.index.classes {
 		for from := range zones {
 			for to := range zones {
-				if load := c.flows[c.index.flowAt(class, from, to)]; load > 0 {
+				if load := c.flows[c.index.flowPosition(class, from, to)]; load > 0 {
 					p.Flows = append(p.Flows, Flow{name, zones[from], zones[to], load})
 				}
 			}
-			if load := c.uncarried[c.index.demandAt(class, from)]; load > 0 {
+			if load := c.uncarried[c.index.demandPosition(class, from)]; load > 0 {
 				p.Missed = append(p.Missed, Demand{zones[from], name, load})
 			}
 		}
--- a/placement/canonical.go
+++ b/placement/canonical.go
@@ -1,21 +1,23 @@
 package placement
 
-// frozenCost takes an arc off all paths of no reduced cost: more than any cost of violations.
-const frozenCost = 1 << 40
+// fixedArcCost is added to the cost of an arc with a fixed flow, so that its reduced cost is no longer zero. It exceeds any
+// possible cost of constraint violations.
+const fixedArcCost = 1 << 40
 
-// noArc stands for a vertex that a search has not reached.
+// noArc marks a vertex that a search has not reached.
 const noArc = -1
 
-// minimizeArc has an arc carry as little as in any flow of the same cost, and freezes it there. The potentials are those that
-// prove the present flow cheapest: flows of the same cost differ from it along arcs of no reduced cost alone.
-func (n *network) minimizeArc(id int, potentials []cost) {
+// minimizeArcFlow reduces the flow on an arc to the minimum over all flows of the same total cost, and fixes it there. The
+// potentials must prove that the current flow has minimum cost: flows of the same cost then differ from it only along arcs
+// with a reduced cost of zero.
+func (n *network) minimizeArcFlow(id int, potentials []cost) {
 	from, to := int(n.arcs[id^1].to), int(n.arcs[id].to)
 	incoming := make([]int32, len(n.outgoing))
-	for n.carried(id) > 0 && n.arcs[id].cost.add(potentials[from]) == potentials[to] {
-		if !n.findDetour(id, potentials, incoming) {
+	for n.flowOn(id) > 0 && n.arcs[id].cost.add(potentials[from]) == potentials[to] {
+		if !n.findAlternativePath(id, potentials, incoming) {
 			break
 		}
-		amount := n.carried(id)
+		amount := n.flowOn(id)
 		for v := to; v != from; v = n.tail(incoming[v]) {
 			amount = min(amount, n.arcs[incoming[v]].residual)
 		}
@@ -24,15 +26,16 @@
 		}
 		n.push(int32(id), -amount)
 	}
-	n.freeze(id)
+	n.fixArcFlow(id)
 }
 
 // tail returns the vertex that an arc leaves.
 func (n *network) tail(id int32) int { return int(n.arcs[id^1].to) }
 
-// findDetour finds another path of no reduced cost between the ends of an arc, breadth first. It writes the arc by which the
-// path enters each vertex to incoming.
-func (n *network) findDetour(id int, potentials []cost, incoming []int32) bool {
+// findAlternativePath searches, breadth first, for a path between the ends of an arc that does not use the arc and whose
+// reduced cost is zero. It stores the arc by which the path enters each vertex in incoming, and reports whether there is such
+// a path.
+func (n *network) findAlternativePath(id int, potentials []cost, incoming []int32) bool {
 	from, to := int(n.arcs[id^1].to), int(n.arcs[id].to)
 	for v := range incoming {
 		incoming[v] = noArc
@@ -53,9 +56,9 @@
 	return incoming[to] != noArc
 }
 
-// freeze fixes what an arc carries; carried still returns it.
-func (n *network) freeze(id int) {
+// fixArcFlow fixes the flow on an arc. flowOn still returns that flow.
+func (n *network) fixArcFlow(id int) {
 	n.arcs[id].residual = 0
-	n.arcs[id].cost[0] += frozenCost
-	n.arcs[id^1].cost[0] -= frozenCost
+	n.arcs[id].cost[0] += fixedArcCost
+	n.arcs[id^1].cost[0] -= fixedArcCost
 }
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// capacities returns what each node may carry under the constraints.
-func (s *planner) capacities(constraints []Constraint) []int64 {
+// effectiveCapacities returns the load that each node may carry under the constraints, by node. Only constraints that limit
+// single nodes lower it: Headroom, Share, Connections and Pair.
+func (s *planner) effectiveCapacities(constraints []Constraint) []int64 {
 	nodes := s.index.nodes
 	capacities := make([]int64, len(nodes))
 	for i, n := range nodes {
@@ -26,7 +27,7 @@
 	return capacities
 }
 
-// nodeLimit returns what a node may carry under a constraint that is not a Pair.
+// nodeLimit returns the load that a node may carry under a constraint of any kind but Pair.
 func (s *planner) nodeLimit(c Constraint, n Node) int64 {
 	switch c.Kind {
 	case Headroom:
@@ -41,8 +42,9 @@
 	return n.Capacity
 }
 
-// unpairedNodes returns the nodes that a Pair constraint leaves without a partner in their zone. The largest nodes are paired
-// first, and of equal ones the first by name.
+// unpairedNodes returns the nodes of the constraint's Model that find no partner in their zone under a Pair constraint. Nodes
+// are paired in descending order of capacity, and nodes of equal capacity in the order of their IDs. Nodes without capacity
+// are not paired.
 func (s *planner) unpairedNodes(c Constraint) []int {
 	var unpaired []int
 	for _, zoneNodes := range s.index.nodesInZone {
--- a/placement/compare_test.go
+++ b/placement/compare_test.go
@@ -11,8 +11,8 @@
 // The benchmarks here weigh libraries for the part of a problem that is a flow: what is not carried, then crossings. They are
 // why the solver has its own cheapest flows; docs/design/placement.md has the figures.
 
-// linear puts the flow part into the standard form of gonum's simplex: minimise cx where Ax = b, x >= 0.
-func linear(x *index, caps []int64) (c []float64, a *mat.Dense, b []float64) {
+// simplexForm puts the flow part into the standard form of gonum's simplex: minimise cx where Ax = b, x >= 0.
+func simplexForm(x *index, caps []int64) (c []float64, a *mat.Dense, b []float64) {
 	Z, K := len(x.zones), len(x.classes)
 	rows, cols := K*Z+Z, K*Z*Z+K*Z+Z
 	a = mat.NewDense(rows, cols, nil)
@@ -45,7 +45,7 @@
 		b.Run(fleetName(size.nodes, size.zones), func(b *testing.B) {
 			p := RandomProblem(size.nodes, size.zones, 1)
 			s := &planner{problem: p, index: p.index()}
-			c, a, rhs := linear(s.index, s.capacities(p.Constraints))
+			c, a, rhs := simplexForm(s.index, s.effectiveCapacities(p.Constraints))
 			for b.Loop() {
 				if _, _, err := lp.Simplex(c, a, rhs, 1e-9, nil); err != nil {
 					b.Fatal(err)
@@ -55,12 +55,12 @@
 	}
 }
 
-func BenchmarkFlowByOwn(b *testing.B) {
+func BenchmarkFlowBySuccessiveShortestPaths(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{50, 3}, {500, 12}} {
 		b.Run(fleetName(size.nodes, size.zones), func(b *testing.B) {
 			p := RandomProblem(size.nodes, size.zones, 1)
 			s := &planner{problem: p, index: p.index()}
-			capacities := s.capacities(p.Constraints)
+			capacities := s.effectiveCapacities(p.Constraints)
 			for b.Loop() {
 				s.minimizeCost(s.buildNetwork(newBranch(p.Constraints), capacities, s.goalsBeforeFullest()))
 			}
--- a/placement/conflict.go
+++ b/placement/conflict.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// partScale is the denominator of the parts that are tried in a relaxation.
-const partScale = 1000
+// relaxedPartDenominator is the denominator of the fractions that are tried as a relaxed Part.
+const relaxedPartDenominator = 1000
 
-// Relaxation is a constraint of a conflict, with what it would take for the others to be met.
+// Relaxation is a constraint of a conflict, with a description of the change to it that lets the others be met.
 type Relaxation struct {
 	Constraint Constraint
-	Text       string // for operators
+	Text       string // the change, for operators
 }
 
-// explain finds a minimal set of constraints that conflict: one after another is left out, and stays out if the rest still
-// conflicts. Its steps have a bound of their own, as those of a search without a plan.
-func (s *planner) explain() *InfeasibleError {
-	s.beginSearch()
+// findConflict returns a minimal set of constraints that conflict. It removes one constraint after another and leaves it out
+// if the rest still conflicts. MaxSteps does not apply, but the whole work has a new search limit.
+func (s *planner) findConflict() *InfeasibleError {
+	s.setSearchLimit()
 	s.maxSteps = 0
 	conflict := slices.Clone(s.problem.Constraints)
 	for i := 0; i < len(conflict); {
-		if rest := without(conflict, i); s.feasible(rest) {
+		if rest := withoutConstraint(conflict, i); s.isFeasible(rest) {
 			i++
 		} else {
 			conflict = rest
@@ -31,52 +31,54 @@
 	}
 	e := &InfeasibleError{}
 	for i, c := range conflict {
-		e.Conflict = append(e.Conflict, Relaxation{c, s.relaxation(conflict, i)})
+		e.Conflict = append(e.Conflict, Relaxation{c, s.describeRelaxation(conflict, i)})
 	}
 	return e
 }
 
-func without(constraints []Constraint, i int) []Constraint {
+// withoutConstraint returns a copy of the list without the constraint at position i.
+func withoutConstraint(constraints []Constraint, i int) []Constraint {
 	return slices.Delete(slices.Clone(constraints), i, i+1)
 }
 
-// relaxation says by how much a constraint of a conflict must give way for the others to be met.
-func (s *planner) relaxation(conflict []Constraint, i int) string {
+// describeRelaxation describes how much a constraint of a conflict must be relaxed for the others to be met.
+func (s *planner) describeRelaxation(conflict []Constraint, i int) string {
 	text := ""
 	switch conflict[i].Kind {
 	case Carry:
-		text = s.carryRelaxation(conflict, i)
+		text = s.describeCarryRelaxation(conflict, i)
 	case Headroom, Share:
-		text = s.partRelaxation(conflict, i)
+		text = s.describePartRelaxation(conflict, i)
 	case Spread:
-		text = s.spreadRelaxation(conflict, i)
+		text = s.describeSpreadRelaxation(conflict, i)
 	case Connections:
-		text = s.connectionsRelaxation(conflict, i)
+		text = s.describeConnectionsRelaxation(conflict, i)
 	case Moves:
-		text = fmt.Sprintf("%d units would do in place of %d", s.minCount(conflict, i), conflict[i].Count)
+		text = fmt.Sprintf("%d units would suffice in place of %d", s.minCount(conflict, i), conflict[i].Count)
 	}
 	if text == "" {
-		return "without it the others are met"
+		return "without it the others can be met"
 	}
 	return text
 }
 
-// feasibleWith reports whether the constraints can be met together with one of them changed.
-func (s *planner) feasibleWith(constraints []Constraint, i int, change func(*Constraint)) bool {
+// isFeasibleWith reports whether the constraints can be met together after a change to the constraint at position i.
+func (s *planner) isFeasibleWith(constraints []Constraint, i int, change func(*Constraint)) bool {
 	changed := slices.Clone(constraints)
 	change(&changed[i])
-	return s.feasible(changed)
+	return s.isFeasible(changed)
 }
 
-// minCount returns the least Count of a constraint with which all can be met, or more than all load.
+// minCount returns the smallest Count of a constraint with which all constraints can be met, or the total demand plus 1 if
+// there is none.
 func (s *planner) minCount(constraints []Constraint, i int) int64 {
 	return int64(sort.Search(int(s.index.totalDemand)+1, func(n int) bool {
-		return s.feasibleWith(constraints, i, func(c *Constraint) { c.Count = int64(n) })
+		return s.isFeasibleWith(constraints, i, func(c *Constraint) { c.Count = int64(n) })
 	}))
 }
 
-func (s *planner) carryRelaxation(conflict []Constraint, i int) string {
-	plan := s.optimum(without(conflict, i))
+func (s *planner) describeCarryRelaxation(conflict []Constraint, i int) string {
+	plan := s.optimum(withoutConstraint(conflict, i))
 	if plan == nil {
 		return ""
 	}
@@ -94,31 +96,31 @@
 	return "without it " + strings.Join(parts, " and ") + " are not carried"
 }
 
-func (s *planner) partRelaxation(conflict []Constraint, i int) string {
-	minPart := sort.Search(partScale+1, func(n int) bool {
-		return s.feasibleWith(conflict, i, func(c *Constraint) { c.Part = Ratio{int64(n), partScale} })
+func (s *planner) describePartRelaxation(conflict []Constraint, i int) string {
+	minPart := sort.Search(relaxedPartDenominator+1, func(n int) bool {
+		return s.isFeasibleWith(conflict, i, func(c *Constraint) { c.Part = Ratio{int64(n), relaxedPartDenominator} })
 	})
-	if minPart > partScale {
-		return "no part of it is enough by itself; it would have to go"
+	if minPart > relaxedPartDenominator {
+		return "no fraction up to 1 suffices; the others can be met only without it"
 	}
 	part := conflict[i].Part
-	return fmt.Sprintf("%d/%d would do in place of %d/%d", minPart, partScale, part.Num, part.Den)
+	return fmt.Sprintf("%d/%d would suffice in place of %d/%d", minPart, relaxedPartDenominator, part.Num, part.Den)
 }
 
-func (s *planner) spreadRelaxation(conflict []Constraint, i int) string {
+func (s *planner) describeSpreadRelaxation(conflict []Constraint, i int) string {
 	count := conflict[i].Count
 	for n := count - 1; n > 0; n-- {
-		if s.feasibleWith(conflict, i, func(c *Constraint) { c.Count = n }) {
-			return fmt.Sprintf("%d zones would do in place of %d", n, count)
+		if s.isFeasibleWith(conflict, i, func(c *Constraint) { c.Count = n }) {
+			return fmt.Sprintf("%d zones would suffice in place of %d", n, count)
 		}
 	}
 	return ""
 }
 
-func (s *planner) connectionsRelaxation(conflict []Constraint, i int) string {
+func (s *planner) describeConnectionsRelaxation(conflict []Constraint, i int) string {
 	minCount := s.minCount(conflict, i)
 	if minCount > s.index.totalDemand {
 		return ""
 	}
-	return fmt.Sprintf("%d connections would do in place of %d", minCount, conflict[i].Count)
+	return fmt.Sprintf("%d connections would suffice in place of %d", minCount, conflict[i].Count)
 }
--- a/placement/contingency.go
+++ b/placement/contingency.go
@@ -6,26 +6,28 @@
 	"slices"
 )
 
-// Contingency is what to do when nodes are lost.
+// Contingency is the response to the loss of nodes: a plan, or the load that falls short without one.
 type Contingency struct {
-	Name      string           // such as "node n1", "zone a" or "batch small 1"
-	Lost      []string         // IDs of nodes, in order
-	Plan      *Plan            // nil: no plan meets the constraints
-	Shortfall int64            // load that is not carried: by the plan, or without one by the best placement there is
-	Conflict  *InfeasibleError // why there is no plan
+	Name      string           // what is lost, such as "node n1", "zone a" or "batch small n1"
+	Lost      []string         // IDs of the lost nodes that have capacity, sorted
+	Plan      *Plan            // nil if no plan meets the constraints
+	Shortfall int64            // load that is not carried by Plan, or by the best placement if no load must be carried
+	Conflict  *InfeasibleError // the reason why Plan is nil; nil if there is a plan
 }
 
-// Batch is the nodes of a model that a rolling deploy restarts together: Size of them, in the order of their IDs.
+// Batch describes the nodes of a model that a rolling deployment restarts together: groups of Size nodes in the order of their
+// IDs.
 type Batch struct {
 	Model string
-	Size  int // 0: no nodes are restarted
+	Size  int // zero means that no nodes are restarted
 }
 
-// Contingencies computes what to do after the loss of each node, each zone and each batch. Moves are counted from the given
-// plan; constraints of the kind Moves don't apply after a loss. The options apply to each solution by itself. If progress is
-// not nil, it is called after each contingency with how many of all are done. The error is that of Problem.Check.
+// Contingencies computes the contingency for the loss of each node, each zone and each batch. Moves are counted from the given
+// plan, and Moves constraints do not apply after a loss. The options apply to each solution on its own. After each contingency
+// Contingencies calls progress, if it is not nil, with the number of finished contingencies and their total. It returns the
+// error of Problem.Check, or a *StepLimitError if a search reached its step limit.
 func Contingencies(p *Problem, plan *Plan, batches []Batch, o Options, progress func(done, all int)) ([]Contingency, error) {
-	list := p.losses(batches)
+	list := p.enumerateLosses(batches)
 	for i := range list {
 		if err := list[i].solve(p, plan, o); err != nil {
 			return nil, err
@@ -37,8 +39,8 @@
 	return list, nil
 }
 
-// losses lists the contingencies without their plans.
-func (p *Problem) losses(batches []Batch) []Contingency {
+// enumerateLosses returns all contingencies without their solutions. Nodes without capacity are left out.
+func (p *Problem) enumerateLosses(batches []Batch) []Contingency {
 	nodes := slices.Clone(p.Nodes)
 	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.ID, b.ID) })
 	var list []Contingency
@@ -67,7 +69,7 @@
 	return list
 }
 
-// split returns the IDs of the nodes that are restarted together.
+// split returns the IDs of the nodes that are restarted together, group by group.
 func (b Batch) split(nodes []Node) [][]string {
 	if b.Size <= 0 {
 		return nil
@@ -81,9 +83,9 @@
 	return slices.Collect(slices.Chunk(ids, b.Size))
 }
 
-// solve finds the plan for a contingency, or how much load falls short.
-func (c *Contingency) solve(p *Problem, inForce *Plan, o Options) error {
-	problem := p.afterLoss(c.Lost, inForce)
+// solve computes the plan of a contingency, or the shortfall and the conflict if there is no plan.
+func (c *Contingency) solve(p *Problem, currentPlan *Plan, o Options) error {
+	problem := p.afterLoss(c.Lost, currentPlan)
 	plan, err := Solve(problem, o)
 	if err == nil {
 		c.Plan, c.Shortfall = plan, plan.Uncarried
@@ -92,7 +94,7 @@
 	if !errors.As(err, &c.Conflict) {
 		return err
 	}
-	// The shortfall is the least that any placement leaves where no load must be carried.
+	// The shortfall is the minimum load that is left over when no load has to be carried.
 	problem.Constraints = slices.DeleteFunc(problem.Constraints, func(k Constraint) bool {
 		return k.Kind == Carry || k.Kind == Spread
 	})
@@ -102,13 +104,13 @@
 	return nil
 }
 
-// afterLoss returns the problem after a loss, with a plan in force.
-func (p *Problem) afterLoss(lost []string, inForce *Plan) *Problem {
+// afterLoss returns the problem after a loss of nodes, with the loads of a current plan and without Moves constraints.
+func (p *Problem) afterLoss(lost []string, currentPlan *Plan) *Problem {
 	problem := *p
 	problem.Nodes = slices.Clone(p.Nodes)
 	for i := range problem.Nodes {
 		n := &problem.Nodes[i]
-		n.CurrentLoad = inForce.Load[n.ID]
+		n.CurrentLoad = currentPlan.Load[n.ID]
 		if slices.Contains(lost, n.ID) {
 			n.Capacity, n.CurrentLoad = 0, 0
 		}
--- a/placement/digest_test.go
+++ b/placement/digest_test.go
@@ -22,7 +22,7 @@
 
 // compareLines compares lines with those of a file in testdata, or writes the file with -update. It returns the number of
 // the first line that differs, or -1.
-func compareLines(t *testing.T, file string, got []string) (differs int) {
+func compareLines(t *testing.T, file string, got []string) (firstDifference int) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
 	if *update {
@@ -39,20 +39,20 @@
 	if len(got) != len(want) {
 		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
 	}
-	differs = -1
+	firstDifference = -1
 	reported := 0
 	for i := range min(len(got), len(want)) {
 		if got[i] == want[i] {
 			continue
 		}
-		if differs < 0 {
-			differs = i
+		if firstDifference < 0 {
+			firstDifference = i
 		}
 		if reported++; reported <= 5 {
 			t.Errorf("%s:%d:\n got %s\nwant %s", path, i+1, got[i], want[i])
 		}
 	}
-	return differs
+	return firstDifference
 }
 
 // compareDigests compares a digest of each transcript with a file in testdata, and shows the first that differs.
@@ -73,63 +73,63 @@
 	modelNames = []string{"large", "small", "old"}
 )
 
-func chance(rng *rand.Rand, percent int) bool { return rng.IntN(100) < percent }
+func randomChance(rng *rand.Rand, percent int) bool { return rng.IntN(100) < percent }
 
-func pick[T any](rng *rand.Rand, of []T) T { return of[rng.IntN(len(of))] }
+func randomElement[T any](rng *rand.Rand, of []T) T { return of[rng.IntN(len(of))] }
 
-// someOf returns each with the given chance, in their order.
-func someOf[T any](rng *rand.Rand, of []T, percent int) (some []T) {
+// randomSubset returns each with the given chance, in their order.
+func randomSubset[T any](rng *rand.Rand, of []T, percent int) (some []T) {
 	for _, v := range of {
-		if chance(rng, percent) {
+		if randomChance(rng, percent) {
 			some = append(some, v)
 		}
 	}
 	return some
 }
 
-// size bounds a drawn problem.
-type size struct {
+// problemSize bounds a drawn problem.
+type problemSize struct {
 	zones, nodes, classes int   // at most
 	load, cost            int64 // of a demand, of a crossing: below this
 	factor                int64 // of every load and capacity
 }
 
-// drawSize draws what most problems are like. One in seven has large figures, that no node's capacity divides, and one in
+// randomSize draws what most problems are like. One in seven has large figures, that no node's capacity divides, and one in
 // seven figures so small that many plans are equal in every goal.
-func drawSize(rng *rand.Rand) size {
-	s := size{zones: 1 + rng.IntN(3), nodes: rng.IntN(8), classes: 2, load: 40, cost: 12, factor: 1}
-	if chance(rng, 8) {
+func randomSize(rng *rand.Rand) problemSize {
+	s := problemSize{zones: 1 + rng.IntN(3), nodes: rng.IntN(8), classes: 2, load: 40, cost: 12, factor: 1}
+	if randomChance(rng, 8) {
 		s.zones, s.nodes, s.classes = len(zoneNames), 10, len(classNames)
 		return s
 	}
-	if chance(rng, 15) {
+	if randomChance(rng, 15) {
 		s.factor = 97
 		return s
 	}
-	if chance(rng, 15) {
+	if randomChance(rng, 15) {
 		s.zones, s.load, s.cost = 2+rng.IntN(2), 5, 2
 	}
 	return s
 }
 
-// drawProblem draws a problem of a size, without constraints.
-func drawProblem(rng *rand.Rand, s size) *placement.Problem {
+// randomProblem draws a problem of a size, without constraints.
+func randomProblem(rng *rand.Rand, s problemSize) *placement.Problem {
 	p := &placement.Problem{Zones: zoneNames[:s.zones], DefaultCost: rng.Int64N(5)}
-	hasPlan := chance(rng, 70)
+	hasPlan := randomChance(rng, 70)
 	for i := range s.nodes {
-		n := placement.Node{ID: fmt.Sprintf("node-%02d", 97*i%11), Zone: pick(rng, p.Zones), Model: pick(rng,
+		n := placement.Node{ID: fmt.Sprintf("node-%02d", 97*i%11), Zone: randomElement(rng, p.Zones), Model: randomElement(rng,
 			modelNames)}
-		if chance(rng, 85) {
+		if randomChance(rng, 85) {
 			n.Capacity = (1 + rng.Int64N(s.load*3/2)) * s.factor
 		}
-		if hasPlan && chance(rng, 80) {
+		if hasPlan && randomChance(rng, 80) {
 			n.CurrentLoad = rng.Int64N(s.load) * s.factor
 		}
 		p.Nodes = append(p.Nodes, n)
 	}
 	for _, zone := range p.Zones {
 		for _, class := range classNames[:s.classes] {
-			if chance(rng, 85) {
+			if randomChance(rng, 85) {
 				p.Demands = append(p.Demands, placement.Demand{
 					Zone: zone, Class: class,
 					Load: rng.Int64N(s.load) * s.factor,
@@ -137,21 +137,21 @@
 			}
 		}
 		for _, to := range p.Zones {
-			if to != zone && chance(rng, 60) || to == zone && chance(rng, 5) {
+			if to != zone && randomChance(rng, 60) || to == zone && randomChance(rng, 5) {
 				p.Crossings = append(p.Crossings, placement.Crossing{From: zone, To: to, Cost: rng.Int64N(s.cost)})
 			}
 		}
 	}
-	if chance(rng, 50) {
+	if randomChance(rng, 50) {
 		p.Order = slices.Clone(placement.DefaultOrder)
 		rng.Shuffle(len(p.Order), func(i, j int) { p.Order[i], p.Order[j] = p.Order[j], p.Order[i] })
 	}
 	return p
 }
 
-// drawConstraints draws up to four constraints, of every kind, in an order of their own.
-func drawConstraints(rng *rand.Rand, zones []string, factor int64) (list []placement.Constraint) {
-	class := func() string { return pick(rng, classNames) }
+// randomConstraints draws up to four constraints, of every kind, in an order of their own.
+func randomConstraints(rng *rand.Rand, zones []string, factor int64) (list []placement.Constraint) {
+	class := func() string { return randomElement(rng, classNames) }
 	kinds := []func() placement.Constraint{
 		func() placement.Constraint { return placement.Constraint{Kind: placement.Carry} },
 		func() placement.Constraint { return placement.Constraint{Kind: placement.Carry, Class: class()} },
@@ -163,10 +163,10 @@
 		},
 		func() placement.Constraint { return placement.Constraint{Kind: placement.Keep, Class: class()} },
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.Keep, Class: class(), Zones: someOf(rng, zones, 60)}
+			return placement.Constraint{Kind: placement.Keep, Class: class(), Zones: randomSubset(rng, zones, 60)}
 		},
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.KeepOut, Class: class(), Zones: someOf(rng, zones, 50)}
+			return placement.Constraint{Kind: placement.KeepOut, Class: class(), Zones: randomSubset(rng, zones, 50)}
 		},
 		func() placement.Constraint {
 			return placement.Constraint{
@@ -179,14 +179,14 @@
 				4*rng.Int64N(3) + 3}}
 		},
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.Together, Classes: someOf(rng, classNames, 70)}
+			return placement.Constraint{Kind: placement.Together, Classes: randomSubset(rng, classNames, 70)}
 		},
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.Pair, Model: pick(rng, modelNames), With: pick(rng, modelNames)}
+			return placement.Constraint{Kind: placement.Pair, Model: randomElement(rng, modelNames), With: randomElement(rng, modelNames)}
 		},
 		func() placement.Constraint {
 			return placement.Constraint{
-				Kind: placement.Connections, Model: pick(rng, modelNames),
+				Kind: placement.Connections, Model: randomElement(rng, modelNames),
 				Count: rng.Int64N(9), Least: rng.Int64N(4) * factor,
 			}
 		},
@@ -194,14 +194,14 @@
 			return placement.Constraint{Kind: placement.Moves, Count: rng.Int64N(60) * factor}
 		},
 	}
-	branches := false
+	hasBranchingConstraint := false
 	for i := range rng.IntN(5) {
-		c := pick(rng, kinds)()
+		c := randomElement(rng, kinds)()
 		if c.Kind == placement.Spread || c.Kind == placement.Together {
-			if branches { // several of these take the solver long
+			if hasBranchingConstraint { // several of these take the solver long
 				continue
 			}
-			branches = true
+			hasBranchingConstraint = true
 		}
 		c.Name, c.Line = fmt.Sprint("constraint-", i), rng.IntN(100)
 		list = append(list, c)
@@ -229,18 +229,18 @@
 	}
 }
 
-// figures are the numbers and zones that a text names: what it says, apart from its wording.
-var figures = regexp.MustCompile(`\d+|\b(?:` + strings.Join(zoneNames, "|") + `)\b`)
+// numbersAndZones are the numbers and zones that a text names: what it says, apart from its wording.
+var numbersAndZones = regexp.MustCompile(`\d+|\b(?:` + strings.Join(zoneNames, "|") + `)\b`)
 
 func describeConflict(b *strings.Builder, e *placement.InfeasibleError) {
 	for _, r := range e.Conflict {
 		fmt.Fprintf(b, "conflict %s, line %d, kind %d: %q\n", r.Constraint.Name, r.Constraint.Line, r.Constraint.Kind,
-			figures.FindAllString(r.Text, -1))
+			numbersAndZones.FindAllString(r.Text, -1))
 	}
 }
 
-// solve writes down what the solver makes of a problem, and returns the plan if there is one.
-func solve(t *testing.T, b *strings.Builder, p *placement.Problem, o placement.Options) *placement.Plan {
+// describeSolution writes down what the solver makes of a problem, and returns the plan if there is one.
+func describeSolution(t *testing.T, b *strings.Builder, p *placement.Problem, o placement.Options) *placement.Plan {
 	t.Helper()
 	plan, err := placement.Solve(p, o)
 	var conflict *placement.InfeasibleError
@@ -255,8 +255,8 @@
 	return plan
 }
 
-// contingencies writes down what is planned for losses from a plan.
-func contingencies(t *testing.T, b *strings.Builder, p *placement.Problem, plan *placement.Plan,
+// describeContingencies writes down what is planned for losses from a plan.
+func describeContingencies(t *testing.T, b *strings.Builder, p *placement.Problem, plan *placement.Plan,
 	batches []placement.Batch,
 ) {
 	t.Helper()
@@ -276,28 +276,28 @@
 	}
 }
 
-// verdict is what became of a drawn problem.
-type verdict int
+// solveOutcome is what became of a drawn problem.
+type solveOutcome int
 
 const (
-	proven verdict = iota
+	proven solveOutcome = iota
 	unproven
 	conflicting
 )
 
-// drawnTranscript writes down what is planned for the problem of a seed.
-func drawnTranscript(t *testing.T, seed uint64) (string, verdict) {
+// problemTranscript writes down what is planned for the problem of a seed.
+func problemTranscript(t *testing.T, seed uint64) (string, solveOutcome) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 20))
-	drawn := drawSize(rng)
-	p := drawProblem(rng, drawn)
-	p.Constraints = drawConstraints(rng, p.Zones, drawn.factor)
+	drawn := randomSize(rng)
+	p := randomProblem(rng, drawn)
+	p.Constraints = randomConstraints(rng, p.Zones, drawn.factor)
 	o := placement.Options{MaxSteps: 1000}
 	if seed%4 == 3 {
 		o.MaxSteps = 1 + rng.IntN(150)
 	}
 	var b strings.Builder
-	plan := solve(t, &b, p, o)
+	plan := describeSolution(t, &b, p, o)
 	if plan == nil {
 		return b.String(), conflicting
 	}
@@ -307,8 +307,8 @@
 	return b.String(), proven
 }
 
-// each calls f with the seeds below a number, on a few goroutines.
-func each(seeds int, f func(seed int)) {
+// forEachSeed calls f with the seeds below a number, on a few goroutines.
+func forEachSeed(seeds int, f func(seed int)) {
 	const workers = 4
 	var wg sync.WaitGroup
 	for worker := range workers {
@@ -322,11 +322,11 @@
 }
 
 // What the solver returns for drawn problems is what it was: plans with their costs, or conflicts.
-func TestDrawnProblemDigests(t *testing.T) {
+func TestRandomProblemDigests(t *testing.T) {
 	const seeds = 240
-	transcripts, verdicts := make([]string, seeds), make([]verdict, seeds)
-	each(seeds, func(seed int) { transcripts[seed], verdicts[seed] = drawnTranscript(t, uint64(seed)) })
-	counts := map[verdict]int{}
+	transcripts, verdicts := make([]string, seeds), make([]solveOutcome, seeds)
+	forEachSeed(seeds, func(seed int) { transcripts[seed], verdicts[seed] = problemTranscript(t, uint64(seed)) })
+	counts := map[solveOutcome]int{}
 	for _, v := range verdicts {
 		counts[v]++
 	}
@@ -337,11 +337,11 @@
 	compareDigests(t, "problems.txt", transcripts)
 }
 
-// lossTranscript writes down what is planned for losses from the plan of a seed's problem.
-func lossTranscript(t *testing.T, seed uint64) string {
+// contingencyTranscript writes down what is planned for losses from the plan of a seed's problem.
+func contingencyTranscript(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 26))
-	p := drawProblem(rng, size{
+	p := randomProblem(rng, problemSize{
 		zones: 1 + rng.IntN(2), nodes: 2 + rng.IntN(3), classes: 1 + rng.IntN(2), load: 12,
 		cost: 3, factor: 1,
 	})
@@ -350,7 +350,7 @@
 			p.Nodes[i].Capacity += 20
 		}
 	}
-	p.Constraints = someOf(rng, []placement.Constraint{
+	p.Constraints = randomSubset(rng, []placement.Constraint{
 		{Name: "moves", Kind: placement.Moves, Count: 60 + rng.Int64N(20)},
 		{Name: "all", Kind: placement.Carry},
 		{Name: "spread", Kind: placement.Spread, Class: "feed", Count: 1 + rng.Int64N(2), Least: rng.Int64N(3)},
@@ -358,9 +358,9 @@
 		{Name: "headroom", Kind: placement.Headroom, Part: placement.Ratio{Num: 9, Den: 10}},
 	}, 60)
 	var b strings.Builder
-	plan := solve(t, &b, p, placement.Options{})
+	plan := describeSolution(t, &b, p, placement.Options{})
 	if plan != nil {
-		contingencies(t, &b, p, plan, []placement.Batch{
+		describeContingencies(t, &b, p, plan, []placement.Batch{
 			{Model: "large", Size: 2},
 			{Model: "small", Size: 1},
 			{Model: "old"},
@@ -370,9 +370,9 @@
 }
 
 // The same for what is planned for losses.
-func TestDrawnLossDigests(t *testing.T) {
+func TestRandomContingencyDigests(t *testing.T) {
 	transcripts := make([]string, 60)
-	each(len(transcripts), func(seed int) { transcripts[seed] = lossTranscript(t, uint64(seed)) })
+	forEachSeed(len(transcripts), func(seed int) { transcripts[seed] = contingencyTranscript(t, uint64(seed)) })
 	counts := map[string]int{}
 	for _, what := range []string{
 		"contingency node", "contingency zone", "contingency batch", "conflict spread",
@@ -409,7 +409,7 @@
 		},
 	}
 	var lines []string
-	within := func(steps int) *placement.Plan {
+	solveWithin := func(steps int) *placement.Plan {
 		plan, err := placement.Solve(p, placement.Options{MaxSteps: steps})
 		if err != nil {
 			t.Fatal(err)
@@ -418,17 +418,17 @@
 			plan.Steps, plan.Proven, plan.Uncarried, plan.Crossings))
 		return plan
 	}
-	for plan := within(1); !plan.Proven; {
+	for plan := solveWithin(1); !plan.Proven; {
 		taken := plan.Steps
-		within(taken - 1)
-		within(taken)
-		plan = within(taken + 1)
+		solveWithin(taken - 1)
+		solveWithin(taken)
+		plan = solveWithin(taken + 1)
 	}
 	compareLines(t, "steps.txt", lines)
 }
 
 // The same for made-up sites, with more nodes and constraints that bind there, and for the sites themselves.
-func TestDrawnSiteDigests(t *testing.T) {
+func TestRandomFleetDigests(t *testing.T) {
 	var transcripts []string
 	for seed := range uint64(8) {
 		p := placement.RandomProblem(24+int(seed), 2+int(seed%4), seed)
@@ -446,7 +446,7 @@
 		for _, c := range p.Constraints {
 			fmt.Fprintf(&b, "constraint %s %d %d/%d\n", c.Name, c.Kind, c.Part.Num, c.Part.Den)
 		}
-		plan := solve(t, &b, p, placement.Options{})
+		plan := describeSolution(t, &b, p, placement.Options{})
 		if plan != nil && seed%3 == 0 {
 			p.Constraints = append(p.Constraints,
 				placement.Constraint{Name: "spread", Kind: placement.Spread, Class: "class0", Count: 2, Least: 50},
@@ -454,7 +454,7 @@
 			for i := range p.Nodes {
 				p.Nodes[i].CurrentLoad = plan.Load[p.Nodes[i].ID] * 9 / 10
 			}
-			solve(t, &b, p, placement.Options{})
+			describeSolution(t, &b, p, placement.Options{})
 		}
 		transcripts = append(transcripts, b.String())
 	}
@@ -463,12 +463,12 @@
 
 // problemChange makes one change to a sound problem.
 type problemChange struct {
-	name string
-	to   func(*placement.Problem)
+	name  string
+	apply func(*placement.Problem)
 }
 
-// formChanges are changes of what names what.
-func formChanges() []problemChange {
+// referenceChanges are changes of what names what.
+func referenceChanges() []problemChange {
 	return []problemChange{
 		{"none", func(*placement.Problem) {}},
 		{"zone twice", func(p *placement.Problem) { p.Zones = append(p.Zones, "east") }},
@@ -485,8 +485,8 @@
 	}
 }
 
-// listChanges are changes of how many there are, and of the goals.
-func listChanges() []problemChange {
+// sizeAndGoalChanges are changes of how many there are, and of the goals.
+func sizeAndGoalChanges() []problemChange {
 	return []problemChange{
 		{"goal left out", func(p *placement.Problem) { p.Order = placement.DefaultOrder[1:] }},
 		{"goal twice", func(p *placement.Problem) {
@@ -577,8 +577,8 @@
 	return changes
 }
 
-// soundProblem is what the changes are made to.
-func soundProblem() *placement.Problem {
+// validProblem is what the changes are made to.
+func validProblem() *placement.Problem {
 	return &placement.Problem{
 		Zones: []string{"east", "west"},
 		Nodes: []placement.Node{{ID: "one", Zone: "east", Capacity: 5}, {
@@ -599,9 +599,9 @@
 // Which problems are sound: one change of a sound one at a time, at the bounds and beyond them.
 func TestProblemsAcceptedAndRejected(t *testing.T) {
 	var lines []string
-	for _, c := range slices.Concat(formChanges(), listChanges(), figureChanges()) {
-		p := soundProblem()
-		c.to(p)
+	for _, c := range slices.Concat(referenceChanges(), sizeAndGoalChanges(), figureChanges()) {
+		p := validProblem()
+		c.apply(p)
 		verdict := "accepted"
 		if p.Check() != nil {
 			verdict = "rejected"
--- a/placement/distribute.go
+++ b/placement/distribute.go
@@ -2,137 +2,144 @@
 
 import "container/heap"
 
-// distribute returns the load of each node of a zone, none over its capacity. As little load as possible moves from the nodes
-// that have it in the plan in force. Beyond that the fullest node is as empty as possible, then the next: each unit of load
-// has a mark, the ratio to which its node is full with it, and the highest mark is the lowest possible. Of equal marks that of
-// the first node by name counts as lower.
+// distribute returns the load of each node of a zone for a total load. No load exceeds the capacity of its node. As little
+// load as possible moves away from the nodes that carry it in the current plan. Subject to that, the highest ratio of load to
+// capacity is minimal, then the second highest, and so on. More exactly, each unit of load on a node has a marginal fullness,
+// which is the ratio of load to capacity that the node reaches with this unit, and the highest marginal fullness is minimized.
+// Of two nodes with equal ratios the one that comes first by name counts as less full.
 func distribute(nodes []Node, capacities []int64, load int64) []int64 {
 	loads := make([]int64, len(nodes))
-	unmoved := int64(0)
+	keptLoad := int64(0)
 	for i, n := range nodes {
 		loads[i] = min(n.CurrentLoad, capacities[i])
-		unmoved += loads[i]
+		keptLoad += loads[i]
 	}
-	if unmoved > load {
-		empty := make([]int64, len(nodes))
-		(&leveller{nodes: nodes, loads: loads, limits: empty, sign: -1}).move(unmoved - load)
+	if keptLoad > load {
+		zeroLimits := make([]int64, len(nodes))
+		(&waterFiller{nodes: nodes, loads: loads, limits: zeroLimits, direction: -1}).adjust(keptLoad - load)
 	} else {
-		(&leveller{nodes: nodes, loads: loads, limits: capacities, sign: 1}).move(load - unmoved)
+		(&waterFiller{nodes: nodes, loads: loads, limits: capacities, direction: 1}).adjust(load - keptLoad)
 	}
 	return loads
 }
 
-// leveller adds load where it fills a node least, or takes it from the fullest. It is the heap of the nodes that are not at
-// their limits; the first one is next to change.
-type leveller struct {
-	nodes  []Node
-	loads  []int64
-	limits []int64 // of loads, in the direction of the change
-	sign   int64   // 1: load is added; -1: it is taken away
-	open   []int   // heap of positions in nodes
+// waterFiller implements water-filling: it adds load to the node that it fills least, or removes load from the fullest node.
+// It implements heap.Interface over the nodes that are not at their limits, and the first of them changes next.
+type waterFiller struct {
+	nodes      []Node
+	loads      []int64
+	limits     []int64 // highest loads if load is added, lowest loads if it is removed
+	direction  int64   // 1 adds load, -1 removes it
+	adjustable []int   // heap of the positions in nodes that can still change
 }
 
-// move changes the loads by an amount in total, or to their limits: first to the level that all nodes reach, then by the units
-// whose marks are equal there, at most one a node.
-func (l *leveller) move(amount int64) {
-	amount -= l.moveToLevel(amount)
-	for i := range l.nodes {
-		if l.room(i) > 0 {
-			l.open = append(l.open, i)
+// adjust changes the loads by an amount in total, or until all are at their limits. It first brings all nodes to a common
+// level. What is left are units with equal marginal fullness, at most one for each node, which it changes one by one.
+func (w *waterFiller) adjust(amount int64) {
+	amount -= w.adjustToLevel(amount)
+	for i := range w.nodes {
+		if w.unitsToLimit(i) > 0 {
+			w.adjustable = append(w.adjustable, i)
 		}
 	}
-	heap.Init(l)
-	for amount > 0 && len(l.open) > 0 {
-		node := l.open[0]
-		l.loads[node] += l.sign
+	heap.Init(w)
+	for amount > 0 && len(w.adjustable) > 0 {
+		node := w.adjustable[0]
+		w.loads[node] += w.direction
 		amount--
-		if l.room(node) > 0 {
-			heap.Fix(l, 0)
+		if w.unitsToLimit(node) > 0 {
+			heap.Fix(w, 0)
 		} else {
-			heap.Remove(l, 0)
+			heap.Remove(w, 0)
 		}
 	}
 }
 
-// moveToLevel moves all units whose marks are on the near side of the furthest level that takes no more than an amount, and
-// returns how many these are. Levels are ratios to fullnessScale, finer than two marks can differ.
-func (l *leveller) moveToLevel(amount int64) (moved int64) {
-	// Whether a level is far enough changes once, from the nearest to the furthest.
+// adjustToLevel brings all nodes to the furthest level that changes the loads by no more than an amount, and returns the sum
+// of the changes. A level is a ratio of load to capacity, as a multiple of 1/fullnessScale, which is smaller than the
+// difference between any two values of marginal fullness.
+func (w *waterFiller) adjustToLevel(amount int64) (moved int64) {
+	// Binary search: the number of units to a level grows with its distance.
 	low, high := uint64(0), uint64(fullnessScale)
 	for low < high {
 		middle := low + (high-low)/2
-		if l.sign > 0 {
-			middle++ // the highest level that takes at most the amount
+		if w.direction > 0 {
+			middle++ // round up: this finds the highest level that needs at most the amount
 		}
-		isWithin := l.unitsTo(middle) <= amount
+		isWithin := w.unitsToLevel(middle) <= amount
 		switch {
-		case l.sign > 0 && isWithin:
+		case w.direction > 0 && isWithin:
 			low = middle
-		case l.sign > 0:
+		case w.direction > 0:
 			high = middle - 1
-		case isWithin: // the lowest level that leaves enough
+		case isWithin: // this finds the lowest level that needs at most the amount
 			high = middle
 		default:
 			low = middle + 1
 		}
 	}
-	for i := range l.nodes {
-		target := l.loadAtLevel(i, low)
-		moved += (target - l.loads[i]) * l.sign
-		l.loads[i] = target
+	for i := range w.nodes {
+		target := w.loadAtLevel(i, low)
+		moved += (target - w.loads[i]) * w.direction
+		w.loads[i] = target
 	}
 	return moved
 }
 
-// unitsTo is how many units move if all nodes reach a level.
-func (l *leveller) unitsTo(level uint64) (units int64) {
-	for i := range l.nodes {
-		units += (l.loadAtLevel(i, level) - l.loads[i]) * l.sign
+// unitsToLevel returns by how many units the loads change if all nodes go to a level.
+func (w *waterFiller) unitsToLevel(level uint64) (units int64) {
+	for i := range w.nodes {
+		units += (w.loadAtLevel(i, level) - w.loads[i]) * w.direction
 	}
 	return units
 }
 
-// loadAtLevel is a node's load once it has reached a level, or its limit before that.
-func (l *leveller) loadAtLevel(node int, level uint64) int64 {
-	load := loadAt(level, max(l.nodes[node].Capacity, 1))
-	if l.sign > 0 {
-		return min(max(load, l.loads[node]), max(l.limits[node], l.loads[node]))
+// loadAtLevel returns the load of a node at a level, or its limit if the node reaches that before the level.
+func (w *waterFiller) loadAtLevel(node int, level uint64) int64 {
+	load := loadAtFullness(level, max(w.nodes[node].Capacity, 1))
+	if w.direction > 0 {
+		return min(max(load, w.loads[node]), max(w.limits[node], w.loads[node]))
 	}
-	return max(min(load, l.loads[node]), min(l.limits[node], l.loads[node]))
+	return max(min(load, w.loads[node]), min(w.limits[node], w.loads[node]))
 }
 
-// room is how many units a node is from its limit.
-func (l *leveller) room(node int) int64 { return (l.limits[node] - l.loads[node]) * l.sign }
+// unitsToLimit returns by how many units the load of a node can still change.
+func (w *waterFiller) unitsToLimit(node int) int64 {
+	return (w.limits[node] - w.loads[node]) * w.direction
+}
 
-// mark is the ratio to which a node is full with its next unit, or with the one that it would give up.
-func (l *leveller) mark(node int) Ratio {
-	load := l.loads[node]
-	if l.sign > 0 {
+// marginalFullness returns the ratio of load to capacity that a node reaches with the next unit that is added or, if load is
+// removed, the ratio that it has with the next unit that is removed.
+func (w *waterFiller) marginalFullness(node int) Ratio {
+	load := w.loads[node]
+	if w.direction > 0 {
 		load++
 	}
-	return Ratio{load, max(l.nodes[node].Capacity, 1)}
+	return Ratio{load, max(w.nodes[node].Capacity, 1)}
 }
 
-// before reports whether a node changes before another.
-func (l *leveller) before(i, j int) bool {
-	if l.sign < 0 {
+// changesBefore reports whether node i is adjusted before node j.
+func (w *waterFiller) changesBefore(i, j int) bool {
+	if w.direction < 0 {
 		i, j = j, i
 	}
-	a, b := l.mark(i), l.mark(j)
+	a, b := w.marginalFullness(i), w.marginalFullness(j)
 	if a.less(b) || b.less(a) {
 		return a.less(b)
 	}
 	return i < j
 }
 
-func (l *leveller) Len() int           { return len(l.open) }
-func (l *leveller) Less(a, b int) bool { return l.before(l.open[a], l.open[b]) }
-func (l *leveller) Swap(a, b int)      { l.open[a], l.open[b] = l.open[b], l.open[a] }
-func (l *leveller) Push(x any)         { l.open = append(l.open, x.(int)) }
+func (w *waterFiller) Len() int           { return len(w.adjustable) }
+func (w *waterFiller) Less(a, b int) bool { return w.changesBefore(w.adjustable[a], w.adjustable[b]) }
+func (w *waterFiller) Swap(a, b int) {
+	w.adjustable[a], w.adjustable[b] = w.adjustable[b], w.adjustable[a]
+}
+func (w *waterFiller) Push(x any) { w.adjustable = append(w.adjustable, x.(int)) }
 
-func (l *leveller) Pop() any {
-	last := len(l.open) - 1
-	node := l.open[last]
-	l.open = l.open[:last]
+func (w *waterFiller) Pop() any {
+	last := len(w.adjustable) - 1
+	node := w.adjustable[last]
+	w.adjustable = w.adjustable[:last]
 	return node
 }
--- a/placement/distribute_test.go
+++ b/placement/distribute_test.go
@@ -137,14 +137,14 @@
 			Constraint{Name: "all " + name, Kind: Carry, Class: name})
 	}
 	_, err := Solve(p, Options{MaxSteps: 10})
-	var exceeded *StepLimitError
-	if !errors.As(err, &exceeded) {
+	var stepLimit *StepLimitError
+	if !errors.As(err, &stepLimit) {
 		t.Fatalf("ended with %v", err)
 	}
-	if exceeded.Steps < minSearchSteps || exceeded.Steps > 3*minSearchSteps {
-		t.Errorf("%d steps were taken", exceeded.Steps)
+	if stepLimit.Steps < minSearchLimit || stepLimit.Steps > 3*minSearchLimit {
+		t.Errorf("%d steps were taken", stepLimit.Steps)
 	}
-	if text := exceeded.Error(); !strings.Contains(text, "steps") || exceeded.Retryable() {
+	if text := stepLimit.Error(); !strings.Contains(text, "steps") || stepLimit.Retryable() {
 		t.Errorf("the error says %q", text)
 	}
 }
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/milletvane/placement"
 )
 
-// exampleProblem is for two zones, of which north has more demand than capacity.
+// exampleProblem returns a problem with two zones, of which north has more demand than capacity.
 func exampleProblem() *placement.Problem {
 	return &placement.Problem{
 		Zones: []string{"north", "south"},
@@ -64,7 +64,7 @@
 	}
 	// Output:
 	// all load is carried: without it 20 units from north are not carried
-	// chat stays in its zone: without it the others are met
+	// chat stays in its zone: without it the others can be met
 }
 
 func ExampleContingencies() {
@@ -102,6 +102,6 @@
 	problem.Demands[1].Load = -1
 	fmt.Println(problem.Check())
 	// Output:
-	// node n1: "west" is no zone
-	// demand of chat in south: -1 is not within 0 and 1000000000
+	// node n1: zone "west" does not exist
+	// demand of class chat in zone south: load -1 is not between 0 and 1000000000
 }
--- a/placement/exhaustive_test.go
+++ b/placement/exhaustive_test.go
@@ -40,18 +40,18 @@
 	return sets
 }
 
-// grid calls f with every case: 1 to 3 zones, up to 6 nodes in every way over the zones, capacities 0, 1 and 2 (1 and 2 from
+// forEachGridCase calls f with every case: 1 to 3 zones, up to 6 nodes in every way over the zones, capacities 0, 1 and 2 (1 and 2 from
 // four nodes on), demands 0, 1 and 2 of each zone (0 and 2 from four nodes on). Each case comes without constraints and, in
 // turn, with four of the sets above, so that each set meets every size.
-func grid(f func(*Problem)) (count int) {
+func forEachGridCase(f func(*Problem)) (count int) {
 	sets := constraintSets()
-	turn := 0
-	gridProblems(func(p *Problem) {
+	usedSets := 0
+	forEachGridProblem(func(p *Problem) {
 		for k := range 5 {
 			problem := *p
 			if k > 0 {
-				turn++
-				problem.Constraints = sets[turn%len(sets)]
+				usedSets++
+				problem.Constraints = sets[usedSets%len(sets)]
 			}
 			count++
 			f(&problem)
@@ -60,17 +60,17 @@
 	return count
 }
 
-// gridProblems calls f with every problem of the grid, without constraints.
-func gridProblems(f func(*Problem)) {
+// forEachGridProblem calls f with every problem of the grid, without constraints.
+func forEachGridProblem(f func(*Problem)) {
 	for zones := 1; zones <= 3; zones++ {
 		for nodes := 1; nodes <= 6; nodes++ {
 			capacities, demands := []int64{0, 1, 2}, []int64{0, 1, 2}
 			if nodes > 3 {
 				capacities, demands = []int64{1, 2}, []int64{0, 2}
 			}
-			odometer(zones, nodes, true, func(zoneOf []int) {
-				odometer(len(capacities), nodes, false, func(capacityOf []int) {
-					odometer(len(demands), zones, false, func(demandOf []int) {
+			forEachSequence(zones, nodes, true, func(zoneOf []int) {
+				forEachSequence(len(capacities), nodes, false, func(capacityOf []int) {
+					forEachSequence(len(demands), zones, false, func(demandOf []int) {
 						f(gridProblem(zoneOf, valuesAt(capacities, capacityOf), valuesAt(demands, demandOf)))
 					})
 				})
@@ -105,32 +105,32 @@
 	return p
 }
 
-// odometer calls f with every sequence of n digits below base; with rising only those that never fall.
-func odometer(base, n int, rising bool, f func([]int)) {
+// forEachSequence calls f with every sequence of n digits below base; with rising only those that never fall.
+func forEachSequence(base, n int, nonDecreasing bool, f func([]int)) {
 	digits := make([]int, n)
-	var turn func(i int)
-	turn = func(i int) {
+	var setDigit func(i int)
+	setDigit = func(i int) {
 		if i == n {
 			f(digits)
 			return
 		}
 		from := 0
-		if rising && i > 0 {
+		if nonDecreasing && i > 0 {
 			from = digits[i-1]
 		}
 		for d := from; d < base; d++ {
 			digits[i] = d
-			turn(i + 1)
+			setDigit(i + 1)
 		}
 	}
-	turn(0)
+	setDigit(0)
 }
 
 // The whole grid with -exhaustive, else one case of each 500.
 func TestGridAgreesWithBruteForce(t *testing.T) {
-	every := 500
+	interval := 500
 	if *exhaustive {
-		every = 1
+		interval = 1
 	}
 	cases := make(chan *Problem, 64)
 	var wg sync.WaitGroup
@@ -142,15 +142,15 @@
 				if _, err := Solve(p, Options{}); err != nil {
 					conflicts.Add(1)
 				}
-				if err := checkAgreement(p); err != nil && wrong.Add(1) < 5 {
+				if err := compareWithBruteForce(p); err != nil && wrong.Add(1) < 5 {
 					t.Errorf("%+v: %v", *p, err)
 				}
 			}
 		})
 	}
 	n := 0
-	count := grid(func(p *Problem) {
-		if n++; n%every == 0 {
+	count := forEachGridCase(func(p *Problem) {
+		if n++; n%interval == 0 {
 			cases <- p
 		}
 	})
--- a/placement/flownetwork.go
+++ b/placement/flownetwork.go
@@ -2,39 +2,40 @@
 
 import "slices"
 
-// unlimited is the capacity of arcs that bound nothing: more than all load.
+// unlimited is the capacity of arcs that are no bottleneck. It exceeds the total of all loads.
 const unlimited = 1 << 50
 
-// Vertices that every flow network has.
+// The vertices that every flow network has. Those of zones and classes follow them.
 const (
 	source = iota
 	sink
-	relocation // load passes it that the plan in force has on other nodes
-	fixedVertices
+	relocation // load passes it on the way to nodes that do not carry it now
+	fixedVertexCount
 )
 
-// flowNetwork is the flow problem of a branch: load goes from the source by its class and zone of origin to the zone that
-// carries it, and on to the sink. What goes from an origin straight to the sink is not carried.
+// flowNetwork is the minimum-cost flow problem of a branch. Load flows from the source to the vertex of its class and zone of
+// origin, on to the zone that carries it, and on to the sink. Load that flows from the vertex of its origin straight to the
+// sink is not carried.
 type flowNetwork struct {
 	*network
 	index     *index
-	flows     []int // arcs by class, zone of origin and zone; -1: not allowed
-	uncarried []int // arcs by class and zone of origin
-	required  int64 // units that Spread constraints require
+	flows     []int // arcs by class, zone of origin and destination zone; -1 without demand or where a constraint forbids the flow
+	uncarried []int // arcs by class and zone of origin, for load that is not carried
+	required  int64 // total of the minimum loads that Spread constraints require of zones
 }
 
-func (n *flowNetwork) origin(class, zone int) int {
-	return fixedVertices + n.index.demandAt(class, zone)
+func (n *flowNetwork) originVertex(class, zone int) int {
+	return fixedVertexCount + n.index.demandPosition(class, zone)
 }
 
-func (n *flowNetwork) destination(class, zone int) int {
-	return n.origin(len(n.index.classes)+class, zone)
+func (n *flowNetwork) destinationVertex(class, zone int) int {
+	return n.originVertex(len(n.index.classes)+class, zone)
 }
 
-func (n *flowNetwork) zone(zone int) int { return n.origin(2*len(n.index.classes), zone) }
+func (n *flowNetwork) zoneVertex(zone int) int { return n.originVertex(2*len(n.index.classes), zone) }
 
-// goalPosition is where the sum of a goal stands in a cost, after the violations of constraints. Fullest is no sum, and has
-// none.
+// goalPosition returns the position of a goal in a cost. Position 0 holds the violations of constraints, and the goals follow
+// in their order. Fullest is not a sum over flows and has no position; the result for it is meaningless.
 func (s *planner) goalPosition(goal Goal) int {
 	position := 1
 	for _, g := range s.problem.order() {
@@ -48,13 +49,13 @@
 	return -1
 }
 
-// goalsBeforeFullest are the goals that count more than the fullest node.
+// goalsBeforeFullest returns the goals that take precedence over Fullest.
 func (s *planner) goalsBeforeFullest() []Goal {
 	order := s.problem.order()
 	return order[:slices.Index(order, Fullest)]
 }
 
-// unitCosts are the costs of a unit of load by goal; 0 for goals that are left out.
+// unitCosts holds the cost of one unit of load in each goal, which is zero for goals that are left out.
 type unitCosts struct{ uncarried, crossing, move cost }
 
 func (s *planner) unitCosts(goals []Goal) unitCosts {
@@ -67,14 +68,14 @@
 	return unitCosts{uncarried: unit(Uncarried), crossing: unit(Crossings), move: unit(Moved)}
 }
 
-// buildNetwork makes the flow network of a branch where nodes have the given capacities. Its costs are the violations of
-// constraints and the goals given.
+// buildNetwork returns the flow network of a branch for the given capacities of the nodes. Its costs are the violations of
+// constraints and the given goals.
 func (s *planner) buildNetwork(b branch, capacities []int64, goals []Goal) *flowNetwork {
 	x := s.index
 	unit := s.unitCosts(goals)
-	vertices := fixedVertices + (2*len(x.classes)+1)*len(x.zones)
+	vertices := fixedVertexCount + (2*len(x.classes)+1)*len(x.zones)
 	n := &flowNetwork{network: newNetwork(vertices), index: x}
-	n.add(relocation, sink, b.moveLimit(), cost{})
+	n.addArc(relocation, sink, b.moveLimit(), cost{})
 	for class := range x.classes {
 		n.addDemands(b, class, unit)
 		n.addDestinations(b.minLoads(x, class), class)
@@ -85,7 +86,7 @@
 	return n
 }
 
-// addDemands adds the arcs of a class from the source to the zones that may carry it.
+// addDemands adds the arcs of a class from the source to the zones that may carry it, and to the sink.
 func (n *flowNetwork) addDemands(b branch, class int, unit unitCosts) {
 	name := n.index.classes[class]
 	uncarriedCost := unit.uncarried
@@ -93,43 +94,44 @@
 		uncarriedCost[0]++
 	}
 	for from, load := range n.index.demand[class] {
-		origin := n.origin(class, from)
-		n.add(source, origin, load, cost{})
-		n.uncarried = append(n.uncarried, n.add(origin, sink, load, uncarriedCost))
+		origin := n.originVertex(class, from)
+		n.addArc(source, origin, load, cost{})
+		n.uncarried = append(n.uncarried, n.addArc(origin, sink, load, uncarriedCost))
 		for to, crossingCost := range n.index.crossingCost[from] {
 			arc := -1
-			if load > 0 && b.allows(n.index, name, from, to) {
-				arc = n.add(origin, n.destination(class, to), load, unit.crossing.times(crossingCost))
+			if load > 0 && b.allowsFlow(n.index, name, from, to) {
+				arc = n.addArc(origin, n.destinationVertex(class, to), load, unit.crossing.times(crossingCost))
 			}
 			n.flows = append(n.flows, arc)
 		}
 	}
 }
 
-// addDestinations adds the arcs by which a class reaches the zones. The load that must be there costs -1, so that as much as
-// possible of it is carried.
+// addDestinations adds the arcs between a class and the zones that carry it. Up to the minimum load of a zone, each unit has a
+// violation cost of -1, so that as much of the minimum load as possible is carried there.
 func (n *flowNetwork) addDestinations(minLoads []int64, class int) {
 	for zone, minLoad := range minLoads {
 		if minLoad > 0 {
 			n.required += minLoad
-			n.add(n.destination(class, zone), n.zone(zone), minLoad, cost{-1})
+			n.addArc(n.destinationVertex(class, zone), n.zoneVertex(zone), minLoad, cost{-1})
 		}
-		n.add(n.destination(class, zone), n.zone(zone), unlimited, cost{})
+		n.addArc(n.destinationVertex(class, zone), n.zoneVertex(zone), unlimited, cost{})
 	}
 }
 
-// addZone adds the arcs for what a zone's nodes can carry, with and without a move.
+// addZone adds the arcs for the capacity of a zone's nodes: one for the load that can stay where it is in the current plan,
+// and one for load that moves.
 func (n *flowNetwork) addZone(zone int, capacities []int64, unit unitCosts) {
 	unmoved, total := int64(0), int64(0)
 	for _, node := range n.index.nodesInZone[zone] {
 		total += capacities[node]
 		unmoved += min(capacities[node], n.index.nodes[node].CurrentLoad)
 	}
-	n.add(n.zone(zone), sink, unmoved, cost{})
-	n.add(n.zone(zone), relocation, total-unmoved, unit.move)
+	n.addArc(n.zoneVertex(zone), sink, unmoved, cost{})
+	n.addArc(n.zoneVertex(zone), relocation, total-unmoved, unit.move)
 }
 
-// moveLimit is how many units of load may move.
+// moveLimit returns the number of units of load that may move.
 func (b branch) moveLimit() int64 {
 	limit := int64(unlimited)
 	for _, c := range b.constraints {
@@ -140,14 +142,14 @@
 	return limit
 }
 
-// mustCarry reports whether all load of a class is to be carried.
+// mustCarry reports whether all load of a class must be carried.
 func (b branch) mustCarry(class string) bool {
 	return slices.ContainsFunc(b.constraints, func(c Constraint) bool {
 		return c.Kind == Carry && (c.Class == "" || c.Class == class)
 	})
 }
 
-// minLoads is how much of a class each zone must carry by the decisions on Spread constraints.
+// minLoads returns the minimum load of a class in each zone that the decisions on Spread constraints require.
 func (b branch) minLoads(x *index, class int) []int64 {
 	minLoads := make([]int64, len(x.zones))
 	for i, c := range b.constraints {
@@ -161,8 +163,8 @@
 	return minLoads
 }
 
-// allows reports whether load of a class may go from a zone to another.
-func (b branch) allows(x *index, class string, from, to int) bool {
+// allowsFlow reports whether a zone may carry load of a class that originates in another.
+func (b branch) allowsFlow(x *index, class string, from, to int) bool {
 	for i, c := range b.constraints {
 		switch {
 		case c.Kind == Keep && c.Class == class && len(c.Zones) == 0:
--- a/placement/index.go
+++ b/placement/index.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// index is a Problem with numbers in place of names, in the canonical order: zones, classes and nodes by name.
+// index holds the figures of a Problem with numbers in place of names. Zones, classes and nodes are numbered in a canonical
+// order: zones and classes by name, nodes by zone and then ID.
 type index struct {
 	zones        []string
 	classes      []string
-	nodes        []Node    // by zone, then ID
-	nodesInZone  [][]int   // by zone
-	demand       [][]int64 // by class and zone
+	nodes        []Node    // in the order of their zones, then of their IDs
+	nodesInZone  [][]int   // numbers of nodes, by zone
+	demand       [][]int64 // by class and zone of origin
 	totalDemand  int64
-	crossingCost [][]int64 // by zone of origin and zone
+	crossingCost [][]int64 // by zone of origin and destination zone
 }
 
 func (p *Problem) index() *index {
@@ -72,8 +73,10 @@
 	}
 }
 
-// demandAt is the position of a demand in a list by class and zone.
-func (x *index) demandAt(class, zone int) int { return class*len(x.zones) + zone }
+// demandPosition returns the position of a demand in a list that is ordered by class and zone of origin.
+func (x *index) demandPosition(class, zone int) int { return class*len(x.zones) + zone }
 
-// flowAt is the position of a flow in a list by class, zone of origin and zone.
-func (x *index) flowAt(class, from, to int) int { return x.demandAt(class, from)*len(x.zones) + to }
+// flowPosition returns the position of a flow in a list that is ordered by class, zone of origin and destination zone.
+func (x *index) flowPosition(class, from, to int) int {
+	return x.demandPosition(class, from)*len(x.zones) + to
+}
--- a/placement/mincost.go
+++ b/placement/mincost.go
@@ -2,10 +2,10 @@
 
 import "container/heap"
 
-// fill sends as much as possible from a source to a sink at the least cost, by successive shortest paths. It returns the cost
-// and the potentials of the vertices: with them no arc that can carry more has a negative reduced cost, which proves that no
-// flow is cheaper. The network must carry nothing and have no cycles.
-func (n *network) fill(source, sink int) (total cost, potentials []cost) {
+// maximizeFlow computes the maximum flow of minimum cost from a source to a sink by successive shortest paths. It returns the
+// cost of the flow and the potentials of the vertices. With these potentials no arc in the residual graph has a negative
+// reduced cost, which proves that the cost is minimal. The network must carry no flow yet and have no cycles.
+func (n *network) maximizeFlow(source, sink int) (total cost, potentials []cost) {
 	potentials = n.initialPotentials(source)
 	paths := newShortestPaths(n)
 	for {
@@ -26,12 +26,13 @@
 	}
 }
 
-// initialPotentials returns the cost of the cheapest path to each vertex of a network that carries nothing.
+// initialPotentials returns the cost of the cheapest path to each vertex of a network without flow. Costs may be negative, so
+// it uses the Bellman-Ford algorithm.
 func (n *network) initialPotentials(source int) []cost {
 	potentials := make([]cost, len(n.outgoing))
 	reached := make([]bool, len(n.outgoing))
 	reached[source] = true
-	for changed := true; changed; { // a few rounds: paths are short
+	for changed := true; changed; { // takes few rounds because paths are short
 		changed = false
 		for v := range n.outgoing {
 			if !reached[v] {
@@ -48,13 +49,13 @@
 	return potentials
 }
 
-// shortestPaths is Dijkstra's algorithm over reduced costs, with memory that is used again by each search.
+// shortestPaths implements Dijkstra's algorithm over reduced costs. Its memory is reused by each search.
 type shortestPaths struct {
 	network  *network
 	distance []cost
 	reached  []bool
-	done     []bool
-	open     frontier
+	settled  []bool
+	queue    vertexQueue
 }
 
 func newShortestPaths(n *network) *shortestPaths {
@@ -63,65 +64,65 @@
 		network:  n,
 		distance: make([]cost, vertices),
 		reached:  make([]bool, vertices),
-		done:     make([]bool, vertices),
+		settled:  make([]bool, vertices),
 	}
 }
 
-// search finds the distance of each vertex from a source.
+// search computes the distance of each vertex from a source. It leaves reached unset for vertices without a path.
 func (p *shortestPaths) search(source int, potentials []cost) {
 	clear(p.reached)
-	clear(p.done)
+	clear(p.settled)
 	p.reached[source], p.distance[source] = true, cost{}
-	p.open = append(p.open[:0], pathEnd{int32(source), cost{}})
-	for len(p.open) > 0 {
-		end := heap.Pop(&p.open).(pathEnd)
-		if p.done[end.vertex] {
+	p.queue = append(p.queue[:0], queuedVertex{int32(source), cost{}})
+	for len(p.queue) > 0 {
+		end := heap.Pop(&p.queue).(queuedVertex)
+		if p.settled[end.vertex] {
 			continue
 		}
-		p.done[end.vertex] = true
+		p.settled[end.vertex] = true
 		for _, id := range p.network.outgoing[end.vertex] {
 			a := &p.network.arcs[id]
-			if a.residual == 0 || p.done[a.to] {
+			if a.residual == 0 || p.settled[a.to] {
 				continue
 			}
 			d := end.cost.add(a.cost).add(potentials[end.vertex]).sub(potentials[a.to])
 			if !p.reached[a.to] || d.less(p.distance[a.to]) {
 				p.reached[a.to], p.distance[a.to] = true, d
-				heap.Push(&p.open, pathEnd{a.to, d})
+				heap.Push(&p.queue, queuedVertex{a.to, d})
 			}
 		}
 	}
 }
 
-// pathEnd is a vertex with the cost of a path to it.
-type pathEnd struct {
+// queuedVertex is a vertex with the cost of a path to it.
+type queuedVertex struct {
 	vertex int32
 	cost   cost
 }
 
-// frontier is a heap of paths, the cheapest first.
-type frontier []pathEnd
+// vertexQueue is a heap of vertices, ordered by the costs of their paths.
+type vertexQueue []queuedVertex
 
-func (f frontier) Len() int           { return len(f) }
-func (f frontier) Less(i, j int) bool { return f[i].cost.less(f[j].cost) }
-func (f frontier) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *frontier) Push(x any)        { *f = append(*f, x.(pathEnd)) }
+func (f vertexQueue) Len() int           { return len(f) }
+func (f vertexQueue) Less(i, j int) bool { return f[i].cost.less(f[j].cost) }
+func (f vertexQueue) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
+func (f *vertexQueue) Push(x any)        { *f = append(*f, x.(queuedVertex)) }
 
-func (f *frontier) Pop() any {
+func (f *vertexQueue) Pop() any {
 	last := len(*f) - 1
 	end := (*f)[last]
 	*f = (*f)[:last]
 	return end
 }
 
-// augmentation sends flow along all paths of no reduced cost, by depth-first search: many paths share one search for
-// distances.
+// augmentation sends flow along paths with a reduced cost of zero, which it finds by depth-first search. A single search for
+// distances can so serve many paths.
 type augmentation struct {
 	network    *network
 	sink       int
 	potentials []cost
-	next       []int  // by vertex: the first of its arcs that may still lead to the sink
-	onPath     []bool // by vertex
+	next       []int  // by vertex: position of its first outgoing arc that may still lead to the sink
+	onPath     []bool // by vertex: reports whether the current path contains it
 }
 
 func newAugmentation(n *network, sink int, potentials []cost) *augmentation {
@@ -134,10 +135,10 @@
 	}
 }
 
-// sendAll sends as much as possible from a source to the sink, and returns how much that is.
+// sendAll sends flow from a source to the sink until no path is found, and returns the amount.
 func (a *augmentation) sendAll(source int) (total int64) {
 	for {
-		sent := a.send(source, unlimited)
+		sent := a.sendAlongPath(source, unlimited)
 		if sent == 0 {
 			return total
 		}
@@ -145,8 +146,9 @@
 	}
 }
 
-// send sends flow along one path from a vertex to the sink, limit at most, and returns how much; 0 if there is no path.
-func (a *augmentation) send(from int, limit int64) int64 {
+// sendAlongPath sends flow along one path from a vertex to the sink, at most limit, and returns the amount; zero means that
+// there is no path.
+func (a *augmentation) sendAlongPath(from int, limit int64) int64 {
 	if from == a.sink {
 		return limit
 	}
@@ -159,7 +161,7 @@
 		if next.residual == 0 || a.onPath[next.to] || next.cost.add(a.potentials[from]) != a.potentials[next.to] {
 			continue
 		}
-		if sent := a.send(int(next.to), min(limit, next.residual)); sent > 0 {
+		if sent := a.sendAlongPath(int(next.to), min(limit, next.residual)); sent > 0 {
 			a.network.push(id, sent)
 			return sent
 		}
--- a/placement/network.go
+++ b/placement/network.go
@@ -1,7 +1,8 @@
 package placement
 
-// cost is a vector of goals, the first of which counts first. Ordered so, vectors form an ordered group like the whole numbers,
-// which is all that shortest paths require.
+// cost is a vector of costs in lexicographic order: the first component in which two vectors differ decides. With this order
+// and componentwise addition, the vectors form an ordered group like the integers, which is all that shortest-path algorithms
+// require.
 type cost [4]int64
 
 func (c cost) add(other cost) cost {
@@ -34,22 +35,23 @@
 	return false
 }
 
-// network is a directed graph with capacities and costs. Arcs come in pairs: arc i^1 takes back what arc i carries.
+// network is a directed graph with arc capacities and costs. Arcs come in pairs: arc i^1 is the reverse of arc i in the
+// residual graph.
 type network struct {
 	arcs     []arc
-	outgoing [][]int32 // arcs by the vertex that they leave
+	outgoing [][]int32 // numbers of the arcs that leave a vertex, by vertex
 }
 
 type arc struct {
 	to       int32
-	residual int64 // what it may carry in addition
+	residual int64 // capacity that is left
 	cost     cost
 }
 
 func newNetwork(vertices int) *network { return &network{outgoing: make([][]int32, vertices)} }
 
-// add adds an arc and returns its number.
-func (n *network) add(from, to int, capacity int64, c cost) int {
+// addArc adds an arc and its reverse, and returns the number of the arc.
+func (n *network) addArc(from, to int, capacity int64, c cost) int {
 	id := len(n.arcs)
 	n.arcs = append(n.arcs, arc{int32(to), capacity, c}, arc{int32(from), 0, cost{}.sub(c)})
 	n.outgoing[from] = append(n.outgoing[from], int32(id))
@@ -57,10 +59,10 @@
 	return id
 }
 
-// carried returns what an arc carries.
-func (n *network) carried(id int) int64 { return n.arcs[id^1].residual }
+// flowOn returns the flow on an arc.
+func (n *network) flowOn(id int) int64 { return n.arcs[id^1].residual }
 
-// push has an arc carry more.
+// push increases the flow on an arc by an amount. A negative amount decreases the flow.
 func (n *network) push(id int32, amount int64) {
 	n.arcs[id].residual -= amount
 	n.arcs[id^1].residual += amount
--- a/placement/problem.go
+++ b/placement/problem.go
@@ -1,66 +1,67 @@
-// Package placement computes how much load each node of a fleet is to carry, ahead of time and exactly: Solve takes a Problem
-// and returns the best Plan with a proof that none is better, or an InfeasibleError with a minimal set of constraints that
-// can't be met together. Contingencies computes the plans for the loss of nodes.
+// Package placement computes the load that each node of a fleet should carry. Solve takes a Problem and returns the best Plan,
+// with a proof that no plan is better, or an InfeasibleError with a minimal set of constraints that conflict. Contingencies
+// computes plans for the loss of nodes.
 //
-// The solver is a branch and bound over minimum-cost flows. All figures are whole numbers and ties are broken by name, so a
-// result is the same on every machine. The package does no I/O, reads no clock and keeps no state between calls; its functions
-// may be called from several goroutines if none of them changes the same Problem.
+// The solver is a branch and bound over minimum-cost flows. All figures are integers and ties are broken by name, so a problem
+// has the same result on every machine. The package does no I/O, reads no clock and keeps no state between calls. Its
+// functions are safe for concurrent use as long as no goroutine changes a Problem that is in use.
 package placement
 
-// Bounds of a Problem's figures. Sums and products of them stay within 64 bits.
+// Limits of the figures of a Problem. Within them, sums and products of the figures fit into 64 bits.
 const (
-	MaxLoad  = 1_000_000_000 // of one demand, and one node's capacity
-	MaxCost  = 1_000_000     // of one crossing
+	MaxLoad  = 1_000_000_000 // units of load of one demand, and capacity of one node
+	MaxCost  = 1_000_000     // cost of one crossing
 	MaxNodes = 20_000
 	MaxZones = 200
 )
 
-// Node can carry load.
+// Node is a server that can carry load.
 type Node struct {
 	ID          string
 	Zone        string
 	Model       string
-	Capacity    int64 // in units of load; 0: it carries nothing
-	CurrentLoad int64 // in the plan in force, in units of load; moves are counted from it
+	Capacity    int64 // in units of load; zero means that the node carries nothing
+	CurrentLoad int64 // load in the current plan, in units of load; moves are counted from it
 }
 
-// Demand is load that clients of a zone bring, of one class.
+// Demand is the load of one class that the clients of one zone cause, in units of load.
 type Demand struct {
 	Zone  string
 	Class string
 	Load  int64
 }
 
-// Crossing is what a unit of load costs when it comes from one zone and is carried in another. Pairs that are not given cost
-// the Problem's DefaultCost.
+// Crossing gives the cost of a unit of load that originates in zone From and is carried in zone To. A pair of two zones that
+// is not listed costs DefaultCost of the Problem. Load that stays in its zone costs nothing unless the pair is listed.
 type Crossing struct {
 	From, To string
 	Cost     int64
 }
 
-// Kind is what a Constraint demands. The comments on the kinds say which fields of the Constraint they use.
+// Kind is the kind of a Constraint. The comment on each kind says which fields of the Constraint it uses.
 type Kind int
 
-// Kinds of constraints.
+// The kinds of constraints.
 const (
-	Carry       Kind = iota // all load of Class is carried; empty Class: all load
-	Headroom                // no node carries more than Part of its capacity
-	Keep                    // Class is carried in Zones alone; no Zones: in the zone that it comes from
+	Carry       Kind = iota // all load of Class is carried; an empty Class means every class
+	Headroom                // no node carries more than the fraction Part of its capacity
+	Keep                    // Class is carried only in Zones; without Zones, only in its zone of origin
 	KeepOut                 // Class is carried in none of Zones
-	Spread                  // at least Count zones carry Least or more of Class each
-	Share                   // no node carries more than Part of all load
-	Together                // all load of Classes that is carried is carried in one zone
-	Pair                    // a node of Model counts only beside one of With in its zone, each one once
-	Connections             // a node of Model carries at most Count connections of Least load each
-	Moves                   // at most Count units of load go to where the plan in force does not have them
+	Spread                  // at least Count zones carry at least Least units of Class each; a Least of zero counts as 1
+	Share                   // no node carries more than the fraction Part of the total demand
+	Together                // all load of Classes that is carried at all is carried in one zone
+	Pair                    // a node of Model carries load only if paired, one to one, with a node of model With in its zone
+	Connections             // a node of Model carries at most Count connections of Least units each; a Least of zero counts as 1
+	Moves                   // at most Count units of load are on nodes that do not carry them in the current plan
 )
 
-// Constraint is a requirement that plans must meet.
+// Constraint is a requirement that every plan must meet.
 //
-// Plan files hold a hash of the constraints' text, field names included: a renamed or added field makes them out of date.
+// Plan files hold a hash of the constraints as text, which includes the field names. Renaming or adding a field makes existing
+// plan files outdated.
 type Constraint struct {
-	Name    string // unique; reported in conflicts
-	Line    int    // of the file that it was read from; 0: none
+	Name    string // unique within a Problem; named in conflicts
+	Line    int    // line in the file that it was read from; zero means that there is none
 	Kind    Kind
 	Class   string
 	Classes []string
@@ -72,22 +73,22 @@
 	With    string
 }
 
-// Problem is the input of Solve: a fleet, the load to place on it, and the constraints and goals of the placement. Check lists
-// the rules for its figures. Solve and Contingencies do not change it.
+// Problem is the input of Solve: a fleet, the load to place on it, and the constraints and goals of the placement. Check
+// enforces the rules for its figures and names. Solve and Contingencies do not change it.
 type Problem struct {
-	Zones       []string // all of them; a zone may have no node or no demand
+	Zones       []string // every zone; a zone may have no node or no demand
 	Nodes       []Node
 	Demands     []Demand
 	Crossings   []Crossing
-	DefaultCost int64 // of a crossing that is not given
+	DefaultCost int64 // cost of a crossing that is not in Crossings
 	Constraints []Constraint
-	Order       []Goal // the most important goal first; nil: DefaultOrder
+	Order       []Goal // goals, the most important first; nil means DefaultOrder
 }
 
-// Goal names a goal: one field of Goals.
+// Goal names one field of Goals.
 type Goal string
 
-// The goals that plans are compared by.
+// The goals by which plans are compared.
 const (
 	Uncarried Goal = "uncarried"
 	Crossings Goal = "crossings"
@@ -95,7 +96,7 @@
 	Moved     Goal = "moves"
 )
 
-// DefaultOrder is the order in which goals count where a Problem names none.
+// DefaultOrder is the order of the goals, the most important first, for a Problem without an Order.
 var DefaultOrder = []Goal{Uncarried, Crossings, Fullest, Moved}
 
 func (p *Problem) order() []Goal {
--- a/placement/random.go
+++ b/placement/random.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// RandomProblem returns a made-up problem for measurements: demand differs between zones and capacity between models, and all
-// demand is six tenths of all capacity. The same seed gives the same problem.
+// RandomProblem returns a random problem for benchmarks and experiments. Demand varies between zones, and capacity between
+// models. The expected total demand is 60 % of the total capacity. The same arguments give the same problem.
 func RandomProblem(nodes, zones int, seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &Problem{DefaultCost: 10}
--- a/placement/relax.go
+++ b/placement/relax.go
@@ -2,28 +2,32 @@
 
 import "math/bits"
 
-// fullnessScale is the denominator of the search for the fullest node's ratio: finer than the ratios of two nodes can differ.
+// fullnessScale is the denominator in searches for a ratio of load to capacity. 1/fullnessScale is smaller than the difference
+// between any two different ratios of two nodes.
 const fullnessScale = 1 << 61
 
-// loadAt returns a node's load, rounded down, if it is filled to a ratio of fullness to fullnessScale.
-func loadAt(fullness uint64, capacity int64) int64 {
+// loadAtFullness returns the load of a node, rounded down, whose ratio of load to capacity is fullness divided by
+// fullnessScale.
+func loadAtFullness(fullness uint64, capacity int64) int64 {
 	high, low := bits.Mul64(fullness, uint64(capacity))
 	quotient, _ := bits.Div64(high, low, fullnessScale)
 	return int64(quotient)
 }
 
-// minimizeCost fills a network at the least cost. The first part of the cost is the number of violations.
+// minimizeCost computes the maximum flow of minimum cost in a network, and returns its cost and the potentials that prove it
+// minimal. The first component of the cost is the number of units by which constraints are violated.
 func (s *planner) minimizeCost(n *flowNetwork) (total cost, potentials []cost) {
 	s.steps++
-	total, potentials = n.fill(source, sink)
+	total, potentials = n.maximizeFlow(source, sink)
 	total[0] += n.required
 	return total, potentials
 }
 
-// relaxWithoutGoals finds a placement that meets the constraints of a branch, without those that it has not decided, and its
-// cost by the goals before Fullest. It returns nil if there is none.
-func (s *planner) relaxWithoutGoals(b branch) (*candidate, cost) {
-	capacities := s.capacities(b.constraints)
+// solveRelaxationBeforeFullest returns a placement that is optimal in the goals before Fullest, with its cost in these goals.
+// The placement meets all constraints of a branch except those that the branch has no decision on. It is nil if there is no
+// such placement.
+func (s *planner) solveRelaxationBeforeFullest(b branch) (*candidate, cost) {
+	capacities := s.effectiveCapacities(b.constraints)
 	network := s.buildNetwork(b, capacities, s.goalsBeforeFullest())
 	total, _ := s.minimizeCost(network)
 	if total[0] > 0 {
@@ -32,20 +36,20 @@
 	return s.newCandidate(network, capacities), total
 }
 
-// relax finds the best placement that meets the constraints of a branch, without those that it has not decided. It returns
-// nil if there is none.
-func (s *planner) relax(b branch) *candidate {
-	first, total := s.relaxWithoutGoals(b)
+// solveRelaxation returns the best placement that meets all constraints of a branch except those that the branch has no
+// decision on. It returns nil if there is no such placement.
+func (s *planner) solveRelaxation(b branch) *candidate {
+	first, total := s.solveRelaxationBeforeFullest(b)
 	if first == nil {
 		return nil
 	}
 	fullness := s.minFullness(b, first.capacities, total)
-	capacities := s.capacitiesAt(fullness, first.capacities)
+	capacities := s.capacitiesAtFullness(fullness, first.capacities)
 	network := s.buildNetwork(b, capacities, s.problem.order())
 	total, potentials := s.minimizeCost(network)
 	for _, arc := range network.flows {
 		if arc >= 0 {
-			network.minimizeArc(arc, potentials)
+			network.minimizeArcFlow(arc, potentials)
 		}
 	}
 	best := s.newCandidate(network, capacities)
@@ -58,13 +62,14 @@
 	return best
 }
 
-// minFullness finds how full the fullest node must be at least for a branch to have the given cost.
+// minFullness returns the lowest limit on the ratio of load to capacity, as a multiple of 1/fullnessScale, with which the
+// branch can still have the given cost.
 func (s *planner) minFullness(b branch, capacities []int64, want cost) uint64 {
 	goals := s.goalsBeforeFullest()
 	low, high := uint64(0), uint64(fullnessScale)
 	for low < high {
 		middle := low + (high-low)/2
-		total, _ := s.minimizeCost(s.buildNetwork(b, s.capacitiesAt(middle, capacities), goals))
+		total, _ := s.minimizeCost(s.buildNetwork(b, s.capacitiesAtFullness(middle, capacities), goals))
 		if total == want {
 			high = middle
 		} else {
@@ -74,23 +79,24 @@
 	return high
 }
 
-// capacitiesAt returns capacities with all nodes filled to a ratio at most.
-func (s *planner) capacitiesAt(fullness uint64, capacities []int64) []int64 {
+// capacitiesAtFullness returns the capacities, lowered so that no node's ratio of load to capacity exceeds a limit.
+func (s *planner) capacitiesAtFullness(fullness uint64, capacities []int64) []int64 {
 	limited := make([]int64, len(capacities))
 	for i, n := range s.index.nodes {
-		limited[i] = min(capacities[i], loadAt(fullness, n.Capacity))
+		limited[i] = min(capacities[i], loadAtFullness(fullness, n.Capacity))
 	}
 	return limited
 }
 
-// fullestRatio returns the fullness as a ratio of whole numbers: the largest of a node's load to its capacity.
+// fullestRatio returns the exact ratio for a fullness from minFullness: the largest ratio of load to capacity among the nodes
+// at that limit.
 func (s *planner) fullestRatio(fullness uint64, capacities []int64) Ratio {
 	var fullest Ratio
 	if fullness == 0 {
 		return fullest
 	}
 	for i, n := range s.index.nodes {
-		load := loadAt(fullness, n.Capacity)
+		load := loadAtFullness(fullness, n.Capacity)
 		if load <= 0 || load > capacities[i] {
 			continue
 		}
--- a/placement/search.go
+++ b/placement/search.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// decision is what a branch has decided for one constraint that a flow can't express.
+// decision restricts the zones of one Together or Spread constraint in a branch. A flow network can't express these
+// constraints without such decisions.
 type decision struct {
-	hasZone     bool
-	zone        int   // of Together: the one zone that carries the classes
-	forcedZones []int // of Spread: zones that must carry the class
-	nextZone    int   // of Spread: the first zone that is not decided on
+	hasZone     bool  // for Together: zone is decided
+	zone        int   // for Together, if hasZone is set: the zone that carries the classes
+	forcedZones []int // for Spread: the zones that must carry the class
+	nextZone    int   // for Spread: the first zone without a decision
 }
 
-// branch is a node of the search tree: the constraints, with a decision for each.
+// branch is a node of the search tree: the constraints, and one decision for each of them.
 type branch struct {
 	constraints []Constraint
 	decisions   []decision
@@ -20,14 +21,15 @@
 	return branch{constraints, make([]decision, len(constraints))}
 }
 
-// with returns a copy of the branch with another decision for a constraint.
-func (b branch) with(constraint int, d decision) branch {
+// withDecision returns a copy of the branch with a new decision for a constraint.
+func (b branch) withDecision(constraint int, d decision) branch {
 	decisions := slices.Clone(b.decisions)
 	decisions[constraint] = d
 	return branch{b.constraints, decisions}
 }
 
-// split divides a branch by the decisions that there are for a constraint. The last is to be searched first.
+// split returns the child branches of a branch, one for each possible decision on a constraint. The last child should be
+// searched first.
 func (s *planner) split(b branch, constraint int) []branch {
 	if b.constraints[constraint].Kind == Together {
 		return s.splitByZone(b, constraint)
@@ -35,32 +37,35 @@
 	return s.splitBySpread(b, constraint)
 }
 
+// splitByZone returns one branch for each zone that can carry the classes of a Together constraint.
 func (s *planner) splitByZone(b branch, constraint int) []branch {
 	var branches []branch
 	for zone := len(s.index.zones) - 1; zone >= 0; zone-- {
-		branches = append(branches, b.with(constraint, decision{hasZone: true, zone: zone}))
+		branches = append(branches, b.withDecision(constraint, decision{hasZone: true, zone: zone}))
 	}
 	return branches
 }
 
-// splitBySpread decides whether the next zone must carry the class.
+// splitBySpread decides whether the next zone must carry the class of a Spread constraint, and returns a branch for each
+// possible answer.
 func (s *planner) splitBySpread(b branch, constraint int) []branch {
 	var branches []branch
 	d := b.decisions[constraint]
 	undecided := len(s.index.zones) - d.nextZone
 	needed := int(b.constraints[constraint].Count) - len(d.forcedZones)
 	if undecided > needed {
-		branches = append(branches, b.with(constraint, decision{forcedZones: d.forcedZones, nextZone: d.nextZone + 1}))
+		branches = append(branches, b.withDecision(constraint, decision{forcedZones: d.forcedZones, nextZone: d.nextZone + 1}))
 	}
 	if undecided >= needed && needed > 0 {
 		forced := append(slices.Clip(d.forcedZones), d.nextZone)
-		branches = append(branches, b.with(constraint, decision{forcedZones: forced, nextZone: d.nextZone + 1}))
+		branches = append(branches, b.withDecision(constraint, decision{forcedZones: forced, nextZone: d.nextZone + 1}))
 	}
 	return branches
 }
 
-// optimum finds the best plan under the constraints by branch and bound, or nil if none meets them. The relaxation of a branch
-// leaves out the constraints that are not decided; if its best plan meets them all the same, that is the best of the branch.
+// optimum returns the best plan under the constraints, or nil if no plan meets them or the search limit is reached. It is a
+// branch and bound: the relaxation of a branch leaves out the constraints without a decision. If the best placement of the
+// relaxation meets these constraints too, it is the best of the branch.
 func (s *planner) optimum(constraints []Constraint) *Plan {
 	var best, root *candidate
 	proven := true
@@ -70,19 +75,19 @@
 			proven = false
 			break
 		}
-		if best == nil && s.exceedsSearch() {
+		if best == nil && s.checkSearchLimit() {
 			return nil
 		}
 		b := open[len(open)-1]
 		open = open[:len(open)-1]
-		c := s.relax(b)
-		if c == nil || best != nil && !c.betterThan(best) {
+		c := s.solveRelaxation(b)
+		if c == nil || best != nil && !c.isBetterThan(best) {
 			continue
 		}
 		if root == nil {
 			root = c
 		}
-		if constraint := c.firstBroken(b); constraint >= 0 {
+		if constraint := c.firstViolated(b); constraint >= 0 {
 			open = append(open, s.split(b, constraint)...)
 		} else {
 			best = c
@@ -96,17 +101,18 @@
 	return plan
 }
 
-// feasible reports whether any plan meets the constraints. It reports false where the search has exceeded its steps.
-func (s *planner) feasible(constraints []Constraint) bool {
+// isFeasible reports whether any plan meets the constraints. It also returns false if the search limit is reached; the caller
+// must then check searchLimitReached.
+func (s *planner) isFeasible(constraints []Constraint) bool {
 	open := []branch{newBranch(constraints)}
-	for len(open) > 0 && !s.exceedsSearch() {
+	for len(open) > 0 && !s.checkSearchLimit() {
 		b := open[len(open)-1]
 		open = open[:len(open)-1]
-		c, _ := s.relaxWithoutGoals(b)
+		c, _ := s.solveRelaxationBeforeFullest(b)
 		if c == nil {
 			continue
 		}
-		constraint := c.firstBroken(b)
+		constraint := c.firstViolated(b)
 		if constraint < 0 {
 			return true
 		}
--- a/placement/solve.go
+++ b/placement/solve.go
@@ -5,35 +5,37 @@
 	"strings"
 )
 
-// Goals are what plans are compared by, in the Problem's order: less is better in each. Of plans that are equal in all, the
-// one with the least flows is the best, compared by class, zone of origin and zone in the order of names.
+// Goals holds the figures by which plans are compared, in the order of the Problem; less is better in each. If two plans are
+// equal in all of them, the one with the smaller flows is better: the flows are compared one after another, by class, zone of
+// origin and destination zone in the order of their names.
 type Goals struct {
 	Uncarried int64 // units of load that no node carries
-	Crossings int64 // units of load times the cost of their crossing
-	Fullest   Ratio // load to capacity of the fullest node; 0/0: no node carries anything
-	Moves     int64 // units of load that the plan in force has on other nodes
+	Crossings int64 // sum over all units of load of the costs of their crossings
+	Fullest   Ratio // load of the fullest node divided by its capacity; 0/0 means that no node carries load
+	Moves     int64 // units of load on nodes that do not carry them in the current plan
 }
 
-// Flow is load of a class from the zone of its clients to the zone that carries it.
+// Flow is the load of a class that goes from a zone of origin, where its clients are, to the zone that carries it, in units of
+// load.
 type Flow struct {
 	Class, From, To string
 	Load            int64
 }
 
-// Plan is a placement: what each node carries.
+// Plan is a placement: the load that each node carries.
 type Plan struct {
 	Goals
-	Load   map[string]int64 // by node ID; nodes without load have 0
-	Flows  []Flow           // that are not 0, by class, zone of origin and zone
-	Missed []Demand         // load that is not carried
-	Proven bool             // no plan is better; otherwise Bound is the best that one could reach
-	Bound  Goals
-	Steps  int // minimum-cost flows computed
+	Load   map[string]int64 // by node ID, in units of load; zero for a node without load
+	Flows  []Flow           // flows above zero, ordered by class, zone of origin and destination zone
+	Missed []Demand         // load that no node carries
+	Proven bool             // reports whether the search proved that no plan is better
+	Bound  Goals            // goals of the first relaxation; no plan can have better ones
+	Steps  int              // number of minimum-cost flows that were computed
 }
 
-// InfeasibleError says that the constraints can't be met together.
+// InfeasibleError reports that no plan meets all constraints.
 type InfeasibleError struct {
-	Conflict []Relaxation // minimal: without any one of them the others can be met
+	Conflict []Relaxation // a minimal set: without any one of them the others can be met
 }
 
 func (e *InfeasibleError) Error() string {
@@ -45,90 +47,94 @@
 	return text.String()
 }
 
-// Options bound the work of the solver.
+// Options limits the work of the solver.
 type Options struct {
-	// MaxSteps ends the search for a better plan, once one is known, after this many minimum-cost flows. Where none is known
-	// the search ends after searchFactor times as many, or minSearchSteps, with a *StepLimitError. 0 is no bound.
+	// MaxSteps is the number of minimum-cost flows after which Solve returns the best plan so far. As long as there is no
+	// plan, the limit is searchLimitFactor times as many, but at least minSearchLimit, and Solve then returns a
+	// *StepLimitError. Zero means no limit.
 	MaxSteps int
 }
 
 const (
-	// searchFactor is how many times longer a first plan is searched for than a better one.
-	searchFactor = 16
-	// minSearchSteps leaves time for a first plan, of which each branch takes some 70 steps.
-	minSearchSteps = 1 << 13
+	// searchLimitFactor is the ratio of the limit on the search for a first plan to the limit on the search for a better one.
+	searchLimitFactor = 16
+	// minSearchLimit leaves time to find a first plan. Each branch takes about 70 steps.
+	minSearchLimit = 1 << 13
 )
 
-// StepLimitError says that a search ended with Options.MaxSteps before it reached anything.
+// StepLimitError reports that a search reached its step limit before it had a result.
 type StepLimitError struct {
-	Steps      int  // minimum-cost flows computed
-	Infeasible bool // no plan meets the constraints; which of them conflict was not found
+	Steps      int  // number of minimum-cost flows that were computed
+	Infeasible bool // no plan meets the constraints, but the conflict was not found
 }
 
 func (e *StepLimitError) Error() string { return e.Problem() + "; " + e.Remedy() }
 
-// Problem says what was not reached.
+// Problem describes what the search did not find.
 func (e *StepLimitError) Problem() string {
 	if e.Infeasible {
-		return fmt.Sprintf("the constraints can't be met together, and which of them conflict was not found in %d steps", e.Steps)
+		return fmt.Sprintf("the constraints can't be met together, but %d steps were not enough to find the conflict", e.Steps)
 	}
-	return fmt.Sprintf("no plan was found in %d steps, nor shown that there is none", e.Steps)
+	return fmt.Sprintf("%d steps were not enough to find a plan or to prove that there is none", e.Steps)
 }
 
-// Retryable reports whether the same search may succeed later.
+// Retryable reports whether the same search may succeed later. It is always false because searches are deterministic.
 func (e *StepLimitError) Retryable() bool { return false }
 
-// Remedy says what an operator can do.
+// Remedy describes what an operator can do about the error.
 func (e *StepLimitError) Remedy() string {
-	return "allow more steps, or leave out constraints that force a choice of zones"
+	return "allow more steps, or remove constraints that force a choice of zones (spread, together)"
 }
 
-// Solve returns the best plan for a problem. Its error is an *InfeasibleError if no plan meets the constraints, a
-// *StepLimitError if the search ended before that was known, or that of Problem.Check.
+// Solve returns the best plan for a problem. It returns an *InfeasibleError if no plan meets the constraints, a
+// *StepLimitError if it reached the step limit before it found a plan or the conflict, and the error of Problem.Check if the
+// problem is invalid.
 func Solve(p *Problem, o Options) (*Plan, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
 	s := &planner{problem: p, index: p.index(), maxSteps: o.MaxSteps}
-	s.beginSearch()
+	s.setSearchLimit()
 	best := s.optimum(p.Constraints)
-	if s.isExceeded {
+	if s.searchLimitReached {
 		return nil, &StepLimitError{Steps: s.steps}
 	}
 	if best != nil {
 		return best, nil
 	}
-	infeasible := s.explain()
-	if s.isExceeded {
+	infeasible := s.findConflict()
+	if s.searchLimitReached {
 		return nil, &StepLimitError{Steps: s.steps, Infeasible: true}
 	}
 	return nil, infeasible
 }
 
-// planner is the state of one call of Solve.
+// planner holds the state of one call of Solve. A step is the computation of one minimum-cost flow.
 type planner struct {
 	problem  *Problem
 	index    *index
-	maxSteps int // 0: no bound
-	steps    int // minimum-cost flows computed so far
+	maxSteps int // zero means no limit
+	steps    int // steps so far
 
-	searchEnd  int  // steps after which a search without a plan ends; 0: no bound
-	isExceeded bool // a search ended so
+	searchLimit        int  // value of steps at which a search that has no plan ends; zero means no limit
+	searchLimitReached bool // reports whether a search has ended at searchLimit
 }
 
+// isOutOfSteps reports whether the search for a better plan must end.
 func (s *planner) isOutOfSteps() bool { return s.maxSteps > 0 && s.steps >= s.maxSteps }
 
-// beginSearch sets the bound of a search without a plan, from the steps so far on.
-func (s *planner) beginSearch() {
+// setSearchLimit sets the limit of a search that has no plan, counted from the current number of steps.
+func (s *planner) setSearchLimit() {
 	if s.maxSteps > 0 {
-		s.searchEnd = s.steps + max(searchFactor*s.maxSteps, minSearchSteps)
+		s.searchLimit = s.steps + max(searchLimitFactor*s.maxSteps, minSearchLimit)
 	}
 }
 
-// exceedsSearch reports whether a search without a plan has to end, and notes it.
-func (s *planner) exceedsSearch() bool {
-	if s.searchEnd > 0 && s.steps >= s.searchEnd {
-		s.isExceeded = true
+// checkSearchLimit reports whether a search that has no plan must end. It sets searchLimitReached if the limit has been
+// reached.
+func (s *planner) checkSearchLimit() bool {
+	if s.searchLimit > 0 && s.steps >= s.searchLimit {
+		s.searchLimitReached = true
 	}
-	return s.isExceeded
+	return s.searchLimitReached
 }
--- a/placement/solve_test.go
+++ b/placement/solve_test.go
@@ -112,7 +112,7 @@
 		t.Fatalf("%v, want a conflict of 2 constraints", err)
 	}
 	for _, want := range []string{
-		"room (line 3): 805/1000 would do in place of 8/10",
+		"room (line 3): 805/1000 would suffice in place of 8/10",
 		"all (line 5): without it 1 units from west are not carried",
 	} {
 		if !strings.Contains(err.Error(), want) {
@@ -172,11 +172,13 @@
 
 func TestCheckReportsInvalidProblems(t *testing.T) {
 	for want, p := range map[string]*Problem{
-		`node 1: "b" is no zone`:      {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "b"}}},
-		`node "1" is given twice`:     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a"}, {ID: "1", Zone: "a"}}},
-		`capacity -1`:                 {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: -1}}},
-		`demand "a x" is given twice`: {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 1}, {"a", "x", 2}}},
-		`room: 3/2 is no part`:        {Constraints: []Constraint{{Name: "room", Kind: Headroom, Part: Ratio{3, 2}}}},
+		`node 1: zone "b" does not exist`: {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "b"}}},
+		`node "1" is given twice`:         {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a"}, {ID: "1", Zone: "a"}}},
+		`capacity -1`:                     {Zones: []string{"a"}, Nodes: []Node{{ID: "1", Zone: "a", Capacity: -1}}},
+		`demand "a x" is given twice`:     {Zones: []string{"a"}, Demands: []Demand{{"a", "x", 1}, {"a", "x", 2}}},
+		`constraint room: 3/2 is not a fraction between 0 and 1`: {
+			Constraints: []Constraint{{Name: "room", Kind: Headroom, Part: Ratio{3, 2}}},
+		},
 	} {
 		t.Run(want, func(t *testing.T) {
 			if _, err := Solve(p, Options{}); err == nil || !strings.Contains(err.Error(), want) {
--- a/placement/validate.go
+++ b/placement/validate.go
@@ -6,115 +6,120 @@
 	"slices"
 )
 
-// maxRatioDenominator bounds the Part of a Constraint, so that products with loads stay within 64 bits.
+// maxRatioDenominator limits the denominator of a Constraint's Part, so that products with loads fit into 64 bits.
 const maxRatioDenominator = 1_000_000
 
-// Check returns an error that joins all violations of the rules for a Problem, or nil: names are unique and refer to zones
-// that exist, figures are within their bounds, and Order has each goal once.
+// Check returns nil if the problem is valid, or an error that joins all violations. In a valid problem names are unique,
+// references name zones that exist, figures are within their limits, and Order holds each goal exactly once.
 func (p *Problem) Check() error {
 	c := &checker{problem: p}
 	if len(p.Zones) > MaxZones || len(p.Nodes) > MaxNodes {
-		c.report("%d zones and %d nodes are more than %d and %d", len(p.Zones), len(p.Nodes), MaxZones, MaxNodes)
+		c.addError("the problem has %d zones and %d nodes, at most %d and %d are allowed",
+			len(p.Zones), len(p.Nodes), MaxZones, MaxNodes)
 	}
-	c.unique("zone", p.Zones)
-	c.nodes()
-	c.demands()
-	c.crossings()
-	c.constraints()
-	c.goals()
+	c.checkUnique("zone", p.Zones)
+	c.checkNodes()
+	c.checkDemands()
+	c.checkCrossings()
+	c.checkConstraints()
+	c.checkGoals()
 	return errors.Join(c.errs...)
 }
 
-// checker collects what is wrong with a problem.
+// checker collects the violations that Check finds in a problem.
 type checker struct {
 	problem *Problem
 	errs    []error
 }
 
-func (c *checker) report(format string, args ...any) {
+func (c *checker) addError(format string, args ...any) {
 	c.errs = append(c.errs, fmt.Errorf(format, args...))
 }
 
-// zone checks that a zone exists.
-func (c *checker) zone(where, zone string) {
+// checkZone adds an error if a zone does not exist. The text in where says what refers to the zone.
+func (c *checker) checkZone(where, zone string) {
 	if !slices.Contains(c.problem.Zones, zone) {
-		c.report("%s: %q is no zone", where, zone)
+		c.addError("%s: zone %q does not exist", where, zone)
 	}
 }
 
-func (c *checker) unique(what string, names []string) {
+func (c *checker) checkUnique(what string, names []string) {
 	sorted := slices.Sorted(slices.Values(names))
 	for i := 1; i < len(sorted); i++ {
 		if sorted[i] == sorted[i-1] {
-			c.report("%s %q is given twice", what, sorted[i])
+			c.addError("%s %q is given twice", what, sorted[i])
 		}
 	}
 }
 
-func (c *checker) nodes() {
+func (c *checker) checkNodes() {
 	var ids []string
 	for _, n := range c.problem.Nodes {
 		ids = append(ids, n.ID)
-		c.zone("node "+n.ID, n.Zone)
-		if !isLoad(n.Capacity) || !isLoad(n.CurrentLoad) {
-			c.report("node %s: capacity %d or load %d is not within 0 and %d", n.ID, n.Capacity, n.CurrentLoad, MaxLoad)
+		c.checkZone("node "+n.ID, n.Zone)
+		if !isValidLoad(n.Capacity) || !isValidLoad(n.CurrentLoad) {
+			c.addError("node %s: capacity %d and current load %d must be between 0 and %d",
+				n.ID, n.Capacity, n.CurrentLoad, MaxLoad)
 		}
 	}
-	c.unique("node", ids)
+	c.checkUnique("node", ids)
 }
 
-func (c *checker) demands() {
+func (c *checker) checkDemands() {
 	var names []string
 	for _, d := range c.problem.Demands {
-		c.zone("demand", d.Zone)
+		c.checkZone("demand", d.Zone)
 		names = append(names, d.Zone+" "+d.Class)
-		if !isLoad(d.Load) {
-			c.report("demand of %s in %s: %d is not within 0 and %d", d.Class, d.Zone, d.Load, MaxLoad)
+		if !isValidLoad(d.Load) {
+			c.addError("demand of class %s in zone %s: load %d is not between 0 and %d", d.Class, d.Zone, d.Load, MaxLoad)
 		}
 	}
-	c.unique("demand", names)
+	c.checkUnique("demand", names)
 }
 
-func (c *checker) crossings() {
+func (c *checker) checkCrossings() {
 	withDefault := append([]Crossing{{Cost: c.problem.DefaultCost}}, c.problem.Crossings...)
 	for _, crossing := range withDefault {
 		if crossing.From != "" || crossing.To != "" {
-			c.zone("crossing", crossing.From)
-			c.zone("crossing", crossing.To)
+			c.checkZone("crossing", crossing.From)
+			c.checkZone("crossing", crossing.To)
 		}
 		if crossing.Cost < 0 || crossing.Cost > MaxCost {
-			c.report("crossing %s to %s: cost %d is not within 0 and %d", crossing.From, crossing.To, crossing.Cost, MaxCost)
+			c.addError("crossing from %q to %q: cost %d is not between 0 and %d",
+				crossing.From, crossing.To, crossing.Cost, MaxCost)
 		}
 	}
 }
 
-func (c *checker) constraints() {
+func (c *checker) checkConstraints() {
 	var names []string
 	for _, constraint := range c.problem.Constraints {
 		names = append(names, constraint.Name)
 		for _, zone := range constraint.Zones {
-			c.zone(constraint.Name, zone)
+			c.checkZone("constraint "+constraint.Name, zone)
 		}
-		if !isLoad(constraint.Count) || !isLoad(constraint.Least) {
-			c.report("%s: a count is out of range", constraint.Name)
+		if !isValidLoad(constraint.Count) || !isValidLoad(constraint.Least) {
+			c.addError("constraint %s: count %d and least %d must be between 0 and %d",
+				constraint.Name, constraint.Count, constraint.Least, MaxLoad)
 		}
-		if usesPart := constraint.Kind == Headroom || constraint.Kind == Share; usesPart && !isPart(constraint.Part) {
-			c.report("%s: %d/%d is no part", constraint.Name, constraint.Part.Num, constraint.Part.Den)
+		if usesPart := constraint.Kind == Headroom || constraint.Kind == Share; usesPart && !isValidPart(constraint.Part) {
+			c.addError("constraint %s: %d/%d is not a fraction between 0 and 1 with a denominator of at most %d",
+				constraint.Name, constraint.Part.Num, constraint.Part.Den, maxRatioDenominator)
 		}
 	}
-	c.unique("constraint", names)
+	c.checkUnique("constraint", names)
 }
 
-func (c *checker) goals() {
+func (c *checker) checkGoals() {
 	got := slices.Sorted(slices.Values(c.problem.order()))
 	if !slices.Equal(got, slices.Sorted(slices.Values(DefaultOrder))) {
-		c.report("goals: %v is not each of %v once", c.problem.Order, DefaultOrder)
+		c.addError("goals: the order %v must have each of %v exactly once", c.problem.Order, DefaultOrder)
 	}
 }
 
-func isLoad(n int64) bool { return n >= 0 && n <= MaxLoad }
+func isValidLoad(n int64) bool { return n >= 0 && n <= MaxLoad }
 
-// isPart reports whether a ratio is within 0 and 1.
-func isPart(r Ratio) bool {
+// isValidPart reports whether a ratio is between 0 and 1 and its denominator is within maxRatioDenominator.
+func isValidPart(r Ratio) bool {
 	return r.Den > 0 && r.Den <= maxRatioDenominator && r.Num >= 0 && r.Num <= r.Den
 }
