--- a/placement/agreement_test.go
+++ b/placement/agreement_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestMain fixes the seed of rapid, so that each run checks the same problems, and has rapid write no files on failure.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
@@ -22,15 +23,15 @@
 	os.Exit(m.Run())
 }
 
-// compareWithBruteForce compares the solver with brute force: goals and canonical plan, or the conflict, each member of which must be
-// needed.
+// compareWithBruteForce returns an error if the solver and brute force disagree on a problem. They must have the same goals
+// and the same canonical plan. If there is no plan, the conflict of the solver must be a minimal one.
 func compareWithBruteForce(p *Problem) error {
 	want := bruteForce(p)
 	got, err := Solve(p, Options{})
 	var conflict *InfeasibleError
 	if errors.As(err, &conflict) {
 		if want != nil {
-			return fmt.Errorf("no plan, but there is %+v", want)
+			return fmt.Errorf("got no plan, want %+v", want)
 		}
 		return checkConflict(p, conflict)
 	}
@@ -38,18 +39,19 @@
 		return err
 	}
 	if want == nil {
-		return fmt.Errorf("a plan where there is none: %+v", got)
+		return fmt.Errorf("got plan %+v, want a conflict", got)
 	}
 	if diff := cmp.Diff(want.comparable(), toComparable(p, got)); diff != "" {
 		return fmt.Errorf("plan (-brute force +solver):\n%s", diff)
 	}
 	if len(want.unitRatios) > 0 && (Ratio{want.unitRatios[0].unit, want.unitRatios[0].capacity}).reduced() != got.Fullest {
-		return fmt.Errorf("fullest %v, want %v", got.Fullest, want.unitRatios[0])
+		return fmt.Errorf("got fullest %v, want %v", got.Fullest, want.unitRatios[0])
 	}
 	return nil
 }
 
-// checkConflict checks that the constraints of a conflict can't be met together, and can without any one of them.
+// checkConflict returns an error if the constraints of a conflict can be met together, or still can't be met after the removal
+// of any one of them.
 func checkConflict(p *Problem, conflict *InfeasibleError) error {
 	var constraints []Constraint
 	for _, r := range conflict.Conflict {
@@ -57,21 +59,22 @@
 	}
 	problem := *p
 	if problem.Constraints = constraints; bruteForce(&problem) != nil {
-		return fmt.Errorf("%w, but these can be met", conflict)
+		return fmt.Errorf("got a conflict whose constraints can be met together: %w", conflict)
 	}
 	for i := range constraints {
 		problem.Constraints = slices.Delete(slices.Clone(constraints), i, i+1)
 		if bruteForce(&problem) == nil {
-			return fmt.Errorf("%w, of which %s is not needed", conflict, constraints[i].Name)
+			return fmt.Errorf("got a conflict that is not minimal: %w: the others conflict without %s",
+				conflict, constraints[i].Name)
 		}
 	}
 	return nil
 }
 
-// comparableResult is what the solver and brute force must agree on.
+// comparableResult holds the figures that the solver and brute force must agree on.
 type comparableResult struct {
 	Uncarried, Crossings, Moves int64
-	Flows                       []int64 // by class, zone of origin and zone
+	Flows                       []int64 // by class, zone of origin and destination zone
 	Loads                       []int64 // by zone, then node
 }
 
@@ -102,7 +105,7 @@
 	return result
 }
 
-// drawSmallProblem draws a small problem.
+// drawSmallProblem draws a problem that is small enough for brute force.
 func drawSmallProblem(t *rapid.T) *Problem {
 	zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
 	p := &Problem{Zones: zones, DefaultCost: rapid.Int64Range(0, 2).Draw(t, "cost")}
--- a/placement/bruteconstraints_test.go
+++ b/placement/bruteconstraints_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// meetsConstraints reports whether the present placement, with its loads by node, is within the nodes' capacities and meets
-// the problem's constraints.
+// meetsConstraints reports whether the current placement respects the capacities of the nodes and meets all constraints. loads
+// holds the loads of the placement by node.
 func (s *bruteSearch) meetsConstraints(loads []int64) bool {
 	for j, n := range s.nodes {
 		if loads[j] > n.Capacity {
@@ -33,7 +33,7 @@
 	return false
 }
 
-// appliesTo reports whether a constraint names the class of a demand.
+// appliesTo reports whether a constraint restricts the class of a demand.
 func appliesTo(c Constraint, d Demand) bool {
 	return c.Class == d.Class || c.Class == "" && c.Kind == Carry || slices.Contains(c.Classes, d.Class)
 }
@@ -68,7 +68,7 @@
 	return slices.Contains(c.Zones, to)
 }
 
-// countZones counts the zones that carry some load or more of a constraint's classes.
+// countZones returns the number of zones that carry at least minLoad units of the constraint's classes.
 func (s *bruteSearch) countZones(c Constraint, minLoad int64) (count int) {
 	byZone := map[string]int64{}
 	for i, d := range s.demands {
@@ -105,7 +105,7 @@
 	return moved
 }
 
-// meetsPair reports whether the nodes of a model that a pairing keeps are the only ones of it that carry anything.
+// meetsPair reports whether only paired nodes carry load, among the nodes of the Model of a Pair constraint.
 func (s *bruteSearch) meetsPair(c Constraint, loads []int64) bool {
 	for _, z := range s.zones {
 		partners := 0
@@ -128,7 +128,7 @@
 	return true
 }
 
-// countPairedBefore counts the nodes that are paired before one.
+// countPairedBefore returns the number of other nodes that are paired before a node.
 func (s *bruteSearch) countPairedBefore(node int, others []int) (count int) {
 	capacity := s.nodes[node].Capacity
 	for _, k := range others {
--- a/placement/bruteforce_test.go
+++ b/placement/bruteforce_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// bruteForce returns the best plan by trying every one: each unit of each demand goes to each node, or is not carried. It
-// shares no code with the solver but for the problem's form. It returns nil if no plan meets the constraints.
+// bruteForce returns the best plan, which it finds by trying all of them: each unit of each demand on each node, or on none.
+// It returns nil if no plan meets the constraints. It shares no code with the solver except the type Problem.
 func bruteForce(p *Problem) *brutePlan {
 	s := &bruteSearch{
 		problem: p,
@@ -26,18 +26,18 @@
 	return s.best
 }
 
-// bruteSearch is a search through all placements.
+// bruteSearch holds the state of an exhaustive search through all placements.
 type bruteSearch struct {
 	problem     *Problem
 	zones       []string
 	nodes       []Node
 	demands     []Demand
 	totalDemand int64
-	units       [][]int64 // of each demand to each node; the last position is not carried
+	units       [][]int64 // units of load by demand and node; the last position of a demand holds those that are not carried
 	best        *brutePlan
 }
 
-// placeDemand tries all ways for a demand and those that follow it.
+// placeDemand tries all placements of a demand and of all demands after it.
 func (s *bruteSearch) placeDemand(demand int) {
 	if demand == len(s.demands) {
 		s.evaluate()
@@ -46,7 +46,7 @@
 	s.placeUnits(demand, 0, s.demands[demand].Load)
 }
 
-// placeUnits tries all ways to place what is left of a demand on a node and those that follow it.
+// placeUnits tries all placements of the units that are left of a demand on a node and on all nodes after it.
 func (s *bruteSearch) placeUnits(demand, node int, left int64) {
 	if node == len(s.nodes) {
 		s.units[demand][node] = left
@@ -60,7 +60,7 @@
 	s.units[demand][node] = 0
 }
 
-// evaluate compares the present placement with the best, if it meets the constraints.
+// evaluate replaces the best plan by the current placement if that meets the constraints and is better.
 func (s *bruteSearch) evaluate() {
 	b := &brutePlan{loads: make([]int64, len(s.nodes))}
 	for i, d := range s.demands {
@@ -102,33 +102,35 @@
 	return s.problem.DefaultCost
 }
 
-// unitRatio is the position of a unit of load on its node: the k-th of what that can carry.
+// unitRatio is the ratio of load to capacity that a node reaches with one unit of its load, where the units of a node are
+// numbered from 1.
 type unitRatio struct {
 	unit, capacity int64
 	node           int
 }
 
-// compare orders marks by their part of the node, then by node.
+// compare orders unit ratios by their values, then by the positions of their nodes.
 func (m unitRatio) compare(o unitRatio) int {
 	return cmp.Or(cmp.Compare(m.unit*o.capacity, o.unit*m.capacity), cmp.Compare(m.node, o.node))
 }
 
+// brutePlan is a plan found by brute force, with the figures by which plans are compared.
 type brutePlan struct {
-	costs      [2]int64    // not carried, crossings
-	unitRatios []unitRatio // the highest first
+	costs      [2]int64    // load that is not carried, cost of crossings
+	unitRatios []unitRatio // of all units of load, in descending order
 	moves      int64
 	flows      []int64
 	loads      []int64
 }
 
-// compare orders plans as Goals say, then by flows, then by marks.
+// compare orders plans by their goals in the given order, then by flows, then by unit ratios.
 func (b *brutePlan) compare(o *brutePlan, order []Goal) int {
 	fullest := 0
 	if len(b.unitRatios) > 0 && len(o.unitRatios) > 0 {
 		fullest = cmp.Compare(b.unitRatios[0].unit*o.unitRatios[0].capacity, o.unitRatios[0].unit*b.unitRatios[0].capacity)
 	}
 	if len(b.unitRatios) == 0 || len(o.unitRatios) == 0 {
-		fullest = cmp.Compare(len(b.unitRatios), len(o.unitRatios)) // of a plan that carries nothing none is fuller
+		fullest = cmp.Compare(len(b.unitRatios), len(o.unitRatios)) // a plan without load has the lowest ratio
 	}
 	goals := map[Goal]int{
 		Uncarried: cmp.Compare(b.costs[0], o.costs[0]), Crossings: cmp.Compare(b.costs[1], o.costs[1]),
--- a/placement/compare_test.go
+++ b/placement/compare_test.go
@@ -8,10 +8,11 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// The benchmarks here weigh libraries for the part of a problem that is a flow: what is not carried, then crossings. They are
-// why the solver has its own cheapest flows; docs/design/placement.md has the figures.
+// The benchmarks in this file compare libraries with this package's minimum-cost flow, on the flow part of a problem: the goals
+// Uncarried and Crossings. Their results, in docs/design/placement.md, are why the solver has its own implementation.
 
-// simplexForm puts the flow part into the standard form of gonum's simplex: minimise cx where Ax = b, x >= 0.
+// simplexForm converts the flow part of a problem into the standard form of gonum's simplex: minimize cx subject to Ax = b and
+// x >= 0. Z is the number of zones, K that of classes.
 func simplexForm(x *index, caps []int64) (c []float64, a *mat.Dense, b []float64) {
 	Z, K := len(x.zones), len(x.classes)
 	rows, cols := K*Z+Z, K*Z*Z+K*Z+Z
@@ -28,7 +29,7 @@
 				c[col] = float64(x.crossingCost[z][to])
 			}
 			a.Set(row, K*Z*Z+row, 1)
-			c[K*Z*Z+row] = 1e6 // not carried: far dearer than any crossing, but no goal of its own
+			c[K*Z*Z+row] = 1e6 // cost of load that is not carried: far above that of any crossing, but not a separate goal
 		}
 	}
 	for z := range Z {
@@ -68,8 +69,8 @@
 	}
 }
 
-// BenchmarkFlowByGophersat places single units, as the pseudo-Boolean optimiser knows only those: one variable for each unit
-// and node, a unit in one place or none, a cap on each node.
+// BenchmarkFlowByGophersat places single units of load, since a pseudo-Boolean optimizer has only Boolean variables. There is
+// one variable for each unit and node, each unit is on exactly one node, and the number of units on a node is limited.
 func BenchmarkFlowByGophersat(b *testing.B) {
 	for _, units := range []int{6, 12, 18} {
 		b.Run(fleetName(units, 3), func(b *testing.B) {
--- a/placement/digest_test.go
+++ b/placement/digest_test.go
@@ -18,10 +18,10 @@
 	"example.org/milletvane/placement"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew")
+var update = flag.Bool("update", false, "rewrite the files in testdata")
 
-// compareLines compares lines with those of a file in testdata, or writes the file with -update. It returns the number of
-// the first line that differs, or -1.
+// compareLines compares lines with a file in testdata, or writes the file with -update. It returns the position of the first
+// line that differs, or -1.
 func compareLines(t *testing.T, file string, got []string) (firstDifference int) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -37,7 +37,7 @@
 	}
 	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if len(got) != len(want) {
-		t.Errorf("%s: %d lines, want %d", path, len(got), len(want))
+		t.Errorf("%s: got %d lines, want %d", path, len(got), len(want))
 	}
 	firstDifference = -1
 	reported := 0
@@ -55,7 +55,8 @@
 	return firstDifference
 }
 
-// compareDigests compares a digest of each transcript with a file in testdata, and shows the first that differs.
+// compareDigests compares the digests of transcripts with a file in testdata, and logs the first transcript whose digest
+// differs.
 func compareDigests(t *testing.T, file string, transcripts []string) {
 	t.Helper()
 	var lines []string
@@ -63,21 +64,22 @@
 		lines = append(lines, fmt.Sprintf("%04d %.16x", seed, sha256.Sum256([]byte(text))))
 	}
 	if i := compareLines(t, file, lines); i >= 0 && i < len(transcripts) {
-		t.Logf("seed %d gives:\n%s", i, transcripts[i])
+		t.Logf("transcript of seed %d:\n%s", i, transcripts[i])
 	}
 }
 
 var (
-	zoneNames  = []string{"south", "east", "west", "north"} // not in their order
+	zoneNames  = []string{"south", "east", "west", "north"} // unsorted on purpose
 	classNames = []string{"feed", "chat", "bulk"}
 	modelNames = []string{"large", "small", "old"}
 )
 
+// randomChance returns true with a probability given in percent.
 func randomChance(rng *rand.Rand, percent int) bool { return rng.IntN(100) < percent }
 
 func randomElement[T any](rng *rand.Rand, of []T) T { return of[rng.IntN(len(of))] }
 
-// randomSubset returns each with the given chance, in their order.
+// randomSubset returns each element with a probability given in percent, in their order.
 func randomSubset[T any](rng *rand.Rand, of []T, percent int) (some []T) {
 	for _, v := range of {
 		if randomChance(rng, percent) {
@@ -87,15 +89,16 @@
 	return some
 }
 
-// problemSize bounds a drawn problem.
+// problemSize limits the size and the figures of a random problem.
 type problemSize struct {
-	zones, nodes, classes int   // at most
-	load, cost            int64 // of a demand, of a crossing: below this
-	factor                int64 // of every load and capacity
+	zones, nodes, classes int   // largest numbers
+	load, cost            int64 // exclusive upper limits of the load of a demand and the cost of a crossing
+	factor                int64 // multiplier of every load and capacity
 }
 
-// randomSize draws what most problems are like. One in seven has large figures, that no node's capacity divides, and one in
-// seven figures so small that many plans are equal in every goal.
+// randomSize returns the size of a random problem. One problem in twelve has the maximum number of zones, nodes and classes.
+// About one in seven has large figures: all loads and capacities are multiplied by the prime 97, which tests ratios that do
+// not divide evenly. About one in eight has figures so small that many plans are equal in every goal.
 func randomSize(rng *rand.Rand) problemSize {
 	s := problemSize{zones: 1 + rng.IntN(3), nodes: rng.IntN(8), classes: 2, load: 40, cost: 12, factor: 1}
 	if randomChance(rng, 8) {
@@ -112,7 +115,7 @@
 	return s
 }
 
-// randomProblem draws a problem of a size, without constraints.
+// randomProblem returns a random problem of a size, without constraints.
 func randomProblem(rng *rand.Rand, s problemSize) *placement.Problem {
 	p := &placement.Problem{Zones: zoneNames[:s.zones], DefaultCost: rng.Int64N(5)}
 	hasPlan := randomChance(rng, 70)
@@ -149,7 +152,7 @@
 	return p
 }
 
-// randomConstraints draws up to four constraints, of every kind, in an order of their own.
+// randomConstraints returns up to four random constraints of any kind in random order.
 func randomConstraints(rng *rand.Rand, zones []string, factor int64) (list []placement.Constraint) {
 	class := func() string { return randomElement(rng, classNames) }
 	kinds := []func() placement.Constraint{
@@ -182,7 +185,10 @@
 			return placement.Constraint{Kind: placement.Together, Classes: randomSubset(rng, classNames, 70)}
 		},
 		func() placement.Constraint {
-			return placement.Constraint{Kind: placement.Pair, Model: randomElement(rng, modelNames), With: randomElement(rng, modelNames)}
+			return placement.Constraint{
+				Kind: placement.Pair, Model: randomElement(rng, modelNames),
+				With: randomElement(rng, modelNames),
+			}
 		},
 		func() placement.Constraint {
 			return placement.Constraint{
@@ -198,7 +204,7 @@
 	for i := range rng.IntN(5) {
 		c := randomElement(rng, kinds)()
 		if c.Kind == placement.Spread || c.Kind == placement.Together {
-			if hasBranchingConstraint { // several of these take the solver long
+			if hasBranchingConstraint { // the solver takes long with several of these
 				continue
 			}
 			hasBranchingConstraint = true
@@ -229,7 +235,8 @@
 	}
 }
 
-// numbersAndZones are the numbers and zones that a text names: what it says, apart from its wording.
+// numbersAndZones matches the numbers and zone names in the text of a relaxation. Digests contain only these, so that they do
+// not depend on the wording.
 var numbersAndZones = regexp.MustCompile(`\d+|\b(?:` + strings.Join(zoneNames, "|") + `)\b`)
 
 func describeConflict(b *strings.Builder, e *placement.InfeasibleError) {
@@ -239,7 +246,8 @@
 	}
 }
 
-// describeSolution writes down what the solver makes of a problem, and returns the plan if there is one.
+// describeSolution writes the plan that the solver returns for a problem, or the conflict, to b. It returns the plan, or nil
+// if there is none.
 func describeSolution(t *testing.T, b *strings.Builder, p *placement.Problem, o placement.Options) *placement.Plan {
 	t.Helper()
 	plan, err := placement.Solve(p, o)
@@ -255,7 +263,7 @@
 	return plan
 }
 
-// describeContingencies writes down what is planned for losses from a plan.
+// describeContingencies writes the contingencies for losses from a plan to b.
 func describeContingencies(t *testing.T, b *strings.Builder, p *placement.Problem, plan *placement.Plan,
 	batches []placement.Batch,
 ) {
@@ -276,7 +284,7 @@
 	}
 }
 
-// solveOutcome is what became of a drawn problem.
+// solveOutcome is the kind of result that the solver returns for a problem.
 type solveOutcome int
 
 const (
@@ -285,7 +293,7 @@
 	conflicting
 )
 
-// problemTranscript writes down what is planned for the problem of a seed.
+// problemTranscript returns the result for the random problem of a seed as text, and the kind of that result.
 func problemTranscript(t *testing.T, seed uint64) (string, solveOutcome) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 20))
@@ -307,7 +315,7 @@
 	return b.String(), proven
 }
 
-// forEachSeed calls f with the seeds below a number, on a few goroutines.
+// forEachSeed calls f with every seed below a number, on a few goroutines at a time.
 func forEachSeed(seeds int, f func(seed int)) {
 	const workers = 4
 	var wg sync.WaitGroup
@@ -321,23 +329,23 @@
 	wg.Wait()
 }
 
-// What the solver returns for drawn problems is what it was: plans with their costs, or conflicts.
+// Guards against changed results: the plans, with their goals, and the conflicts for random problems must be as recorded.
 func TestRandomProblemDigests(t *testing.T) {
 	const seeds = 240
-	transcripts, verdicts := make([]string, seeds), make([]solveOutcome, seeds)
-	forEachSeed(seeds, func(seed int) { transcripts[seed], verdicts[seed] = problemTranscript(t, uint64(seed)) })
+	transcripts, outcomes := make([]string, seeds), make([]solveOutcome, seeds)
+	forEachSeed(seeds, func(seed int) { transcripts[seed], outcomes[seed] = problemTranscript(t, uint64(seed)) })
 	counts := map[solveOutcome]int{}
-	for _, v := range verdicts {
+	for _, v := range outcomes {
 		counts[v]++
 	}
-	t.Logf("%d plans proven, %d not, %d conflicts", counts[proven], counts[unproven], counts[conflicting])
+	t.Logf("%d proven plans, %d unproven plans, %d conflicts", counts[proven], counts[unproven], counts[conflicting])
 	if counts[proven] < 100 || counts[unproven] < 3 || counts[conflicting] < 40 {
-		t.Error("too few of a kind are drawn")
+		t.Error("too few random problems for a kind of result, want at least 100 proven, 3 unproven and 40 conflicts")
 	}
 	compareDigests(t, "problems.txt", transcripts)
 }
 
-// contingencyTranscript writes down what is planned for losses from the plan of a seed's problem.
+// contingencyTranscript returns the contingencies for the random problem of a seed as text.
 func contingencyTranscript(t *testing.T, seed uint64) string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 26))
@@ -369,7 +377,7 @@
 	return b.String()
 }
 
-// The same for what is planned for losses.
+// Guards against changed results: the contingencies for random problems must be as recorded.
 func TestRandomContingencyDigests(t *testing.T) {
 	transcripts := make([]string, 60)
 	forEachSeed(len(transcripts), func(seed int) { transcripts[seed] = contingencyTranscript(t, uint64(seed)) })
@@ -382,14 +390,15 @@
 			counts[what] += strings.Count(text, what)
 		}
 		if counts[what] == 0 {
-			t.Errorf("no %s is drawn", what)
+			t.Errorf("no transcript contains %q", what)
 		}
 	}
 	t.Log(counts)
 	compareDigests(t, "losses.txt", transcripts)
 }
 
-// What is found within bounds on the steps: just under, at and just over what each further branch takes.
+// Guards against changed step limits: the results with MaxSteps just below, at and just above the steps that each further
+// branch takes must be as recorded.
 func TestStepBounds(t *testing.T) {
 	p := &placement.Problem{
 		Zones: []string{"east", "north", "west"},
@@ -427,7 +436,8 @@
 	compareLines(t, "steps.txt", lines)
 }
 
-// The same for made-up sites, with more nodes and constraints that bind there, and for the sites themselves.
+// Guards against changed results on larger fleets: the random fleets of RandomProblem, and their plans with additional
+// constraints that restrict them, must be as recorded.
 func TestRandomFleetDigests(t *testing.T) {
 	var transcripts []string
 	for seed := range uint64(8) {
@@ -461,13 +471,13 @@
 	compareDigests(t, "sites.txt", transcripts)
 }
 
-// problemChange makes one change to a sound problem.
+// problemChange is a single change to a valid problem.
 type problemChange struct {
 	name  string
 	apply func(*placement.Problem)
 }
 
-// referenceChanges are changes of what names what.
+// referenceChanges returns changes to names and to references to them.
 func referenceChanges() []problemChange {
 	return []problemChange{
 		{"none", func(*placement.Problem) {}},
@@ -485,7 +495,7 @@
 	}
 }
 
-// sizeAndGoalChanges are changes of how many there are, and of the goals.
+// sizeAndGoalChanges returns changes to the goals and to the numbers of zones and nodes.
 func sizeAndGoalChanges() []problemChange {
 	return []problemChange{
 		{"goal left out", func(p *placement.Problem) { p.Order = placement.DefaultOrder[1:] }},
@@ -518,7 +528,7 @@
 	}
 }
 
-// figureChanges set each figure of a sound problem to its bounds and beyond them.
+// figureChanges returns changes that set each figure of a problem to its limits and beyond them.
 func figureChanges() (changes []problemChange) {
 	for _, f := range []struct {
 		name string
@@ -577,7 +587,7 @@
 	return changes
 }
 
-// validProblem is what the changes are made to.
+// validProblem returns the problem that the changes apply to.
 func validProblem() *placement.Problem {
 	return &placement.Problem{
 		Zones: []string{"east", "west"},
@@ -596,7 +606,8 @@
 	}
 }
 
-// Which problems are sound: one change of a sound one at a time, at the bounds and beyond them.
+// Guards against changed validation rules: a valid problem with one change at a time, up to the limits and beyond them, must
+// be accepted or rejected as recorded.
 func TestProblemsAcceptedAndRejected(t *testing.T) {
 	var lines []string
 	for _, c := range slices.Concat(referenceChanges(), sizeAndGoalChanges(), figureChanges()) {
@@ -606,7 +617,7 @@
 		if p.Check() != nil {
 			verdict = "rejected"
 			if plan, err := placement.Solve(p, placement.Options{}); plan != nil || err == nil {
-				t.Errorf("%s: solved all the same", c.name)
+				t.Errorf("%s: Solve accepted a problem that Check rejects", c.name)
 			}
 		}
 		lines = append(lines, c.name+": "+verdict)
--- a/placement/distribute_test.go
+++ b/placement/distribute_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// distributeByUnits is distribute with one unit moved after the other.
+// distributeByUnits is a reference implementation of distribute that moves one unit of load at a time.
 func distributeByUnits(nodes []Node, capacities []int64, load int64) []int64 {
 	loads := make([]int64, len(nodes))
 	total := int64(0)
@@ -22,7 +22,8 @@
 	for ; total < load; total++ {
 		best := -1
 		for i := range nodes {
-			isFirst := best < 0 || Ratio{loads[i] + 1, max(nodes[i].Capacity, 1)}.less(Ratio{loads[best] + 1, max(nodes[best].Capacity, 1)})
+			isFirst := best < 0 ||
+				Ratio{loads[i] + 1, max(nodes[i].Capacity, 1)}.less(Ratio{loads[best] + 1, max(nodes[best].Capacity, 1)})
 			if loads[i] < capacities[i] && isFirst {
 				best = i
 			}
@@ -35,7 +36,8 @@
 	for ; total > load; total-- {
 		best := -1
 		for i := range nodes {
-			isFirst := best < 0 || !Ratio{loads[i], max(nodes[i].Capacity, 1)}.less(Ratio{loads[best], max(nodes[best].Capacity, 1)})
+			isFirst := best < 0 ||
+				!Ratio{loads[i], max(nodes[i].Capacity, 1)}.less(Ratio{loads[best], max(nodes[best].Capacity, 1)})
 			if loads[i] > 0 && isFirst {
 				best = i
 			}
@@ -48,6 +50,7 @@
 	return loads
 }
 
+// The distribution of random loads must equal that of the reference implementation.
 func TestDistributeMatchesSingleUnits(t *testing.T) {
 	for seed := range uint64(4000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -66,12 +69,14 @@
 		load := rng.Int64N(total + 2)
 		want := distributeByUnits(nodes, capacities, load)
 		if diff := cmp.Diff(want, distribute(nodes, capacities, load)); diff != "" {
-			t.Fatalf("seed %d: %d units over %+v within %v (-want +got):\n%s", seed, load, nodes, capacities, diff)
+			t.Fatalf("seed %d: loads of %d units on nodes %+v with capacities %v (-want +got):\n%s",
+				seed, load, nodes, capacities, diff)
 		}
 	}
 }
 
-// Guards against loads of nearly equal nodes that are levelled one unit at a time.
+// Guards against a distribution that moves one unit at a time between nodes of nearly equal capacity, which takes time in
+// proportion to the load.
 func TestLargeLoadsAreDistributedInTime(t *testing.T) {
 	for _, current := range []int64{0, MaxLoad / 2, MaxLoad} {
 		var nodes []Node
@@ -87,15 +92,15 @@
 			total += l
 		}
 		if total != load {
-			t.Errorf("%d units are distributed of %d", total, load)
+			t.Errorf("got %d units distributed, want %d", total, load)
 		}
 		if elapsed := time.Since(begun); elapsed > time.Second {
-			t.Errorf("it took %v", elapsed)
+			t.Errorf("distribute took %v, want at most 1s", elapsed)
 		}
 	}
 }
 
-// Guards against a solver that does not end with loads near the largest that are allowed.
+// Guards against a solver that does not finish when loads are close to MaxLoad.
 func TestLargeProblemsAreSolvedInTime(t *testing.T) {
 	p := RandomProblem(24, 4, 3)
 	for i := range p.Nodes {
@@ -118,12 +123,13 @@
 		checkPlan(t, p, plan)
 	}
 	if elapsed := time.Since(begun); elapsed > 20*time.Second {
-		t.Errorf("it took %v", elapsed)
+		t.Errorf("Solve took %v, want at most 20s", elapsed)
 	}
 }
 
-// Guards against a search without a bound where no plan is found: each class is to be in one zone alone, none of which has
-// room for all, with as many ways to try as there are zones to the power of the constraints.
+// Guards against an unlimited search when no plan is found. Each class must be carried whole and in a single zone, each zone
+// has room for one class, and there are more classes than zones. The number of branches is the number of zones to the power of
+// the number of classes.
 func TestSearchWithoutAPlanEndsWithItsSteps(t *testing.T) {
 	p := &Problem{Zones: []string{"a", "b", "c", "d", "e", "f"}, DefaultCost: 1}
 	for i, zone := range p.Zones {
@@ -139,12 +145,12 @@
 	_, err := Solve(p, Options{MaxSteps: 10})
 	var stepLimit *StepLimitError
 	if !errors.As(err, &stepLimit) {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("got error %v, want a *StepLimitError", err)
 	}
 	if stepLimit.Steps < minSearchLimit || stepLimit.Steps > 3*minSearchLimit {
-		t.Errorf("%d steps were taken", stepLimit.Steps)
+		t.Errorf("got %d steps, want %d to %d", stepLimit.Steps, minSearchLimit, 3*minSearchLimit)
 	}
 	if text := stepLimit.Error(); !strings.Contains(text, "steps") || stepLimit.Retryable() {
-		t.Errorf("the error says %q", text)
+		t.Errorf("got error %q, retryable %t; want one about steps that is not retryable", text, stepLimit.Retryable())
 	}
 }
--- a/placement/exhaustive_test.go
+++ b/placement/exhaustive_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-var exhaustive = flag.Bool("exhaustive", false, "compare with brute force on the whole grid; it takes minutes")
+var exhaustive = flag.Bool("exhaustive", false, "compare with brute force on the whole grid, which takes minutes")
 
-// constraintSets are none, each constraint alone, and each two together.
+// constraintSets returns the empty set, each constraint alone, and each pair of constraints.
 func constraintSets() [][]Constraint {
 	all := []Constraint{
 		{Kind: Carry},
@@ -40,9 +40,10 @@
 	return sets
 }
 
-// forEachGridCase calls f with every case: 1 to 3 zones, up to 6 nodes in every way over the zones, capacities 0, 1 and 2 (1 and 2 from
-// four nodes on), demands 0, 1 and 2 of each zone (0 and 2 from four nodes on). Each case comes without constraints and, in
-// turn, with four of the sets above, so that each set meets every size.
+// forEachGridCase calls f with every case of the grid and returns their number. The grid has 1 to 3 zones, and up to 6 nodes
+// in all distributions over the zones. Capacities are 0, 1 and 2, or 1 and 2 from four nodes on. The demand of a zone is 0, 1
+// or 2, or 0 or 2 from four nodes on. Each problem occurs without constraints and with the next four sets of constraints in
+// turn, so that each set occurs with problems of every size.
 func forEachGridCase(f func(*Problem)) (count int) {
 	sets := constraintSets()
 	usedSets := 0
@@ -86,7 +87,7 @@
 	return at
 }
 
-// gridProblem has a node for each capacity and a zone for each demand.
+// gridProblem returns a problem with a node for each capacity and a zone for each demand.
 func gridProblem(zoneOf []int, capacities, demands []int64) *Problem {
 	names := []string{"a", "b", "c"}[:len(demands)]
 	p := &Problem{Zones: names, DefaultCost: 1, Crossings: []Crossing{{"a", "a", 0}}}
@@ -105,7 +106,7 @@
 	return p
 }
 
-// forEachSequence calls f with every sequence of n digits below base; with rising only those that never fall.
+// forEachSequence calls f with every sequence of n digits below base; if nonDecreasing is set, only with sorted ones.
 func forEachSequence(base, n int, nonDecreasing bool, f func([]int)) {
 	digits := make([]int, n)
 	var setDigit func(i int)
@@ -126,7 +127,7 @@
 	setDigit(0)
 }
 
-// The whole grid with -exhaustive, else one case of each 500.
+// The solver must agree with brute force: on the whole grid with -exhaustive, otherwise on one case in 500.
 func TestGridAgreesWithBruteForce(t *testing.T) {
 	interval := 500
 	if *exhaustive {
@@ -134,7 +135,7 @@
 	}
 	cases := make(chan *Problem, 64)
 	var wg sync.WaitGroup
-	var checked, conflicts, wrong atomic.Int64
+	var checked, conflicts, disagreements atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for p := range cases {
@@ -142,7 +143,7 @@
 				if _, err := Solve(p, Options{}); err != nil {
 					conflicts.Add(1)
 				}
-				if err := compareWithBruteForce(p); err != nil && wrong.Add(1) < 5 {
+				if err := compareWithBruteForce(p); err != nil && disagreements.Add(1) < 5 {
 					t.Errorf("%+v: %v", *p, err)
 				}
 			}
@@ -156,8 +157,9 @@
 	})
 	close(cases)
 	wg.Wait()
-	t.Logf("%d of %d cases checked, %d of them conflicts, %d wrong", checked.Load(), count, conflicts.Load(), wrong.Load())
+	t.Logf("checked %d of %d cases: %d conflicts, %d disagreements",
+		checked.Load(), count, conflicts.Load(), disagreements.Load())
 	if checked.Load() == 0 {
-		t.Error("nothing was checked")
+		t.Error("no case was checked")
 	}
 }
--- a/placement/flownetwork.go
+++ b/placement/flownetwork.go
@@ -19,7 +19,7 @@
 type flowNetwork struct {
 	*network
 	index     *index
-	flows     []int // arcs by class, zone of origin and destination zone; -1 without demand or where a constraint forbids the flow
+	flows     []int // arcs by class, zone of origin and destination zone; -1 without demand or if a constraint forbids it
 	uncarried []int // arcs by class and zone of origin, for load that is not carried
 	required  int64 // total of the minimum loads that Spread constraints require of zones
 }
--- a/placement/solve_test.go
+++ b/placement/solve_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// checkPlan compares the goals of a plan with its loads and flows, and these with each other.
+// checkPlan checks that the goals of a plan follow from its loads and flows, and that loads and flows agree by zone.
 func checkPlan(tb testing.TB, p *Problem, plan *Plan) {
 	tb.Helper()
 	zoneOf, in := map[string]string{}, map[string]int64{}
@@ -22,7 +22,7 @@
 		carried += load
 		moves += max(load-n.CurrentLoad, 0)
 		if load < 0 || load > n.Capacity {
-			tb.Errorf("node %s carries %d of %d", n.ID, load, n.Capacity)
+			tb.Errorf("node %s: got load %d, want 0 to its capacity of %d", n.ID, load, n.Capacity)
 		}
 		if load > 0 && (fullest.Den == 0 || fullest.less(Ratio{load, n.Capacity})) {
 			fullest = Ratio{load, n.Capacity}
@@ -45,7 +45,7 @@
 	}
 	for z, n := range in {
 		if n != 0 {
-			tb.Errorf("zone %s: nodes and flows differ by %d", z, n)
+			tb.Errorf("zone %s: the loads of the nodes exceed the flows to it by %d, want 0", z, n)
 		}
 	}
 	for _, d := range p.Demands {
@@ -53,7 +53,7 @@
 	}
 	want := Goals{Uncarried: total - carried, Crossings: crossings, Fullest: fullest.reduced(), Moves: moves}
 	if diff := cmp.Diff(want, plan.Goals); diff != "" {
-		tb.Errorf("goals (-by the loads and flows +by the plan):\n%s", diff)
+		tb.Errorf("goals (-from loads and flows, +from the plan):\n%s", diff)
 	}
 }
 
@@ -65,18 +65,19 @@
 			t.Fatal(err)
 		}
 		checkPlan(t, p, plan)
-		// From the plan itself nothing moves.
+		// With the plan as the current plan, nothing moves.
 		for i := range p.Nodes {
 			p.Nodes[i].CurrentLoad = plan.Load[p.Nodes[i].ID]
 		}
 		again, err := Solve(p, Options{})
 		if err != nil || again.Moves != 0 {
-			t.Errorf("seed %d: %v, %d moves from the plan itself", seed, err, again.Moves)
+			t.Errorf("seed %d: solved again from its plan: got error %v, %d moves, want none", seed, err, again.Moves)
 		}
 	}
 }
 
-// pairProblem has a large node that counts only beside the small one, under a headroom that just fits a load of 240.
+// pairProblem returns a problem with a large node that must be paired with a small one. Its headroom allows a load of exactly
+// 240 units.
 func pairProblem(load int64) *Problem {
 	return &Problem{
 		Zones: []string{"west"},
@@ -93,7 +94,7 @@
 	}
 }
 
-// The conflict names the constraints with their lines, and what each would have to give.
+// A conflict must name the constraints with their lines, and say how far each would have to be relaxed.
 func TestPairUnderHeadroom(t *testing.T) {
 	plan, err := Solve(pairProblem(240), Options{})
 	if err != nil {
@@ -103,25 +104,25 @@
 		t.Errorf("load (-want +got):\n%s", diff)
 	}
 	if plan.Fullest != (Ratio{4, 5}) || !plan.Proven {
-		t.Errorf("fullest %v, proven %t", plan.Fullest, plan.Proven)
+		t.Errorf("got fullest %v, proven %t; want 4/5, true", plan.Fullest, plan.Proven)
 	}
 
 	_, err = Solve(pairProblem(241), Options{})
 	var conflict *InfeasibleError
 	if !errors.As(err, &conflict) || len(conflict.Conflict) != 2 {
-		t.Fatalf("%v, want a conflict of 2 constraints", err)
+		t.Fatalf("got error %v, want a conflict of 2 constraints", err)
 	}
 	for _, want := range []string{
 		"room (line 3): 805/1000 would suffice in place of 8/10",
 		"all (line 5): without it 1 units from west are not carried",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
-// Constraints that fit two at a time and conflict as three.
+// Three constraints of which any two can be met together must be reported as one conflict.
 func TestConflictOfThreeConstraints(t *testing.T) {
 	p := &Problem{
 		Zones:   []string{"a", "b"},
@@ -137,7 +138,7 @@
 	_, err := Solve(p, Options{})
 	var conflict *InfeasibleError
 	if !errors.As(err, &conflict) || len(conflict.Conflict) != 3 {
-		t.Errorf("%v, want a conflict of 3 constraints", err)
+		t.Errorf("got error %v, want a conflict of 3 constraints", err)
 	}
 }
 
@@ -182,13 +183,13 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			if _, err := Solve(p, Options{}); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, want %s", err, want)
+				t.Errorf("got error %v, want one that contains %q", err, want)
 			}
 		})
 	}
 }
 
-// Each loss has a plan, or a conflict and a shortfall.
+// Each contingency must have a plan, or a conflict and a shortfall, and its plan must not use the lost nodes.
 func TestContingencies(t *testing.T) {
 	p := RandomProblem(12, 3, 3)
 	plan, err := Solve(p, Options{})
@@ -204,16 +205,17 @@
 		kind, _, _ := strings.Cut(c.Name, " ")
 		kinds[kind]++
 		if (c.Plan == nil) != (c.Conflict != nil) || c.Plan == nil && c.Shortfall == 0 {
-			t.Errorf("%s: has a plan: %t, shortfall %d, conflict %v", c.Name, c.Plan != nil, c.Shortfall, c.Conflict)
+			t.Errorf("%s: got a plan %t, shortfall %d, conflict %v; want a plan, or a conflict with a shortfall",
+				c.Name, c.Plan != nil, c.Shortfall, c.Conflict)
 		}
 		for _, id := range c.Lost {
 			if c.Plan != nil && c.Plan.Load[id] != 0 {
-				t.Errorf("%s: %s still carries %d", c.Name, id, c.Plan.Load[id])
+				t.Errorf("%s: lost node %s carries %d units, want 0", c.Name, id, c.Plan.Load[id])
 			}
 		}
 	}
 	if kinds["node"] != 12 || kinds["zone"] == 0 || kinds["batch"] == 0 {
-		t.Errorf("contingencies by kind: %v", kinds)
+		t.Errorf("got contingencies by kind %v, want 12 for nodes and some for zones and batches", kinds)
 	}
 }
 
