--- a/internal/planapply/applier.go
+++ b/internal/planapply/applier.go
@@ -1,8 +1,9 @@
-// Package planapply applies a placement plan to the endpoint lists of a gateway: servers get the weights that the plan gives
-// them, those of a contingency while its nodes are lost, and the list's own weights where the plan has nothing that fits.
+// Package planapply applies a placement plan to the endpoint lists of a gateway. It gives servers their weights in the plan,
+// or their weights in a contingency while its nodes are lost. Where no part of the plan fits, servers keep the weights of the
+// list.
 //
-// An Applier owns its state: the plan, and the servers as last listed. It does no I/O, reads no clock and starts no goroutine;
-// callers pass the time and serialise their calls.
+// An Applier holds the plan and the servers as last listed. It does no I/O, reads no clock and starts no goroutine. Callers
+// pass the time and serialize their calls.
 package planapply
 
 import (
@@ -18,43 +19,45 @@
 // Applier applies a plan to endpoint lists. The zero value has no plan and leaves all weights as listed. It is not safe for
 // concurrent use.
 //
-// SetPlan, Apply and Tick each return the list that the engine is to have, and a description of where its weights come from
-// if that has changed, to be logged; else "". The list is a delta without servers where nothing changes.
+// SetPlan, Apply and Tick return the list to pass to the engine, and a description of the source of its weights for the log.
+// The description is empty if there is no plan, or if the plan and the source are unchanged. If nothing has changed, the list
+// of SetPlan and Tick is a delta without servers.
 type Applier struct {
-	// WarmupDuration is how long a node counts as lost after its start. A plan gives a node its full load at once; where all
-	// nodes that the plan allows a zone's gateway are cold, no other node could take the zone's clients. Until the nodes are
-	// warm, the contingency for their loss applies.
+	// WarmupDuration is the time after its start during which a node counts as lost. A plan gives a node its full load at
+	// once, and if all nodes that the plan allows for the gateways of a zone were cold, no other node could take the clients
+	// of the zone. Until the nodes are warm, the contingency for their loss applies.
 	WarmupDuration time.Duration
 
-	now         time.Duration // on the clock of engine.Server's Started
-	nextWarmup  time.Duration // when the next cold node becomes warm; 0: none is cold
+	now         time.Duration // time of the last call, since the same epoch as Started of engine.Server
+	nextWarmup  time.Duration // time at which the next cold node becomes warm; zero means that none is cold
 	plan        *operator.Plan
-	planChanged bool // since the weights were last chosen
+	planChanged bool // reports whether plan or zone has changed since the last update of the weights
 	zone        string
-	servers     map[string]engine.Server // as listed, by name
-	source      string                   // of the weights in use
+	servers     map[string]engine.Server // servers with their listed weights, by name
+	source      string                   // description of the source of the weights in use
 }
 
-// SetPlan changes to a plan for gateways of a zone; nil is no plan. The time is since the same epoch as the servers' start
-// times. The returned list is a delta without servers if no list has been applied yet.
+// SetPlan sets the plan and the zone of the gateway; a nil plan removes the plan. now is the time since the same epoch as the
+// start times of the servers. The returned list is a delta without servers if no list has been applied yet.
 func (a *Applier) SetPlan(now time.Duration, plan *operator.Plan, zone string) (engine.EndpointList, string) {
 	a.now = now
 	if plan != a.plan || zone != a.zone {
 		a.plan, a.zone, a.planChanged = plan, zone, true
 	}
-	return a.update(balancer.ListDelta, nil)
+	return a.updateWeights(balancer.ListDelta, nil)
 }
 
-// NextWarmup returns when Tick is due, because a node becomes warm then. ok is false if no node is cold.
+// NextWarmup returns the time at which the next cold node becomes warm, when the caller must call Tick. ok is false if no node
+// is cold.
 func (a *Applier) NextWarmup() (at time.Duration, ok bool) { return a.nextWarmup, a.nextWarmup > 0 }
 
-// Tick returns the delta that follows from the time alone.
+// Tick returns the changes to the weights that result from the passage of time alone, as a delta.
 func (a *Applier) Tick(now time.Duration) (engine.EndpointList, string) {
 	a.now = now
-	return a.update(balancer.ListDelta, nil)
+	return a.updateWeights(balancer.ListDelta, nil)
 }
 
-// Apply takes an endpoint list, complete or a delta, and returns it with weights by the plan.
+// Apply takes an endpoint list, complete or a delta, and returns it with the weights of the plan.
 func (a *Applier) Apply(now time.Duration, list engine.EndpointList) (engine.EndpointList, string) {
 	a.now = now
 	if a.servers == nil || list.Mode != balancer.ListDelta {
@@ -67,19 +70,21 @@
 			a.servers[server.Name] = server
 		}
 	}
-	applied, source := a.update(list.Mode, list.Servers)
+	applied, source := a.updateWeights(list.Mode, list.Servers)
 	applied.Version = list.Version
 	return applied, source
 }
 
-// ListedWeight returns the weight of a server as listed, whatever the plan gives it; ok is false if it is not listed.
+// ListedWeight returns the weight of a server in the endpoint list, independent of the plan. ok is false if the server is not
+// listed.
 func (a *Applier) ListedWeight(name string) (weight float64, ok bool) {
 	server, ok := a.servers[name]
 	return server.Capacity, ok
 }
 
-// update returns the changed servers with their weights; if the weights of all have changed, every server instead.
-func (a *Applier) update(mode balancer.ListMode, changed []engine.Server) (engine.EndpointList, string) {
+// updateWeights chooses the weights again and returns a list of the changed servers with their weights. If the plan or the
+// source of the weights has changed, the list has all servers.
+func (a *Applier) updateWeights(mode balancer.ListMode, changed []engine.Server) (engine.EndpointList, string) {
 	weights, source := a.chooseWeights()
 	weightsChanged := a.planChanged || source != a.source
 	a.planChanged, a.source = false, source
@@ -105,7 +110,7 @@
 	return list, source
 }
 
-// withWeight returns a server with its weight, or unchanged if it has none or is removed.
+// withWeight returns a server with its weight from weights. A removed server, or one without an entry, is unchanged.
 func withWeight(server engine.Server, weights map[string]float64) engine.Server {
 	if weight, ok := weights[server.Name]; ok && server.State != balancer.Removed {
 		server.Capacity = weight
--- a/internal/planapply/applier_test.go
+++ b/internal/planapply/applier_test.go
@@ -37,7 +37,8 @@
 	return engine.EndpointList{Mode: balancer.ListDelta, Servers: servers}
 }
 
-// testPlan is for n1 and n2 in zone a, n3 in b: clients of a bring 90, of which 30 go to b; clients of b bring 20.
+// testPlan returns a plan for nodes n1 and n2 in zone a and n3 in zone b. Clients of zone a cause a load of 90, of which 30
+// goes to zone b. Clients of zone b cause a load of 20.
 func testPlan() *operator.Plan {
 	return &operator.Plan{
 		Version: 4,
@@ -63,10 +64,10 @@
 	}
 }
 
-// knownWeights are the weights by server that an engine has after all lists.
-type knownWeights map[string]float64
+// engineWeights holds the weight of each server that an engine has after all lists that it received.
+type engineWeights map[string]float64
 
-func (w knownWeights) receive(list engine.EndpointList) {
+func (w engineWeights) receive(list engine.EndpointList) {
 	if list.Mode != balancer.ListDelta {
 		clear(w)
 	}
@@ -86,36 +87,36 @@
 		name        string
 		list        engine.EndpointList
 		wantSource  string
-		wantWeights knownWeights
+		wantWeights engineWeights
 	}{
-		{"all nodes", complete, "plan 4", knownWeights{"n1": 40, "n2": 20, "n3": 30}},
-		{"empty delta", delta(), "", knownWeights{"n1": 40, "n2": 20, "n3": 30}},
+		{"all nodes", complete, "plan 4", engineWeights{"n1": 40, "n2": 20, "n3": 30}},
+		{"empty delta", delta(), "", engineWeights{"n1": 40, "n2": 20, "n3": 30}},
 		{
 			"node draining", delta(testServer(1, "a", balancer.Draining)),
 			"plan 4 after the loss of node n1",
-			knownWeights{"n1": noLoadWeight, "n2": 50, "n3": 40},
+			engineWeights{"n1": noLoadWeight, "n2": 50, "n3": 40},
 		},
-		{"node removed", delta(testServer(1, "a", balancer.Removed)), "", knownWeights{"n2": 50, "n3": 40}},
+		{"node removed", delta(testServer(1, "a", balancer.Removed)), "", engineWeights{"n2": 50, "n3": 40}},
 		{
 			"loss without a contingency", delta(testServer(3, "b", balancer.Draining)),
 			"nominal weights: plan 4 has no contingency for the loss of n1, n3",
-			knownWeights{"n2": 7, "n3": 7},
+			engineWeights{"n2": 7, "n3": 7},
 		},
-		{"all nodes again", complete, "plan 4", knownWeights{"n1": 40, "n2": 20, "n3": 30}},
+		{"all nodes again", complete, "plan 4", engineWeights{"n1": 40, "n2": 20, "n3": 30}},
 		{
 			"node that the plan does not have", delta(testServer(9, "b", balancer.Ready)),
 			"nominal weights: plan 4 does not know node n9",
-			knownWeights{"n1": 7, "n2": 7, "n3": 7, "n9": 7},
+			engineWeights{"n1": 7, "n2": 7, "n3": 7, "n9": 7},
 		},
 	}
 	var applier Applier
-	weights := knownWeights{}
+	weights := engineWeights{}
 	applier.SetPlan(0, testPlan(), "a")
 	for _, step := range steps {
 		list, source := applier.Apply(0, step.list)
 		weights.receive(list)
 		if source != step.wantSource {
-			t.Errorf("%s: source %q, want %q", step.name, source, step.wantSource)
+			t.Errorf("%s: got source %q, want %q", step.name, source, step.wantSource)
 		}
 		if diff := cmp.Diff(step.wantWeights, weights); diff != "" {
 			t.Errorf("%s: weights (-want +got):\n%s", step.name, diff)
@@ -124,12 +125,13 @@
 
 	list, _ := applier.SetPlan(0, nil, "")
 	weights.receive(list)
-	if diff := cmp.Diff(knownWeights{"n1": 7, "n2": 7, "n3": 7, "n9": 7}, weights); diff != "" {
+	if diff := cmp.Diff(engineWeights{"n1": 7, "n2": 7, "n3": 7, "n9": 7}, weights); diff != "" {
 		t.Errorf("without a plan: weights (-want +got):\n%s", diff)
 	}
 }
 
-// A complete list and the deltas that lead to it give the gateways of a zone the same weights.
+// Guards against weights that depend on the way in which a gateway got its list: a complete list and the deltas that lead to
+// it must give the same weights.
 func TestGatewaysOfOneZoneGetEqualWeights(t *testing.T) {
 	zones := map[int]string{1: "a", 2: "a", 3: "b", 4: "b"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -139,7 +141,7 @@
 		byDelta.SetPlan(0, plan, zone)
 		byCompleteList.SetPlan(0, plan, zone)
 
-		deltaWeights := knownWeights{}
+		deltaWeights := engineWeights{}
 		states := map[int]balancer.ServerState{}
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
 			number := rapid.IntRange(1, 4).Draw(t, "node")
@@ -154,7 +156,7 @@
 				complete.Servers = append(complete.Servers, testServer(number, zones[number], state))
 			}
 		}
-		completeWeights := knownWeights{}
+		completeWeights := engineWeights{}
 		list, _ := byCompleteList.Apply(0, complete)
 		completeWeights.receive(list)
 
@@ -164,7 +166,8 @@
 	})
 }
 
-// A plan for 14 nodes meets a list of 9, a loss that it has no contingency for.
+// A plan for 14 nodes with a list of only 9 of them is a loss for which the plan has no contingency, so that the listed
+// weights must stay.
 func TestPlanForAnotherFleetLeavesNominalWeights(t *testing.T) {
 	plan := &operator.Plan{
 		Version: 1,
@@ -183,7 +186,7 @@
 	list, source := applier.Apply(0, complete)
 	wantSource := "nominal weights: plan 1 has no contingency for the loss of n10, n11, n12, n13, n9"
 	if !strings.HasPrefix(source, wantSource) {
-		t.Errorf("source %q, want %q", source, wantSource)
+		t.Errorf("got source %q, want one that begins with %q", source, wantSource)
 	}
 	if diff := cmp.Diff(complete.Servers, list.Servers); diff != "" {
 		t.Errorf("servers (-want +got):\n%s", diff)
@@ -195,49 +198,49 @@
 	applier.SetPlan(time.Hour, testPlan(), "a")
 	started := testServer(1, "a", balancer.Ready)
 	started.Started = time.Hour - 4*time.Second
-	weights := knownWeights{}
+	weights := engineWeights{}
 
 	list, source := applier.Apply(time.Hour,
 		completeList(started, testServer(2, "a", balancer.Ready), testServer(3, "b", balancer.Ready)))
 	weights.receive(list)
 	at, ok := applier.NextWarmup()
 	if source != "plan 4 after the loss of node n1" || weights["n1"] != noLoadWeight {
-		t.Fatalf("while cold: source %q, weights %v", source, weights)
+		t.Fatalf("while cold: got source %q, weights %v; want those without n1", source, weights)
 	}
 	if want := time.Hour + 6*time.Second; !ok || at != want {
-		t.Fatalf("next warmup at %v, %t; want %v", at, ok, want)
+		t.Fatalf("got next warmup at %v, %t; want %v, true", at, ok, want)
 	}
 
 	list, source = applier.Tick(time.Hour + 5*time.Second)
 	if len(list.Servers) != 0 || source != "" {
-		t.Errorf("before the warmup ends: source %q, %d servers", source, len(list.Servers))
+		t.Errorf("before the warmup ends: got source %q, %d servers; want no change", source, len(list.Servers))
 	}
 
 	list, source = applier.Tick(time.Hour + 6*time.Second)
 	weights.receive(list)
 	if source != "plan 4" || weights["n1"] != 40 {
-		t.Errorf("once warm: source %q, weights %v", source, weights)
+		t.Errorf("once warm: got source %q, weights %v; want those of the plan", source, weights)
 	}
 	if at, ok := applier.NextWarmup(); ok {
-		t.Errorf("once warm: next warmup at %v", at)
+		t.Errorf("once warm: got next warmup at %v, want none", at)
 	}
 }
 
-// Guards against a list that loses its version on the way to the engine.
+// Guards against a list whose version is lost between the gateway and the engine.
 func TestAppliedListsKeepTheirVersion(t *testing.T) {
 	a := Applier{}
 	list := completeList(testServer(1, "a", balancer.Ready))
 	list.Version = 41
 	if got, _ := a.Apply(0, list); got.Version != 41 {
-		t.Errorf("version %d, want 41", got.Version)
+		t.Errorf("got version %d, want 41", got.Version)
 	}
 	if got, _ := a.SetPlan(0, testPlan(), "a"); got.Version != 0 {
-		t.Errorf("weights alone have version %d", got.Version)
+		t.Errorf("got version %d for a change of weights alone, want 0", got.Version)
 	}
 	if weight, ok := a.ListedWeight("n1"); !ok || weight != nominalWeight {
-		t.Errorf("listed weight %v, %v", weight, ok)
+		t.Errorf("got listed weight %v, %t; want 7, true", weight, ok)
 	}
 	if _, ok := a.ListedWeight("n9"); ok {
-		t.Error("a server that is not listed has a weight")
+		t.Error("got a weight for a server that is not listed, want none")
 	}
 }
--- a/internal/planapply/weights.go
+++ b/internal/planapply/weights.go
@@ -12,12 +12,12 @@
 	"example.org/milletvane/placement"
 )
 
-// noLoadWeight is the weight of a node that is to carry nothing: too little for a slot in any lookup table. The balancer
-// takes a weight of 0 as 1.
+// noLoadWeight is the weight of a node without load in the plan. It is too small for a slot in any lookup table. A weight of 0
+// can't be used, since the balancer treats it as 1.
 const noLoadWeight = 1e-9
 
-// chooseWeights returns the weights by node that apply now, and which part of the plan they come from. Without weights the
-// servers keep those of the list.
+// chooseWeights returns the current weights by node, and the part of the plan that they come from. If weights is nil, the
+// servers keep their listed weights.
 func (a *Applier) chooseWeights() (weights map[string]float64, source string) {
 	a.nextWarmup = 0
 	if a.plan == nil {
@@ -42,8 +42,8 @@
 		fmt.Sprintf("plan %d after the loss of %s", a.plan.Version, contingency.Name)
 }
 
-// lostNodes returns the names, in order, of the nodes that carry load in the plan but can't take it now, and when the next
-// cold node of the plan becomes warm; 0 if none is cold.
+// lostNodes returns the sorted names of the nodes that carry load in the plan but are not available now. It also returns the
+// time at which the next cold node of the plan becomes warm, or zero if none is cold.
 func (a *Applier) lostNodes() (lost []string, nextWarmup time.Duration) {
 	for name, load := range a.plan.Load {
 		server, listed := a.servers[name]
@@ -61,7 +61,7 @@
 	return lost, nextWarmup
 }
 
-// unplannedServer returns the first listed server, by name, that the plan does not have.
+// unplannedServer returns the first listed server, in the order of names, that is not in the plan.
 func (a *Applier) unplannedServer() (name string, ok bool) {
 	for _, name := range slices.Sorted(maps.Keys(a.servers)) {
 		if _, planned := a.plan.Load[name]; !planned {
@@ -71,8 +71,8 @@
 	return "", false
 }
 
-// contingencyFor returns the plan's contingency for the loss of exactly these nodes; nodes without load in the plan don't
-// count. ok is false if there is none, or if the solver found no placement for it.
+// contingencyFor returns the contingency of the plan for the loss of exactly the given nodes; nodes without load in the plan
+// are ignored. ok is false if there is no such contingency, or if the solver found no placement for it.
 func (a *Applier) contingencyFor(lost []string) (contingency operator.PlanContingency, ok bool) {
 	for _, contingency := range a.plan.Contingencies {
 		loaded := slices.DeleteFunc(slices.Clone(contingency.Lost), func(name string) bool { return a.plan.Load[name] == 0 })
@@ -83,9 +83,9 @@
 	return operator.PlanContingency{}, false
 }
 
-// zoneWeights returns what nodes are to carry of the load that comes through this gateway's zone: of the part that the flows
-// bring to a node's zone, the node's share of all load of its zone. If the flows bring nothing from the gateway's zone, a
-// node's weight is its total load.
+// zoneWeights returns the weight of each node for the gateways of this zone: the load that comes from the gateway's zone to
+// the zone of the node, multiplied by the node's share of the total load of its zone. If no flow starts in the gateway's zone,
+// the weight of a node is its total load.
 func (a *Applier) zoneWeights(load map[string]int64, flows []placement.Flow) map[string]float64 {
 	zoneLoad := map[string]int64{}
 	for name, nodeLoad := range load {
--- a/placement/conflict.go
+++ b/placement/conflict.go
@@ -17,7 +17,7 @@
 }
 
 // findConflict returns a minimal set of constraints that conflict. It removes one constraint after another and leaves it out
-// if the rest still conflicts. MaxSteps does not apply, but the whole work has a new search limit.
+// if the rest still conflicts. MaxSteps does not apply here, but a new search limit applies to all the work of findConflict.
 func (s *planner) findConflict() *InfeasibleError {
 	s.setSearchLimit()
 	s.maxSteps = 0
--- a/placement/digest_test.go
+++ b/placement/digest_test.go
@@ -297,9 +297,9 @@
 func problemTranscript(t *testing.T, seed uint64) (string, solveOutcome) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 20))
-	drawn := randomSize(rng)
-	p := randomProblem(rng, drawn)
-	p.Constraints = randomConstraints(rng, p.Zones, drawn.factor)
+	size := randomSize(rng)
+	p := randomProblem(rng, size)
+	p.Constraints = randomConstraints(rng, p.Zones, size.factor)
 	o := placement.Options{MaxSteps: 1000}
 	if seed%4 == 3 {
 		o.MaxSteps = 1 + rng.IntN(150)
--- a/placement/distribute.go
+++ b/placement/distribute.go
@@ -58,7 +58,7 @@
 // adjustToLevel brings all nodes to the furthest level that changes the loads by no more than an amount, and returns the sum
 // of the changes. A level is a ratio of load to capacity, as a multiple of 1/fullnessScale, which is smaller than the
 // difference between any two values of marginal fullness.
-func (w *waterFiller) adjustToLevel(amount int64) (moved int64) {
+func (w *waterFiller) adjustToLevel(amount int64) (changed int64) {
 	// Binary search: the number of units to a level grows with its distance.
 	low, high := uint64(0), uint64(fullnessScale)
 	for low < high {
@@ -80,10 +80,10 @@
 	}
 	for i := range w.nodes {
 		target := w.loadAtLevel(i, low)
-		moved += (target - w.loads[i]) * w.direction
+		changed += (target - w.loads[i]) * w.direction
 		w.loads[i] = target
 	}
-	return moved
+	return changed
 }
 
 // unitsToLevel returns by how many units the loads change if all nodes go to a level.
--- a/placement/flownetwork.go
+++ b/placement/flownetwork.go
@@ -9,7 +9,7 @@
 const (
 	source = iota
 	sink
-	relocation // load passes it on the way to nodes that do not carry it now
+	relocation // passed by all load that moves
 	fixedVertexCount
 )
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// addDestinations adds the arcs between a class and the zones that carry it. Up to the minimum load of a zone, each unit has a
+// addDestinations adds the arcs from a class to the zones that carry it. Up to the minimum load of a zone, each unit has a
 // violation cost of -1, so that as much of the minimum load as possible is carried there.
 func (n *flowNetwork) addDestinations(minLoads []int64, class int) {
 	for zone, minLoad := range minLoads {
@@ -122,13 +122,13 @@
 // addZone adds the arcs for the capacity of a zone's nodes: one for the load that can stay where it is in the current plan,
 // and one for load that moves.
 func (n *flowNetwork) addZone(zone int, capacities []int64, unit unitCosts) {
-	unmoved, total := int64(0), int64(0)
+	keptLoad, total := int64(0), int64(0)
 	for _, node := range n.index.nodesInZone[zone] {
 		total += capacities[node]
-		unmoved += min(capacities[node], n.index.nodes[node].CurrentLoad)
+		keptLoad += min(capacities[node], n.index.nodes[node].CurrentLoad)
 	}
-	n.addArc(n.zoneVertex(zone), sink, unmoved, cost{})
-	n.addArc(n.zoneVertex(zone), relocation, total-unmoved, unit.move)
+	n.addArc(n.zoneVertex(zone), sink, keptLoad, cost{})
+	n.addArc(n.zoneVertex(zone), relocation, total-keptLoad, unit.move)
 }
 
 // moveLimit returns the number of units of load that may move.
--- a/placement/mincost.go
+++ b/placement/mincost.go
@@ -75,17 +75,17 @@
 	p.reached[source], p.distance[source] = true, cost{}
 	p.queue = append(p.queue[:0], queuedVertex{int32(source), cost{}})
 	for len(p.queue) > 0 {
-		end := heap.Pop(&p.queue).(queuedVertex)
-		if p.settled[end.vertex] {
+		current := heap.Pop(&p.queue).(queuedVertex)
+		if p.settled[current.vertex] {
 			continue
 		}
-		p.settled[end.vertex] = true
-		for _, id := range p.network.outgoing[end.vertex] {
+		p.settled[current.vertex] = true
+		for _, id := range p.network.outgoing[current.vertex] {
 			a := &p.network.arcs[id]
 			if a.residual == 0 || p.settled[a.to] {
 				continue
 			}
-			d := end.cost.add(a.cost).add(potentials[end.vertex]).sub(potentials[a.to])
+			d := current.cost.add(a.cost).add(potentials[current.vertex]).sub(potentials[a.to])
 			if !p.reached[a.to] || d.less(p.distance[a.to]) {
 				p.reached[a.to], p.distance[a.to] = true, d
 				heap.Push(&p.queue, queuedVertex{a.to, d})
@@ -103,20 +103,20 @@
 // vertexQueue is a heap of vertices, ordered by the costs of their paths.
 type vertexQueue []queuedVertex
 
-func (f vertexQueue) Len() int           { return len(f) }
-func (f vertexQueue) Less(i, j int) bool { return f[i].cost.less(f[j].cost) }
-func (f vertexQueue) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *vertexQueue) Push(x any)        { *f = append(*f, x.(queuedVertex)) }
+func (q vertexQueue) Len() int           { return len(q) }
+func (q vertexQueue) Less(i, j int) bool { return q[i].cost.less(q[j].cost) }
+func (q vertexQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *vertexQueue) Push(x any)        { *q = append(*q, x.(queuedVertex)) }
 
-func (f *vertexQueue) Pop() any {
-	last := len(*f) - 1
-	end := (*f)[last]
-	*f = (*f)[:last]
-	return end
+func (q *vertexQueue) Pop() any {
+	last := len(*q) - 1
+	vertex := (*q)[last]
+	*q = (*q)[:last]
+	return vertex
 }
 
-// augmentation sends flow along paths with a reduced cost of zero, which it finds by depth-first search. A single search for
-// distances can so serve many paths.
+// augmentation sends flow along paths with a reduced cost of zero, which it finds by depth-first search. One search for
+// distances thus serves many paths.
 type augmentation struct {
 	network    *network
 	sink       int
