--- a/placement/contingency.go
+++ b/placement/contingency.go
@@ -11,7 +11,7 @@
 	Name      string           // what is lost, such as "node n1", "zone a" or "batch small n1"
 	Lost      []string         // IDs of the lost nodes that have capacity, sorted
 	Plan      *Plan            // nil if no plan meets the constraints
-	Shortfall int64            // load that is not carried by Plan, or by the best placement if no load must be carried
+	Shortfall int64            // load not carried by Plan or, if it is nil, by the best placement without Carry and Spread
 	Conflict  *InfeasibleError // the reason why Plan is nil; nil if there is a plan
 }
 
--- a/placement/search.go
+++ b/placement/search.go
@@ -101,8 +101,8 @@
 	return plan
 }
 
-// isFeasible reports whether any plan meets the constraints. It also returns false if the search limit is reached; the caller
-// must then check searchLimitReached.
+// isFeasible reports whether any plan meets the constraints. It also returns false once the search limit is reached, which
+// Solve recognizes by searchLimitReached.
 func (s *planner) isFeasible(constraints []Constraint) bool {
 	open := []branch{newBranch(constraints)}
 	for len(open) > 0 && !s.checkSearchLimit() {
