--- a/placement/exhaustive_test.go
+++ b/placement/exhaustive_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-var exhaustive = flag.Bool("exhaustive", false, "compare with brute force on the whole grid; it takes minutes")
+var exhaustive = flag.Bool("exhaustive", false, "compare with brute force on the whole grid, which takes minutes")
 
-// constraintSets are none, each constraint alone, and each two together.
+// constraintSets returns the empty set, each constraint alone, and each pair of constraints.
 func constraintSets() [][]Constraint {
 	all := []Constraint{
 		{Kind: Carry},
@@ -40,18 +40,19 @@
 	return sets
 }
 
-// grid calls f with every case: 1 to 3 zones, up to 6 nodes in every way over the zones, capacities 0, 1 and 2 (1 and 2 from
-// four nodes on), demands 0, 1 and 2 of each zone (0 and 2 from four nodes on). Each case comes without constraints and, in
-// turn, with four of the sets above, so that each set meets every size.
-func grid(f func(*Problem)) (count int) {
+// forEachGridCase calls f with every case of the grid and returns their number. The grid has 1 to 3 zones, and up to 6 nodes
+// in all distributions over the zones. Capacities are 0, 1 and 2, or 1 and 2 from four nodes on. The demand of a zone is 0, 1
+// or 2, or 0 or 2 from four nodes on. Each problem occurs without constraints and with the next four sets of constraints in
+// turn, so that each set occurs with problems of every size.
+func forEachGridCase(f func(*Problem)) (count int) {
 	sets := constraintSets()
-	turn := 0
-	gridProblems(func(p *Problem) {
+	usedSets := 0
+	forEachGridProblem(func(p *Problem) {
 		for k := range 5 {
 			problem := *p
 			if k > 0 {
-				turn++
-				problem.Constraints = sets[turn%len(sets)]
+				usedSets++
+				problem.Constraints = sets[usedSets%len(sets)]
 			}
 			count++
 			f(&problem)
@@ -60,17 +61,17 @@
 	return count
 }
 
-// gridProblems calls f with every problem of the grid, without constraints.
-func gridProblems(f func(*Problem)) {
+// forEachGridProblem calls f with every problem of the grid, without constraints.
+func forEachGridProblem(f func(*Problem)) {
 	for zones := 1; zones <= 3; zones++ {
 		for nodes := 1; nodes <= 6; nodes++ {
 			capacities, demands := []int64{0, 1, 2}, []int64{0, 1, 2}
 			if nodes > 3 {
 				capacities, demands = []int64{1, 2}, []int64{0, 2}
 			}
-			odometer(zones, nodes, true, func(zoneOf []int) {
-				odometer(len(capacities), nodes, false, func(capacityOf []int) {
-					odometer(len(demands), zones, false, func(demandOf []int) {
+			forEachSequence(zones, nodes, true, func(zoneOf []int) {
+				forEachSequence(len(capacities), nodes, false, func(capacityOf []int) {
+					forEachSequence(len(demands), zones, false, func(demandOf []int) {
 						f(gridProblem(zoneOf, valuesAt(capacities, capacityOf), valuesAt(demands, demandOf)))
 					})
 				})
@@ -86,7 +87,7 @@
 	return at
 }
 
-// gridProblem has a node for each capacity and a zone for each demand.
+// gridProblem returns a problem with a node for each capacity and a zone for each demand.
 func gridProblem(zoneOf []int, capacities, demands []int64) *Problem {
 	names := []string{"a", "b", "c"}[:len(demands)]
 	p := &Problem{Zones: names, DefaultCost: 1, Crossings: []Crossing{{"a", "a", 0}}}
@@ -105,36 +106,36 @@
 	return p
 }
 
-// odometer calls f with every sequence of n digits below base; with rising only those that never fall.
-func odometer(base, n int, rising bool, f func([]int)) {
+// forEachSequence calls f with every sequence of n digits below base; if nonDecreasing is set, only with sorted ones.
+func forEachSequence(base, n int, nonDecreasing bool, f func([]int)) {
 	digits := make([]int, n)
-	var turn func(i int)
-	turn = func(i int) {
+	var setDigit func(i int)
+	setDigit = func(i int) {
 		if i == n {
 			f(digits)
 			return
 		}
 		from := 0
-		if rising && i > 0 {
+		if nonDecreasing && i > 0 {
 			from = digits[i-1]
 		}
 		for d := from; d < base; d++ {
 			digits[i] = d
-			turn(i + 1)
+			setDigit(i + 1)
 		}
 	}
-	turn(0)
+	setDigit(0)
 }
 
-// The whole grid with -exhaustive, else one case of each 500.
+// The solver must agree with brute force: on the whole grid with -exhaustive, otherwise on one case in 500.
 func TestGridAgreesWithBruteForce(t *testing.T) {
-	every := 500
+	interval := 500
 	if *exhaustive {
-		every = 1
+		interval = 1
 	}
 	cases := make(chan *Problem, 64)
 	var wg sync.WaitGroup
-	var checked, conflicts, wrong atomic.Int64
+	var checked, conflicts, disagreements atomic.Int64
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for p := range cases {
@@ -142,22 +143,23 @@
 				if _, err := Solve(p, Options{}); err != nil {
 					conflicts.Add(1)
 				}
-				if err := checkAgreement(p); err != nil && wrong.Add(1) < 5 {
+				if err := compareWithBruteForce(p); err != nil && disagreements.Add(1) < 5 {
 					t.Errorf("%+v: %v", *p, err)
 				}
 			}
 		})
 	}
 	n := 0
-	count := grid(func(p *Problem) {
-		if n++; n%every == 0 {
+	count := forEachGridCase(func(p *Problem) {
+		if n++; n%interval == 0 {
 			cases <- p
 		}
 	})
 	close(cases)
 	wg.Wait()
-	t.Logf("%d of %d cases checked, %d of them conflicts, %d wrong", checked.Load(), count, conflicts.Load(), wrong.Load())
+	t.Logf("checked %d of %d cases: %d conflicts, %d disagreements",
+		checked.Load(), count, conflicts.Load(), disagreements.Load())
 	if checked.Load() == 0 {
-		t.Error("nothing was checked")
+		t.Error("no case was checked")
 	}
 }
