--- a/balancer/setting_error_test.go
+++ b/balancer/setting_error_test.go
@@ -15,15 +15,15 @@
 	}{
 		{
 			Settings{DrainGrace: -time.Second},
-			SettingError{"DrainGrace", "is -1e+09, want a finite number of 0 or more"},
+			SettingError{"DrainGrace", "is -1e+09, not a finite number of 0 or more"},
 		},
 		{
 			Settings{Classes: []Class{{Name: "a"}, {Name: "a"}}},
-			SettingError{`class "a"`, "is configured more than once"},
+			SettingError{`class "a"`, "is given twice"},
 		},
 		{
 			Settings{Classes: []Class{{Name: "a", PriorityWeight: -1}}},
-			SettingError{`class "a"`, "has a negative weight or duration"},
+			SettingError{`class "a"`, "has a negative number"},
 		},
 	} {
 		t.Run(c.want.Setting, func(t *testing.T) {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -114,18 +114,18 @@
 		{"OverQuotaWeightFactor", s.OverQuotaWeightFactor},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
-			return &SettingError{f.name, fmt.Sprintf("is %v, want a finite number of 0 or more", f.value)}
+			return &SettingError{f.name, fmt.Sprintf("is %v, not a finite number of 0 or more", f.value)}
 		}
 	}
 	names := make(map[string]bool, len(s.Classes))
 	for _, c := range s.Classes {
 		if names[c.Name] {
-			return &SettingError{fmt.Sprintf("class %q", c.Name), "is configured more than once"}
+			return &SettingError{fmt.Sprintf("class %q", c.Name), "is given twice"}
 		}
 		names[c.Name] = true
 		if c.SetupLatencyObjective < 0 || c.Timeout < 0 || c.DedupWindow < 0 ||
 			c.MessageLatencyObjective < 0 || c.PriorityWeight < 0 {
-			return &SettingError{fmt.Sprintf("class %q", c.Name), "has a negative weight or duration"}
+			return &SettingError{fmt.Sprintf("class %q", c.Name), "has a negative number"}
 		}
 	}
 	return nil
