--- a/internal/cluster/recovery/decision.go
+++ b/internal/cluster/recovery/decision.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Source says where the endpoint list of a Decision comes from.
+// Source is the origin of the endpoint list that a Decision selects.
 type Source int
 
 // Sources of an endpoint list.
 const (
-	FromNowhere   Source = iota // there is no list until discovery answers
-	FromDisk                    // a provisional list: the one on the own disk
+	FromNone      Source = iota // no list is used until discovery answers
+	FromDisk                    // the provisional list on this instance's disk
 	FromPeers                   // a provisional list that peers hold
-	FromDiscovery               // discovery has answered
+	FromDiscovery               // discovery has answered, and its list is used
 )
 
-// String returns the source as it is logged.
+// String returns the source as it appears in logs.
 func (s Source) String() string {
 	switch s {
-	case FromNowhere:
+	case FromNone:
 		return "none"
 	case FromDisk:
 		return "disk"
@@ -33,53 +33,53 @@
 	}
 }
 
-// Decision says which endpoint list to use and how. It is taken once, and again where later reports change the choice
-// before discovery answers.
+// Decision selects an endpoint list and states how to use it. A Recovery returns one decision, and a further one each time
+// that a later report changes the choice before discovery answers.
 type Decision struct {
 	Source  Source
-	Peers   []string // with FromPeers, the peers that hold the list: its entries are to be taken from one of them
-	Version int64    // of a provisional list
-	Hash    uint64   // of a provisional list, as in PeerState
-	// Excluded are the IDs of servers of the disk's list that a peer with a newer list does not hold, where no two
-	// instances agree on a list. They must not receive requests. At most half of the list is excluded, so that one
-	// faulty peer can't take all of it away.
+	Peers   []string // if Source is FromPeers: the peers that hold the list; the caller uses the entries of any one of them
+	Version int64    // of the provisional list
+	Hash    uint64   // of the provisional list, as in PeerState
+	// Excluded holds the IDs of servers that the disk's list contains and a peer's newer list lacks. It is empty if two
+	// instances agree on a list. Excluded servers must not receive requests. At most half of the list is excluded, so that
+	// one faulty peer can't exclude all servers.
 	Excluded []string
-	// StartTimes are the latest start times of servers by ID, as more than one instance or the own disk observed them.
-	// They replace earlier ones of the list.
+	// StartTimes holds the latest start time of each server by ID, in Unix time, as at least two peers or this instance's
+	// disk observed it. A start time in it replaces an earlier one in the list.
 	StartTimes map[string]time.Duration
-	// ColdStart says that, as far as is known, all instances have lost power. Servers of a provisional list may have
-	// started since it was stored, so each has to be treated as started now until discovery answers.
+	// ColdStart reports whether, as far as is known, all instances have lost power. Servers of a provisional list may then
+	// have started since it was stored, so the caller treats each as started now until discovery answers.
 	ColdStart bool
-	// Isolated says that no peer has answered.
+	// Isolated reports whether no peer has answered.
 	Isolated bool
-	// Warnings are the inconsistencies found so far: of each peer's clock the largest offset, and of conflicting lists those
-	// of the latest versions. The slice is shared with later decisions and must not be changed.
+	// Warnings holds the inconsistencies found so far: for each peer whose clock differs the largest offset, and the latest
+	// maxConflictWarnings versions with conflicting lists. Later decisions share the slice: it must not be changed.
 	Warnings []Warning
 }
 
-// selectsSameList reports whether two decisions have the same list used in the same way.
+// selectsSameList reports whether two decisions select the same list and use it in the same way.
 func (d Decision) selectsSameList(other Decision) bool {
 	return d.Source == other.Source && d.Version == other.Version && d.Hash == other.Hash &&
 		d.ColdStart == other.ColdStart && slices.Equal(d.Excluded, other.Excluded)
 }
 
-// Warning is an inconsistency that an operator should look at. The concrete types, which are comparable, are
-// ClockBehindDisk, PeerClockSkew and ConflictingLists.
+// Warning is an inconsistency that an operator should look into. Its concrete types are ClockBehindDisk, PeerClockSkew and
+// ConflictingLists, which are comparable.
 type Warning interface{ warning() }
 
-// ClockBehindDisk says that the disk was last written later than the local clock shows: the clock jumped back, or was
-// ahead when the disk was written.
+// ClockBehindDisk warns that the time of the last write to the disk is ahead of the local clock by more than
+// Settings.MaxClockSkew: the clock has jumped back, or was ahead when the disk was written.
 type ClockBehindDisk struct {
-	Offset time.Duration // by which the disk is ahead
+	Offset time.Duration // of the time on the disk from the local clock
 }
 
-// PeerClockSkew says that the clock of a peer differs from the local one by more than Settings.MaxClockSkew.
+// PeerClockSkew warns that the clock of a peer differs from the local clock by more than Settings.MaxClockSkew.
 type PeerClockSkew struct {
 	Peer   string
-	Offset time.Duration // of the peer's clock; below 0 where it is late
+	Offset time.Duration // of the peer's clock from the local one; negative if the peer's clock is behind
 }
 
-// ConflictingLists says that instances hold different lists of the same version.
+// ConflictingLists warns that instances hold different lists of the same version.
 type ConflictingLists struct {
 	Version int64
 }
--- a/internal/cluster/recovery/digest_test.go
+++ b/internal/cluster/recovery/digest_test.go
@@ -20,29 +20,29 @@
 	"example.org/milletvane/internal/cluster/recovery"
 )
 
-var updateDigests = flag.Bool("update", false, "write the digests of the drawn event streams anew")
+var updateDigests = flag.Bool("update", false, "write the digests of the generated event streams anew")
 
 const (
-	streamSeeds = 400 // one instance each, events in any order
-	fleetSeeds  = 200 // several instances that answer one another
+	streamSeeds = 400 // each with one instance and events in any order
+	fleetSeeds  = 200 // each with several instances that exchange their states
 
-	// epoch is the Unix time at which the drawn streams begin.
+	// epoch is the Unix time at which the generated streams begin.
 	epoch = 1_700_000_000 * time.Second
 )
 
-// Every decision, with its exact time, over drawn event streams is the one that the digests in testdata record. They
-// cover every field that callers read; of warnings the number, as their wording is log text.
+// Compares the decisions over generated event streams, with their exact times, with the digests in testdata. The digests
+// cover every field that callers read, but only the number of warnings, because their wording is log text.
 func TestStreamDecisionDigests(t *testing.T) {
 	checkDigests(t, "streams.txt", streamSeeds, drawStream)
 }
 
-// The same for instances that ask one another, with links that lose and delay, restarts, clocks that differ and one
-// instance that reports what it likes.
+// Compares the decisions of instances that request one another's states, with lost and delayed messages, restarts, clocks that
+// differ and one instance that reports arbitrary states.
 func TestFleetDecisionDigests(t *testing.T) {
 	checkDigests(t, "fleets.txt", fleetSeeds, drawFleet)
 }
 
-// checkDigests compares the digest of each seed's output with the line of a file in testdata.
+// checkDigests compares the digest of each seed's output with the seed's line of a file in testdata.
 func checkDigests(t *testing.T, file string, seeds uint64, draw func(seed uint64, out *transcript)) {
 	t.Helper()
 	var lines []string
@@ -54,7 +54,7 @@
 		lines = append(lines, fmt.Sprintf("%d %s", seed, out.digest()))
 	}
 	if decisions < int(seeds) {
-		t.Errorf("%d decisions in %d seeds: the streams are too short to tell anything", decisions, seeds)
+		t.Errorf("got %d decisions from %d seeds, want at least one from each: the streams are too short", decisions, seeds)
 	}
 	name := filepath.Join("testdata", file)
 	if *updateDigests {
@@ -72,7 +72,7 @@
 	}
 	want := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(want) != len(lines) {
-		t.Fatalf("%s has %d lines for %d seeds", name, len(want), len(lines))
+		t.Fatalf("%s: got %d lines, want one for each of %d seeds", name, len(want), len(lines))
 	}
 	differ := 0
 	for i := range lines {
@@ -83,11 +83,11 @@
 		}
 	}
 	if differ > 0 {
-		t.Errorf("%s: %d of %d seeds differ", name, differ, len(lines))
+		t.Errorf("%s: digests of %d of %d seeds differ", name, differ, len(lines))
 	}
 }
 
-// transcript takes the output of one seed in a binary form of its own, which no rename of a type or field changes.
+// transcript hashes the output of one seed. Its binary encoding does not depend on the names of types or fields.
 type transcript struct {
 	sum       hash.Hash
 	buf       []byte
@@ -112,7 +112,7 @@
 
 func (o *transcript) flag(b bool) { o.text(strconv.FormatBool(b)) }
 
-// decision records what an event was answered with.
+// decision adds the result of Handle to the hash.
 func (o *transcript) decision(now time.Duration, instance string, d recovery.Decision, ok bool) {
 	o.buf = o.buf[:0]
 	o.number(uint64(now))
@@ -139,7 +139,7 @@
 
 func sourceText(s recovery.Source) string {
 	switch s {
-	case recovery.FromNowhere:
+	case recovery.FromNone:
 		return "nothing"
 	case recovery.FromDisk:
 		return "disk"
@@ -152,28 +152,28 @@
 	}
 }
 
-// drawn has a seed's generator and what its streams are made of.
-type drawn struct {
+// generator is the random generator of a seed, with the settings and lists that its streams use.
+type generator struct {
 	*rand.Rand
-	set   recovery.Settings
-	lists []recovery.PeerState // version, hash and server names; some share a version, some a hash
+	settings recovery.Settings
+	lists    []recovery.PeerState // with version, hash and server IDs; some share a version, some a hash
 }
 
-func newDrawn(seed uint64, stream uint64, peers int) *drawn {
-	r := &drawn{Rand: rand.New(rand.NewPCG(seed, stream))}
-	r.set = recovery.Settings{
+func newGenerator(seed uint64, stream uint64, peers int) *generator {
+	r := &generator{Rand: rand.New(rand.NewPCG(seed, stream))}
+	r.settings = recovery.Settings{
 		Name:           "me",
 		PeerTimeout:    time.Duration(r.IntN(3000)) * time.Millisecond,
 		WarmupDuration: time.Duration(5+r.IntN(20)) * time.Second,
 		MaxClockSkew:   time.Duration(500+r.IntN(2000)) * time.Millisecond,
 	}
 	for i := range peers {
-		r.set.Peers = append(r.set.Peers, fmt.Sprint("p", i))
+		r.settings.Peers = append(r.settings.Peers, fmt.Sprint("p", i))
 	}
-	if r.IntN(5) == 0 { // a configuration that names the instance itself among the others
-		r.set.Peers = append(r.set.Peers, r.set.Name)
+	if r.IntN(5) == 0 { // the configuration lists the instance itself among its peers
+		r.settings.Peers = append(r.settings.Peers, r.settings.Name)
 	}
-	r.set.Peers = shuffled(r, r.set.Peers)
+	r.settings.Peers = shuffled(r, r.settings.Peers)
 	size := r.IntN(9)
 	for i := range 2 + r.IntN(4) {
 		l := recovery.PeerState{Version: 40 + int64(r.IntN(4)), Hash: uint64(i/2+1) * 0x9e3779b97f4a7c15}
@@ -187,25 +187,25 @@
 	return r
 }
 
-func shuffled[T any](r *drawn, list []T) []T {
+func shuffled[T any](r *generator, list []T) []T {
 	list = slices.Clone(list)
 	r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
 }
 
-// about is a bound, or one nanosecond beside it: comparisons differ there.
-func (r *drawn) about(bound time.Duration) time.Duration {
+// nearBound returns a bound or a value one nanosecond below or above it, so that off-by-one errors in comparisons show.
+func (r *generator) nearBound(bound time.Duration) time.Duration {
 	return bound + time.Duration(r.IntN(3)-1)
 }
 
-// state is one of the seed's lists, with times that are drawn.
-func (r *drawn) state(now time.Duration) recovery.PeerState {
+// state returns a random state, mostly with one of the seed's lists, with random times.
+func (r *generator) state(now time.Duration) recovery.PeerState {
 	var v recovery.PeerState
 	switch r.IntN(12) {
-	case 0: // holds none
+	case 0: // no list
 	case 1:
 		v = recovery.PeerState{Version: int64(r.IntN(3)) - 1, Hash: r.Uint64()}
-	case 2: // as one that reports anything
+	case 2: // an arbitrary list, as a faulty peer reports it
 		v = recovery.PeerState{Version: r.Int64N(1 << 40), Hash: r.Uint64()}
 		v.Servers = []recovery.Server{{ID: "s0"}, {ID: "x"}, {ID: "s0"}}
 	default:
@@ -213,28 +213,28 @@
 	}
 	v.Servers = slices.Clone(v.Servers)
 	for i := range v.Servers {
-		v.Servers[i].StartedAt = r.started(now)
+		v.Servers[i].StartedAt = r.startTime(now)
 	}
 	v.Servers = shuffled(r, v.Servers)
 	v.UpdatedAt, v.Uptime = now-time.Duration(r.IntN(100))*time.Second, 0
 	if r.IntN(6) == 0 {
-		v.UpdatedAt = r.about(now + r.set.MaxClockSkew)
+		v.UpdatedAt = r.nearBound(now + r.settings.MaxClockSkew)
 	}
 	switch r.IntN(4) {
 	case 0:
-		v.Uptime = r.about(r.set.WarmupDuration)
+		v.Uptime = r.nearBound(r.settings.WarmupDuration)
 	case 1:
 		v.Uptime = time.Duration(r.IntN(90)) * time.Second
 	}
 	return v
 }
 
-func (r *drawn) started(now time.Duration) time.Duration {
+func (r *generator) startTime(now time.Duration) time.Duration {
 	switch r.IntN(6) {
 	case 0:
 		return 0
 	case 1:
-		return r.about(now + r.set.MaxClockSkew)
+		return r.nearBound(now + r.settings.MaxClockSkew)
 	case 2:
 		return now - time.Duration(r.Int64N(int64(time.Hour)))
 	case 3:
@@ -244,37 +244,37 @@
 	}
 }
 
-func (r *drawn) report(now time.Duration, peer string) recovery.PeerReport {
+func (r *generator) report(now time.Duration, peer string) recovery.PeerReport {
 	m := recovery.PeerReport{Peer: peer, Clock: now, State: r.state(now)}
 	switch r.IntN(8) {
 	case 0:
-		m.Clock = r.about(now + r.set.MaxClockSkew)
+		m.Clock = r.nearBound(now + r.settings.MaxClockSkew)
 	case 1:
-		m.Clock = r.about(now - r.set.MaxClockSkew)
+		m.Clock = r.nearBound(now - r.settings.MaxClockSkew)
 	case 2:
 		m.Clock = now + time.Duration(r.IntN(10_000)-5_000)*time.Millisecond
 	}
 	return m
 }
 
-// drawStream shows one instance events of every kind, most of them in an order that occurs.
+// drawStream passes events of every kind to one instance, mostly in an order that occurs in practice.
 func drawStream(seed uint64, out *transcript) {
-	r := newDrawn(seed, 1, int(seed%7))
-	rec := recovery.New(r.set)
+	r := newGenerator(seed, 1, int(seed%7))
+	rec := recovery.New(r.settings)
 	now := epoch
 	handle := func(ev recovery.Event) {
 		d, ok := rec.Handle(now, ev)
 		out.decision(now, "me", d, ok)
 	}
-	if r.IntN(10) == 0 { // an answer that comes before the disk is read
+	if r.IntN(10) == 0 { // a report that arrives before the disk is read
 		handle(r.report(now, "p0"))
 	}
 	handle(recovery.Startup{Disk: r.state(now)})
-	began := now
-	peers := append(slices.Clone(r.set.Peers), "me", "stranger")
+	startedAt := now
+	peers := append(slices.Clone(r.settings.Peers), "me", "stranger")
 	for range 5 + r.IntN(30) {
-		if now < began+r.set.PeerTimeout-time.Second && r.IntN(5) == 0 || r.IntN(20) == 0 {
-			now = max(now, r.about(began+r.set.PeerTimeout))
+		if now < startedAt+r.settings.PeerTimeout-time.Second && r.IntN(5) == 0 || r.IntN(20) == 0 {
+			now = max(now, r.nearBound(startedAt+r.settings.PeerTimeout))
 		} else {
 			now += time.Duration(r.IntN(400)) * time.Millisecond
 		}
@@ -291,18 +291,19 @@
 	}
 }
 
-// instance is one of a drawn fleet.
+// instance is one instance of a generated fleet.
 type instance struct {
-	name    string
-	rec     *recovery.Recovery
-	offset  time.Duration // of its clock
-	starts  time.Duration // when it does
-	listed  time.Duration // when discovery answers it
-	holds   recovery.PeerState
-	serving time.Duration // by its clock; 0: it recovers
-	reports bool          // whatever it likes
+	name               string
+	recovery           *recovery.Recovery // nil before the first start
+	clockOffset        time.Duration      // of its clock
+	firstStart         time.Duration      // time of its first start
+	discoveryAnswersAt time.Duration      // time from which discovery answers it
+	held               recovery.PeerState
+	servingSince       time.Duration // start of serving by its own clock; 0 means that it is recovering
+	isFaulty           bool          // it reports random states
 }
 
+// answer is a state on its way from one instance to another.
 type answer struct {
 	at       time.Duration
 	from, to *instance
@@ -310,24 +311,27 @@
 	state    recovery.PeerState
 }
 
-// drawFleet has instances start after a loss of power, ask one another until discovery answers, and some start again.
+// drawFleet starts instances after a loss of power. They request one another's states throughout, discovery answers each of
+// them at some time, and some restart.
 func drawFleet(seed uint64, out *transcript) {
 	const step = 150 * time.Millisecond
 	n := 2 + int(seed%5)
-	r := newDrawn(seed, 2, n)
-	r.set.Peers = slices.DeleteFunc(r.set.Peers, func(name string) bool { return name == r.set.Name })
-	r.set.WarmupDuration = time.Duration(1+r.IntN(3)) * time.Second
+	r := newGenerator(seed, 2, n)
+	r.settings.Peers = slices.DeleteFunc(r.settings.Peers, func(name string) bool { return name == r.settings.Name })
+	r.settings.WarmupDuration = time.Duration(1+r.IntN(3)) * time.Second
 	fleet := make([]*instance, n)
-	for i, name := range slices.Sorted(slices.Values(r.set.Peers)) {
+	for i, name := range slices.Sorted(slices.Values(r.settings.Peers)) {
 		fleet[i] = &instance{
-			name: name, holds: r.state(epoch), starts: epoch + time.Duration(r.IntN(4000))*time.Millisecond,
-			listed: epoch + time.Duration(3000+r.IntN(7000))*time.Millisecond, reports: n > 3 && i == 0 && r.IntN(2) == 0,
+			name: name, held: r.state(epoch),
+			firstStart:         epoch + time.Duration(r.IntN(4000))*time.Millisecond,
+			discoveryAnswersAt: epoch + time.Duration(3000+r.IntN(7000))*time.Millisecond,
+			isFaulty:           n > 3 && i == 0 && r.IntN(2) == 0,
 		}
 		if r.IntN(3) == 0 {
-			fleet[i].offset = time.Duration(r.IntN(6000)-3000) * time.Millisecond
+			fleet[i].clockOffset = time.Duration(r.IntN(6000)-3000) * time.Millisecond
 		}
-		if r.IntN(3) > 0 { // most disks hold the same
-			fleet[i].holds = r.lists[0]
+		if r.IntN(3) > 0 { // most disks hold the same list
+			fleet[i].held = r.lists[0]
 		}
 	}
 	var inFlight []answer
@@ -336,44 +340,44 @@
 		for _, a := range inFlight {
 			if a.at > now {
 				later = append(later, a)
-			} else if a.to.rec != nil {
+			} else if a.to.recovery != nil {
 				a.to.handle(out, now, recovery.PeerReport{Peer: a.from.name, Clock: a.clock, State: a.state})
 			}
 		}
 		inFlight = later
 		for _, x := range fleet {
 			x.advance(r, out, now)
-			if x.rec == nil {
+			if x.recovery == nil {
 				continue
 			}
 			for _, other := range fleet {
-				if other == x || other.rec == nil || r.IntN(10) == 0 {
+				if other == x || other.recovery == nil || r.IntN(10) == 0 {
 					continue
 				}
 				arrival := now + time.Duration(r.IntN(300))*time.Millisecond
-				inFlight = append(inFlight, answer{arrival, other, x, now + other.offset, other.state(r, now)})
+				inFlight = append(inFlight, answer{arrival, other, x, now + other.clockOffset, other.state(r, now)})
 			}
 		}
 	}
 }
 
-// advance starts an instance, or lets its time go by.
-func (x *instance) advance(r *drawn, out *transcript, now time.Duration) {
+// advance starts or restarts an instance, or passes discovery's update or a tick to it.
+func (x *instance) advance(r *generator, out *transcript, now time.Duration) {
 	switch {
-	case now < x.starts:
-	case x.rec == nil || r.IntN(60) == 0:
-		set := r.set
-		set.Name, set.Peers = x.name, nil
-		for _, name := range r.set.Peers {
+	case now < x.firstStart:
+	case x.recovery == nil || r.IntN(60) == 0:
+		settings := r.settings
+		settings.Name, settings.Peers = x.name, nil
+		for _, name := range r.settings.Peers {
 			if name != x.name {
-				set.Peers = append(set.Peers, name)
+				settings.Peers = append(settings.Peers, name)
 			}
 		}
-		x.rec, x.serving = recovery.New(set), 0
-		x.handle(out, now, recovery.Startup{Disk: x.holds})
-	case now >= x.listed:
-		x.holds = r.lists[len(r.lists)-1]
-		x.holds.UpdatedAt = now + x.offset
+		x.recovery, x.servingSince = recovery.New(settings), 0
+		x.handle(out, now, recovery.Startup{Disk: x.held})
+	case now >= x.discoveryAnswersAt:
+		x.held = r.lists[len(r.lists)-1]
+		x.held.UpdatedAt = now + x.clockOffset
 		x.handle(out, now, recovery.DiscoveryUpdate{})
 	default:
 		x.handle(out, now, recovery.Tick{})
@@ -381,23 +385,23 @@
 }
 
 func (x *instance) handle(out *transcript, now time.Duration, ev recovery.Event) {
-	local := now + x.offset
-	d, ok := x.rec.Handle(local, ev)
+	local := now + x.clockOffset
+	d, ok := x.recovery.Handle(local, ev)
 	out.decision(local, x.name, d, ok)
-	if ok && x.serving == 0 {
-		x.serving = local
+	if ok && x.servingSince == 0 {
+		x.servingSince = local
 	}
 }
 
-// state is what an instance answers to another.
-func (x *instance) state(r *drawn, now time.Duration) recovery.PeerState {
-	local := now + x.offset
-	if x.reports {
+// state returns the state that an instance reports to another.
+func (x *instance) state(r *generator, now time.Duration) recovery.PeerState {
+	local := now + x.clockOffset
+	if x.isFaulty {
 		return r.state(local)
 	}
-	v := x.holds
-	if x.serving > 0 {
-		v.Uptime = local - x.serving
+	v := x.held
+	if x.servingSince > 0 {
+		v.Uptime = local - x.servingSince
 	}
 	return v
 }
--- a/internal/cluster/recovery/example_test.go
+++ b/internal/cluster/recovery/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/milletvane/internal/cluster/recovery"
 )
 
-// An instance that starts with an empty disk uses the list that two of its peers hold.
+// An instance that starts with an empty disk uses the endpoint list that two of its peers hold.
 func Example() {
 	now := 1_700_000_000 * time.Second
 	r := recovery.New(recovery.Settings{
--- a/internal/cluster/recovery/recovery.go
+++ b/internal/cluster/recovery/recovery.go
@@ -1,17 +1,17 @@
 // Package recovery decides which endpoint list a gateway uses between its start and discovery's first answer: the one
 // on its own disk, one that its peers hold, or none yet.
 //
-// It is a pure state machine: events in, decisions out, no I/O and no clock. A Recovery belongs to one goroutine, or to
-// callers that hold a lock; the package internal/cluster does the I/O.
+// A [Recovery] is a pure state machine: it turns events into decisions, does no I/O and reads no clock. It is not safe for
+// concurrent use: it belongs to one goroutine, or to callers that hold a lock. Package internal/cluster does the I/O.
 //
-// What is recovered, and how far it is trusted:
+// The recovered data is trusted to different degrees:
 //
-//   - start times of servers are taken from disk, since a start that was observed did happen;
-//   - the endpoint list with its weights is provisional until discovery confirms it;
-//   - loads, open connections, unspent budgets of cold servers and the liveness of servers are never restored: they
-//     belong to the previous incarnation.
+//   - Start times of servers are taken from the disk, because a start that was observed did happen.
+//   - The endpoint list with its weights is provisional until discovery confirms it.
+//   - Loads, open connections, unspent warm-up budgets and the liveness of servers are never restored, because they belong
+//     to the previous incarnation.
 //
-// A single peer that reports wrong data changes nothing beside two correct ones.
+// A single peer that reports wrong data does not change the decision while two other peers agree on correct data.
 package recovery
 
 import (
@@ -19,62 +19,62 @@
 	"time"
 )
 
-// maxConflictWarnings bounds the versions of which a warning is kept that there are different lists.
+// maxConflictWarnings is the number of versions for which a ConflictingLists warning is kept.
 const maxConflictWarnings = 16
 
-// Settings configure a Recovery.
+// Settings configures a Recovery.
 type Settings struct {
 	Name           string        // of this instance
 	Peers          []string      // names of the other configured instances
-	PeerTimeout    time.Duration // how long a start waits for the peers' reports
-	WarmupDuration time.Duration // how long a server is cold after its start
-	MaxClockSkew   time.Duration // how far the clocks of two instances may differ
+	PeerTimeout    time.Duration // for which a start waits for the peers' reports
+	WarmupDuration time.Duration // for which a server is warming up after its start
+	MaxClockSkew   time.Duration // by which the clocks of two instances may differ
 }
 
-// Recovery decides for one start of one instance.
+// Recovery decides which endpoint list one instance uses during one start.
 type Recovery struct {
-	settings  Settings
-	startedAt time.Duration
-	disk      PeerState
-	reports   map[string]PeerReport // the latest of each peer
-	decided   bool
-	confirmed bool     // discovery has answered
-	last      Decision // valid once decided
-	warnings  []Warning
+	settings          Settings
+	startedAt         time.Duration // Unix time
+	disk              PeerState
+	reports           map[string]PeerReport // the latest of each peer, by its name
+	decided           bool                  // a decision has been returned
+	discoveryAnswered bool
+	lastDecision      Decision // the latest decision; valid if decided is set
+	warnings          []Warning
 }
 
-// New returns a Recovery that waits for its Startup.
+// New returns a Recovery that expects a Startup as its first event.
 func New(settings Settings) *Recovery {
 	return &Recovery{settings: settings, reports: map[string]PeerReport{}}
 }
 
-// Handle processes an event that occurred at now, in Unix time. It returns a decision and true where the event led to the
-// first decision or changed it, and false otherwise. Reports from instances that are not configured are ignored, as is
-// everything after a DiscoveryUpdate.
+// Handle processes an event that occurred at now, in Unix time. It returns a decision and true if the event leads to the
+// first decision, or to one that differs from the last in the list or its use, and false otherwise. It ignores reports from
+// instances that are not configured, and every event after a DiscoveryUpdate.
 func (r *Recovery) Handle(now time.Duration, event Event) (Decision, bool) {
-	if r.confirmed {
+	if r.discoveryAnswered {
 		return Decision{}, false
 	}
 	switch event := event.(type) {
 	case Startup:
-		r.start(now, event)
+		r.handleStartup(now, event)
 	case PeerReport:
 		if !r.isPeer(event.Peer) {
 			return Decision{}, false
 		}
-		r.receive(now, event)
+		r.handleReport(now, event)
 	case DiscoveryUpdate:
-		r.confirmed = true
-		return r.decide(now, selection{source: FromDiscovery}), true
+		r.discoveryAnswered = true
+		return r.newDecision(now, selection{source: FromDiscovery}), true
 	}
 	if !r.decided && !r.isReady(now) {
 		return Decision{}, false
 	}
-	d := r.decide(now, r.selectList())
-	if r.decided && d.selectsSameList(r.last) {
+	d := r.newDecision(now, r.selectList())
+	if r.decided && d.selectsSameList(r.lastDecision) {
 		return Decision{}, false
 	}
-	r.decided, r.last = true, d
+	r.decided, r.lastDecision = true, d
 	return d, true
 }
 
@@ -82,14 +82,14 @@
 	return name != r.settings.Name && slices.Contains(r.settings.Peers, name)
 }
 
-func (r *Recovery) start(now time.Duration, event Startup) {
+func (r *Recovery) handleStartup(now time.Duration, event Startup) {
 	r.startedAt, r.disk = now, event.Disk
 	if r.disk.UpdatedAt > now+r.settings.MaxClockSkew {
 		r.warn(ClockBehindDisk{Offset: r.disk.UpdatedAt - now})
 	}
 }
 
-func (r *Recovery) receive(now time.Duration, report PeerReport) {
+func (r *Recovery) handleReport(now time.Duration, report PeerReport) {
 	offset := report.Clock - now
 	if offset > r.settings.MaxClockSkew || offset < -r.settings.MaxClockSkew {
 		r.warnOfClockSkew(PeerClockSkew{Peer: report.Peer, Offset: offset})
@@ -97,12 +97,12 @@
 	r.reports[report.Peer] = report
 }
 
-// isReady reports whether all peers have answered or the time for it is up.
+// isReady reports whether a decision can be taken: all peers have answered, or Settings.PeerTimeout has passed.
 func (r *Recovery) isReady(now time.Duration) bool {
 	return len(r.reports) >= len(r.settings.Peers) || now >= r.startedAt+r.settings.PeerTimeout
 }
 
-func (r *Recovery) decide(now time.Duration, s selection) Decision {
+func (r *Recovery) newDecision(now time.Duration, s selection) Decision {
 	return Decision{
 		Source:     s.source,
 		Peers:      s.peers,
@@ -116,15 +116,15 @@
 	}
 }
 
-// warn adds a warning to those of all further decisions, once.
+// warn adds a warning to those of all further decisions, unless they have it already.
 func (r *Recovery) warn(w Warning) {
 	if !slices.Contains(r.warnings, w) {
 		r.warnings = append(r.warnings, w)
 	}
 }
 
-// warnOfClockSkew keeps one warning for each peer, that with the largest offset: a peer's reports differ by their delays, and
-// its clock may change.
+// warnOfClockSkew adds a warning and keeps only the one with the largest offset for each peer: the offset differs from report
+// to report because the network delay does, and the peer's clock may change.
 func (r *Recovery) warnOfClockSkew(w PeerClockSkew) {
 	i := slices.IndexFunc(r.warnings, func(other Warning) bool {
 		skew, ok := other.(PeerClockSkew)
@@ -135,12 +135,12 @@
 		return
 	}
 	if w.Offset.Abs() > r.warnings[i].(PeerClockSkew).Offset.Abs() {
-		r.warnings = slices.Clone(r.warnings) // decisions share it
+		r.warnings = slices.Clone(r.warnings) // earlier decisions share the slice
 		r.warnings[i] = w
 	}
 }
 
-// warnOfConflict keeps the warnings of the latest maxConflictWarnings versions.
+// warnOfConflict adds a warning and keeps those of the latest maxConflictWarnings versions.
 func (r *Recovery) warnOfConflict(w ConflictingLists) {
 	if slices.Contains(r.warnings, Warning(w)) {
 		return
@@ -154,7 +154,7 @@
 	}
 	if count >= maxConflictWarnings {
 		oldest := slices.IndexFunc(r.warnings, isConflict)
-		r.warnings = slices.Delete(slices.Clone(r.warnings), oldest, oldest+1) // decisions share it
+		r.warnings = slices.Delete(slices.Clone(r.warnings), oldest, oldest+1) // earlier decisions share the slice
 	}
 	r.warn(w)
 }
--- a/internal/cluster/recovery/recovery_test.go
+++ b/internal/cluster/recovery/recovery_test.go
@@ -35,8 +35,8 @@
 
 func peerName(i int) string { return fmt.Sprint("p", i) }
 
-// holding is the state of an instance with a list of a version. Lists of one version are the same.
-func holding(version int64, servers ...Server) PeerState {
+// stateWithList returns the state of an instance that holds a list of the given version. The hash depends on the version alone.
+func stateWithList(version int64, servers ...Server) PeerState {
 	return PeerState{Version: version, Hash: uint64(version) * 7, Servers: servers, UpdatedAt: now - time.Minute}
 }
 
@@ -48,97 +48,98 @@
 	return all
 }
 
-// decide returns the first decision of an instance with a disk and peers, of which the first is p0. It fails the test
-// where the decision comes early, late or twice, or where discovery does not end the recovery.
+// decide returns the first decision of an instance whose disk and peers hold the given states; peers[0] is the state of p0. It
+// fails the test if the decision comes early, late or twice, or if discovery's update does not end the recovery.
 func decide(t *testing.T, settings Settings, disk PeerState, peers ...PeerState) Decision {
 	t.Helper()
 	r := New(settings)
 	decision, ok := r.Handle(now, Startup{disk})
 	for i, state := range peers {
 		if ok {
-			t.Fatal("decided before all peers had answered")
+			t.Fatalf("got a decision before the report of %s, want none until all peers have reported", peerName(i))
 		}
 		decision, ok = r.Handle(now+time.Second, PeerReport{peerName(i), now + time.Second, state})
 	}
 	if !ok {
 		if _, ok = r.Handle(now+settings.PeerTimeout-1, Tick{}); ok {
-			t.Fatal("decided before the peers' time was up")
+			t.Fatal("got a decision before the peer timeout, want none")
 		}
 		decision, ok = r.Handle(now+settings.PeerTimeout, Tick{})
 	}
 	if !ok {
-		t.Fatal("not decided in time")
+		t.Fatal("got no decision at the peer timeout, want one")
 	}
 	if _, again := r.Handle(now+100*time.Second, Tick{}); again {
-		t.Fatal("decided twice")
+		t.Fatal("got a second decision without a new report, want none")
 	}
 	if _, again := r.Handle(now+100*time.Second, DiscoveryUpdate{}); !again {
-		t.Fatal("no decision on discovery's update")
+		t.Fatal("got no decision on discovery's update, want one")
 	}
-	if _, again := r.Handle(now+100*time.Second, PeerReport{"p0", now, holding(7)}); again {
-		t.Fatal("decided after discovery's update")
+	if _, again := r.Handle(now+100*time.Second, PeerReport{"p0", now, stateWithList(7)}); again {
+		t.Fatal("got a decision on a report after discovery's update, want none")
 	}
 	return decision
 }
 
-var otherForm = PeerState{Version: 42, Hash: 1}
+// conflictingState holds a list of the same version as stateWithList(42) with another hash.
+var conflictingState = PeerState{Version: 42, Hash: 1}
 
 var listSelectionTests = []struct {
-	name     string
-	disk     PeerState
-	peers    []PeerState
-	source   Source
-	version  int64
-	from     []string
-	warnings []Warning
+	name         string
+	disk         PeerState
+	peers        []PeerState
+	wantSource   Source
+	wantVersion  int64
+	wantPeers    []string
+	wantWarnings []Warning
 }{
-	{name: "neither disk nor peers", source: FromNowhere},
-	{name: "disk alone", disk: holding(41), source: FromDisk, version: 41},
+	{name: "empty disk, no peer answers", wantSource: FromNone},
+	{name: "list on disk, no peer answers", disk: stateWithList(41), wantSource: FromDisk, wantVersion: 41},
 	{
-		name: "two peers with a newer list", disk: holding(41),
-		peers:  []PeerState{holding(43), holding(43), holding(41)},
-		source: FromPeers, version: 43, from: []string{"p0", "p1"},
+		name: "two peers with a newer list", disk: stateWithList(41),
+		peers:      []PeerState{stateWithList(43), stateWithList(43), stateWithList(41)},
+		wantSource: FromPeers, wantVersion: 43, wantPeers: []string{"p0", "p1"},
 	},
 	{
-		name: "two peers with an older list", disk: holding(41),
-		peers:  []PeerState{holding(40), holding(40)},
-		source: FromPeers, version: 40, from: []string{"p0", "p1"},
+		name: "two peers with an older list", disk: stateWithList(41),
+		peers:      []PeerState{stateWithList(40), stateWithList(40)},
+		wantSource: FromPeers, wantVersion: 40, wantPeers: []string{"p0", "p1"},
 	},
 	{
-		name: "disk's list at one peer", disk: holding(41),
-		peers:  []PeerState{holding(41), holding(40), holding(40)},
-		source: FromDisk, version: 41,
+		name: "one peer confirms the disk's list", disk: stateWithList(41),
+		peers:      []PeerState{stateWithList(41), stateWithList(40), stateWithList(40)},
+		wantSource: FromDisk, wantVersion: 41,
 	},
 	{
-		name: "one faulty peer among four", disk: holding(41),
-		peers:  []PeerState{holding(999), holding(41), holding(41), holding(41)},
-		source: FromDisk, version: 41,
+		name: "one faulty peer among four", disk: stateWithList(41),
+		peers:      []PeerState{stateWithList(999), stateWithList(41), stateWithList(41), stateWithList(41)},
+		wantSource: FromDisk, wantVersion: 41,
 	},
 	{
-		name:   "one faulty peer beside an empty disk",
-		peers:  []PeerState{holding(999), holding(41), holding(41)},
-		source: FromPeers, version: 41, from: []string{"p1", "p2"},
+		name:       "one faulty peer beside an empty disk",
+		peers:      []PeerState{stateWithList(999), stateWithList(41), stateWithList(41)},
+		wantSource: FromPeers, wantVersion: 41, wantPeers: []string{"p1", "p2"},
 	},
 	{
-		name:   "one peer beside an empty disk",
-		peers:  []PeerState{holding(41)},
-		source: FromPeers, version: 41, from: []string{"p0"},
+		name:       "one peer beside an empty disk",
+		peers:      []PeerState{stateWithList(41)},
+		wantSource: FromPeers, wantVersion: 41, wantPeers: []string{"p0"},
 	},
 	{
-		name:   "two peers that disagree beside an empty disk",
-		peers:  []PeerState{holding(41), holding(42)},
-		source: FromNowhere,
+		name:       "two peers that disagree beside an empty disk",
+		peers:      []PeerState{stateWithList(41), stateWithList(42)},
+		wantSource: FromNone,
 	},
 	{
-		name: "one peer with a newer list", disk: holding(41),
-		peers:  []PeerState{holding(99)},
-		source: FromDisk, version: 41,
+		name: "one peer with a newer list", disk: stateWithList(41),
+		peers:      []PeerState{stateWithList(99)},
+		wantSource: FromDisk, wantVersion: 41,
 	},
 	{
-		name: "one version in two forms", disk: holding(42),
-		peers:  []PeerState{otherForm, otherForm},
-		source: FromPeers, version: 42, from: []string{"p0", "p1"},
-		warnings: []Warning{ConflictingLists{Version: 42}},
+		name: "two lists of the same version", disk: stateWithList(42),
+		peers:      []PeerState{conflictingState, conflictingState},
+		wantSource: FromPeers, wantVersion: 42, wantPeers: []string{"p0", "p1"},
+		wantWarnings: []Warning{ConflictingLists{Version: 42}},
 	},
 }
 
@@ -146,24 +147,26 @@
 	for _, test := range listSelectionTests {
 		t.Run(test.name, func(t *testing.T) {
 			got := decide(t, testSettings(max(len(test.peers), 1)), test.disk, test.peers...)
-			if got.Source != test.source || got.Version != test.version || got.Isolated != (len(test.peers) == 0) {
-				t.Errorf("source %v, version %d, isolated %t", got.Source, got.Version, got.Isolated)
+			if got.Source != test.wantSource || got.Version != test.wantVersion || got.Isolated != (len(test.peers) == 0) {
+				t.Errorf("got source %v, version %d, isolated %t, want %v, %d, %t",
+					got.Source, got.Version, got.Isolated, test.wantSource, test.wantVersion, len(test.peers) == 0)
 			}
-			if diff := cmp.Diff(test.from, got.Peers); diff != "" {
+			if diff := cmp.Diff(test.wantPeers, got.Peers); diff != "" {
 				t.Errorf("peers (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(test.warnings, got.Warnings); diff != "" {
+			if diff := cmp.Diff(test.wantWarnings, got.Warnings); diff != "" {
 				t.Errorf("warnings (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// All instances lost power unless peers have served on. A single one that reports so is not believed beside others.
+// A start counts as a cold start unless enough peers have served for longer than the warm-up duration. A long uptime that
+// only one of several peers reports is not enough.
 func TestColdStartDetection(t *testing.T) {
 	for _, test := range []struct {
-		uptimes   []time.Duration
-		coldStart bool
+		uptimes       []time.Duration
+		wantColdStart bool
 	}{
 		{nil, true},
 		{[]time.Duration{0, 0, 0}, true},
@@ -176,13 +179,13 @@
 		t.Run(fmt.Sprint(test.uptimes), func(t *testing.T) {
 			var peers []PeerState
 			for _, uptime := range test.uptimes {
-				state := holding(41)
+				state := stateWithList(41)
 				state.Uptime = uptime
 				peers = append(peers, state)
 			}
-			got := decide(t, testSettings(max(len(peers), 1)), holding(41), peers...)
-			if got.ColdStart != test.coldStart {
-				t.Errorf("cold start %t, want %t", got.ColdStart, test.coldStart)
+			got := decide(t, testSettings(max(len(peers), 1)), stateWithList(41), peers...)
+			if got.ColdStart != test.wantColdStart {
+				t.Errorf("got cold start %t, want %t", got.ColdStart, test.wantColdStart)
 			}
 		})
 	}
@@ -194,9 +197,9 @@
 		name  string
 		disk  []Server
 		peers []Server
-		want  time.Duration // ago; 0: no start time
+		want  time.Duration // age of the start time; 0 means that there is none
 	}{
-		{"disk alone", []Server{ago(9 * time.Second)}, nil, 9 * time.Second},
+		{"only the disk holds a start time", []Server{ago(9 * time.Second)}, nil, 9 * time.Second},
 		{
 			"two peers observed a later start",
 			[]Server{ago(90 * time.Second)},
@@ -215,20 +218,20 @@
 			[]Server{ago(900 * time.Second), ago(5 * time.Second)},
 			5 * time.Second,
 		},
-		{"ahead of the clock", nil, []Server{ago(-60 * time.Second), ago(-60 * time.Second)}, 0},
+		{"start time ahead of the clock", nil, []Server{ago(-60 * time.Second), ago(-60 * time.Second)}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var peers []PeerState
 			for _, s := range test.peers {
-				peers = append(peers, holding(41, s))
+				peers = append(peers, stateWithList(41, s))
 			}
-			got := decide(t, testSettings(max(len(peers), 1)), holding(41, test.disk...), peers...)
+			got := decide(t, testSettings(max(len(peers), 1)), stateWithList(41, test.disk...), peers...)
 			want := now - test.want
 			if test.want == 0 {
 				want = 0
 			}
 			if got.StartTimes["s"] != want {
-				t.Errorf("started %v ago, want %v", now-got.StartTimes["s"], test.want)
+				t.Errorf("got a start time %v ago, want %v ago (0s means no start time)", now-got.StartTimes["s"], test.want)
 			}
 		})
 	}
@@ -236,12 +239,12 @@
 
 func TestClockWarnings(t *testing.T) {
 	r := New(testSettings(1))
-	disk := holding(41)
+	disk := stateWithList(41)
 	disk.UpdatedAt = now + time.Hour
 	r.Handle(now, Startup{disk})
-	got, ok := r.Handle(now, PeerReport{"p0", now - time.Hour, holding(41)})
+	got, ok := r.Handle(now, PeerReport{"p0", now - time.Hour, stateWithList(41)})
 	if !ok {
-		t.Fatal("not decided")
+		t.Fatal("got no decision, want one")
 	}
 	want := []Warning{ClockBehindDisk{Offset: time.Hour}, PeerClockSkew{Peer: "p0", Offset: -time.Hour}}
 	if diff := cmp.Diff(want, got.Warnings); diff != "" {
@@ -249,27 +252,28 @@
 	}
 }
 
-// Guards against memory that grows with each report of a peer whose clock changes, or which conflicts with another in one
-// version after the other. Of each clock the largest offset is kept, and earlier decisions keep their warnings.
+// Guards against unbounded growth of the warnings, when the clock of a peer changes from report to report or when two peers
+// hold conflicting lists in one version after another. One clock warning, with the largest offset, is kept for each peer, and
+// the warnings of earlier decisions don't change.
 func TestWarningsAreBounded(t *testing.T) {
 	r := New(testSettings(3))
-	r.Handle(now, Startup{holding(41)})
-	r.Handle(now, PeerReport{"p1", now, holding(41)})
-	r.Handle(now, PeerReport{"p2", now, holding(41)})
-	first, ok := r.Handle(now, PeerReport{"p0", now - time.Hour, holding(41)})
+	r.Handle(now, Startup{stateWithList(41)})
+	r.Handle(now, PeerReport{"p1", now, stateWithList(41)})
+	r.Handle(now, PeerReport{"p2", now, stateWithList(41)})
+	first, ok := r.Handle(now, PeerReport{"p0", now - time.Hour, stateWithList(41)})
 	if !ok || len(first.Warnings) != 1 {
-		t.Fatalf("decided %v with %v", ok, first.Warnings)
+		t.Fatalf("got decision %v with warnings %v, want a decision with one warning", ok, first.Warnings)
 	}
 	var last Decision
 	const reports = 2000
 	for i := range reports {
-		conflicting := holding(int64(100 + i))
+		conflicting := stateWithList(int64(100 + i))
 		r.Handle(now, PeerReport{"p1", now, conflicting})
 		conflicting.Hash++
 		if d, changed := r.Handle(now, PeerReport{"p0", now - time.Hour - time.Duration(i), conflicting}); changed {
 			last = d
 		}
-		agreed := holding(int64(100 + i))
+		agreed := stateWithList(int64(100 + i))
 		if d, changed := r.Handle(now, PeerReport{"p2", now, agreed}); changed {
 			last = d
 		}
@@ -286,22 +290,24 @@
 	}
 }
 
-// Discovery's update ends the wait for peers at once. Reports under the instance's own name or a foreign one don't.
+// Discovery's update ends the wait for peers at once. A report under the instance's own name or under a name that is not
+// configured does not.
 func TestDiscoveryUpdateEndsPeerTimeout(t *testing.T) {
 	r := New(testSettings(2))
-	r.Handle(now, Startup{holding(41)})
+	r.Handle(now, Startup{stateWithList(41)})
 	for _, name := range []string{"me", "mallory"} {
-		if _, ok := r.Handle(now, PeerReport{name, now, holding(9)}); ok {
-			t.Fatalf("decided on a report from %q", name)
+		if _, ok := r.Handle(now, PeerReport{name, now, stateWithList(9)}); ok {
+			t.Fatalf("got a decision on a report from %q, want none", name)
 		}
 	}
 	if d, ok := r.Handle(now+1, DiscoveryUpdate{}); !ok || d.Source != FromDiscovery || d.Version != 0 {
-		t.Errorf("decided %t: source %v, version %d", ok, d.Source, d.Version)
+		t.Errorf("got decision %t with source %v, version %d, want a decision with source %v, version 0",
+			ok, d.Source, d.Version, FromDiscovery)
 	}
 }
 
-// Whatever a single peer reports, and in whatever order reports come, its list is not used, no start time changes, and a
-// loss of power is not denied.
+// A single faulty peer has no influence, whatever it reports and in whatever order the reports arrive: its list is not used,
+// no start time changes, and the cold start is still detected.
 func TestSingleFaultyPeerHasNoInfluence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings(rapid.IntRange(3, 6).Draw(t, "peers"))
@@ -321,15 +327,15 @@
 			decision, ok = r.Handle(now+1, PeerReport{name, now + 1, reports[name]})
 		}
 		if !ok {
-			t.Fatal("not decided")
+			t.Fatal("got no decision, want one")
 		}
 		sameList := func(s PeerState) bool { return s.Version == faulty.Version && s.Hash == faulty.Hash }
 		if decision.Version == faulty.Version && decision.Hash == faulty.Hash &&
 			!slices.ContainsFunc(append(correct, disk), sameList) {
-			t.Fatalf("uses the faulty peer's list: %+v", decision)
+			t.Fatalf("got the faulty peer's list, want a list that a correct instance holds: %+v", decision)
 		}
 		if !decision.ColdStart {
-			t.Fatal("the faulty peer's uptime hides the loss of power")
+			t.Fatal("got no cold start because of the faulty peer's uptime, want a cold start")
 		}
 		for i := range faultyServers {
 			want := time.Duration(0)
@@ -337,7 +343,7 @@
 				want = now - time.Duration(1+i)*time.Second
 			}
 			if got := decision.StartTimes[serverName(i)]; got != want {
-				t.Fatalf("%s started at %v, not %v", serverName(i), got, want)
+				t.Fatalf("got start time %v of %s, want %v", got, serverName(i), want)
 			}
 		}
 	})
@@ -355,7 +361,7 @@
 	for i := range correctServers {
 		list = append(list, Server{serverName(i), now - time.Duration(1+i)*time.Second})
 	}
-	return holding(rapid.Int64Range(40, 42).Draw(t, label), list...)
+	return stateWithList(rapid.Int64Range(40, 42).Draw(t, label), list...)
 }
 
 func drawFaultyState(t *rapid.T) PeerState {
@@ -372,45 +378,47 @@
 	return state
 }
 
-// Beside one peer with a newer list that nobody confirms, the disk's list is used without the servers that the newer one
-// lacks, up to half of them. A second peer with the newer list brings it in, also after the first decision.
+// If only one peer holds a newer list, the disk's list is used. The servers that the newer list lacks are excluded, unless
+// they are more than half of the disk's list. Once a second peer reports the newer list, that list is used, even after the
+// first decision.
 func TestSingleNewerPeerExcludesServers(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		peer     []Server
-		excluded []string
+		name         string
+		peer         []Server
+		wantExcluded []string
 	}{
-		{"one left", servers("a", "b", "c"), []string{"d"}},
-		{"one joined", servers("a", "b", "c", "d", "e"), nil},
-		{"half left", servers("a", "b"), []string{"c", "d"}},
-		{"more than half left", servers("a"), nil},
-		{"all replaced", servers("x"), nil},
-		{"none listed", nil, nil},
+		{"one server removed", servers("a", "b", "c"), []string{"d"}},
+		{"one server added", servers("a", "b", "c", "d", "e"), nil},
+		{"half of the servers removed", servers("a", "b"), []string{"c", "d"}},
+		{"more than half of the servers removed", servers("a"), nil},
+		{"all servers replaced", servers("x"), nil},
+		{"empty list", nil, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := New(testSettings(3))
-			r.Handle(now, Startup{holding(41, servers("a", "b", "c", "d")...)})
-			r.Handle(now, PeerReport{"p0", now, holding(42, test.peer...)})
+			r.Handle(now, Startup{stateWithList(41, servers("a", "b", "c", "d")...)})
+			r.Handle(now, PeerReport{"p0", now, stateWithList(42, test.peer...)})
 			d, ok := r.Handle(now+2*time.Second, Tick{})
 			if !ok || d.Source != FromDisk {
-				t.Errorf("decided %t, source %v", ok, d.Source)
+				t.Errorf("got decision %t with source %v, want a decision with source %v", ok, d.Source, FromDisk)
 			}
-			if diff := cmp.Diff(test.excluded, d.Excluded); diff != "" {
+			if diff := cmp.Diff(test.wantExcluded, d.Excluded); diff != "" {
 				t.Errorf("excluded (-want +got):\n%s", diff)
 			}
-			d, ok = r.Handle(now+3*time.Second, PeerReport{"p1", now, holding(42, test.peer...)})
+			d, ok = r.Handle(now+3*time.Second, PeerReport{"p1", now, stateWithList(42, test.peer...)})
 			if !ok || d.Source != FromPeers || d.Version != 42 {
-				t.Errorf("with a second peer: decided %t, source %v, version %d", ok, d.Source, d.Version)
+				t.Errorf("after a second peer's report: got decision %t with source %v, version %d, want a decision with %v, 42",
+					ok, d.Source, d.Version, FromPeers)
 			}
-			if _, ok = r.Handle(now+3*time.Second, PeerReport{"p2", now, holding(42, test.peer...)}); ok {
-				t.Error("decided again on a third peer with the same list")
+			if _, ok = r.Handle(now+3*time.Second, PeerReport{"p2", now, stateWithList(42, test.peer...)}); ok {
+				t.Error("got another decision when a third peer reported the same list, want none")
 			}
 		})
 	}
-	t.Run("disk's list confirmed", func(t *testing.T) {
-		newer, same := holding(42, servers("a")...), holding(41, servers("a", "b")...)
-		if d := decide(t, testSettings(2), holding(41, servers("a", "b")...), newer, same); len(d.Excluded) > 0 {
-			t.Errorf("excludes %q", d.Excluded)
+	t.Run("a second peer confirms the disk's list", func(t *testing.T) {
+		newer, same := stateWithList(42, servers("a")...), stateWithList(41, servers("a", "b")...)
+		if d := decide(t, testSettings(2), stateWithList(41, servers("a", "b")...), newer, same); len(d.Excluded) > 0 {
+			t.Errorf("got excluded servers %q, want none", d.Excluded)
 		}
 	})
 }
--- a/internal/cluster/recovery/selection.go
+++ b/internal/cluster/recovery/selection.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// selection is the endpoint list that a decision uses.
+// selection is the choice of an endpoint list, as the fields of the same names in Decision.
 type selection struct {
 	source   Source
 	peers    []string
@@ -15,12 +15,12 @@
 	excluded []string
 }
 
-// candidate is an endpoint list, with the instances that hold it.
+// candidate is an endpoint list and the instances that hold it.
 type candidate struct {
 	version int64
 	hash    uint64
-	onDisk  bool     // of this instance
-	peers   []string // sorted
+	onDisk  bool     // this instance's disk holds the list
+	peers   []string // the peers that hold the list, sorted by name
 }
 
 // isAgreed reports whether at least two instances hold the list.
@@ -28,14 +28,15 @@
 	return len(c.peers) > 1 || c.onDisk && len(c.peers) > 0
 }
 
-// selectList chooses the newest list on which two instances agree. Where there is none it is the own disk's, and a
-// peer's only where the disk holds none and no other peer contradicts it: a faulty peer can't bring in a list of its own.
+// selectList selects the newest list that at least two instances hold. If there is none, it selects the list on this
+// instance's disk. If the disk holds no list either, it selects the list of a peer, provided that no other peer holds a
+// different one: otherwise a faulty peer could introduce a list of its own.
 func (r *Recovery) selectList() selection {
 	candidates := r.candidates()
 	r.warnOfConflicts(candidates)
-	c := r.choose(candidates)
+	c := r.chooseCandidate(candidates)
 	if c == nil {
-		return selection{source: FromNowhere}
+		return selection{source: FromNone}
 	}
 	s := selection{source: FromPeers, peers: c.peers, version: c.version, hash: c.hash}
 	if c.onDisk {
@@ -47,10 +48,10 @@
 	return s
 }
 
-// candidates returns the lists that the disk and the peers hold, the newest first.
+// candidates returns the lists that this instance's disk and the peers hold, sorted from the newest version to the oldest.
 func (r *Recovery) candidates() []*candidate {
 	var all []*candidate
-	find := func(s PeerState) *candidate {
+	findOrAdd := func(s PeerState) *candidate {
 		for _, c := range all {
 			if c.version == s.Version && c.hash == s.Hash {
 				return c
@@ -61,11 +62,11 @@
 		return c
 	}
 	if r.disk.Version > 0 {
-		find(r.disk).onDisk = true
+		findOrAdd(r.disk).onDisk = true
 	}
 	for _, name := range r.reporters() {
 		if state := r.reports[name].State; state.Version > 0 {
-			c := find(state)
+			c := findOrAdd(state)
 			c.peers = append(c.peers, name)
 		}
 	}
@@ -73,7 +74,7 @@
 	return all
 }
 
-// warnOfConflicts adds a warning for each version of which there are different lists. Candidates are sorted by version.
+// warnOfConflicts adds a warning for each version that more than one candidate has. The candidates are sorted by version.
 func (r *Recovery) warnOfConflicts(candidates []*candidate) {
 	for i := 1; i < len(candidates); i++ {
 		if version := candidates[i].version; version == candidates[i-1].version {
@@ -82,8 +83,8 @@
 	}
 }
 
-// choose returns the candidate to use, nil where there is none that can be trusted.
-func (r *Recovery) choose(candidates []*candidate) *candidate {
+// chooseCandidate returns the candidate to use, or nil if none can be trusted.
+func (r *Recovery) chooseCandidate(candidates []*candidate) *candidate {
 	for _, c := range candidates {
 		if c.isAgreed() {
 			return c
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// excludedServers returns, sorted, the servers of the disk's list that a peer with a newer list does not hold. A peer
-// that would bring them to more than half of the list is ignored.
+// excludedServers returns the IDs of the servers that the disk's list contains and a peer's newer list lacks, sorted. It
+// ignores a peer whose list would raise their number to more than half of the disk's list.
 func (r *Recovery) excludedServers() []string {
 	var excluded []string
 	for _, name := range r.reporters() {
@@ -118,22 +119,22 @@
 	return excluded
 }
 
-// missingServers returns the servers of the disk's list that a state does not hold, without those excluded already.
+// missingServers returns the IDs of the servers that the disk's list contains and the state lacks, without those in excluded.
 func (r *Recovery) missingServers(state PeerState, excluded []string) []string {
-	held := map[string]bool{}
+	heldIDs := map[string]bool{}
 	for _, s := range state.Servers {
-		held[s.ID] = true
+		heldIDs[s.ID] = true
 	}
 	var missing []string
 	for _, s := range r.disk.Servers {
-		if !held[s.ID] && !slices.Contains(excluded, s.ID) {
+		if !heldIDs[s.ID] && !slices.Contains(excluded, s.ID) {
 			missing = append(missing, s.ID)
 		}
 	}
 	return missing
 }
 
-// reporters returns the names of the peers that have answered, sorted.
+// reporters returns the sorted names of the peers that have answered.
 func (r *Recovery) reporters() []string {
 	return slices.Sorted(maps.Keys(r.reports))
 }
--- a/internal/cluster/recovery/starttimes.go
+++ b/internal/cluster/recovery/starttimes.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// startTimes returns the latest start time of each server that two peers report or that the own disk holds. The report of
-// a single peer makes no server cold or warm.
+// startTimes returns the latest start time of each server that at least two peers or this instance's disk have observed. The
+// report of a single peer can't change whether a server is warming up.
 func (r *Recovery) startTimes(now time.Duration) map[string]time.Duration {
 	latest := map[string]time.Duration{}
 	for _, s := range r.disk.Servers {
@@ -23,14 +23,14 @@
 	return latest
 }
 
-// reportedStartTimes returns the start times of each server, one from each peer that reports one.
+// reportedStartTimes returns the start times of each server by ID, at most one from each peer.
 func (r *Recovery) reportedStartTimes(now time.Duration) map[string][]time.Duration {
 	reported := map[string][]time.Duration{}
 	for _, report := range r.reports {
-		seen := map[string]bool{}
+		seenIDs := map[string]bool{}
 		for _, s := range report.State.Servers {
-			if r.isPlausible(s, now) && !seen[s.ID] {
-				seen[s.ID] = true
+			if r.isPlausible(s, now) && !seenIDs[s.ID] {
+				seenIDs[s.ID] = true
 				reported[s.ID] = append(reported[s.ID], s.StartedAt)
 			}
 		}
@@ -38,14 +38,15 @@
 	return reported
 }
 
-// isPlausible reports whether a start time is known and can have been observed: none was ahead of the clock.
+// isPlausible reports whether the server's start time is known and is not ahead of the local clock by more than
+// Settings.MaxClockSkew: such a start can't have been observed.
 func (r *Recovery) isPlausible(s Server, now time.Duration) bool {
 	return s.StartedAt > 0 && s.StartedAt <= now+r.settings.MaxClockSkew
 }
 
-// isColdStart reports whether, as far as is known, all instances lost power rather than this one alone. That is so unless
-// at least half of the peers that answered have served for longer than servers are cold. From three answers on a single
-// faulty peer does not change the result.
+// isColdStart reports whether, as far as is known, all instances lost power rather than this one alone. The result is false
+// only if at least half of the peers that answered, and at least two of them if more than one answered, have served for
+// longer than Settings.WarmupDuration. With three or more answers a single faulty peer does not change the result.
 func (r *Recovery) isColdStart() bool {
 	serving := 0
 	for _, report := range r.reports {
