--- a/internal/cluster/loadshed/digest_test.go
+++ b/internal/cluster/loadshed/digest_test.go
@@ -19,38 +19,38 @@
 	"example.org/milletvane/internal/cluster/loadshed"
 )
 
-var updateDigests = flag.Bool("update", false, "write the digests of the drawn event streams anew")
+var updateDigests = flag.Bool("update", false, "write the digests of the generated loads anew")
 
 const (
-	fleetSeeds = 240 // some instances for less than half a minute
-	longSeeds  = 20  // one to three instances for five minutes: what is admitted again comes back in steps that grow
-	shortTicks = 120
+	fleetSeeds = 240 // each with one to seven instances for less than half a minute
+	longSeeds  = 20  // each with one to three instances for five minutes, which covers readmission in growing steps
+	shortTicks = 120 // of ReportInterval
 	longTicks  = 1500
 
 	epoch = 1_700_000_000 * time.Second
 )
 
-// The reports and levels of all instances over drawn loads of fleets are those that the digests in testdata record, to the
-// last bit of each figure.
+// Compares the reports and levels of all instances under generated loads with the digests in testdata, to the last bit of
+// each figure.
 func TestFleetLevelDigests(t *testing.T) {
 	checkDigests(t, "fleets.txt", fleetSeeds, func(seed uint64, out *transcript) {
 		newFleet(seed, 1, 1+int(seed%7)).run(shortTicks, out)
 	})
 }
 
-// The same over minutes.
+// Compares reports and levels in the same way over five minutes.
 func TestLongRunLevelDigests(t *testing.T) {
 	checkDigests(t, "minutes.txt", longSeeds, func(seed uint64, out *transcript) {
 		f := newFleet(seed, 2, 1+int(seed%3))
 		if seed%2 == 0 {
 			f.steady = true
-			f.capacity = f.sum() / 2
+			f.capacity = f.totalLoad() / 2
 		}
 		f.run(longTicks, out)
 	})
 }
 
-// checkDigests compares the digest of each seed's output with the line of a file in testdata.
+// checkDigests compares the digest of each seed's output with the seed's line of a file in testdata.
 func checkDigests(t *testing.T, file string, seeds uint64, draw func(seed uint64, out *transcript)) {
 	t.Helper()
 	var lines []string
@@ -62,7 +62,7 @@
 		lines = append(lines, fmt.Sprintf("%d %s", seed, out.digest()))
 	}
 	if shedding < 100*int(seeds) {
-		t.Errorf("%d levels above 0 in %d seeds: the loads are too small to tell anything", shedding, seeds)
+		t.Errorf("got %d levels above 0 from %d seeds, want at least 100 per seed: the loads are too small", shedding, seeds)
 	}
 	name := filepath.Join("testdata", file)
 	if *updateDigests {
@@ -80,7 +80,7 @@
 	}
 	want := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(want) != len(lines) {
-		t.Fatalf("%s has %d lines for %d seeds", name, len(want), len(lines))
+		t.Fatalf("%s: got %d lines, want one for each of %d seeds", name, len(want), len(lines))
 	}
 	differ := 0
 	for i := range lines {
@@ -91,15 +91,15 @@
 		}
 	}
 	if differ > 0 {
-		t.Errorf("%s: %d of %d seeds differ", name, differ, len(lines))
+		t.Errorf("%s: digests of %d of %d seeds differ", name, differ, len(lines))
 	}
 }
 
-// transcript takes the output of one seed in a binary form of its own, which no rename of a type or field changes.
+// transcript hashes the output of one seed. Its binary encoding does not depend on the names of types or fields.
 type transcript struct {
 	sum      hash.Hash
 	buf      []byte
-	shedding int // levels above 0
+	shedding int // number of levels above 0
 }
 
 func (o *transcript) digest() string { return hex.EncodeToString(o.sum.Sum(nil)[:8]) }
@@ -120,59 +120,60 @@
 	}
 }
 
-// message is a report on its way.
+// message is a report on its way to an instance.
 type message struct {
 	at     time.Duration
 	to     int
 	report loadshed.PeerReport
 }
 
-// fleet is some instances in front of servers with a common capacity.
+// fleet is a group of instances in front of servers with a common capacity.
 type fleet struct {
 	*rand.Rand
-	set          loadshed.Settings
-	all          []*loadshed.Shedder
+	settings     loadshed.Settings
+	instances    []*loadshed.Shedder
 	levels       []float64
 	incarnations []uint64
-	number       uint64
+	sequence     uint64
 	now          time.Duration
-	load         []float64 // requests a second of each priority, at each instance
-	capacity     float64   // requests a second, all instances together
+	load         []float64 // requests per second of each priority, at each instance
+	capacity     float64   // requests per second of all instances together
 	queue        []message
-	steady       bool // the load stays as it is, and no instance starts anew
-	exact        bool // ticks and delays are whole multiples of a tick: bounds on time are met to the nanosecond
+	steady       bool // the load does not change, and no instance restarts
+	exact        bool // intervals and delays are multiples of ReportInterval, so that time bounds are met to the nanosecond
 	faulty       bool // the first instance reports wrong figures
 }
 
 func newFleet(seed, stream uint64, n int) *fleet {
 	f := &fleet{Rand: rand.New(rand.NewPCG(seed, stream)), now: epoch}
-	f.set = loadshed.Settings{Priorities: 1 + f.IntN(5)}
+	f.settings = loadshed.Settings{Priorities: 1 + f.IntN(5)}
 	if f.IntN(2) == 0 {
-		f.set.MinAdmittedRatio = f.Float64() / 4
+		f.settings.MinAdmittedRatio = f.Float64() / 4
 	}
 	f.exact, f.faulty = f.IntN(2) == 0, n > 2 && f.IntN(3) == 0
 	for range n {
-		f.all, f.levels, f.incarnations = append(f.all, loadshed.New(f.set)), append(f.levels, 0), append(f.incarnations, 1)
+		f.instances, f.levels, f.incarnations = append(f.instances, loadshed.New(f.settings)),
+			append(f.levels, 0), append(f.incarnations, 1)
 	}
 	f.drawLoad()
 	return f
 }
 
-// drawLoad draws the load from now on, and the capacity of the servers: from a hundredth of the load to four times as much.
+// drawLoad sets a random load and a random capacity of the servers, from 0.01 of the load to four times the load.
 func (f *fleet) drawLoad() {
-	f.load = make([]float64, f.set.Priorities)
+	f.load = make([]float64, f.settings.Priorities)
 	for k := range f.load {
 		if f.IntN(6) > 0 {
 			f.load[k] = f.Float64() * 100
 		}
 	}
-	f.capacity = f.sum() * []float64{4, 1.2, 1.04, 1, 0.95, 0.7, 0.5, 0.25, 0.01}[f.IntN(9)]
+	f.capacity = f.totalLoad() * []float64{4, 1.2, 1.04, 1, 0.95, 0.7, 0.5, 0.25, 0.01}[f.IntN(9)]
 }
 
-// sum is the load of all instances together, in requests a second.
-func (f *fleet) sum() (sum float64) {
+// totalLoad returns the load of all instances together, in requests per second.
+func (f *fleet) totalLoad() (sum float64) {
 	for _, load := range f.load {
-		sum += load * float64(len(f.all))
+		sum += load * float64(len(f.instances))
 	}
 	return sum
 }
@@ -183,17 +184,17 @@
 			f.drawLoad()
 		}
 		if f.IntN(200) == 0 && !f.steady {
-			f.restart(f.IntN(len(f.all)))
+			f.restart(f.IntN(len(f.instances)))
 		}
 		f.now += loadshed.ReportInterval
 		if !f.exact {
 			f.now += time.Duration(f.IntN(40)-20) * time.Millisecond
 		}
 		f.deliver()
-		rejected := f.rejected()
-		for i := range f.all {
+		rejected := f.rejectedRatio()
+		for i := range f.instances {
 			if f.IntN(150) == 0 {
-				continue // it is late by a tick
+				continue // the instance skips an update
 			}
 			f.tick(i, rejected, out)
 		}
@@ -203,16 +204,16 @@
 	}
 }
 
-// restart begins another incarnation of an instance.
+// restart replaces an instance by its next incarnation.
 func (f *fleet) restart(i int) {
-	f.all[i], f.levels[i] = loadshed.New(f.set), 0
+	f.instances[i], f.levels[i] = loadshed.New(f.settings), 0
 	f.incarnations[i]++
 }
 
-// rejected is the ratio of what all instances admit that the servers reject.
-func (f *fleet) rejected() float64 {
+// rejectedRatio returns the ratio of the requests admitted by all instances that the servers reject.
+func (f *fleet) rejectedRatio() float64 {
 	admitted := 0.0
-	for i := range f.all {
+	for i := range f.instances {
 		for k, load := range f.load {
 			admitted += load * (1 - f.shedRatio(i, k))
 		}
@@ -220,7 +221,7 @@
 	return max(1-f.capacity/max(admitted, 1e-9), 0)
 }
 
-// shedRatio is the ratio of a priority that an instance sheds.
+// shedRatio returns the ratio of the requests of priority k that instance i sheds.
 func (f *fleet) shedRatio(i, k int) float64 { return min(max(f.levels[i]-float64(k), 0), 1) }
 
 func (f *fleet) tick(i int, rejected float64, out *transcript) {
@@ -231,24 +232,24 @@
 		counts.Shed = append(counts.Shed, uint64(requests*f.shedRatio(i, k)))
 		counts.Rejected = append(counts.Rejected, uint64(requests*(1-f.shedRatio(i, k))*rejected))
 	}
-	decision := f.all[i].Update(f.now, counts)
+	decision := f.instances[i].Update(f.now, counts)
 	report, level := decision.Report, decision.Level
 	out.level(f.now, i, report, level)
 	f.levels[i] = level
 	if f.faulty && i == 0 {
 		report = f.faultyReport()
 	}
-	f.number++
-	for to := range f.all {
+	f.sequence++
+	for to := range f.instances {
 		if to != i && f.IntN(20) > 0 {
-			f.send(to, loadshed.PeerReport{Peer: peerName(i), Incarnation: f.incarnations[i], Sequence: f.number, Report: report})
+			f.send(to, loadshed.PeerReport{Peer: peerName(i), Incarnation: f.incarnations[i], Sequence: f.sequence, Report: report})
 		}
 	}
 }
 
 func peerName(i int) string { return "p" + strconv.Itoa(i) }
 
-// send queues a message; some come late, twice, or after a later one.
+// send queues a report for delivery. Some reports arrive late, twice, or after a later one.
 func (f *fleet) send(to int, report loadshed.PeerReport) {
 	copies := 1
 	if f.IntN(30) == 0 {
@@ -270,15 +271,15 @@
 			later = append(later, m)
 			continue
 		}
-		f.all[m.to].Receive(f.now, m.report)
+		f.instances[m.to].Receive(f.now, m.report)
 	}
 	f.queue = later
 }
 
-// faultyReport is a report of wrong figures, or an invalid one.
+// faultyReport returns a report with wrong or invalid figures.
 func (f *fleet) faultyReport() loadshed.Report {
 	d := loadshed.Report{ShedRatio: f.Float64()}
-	for range f.set.Priorities {
+	for range f.settings.Priorities {
 		d.RequestRates = append(d.RequestRates, f.Float64()*1e6)
 	}
 	switch f.IntN(12) {
@@ -306,17 +307,17 @@
 	return d
 }
 
-// inject has an instance receive what is older than the rest: an earlier incarnation of a peer, or an earlier number.
+// inject sends a faulty report to an instance, mostly with an earlier incarnation of the peer or an earlier sequence number.
 func (f *fleet) inject() {
-	to, from := f.IntN(len(f.all)), f.IntN(len(f.all))
-	incarnation, number := f.incarnations[from], f.number
+	to, from := f.IntN(len(f.instances)), f.IntN(len(f.instances))
+	incarnation, sequence := f.incarnations[from], f.sequence
 	switch f.IntN(4) {
 	case 0:
 		incarnation--
 	case 1:
-		number = uint64(f.IntN(int(f.number) + 1))
+		sequence = uint64(f.IntN(int(f.sequence) + 1))
 	case 2:
-		number -= min(number, uint64(len(f.all)))
+		sequence -= min(sequence, uint64(len(f.instances)))
 	}
-	f.send(to, loadshed.PeerReport{Peer: peerName(from), Incarnation: incarnation, Sequence: number, Report: f.faultyReport()})
+	f.send(to, loadshed.PeerReport{Peer: peerName(from), Incarnation: incarnation, Sequence: sequence, Report: f.faultyReport()})
 }
--- a/internal/cluster/loadshed/example_test.go
+++ b/internal/cluster/loadshed/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/milletvane/internal/cluster/loadshed"
 )
 
-// An instance that rejects half of what it admits begins to shed the lower of two priorities.
+// An instance that rejects half of the requests that it admits begins to shed requests of the lower of two priorities.
 func Example() {
 	s := loadshed.New(loadshed.Settings{Priorities: 2})
 	var decision loadshed.Decision
--- a/internal/cluster/loadshed/level.go
+++ b/internal/cluster/loadshed/level.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// level converts a ratio of all requests into a level, by the request rates of the reports.
+// level converts a ratio of all requests, 0 to 1, into a level as in Decision, using the request rates of the reports.
 func (s Settings) level(ratio float64, reports []Report) float64 {
-	rates, sum := s.fleetRates(reports)
+	rates, sum := s.meanRates(reports)
 	excess, level := ratio*sum, 0.0
 	for priority, rate := range rates {
 		if excess <= 0 {
 			break
 		}
-		part := 1.0
+		shedFraction := 1.0
 		if rate > 0 {
-			part = min(excess/rate, 1)
+			shedFraction = min(excess/rate, 1)
 		}
 		if priority == 0 {
-			part = min(part, 1-s.MinAdmittedRatio)
+			shedFraction = min(shedFraction, 1-s.MinAdmittedRatio)
 		}
 		excess -= rate
-		level = float64(priority) + part
-		if part < 1 && priority > 0 {
+		level = float64(priority) + shedFraction
+		if shedFraction < 1 && priority > 0 {
 			break
 		}
 	}
 	return level
 }
 
-// fleetRates returns the request rate of an average instance by priority, and the sum of these.
-func (s Settings) fleetRates(reports []Report) (rates []float64, sum float64) {
+// meanRates returns the trimmed mean of the instances' request rates for each priority, and the sum of these means.
+func (s Settings) meanRates(reports []Report) (rates []float64, sum float64) {
 	rates = make([]float64, s.Priorities)
 	for priority := range rates {
 		reported := make([]float64, len(reports))
@@ -40,8 +40,8 @@
 	return rates, sum
 }
 
-// medianRatio is the median of the shed ratios, 0 without reports.
-func medianRatio(reports []Report) float64 {
+// medianShedRatio returns the median of the reported shed ratios, or 0 if there are no reports.
+func medianShedRatio(reports []Report) float64 {
 	if len(reports) == 0 {
 		return 0
 	}
@@ -52,7 +52,7 @@
 	return median(ratios)
 }
 
-// median sorts values, of which there is at least one, and returns their median.
+// median returns the median of at least one value. It sorts values in place.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	n := len(values)
@@ -62,7 +62,8 @@
 	return values[n/2]
 }
 
-// trimmedMean sorts values and returns their mean without the lowest and the highest, where there are more than two.
+// trimmedMean returns the mean of at least one value. If there are more than two, the lowest and the highest are left out. It
+// sorts values in place.
 func trimmedMean(values []float64) float64 {
 	slices.Sort(values)
 	if len(values) > 2 {
--- a/internal/cluster/loadshed/loadshed.go
+++ b/internal/cluster/loadshed/loadshed.go
@@ -1,12 +1,12 @@
-// Package loadshed decides which requests a fleet sheds under overload: those of the lowest priority first, and the same
-// at all instances.
+// Package loadshed decides which requests a fleet sheds under overload. Requests of the lowest priority are shed first, and
+// all instances shed the same.
 //
-// Each instance reports the ratio of all requests that it considers right to shed, and its request rates by priority. All
-// instances shed by the median of the ratios and by the trimmed mean of the rates, so that a single instance that reports
-// wrong figures has little influence.
+// Each instance reports the ratio of all requests that should be shed by its own measurements, and its request rates by
+// priority. Every instance derives what it sheds from the median of the ratios and the trimmed means of the rates, so that a
+// single instance that reports wrong figures has little influence.
 //
-// It is a pure state machine: counts and reports in, a report and a level out, no I/O and no clock. A Shedder belongs to
-// one goroutine, or to callers that hold a lock.
+// A [Shedder] is a pure state machine: it turns counts and reports into a report and a level, does no I/O and reads no clock.
+// It is not safe for concurrent use: it belongs to one goroutine, or to callers that hold a lock.
 package loadshed
 
 import (
@@ -14,36 +14,38 @@
 	"time"
 )
 
-// ReportInterval is how often Update is to be called, and its report to be sent to the peers.
+// ReportInterval is the interval at which the caller calls Update and sends its report to the peers.
 const ReportInterval = 200 * time.Millisecond
 
-// Settings configure a Shedder. Priorities are numbered from 0, the lowest, on.
+// Settings configures a Shedder. Priorities are numbered from 0, the lowest.
 type Settings struct {
-	Priorities       int     // how many there are, at least 1
-	MinAdmittedRatio float64 // of the lowest priority's requests, 0 to 1, admitted under any overload
+	Priorities       int     // number of priorities, at least 1
+	MinAdmittedRatio float64 // of the lowest priority's requests, 0 to 1, admitted as long as no higher priority is shed
 }
 
-// LocalCounts are the requests at this instance since the last Update. Each slice has one entry for each priority.
+// LocalCounts holds the numbers of requests at this instance since the last Update. Each slice has one entry for each
+// priority, the lowest first.
 type LocalCounts struct {
-	Requests []uint64 // all that came
-	Rejected []uint64 // those admitted that then found no capacity
-	Shed     []uint64 // those that were not admitted
+	Requests []uint64 // all requests that arrived
+	Rejected []uint64 // requests that were admitted and then rejected for lack of capacity
+	Shed     []uint64 // requests that were not admitted
 }
 
 // Decision is the result of an Update.
 type Decision struct {
 	Report Report // to be sent to all peers
-	// Level says what to shed: all requests of the priorities below its whole part, and of the priority that is its whole
-	// part the ratio behind the decimal point. 0: nothing is shed.
+	// Level determines what is shed: all requests of the priorities below its integer part, and of the priority that equals
+	// its integer part the ratio that its fractional part gives. At 1.3, for example, all requests of priority 0 and 0.3 of
+	// those of priority 1 are shed. Zero means that nothing is shed.
 	Level float64
 }
 
-// Shedder decides for one instance.
+// Shedder decides what one instance sheds.
 type Shedder struct {
-	settings Settings
-	rates    localRates
-	ratio    ratioController
-	peers    map[string]receivedReport
+	settings   Settings
+	rates      localRates
+	controller ratioController
+	peers      map[string]receivedReport // the latest report of each peer, by its name
 }
 
 // New returns a Shedder that has seen no load yet.
@@ -55,8 +57,8 @@
 	}
 }
 
-// Receive takes the report of a peer that arrived at now. Reports that are invalid, of an earlier incarnation or out of
-// order are ignored. The caller vouches for the peer's name: one report is kept for each.
+// Receive processes the report of a peer that arrived at now. It ignores reports that are invalid, of an earlier incarnation
+// or out of order. One report is kept for each peer name, so the caller must pass only reports of known peers.
 func (s *Shedder) Receive(now time.Duration, report PeerReport) {
 	latest := s.peers[report.Peer]
 	if report.isNewerThan(latest.PeerReport) && report.Report.isValid(s.settings.Priorities) {
@@ -64,17 +66,17 @@
 	}
 }
 
-// Update takes this instance's counts since the last call and decides what to shed from now on.
+// Update processes this instance's counts since the last call and decides what to shed from now on.
 func (s *Shedder) Update(now time.Duration, counts LocalCounts) Decision {
 	s.rates.add(counts)
 	reports := s.currentReports(now)
-	s.ratio.update(now, &s.rates, medianRatio(reports))
-	own := Report{ShedRatio: s.ratio.value, RequestRates: slices.Clone(s.rates.requests)}
+	s.controller.update(now, &s.rates, medianShedRatio(reports))
+	own := Report{ShedRatio: s.controller.shedRatio, RequestRates: slices.Clone(s.rates.requests)}
 	reports = append(reports, own)
-	return Decision{Report: own, Level: s.settings.level(medianRatio(reports), reports)}
+	return Decision{Report: own, Level: s.settings.level(medianShedRatio(reports), reports)}
 }
 
-// currentReports returns the peers' reports that still count, in no order.
+// currentReports returns the peers' reports that are no older than reportTTL, in no particular order.
 func (s *Shedder) currentReports(now time.Duration) []Report {
 	var reports []Report
 	for _, received := range s.peers {
--- a/internal/cluster/loadshed/loadshed_test.go
+++ b/internal/cluster/loadshed/loadshed_test.go
@@ -32,32 +32,33 @@
 	highest    = 2
 )
 
-// demand is a rate of requests a second, by priority.
+// demand holds the rate of requests of each priority, in requests per second.
 type demand [priorities]float64
 
-// overload is three times the capacity of these tests, at each instance.
+// overload is a demand at each instance of three times the capacity that the tests have for each instance.
 var overload = demand{80, 70, 30}
 
-// simulation is a fleet in front of servers with a common capacity. What is admitted beyond it is rejected, whatever its
-// priority.
+// simulation is a fleet in front of servers with a common capacity. Requests that are admitted beyond it are rejected,
+// whatever their priority.
 type simulation struct {
 	rnd          *rand.Rand
 	now          time.Duration
 	instances    []*Shedder
-	levels       []float64
+	levels       []float64 // the latest shed level of each instance
 	incarnations []uint64
 	partitioned  map[int]bool   // instances that neither send nor receive reports
-	faulty       map[int]Report // what instances report in place of the truth
+	faulty       map[int]Report // reports that faulty instances send in place of their own
 	delay        time.Duration  // of reports
 	inFlight     []delivery
 	sequence     uint64
 
-	// Since the last reset:
+	// These count since the last reset.
 	served, requested demand
-	inverted          time.Duration // in which a higher priority was rejected while a lower one was admitted
-	levelChanges      int           // of the whole part
+	inverted          time.Duration // for which a higher priority was rejected while a lower one was admitted
+	levelChanges      int           // changes of the integer part of any instance's level
 }
 
+// delivery is a report on its way to an instance.
 type delivery struct {
 	at     time.Duration
 	to     int
@@ -77,7 +78,7 @@
 	return s
 }
 
-// join adds an instance that has seen nothing yet.
+// join adds an instance that has seen no load and no reports yet.
 func (s *simulation) join() {
 	s.instances = append(s.instances, New(Settings{Priorities: priorities}))
 	s.levels = append(s.levels, 0)
@@ -113,7 +114,7 @@
 	}
 }
 
-// admit returns the rates that each instance admits, and the ratio of these that the servers reject.
+// admit returns the rates that each instance admits, and the ratio of the admitted requests that the servers reject.
 func (s *simulation) admit(perInstance demand, capacity float64) (admitted []demand, rejectedRatio float64) {
 	admitted = make([]demand, len(s.instances))
 	sum, lowestAdmitted := 0.0, priorities
@@ -134,7 +135,7 @@
 	return admitted, rejectedRatio
 }
 
-// count returns what an instance counts in an interval.
+// count returns the counts of one instance in a ReportInterval.
 func (s *simulation) count(requested, admitted demand, rejectedRatio float64) LocalCounts {
 	var c LocalCounts
 	interval := ReportInterval.Seconds()
@@ -174,71 +175,74 @@
 	s.served, s.requested, s.inverted, s.levelChanges = demand{}, demand{}, 0, 0
 }
 
-// servedRatio is the ratio of a priority's requests that were served since the last reset.
+// servedRatio returns the ratio of a priority's requests that were served since the last reset.
 func (s *simulation) servedRatio(priority int) float64 {
 	return s.served[priority] / s.requested[priority]
 }
 
-// Under three times the capacity the highest priority is served whole and the lowest not at all. For a few seconds at most
-// a higher priority is rejected while a lower one is admitted. The same holds with one instance that fails.
+// Under a load of three times the capacity, nearly all requests of the highest priority and almost none of the lowest are
+// served. The test begins to count after six seconds of overload; from then on a higher priority is rejected while a lower one
+// is admitted for at most two seconds. The same holds if one instance fails.
 func TestLowestPrioritiesAreShedFirst(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		fail  func(s *simulation)
-		slack time.Duration // beyond the second in which priorities may be inverted
+		name           string
+		fail           func(s *simulation)
+		inversionSlack time.Duration // by which priorities may be inverted for longer than one second
 	}{
 		{"no failure", func(*simulation) {}, 0},
-		{"partitioned", func(s *simulation) { s.partitioned[0] = true }, 0},
-		{"reports that nothing is to be shed", func(s *simulation) { s.faulty[0] = Report{0, []float64{0, 0, 0}} }, 0},
-		{"reports that all is to be shed", func(s *simulation) { s.faulty[0] = Report{1, []float64{0, 0, 1e12}} }, 0},
-		{"reports a high lowest priority", func(s *simulation) { s.faulty[0] = Report{0.9, []float64{1e12, 0, 0}} }, 0},
-		{"reports invalid figures", func(s *simulation) { s.faulty[0] = Report{math.NaN(), []float64{-1}} }, 0},
+		{"instance partitioned", func(s *simulation) { s.partitioned[0] = true }, 0},
+		{"report with a shed ratio of 0", func(s *simulation) { s.faulty[0] = Report{0, []float64{0, 0, 0}} }, 0},
+		{"report with a shed ratio of 1", func(s *simulation) { s.faulty[0] = Report{1, []float64{0, 0, 1e12}} }, 0},
+		{"report with a high rate of priority 0", func(s *simulation) { s.faulty[0] = Report{0.9, []float64{1e12, 0, 0}} }, 0},
+		{"report with invalid figures", func(s *simulation) { s.faulty[0] = Report{math.NaN(), []float64{-1}} }, 0},
 		{"reports half a second late", func(s *simulation) { s.delay = 500 * time.Millisecond }, time.Second},
-		{"restarted", func(s *simulation) { s.restart(0) }, 0},
-		{"another one joins", func(s *simulation) { s.join() }, time.Second},
+		{"instance restarted", func(s *simulation) { s.restart(0) }, 0},
+		{"instance added", func(s *simulation) { s.join() }, time.Second},
 	} {
 		for _, instances := range []int{5, 20} {
 			t.Run(fmt.Sprintf("%s, %d instances", test.name, instances), func(t *testing.T) {
 				s := newSimulation(instances, 7)
 				capacity := float64(instances) * 60
-				s.run(4*time.Second, overload, capacity) // the overload begins
+				s.run(4*time.Second, overload, capacity) // not counted: the shed ratio is still growing
 				test.fail(s)
 				s.run(2*time.Second, overload, capacity)
 				s.reset()
 				s.run(20*time.Second, overload, capacity)
 				if s.servedRatio(highest) < 0.97 || s.servedRatio(middle) < 0.1 || s.servedRatio(lowest) > 0.03 {
-					t.Errorf("served %.2f %.2f %.2f from the lowest on, level %.2f",
+					t.Errorf("got served ratios %.2f, %.2f, %.2f from the lowest priority on at level %.2f, "+
+						"want at most 0.03, at least 0.1, at least 0.97",
 						s.servedRatio(lowest), s.servedRatio(middle), s.servedRatio(highest), s.levels[0])
 				}
-				if s.inverted > time.Second+test.slack {
-					t.Errorf("priorities inverted for %v", s.inverted)
+				if s.inverted > time.Second+test.inversionSlack {
+					t.Errorf("priorities were inverted for %v, want at most %v", s.inverted, time.Second+test.inversionSlack)
 				}
 			})
 		}
 	}
 }
 
-// What is shed is admitted again when the load falls, the higher priority first, and the level does not flap.
-func TestReopeningStartsAtHighestPriority(t *testing.T) {
+// When the load falls, shed requests are admitted again, those of the higher priority first, and the level does not flap.
+func TestReadmissionStartsAtHighestPriority(t *testing.T) {
 	const instances = 5
 	low := demand{15, 15, 15}
 	s := newSimulation(instances, 3)
 	s.run(10*time.Second, overload, 300)
 	if s.levels[0] < 1.5 {
-		t.Fatalf("level %.2f under overload", s.levels[0])
+		t.Fatalf("got level %.2f under overload, want at least 1.5", s.levels[0])
 	}
 	s.reset()
 	s.run(60*time.Second, low, 300)
 	if s.levels[0] != 0 || s.levels[4] != 0 {
-		t.Errorf("levels %.2f when there is capacity for all", s.levels)
+		t.Errorf("got levels %.2f with capacity for all requests, want 0", s.levels)
 	}
 	if s.levelChanges > 3*instances {
-		t.Errorf("%d changes of the priority that is shed in part", s.levelChanges)
+		t.Errorf("got %d changes of the priority that is shed in part, want at most %d", s.levelChanges, 3*instances)
 	}
 	s.reset()
 	s.run(10*time.Second, low, 300)
 	if s.servedRatio(lowest) < 0.999 || s.inverted > 0 {
-		t.Errorf("served %.3f of the lowest priority, inverted for %v", s.servedRatio(lowest), s.inverted)
+		t.Errorf("got a served ratio of %.3f of the lowest priority, priorities inverted for %v, want at least 0.999 and 0s",
+			s.servedRatio(lowest), s.inverted)
 	}
 }
 
@@ -248,7 +252,7 @@
 	s.reset()
 	s.run(20*time.Second, overload, 60)
 	if s.servedRatio(highest) < 0.97 || s.servedRatio(lowest) > 0.03 {
-		t.Errorf("served %.2f %.2f %.2f from the lowest on",
+		t.Errorf("got served ratios %.2f, %.2f, %.2f from the lowest priority on, want at most 0.03, any, at least 0.97",
 			s.servedRatio(lowest), s.servedRatio(middle), s.servedRatio(highest))
 	}
 }
@@ -264,11 +268,11 @@
 		})
 	}
 	if got := New(settings).settings; got != settings {
-		t.Errorf("settings %+v", got)
+		t.Errorf("got settings %+v, want %+v", got, settings)
 	}
 }
 
-// drawRates draws the request rates of 1 to 5 priorities, and their sum.
+// drawRates returns random request rates of 1 to 5 priorities, and their sum.
 func drawRates(t *rapid.T) (rates []float64, sum float64) {
 	rates = make([]float64, rapid.IntRange(1, 5).Draw(t, "priorities"))
 	for i := range rates {
@@ -278,7 +282,7 @@
 	return rates, sum
 }
 
-// A level sheds the ratio that it was made from, whole priorities from the lowest on.
+// A level sheds the ratio of requests from which it was computed, beginning with the lowest priority.
 func TestLevelMatchesShedRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates, sum := drawRates(t)
@@ -289,7 +293,7 @@
 			shed += rate * min(max(level-float64(k), 0), 1)
 		}
 		if math.Abs(shed-ratio*sum) > 1e-6*sum {
-			t.Fatalf("level %v sheds %v of %v, ratio %v", level, shed, sum, ratio)
+			t.Fatalf("level %v sheds a rate of %v out of %v, want the ratio %v of it", level, shed, sum, ratio)
 		}
 	})
 }
@@ -305,7 +309,7 @@
 		} {
 			s.Receive(0, stale)
 			if diff := cmp.Diff(latest, s.peers["p"].PeerReport); diff != "" {
-				t.Fatalf("replaced by %+v (-want +got):\n%s", stale, diff)
+				t.Fatalf("stale report %+v replaced the latest one (-want +got):\n%s", stale, diff)
 			}
 		}
 	})
--- a/internal/cluster/loadshed/ratio.go
+++ b/internal/cluster/loadshed/ratio.go
@@ -3,43 +3,47 @@
 import "time"
 
 const (
-	// maxRejectedRatio is the ratio of admitted requests that may be rejected for want of capacity without more being
-	// shed. Real gateways reject some that servers could still take: with a hundredth, all but the highest priority was
-	// shed though there was capacity.
+	// maxRejectedRatio is the ratio of admitted requests, 0 to 1, that may be rejected for lack of capacity before more is
+	// shed. Real gateways reject some requests that servers could still take: with a ratio of 0.01, all priorities but the
+	// highest were shed although there was capacity.
 	maxRejectedRatio = 0.05
-	// minRejectedRate is the rate of rejections, in requests a second, below which nothing more is shed.
+	// minRejectedRate is the rate of rejections, in requests per second, up to which nothing more is shed.
 	minRejectedRate = 0.5
-	// shedMargin is shed beyond what was rejected, so that the next small change does not reject higher priorities again.
+	// shedMargin is added to the shed ratio under overload, so that the next small increase of the load does not lead to
+	// rejections of higher priorities again.
 	shedMargin = 0.015
-	// maxRatioStep is by how much the ratio may grow in one update. When an overload begins, servers reject everything for
-	// a moment and their capacity is not known yet: without the bound, ratios of 0.9 were seen where 0.3 was right.
+	// maxRatioStep is the largest increase of the shed ratio in one update. When an overload begins, servers reject
+	// everything for a moment and their capacity is not known yet: without this bound, ratios of 0.9 were seen where 0.3 was
+	// right.
 	maxRatioStep = 0.08
-	// maxShedRatio bounds the ratio.
+	// maxShedRatio is the bound up to which the shed ratio grows.
 	maxShedRatio = 0.99
-	// minReopenDelay is how long no more than maxRejectedRatio must be rejected before more is admitted again. It doubles,
-	// up to maxReopenDelay, each time that admitting more turns out to be too much.
-	minReopenDelay = 8 * time.Second
-	maxReopenDelay = time.Minute
-	// reopenRate is by how much the ratio shrinks a second once more is admitted. It grows by as much each second.
-	reopenRate = 0.01
-	// peakDecayRate is the part of the peak rate that is forgotten a second. The rate that is served just now does not
-	// measure the servers' capacity: gateways send less to servers that reject, and were seen to shed all of the highest
-	// priority by it.
+	// minReadmitDelay is the time without overload after which the shed ratio begins to shrink. The delay doubles, up to
+	// maxReadmitDelay, each time that the overload returns after the ratio has shrunk.
+	minReadmitDelay = 8 * time.Second
+	maxReadmitDelay = time.Minute
+	// readmitRate is the decrease of the shed ratio per second when it begins to shrink. The decrease per second itself grows
+	// by readmitRate each second.
+	readmitRate = 0.01
+	// peakDecayRate is the fraction of the peak rate by which it decays per second. The rate that is served at present does
+	// not measure the servers' capacity, because gateways send less to servers that reject: with it, gateways were seen to
+	// shed all requests of the highest priority.
 	peakDecayRate = 0.05
-	// smoothingFactor is the weight of the latest counts in the smoothed rates.
+	// smoothingFactor is the weight of the latest counts in the smoothed rates, 0 to 1.
 	smoothingFactor = 0.5
-	// minRate stands for rates of 0 in divisions.
+	// minRate replaces a rate of 0 in divisions.
 	minRate = 1e-9
 )
 
-// localRates are the smoothed rates at this instance, in requests a second.
+// localRates holds the smoothed rates at this instance, in requests per second.
 type localRates struct {
 	requests   []float64 // by priority
 	admitted   float64
 	rejected   float64
-	peakServed float64 // the highest rate of served requests, decaying
+	peakServed float64 // the highest rate of served requests, which decays by peakDecayRate
 }
 
+// add updates the rates with the counts of one ReportInterval.
 func (r *localRates) add(counts LocalCounts) {
 	interval := ReportInterval.Seconds()
 	var admitted, rejected float64
@@ -54,12 +58,13 @@
 	r.peakServed = max(r.admitted-r.rejected, r.peakServed*(1-peakDecayRate*interval))
 }
 
-// isOverloaded reports whether too much of what is admitted is rejected.
+// isOverloaded reports whether more of the admitted requests are rejected than minRejectedRate and maxRejectedRatio allow.
 func (r *localRates) isOverloaded() bool {
 	return r.rejected > minRejectedRate && r.rejected/max(r.admitted, minRate) > maxRejectedRatio
 }
 
-// excessRatio is the ratio of all requests beyond the peak rate that was served.
+// excessRatio returns the ratio of all requests by which their rate exceeds the peak rate of served requests. It is negative
+// if their rate is below the peak.
 func (r *localRates) excessRatio() float64 {
 	sum := 0.0
 	for _, rate := range r.requests {
@@ -68,44 +73,47 @@
 	return 1 - r.peakServed/max(sum, minRate)
 }
 
-// ratioController determines the ratio of all requests that this instance considers right to shed. It starts where the
-// peers are and goes on from its own value only: if it followed the peers, one that reports a little too much each time
-// would raise the ratio of all.
+// ratioController determines the ratio of all requests that should be shed by this instance's measurements. It starts at the
+// peers' ratio and then changes only its own value: if it followed the peers, a peer that reports a slightly higher ratio each
+// time would raise the ratio of all instances.
 type ratioController struct {
-	value        float64
-	isStarted    bool
-	lastOverload time.Duration
-	reopenDelay  time.Duration // from lastOverload until more is admitted
-	isReopening  bool          // more has been admitted since lastOverload
+	shedRatio     float64 // ratio of all requests, 0 to 1
+	isStarted     bool
+	lastOverload  time.Duration // time of the latest update under overload, or of the first update
+	readmitDelay  time.Duration // from lastOverload until the ratio begins to shrink
+	isReadmitting bool          // the ratio has shrunk since lastOverload
 }
 
-// update moves the ratio by the rates at now. Under overload it grows towards the excess over the peak rate; the
-// rejections of this moment don't serve as a measure, since a step shows only some updates later.
-func (c *ratioController) update(now time.Duration, rates *localRates, peers float64) {
+// update adjusts the ratio to the rates at now; the first call starts at peerRatio. Under overload the ratio grows towards
+// the excess over the peak rate. The present rejections are no measure for it, because the effect of an increase shows only
+// some updates later.
+func (c *ratioController) update(now time.Duration, rates *localRates, peerRatio float64) {
 	if !c.isStarted {
-		*c = ratioController{value: peers, isStarted: true, lastOverload: now, reopenDelay: minReopenDelay}
+		*c = ratioController{shedRatio: peerRatio, isStarted: true, lastOverload: now, readmitDelay: minReadmitDelay}
 	}
 	switch {
 	case rates.isOverloaded():
-		c.raise(now, rates)
-	case c.value == 0:
-		c.isReopening, c.reopenDelay = false, minReopenDelay
-	case now-c.lastOverload > c.reopenDelay:
-		c.reopen(now)
+		c.increase(now, rates)
+	case c.shedRatio == 0:
+		c.isReadmitting, c.readmitDelay = false, minReadmitDelay
+	case now-c.lastOverload > c.readmitDelay:
+		c.readmit(now)
 	}
 }
 
-func (c *ratioController) raise(now time.Duration, rates *localRates) {
-	if c.isReopening {
-		c.isReopening, c.reopenDelay = false, min(2*c.reopenDelay, maxReopenDelay)
+// increase raises the shed ratio under overload.
+func (c *ratioController) increase(now time.Duration, rates *localRates) {
+	if c.isReadmitting {
+		c.isReadmitting, c.readmitDelay = false, min(2*c.readmitDelay, maxReadmitDelay)
 	}
 	c.lastOverload = now
-	target := max(rates.excessRatio()+shedMargin, c.value)
-	c.value = min(target, c.value+maxRatioStep, maxShedRatio)
+	target := max(rates.excessRatio()+shedMargin, c.shedRatio)
+	c.shedRatio = min(target, c.shedRatio+maxRatioStep, maxShedRatio)
 }
 
-func (c *ratioController) reopen(now time.Duration) {
-	c.isReopening = true
-	rate := reopenRate * (1 + (now - c.lastOverload - c.reopenDelay).Seconds())
-	c.value = max(c.value-rate*ReportInterval.Seconds(), 0)
+// readmit lowers the shed ratio, faster the longer there has been no overload.
+func (c *ratioController) readmit(now time.Duration) {
+	c.isReadmitting = true
+	rate := readmitRate * (1 + (now - c.lastOverload - c.readmitDelay).Seconds())
+	c.shedRatio = max(c.shedRatio-rate*ReportInterval.Seconds(), 0)
 }
--- a/internal/cluster/loadshed/report.go
+++ b/internal/cluster/loadshed/report.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// reportTTL is how long a report counts. A later one describes another load.
+// reportTTL is the age up to which a report counts, from its arrival. The load that an older report describes has changed
+// since.
 const reportTTL = 5 * ReportInterval
 
-// Report is what an instance tells its peers.
+// Report holds the load figures that an instance sends to its peers.
 type Report struct {
-	ShedRatio    float64   // of all requests, 0 to 1, that the instance considers right to shed
-	RequestRates []float64 // requests a second at the instance, by priority
+	ShedRatio    float64   // ratio of all requests, 0 to 1, that should be shed by the instance's measurements
+	RequestRates []float64 // requests per second at the instance, by priority
 }
 
-// PeerReport is a report as it came from a peer.
+// PeerReport is a report received from a peer.
 type PeerReport struct {
 	Peer        string
 	Incarnation uint64 // of the peer when it sent the report
-	Sequence    uint64 // of the report within the incarnation
+	Sequence    uint64 // number of the report, which grows within an incarnation
 	Report      Report
 }
 
@@ -28,7 +29,7 @@
 	at time.Duration
 }
 
-// isNewerThan reports whether a report of the same peer was sent after another.
+// isNewerThan reports whether r was sent after other, a report of the same peer.
 func (r PeerReport) isNewerThan(other PeerReport) bool {
 	if r.Incarnation != other.Incarnation {
 		return r.Incarnation > other.Incarnation
@@ -36,7 +37,7 @@
 	return r.Sequence > other.Sequence
 }
 
-// isValid reports whether all figures are within their ranges, which NaN is not.
+// isValid reports whether there is one request rate for each priority and all figures are within their ranges. NaN is not.
 func (r Report) isValid(priorities int) bool {
 	if len(r.RequestRates) != priorities || !(r.ShedRatio >= 0 && r.ShedRatio <= 1) {
 		return false
--- a/internal/cluster/recovery/digest_test.go
+++ b/internal/cluster/recovery/digest_test.go
@@ -294,7 +294,7 @@
 // instance is one instance of a generated fleet.
 type instance struct {
 	name               string
-	recovery           *recovery.Recovery // nil before the first start
+	stateMachine       *recovery.Recovery // nil before the first start
 	clockOffset        time.Duration      // of its clock
 	firstStart         time.Duration      // time of its first start
 	discoveryAnswersAt time.Duration      // time from which discovery answers it
@@ -340,18 +340,18 @@
 		for _, a := range inFlight {
 			if a.at > now {
 				later = append(later, a)
-			} else if a.to.recovery != nil {
+			} else if a.to.stateMachine != nil {
 				a.to.handle(out, now, recovery.PeerReport{Peer: a.from.name, Clock: a.clock, State: a.state})
 			}
 		}
 		inFlight = later
 		for _, x := range fleet {
 			x.advance(r, out, now)
-			if x.recovery == nil {
+			if x.stateMachine == nil {
 				continue
 			}
 			for _, other := range fleet {
-				if other == x || other.recovery == nil || r.IntN(10) == 0 {
+				if other == x || other.stateMachine == nil || r.IntN(10) == 0 {
 					continue
 				}
 				arrival := now + time.Duration(r.IntN(300))*time.Millisecond
@@ -365,7 +365,7 @@
 func (x *instance) advance(r *generator, out *transcript, now time.Duration) {
 	switch {
 	case now < x.firstStart:
-	case x.recovery == nil || r.IntN(60) == 0:
+	case x.stateMachine == nil || r.IntN(60) == 0:
 		settings := r.settings
 		settings.Name, settings.Peers = x.name, nil
 		for _, name := range r.settings.Peers {
@@ -373,7 +373,7 @@
 				settings.Peers = append(settings.Peers, name)
 			}
 		}
-		x.recovery, x.servingSince = recovery.New(settings), 0
+		x.stateMachine, x.servingSince = recovery.New(settings), 0
 		x.handle(out, now, recovery.Startup{Disk: x.held})
 	case now >= x.discoveryAnswersAt:
 		x.held = r.lists[len(r.lists)-1]
@@ -386,7 +386,7 @@
 
 func (x *instance) handle(out *transcript, now time.Duration, ev recovery.Event) {
 	local := now + x.clockOffset
-	d, ok := x.recovery.Handle(local, ev)
+	d, ok := x.stateMachine.Handle(local, ev)
 	out.decision(local, x.name, d, ok)
 	if ok && x.servingSince == 0 {
 		x.servingSince = local
