--- a/internal/discovery/refresh/digest_test.go
+++ b/internal/discovery/refresh/digest_test.go
@@ -21,10 +21,11 @@
 	digestFile   = "digests.txt"
 )
 
-// oneOf draws one of the values.
+// oneOf returns a random one of the values.
 func oneOf[T any](rnd *rand.Rand, values ...T) T { return values[rnd.IntN(len(values))] }
 
-// drawSettings covers both modes, every default and the bounds that depend on the number of gateways.
+// drawSettings returns random settings, which cover both modes, every default and the bounds that depend on the number of
+// gateways.
 func drawSettings(rnd *rand.Rand) Settings {
 	return Settings{
 		LocalAgent: rnd.IntN(2) == 0,
@@ -37,17 +38,17 @@
 	}
 }
 
-// stream plays one drawn stream of events and writes down each decision. The text is older than the names in the code and
-// stays as it is, so that the digests do.
+// stream generates one stream of events and records each decision as text. The words of the text differ from the names in the
+// code, but must not change, because the digests in testdata depend on them.
 type stream struct {
-	out       bytes.Buffer
-	rnd       *rand.Rand
-	scheduler *Scheduler
-	now       time.Duration
-	poll      Poll
+	transcript bytes.Buffer
+	rnd        *rand.Rand
+	scheduler  *Scheduler
+	now        time.Duration
+	poll       Poll
 }
 
-// advance lets time pass after the last poll; the moments at which a decision changes are among the draws.
+// advance moves the time to after the last poll. The random steps include the times at which a decision changes.
 func (s *stream) advance() {
 	sent := s.poll.Delay
 	s.now += sent + oneOf(s.rnd,
@@ -55,12 +56,12 @@
 		s.poll.Wait/4-1, s.poll.Wait/4, s.poll.Wait/4+1, s.poll.Wait/2, s.poll.Wait, s.poll.Wait+1,
 		s.poll.Timeout-1, s.poll.Timeout, s.poll.Timeout+time.Second,
 		time.Duration(s.rnd.Int64N(int64(10*time.Second))),
-		-sent, // before the poll was due
+		-sent, // the outcome arrives before the poll was due
 	)
 	s.now = max(s.now, 0)
 }
 
-// version draws one near the list that is held, or any other.
+// version returns a random version, mostly near that of the list that is held.
 func (s *stream) version() int64 {
 	held, _ := s.scheduler.Version()
 	return oneOf(s.rnd, held, held, held, held+1, held+1, held+7, held-1, held-1, held-100, 0, s.rnd.Int64N(1000), -held)
@@ -70,35 +71,37 @@
 	switch kind {
 	case "start":
 		hasList, version := s.rnd.IntN(2) == 0, s.version()
-		fmt.Fprintf(&s.out, "start have=%t version=%d", hasList, version)
+		fmt.Fprintf(&s.transcript, "start have=%t version=%d", hasList, version)
 		return Start{HasList: hasList, Version: version}
 	case "answered":
 		version, complete := s.version(), s.rnd.IntN(2) == 0
-		fmt.Fprintf(&s.out, "answered version=%d whole=%t", version, complete)
+		fmt.Fprintf(&s.transcript, "answered version=%d whole=%t", version, complete)
 		return ListReceived{Version: version, Complete: complete}
 	case "silent":
-		s.out.WriteString("silent")
+		s.transcript.WriteString("silent")
 		return TimedOut{}
 	}
-	s.out.WriteString("failed")
+	s.transcript.WriteString("failed")
 	return Failed{}
 }
 
+// step passes one event of the given kind to the scheduler and records the decision.
 func (s *stream) step(kind string) {
-	fmt.Fprintf(&s.out, "at %d ", int64(s.now))
+	fmt.Fprintf(&s.transcript, "at %d ", int64(s.now))
 	s.poll = s.scheduler.Handle(s.now, s.event(kind))
 	p := s.poll
-	fmt.Fprintf(&s.out, " -> pause=%d whole=%t after=%d wait=%d within=%d told=%d\n",
+	fmt.Fprintf(&s.transcript, " -> pause=%d whole=%t after=%d wait=%d within=%d told=%d\n",
 		int64(p.Delay), p.Complete, p.AfterVersion, int64(p.Wait), int64(p.Timeout), int64(p.StaleAt))
 	version, ok := s.scheduler.Version()
-	fmt.Fprintf(&s.out, "holds %d %t takes", version, ok)
+	fmt.Fprintf(&s.transcript, "holds %d %t takes", version, ok)
 	for _, other := range []int64{version - 1, version, version + 1, 0} {
-		fmt.Fprintf(&s.out, " %t %t", s.scheduler.Accepts(other, false), s.scheduler.Accepts(other, true))
+		fmt.Fprintf(&s.transcript, " %t %t", s.scheduler.Accepts(other, false), s.scheduler.Accepts(other, true))
 	}
-	s.out.WriteString("\n")
+	s.transcript.WriteString("\n")
 }
 
-// run plays the whole stream. Kinds come in bursts, so that backoff reaches its bounds and is reset from each length.
+// run generates the whole stream. Events of a kind come in bursts, so that backoff reaches its bounds and is reset from each
+// of its lengths.
 func (s *stream) run() {
 	s.step("start")
 	for n := 1; n < digestEvents; {
@@ -119,14 +122,14 @@
 	rnd := rand.New(rand.NewPCG(seed, 0x6c697374))
 	settings := drawSettings(rnd)
 	s := &stream{rnd: rnd, scheduler: New(settings)}
-	fmt.Fprintf(&s.out, "pushed=%t gateways=%d within=%d grace=%d seed=%d\n",
+	fmt.Fprintf(&s.transcript, "pushed=%t gateways=%d within=%d grace=%d seed=%d\n",
 		settings.LocalAgent, settings.Gateways, int64(settings.MaxPollInterval), int64(settings.DrainGrace), settings.Seed)
 	s.run()
-	sum := sha256.Sum256(s.out.Bytes())
+	sum := sha256.Sum256(s.transcript.Bytes())
 	return hex.EncodeToString(sum[:])[:16]
 }
 
-// Every decision on hundreds of drawn streams of events is what the recorded digests say.
+// Compares the decisions over generated streams of events with the digests in testdata.
 func TestDecisionDigests(t *testing.T) {
 	var got bytes.Buffer
 	for seed := range uint64(digestSeeds) {
@@ -144,7 +147,7 @@
 	}
 	gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
 	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d lines of digests, want %d", len(gotLines), len(wantLines))
+		t.Fatalf("got %d lines of digests, want %d", len(gotLines), len(wantLines))
 	}
 	different := 0
 	for i, line := range gotLines {
@@ -156,6 +159,6 @@
 		}
 	}
 	if different > 0 {
-		t.Errorf("%d of %d streams differ", different, digestSeeds)
+		t.Errorf("digests of %d of %d streams differ", different, digestSeeds)
 	}
 }
--- a/internal/discovery/refresh/example_test.go
+++ b/internal/discovery/refresh/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/milletvane/internal/discovery/refresh"
 )
 
-// The caller sends each poll, reports its outcome and gets the next poll.
+// The caller performs each poll, reports its outcome and gets the next poll.
 func ExampleScheduler() {
 	scheduler := refresh.New(refresh.Settings{Gateways: 3, Seed: 1})
 
--- a/internal/discovery/refresh/jitter.go
+++ b/internal/discovery/refresh/jitter.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// jitter is a splitmix64 generator: the same seed gives the same delays.
+// jitter is a splitmix64 pseudo-random generator. Equal seeds give equal sequences of delays.
 type jitter struct{ state uint64 }
 
-// below returns a duration in [0, limit).
+// below returns the next random duration in [0, limit).
 func (j *jitter) below(limit time.Duration) time.Duration {
 	return time.Duration(j.fraction() * float64(limit))
 }
 
-// fraction returns a number in [0, 1).
+// fraction returns the next random number in [0, 1).
 func (j *jitter) fraction() float64 {
 	j.state += 0x9e3779b97f4a7c15
 	z := j.state
--- a/internal/discovery/refresh/notification_test.go
+++ b/internal/discovery/refresh/notification_test.go
@@ -13,7 +13,7 @@
 	flag.Parse()
 	settings := map[string]string{"rapid.seed": "11", "rapid.nofailfile": "true"}
 	if flag.Lookup("rapid.checks").Value.String() == "100" {
-		settings["rapid.checks"] = "3000" // the default; on simulated time these take a second
+		settings["rapid.checks"] = "3000" // replaces the default of 100; on simulated time 3000 checks take a second
 	}
 	for name, value := range settings {
 		if err := flag.Set(name, value); err != nil {
@@ -23,29 +23,28 @@
 	os.Exit(m.Run())
 }
 
-// outage is a time span in which the service refuses connections, or else answers nothing and accepts none.
+// outage is a period in which the service refuses connections, or in which it neither answers polls nor accepts connections.
 type outage struct {
 	from, until time.Duration
 	refuses     bool
 }
 
-// fakeService is discovery or an agent on simulated time: it has outages, all open polls stall at some moments, and its
-// list changes now and then.
+// fakeService simulates discovery or an agent on simulated time.
 type fakeService struct {
 	outages []outage
-	stalls  []time.Duration
-	changes []time.Duration
+	stalls  []time.Duration // times at which all waiting polls stall and are never answered
+	changes []time.Duration // times at which the list changes
 	latency time.Duration
 }
 
-// outcome is what became of a poll.
+// outcome is the result of a poll.
 type outcome struct {
 	event   Event
 	at      time.Duration
-	written time.Duration // when the answer was, if there is one
+	written time.Duration // time at which the service wrote its answer; 0 if there is none
 }
 
-// poll carries out a poll that is sent at a time.
+// poll returns the outcome of a poll that is sent at the given time.
 func (s *fakeService) poll(p Poll, sent time.Duration) outcome {
 	if o, ok := s.outageAt(sent); ok {
 		if o.refuses {
@@ -66,7 +65,7 @@
 	return outcome{event: ListReceived{Version: int64(end), Complete: p.Complete}, at: end, written: end - s.latency/2}
 }
 
-// answerAt is when a poll is answered if nothing is wrong.
+// answerAt returns the time at which a poll is answered if there is no outage and no stall.
 func (s *fakeService) answerAt(p Poll, sent time.Duration) time.Duration {
 	end := sent + p.Wait + s.latency
 	if p.Complete || p.Wait == 0 {
@@ -78,6 +77,7 @@
 	return end
 }
 
+// outageAt returns the outage at t, if there is one.
 func (s *fakeService) outageAt(t time.Duration) (outage, bool) {
 	for _, o := range s.outages {
 		if t >= o.from && t < o.until {
@@ -87,7 +87,7 @@
 	return outage{}, false
 }
 
-// outageBetween finds an outage that begins after from and before until.
+// outageBetween returns an outage that begins after from and before until, if there is one.
 func (s *fakeService) outageBetween(from, until time.Duration) (outage, bool) {
 	for _, o := range s.outages {
 		if o.from > from && o.from < until {
@@ -97,7 +97,8 @@
 	return outage{}, false
 }
 
-// notifiedBy is when a change counts as notified: once discovery was reachable for MaxNotificationDelay.
+// notifiedBy returns the time from which a change counts as notified: when the service has been reachable without an outage
+// for MaxNotificationDelay.
 func (s *fakeService) notifiedBy(change time.Duration) time.Duration {
 	at := change + MaxNotificationDelay
 	for extended := true; extended; {
@@ -146,7 +147,7 @@
 	return s
 }
 
-// run polls the service for 80 s and returns when each change was known; 0: never.
+// run polls the service for 80 s and returns the time at which each change became known. Zero means never.
 func (s *fakeService) run(scheduler *Scheduler, start Start) []time.Duration {
 	known := make([]time.Duration, len(s.changes))
 	poll := scheduler.Handle(0, start)
@@ -165,7 +166,7 @@
 	return known
 }
 
-// Whatever becomes of polls, a change is known before it counts as notified.
+// A change is known before it counts as notified, whether polls succeed, fail or time out.
 func TestChangesArriveBeforeNotificationDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		localAgent := rapid.Bool().Draw(t, "local agent")
@@ -181,7 +182,8 @@
 		known := service.run(New(settings), start)
 		for i, change := range service.changes {
 			if limit := service.notifiedBy(change); known[i] == 0 || known[i] > limit {
-				t.Fatalf("the change of %v counts as notified at %v and is known at %v", change, limit, known[i])
+				t.Fatalf("the change at %v is known at %v (0s means never), want at most %v, when it counts as notified",
+					change, known[i], limit)
 			}
 		}
 	})
--- a/internal/discovery/refresh/poll.go
+++ b/internal/discovery/refresh/poll.go
@@ -4,34 +4,35 @@
 
 // Poll is one request for the endpoint list.
 type Poll struct {
-	Delay        time.Duration // before it is sent
-	Complete     bool          // asks for the complete list instead of changes
-	AfterVersion int64         // asks for changes after this version, unless Complete
-	Wait         time.Duration // for which the peer may hold back its answer until there are changes; 0: it answers at once
-	Timeout      time.Duration // from sending the request to the end of the answer; beyond it the outcome is TimedOut
-	// StaleAt is when changes since the last received list count as notified, if no poll brings them. 0: none are known
-	// to be missed.
+	Delay        time.Duration // before the request is sent
+	Complete     bool          // requests the complete list instead of changes
+	AfterVersion int64         // requests the changes after this version; ignored if Complete is set
+	Wait         time.Duration // for which the service may delay its answer until there are changes; 0 means no delay
+	Timeout      time.Duration // from sending the request to the end of the answer; if it passes, the outcome is TimedOut
+	// StaleAt is the time from which changes since the last received list count as notified if no poll brings them. Zero
+	// means that no changes are known to be missed.
 	StaleAt time.Duration
 }
 
-// Event is the outcome of a poll: Start, ListReceived, TimedOut or Failed.
+// Event is the start of polling or the outcome of a poll. Its concrete types are Start, ListReceived, TimedOut and Failed.
 type Event interface{ event() }
 
 type (
-	// Start is the first event, and the first after the address to poll has changed. Without HasList no list of this peer
-	// is held, and the complete list is polled for.
+	// Start is the first event, and the first event after the polled address has changed. If HasList is false, no list from
+	// this address is held, and the next poll requests the complete list.
 	Start struct {
 		HasList bool
 		Version int64
 	}
-	// ListReceived reports a list: Complete, or changes to the one held.
+	// ListReceived reports that a poll brought the complete list or changes to the list that is held.
 	ListReceived struct {
 		Version  int64
 		Complete bool
 	}
-	// TimedOut reports that no complete answer came within the poll's timeout.
+	// TimedOut reports that no complete answer arrived within the poll's timeout.
 	TimedOut struct{}
-	// Failed reports any other end: connection refused or reset, rejected, or an answer that is not a list.
+	// Failed reports any other failure of a poll: the connection was refused or reset, the request was rejected, or the
+	// answer was not a list.
 	Failed struct{}
 )
 
--- a/internal/discovery/refresh/scheduler.go
+++ b/internal/discovery/refresh/scheduler.go
@@ -1,6 +1,9 @@
-// Package refresh decides when a gateway polls for the endpoint list, how long it waits for an answer, and from when on the
-// list that it holds is stale. It covers both modes: polling discovery, which all gateways share, and polling an agent on
-// the gateway's own machine, to which discovery pushes the list.
+// Package refresh decides when a gateway polls for the endpoint list, how long it waits for an answer, and from when the list
+// that it holds is stale. It covers both modes: polling discovery, which all gateways share, and polling an agent on the
+// gateway's own machine, to which discovery pushes the list.
+//
+// By the platform's protocol a change of the list counts as notified once the gateway is assumed to know it. The limits of
+// the protocol are at [MaxNotificationDelay].
 //
 // The package does no I/O and reads no clock. The caller performs each [Poll], reports its outcome as an [Event] with the
 // time of its own clock, and gets the next Poll in return. A [Scheduler] owns all of its state, is not safe for concurrent
@@ -9,12 +12,12 @@
 
 import "time"
 
-// Settings configure a Scheduler. The zero value polls discovery for a single gateway.
+// Settings configures a Scheduler. The zero value polls discovery for a single gateway.
 type Settings struct {
-	LocalAgent      bool          // poll an agent on this machine, which holds what was pushed to it and costs others nothing
-	Gateways        int           // that share discovery; less than 1 is taken as 1
-	MaxPollInterval time.Duration // discovery takes a gateway that has not polled for this long as notified; 0: it does not
-	DrainGrace      time.Duration // a server may be sent requests for this long after its drain was notified; 0: 250 ms
+	LocalAgent      bool          // poll an agent on this machine, to which the list is pushed: polls put no load on discovery
+	Gateways        int           // number of gateways that share discovery; less than 1 means 1
+	MaxPollInterval time.Duration // changes count as notified after maxMissedIntervals of it without a poll; 0 means no limit
+	DrainGrace      time.Duration // for which a server accepts requests after its drain was notified; 0 means 250 ms
 	Seed            uint64        // of the jitter
 }
 
@@ -26,16 +29,16 @@
 	hasList bool
 	version int64 // of the list that is held
 
-	poll    Poll          // the last one returned
-	pollDue time.Duration // when it was to be sent
+	lastPoll    Poll          // the last one returned
+	lastPollDue time.Duration // time at which it was to be sent
 
-	timeouts    int           // consecutive polls that timed out
-	backoff     time.Duration // base delay of the next retry; 0: the last poll did not fail
-	confirmedAt time.Duration // everything listed until then is known: the last list, or the start
-	staleAt     time.Duration // when changes missed since then count as notified; 0: none are known to be missed
+	timeouts    int           // number of consecutive polls that timed out
+	backoff     time.Duration // base delay of the next retry; 0 means that the last poll did not fail
+	confirmedAt time.Duration // time up to which all changes are known: that of the last list, or of the start
+	staleAt     time.Duration // time from which changes after confirmedAt count as notified; 0 means that none are missed
 }
 
-// New returns a Scheduler. Its first event is to be Start.
+// New returns a Scheduler, which expects Start as its first event.
 func New(settings Settings) *Scheduler {
 	settings.Gateways = max(settings.Gateways, 1)
 	if settings.DrainGrace <= 0 {
@@ -44,15 +47,15 @@
 	return &Scheduler{settings: settings, jitter: jitter{state: settings.Seed}}
 }
 
-// Version returns the version of the list that is held; ok is false if there is none.
+// Version returns the version of the list that is held. The result ok is false if no list is held.
 func (s *Scheduler) Version() (version int64, ok bool) { return s.version, s.hasList }
 
-// Age returns for how long it has not been confirmed that the list held is up to date.
+// Age returns the time since the list that is held was last confirmed to be up to date.
 func (s *Scheduler) Age(now time.Duration) time.Duration { return now - s.confirmedAt }
 
-// Accepts reports whether a received list, complete or a delta, may be applied. A list older than the one held, or a delta
-// without a list to apply it to, may not: its sender lags, was rolled back, or is another. Handle then polls for the
-// complete list, which is accepted whatever its version.
+// Accepts reports whether a received list, complete or a delta, may be applied. It rejects a list that is older than the one
+// held, because its sender lags, was rolled back or is another one, and a delta if no list is held to apply it to. After a
+// rejected list Handle polls for the complete list, which is accepted whatever its version.
 func (s *Scheduler) Accepts(version int64, complete bool) bool {
 	if !s.hasList {
 		return complete
@@ -60,38 +63,39 @@
 	return version >= s.version
 }
 
-// Handle takes the outcome of the last poll and returns the next one. now must not run backwards.
+// Handle processes the outcome of the last poll and returns the next poll. The time now must not be earlier than in the
+// previous call.
 func (s *Scheduler) Handle(now time.Duration, event Event) Poll {
 	switch event := event.(type) {
 	case Start:
-		return s.start(now, event)
+		return s.handleStart(now, event)
 	case ListReceived:
-		return s.listReceived(now, event)
+		return s.handleListReceived(now, event)
 	case TimedOut:
-		return s.timedOut(now)
+		return s.handleTimedOut(now)
 	default:
-		return s.failed(now)
+		return s.handleFailed(now)
 	}
 }
 
-func (s *Scheduler) start(now time.Duration, event Start) Poll {
+func (s *Scheduler) handleStart(now time.Duration, event Start) Poll {
 	s.hasList, s.version = event.HasList, event.Version
 	s.confirm(now)
 	if s.settings.LocalAgent {
-		// The agent answers at once: what it holds is known before the first wait.
+		// The agent answers an immediate poll without a delay, so that the gateway knows the agent's list before the first wait.
 		return s.immediatePoll(now, 0)
 	}
-	// Discovery is shared, and a long poll brings changes just as soon.
+	// Discovery is shared, and a long poll brings changes as early as an immediate poll.
 	return s.longPoll(now, 0)
 }
 
-func (s *Scheduler) listReceived(now time.Duration, event ListReceived) Poll {
+func (s *Scheduler) handleListReceived(now time.Duration, event ListReceived) Poll {
 	if !s.Accepts(event.Version, event.Complete) {
 		s.hasList = false
 		return s.immediatePoll(now, s.minSpacing())
 	}
 	isNewer := event.Version > s.version
-	answeredEarly := s.poll.Wait > 0 && now-s.pollDue < s.poll.Wait/earlyAnswerDivisor
+	answeredEarly := s.lastPoll.Wait > 0 && now-s.lastPollDue < s.lastPoll.Wait/earlyAnswerDivisor
 	s.hasList, s.version = true, event.Version
 	s.confirm(now)
 	if answeredEarly && !isNewer {
@@ -100,16 +104,16 @@
 	return s.longPoll(now, 0)
 }
 
-// confirm records that everything listed until now is known.
+// confirm records that all changes up to now are known.
 func (s *Scheduler) confirm(now time.Duration) {
 	s.timeouts, s.backoff = 0, 0
 	s.confirmedAt, s.staleAt = now, 0
 }
 
-// timedOut retries at once. What an agent holds counts as notified from the moment that it answers again, so it is polled
-// until then at a rate that keeps within the drain grace. Discovery is polled once, with jitter to spread gateways whose
-// polls timed out together, and then with backoff as after any failure.
-func (s *Scheduler) timedOut(now time.Duration) Poll {
+// handleTimedOut returns an immediate poll. The list that an agent holds counts as notified from the moment at which the agent
+// answers again, so the agent is polled at intervals within the drain grace until then. Discovery is polled once after jitter
+// alone, which spreads the gateways whose polls timed out together, and then with backoff as after any other failure.
+func (s *Scheduler) handleTimedOut(now time.Duration) Poll {
 	s.staleAt = s.confirmedAt + MaxNotificationDelay
 	s.timeouts++
 	if s.settings.LocalAgent {
@@ -122,7 +126,8 @@
 	return s.retryWithBackoff(now)
 }
 
-func (s *Scheduler) failed(now time.Duration) Poll {
+// handleFailed returns an immediate poll: of an agent after a fixed delay, of discovery with backoff.
+func (s *Scheduler) handleFailed(now time.Duration) Poll {
 	if s.settings.LocalAgent {
 		return s.immediatePoll(now, s.agentRetryDelay())
 	}
@@ -133,9 +138,9 @@
 	return s.retryWithBackoff(now)
 }
 
-// retryWithBackoff doubles the delay with each failure and adds jitter, so that gateways that lost discovery together do
-// not return together. However many polls have failed, the next comes soon enough to bring what discovery holds on its
-// return before that counts as notified.
+// retryWithBackoff returns an immediate poll whose delay doubles with each failure and has jitter, so that gateways that lost
+// discovery at the same time don't poll it again at the same time. The delay is bounded: however many polls have failed, the
+// next one fetches the list of a discovery that is reachable again before the changes in it count as notified.
 func (s *Scheduler) retryWithBackoff(now time.Duration) Poll {
 	if s.backoff == 0 {
 		s.backoff = initialBackoff
@@ -152,7 +157,8 @@
 	return s.immediatePoll(now, delay)
 }
 
-// longPoll waits for a version newer than the one held. Without a list it is an immediate poll for the complete list.
+// longPoll returns a poll that waits for a version newer than the one held. If no list is held, it returns an immediate poll
+// for the complete list.
 func (s *Scheduler) longPoll(now, delay time.Duration) Poll {
 	if !s.hasList {
 		return s.immediatePoll(now, delay)
@@ -163,7 +169,7 @@
 	return s.schedule(now, delay, discoveryWait, discoveryWait+discoveryAnswerSlack)
 }
 
-// immediatePoll asks for an answer without a wait.
+// immediatePoll returns a poll that is answered without waiting for changes.
 func (s *Scheduler) immediatePoll(now, delay time.Duration) Poll {
 	if s.settings.LocalAgent {
 		return s.schedule(now, delay, 0, s.agentAnswerSlack())
@@ -171,8 +177,9 @@
 	return s.schedule(now, delay, 0, busyDiscoveryTimeout)
 }
 
+// schedule returns the poll with the given times, and records it as the last one.
 func (s *Scheduler) schedule(now, delay, wait, timeout time.Duration) Poll {
-	s.poll = Poll{
+	s.lastPoll = Poll{
 		Delay:        delay,
 		Complete:     !s.hasList,
 		AfterVersion: s.version,
@@ -180,6 +187,6 @@
 		Timeout:      timeout,
 		StaleAt:      s.staleAt,
 	}
-	s.pollDue = now + delay
-	return s.poll
+	s.lastPollDue = now + delay
+	return s.lastPoll
 }
--- a/internal/discovery/refresh/scheduler_test.go
+++ b/internal/discovery/refresh/scheduler_test.go
@@ -16,8 +16,8 @@
 	return New(Settings{Gateways: gateways, MaxPollInterval: 10 * sec, DrainGrace: 500 * ms, Seed: seed})
 }
 
-// Failed polls are retried often enough that a drain listed meanwhile does not count as notified, at times that differ from
-// gateway to gateway.
+// Failed polls are retried often enough that a drain that discovery lists in the meantime does not count as notified before
+// the next poll. The times of the retries differ from gateway to gateway.
 func TestRetriesStayWithinNotificationDelay(t *testing.T) {
 	const polls, interval = 200, 500 * ms
 	sentAt := make([][polls]time.Duration, 2)
@@ -27,10 +27,10 @@
 		for i := range polls {
 			poll := s.Handle(now, Failed{})
 			if poll.Delay > 4*interval {
-				t.Fatalf("no poll for %v", poll.Delay)
+				t.Fatalf("got a delay of %v, want at most %v", poll.Delay, 4*interval)
 			}
 			if poll.StaleAt != 4*interval {
-				t.Fatalf("the list is stale at %v, the first poll was sent at 0", poll.StaleAt)
+				t.Fatalf("got the list stale at %v, want %v after the first poll, which was sent at 0", poll.StaleAt, 4*interval)
 			}
 			now += poll.Delay
 			sentAt[seed][i] = now
@@ -38,13 +38,13 @@
 	}
 	for i, at := range sentAt[0] {
 		if at == sentAt[1][i] {
-			t.Errorf("both gateways poll at %v", at)
+			t.Errorf("poll %d: both gateways poll at %v, want different times", i, at)
 		}
 	}
 }
 
-// Gateways that were rejected together retry one by one, not all within the second in which discovery would reject most of
-// them again.
+// Gateways whose polls were rejected at the same time spread their retries. If all retried within one second, discovery would
+// reject most of them again.
 func TestRetriesAreSpread(t *testing.T) {
 	for _, gateways := range []int{3, 36, 300} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
@@ -57,13 +57,15 @@
 			}
 			want := min(max(initialBackoff, backoffJitterPerGateway*time.Duration(gateways)), maxBackoffJitter)
 			if latest-earliest < want*2/3 || earliest < initialBackoff/2 || latest > MaxNotificationDelay/3 {
-				t.Errorf("retries come after %v to %v", earliest, latest)
+				t.Errorf("got retries after %v to %v, want them spread over at least %v, none before %v or after %v",
+					earliest, latest, want*2/3, initialBackoff/2, MaxNotificationDelay/3)
 			}
 		})
 	}
 }
 
-// Polls of a whole fleet that time out together are retried in time for two more polls each, and not all at once.
+// If the polls of a whole fleet time out at the same time, each gateway's retry ends about when the list becomes stale or
+// earlier, and the retries are spread.
 func TestTimedOutPollsAreRetriedInTime(t *testing.T) {
 	retries := map[time.Duration]int{}
 	for seed := range uint64(300) {
@@ -73,24 +75,25 @@
 		sentAt := watch.Timeout + retry.Delay
 		retries[sentAt.Truncate(25*ms)]++
 		if sentAt+retry.Timeout > MaxNotificationDelay+500*ms || retry.Wait != 0 || retry.Complete {
-			t.Fatalf("%+v may take until %v, the list is stale at %v", retry, sentAt+retry.Timeout, MaxNotificationDelay)
+			t.Fatalf("got retry %+v, which may take until %v, want an immediate poll for changes that ends by %v",
+				retry, sentAt+retry.Timeout, MaxNotificationDelay+500*ms)
 		}
 		if retry.StaleAt != MaxNotificationDelay {
-			t.Fatalf("the list is stale at %v, want %v", retry.StaleAt, MaxNotificationDelay)
+			t.Fatalf("got the list stale at %v, want %v", retry.StaleAt, MaxNotificationDelay)
 		}
 		next := s.Handle(sentAt+ms, ListReceived{Version: 3})
 		if next.Wait != discoveryWait || next.Delay != 0 || next.StaleAt != 0 {
-			t.Fatalf("the watch continues with %+v", next)
+			t.Fatalf("after the answer: got poll %+v, want a long poll without delay", next)
 		}
 	}
 	for at, n := range retries {
 		if n > 60 {
-			t.Errorf("%d of 300 retry within 25 ms at %v", n, at)
+			t.Errorf("got %d of 300 retries within 25 ms at %v, want at most 60", n, at)
 		}
 	}
 }
 
-// While no poll of discovery is answered, polls back off.
+// As long as polls of discovery time out, the delay between them grows.
 func TestTimeoutsBackOff(t *testing.T) {
 	s, now, polls := discoveryScheduler(300, 5), 0*sec, 0
 	poll := s.Handle(0, Start{HasList: true})
@@ -100,37 +103,37 @@
 		poll = s.Handle(now, TimedOut{})
 	}
 	if polls > 30 {
-		t.Errorf("%d polls in a minute", polls)
+		t.Errorf("got %d polls in a minute, want at most 30", polls)
 	}
 }
 
-// A start without a list polls for the complete one, and the poll after an answer follows without a delay.
+// A start without a list polls for the complete list, and the poll after an answer has no delay.
 func TestPollSequence(t *testing.T) {
 	for _, localAgent := range []bool{false, true} {
 		t.Run(fmt.Sprint("local agent ", localAgent), func(t *testing.T) {
 			s := New(Settings{LocalAgent: localAgent})
 			if poll := s.Handle(0, Start{}); !poll.Complete || poll.Wait != 0 || poll.Delay != 0 {
-				t.Errorf("first poll: %+v", poll)
+				t.Errorf("first poll: got %+v, want an immediate poll for the complete list without delay", poll)
 			}
 			poll := s.Handle(sec, ListReceived{Version: 4, Complete: true})
 			if poll.Complete || poll.AfterVersion != 4 || poll.Wait == 0 || poll.Delay != 0 {
-				t.Errorf("after the complete list: %+v", poll)
+				t.Errorf("after the complete list: got %+v, want a long poll after version 4 without delay", poll)
 			}
 			poll = s.Handle(sec+poll.Wait, ListReceived{Version: 4})
 			if poll.Delay != 0 || poll.AfterVersion != 4 {
-				t.Errorf("after a wait without changes: %+v", poll)
+				t.Errorf("after a wait without changes: got %+v, want a poll after version 4 without delay", poll)
 			}
 			if poll = s.Handle(4*sec, ListReceived{Version: 2}); !poll.Complete {
-				t.Errorf("after changes to an older list: %+v", poll)
+				t.Errorf("after changes to an older list: got %+v, want a poll for the complete list", poll)
 			}
 			if version, ok := s.Version(); ok {
-				t.Errorf("version %d is held after changes to an older list", version)
+				t.Errorf("after changes to an older list: got version %d held, want none", version)
 			}
 		})
 	}
 }
 
-// An older list is not accepted, complete or not; the complete list that is polled for then is.
+// An older list is rejected, whether complete or not. The complete list for which the scheduler then polls is accepted.
 func TestOlderListIsPolledAgain(t *testing.T) {
 	for _, complete := range []bool{false, true} {
 		t.Run(fmt.Sprint("complete ", complete), func(t *testing.T) {
@@ -138,23 +141,23 @@
 			s.Handle(0, Start{HasList: true, Version: 9})
 			for version, want := range map[int64]bool{7: false, 9: true, 10: true} {
 				if got := s.Accepts(version, complete); got != want {
-					t.Errorf("accepts version %d: %v, want %v", version, got, want)
+					t.Errorf("version %d: got accepted %v, want %v", version, got, want)
 				}
 			}
 			poll := s.Handle(sec, ListReceived{Version: 7, Complete: complete})
 			if !poll.Complete || !s.Accepts(7, true) || s.Accepts(8, false) {
-				t.Errorf("after an older list: %+v", poll)
+				t.Errorf("after an older list: got poll %+v, want one for the complete list, and only that list accepted", poll)
 			}
 			if s.Handle(2*sec, ListReceived{Version: 7, Complete: true}); !s.Accepts(8, false) {
-				t.Error("changes to the complete list are not accepted")
+				t.Error("changes to the complete list are rejected, want them accepted")
 			}
 		})
 	}
 }
 
-// An immediate poll has more time than the 2 s for which a busy discovery was seen to queue its callers: a gateway that
-// gives up earlier joins the end of the queue again and may never be answered.
-func TestImmediatePollsOutwaitBusyDiscovery(t *testing.T) {
+// The timeout of an immediate poll is longer than the 2 s for which a busy discovery was seen to queue its callers. A gateway
+// that gives up earlier joins the end of the queue again and may never be answered.
+func TestImmediatePollTimeoutCoversBusyDiscovery(t *testing.T) {
 	s := discoveryScheduler(300, 1)
 	for _, c := range []struct {
 		name string
@@ -165,7 +168,7 @@
 		{"timed out", s.Handle(4*sec, TimedOut{})},
 	} {
 		if c.poll.Wait != 0 || c.poll.Timeout <= 2*sec {
-			t.Errorf("%s: %+v", c.name, c.poll)
+			t.Errorf("%s: got %+v, want an immediate poll with a timeout above 2s", c.name, c.poll)
 		}
 	}
 }
--- a/internal/discovery/refresh/timing.go
+++ b/internal/discovery/refresh/timing.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// MaxNotificationDelay is stated by the platform's protocol: a change counts as notified so long after discovery had it and
-// could be reached, whatever became of the poll that should have brought it.
+// MaxNotificationDelay is a limit of the platform's protocol: a change counts as notified at most this long after discovery
+// has it and is reachable, even if the poll that should have brought it fails.
 const MaxNotificationDelay = 6 * time.Second
 
-// Further limits of the platform's protocol, which no setting holds.
+// Further limits of the platform's protocol, for which there is no setting.
 const (
-	// maxMissedIntervals of MaxPollInterval after the last successful poll of discovery, changes count as notified.
+	// maxMissedIntervals is the number of MaxPollInterval after the last successful poll of discovery at which changes count
+	// as notified.
 	maxMissedIntervals = 4
-	// watchContinuation is the time within which the next poll continues a watch.
+	// watchContinuation is the time after an answer within which the next poll continues a watch.
 	watchContinuation = 200 * time.Millisecond
 )
 
-// Waits and timeouts of polls. Short waits cost discovery more polls; a wait and its slack together leave time for one more
-// poll before what a timed-out one should have brought counts as notified.
+// Waits and timeouts of polls. Shorter waits put more polls on discovery. A wait and its slack together leave time for one
+// more poll before the changes that a timed-out poll should have brought count as notified.
 const (
 	discoveryWait        = MaxNotificationDelay / 2
 	discoveryAnswerSlack = MaxNotificationDelay / 8
 	agentWait            = 2 * time.Second
-	// busyDiscoveryTimeout bounds a poll of discovery that does not wait. With many callers discovery queues them, and a
-	// gateway that gives up early only joins the end of the queue again.
+	// busyDiscoveryTimeout is the timeout of a poll of discovery that does not wait. Discovery queues its callers if there are
+	// many, and a gateway that gives up early only joins the end of the queue again.
 	busyDiscoveryTimeout = MaxNotificationDelay * 3 / 8
 )
 
-// Jitter and backoff of retries, by the number of gateways that may fail together. With both at their maximum two polls
-// still fit in before what was missed counts as notified.
+// Jitter and backoff of retries. The jitter grows with the number of gateways that may fail together. With jitter and backoff
+// at their maximum, two polls still fit into the time before the missed changes count as notified.
 const (
 	timeoutJitterPerGateway = time.Millisecond
 	maxTimeoutJitter        = MaxNotificationDelay / 24
@@ -39,16 +40,20 @@
 
 const (
 	defaultDrainGrace = 250 * time.Millisecond
-	// earlyAnswerDivisor of a poll's wait: an answer without a newer version before that part of it has passed is early.
+	// earlyAnswerDivisor determines which answers without a newer version are early: those that arrive before this fraction,
+	// 1/earlyAnswerDivisor, of the poll's wait has passed.
 	earlyAnswerDivisor = 4
 )
 
-// minSpacing separates polls that are answered without a wait: a peer that never waits costs little, and a watch continues.
+// minSpacing returns the delay between polls that are answered without a wait. It bounds the load of a service that never
+// waits, and is short enough to continue a watch.
 func (s *Scheduler) minSpacing() time.Duration {
 	return min(s.settings.DrainGrace/5, watchContinuation/2)
 }
 
-// agentRetryDelay and agentAnswerSlack keep a retry and its answer within the drain grace.
+// agentRetryDelay returns the delay before a failed poll of the agent is retried. Together with agentAnswerSlack it keeps a
+// retry and its answer within the drain grace.
 func (s *Scheduler) agentRetryDelay() time.Duration { return s.settings.DrainGrace / 10 }
 
+// agentAnswerSlack returns the time that the agent has for its answer, beyond the poll's wait.
 func (s *Scheduler) agentAnswerSlack() time.Duration { return s.settings.DrainGrace / 2 }
