--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,11 +1,11 @@
-// Package cluster has a gateway work with the other instances of its fleet: it recovers an endpoint list after a start, and
-// sheds load together with them.
+// Package cluster coordinates a gateway with the other instances of its fleet: it recovers an endpoint list after a start and
+// sheds load together with the other instances.
 //
 // The package does the I/O: it stores the endpoint list on disk, sends it to peers that request it, requests theirs after a
-// start, and exchanges load reports. The decisions are those of the packages recovery and loadshed below it.
+// start, and exchanges load reports. Packages recovery and loadshed below it take the decisions.
 //
-// All methods of a Cluster may be called from any goroutine; Run and Recover block and are to be called once each. The
-// package starts no goroutine of its own beyond those of the transport, which Close ends.
+// All methods of a [Cluster] may be called from any goroutine. Run and Recover block, and each may be called only once. The
+// package starts no goroutines other than those of the transport, which Close ends.
 package cluster
 
 import (
@@ -26,55 +26,55 @@
 )
 
 const (
-	// maxClockSkew is how far the clocks of two instances may differ.
+	// maxClockSkew is the time by which the clocks of two instances may differ.
 	maxClockSkew = 2 * time.Second
-	// maxPendingDecisions bounds the decisions that wait for Recover. Each replaces those before it.
+	// maxPendingDecisions is the largest number of decisions that wait for Recover. Each replaces the earlier ones.
 	maxPendingDecisions = 64
 )
 
-// Options configure a Cluster.
+// Options configures a Cluster.
 type Options struct {
-	Name             string
-	Listen           string            // host:port for the peers
-	Peers            map[string]string // addresses of the other instances by name
-	Key              []byte            // shared by all instances
-	Dir              string            // on a disk that survives a loss of power
-	PeerTimeout      time.Duration     // how long a start waits for the peers
-	Priorities       int               // of load shedding; 0: nothing is shed
-	MinAdmittedRatio float64           // of the lowest priority, admitted under any overload
-	WarmupDuration   time.Duration     // how long a server is cold after its start
-	FS               wal.FS            // nil: the operating system's
-	// Connect returns the transport to the peers; nil: sockets, with Listen, Peers and Key.
+	Name             string            // of this instance
+	Listen           string            // host:port on which the peers reach this instance
+	Peers            map[string]string // addresses of the other instances, by name
+	Key              []byte            // secret shared by all instances
+	Dir              string            // directory for the stored state, on a disk that survives a loss of power
+	PeerTimeout      time.Duration     // for which a start waits for the peers' states
+	Priorities       int               // number of priorities of load shedding; 0 means that nothing is shed
+	MinAdmittedRatio float64           // as in loadshed.Settings
+	WarmupDuration   time.Duration     // for which a server is warming up after its start
+	FS               wal.FS            // defaults to the operating system's file system
+	// Connect returns the transport to the peers. Defaults to gossip over sockets, with Listen, Peers and Key.
 	Connect func(membership.Options) (membership.Transport, error)
-	Clock   func() time.Duration // Unix time
+	Clock   func() time.Duration // returns the Unix time
 	Logger  *slog.Logger
 }
 
-// Cluster is the part of one instance in its fleet.
+// Cluster connects one instance with the other instances of its fleet.
 type Cluster struct {
 	opts         Options
-	startedAt    time.Duration
+	startedAt    time.Duration // Unix time
 	incarnations *membership.Incarnations
-	log          wal.Log // nil: it could not be opened, and nothing is stored
-	recordCount  int     // in the log after its snapshot; Run's own
-	unsaved      chan struct{}
+	log          wal.Log       // nil if it could not be opened; nothing is stored then
+	recordCount  int           // number of records in the log after its snapshot; used by Run alone after Start
+	unsaved      chan struct{} // holds a value if the list has changed since Run last began to store it
 	decisions    chan recovery.Decision
 
-	mu           sync.Mutex
-	transport    membership.Transport // nil until Start has connected
-	recovery     *recovery.Recovery
-	servingSince time.Duration // 0: it recovers
-	list         endpointList
-	assemblies   map[string]*assembly            // by peer
-	nextPart     map[string]int                  // by peer: where the next answer with this instance's state begins
-	peerLists    map[string][]discovery.Endpoint // of peers that have sent their whole state
-	shedder      *loadshed.Shedder               // nil: nothing is shed
-	loadReports  uint64                          // sent so far
+	mu            sync.Mutex
+	transport     membership.Transport // nil until Start has connected
+	recovery      *recovery.Recovery
+	servingSince  time.Duration // Unix time; 0 means that the instance is recovering
+	list          endpointList
+	assemblies    map[string]*assembly            // by peer
+	nextPartIndex map[string]int                  // by peer: the first part of the next answer with this instance's state
+	peerLists     map[string][]discovery.Endpoint // by peer: the list of a peer whose whole state has arrived
+	shedder       *loadshed.Shedder               // nil means that nothing is shed
+	loadReports   uint64                          // number of load reports sent so far
 }
 
-// Start reads the disk, begins an incarnation and joins the peers. Damaged files are moved aside and logged, and do not
-// keep the instance from starting. An incarnation that can't be stored does: the error is a membership.IncarnationError,
-// and one of Options.Connect otherwise.
+// Start reads the disk, begins an incarnation and connects to the peers. Damaged files are moved aside and logged, and the
+// instance starts without them. If the incarnation can't be stored, Start returns a membership.IncarnationError; other errors
+// are those of Options.Connect.
 func Start(o Options) (*Cluster, error) {
 	if o.FS == nil {
 		o.FS = wal.OSFS{}
@@ -83,14 +83,14 @@
 		o.Connect = o.listen
 	}
 	c := &Cluster{
-		opts:       o,
-		startedAt:  o.Clock(),
-		unsaved:    make(chan struct{}, 1),
-		decisions:  make(chan recovery.Decision, maxPendingDecisions),
-		list:       endpointList{byID: map[string]discovery.Endpoint{}},
-		assemblies: map[string]*assembly{},
-		nextPart:   map[string]int{},
-		peerLists:  map[string][]discovery.Endpoint{},
+		opts:          o,
+		startedAt:     o.Clock(),
+		unsaved:       make(chan struct{}, 1),
+		decisions:     make(chan recovery.Decision, maxPendingDecisions),
+		list:          endpointList{byID: map[string]discovery.Endpoint{}},
+		assemblies:    map[string]*assembly{},
+		nextPartIndex: map[string]int{},
+		peerLists:     map[string][]discovery.Endpoint{},
 	}
 	if o.Priorities > 0 {
 		c.shedder = loadshed.New(loadshed.Settings{Priorities: o.Priorities, MinAdmittedRatio: o.MinAdmittedRatio})
@@ -141,19 +141,19 @@
 		Options: p, Bind: o.Listen, Join: slices.Collect(maps.Values(o.Peers)), Key: o.Key, Logger: o.Logger,
 	})
 	if err != nil {
-		return nil, err // not a Transport that holds a nil pointer
+		return nil, err // returning gossip here would make a Transport that is not nil but holds a nil pointer
 	}
 	return gossip, nil
 }
 
-// bumpIncarnation begins an incarnation above one that peers have seen.
+// bumpIncarnation begins and stores an incarnation later than one that peers have seen of this instance.
 func (c *Cluster) bumpIncarnation(above uint64) (uint64, error) {
 	c.opts.Logger.Warn("peers have seen a later incarnation than the disk holds", "incarnation", above)
 	return c.incarnations.Next(above, c.opts.Clock())
 }
 
-// UpdateEndpoints takes an endpoint list from discovery, to store it and to send it to peers. It ends the recovery. Cached
-// lists are ignored. It is to be called before the engine takes the list.
+// UpdateEndpoints applies an endpoint list from discovery, so that it is stored and sent to peers. It ends the recovery and
+// ignores cached lists. The caller must call it before it passes the list to the engine.
 func (c *Cluster) UpdateEndpoints(update engine.EndpointList) {
 	if update.Mode != balancer.ListComplete && update.Mode != balancer.ListDelta {
 		return
@@ -165,14 +165,14 @@
 	if changed {
 		select {
 		case c.unsaved <- struct{}{}:
-		default: // it is due already
+		default: // a save is pending already
 		}
 	}
 }
 
-// UpdateLoad takes the instance's counts since the last call, reports its load to the peers, and returns the level of what
-// the fleet sheds, as in loadshed.Decision. It is to be called every loadshed.ReportInterval, and only with
-// Options.Priorities above 0.
+// UpdateLoad processes the instance's counts since the last call, sends a load report to the peers, and returns the level of
+// load shedding as in loadshed.Decision. The caller calls it every loadshed.ReportInterval, and only if Options.Priorities is
+// above 0.
 func (c *Cluster) UpdateLoad(counts loadshed.LocalCounts) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,6 +186,6 @@
 	return decision.Level
 }
 
-// Close closes the transport, without notice to the peers, and the log. Run is to be stopped before, as it can store
-// nothing afterwards.
+// Close closes the transport, without notifying the peers, and the log. Run must have returned before, because it can't store
+// anything afterwards.
 func (c *Cluster) Close() error { return errors.Join(c.transport.Close(), c.closeLog()) }
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -18,7 +18,7 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-// logBuffer is a log that a test reads.
+// logBuffer collects log output. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -36,18 +36,18 @@
 	return b.text.String()
 }
 
-// wantLogged fails the test where the log of an instance lacks one of the texts.
+// wantLogged reports a test error for each of the texts that the log of an instance lacks.
 func (f *fleet) wantLogged(name string, texts ...string) {
 	f.t.Helper()
 	log := f.logs[name].String()
 	for _, text := range texts {
 		if !strings.Contains(log, text) {
-			f.t.Errorf("%s did not log %q but:\n%s", name, text, log)
+			f.t.Errorf("log of %s lacks %q:\n%s", name, text, log)
 		}
 	}
 }
 
-// fleet is some instances on loopback, each with a disk that can fail.
+// fleet is a group of instances on loopback, each with a disk that can fail.
 type fleet struct {
 	t     *testing.T
 	addrs map[string]string
@@ -71,7 +71,7 @@
 	return f
 }
 
-// start starts an instance, which is closed at the end of the test unless that is done before.
+// start starts an instance and closes it at the end of the test.
 func (f *fleet) start(name string) *Cluster {
 	f.t.Helper()
 	peers := map[string]string{}
@@ -95,7 +95,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { _ = c.Close() }) // most are closed twice
+	f.t.Cleanup(func() { _ = c.Close() }) // an error is expected: most tests have closed the instance before
 	return c
 }
 
@@ -106,8 +106,8 @@
 	}
 }
 
-// recovered returns the first list that an instance uses.
-func (f *fleet) recovered(c *Cluster) *discovery.EndpointList {
+// firstUsedList returns the first list that an instance uses.
+func (f *fleet) firstUsedList(c *Cluster) *discovery.EndpointList {
 	f.t.Helper()
 	used := make(chan *discovery.EndpointList, 16)
 	ctx, cancel := context.WithTimeout(f.t.Context(), 20*time.Second)
@@ -117,12 +117,12 @@
 	case list := <-used:
 		return list
 	case <-ctx.Done():
-		f.t.Fatal("no decision")
+		f.t.Fatal("got no decision within 20s, want one")
 		return nil
 	}
 }
 
-// completeList is a list from discovery with n servers.
+// completeList returns a complete list from discovery with n servers.
 func completeList(version int64, n int) engine.EndpointList {
 	list := engine.EndpointList{Mode: balancer.ListComplete, Version: version}
 	for i := range n {
@@ -135,17 +135,17 @@
 	return list
 }
 
-// update has an instance take a list from discovery and store it.
+// update passes a list from discovery to an instance, which stores it.
 func (f *fleet) update(c *Cluster, list engine.EndpointList) {
 	f.t.Helper()
 	c.UpdateEndpoints(list)
 	if !c.save() {
-		f.t.Fatal("not stored")
+		f.t.Fatalf("list of version %d was not stored", list.Version)
 	}
 }
 
-// After a loss of power the disk's list comes back whole, and an instance with an empty disk has it from its peers, in many
-// datagrams. Every server counts as just started.
+// After a loss of power the complete list is recovered from the disk. An instance with an empty disk receives it from its
+// peers, in many datagrams. Every server counts as just started.
 func TestRecoveryFromDisksAndPeers(t *testing.T) {
 	f := newFleet(t, "a", "b", "c")
 	for _, name := range []string{"a", "b"} {
@@ -158,31 +158,31 @@
 	a, b, c := f.start("a"), f.start("b"), f.start("c")
 	lists := make(chan *discovery.EndpointList, 3)
 	for _, instance := range []*Cluster{a, b, c} {
-		go func() { lists <- f.recovered(instance) }()
+		go func() { lists <- f.firstUsedList(instance) }()
 	}
 	want := &discovery.EndpointList{Version: 8, Complete: true}
 	want.Endpoints = discovery.NewEndpointList(8, completeList(8, 90).Servers).Endpoints
 	for range 3 {
 		list := <-lists
 		if list == nil {
-			t.Fatal("no list")
+			t.Fatal("got no list, want one")
 		}
 		for i := range list.Endpoints {
 			e := &list.Endpoints[i]
 			if e.StartedMS < before {
-				t.Errorf("%s counts as started at %d, power came back at %d", e.ID, e.StartedMS, before)
+				t.Errorf("got start time %d ms of %s, want at least %d ms, the time of the restart", e.StartedMS, e.ID, before)
 			}
 			e.StartedMS = 0
 		}
 		if diff := cmp.Diff(want, list); diff != "" {
-			t.Errorf("recovered (-want +got):\n%s", diff)
+			t.Errorf("recovered list (-want +got):\n%s", diff)
 		}
 	}
 	f.wantLogged("a", "source=disk")
 	f.wantLogged("c", "source=peers")
 }
 
-// A damaged log is moved aside and named, and the instance uses its peers' list.
+// A damaged log is moved aside, its new directory is logged, and the instance uses its peers' list.
 func TestDamagedLogIsQuarantined(t *testing.T) {
 	f := newFleet(t, "a", "b", "c")
 	for name := range f.addrs {
@@ -192,18 +192,18 @@
 		f.close(c)
 	}
 	if !f.disks["a"].FlipBit("journal", -40) {
-		t.Fatal("nothing to damage")
+		t.Fatal("the disk has no log file to damage")
 	}
 	f.start("b")
 	f.start("c")
-	if list := f.recovered(f.start("a")); list == nil || list.Version != 9 || len(list.Endpoints) != 5 {
-		t.Errorf("recovered %+v", list)
+	if list := f.firstUsedList(f.start("a")); list == nil || list.Version != 9 || len(list.Endpoints) != 5 {
+		t.Errorf("got list %+v, want version 9 with 5 endpoints", list)
 	}
 	f.wantLogged("a", "is corrupt", "its files are in")
 }
 
-// Guards against a log that grows with each start of an instance which stores few lists: a start takes the records that are
-// there into account.
+// Guards against unbounded growth of the log of an instance that restarts often and stores few lists each time: after a start
+// the records that the log already has must count towards the next snapshot.
 func TestShortLivesDoNotGrowTheLog(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	version := int64(0)
@@ -221,11 +221,12 @@
 		sizes, largest = append(sizes, size), max(largest, size)
 	}
 	if first := sizes[0]; largest > first*(snapshotInterval/8+1) {
-		t.Errorf("the files have %d bytes at most, %d after one start: %v", largest, first, sizes)
+		t.Errorf("got files of up to %d bytes, want at most %d: %v", largest, first*(snapshotInterval/8+1), sizes)
 	}
 }
 
-// A full disk does not stop an instance, is logged, and is written again when there is room. A failed sync ends the log.
+// An instance on a full disk continues, logs the error, and stores lists again once there is free space. A failed sync ends
+// the use of the log.
 func TestFullDiskIsRetried(t *testing.T) {
 	f := newFleet(t, "a", "b")
 	c := f.start("a")
@@ -233,7 +234,7 @@
 	f.disks["a"].SetFreeBytes(10)
 	c.UpdateEndpoints(completeList(9, 5))
 	if !c.save() {
-		t.Error("a full disk ended the log")
+		t.Error("a full disk ended the use of the log, want a retry with the next list")
 	}
 	f.wantLogged("a", "no space for a record", "retryable=true")
 	f.disks["a"].SetFreeBytes(-1)
@@ -241,12 +242,12 @@
 	f.disks["a"].FailNextSyncs(1)
 	c.UpdateEndpoints(completeList(11, 5))
 	if c.save() {
-		t.Error("a failed sync did not end the log")
+		t.Error("a failed sync did not end the use of the log")
 	}
 	f.wantLogged("a", "a write failed in")
-	_ = c.Close() // the log has failed
+	_ = c.Close() // an error is expected: the log has failed
 	f.disks["a"].Crash()
-	if list := f.recovered(f.start("a")); list == nil || list.Version < 10 {
-		t.Errorf("recovered %+v", list)
+	if list := f.firstUsedList(f.start("a")); list == nil || list.Version < 10 {
+		t.Errorf("got list %+v, want version 10 or later", list)
 	}
 }
--- a/internal/cluster/endpoints.go
+++ b/internal/cluster/endpoints.go
@@ -15,14 +15,14 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// endpointList is the endpoint list that this instance holds, as discovery or its own disk gave it.
+// endpointList is the endpoint list that this instance holds, as received from discovery or read from its disk.
 type endpointList struct {
-	version   int64         // 0: it holds none
+	version   int64         // 0 means that the instance holds no list
 	updatedAt time.Duration // Unix time
 	byID      map[string]discovery.Endpoint
 }
 
-// apply takes a complete list or a delta from discovery, and reports whether entries may have changed.
+// apply applies a complete list or a delta from discovery, and reports whether entries may have changed.
 func (l *endpointList) apply(now time.Duration, update engine.EndpointList) (changed bool) {
 	isComplete := update.Mode == balancer.ListComplete
 	if isComplete {
@@ -42,7 +42,7 @@
 	return isComplete || len(update.Servers) > 0
 }
 
-// sorted returns the entries by ID, nil where there are none.
+// sorted returns the entries sorted by ID, or nil if there are none.
 func (l *endpointList) sorted() []discovery.Endpoint {
 	var all []discovery.Endpoint
 	for _, id := range slices.Sorted(maps.Keys(l.byID)) {
@@ -51,29 +51,30 @@
 	return all
 }
 
-// stateOf is a list as recovery compares it with those of others.
-func stateOf(version int64, updatedAt time.Duration, endpoints []discovery.Endpoint) recovery.PeerState {
-	state := recovery.PeerState{Version: version, Hash: hashOf(endpoints), UpdatedAt: updatedAt}
+// peerState returns a list in the form in which package recovery compares the lists of instances.
+func peerState(version int64, updatedAt time.Duration, endpoints []discovery.Endpoint) recovery.PeerState {
+	state := recovery.PeerState{Version: version, Hash: hashEndpoints(endpoints), UpdatedAt: updatedAt}
 	for _, e := range endpoints {
 		state.Servers = append(state.Servers, recovery.Server{ID: e.ID, StartedAt: milliseconds(e.StartedMS)})
 	}
 	return state
 }
 
-// hashOf returns the same for equal lists in any order, whatever start times of servers their holders have observed.
-func hashOf(endpoints []discovery.Endpoint) uint64 {
+// hashEndpoints returns the hash of a list. It depends neither on the order of the entries nor on their start times, which each
+// instance observes for itself.
+func hashEndpoints(endpoints []discovery.Endpoint) uint64 {
 	sorted := slices.Clone(endpoints)
 	slices.SortFunc(sorted, func(a, b discovery.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	h := xxhash.New()
 	for _, e := range sorted {
 		e.StartedMS = 0
-		_, _ = h.Write(encode(e)) // a hash takes everything
+		_, _ = h.Write(encode(e)) // writing to a hash never fails
 	}
 	return h.Sum64()
 }
 
-// encode returns the JSON of a message, a record or a part of them. Their fields are plain, and their numbers come from
-// JSON or from counts: encoding can't fail.
+// encode returns the JSON of a message, a record or a part of them. Encoding can't fail, because the fields have plain types
+// and the numbers come from JSON or from counts, so that none is NaN or infinite.
 func encode(v any) []byte {
 	b, _ := json.Marshal(v)
 	return b
--- a/internal/cluster/exchange.go
+++ b/internal/cluster/exchange.go
@@ -11,7 +11,7 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// receive handles a message of a peer. What is no message is ignored.
+// receive handles a message from a peer. It ignores payloads that can't be decoded and messages of an unknown kind.
 func (c *Cluster) receive(received membership.Message) {
 	var m message
 	if json.Unmarshal(received.Payload, &m) != nil {
@@ -23,17 +23,17 @@
 	case kindStatePart:
 		c.receiveState(received.From, m.statePart)
 	case kindLoadReport:
-		c.receiveLoad(received, m.loadReport)
+		c.receiveLoadReport(received, m.loadReport)
 	}
 }
 
-// isPeer reports whether the configuration names an instance.
+// isPeer reports whether the instance with the given name is a configured peer.
 func (c *Cluster) isPeer(name string) bool {
 	_, ok := c.opts.Peers[name]
 	return ok
 }
 
-// broadcast sends a message to all peers. The caller holds the lock.
+// broadcast sends a message to all peers. The caller must hold c.mu.
 func (c *Cluster) broadcast(m message) {
 	body := encode(m)
 	for _, name := range c.peerNames() {
@@ -44,7 +44,7 @@
 // peerNames returns the names of the peers in a fixed order, so that simulated runs are reproducible.
 func (c *Cluster) peerNames() []string { return slices.Sorted(maps.Keys(c.opts.Peers)) }
 
-// requestStates asks the peers whose state has not come yet.
+// requestStates sends a state request to each peer whose whole state has not arrived yet.
 func (c *Cluster) requestStates() {
 	body := encode(message{Kind: kindStateRequest})
 	c.mu.Lock()
@@ -56,13 +56,13 @@
 	}
 }
 
-// maxPartsPerAnswer keeps answers to requests that come every stateRequestInterval within the bytes a second of a link. More
-// would fill its queue, and what is dropped there would be the same parts each time.
+// maxPartsPerAnswer keeps the answers to requests every stateRequestInterval within the byte rate of a link. More parts would
+// fill the link's queue, which would drop the same parts each time.
 const maxPartsPerAnswer = 8
 
-// sendState answers a request with what this instance holds by discovery or its own disk. What it uses by its peers is
-// left out. A state of more than maxPartsPerAnswer parts takes several requests: each answer goes on where the last one to
-// that peer ended.
+// sendState answers a state request with the list that this instance received from discovery or read from its own disk. A list
+// that it uses because its peers hold it is not sent. A state of more than maxPartsPerAnswer parts takes several requests:
+// each answer continues where the last answer to the same peer ended.
 func (c *Cluster) sendState(to string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	endpoints := c.list.sorted()
 	state := statePart{
 		Version:   c.list.version,
-		Hash:      hashOf(endpoints),
+		Hash:      hashEndpoints(endpoints),
 		UpdatedMS: c.list.updatedAt.Milliseconds(),
 		ClockMS:   now.Milliseconds(),
 	}
@@ -81,14 +81,14 @@
 		state.UptimeMS = (now - c.servingSince).Milliseconds()
 	}
 	parts := splitState(state, endpoints)
-	first := c.nextPart[to]
+	first := c.nextPartIndex[to]
 	for i := range min(len(parts), maxPartsPerAnswer) {
 		c.transport.Send(to, parts[(first+i)%len(parts)])
 	}
-	c.nextPart[to] = (first + min(len(parts), maxPartsPerAnswer)) % len(parts)
+	c.nextPartIndex[to] = (first + min(len(parts), maxPartsPerAnswer)) % len(parts)
 }
 
-// receiveState takes a part of a peer's state, and passes the state to the recovery once it is complete.
+// receiveState processes a part of a peer's state, and passes the state to the recovery once it is complete.
 func (c *Cluster) receiveState(from string, part statePart) {
 	if !c.isPeer(from) {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// assemble returns the report of a peer whose state is complete with a part.
+// assemble adds a part to a peer's state. If the state is complete with it, assemble returns the peer's report and true.
 func (c *Cluster) assemble(from string, part statePart) (report recovery.PeerReport, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,10 +119,10 @@
 	}, true
 }
 
-// reportedState is the state that a peer reports. A list whose hash does not fit counts as none: it is too long to be sent,
-// or damaged.
+// reportedState returns the state that a peer reports. It has version 0, which means no list, if the hash does not match the
+// entries: the list is too long to be sent, or damaged.
 func reportedState(part statePart, endpoints []discovery.Endpoint) recovery.PeerState {
-	state := stateOf(part.Version, milliseconds(part.UpdatedMS), endpoints)
+	state := peerState(part.Version, milliseconds(part.UpdatedMS), endpoints)
 	if state.Hash != part.Hash {
 		state.Version = 0
 	}
@@ -130,8 +130,8 @@
 	return state
 }
 
-// receiveLoad takes the load report of a peer.
-func (c *Cluster) receiveLoad(received membership.Message, report loadReport) {
+// receiveLoadReport passes the load report of a configured peer to the load shedder.
+func (c *Cluster) receiveLoadReport(received membership.Message, report loadReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.shedder == nil || !c.isPeer(received.From) {
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -12,10 +12,10 @@
 	"example.org/milletvane/internal/discovery"
 )
 
-// Each recorded message is decoded to the values that stand in it, and encoded to the same bytes again.
+// Each recorded message decodes to the values in its text and encodes to the same bytes again.
 func TestRecordedMessagesRoundTrip(t *testing.T) {
 	kinds := map[string]int{}
-	for _, line := range recorded(t) {
+	for _, line := range recordedLines(t) {
 		f := strings.SplitN(line, " ", 4)
 		if f[0] != "sent" {
 			continue
@@ -25,7 +25,7 @@
 			t.Fatalf("%s: %v", line, err)
 		}
 		kinds[string(m.Kind)]++
-		v := object(t, f[3])
+		v := parseObject(t, f[3])
 		v.text("k", string(m.Kind))
 		v.integer("v", m.Version)
 		v.unsigned("h", m.Hash)
@@ -36,23 +36,23 @@
 		v.integer("now", m.ClockMS)
 		v.unsigned("no", m.Sequence)
 		v.float("share", m.ShedRatio)
-		v.members("s", m.Endpoints)
+		v.endpoints("s", m.Endpoints)
 		v.floats("asked", m.RequestRates)
-		v.done()
+		v.checkAllCompared()
 		again, err := json.Marshal(m)
 		if err != nil || string(again) != f[3] {
-			t.Errorf("encoded again as %s (%v), not %s", again, err, f[3])
+			t.Errorf("encoded again: got %s (error %v), want %s", again, err, f[3])
 		}
 	}
 	if kinds["ask"] == 0 || kinds["part"] < 5 || kinds["tier"] == 0 || len(kinds) != 3 {
-		t.Errorf("recorded are %v", kinds)
+		t.Errorf("got recorded messages of the kinds %v, want ask, at least 5 of part, and tier", kinds)
 	}
 }
 
-// The same for each record on the disk.
+// Each recorded record of the log decodes to the values in its text and encodes to the same bytes again.
 func TestStoredRecordsRoundTrip(t *testing.T) {
 	n := 0
-	for _, line := range recorded(t) {
+	for _, line := range recordedLines(t) {
 		f := strings.SplitN(line, " ", 4)
 		if f[0] != "stored" {
 			continue
@@ -62,134 +62,136 @@
 		if err := json.Unmarshal([]byte(f[3]), &r); err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
-		v := object(t, f[3])
+		v := parseObject(t, f[3])
 		v.integer("at", r.UpdatedMS)
 		v.integer("version", r.Version)
 		v.boolean("full", r.Complete)
-		v.members("servers", r.Endpoints)
-		v.done()
+		v.endpoints("servers", r.Endpoints)
+		v.checkAllCompared()
 		again, err := json.Marshal(r)
 		if err != nil || string(again) != f[3] {
-			t.Errorf("encoded again as %s (%v), not %s", again, err, f[3])
+			t.Errorf("encoded again: got %s (error %v), want %s", again, err, f[3])
 		}
 	}
 	if n != 3 {
-		t.Errorf("%d records are recorded", n)
+		t.Errorf("got %d stored records in testdata, want 3", n)
 	}
 }
 
-// A record of nothing has all its keys, and a message of nothing has its kind alone.
+// The encoding of a zero record has all keys, and that of a zero message has only the kind.
 func TestZeroValueEncoding(t *testing.T) {
 	for want, v := range map[string]any{
 		`{"at":0,"version":0,"full":false,"servers":null}`: record{},
 		`{"k":""}`: message{},
 	} {
 		if got, err := json.Marshal(v); err != nil || string(got) != want {
-			t.Errorf("%s (%v), not %s", got, err, want)
+			t.Errorf("got %s (error %v), want %s", got, err, want)
 		}
 	}
 }
 
-// values are those of a JSON object, by key, as they stand in the text. One that is missing is zero.
+// values holds the values of a JSON object by key, as in its text. Its methods compare decoded values with them, and remove
+// them. A missing key counts as the zero value.
 type values struct {
-	t    *testing.T
-	left map[string]json.RawMessage
+	t         *testing.T
+	remaining map[string]json.RawMessage
 }
 
-func object(t *testing.T, text string) *values {
+// parseObject returns the values of the JSON parseObject in a text.
+func parseObject(t *testing.T, text string) *values {
 	t.Helper()
 	v := &values{t: t}
-	if err := json.Unmarshal([]byte(text), &v.left); err != nil {
+	if err := json.Unmarshal([]byte(text), &v.remaining); err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
 	return v
 }
 
-// take removes a key and compares its text with a decoded value's.
-func (v *values) take(key, zero, got string) {
+// compareText removes a key and compares its text with that of the decoded value.
+func (v *values) compareText(key, zero, got string) {
 	v.t.Helper()
-	want, ok := v.left[key]
+	want, ok := v.remaining[key]
 	if !ok {
 		want = json.RawMessage(zero)
 	}
-	delete(v.left, key)
+	delete(v.remaining, key)
 	if got != string(want) {
-		v.t.Errorf("%s is %s, decoded as %s", key, want, got)
+		v.t.Errorf("decoded %s: got %s, want %s", key, got, want)
 	}
 }
 
 func (v *values) integer(key string, got int64) {
 	v.t.Helper()
-	v.take(key, "0", strconv.FormatInt(got, 10))
+	v.compareText(key, "0", strconv.FormatInt(got, 10))
 }
 
 func (v *values) unsigned(key string, got uint64) {
 	v.t.Helper()
-	v.take(key, "0", strconv.FormatUint(got, 10))
+	v.compareText(key, "0", strconv.FormatUint(got, 10))
 }
 
 func (v *values) boolean(key string, got bool) {
 	v.t.Helper()
-	v.take(key, "false", strconv.FormatBool(got))
+	v.compareText(key, "false", strconv.FormatBool(got))
 }
 
 func (v *values) float(key string, got float64) {
 	v.t.Helper()
 	want := 0.0
-	if text, ok := v.left[key]; ok {
+	if text, ok := v.remaining[key]; ok {
 		var err error
 		if want, err = strconv.ParseFloat(string(text), 64); err != nil {
 			v.t.Fatalf("%s: %v", key, err)
 		}
 	}
-	delete(v.left, key)
+	delete(v.remaining, key)
 	if math.Float64bits(got) != math.Float64bits(want) {
-		v.t.Errorf("%s is %v, decoded as %v", key, want, got)
+		v.t.Errorf("decoded %s: got %v, want %v", key, got, want)
 	}
 }
 
 func (v *values) text(key, got string) {
 	v.t.Helper()
 	var want string
-	if text, ok := v.left[key]; ok {
+	if text, ok := v.remaining[key]; ok {
 		if err := json.Unmarshal(text, &want); err != nil {
 			v.t.Fatalf("%s: %v", key, err)
 		}
 	}
-	delete(v.left, key)
+	delete(v.remaining, key)
 	if got != want {
-		v.t.Errorf("%s is %q, decoded as %q", key, want, got)
+		v.t.Errorf("decoded %s: got %q, want %q", key, got, want)
 	}
 }
 
 func (v *values) floats(key string, got []float64) {
 	v.t.Helper()
 	var want []float64
-	if text, ok := v.left[key]; ok {
+	if text, ok := v.remaining[key]; ok {
 		if err := json.Unmarshal(text, &want); err != nil {
 			v.t.Fatalf("%s: %v", key, err)
 		}
 	}
-	delete(v.left, key)
+	delete(v.remaining, key)
 	if !slices.Equal(got, want) {
-		v.t.Errorf("%s is %v, decoded as %v", key, want, got)
+		v.t.Errorf("decoded %s: got %v, want %v", key, got, want)
 	}
 }
 
-func (v *values) members(key string, got []discovery.Endpoint) {
+func (v *values) endpoints(key string, got []discovery.Endpoint) {
 	v.t.Helper()
 	var want []json.RawMessage
-	if text, ok := v.left[key]; ok {
+	if text, ok := v.remaining[key]; ok {
 		if err := json.Unmarshal(text, &want); err != nil {
 			v.t.Fatalf("%s: %v", key, err)
 		}
 	}
-	delete(v.left, key)
+	delete(v.remaining, key)
 	if len(got) != len(want) {
-		v.t.Fatalf("%s has %d entries, decoded are %d", key, len(want), len(got))
+		v.t.Fatalf("decoded %s: got %d entries, want %d", key, len(got), len(want))
 	}
 	for i, m := range got {
-		e := object(v.t, string(want[i]))
+		e := parseObject(v.t, string(want[i]))
 		e.text("id", m.ID)
 		e.text("addr", m.Addr)
 		e.text("zone", m.Zone)
@@ -198,14 +200,14 @@
 		e.text("state", m.State)
 		e.float("weight", m.Weight)
 		e.integer("started_ms", m.StartedMS)
-		e.done()
+		e.checkAllCompared()
 	}
 }
 
-// done fails where a key was looked at by no test.
-func (v *values) done() {
+// checkAllCompared reports a test error for each key that was not compared.
+func (v *values) checkAllCompared() {
 	v.t.Helper()
-	for _, key := range slices.Sorted(maps.Keys(v.left)) {
-		v.t.Errorf("%s=%s is decoded to nothing", key, v.left[key])
+	for _, key := range slices.Sorted(maps.Keys(v.remaining)) {
+		v.t.Errorf("key %s with value %s is not decoded", key, v.remaining[key])
 	}
 }
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -5,37 +5,37 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// messageKind says which fields of a message are set.
+// messageKind is the kind of a message, which determines the fields that are set.
 type messageKind string
 
-// The kinds, as they go over the network.
+// Kinds of messages, as encoded in a datagram.
 const (
-	kindStateRequest messageKind = "ask"  // asks for the state of the receiver: no fields
-	kindStatePart    messageKind = "part" // statePart
-	kindLoadReport   messageKind = "tier" // loadReport
+	kindStateRequest messageKind = "ask"  // requests the state of the receiver; sets no other fields
+	kindStatePart    messageKind = "part" // sets the fields of statePart
+	kindLoadReport   messageKind = "tier" // sets the fields of loadReport
 )
 
-// message is what instances send one another: JSON, one message in a datagram.
+// message is a message between two instances. It is encoded as JSON, one message to a datagram.
 type message struct {
 	Kind messageKind `json:"k"`
 	statePart
 	loadReport
 }
 
-// statePart is the state of the sender with a part of its endpoint list. A part that is lost comes again with the answer to
-// the next request.
+// statePart is the state of the sender with a part of its endpoint list. A part that is lost is sent again in answer to a
+// later request.
 type statePart struct {
-	Version   int64                `json:"v,omitempty"` // of the list
-	Hash      uint64               `json:"h,omitempty"` // of the whole list
-	Index     int                  `json:"i,omitempty"` // of this part, from 0 on
-	Parts     int                  `json:"n,omitempty"` // how many there are
-	UpdatedMS int64                `json:"at,omitempty"`
-	UptimeMS  int64                `json:"up,omitempty"` // how long the sender has served
-	ClockMS   int64                `json:"now,omitempty"`
+	Version   int64                `json:"v,omitempty"`   // of the list
+	Hash      uint64               `json:"h,omitempty"`   // of the whole list
+	Index     int                  `json:"i,omitempty"`   // of this part, from 0
+	Parts     int                  `json:"n,omitempty"`   // number of parts
+	UpdatedMS int64                `json:"at,omitempty"`  // time at which the list was stored or received, in Unix milliseconds
+	UptimeMS  int64                `json:"up,omitempty"`  // for which the sender has served; 0 while it is recovering
+	ClockMS   int64                `json:"now,omitempty"` // time of the sender's clock, in Unix milliseconds
 	Endpoints []discovery.Endpoint `json:"s,omitempty"`
 }
 
-// loadReport is a loadshed.Report.
+// loadReport is the encoded form of a loadshed.Report.
 type loadReport struct {
 	Sequence     uint64    `json:"no,omitempty"` // within the sender's incarnation
 	ShedRatio    float64   `json:"share,omitempty"`
@@ -43,13 +43,14 @@
 }
 
 const (
-	// maxParts bounds a list that is sent: some 1,400 servers. Of a longer one the version alone is sent.
+	// maxParts is the largest number of parts of a list, which is enough for about 1,400 servers. A longer list is sent
+	// without its entries.
 	maxParts = 200
-	// partReserve is left free in a part for its index, the number of parts and the brackets of its list.
+	// partReserve is the number of bytes in a part for its index, the number of parts and the brackets of its list.
 	partReserve = 64
 )
 
-// splitState returns the messages that carry a state with an endpoint list, each within a datagram.
+// splitState returns the encoded messages that carry a state with an endpoint list, each of which fits into a datagram.
 func splitState(state statePart, endpoints []discovery.Endpoint) [][]byte {
 	header := encode(message{Kind: kindStatePart, statePart: state})
 	groups := groupBySize(endpoints, membership.MaxBodyBytes-len(header)-partReserve)
@@ -64,39 +65,41 @@
 	return messages
 }
 
-// groupBySize cuts a list into groups whose JSON has at most maxBytes each. An entry that is larger alone is left out.
+// groupBySize splits a list into groups whose JSON has at most maxBytes bytes each. It leaves out an entry that is larger by
+// itself.
 func groupBySize(endpoints []discovery.Endpoint, maxBytes int) [][]discovery.Endpoint {
 	var groups [][]discovery.Endpoint
-	used := maxBytes // of the last group
+	groupBytes := maxBytes // bytes in the last group
 	for _, e := range endpoints {
-		size := len(encode(e)) + 1 // with a comma
+		size := len(encode(e)) + 1 // includes the comma
 		if size > maxBytes {
 			continue
 		}
-		if used+size > maxBytes {
-			groups, used = append(groups, nil), 0
+		if groupBytes+size > maxBytes {
+			groups, groupBytes = append(groups, nil), 0
 		}
-		used += size
+		groupBytes += size
 		groups[len(groups)-1] = append(groups[len(groups)-1], e)
 	}
 	return groups
 }
 
-// assembly puts the parts of one peer's state together.
+// assembly collects the parts of one peer's state.
 type assembly struct {
-	last  statePart // the part that came last
-	parts map[int][]discovery.Endpoint
+	lastPart statePart                    // the part received last
+	parts    map[int][]discovery.Endpoint // entries by the index of their part
 }
 
-// add takes a part, and reports whether the state is complete. A part of another state than the earlier ones begins anew.
+// add adds a part and reports whether the state is complete. It ignores an invalid part. A part of another state than the
+// earlier parts discards these.
 func (a *assembly) add(part statePart) (isComplete bool) {
 	if part.Parts <= 0 || part.Parts > maxParts || part.Index < 0 || part.Index >= part.Parts {
 		return false
 	}
-	if a.parts == nil || a.last.Version != part.Version || a.last.Hash != part.Hash || a.last.Parts != part.Parts {
+	if a.parts == nil || a.lastPart.Version != part.Version || a.lastPart.Hash != part.Hash || a.lastPart.Parts != part.Parts {
 		a.parts = map[int][]discovery.Endpoint{}
 	}
-	a.last = part
+	a.lastPart = part
 	a.parts[part.Index] = part.Endpoints
 	return len(a.parts) == part.Parts
 }
@@ -104,7 +107,7 @@
 // endpoints returns the list of a complete state.
 func (a *assembly) endpoints() []discovery.Endpoint {
 	var all []discovery.Endpoint
-	for i := range a.last.Parts {
+	for i := range a.lastPart.Parts {
 		all = append(all, a.parts[i]...)
 	}
 	return all
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -11,11 +11,11 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// decodePart decodes a message that has to fit a datagram.
+// decodePart decodes a message and fails the test if it does not fit into a datagram.
 func decodePart(t *testing.T, body []byte) statePart {
 	t.Helper()
 	if len(body) > membership.MaxBodyBytes {
-		t.Fatalf("a part of %d bytes", len(body))
+		t.Fatalf("got a part of %d bytes, want at most %d", len(body), membership.MaxBodyBytes)
 	}
 	var m message
 	if err := json.Unmarshal(body, &m); err != nil {
@@ -24,13 +24,13 @@
 	return m.statePart
 }
 
-// Each part of a state fits a datagram. Parts may come in any order, and some twice. Of a list that is too long no entry is
-// sent.
+// Each part of a state fits into a datagram. Parts may arrive in any order, and some twice. A list that is too long is sent
+// without its entries.
 func TestStatePartsRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 6, 90, 5000} {
 		t.Run(fmt.Sprintf("%d servers", n), func(t *testing.T) {
 			endpoints := discovery.NewEndpointList(3, completeList(3, n).Servers).Endpoints
-			state := statePart{Version: 3, Hash: hashOf(endpoints), UpdatedMS: 1 << 41, UptimeMS: 1 << 41, ClockMS: 1 << 41}
+			state := statePart{Version: 3, Hash: hashEndpoints(endpoints), UpdatedMS: 1 << 41, UptimeMS: 1 << 41, ClockMS: 1 << 41}
 			bodies := splitState(state, endpoints)
 			a := assembly{}
 			isComplete := false
@@ -41,7 +41,7 @@
 				isComplete = a.add(decodePart(t, body))
 			}
 			if !isComplete {
-				t.Errorf("not complete after %d parts", len(bodies))
+				t.Errorf("the state is not complete after all of its %d parts", len(bodies))
 			}
 			want := endpoints
 			if n > 1400 {
@@ -58,7 +58,7 @@
 	a := assembly{}
 	for _, part := range []statePart{{Parts: 0}, {Parts: 1 << 30}, {Index: -1, Parts: 2}, {Index: 2, Parts: 2}} {
 		if a.add(part) {
-			t.Errorf("%+v completes a state", part)
+			t.Errorf("invalid part %+v completes a state, want it ignored", part)
 		}
 	}
 }
--- a/internal/cluster/recover.go
+++ b/internal/cluster/recover.go
@@ -9,12 +9,12 @@
 	"example.org/milletvane/internal/discovery"
 )
 
-// stateRequestInterval is how often peers that have not answered are asked for their state.
+// stateRequestInterval is the interval at which state requests are sent to peers whose whole state has not arrived.
 const stateRequestInterval = 150 * time.Millisecond
 
-// Recover requests the peers' states and calls use with the provisional endpoint list to begin with, within
-// Options.PeerTimeout; nil is none. Until discovery answers it goes on requesting the states that are missing, and calls use
-// again where these change the choice. It returns when discovery has answered, or when ctx is done.
+// Recover requests the peers' states and calls use with the provisional endpoint list to start with, after at most
+// Options.PeerTimeout; the list is nil if there is none. Until discovery answers, Recover continues to request the missing
+// states, and calls use again each time that they change the choice. It returns when discovery has answered or ctx is done.
 func (c *Cluster) Recover(ctx context.Context, use func(*discovery.EndpointList)) {
 	ticker := time.NewTicker(stateRequestInterval)
 	defer ticker.Stop()
@@ -26,7 +26,7 @@
 		case <-ticker.C:
 			c.handle(recovery.Tick{})
 		case d := <-c.decisions:
-			list := c.adopt(d)
+			list := c.applyDecision(d)
 			if d.Source == recovery.FromDiscovery {
 				return
 			}
@@ -35,7 +35,7 @@
 	}
 }
 
-// handle passes an event to the recovery. The caller must not hold the lock.
+// handle passes an event to the recovery and queues the decision that results. The caller must not hold c.mu.
 func (c *Cluster) handle(event recovery.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,13 +45,13 @@
 	}
 	select {
 	case c.decisions <- d:
-	default: // so many wait already that one more would not help
+	default: // the queue is full: Recover is not reading it, and one more decision would not help
 	}
 }
 
-// adopt logs a decision and returns its provisional list, nil where it has none. The first decision is when the instance
-// begins to serve.
-func (c *Cluster) adopt(d recovery.Decision) *discovery.EndpointList {
+// applyDecision logs a decision and returns its provisional list, or nil if it has none. The instance counts as serving from
+// its first decision on.
+func (c *Cluster) applyDecision(d recovery.Decision) *discovery.EndpointList {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Clock()
@@ -61,17 +61,18 @@
 	c.logDecision(d, now)
 	switch d.Source {
 	case recovery.FromDisk:
-		return c.provisional(d, c.list.sorted())
+		return c.provisionalList(d, c.list.sorted())
 	case recovery.FromPeers:
-		// A list from peers is used but not sent on as this instance's own: two would seem to hold what one claims.
-		return c.provisional(d, c.peerLists[d.Peers[0]])
+		// A list from peers is used, but not sent to other peers as this instance's own. Otherwise two instances would seem to
+		// hold a list that only one reports.
+		return c.provisionalList(d, c.peerLists[d.Peers[0]])
 	default:
 		return nil
 	}
 }
 
-// provisional returns a list as a decision wants it used.
-func (c *Cluster) provisional(d recovery.Decision, endpoints []discovery.Endpoint) *discovery.EndpointList {
+// provisionalList returns a list with the exclusions and start times of a decision applied.
+func (c *Cluster) provisionalList(d recovery.Decision, endpoints []discovery.Endpoint) *discovery.EndpointList {
 	list := &discovery.EndpointList{Version: d.Version, Complete: true}
 	for _, e := range endpoints {
 		if slices.Contains(d.Excluded, e.ID) {
--- a/internal/cluster/recover_test.go
+++ b/internal/cluster/recover_test.go
@@ -12,26 +12,26 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-// Servers of the disk's list that a single peer with a newer list lacks are left out of the list that is used.
+// The list that is used lacks the servers that are missing in the newer list of a single peer.
 func TestExcludedServersAreNotUsed(t *testing.T) {
-	x := &exchange{t: t, now: formatClock}
+	x := &exchange{t: t, now: exchangeEpoch}
 	disk := faultfs.New(1)
 	c := x.start("a", disk)
-	servers := formatServers(4)
+	servers := exchangeServers(4)
 	c.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListComplete, Version: 8, Servers: servers})
 	x.save(c)
 	x.close(c)
 
 	c = x.start("a", disk)
 	newer := discovery.NewEndpointList(9, servers[:3]).Endpoints
-	state := statePart{Version: 9, Hash: hashOf(newer), ClockMS: x.now.Milliseconds()}
+	state := statePart{Version: 9, Hash: hashEndpoints(newer), ClockMS: x.now.Milliseconds()}
 	for _, body := range splitState(state, newer) {
 		x.receive("b", string(body))
 	}
 	x.now += 2 * time.Second
-	list := x.recover(c)
+	list := x.firstUsedList(c)
 	if list == nil || list.Version != 8 {
-		t.Fatalf("recovered %+v", list)
+		t.Fatalf("got list %+v, want version 8", list)
 	}
 	var got []string
 	for _, e := range list.Endpoints {
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -15,43 +15,43 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-var soakSeeds = flag.Uint64("soak-seeds", 30, "seeds that the soak of recovery plays")
+var soakSeeds = flag.Uint64("soak-seeds", 30, "number of seeds that TestRecoverySoak runs")
 
 const (
 	soakEpoch    = 1_700_000_000 * time.Second // Unix time at which a soak begins
-	bogusID      = "s-0000beef"                // a server that the faulty instance alone reports
+	bogusID      = "s-0000beef"                // a server that only the faulty instance reports
 	oldVersion   = 7
 	newVersion   = 8
 	bogusVersion = 1 << 40
 )
 
-// soak is a fleet in simulated time: real instances, on disks and links that fail by a seed.
+// soak is a fleet in simulated time. Its instances are real, and a seed determines the failures of their disks and links.
 type soak struct {
-	rnd       *rand.Rand
-	net       *simnet.Network
+	random    *rand.Rand
+	network   *simnet.Network
 	names     []string
 	disks     map[string]*faultfs.FS
-	instances map[string]*Cluster                // those that run
-	lists     map[string]*discovery.EndpointList // that they use
-	decisions map[string]recovery.Decision       // the last of each
-	servers   int                                // in the old list; the new one has one less
+	instances map[string]*Cluster                // those that are running
+	lists     map[string]*discovery.EndpointList // the list that each uses
+	decisions map[string]recovery.Decision       // the latest of each
+	servers   int                                // number of servers in the old list; the new list has one less
 	trace     []string
 
-	staleName  string // its disk holds the old list
-	brokenName string // its disk is empty or damaged, unless it is the stale one
-	faultyName string // reports a list of its own after the loss of power; "": none does
+	staleName  string // the instance whose disk holds the old list
+	brokenName string // the instance whose disk is empty or damaged, unless it is the stale one
+	faultyName string // the instance that reports a list of its own after the loss of power, or "" if none does
 }
 
 func newSoak(seed uint64) *soak {
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	s := &soak{
-		rnd:       rnd,
+		random:    rnd,
 		disks:     map[string]*faultfs.FS{},
 		instances: map[string]*Cluster{},
 		lists:     map[string]*discovery.EndpointList{},
 		decisions: map[string]recovery.Decision{},
 	}
-	s.net = simnet.New(seed, simnet.Faults{
+	s.network = simnet.New(seed, simnet.Faults{
 		MaxDelay:      time.Duration(rnd.IntN(150)+1) * time.Millisecond,
 		LossRate:      0.2 * rnd.Float64(),
 		DuplicateRate: 0.2 * rnd.Float64(),
@@ -61,17 +61,17 @@
 		s.names = append(s.names, name)
 		s.disks[name] = faultfs.New(seed*10 + uint64(i))
 	}
-	s.staleName, s.brokenName = s.pick(), s.pick()
+	s.staleName, s.brokenName = s.randomName(), s.randomName()
 	if len(s.names) >= 5 && rnd.IntN(2) == 0 {
-		s.faultyName = s.pick()
+		s.faultyName = s.randomName()
 	}
 	return s
 }
 
-func (s *soak) pick() string { return s.names[s.rnd.IntN(len(s.names))] }
+func (s *soak) randomName() string { return s.names[s.random.IntN(len(s.names))] }
 
 func (s *soak) tracef(format string, args ...any) {
-	s.trace = append(s.trace, fmt.Sprintf("%v ", s.net.Now)+fmt.Sprintf(format, args...))
+	s.trace = append(s.trace, fmt.Sprintf("%v ", s.network.Now)+fmt.Sprintf(format, args...))
 }
 
 func (s *soak) start(name string) error {
@@ -88,9 +88,9 @@
 		PeerTimeout:    2 * time.Second,
 		WarmupDuration: 20 * time.Second,
 		FS:             s.disks[name],
-		Clock:          func() time.Duration { return soakEpoch + s.net.Now },
+		Clock:          func() time.Duration { return soakEpoch + s.network.Now },
 		Logger:         slog.New(slog.DiscardHandler),
-		Connect:        func(o membership.Options) (membership.Transport, error) { return s.net.Listen(o), nil },
+		Connect:        func(o membership.Options) (membership.Transport, error) { return s.network.Listen(o), nil },
 	})
 	if err != nil {
 		return err
@@ -111,10 +111,10 @@
 	return nil
 }
 
-// advance lets time pass, as Recover does for each instance.
+// advance moves the simulated time forward and does what Recover does for each instance.
 func (s *soak) advance(d time.Duration) {
 	for range d / stateRequestInterval {
-		s.net.Advance(stateRequestInterval)
+		s.network.Advance(stateRequestInterval)
 		for _, name := range s.names {
 			if c := s.instances[name]; c != nil {
 				s.tick(name, c)
@@ -128,16 +128,17 @@
 	c.handle(recovery.Tick{})
 	for len(c.decisions) > 0 {
 		d := <-c.decisions
-		s.decisions[name], s.lists[name] = d, c.adopt(d)
+		s.decisions[name], s.lists[name] = d, c.applyDecision(d)
 		s.tracef("%s decides on %v %d without %v", name, d.Source, d.Version, d.Excluded)
 	}
 }
 
-// Power is lost at all instances at once. One comes back with an older disk, one with an empty or damaged one, one may
-// report a list of its own from then on, links are cut for a time, and power is lost again during recovery. In the end no
-// instance uses a list that discovery never had, nor the old one where two others held the new.
+// All instances lose power at the same time. One restarts with an older list on its disk, one with an empty or damaged disk,
+// and one may report a list of its own from then on. One direction of a link is cut for some time, and an instance may lose
+// power again during recovery. At the end no instance uses a list that discovery never had, and the instance with the older
+// list uses the new one if at least two others hold it.
 func TestRecoverySoak(t *testing.T) {
-	// With 3137 an instance once sent on what a faulty one alone had reported.
+	// With seed 3137 an instance once sent its peers a list that only a faulty instance had reported.
 	seeds := []uint64{3137}
 	for seed := range *soakSeeds {
 		seeds = append(seeds, seed)
@@ -174,14 +175,14 @@
 	return nil
 }
 
-// storeLists has all instances store the old list and all but the stale one the new.
+// storeLists starts all instances. All store the old list, and all but the stale one then store the new list.
 func (s *soak) storeLists() error {
 	for _, name := range s.names {
 		if err := s.start(name); err != nil {
 			return err
 		}
 	}
-	s.servers = 5 + s.rnd.IntN(60)
+	s.servers = 5 + s.random.IntN(60)
 	for version := int64(oldVersion); version <= newVersion; version++ {
 		for _, name := range s.names {
 			if version == newVersion && name == s.staleName {
@@ -189,7 +190,7 @@
 			}
 			s.instances[name].UpdateEndpoints(completeList(version, s.servers-int(version-oldVersion)))
 			if !s.instances[name].save() {
-				return fmt.Errorf("%s could not store", name)
+				return fmt.Errorf("%s did not store the list of version %d", name, version)
 			}
 		}
 	}
@@ -202,7 +203,7 @@
 			return err
 		}
 	}
-	if s.brokenName != s.staleName && s.rnd.IntN(2) == 0 {
+	if s.brokenName != s.staleName && s.random.IntN(2) == 0 {
 		s.disks[s.brokenName] = faultfs.New(seed + 1<<40)
 	} else if s.brokenName != s.staleName {
 		s.disks[s.brokenName].FlipBit("journal", -30)
@@ -212,33 +213,33 @@
 
 func (s *soak) restartAll() error {
 	for _, name := range s.names {
-		if s.rnd.IntN(3) == 0 {
-			s.advance(time.Duration(s.rnd.IntN(1500)) * time.Millisecond)
+		if s.random.IntN(3) == 0 {
+			s.advance(time.Duration(s.random.IntN(1500)) * time.Millisecond)
 		}
 		if err := s.start(name); err != nil {
 			return err
 		}
 		if name == s.faultyName {
-			s.corrupt(s.instances[name])
+			s.makeFaulty(s.instances[name])
 		}
 	}
 	return nil
 }
 
-// corrupt has an instance report a list and an uptime of its own.
-func (s *soak) corrupt(c *Cluster) {
+// makeFaulty makes an instance report a list and an uptime that are wrong.
+func (s *soak) makeFaulty(c *Cluster) {
 	c.servingSince = 1
 	c.list.version = bogusVersion
 	clear(c.list.byID)
 	c.list.byID[bogusID] = discovery.Endpoint{ID: bogusID, State: "in_service", StartedMS: 1}
 }
 
-// recoverWithCutLink lets recovery go on with one link cut one way, and one instance that may lose power again.
+// recoverWithCutLink advances the recovery while one direction of a link is cut. One instance may lose power again.
 func (s *soak) recoverWithCutLink() error {
-	from, to := s.pick(), s.pick()
-	s.net.Cut(from, to, true)
+	from, to := s.randomName(), s.randomName()
+	s.network.Cut(from, to, true)
 	s.advance(time.Second)
-	if again := s.pick(); again != s.faultyName && s.rnd.IntN(2) == 0 {
+	if again := s.randomName(); again != s.faultyName && s.random.IntN(2) == 0 {
 		if err := s.crash(again); err != nil {
 			return err
 		}
@@ -247,16 +248,16 @@
 		}
 	}
 	s.advance(2 * time.Second)
-	s.net.Cut(from, to, false)
+	s.network.Cut(from, to, false)
 	s.advance(6 * time.Second)
 	return nil
 }
 
-// holders is how many other instances than one hold the new list.
-func (s *soak) holders(than string) int {
+// countHolders returns the number of instances that hold the new list, apart from the given one.
+func (s *soak) countHolders(excludedName string) int {
 	n := 0
 	for _, name := range s.names {
-		if name != than && name != s.staleName && name != s.brokenName && name != s.faultyName {
+		if name != excludedName && name != s.staleName && name != s.brokenName && name != s.faultyName {
 			n++
 		}
 	}
@@ -266,46 +267,47 @@
 func (s *soak) check(name string) error {
 	list, decision := s.lists[name], s.decisions[name]
 	if list == nil {
-		if all := s.holders(""); all >= 2 {
-			return fmt.Errorf("%s uses no list, %d instances hold the new one", name, all)
+		if all := s.countHolders(""); all >= 2 {
+			return fmt.Errorf("%s uses no list, want the new one, which %d instances hold", name, all)
 		}
 		return nil
 	}
 	for _, e := range list.Endpoints {
 		if e.ID == bogusID {
-			return fmt.Errorf("%s uses the faulty instance's server", name)
+			return fmt.Errorf("%s uses the server %s, which only the faulty instance reports", name, bogusID)
 		}
 		if e.StartedMS < soakEpoch.Milliseconds() {
-			return fmt.Errorf("%s takes %s for warm after a loss of power", name, e.ID)
+			return fmt.Errorf("%s has start time %d ms for %s, want it after the loss of power, at least %d ms",
+				name, e.StartedMS, e.ID, soakEpoch.Milliseconds())
 		}
 	}
-	holders := s.holders(name)
+	holders := s.countHolders(name)
 	if name == s.staleName && holders >= 2 && (decision.Version != newVersion || len(list.Endpoints) != s.servers-1) {
-		return fmt.Errorf("%s uses version %d from %v with %d servers, %d others hold the new list", name,
+		return fmt.Errorf("%s uses version %d from %v with %d servers, want the new list, which %d others hold", name,
 			decision.Version, decision.Source, len(list.Endpoints), holders)
 	}
 	return nil
 }
 
-// Guards against a list that never reaches a peer whole: its parts fill the queue of the link, which drops the same ones with
-// each answer. The list is the longest that is sent, or has one part more than an answer.
+// Guards against a long list that never reaches a peer completely, because its parts fill the queue of the link, which then
+// drops the same parts of each answer. The lists have one part more than an answer, or are among the longest that are sent.
 func TestLongListsReachAPeerWhole(t *testing.T) {
 	for _, servers := range []int{60, 450, 1300} {
 		for _, lossRate := range []float64{0, 0.2} {
 			t.Run(fmt.Sprintf("%d servers, loss %v", servers, lossRate), func(t *testing.T) {
 				s := newSoak(1)
-				s.net.Faults = simnet.Faults{MaxDelay: 50 * time.Millisecond, LossRate: lossRate}
+				s.network.Faults = simnet.Faults{MaxDelay: 50 * time.Millisecond, LossRate: lossRate}
 				s.names = []string{"a", "b", "c"}
 				for _, name := range s.names {
 					s.disks[name] = faultfs.New(1)
-					noError(t, s.start(name))
+					failOnError(t, s.start(name))
 				}
 				for _, name := range s.names[:2] {
 					s.instances[name].UpdateEndpoints(completeList(newVersion, servers))
 				}
 				s.advance(40 * time.Second)
 				if list := s.lists["c"]; list == nil || len(list.Endpoints) != servers {
-					t.Errorf("the third instance uses %d servers of %d", listLength(list), servers)
+					t.Errorf("the third instance uses a list of %d servers, want %d", listLength(list), servers)
 				}
 			})
 		}
@@ -319,7 +321,7 @@
 	return len(list.Endpoints)
 }
 
-func noError(t *testing.T, err error) {
+func failOnError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/storage.go
+++ b/internal/cluster/storage.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	logDir           = "lists"                // in Options.Dir
-	saveInterval     = 200 * time.Millisecond // at least, so that lists in quick succession are stored once
-	snapshotInterval = 64                     // records from one snapshot to the next
+	logDir           = "lists"                // subdirectory of Options.Dir
+	saveInterval     = 200 * time.Millisecond // shortest interval, so that lists in quick succession are stored once
+	snapshotInterval = 64                     // number of records from one snapshot to the next
 )
 
-// record is an endpoint list on the disk.
+// record is an endpoint list as stored on the disk.
 type record struct {
-	UpdatedMS int64 `json:"at"`
+	UpdatedMS int64 `json:"at"` // Unix milliseconds
 	discovery.EndpointList
 }
 
-// openLog opens the log and returns the state that it holds. Without a log, which is logged, nothing is stored.
+// openLog opens the log and returns the state that it holds. If the log can't be opened, openLog logs the error, and nothing
+// is stored.
 func (c *Cluster) openLog() recovery.PeerState {
 	log, recovered, err := c.openOrQuarantine()
 	if err != nil {
@@ -35,17 +36,17 @@
 	c.log = log
 	c.recordCount = len(recovered.Records)
 	var r record
-	if b := latest(recovered); len(b) == 0 || json.Unmarshal(b, &r) != nil {
+	if b := latestRecord(recovered); len(b) == 0 || json.Unmarshal(b, &r) != nil {
 		return recovery.PeerState{}
 	}
 	c.list.version, c.list.updatedAt = r.Version, milliseconds(r.UpdatedMS)
 	for _, e := range r.Endpoints {
 		c.list.byID[e.ID] = e
 	}
-	return stateOf(c.list.version, c.list.updatedAt, r.Endpoints)
+	return peerState(c.list.version, c.list.updatedAt, r.Endpoints)
 }
 
-// openOrQuarantine opens the log, or an empty one where its files were damaged and have been moved aside.
+// openOrQuarantine opens the log. If its files are damaged and have been moved aside, it opens an empty log instead.
 func (c *Cluster) openOrQuarantine() (wal.Log, *wal.RecoveredLog, error) {
 	dir, options := filepath.Join(c.opts.Dir, logDir), wal.Options{Logger: c.opts.Logger}
 	log, recovered, err := wal.Open(c.opts.FS, dir, options)
@@ -57,26 +58,26 @@
 	return log, recovered, err
 }
 
-// latest returns the last record or else the snapshot, empty where there is neither.
-func latest(recovered *wal.RecoveredLog) []byte {
+// latestRecord returns the last record, or the snapshot if there are no records. It is empty if there is neither.
+func latestRecord(recovered *wal.RecoveredLog) []byte {
 	if n := len(recovered.Records); n > 0 {
 		return recovered.Records[n-1].Data
 	}
 	return recovered.Snapshot
 }
 
-// Run stores endpoint lists until ctx is done, or until the log fails for good.
+// Run stores endpoint lists until ctx is done or the log fails permanently.
 func (c *Cluster) Run(ctx context.Context) {
 	if c.log == nil {
 		return
 	}
-	pause := time.NewTimer(0)
-	defer pause.Stop()
+	saveTimer := time.NewTimer(0)
+	defer saveTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pause.C:
+		case <-saveTimer.C:
 		}
 		select {
 		case <-ctx.Done():
@@ -85,25 +86,25 @@
 			if !c.save() {
 				return
 			}
-			pause.Reset(saveInterval)
+			saveTimer.Reset(saveInterval)
 		}
 	}
 }
 
-// save stores the list as it is, logs an error, and reports whether the log is still of use. A full disk is: it may have
-// room again for the next list.
+// save stores the current list and logs an error. It reports whether the log can still be used, as after an error because of a
+// full disk, which may have free space again for the next list.
 func (c *Cluster) save() bool {
 	err := c.appendList()
 	if err == nil {
 		return true
 	}
 	operr.Log(c.opts.Logger, err)
-	explained := operr.Of(err)
-	return explained != nil && explained.Retryable()
+	operrError := operr.Of(err)
+	return operrError != nil && operrError.Retryable()
 }
 
-// appendList appends the list to the log, and replaces the log by a snapshot every snapshotInterval records, of whichever
-// process.
+// appendList appends the list to the log, and replaces the log by a snapshot every snapshotInterval records. These include the
+// records of earlier processes.
 func (c *Cluster) appendList() error {
 	content := encode(c.currentRecord())
 	number, err := c.log.Append(content)
@@ -115,7 +116,7 @@
 		return nil
 	}
 	if err := c.log.Snapshot(number, content); err != nil {
-		return err // the next list's takes its place
+		return err // the next list is written as a snapshot in its place
 	}
 	c.recordCount = 0
 	return nil
