--- a/internal/discovery/addr_test.go
+++ b/internal/discovery/addr_test.go
@@ -18,7 +18,7 @@
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// bodyWithHook calls atEnd once when it has been read to its end.
+// bodyWithHook is a response body that calls atEnd once when it has been read to its end.
 type bodyWithHook struct {
 	io.Reader
 	atEnd func()
@@ -35,7 +35,8 @@
 
 func (b *bodyWithHook) Close() error { return nil }
 
-// A list that was read completely while the address changed is not used: the new address is polled first.
+// Guards against the use of a list from the former address: the address changes just after the list has been read completely.
+// The list is discarded, and the new address is polled.
 func TestListOfFormerAddrIsDiscarded(t *testing.T) {
 	w := New("a.example:1", refresh.Settings{}, func() time.Duration { return 0 }, slog.New(slog.DiscardHandler))
 	lists := make(chan engine.EndpointList, 1)
@@ -45,7 +46,7 @@
 		switch {
 		case r.URL.Host == "a.example:1":
 			body = &bodyWithHook{Reader: strings.NewReader(listOf(9, "s-0000000a")), atEnd: func() { w.SetAddr("b.example:1") }}
-		case r.URL.RawQuery != "": // the watch after the list
+		case r.URL.RawQuery != "": // the long poll after the list
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,7 +20,7 @@
 	listPath       = "/catalog/members"
 )
 
-// dialFunc opens a connection, as net.Dialer's DialContext.
+// dialFunc opens a connection as net.Dialer.DialContext does.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 func dialTCP(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -28,7 +28,7 @@
 	return dialer.DialContext(ctx, network, addr)
 }
 
-// client performs polls over one connection that it keeps between them. It uses no proxy and follows no redirects.
+// client performs polls over one connection, which it keeps open between them. It uses no proxy and follows no redirects.
 type client struct {
 	http *http.Client
 }
@@ -47,8 +47,8 @@
 
 func (c *client) closeIdleConnections() { c.http.CloseIdleConnections() }
 
-// poll performs a poll after its delay. It returns ErrTimeout if the poll's timeout passes, context.Canceled if ctx is
-// canceled, and else what was wrong with the connection or the answer.
+// poll performs a poll after its delay and returns the list received. Its error is ErrTimeout if the poll's timeout passes,
+// wraps context.Canceled if ctx is canceled, and otherwise describes the fault of the connection or the answer.
 func (c *client) poll(ctx context.Context, addr string, poll refresh.Poll) (*EndpointList, error) {
 	if err := sleep(ctx, poll.Delay); err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	defer cancel(nil)
 	timeout := time.AfterFunc(connectTimeout+poll.Timeout, func() { cancel(ErrTimeout) })
 	defer timeout.Stop()
-	// The poll's own timeout runs from when there is a connection, as its wait does.
+	// The poll's timeout begins once there is a connection, as its wait does.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { timeout.Reset(poll.Timeout) },
 	})
@@ -90,7 +90,7 @@
 	return fmt.Sprintf("%s?after=%d&wait_ms=%d", url, poll.AfterVersion, poll.Wait.Milliseconds())
 }
 
-// fetch requests a list and reads it to its end.
+// fetch requests a list and reads the whole answer.
 func (c *client) fetch(ctx context.Context, url string) (*EndpointList, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
@@ -99,9 +99,9 @@
 	request.Header.Set("Accept", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, err // says the method and the URL
+		return nil, err // it already names the method and the URL
 	}
-	defer func() { _ = response.Body.Close() }() // after the body is read there is nothing to lose
+	defer func() { _ = response.Body.Close() }() // an error does not matter once the body has been read
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
 	switch {
 	case err != nil:
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// EndpointList is a list of servers in discovery's form: a complete list, or the entries that changed.
+// EndpointList is a list of servers in discovery's format. It is a complete list, or a delta with the changed entries.
 type EndpointList struct {
 	Version   int64      `json:"version"`
 	Complete  bool       `json:"full"`
@@ -28,18 +28,18 @@
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
 	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`     // capacity, relative to other servers
-	StartedMS int64   `json:"started_ms"` // latest start in Unix milliseconds; 0: unknown
+	Weight    float64 `json:"weight"`     // capacity relative to other servers
+	StartedMS int64   `json:"started_ms"` // time of the latest start in Unix milliseconds; 0 means unknown
 }
 
-// States of an endpoint, as discovery writes them.
+// States of an endpoint in discovery's format.
 const (
 	stateInService   = "in_service"
 	stateTerminating = "terminating"
 	stateTerminated  = "terminated"
 )
 
-// Parse decodes a list in discovery's form. Its error is an InvalidListError.
+// Parse decodes a list in discovery's format. Its error is an *InvalidListError.
 func Parse(text []byte) (*EndpointList, error) {
 	var list EndpointList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -53,7 +53,7 @@
 	return &list, nil
 }
 
-// NewEndpointList returns servers as a complete list in discovery's form, from which a watch can continue.
+// NewEndpointList returns a complete list of the servers in discovery's format. A Watcher can start from it.
 func NewEndpointList(version int64, servers []engine.Server) *EndpointList {
 	list := &EndpointList{Version: version, Complete: true}
 	for _, server := range servers {
@@ -78,16 +78,16 @@
 	}
 }
 
-// EngineList returns the list in the engine's form, to be applied by the given mode.
+// EngineList returns the list in the engine's form, to be applied in the given mode.
 func (l *EndpointList) EngineList(mode balancer.ListMode) engine.EndpointList {
 	list := engine.EndpointList{Mode: mode, Version: l.Version, Servers: make([]engine.Server, 0, len(l.Endpoints))}
 	for i := range l.Endpoints {
-		list.Servers = append(list.Servers, l.Endpoints[i].server())
+		list.Servers = append(list.Servers, l.Endpoints[i].engineServer())
 	}
 	return list
 }
 
-func (e *Endpoint) server() engine.Server {
+func (e *Endpoint) engineServer() engine.Server {
 	return engine.Server{
 		Name: e.ID,
 		Addr: e.Addr,
@@ -102,7 +102,8 @@
 	}
 }
 
-// serverState takes a server in an unknown state as draining: it is safe to send it nothing new.
+// serverState returns the state of the server. A server in an unknown state counts as draining, because it is safe not to send
+// it new requests.
 func (e *Endpoint) serverState() balancer.ServerState {
 	switch e.State {
 	case stateInService:
@@ -114,8 +115,9 @@
 	}
 }
 
-// ServerID returns the number of the server with an id. It is the same on every gateway and after every restart, whatever
-// lists came before: an id that ends in 32 bits of hex, as s-5be2a07c, holds its number, and others are hashed.
+// ServerID returns the numeric ID of the server with the given id. It is the same on every gateway and after every restart and
+// depends on no earlier lists: if the id is 8 hex digits or ends in them after a hyphen, as in s-5be2a07c, they are the
+// numeric ID, and any other id is hashed.
 func ServerID(id string) balancer.ServerID {
 	suffix := id[strings.LastIndexByte(id, '-')+1:]
 	if len(suffix) == 8 {
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -6,9 +6,9 @@
 )
 
 var (
-	// ErrTimeout is the error of a poll that was not completely answered within its timeout.
+	// ErrTimeout is the error of a poll whose complete answer did not arrive within the poll's timeout.
 	ErrTimeout error = timeoutError{}
-	// ErrMissingID is the reason of an InvalidListError for an entry without an id.
+	// ErrMissingID is the cause of an InvalidListError if an entry has no id.
 	ErrMissingID = errors.New("id is missing")
 )
 
@@ -44,7 +44,7 @@
 // Remedy implements operr.Error.
 func (e *StatusError) Remedy() string { return "check discovery: it rejects polls, or is down" }
 
-// TooLargeError reports an answer that is longer than any list may be.
+// TooLargeError reports an answer that is longer than the largest accepted size of a list.
 type TooLargeError struct {
 	URL      string
 	MaxBytes int
@@ -65,12 +65,13 @@
 	return "check whether the address is discovery's, and what it lists"
 }
 
-// InvalidListError reports text that is not an endpoint list. Err says why: ErrMissingID or an error of encoding/json.
+// InvalidListError reports a text that is not an endpoint list. Err is the cause: it wraps ErrMissingID or is an error of
+// encoding/json.
 type InvalidListError struct{ Err error }
 
 func (e *InvalidListError) Error() string { return e.Err.Error() }
 
-// Unwrap returns why the text is not a list.
+// Unwrap returns the cause.
 func (e *InvalidListError) Unwrap() error { return e.Err }
 
 // Problem implements operr.Error.
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/operr"
 )
 
-// The error of a poll is found by its type, and says what an operator can do.
+// The error of a poll can be identified by its type, and states a remedy for operators.
 func TestPollErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer http.HandlerFunc
@@ -52,17 +52,17 @@
 		t.Run(name, func(t *testing.T) {
 			err := pollOnce(t, c.answer)
 			if !c.is(err) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v of type %T, want the error of the case %q", err, err, name)
 			}
-			explained := operr.Of(fmt.Errorf("wrapped: %w", err))
-			if explained == nil || explained.Remedy() == "" || !strings.Contains(err.Error(), explained.Problem()) {
-				t.Errorf("%v is explained by %v", err, explained)
+			operrError := operr.Of(fmt.Errorf("wrapped: %w", err))
+			if operrError == nil || operrError.Remedy() == "" || !strings.Contains(err.Error(), operrError.Problem()) {
+				t.Errorf("got operator error %v for %v, want one with a remedy and a problem that is part of it", operrError, err)
 			}
 		})
 	}
 }
 
-// pollOnce returns the error of one poll of a service.
+// pollOnce returns the error of one poll of a service with the given handler.
 func pollOnce(t *testing.T, answer http.HandlerFunc) (err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/discovery/format_test.go
+++ b/internal/discovery/format_test.go
@@ -14,8 +14,8 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// writeList writes a list as the engine gets it, field by field. The text does not follow the names in the code, so that the
-// golden files stay as they are.
+// writeList writes a list in the engine's form, field by field. The words of the text differ from the names in the code, but
+// must not change, because the golden files contain them.
 func writeList(w *bytes.Buffer, l engine.EndpointList) {
 	mode := "other"
 	switch l.Mode {
@@ -42,8 +42,8 @@
 	}
 }
 
-// formatBodies are what a service may answer with.
-var formatBodies = []struct{ name, body string }{
+// answerBodies are bodies of a service's answer. Their names are part of the golden file.
+var answerBodies = []struct{ name, body string }{
 	{"complete", `{"version":41,"full":true,"servers":[` +
 		`{"id":"s-5be2a07c","addr":"10.1.2.3:7000","zone":"oviedo","kind":"line","cell":3,"state":"in_service","weight":1.5,"started_ms":1700000000123},` +
 		`{"id":"node-7","addr":"[fd00::1]:7000","zone":"a-b","kind":"nats","cell":0,"state":"terminating","weight":0.25,"started_ms":1},` +
@@ -86,10 +86,10 @@
 	{"empty", ""},
 }
 
-// What is decoded from each body, in discovery's form and in the engine's, and how it is encoded again.
+// Each body is decoded as in the golden file, both in discovery's format and in the engine's form, and encoded again.
 func TestDecodeGolden(t *testing.T) {
 	var got bytes.Buffer
-	for _, c := range formatBodies {
+	for _, c := range answerBodies {
 		fmt.Fprintf(&got, "# %s\n%q\n", c.name, c.body)
 		m, err := Parse([]byte(c.body))
 		if err != nil {
@@ -108,7 +108,7 @@
 	golden.Check(t, "decoded.txt", got.Bytes())
 }
 
-// encode writes a list in discovery's form, as it is stored and sent to peers.
+// encode writes a list in discovery's format, in which it is stored and sent to peers.
 func encode(t *testing.T, w *bytes.Buffer, m *EndpointList) {
 	t.Helper()
 	text, err := json.Marshal(m)
@@ -118,7 +118,7 @@
 	fmt.Fprintf(w, "json %s\n", text)
 }
 
-// Lists of the engine are encoded in discovery's form.
+// Servers of the engine are encoded in discovery's format as in the golden file.
 func TestEncodeGolden(t *testing.T) {
 	var got bytes.Buffer
 	encode(t, &got, NewEndpointList(0, nil))
@@ -133,7 +133,7 @@
 	golden.Check(t, "encoded.txt", got.Bytes())
 }
 
-// Servers keep their numbers: other gateways and stored state depend on them.
+// The numeric IDs of servers don't change: other gateways and stored state depend on them.
 func TestServerNumbersGolden(t *testing.T) {
 	var got bytes.Buffer
 	for _, id := range []string{
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -13,40 +13,40 @@
 	"example.org/milletvane/internal/discovery/refresh"
 )
 
-// changeDelay is from the end of a watch until a server begins to drain.
+// changeDelay is the time from the end of a watch until a server begins to drain.
 const changeDelay = 300 * time.Millisecond
 
-// aftermath is what follows the end of a watch.
-type aftermath struct {
-	downFor     time.Duration // discovery refuses all polls for so long
-	firstAnswer string        // of the next poll that is answered
+// afterWatch determines what happens after the end of a watch.
+type afterWatch struct {
+	downFor     time.Duration // time for which the service refuses all polls
+	firstAnswer string        // body of the next answer; "" means that it is the current list
 	addrChanges bool          // the watcher is given another address after changeDelay
 }
 
-// outage is a service whose first watch ends badly; changeDelay later a server begins to drain.
-type outage struct {
+// failingWatchService is a service whose first watch fails. A server begins to drain changeDelay later.
+type failingWatchService struct {
 	*fakeService
-	aftermath
-	end      failure
-	endedAt  atomic.Int64 // when the watch did; 0: not yet. Handlers of polls run concurrently.
-	answered atomic.Bool  // firstAnswer was given
+	afterWatch
+	watchFailure    failure
+	watchEndedAt    atomic.Int64 // time at which the watch failed, or 0 before; atomic because handlers run concurrently
+	firstAnswerSent atomic.Bool  // firstAnswer was sent
 }
 
-func (o *outage) handle(w http.ResponseWriter, r *http.Request) {
-	now, endedAt := o.elapsed(), time.Duration(o.endedAt.Load())
+func (o *failingWatchService) handle(w http.ResponseWriter, r *http.Request) {
+	now, endedAt := o.elapsed(), time.Duration(o.watchEndedAt.Load())
 	_, wait, _ := watchParameters(r)
 	switch {
 	case endedAt == 0 && wait == 0:
 		respond(w, listOf(7, "s-00000001", "s-00000002"))
 	case endedAt == 0:
-		o.endedAt.Store(int64(now))
+		o.watchEndedAt.Store(int64(now))
 		if o.addrChanges {
 			time.AfterFunc(changeDelay, func() { o.watcher.SetAddr("b.example:1") })
 		}
-		o.end(o.fakeService, w)
+		o.watchFailure(o.fakeService, w)
 	case now < endedAt+o.downFor && o.downFor > 0:
 		panic(http.ErrAbortHandler)
-	case o.firstAnswer != "" && o.answered.CompareAndSwap(false, true):
+	case o.firstAnswer != "" && o.firstAnswerSent.CompareAndSwap(false, true):
 		respond(w, o.firstAnswer)
 	case now < endedAt+changeDelay:
 		o.answerPoll(w, r, func() listVersion {
@@ -60,35 +60,37 @@
 	}
 }
 
-// drainingList is the list after changeDelay.
+// drainingList returns the list in which the server is draining.
 func drainingList() string {
 	return strings.Replace(listOf(8, "s-00000001", "s-00000002"),
 		`"s-00000002","state":"in_service"`, `"s-00000002","state":"terminating"`, 1)
 }
 
-// check reads lists up to the one with the draining server and fails if that came too late, or an older one was applied.
-func (o *outage) check(t *testing.T) {
+// check reads the applied lists up to the one with the draining server. It reports a test error if that one arrived too late
+// or if a list of a former version was applied.
+func (o *failingWatchService) check(t *testing.T) {
 	t.Helper()
 	for list := range o.lists {
 		if o.firstAnswer != "" && list.Mode == balancer.ListComplete && list.Version < 7 {
-			t.Errorf("a list of version %d was applied", list.Version)
+			t.Errorf("complete list of version %d was applied, want only version 7 or later", list.Version)
 		}
 		if list.Version == 8 {
 			break
 		}
 	}
-	limit := time.Duration(o.endedAt.Load()) + max(changeDelay, o.downFor) + refresh.MaxNotificationDelay
+	limit := time.Duration(o.watchEndedAt.Load()) + max(changeDelay, o.downFor) + refresh.MaxNotificationDelay
 	if o.elapsed() > limit {
-		t.Errorf("known at %v, it counts as notified at %v", o.elapsed(), limit)
+		t.Errorf("the drain is known at %v, want at most %v, when it counts as notified", o.elapsed(), limit)
 	}
 }
 
-// Whatever becomes of a watch, and whatever follows, a server that begins to drain right after is known before that counts
-// as notified: 6 s after discovery had it and could be reached. Lists that are stale, empty or shrunken come between.
+// A server that begins to drain shortly after a watch has failed is known to drain before that counts as notified, which is
+// 6 s after discovery has it and is reachable. This holds for each way in which a watch fails, and if the service is down
+// afterwards, answers with a stale or empty list, or gets another address.
 func TestDrainAfterWatchEnds(t *testing.T) {
 	ends := maps.Clone(stalls)
-	maps.Copy(ends, breaks)
-	for next, then := range map[string]aftermath{
+	maps.Copy(ends, endingFailures)
+	for next, then := range map[string]afterWatch{
 		"nothing else":    {},
 		"down and back":   {downFor: 8 * time.Second},
 		"a stale list":    {firstAnswer: listOf(3, "s-00000001", "s-00000009")},
@@ -101,11 +103,11 @@
 		} {
 			for name, end := range ends {
 				t.Run(fmt.Sprint(name, ", then ", next, ", local agent ", settings.LocalAgent), func(t *testing.T) {
-					play(t, settings, func(t *testing.T, service *fakeService) {
+					runWatcher(t, settings, func(t *testing.T, service *fakeService) {
 						t.Helper()
-						o := &outage{fakeService: service, aftermath: then, end: end}
+						o := &failingWatchService{fakeService: service, afterWatch: then, watchFailure: end}
 						service.answer = o.handle
-						time.Sleep(time.Millisecond) // 0 stands for not yet
+						time.Sleep(time.Millisecond) // endedAt must not be 0 once the watch has failed
 						service.start(nil)
 						o.check(t)
 					})
--- a/internal/discovery/service_test.go
+++ b/internal/discovery/service_test.go
@@ -18,18 +18,19 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// fakeService is discovery, or an agent, at the other end of pipes, in a bubble of simulated time.
+// fakeService simulates discovery or an agent for a watcher, which reaches it through pipes. It runs in simulated time, in a
+// bubble of package synctest.
 type fakeService struct {
-	watcher *Watcher
-	lists   chan engine.EndpointList // that the watcher's handler gets
-	polls   atomic.Int32
-	answer  http.HandlerFunc // set by the script before start
-	began   time.Time
-	start   func(known *EndpointList) // runs the watcher
-	stalled chan struct{}             // closed at the end: handlers that stall return
+	watcher   *Watcher
+	lists     chan engine.EndpointList // lists passed to the watcher's handler
+	polls     atomic.Int32             // number of polls received
+	answer    http.HandlerFunc         // set by the script before start
+	startedAt time.Time
+	start     func(known *EndpointList) // runs the watcher
+	stalled   chan struct{}             // closed at the end of the test, so that handlers that stall return
 }
 
-// pipeListener accepts connections that a test dials.
+// pipeListener accepts the connections that its method dial opens.
 type pipeListener chan net.Conn
 
 func (p pipeListener) Accept() (net.Conn, error) {
@@ -52,15 +53,16 @@
 	}
 }
 
-// play runs a watcher against a service that a script answers for.
-func play(t *testing.T, settings refresh.Settings, script func(t *testing.T, service *fakeService)) {
+// runWatcher runs a watcher against a fake service. The script sets the service's answer, starts the watcher and checks its
+// lists.
+func runWatcher(t *testing.T, settings refresh.Settings, script func(t *testing.T, service *fakeService)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		conns := make(pipeListener)
 		s := &fakeService{
-			lists:   make(chan engine.EndpointList, 1000),
-			began:   time.Now(),
-			stalled: make(chan struct{}),
+			lists:     make(chan engine.EndpointList, 1000),
+			startedAt: time.Now(),
+			stalled:   make(chan struct{}),
 		}
 		s.watcher = New("a.example:1", settings, s.elapsed, slog.New(slog.DiscardHandler))
 		s.watcher.client = newClient(conns.dial)
@@ -89,14 +91,14 @@
 		if err := server.Close(); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // handlers that still wait for changes return
+		time.Sleep(time.Minute) // until the handlers that still wait for changes have returned
 	})
 }
 
-// elapsed is the time since the service began.
-func (s *fakeService) elapsed() time.Duration { return time.Since(s.began) }
+// elapsed returns the time since the service began.
+func (s *fakeService) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// receivedAt waits for a list that has a server, and returns when it came.
+// receivedAt waits for a list with the given server and returns the time at which it arrived.
 func (s *fakeService) receivedAt(id string) time.Duration {
 	for list := range s.lists {
 		for _, server := range list.Servers {
@@ -108,14 +110,14 @@
 	return 0
 }
 
-// listVersion is what a service has at some moment.
+// listVersion is a version of a service's list, with the servers in service.
 type listVersion struct {
 	version int64
 	ids     []string
 }
 
-// answerPoll answers as discovery does: with the complete list, or with changes once there are some, or with no changes
-// after the wait.
+// answerPoll answers as discovery does: with the complete list, with changes as soon as there are any, or with no changes when
+// the poll's wait has passed. The function current returns the service's current list.
 func (s *fakeService) answerPoll(w http.ResponseWriter, r *http.Request, current func() listVersion) {
 	after, wait, ok := watchParameters(r)
 	if !ok {
@@ -135,17 +137,17 @@
 	}
 }
 
-// watchParameters reads a poll's query; ok is false for a poll of the complete list.
+// watchParameters returns the parameters of a poll for changes. The result ok is false for a poll for the complete list.
 func watchParameters(r *http.Request) (after int64, wait time.Duration, ok bool) {
 	var waitMS int64
 	n, err := fmt.Sscanf(r.URL.RawQuery, "after=%d&wait_ms=%d", &after, &waitMS)
 	return after, time.Duration(waitMS) * time.Millisecond, err == nil && n == 2
 }
 
-// respond writes a body; the watcher may have hung up, which is no failure of the service.
+// respond writes a body. It ignores the error, because the watcher may have closed the connection.
 func respond(w http.ResponseWriter, body string) { _, _ = io.WriteString(w, body) }
 
-// respondPart writes the first part of a body and sends it off.
+// respondPart writes the first part of a body and flushes it to the connection.
 func respondPart(w http.ResponseWriter, body string) {
 	respond(w, body)
 	w.(http.Flusher).Flush()
@@ -163,7 +165,7 @@
 // failure is a way in which a service fails to answer a poll.
 type failure func(s *fakeService, w http.ResponseWriter)
 
-// stalls answer nothing, or nothing complete, and keep the connection open.
+// stalls are failures with no answer or an incomplete one that leave the connection open.
 var stalls = map[string]failure{
 	"nothing": func(s *fakeService, _ http.ResponseWriter) { <-s.stalled },
 	"headers alone": func(s *fakeService, w http.ResponseWriter) {
@@ -187,14 +189,14 @@
 	},
 }
 
-// breaks end a poll in another way than a stall.
-var breaks = map[string]failure{
+// endingFailures are failures that end a poll.
+var endingFailures = map[string]failure{
 	"reset": func(*fakeService, http.ResponseWriter) { panic(http.ErrAbortHandler) },
 	"cut in mid-body": func(_ *fakeService, w http.ResponseWriter) {
 		respondPart(w, listOf(2, "s-00000002")[:30])
 		panic(http.ErrAbortHandler)
 	},
-	"without end": func(_ *fakeService, w http.ResponseWriter) {
+	"endless body": func(_ *fakeService, w http.ResponseWriter) {
 		for {
 			if _, err := w.Write(make([]byte, 1<<16)); err != nil {
 				return
--- a/internal/discovery/session_test.go
+++ b/internal/discovery/session_test.go
@@ -19,7 +19,7 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// transcript records requests, answers and the lists that were passed on, in their order.
+// transcript records requests, answers and the lists passed to the handler, in their order.
 type transcript struct {
 	mu     sync.Mutex
 	text   bytes.Buffer
@@ -42,7 +42,7 @@
 	}
 }
 
-// close ends the transcript: what comes after the script's last step is not recorded.
+// close ends the transcript and returns its text. Nothing after the script's last step is recorded.
 func (r *transcript) close() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,44 +50,44 @@
 	return r.text.Bytes()
 }
 
-// step answers one request with raw bytes; hang leaves the request without an answer.
+// step determines the answer to one request.
 type step struct {
-	raw   string
-	hang  bool
-	shut  bool // the connection is closed afterwards
-	moved bool // the watcher is given the other address in place of an answer
+	answer       string // the bytes of the answer
+	isUnanswered bool   // the request gets no answer
+	closesConn   bool   // the connection is closed after the answer
+	changesAddr  bool   // the watcher is given the other address, and the request gets no answer
 }
 
-// plain is an answer with a body.
-func plain(body string) step {
-	return step{raw: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)}
+// okStep returns a step whose answer has status 200 and the given body.
+func okStep(body string) step {
+	return step{answer: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)}
 }
 
-// scripted answers requests on loopback by a script and records each request as it came.
-type scripted struct {
-	record *transcript
-	steps  chan step
-	move   func()
-	done   chan struct{} // closed when the script has ended
-	end    sync.Once     // closes it
-	wg     sync.WaitGroup
-	conns  int // that were accepted
-	addrs  []string
+// scriptedService is a service on two loopback addresses that answers requests by a script and records each request.
+type scriptedService struct {
+	record      *transcript
+	steps       chan step
+	changeAddr  func()        // gives the watcher the second address
+	scriptEnded chan struct{} // closed when the script has ended
+	endOnce     sync.Once     // closes scriptEnded
+	wg          sync.WaitGroup
+	connCount   int // number of accepted connections
+	addrs       []string
 }
 
-// drain reads until the watcher hangs up.
-func drain(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
+// discardUntilClosed reads until the watcher closes the connection.
+func discardUntilClosed(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 
-// serve accepts until the listener is closed. Connections are served one at a time, as the watcher has one.
-func (s *scripted) serve(name string, l net.Listener) {
+// serve accepts connections until the listener is closed, and serves each in its own goroutine.
+func (s *scriptedService) serve(name string, l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
 		s.record.mu.Lock()
-		s.conns++
-		number := s.conns
+		s.connCount++
+		number := s.connCount
 		s.record.mu.Unlock()
 		s.wg.Go(func() {
 			defer func() { _ = c.Close() }() // the watcher may have closed its end
@@ -96,7 +96,7 @@
 	}
 }
 
-func (s *scripted) serveConn(name string, number int, c net.Conn) {
+func (s *scriptedService) serveConn(name string, number int, c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		head, err := s.readHead(in)
@@ -110,28 +110,28 @@
 		st, more := <-s.steps
 		switch {
 		case !more:
-			s.end.Do(func() { close(s.done) })
-			drain(c)
+			s.endOnce.Do(func() { close(s.scriptEnded) })
+			discardUntilClosed(c)
 			return
-		case st.moved:
+		case st.changesAddr:
 			s.record.write("the address changes\n")
-			s.move()
-			drain(c)
+			s.changeAddr()
+			discardUntilClosed(c)
 			return
-		case st.hang:
+		case st.isUnanswered:
 			s.record.write("no answer\n")
-			drain(c)
+			discardUntilClosed(c)
 			return
 		}
-		s.record.write("answer %q\n", st.raw)
-		if _, err := io.WriteString(c, st.raw); err != nil || st.shut {
+		s.record.write("answer %q\n", st.answer)
+		if _, err := io.WriteString(c, st.answer); err != nil || st.closesConn {
 			return
 		}
 	}
 }
 
-// readHead reads a request up to its empty line, with names in place of addresses.
-func (s *scripted) readHead(in *bufio.Reader) (string, error) {
+// readHead reads a request up to its empty line, and replaces addresses by their names ADDR1 and ADDR2.
+func (s *scriptedService) readHead(in *bufio.Reader) (string, error) {
 	var head strings.Builder
 	for !strings.HasSuffix(head.String(), "\r\n\r\n") {
 		line, err := in.ReadString('\n')
@@ -146,10 +146,10 @@
 	return head.String(), nil
 }
 
-// session returns the transcript of a watcher while a script answers it.
-func session(t *testing.T, set refresh.Settings, known *EndpointList, steps []step) []byte {
+// recordSession runs a watcher against a service with the given steps, and returns the transcript.
+func recordSession(t *testing.T, settings refresh.Settings, known *EndpointList, steps []step) []byte {
 	t.Helper()
-	s := &scripted{record: &transcript{}, steps: make(chan step, len(steps)), done: make(chan struct{})}
+	s := &scriptedService{record: &transcript{}, steps: make(chan step, len(steps)), scriptEnded: make(chan struct{})}
 	for _, st := range steps {
 		s.steps <- st
 	}
@@ -166,8 +166,8 @@
 	for i, l := range listeners {
 		s.wg.Go(func() { s.serve(fmt.Sprintf("ADDR%d", i+1), l) })
 	}
-	began := time.Now()
-	w := New(s.addrs[0], set, func() time.Duration { return time.Since(began) }, slog.New(slog.DiscardHandler))
+	startedAt := time.Now()
+	w := New(s.addrs[0], settings, func() time.Duration { return time.Since(startedAt) }, slog.New(slog.DiscardHandler))
 	w.SetHandler(func(ev engine.Event) {
 		if l, ok := ev.(engine.EndpointList); ok {
 			s.record.list(l)
@@ -175,21 +175,21 @@
 			s.record.write("another event\n")
 		}
 	})
-	s.move = func() { w.SetAddr(s.addrs[1]) }
+	s.changeAddr = func() { w.SetAddr(s.addrs[1]) }
 	ctx, cancel := context.WithCancel(t.Context())
-	ran := make(chan struct{})
+	runReturned := make(chan struct{})
 	go func() {
-		defer close(ran)
+		defer close(runReturned)
 		w.Run(ctx, known)
 	}()
 	select {
-	case <-s.done:
+	case <-s.scriptEnded:
 	case <-time.After(20 * time.Second):
-		t.Errorf("the script has not ended: %s", s.record.close())
+		t.Errorf("the script has not ended after 20s, transcript so far: %s", s.record.close())
 	}
 	got := s.record.close()
 	cancel()
-	<-ran
+	<-runReturned
 	for _, l := range listeners {
 		if err := l.Close(); err != nil {
 			t.Error(err)
@@ -199,58 +199,59 @@
 	return got
 }
 
-// Each request as it is sent, what is passed on of each answer, and which request follows.
+// The requests of a watcher, the lists that it passes to its handler and the sequence of both are those of the golden file,
+// for each kind of answer. The names of the cases are part of the golden file.
 func TestRequestsGolden(t *testing.T) {
 	const complete = `{"version":41,"full":true,"servers":[{"id":"s-00000001","addr":"10.0.0.1:1","state":"in_service"}]}`
 	const delta = `{"version":42,"full":false,"servers":[{"id":"s-00000002","state":"terminating"}]}`
 	known := &EndpointList{Version: 40, Endpoints: []Endpoint{{ID: "s-00000001"}}}
-	asked := refresh.Settings{Gateways: 1, MaxPollInterval: time.Millisecond, DrainGrace: 2 * time.Second, Seed: 1}
-	pushed := refresh.Settings{LocalAgent: true, DrainGrace: 2 * time.Second}
-	quick := refresh.Settings{LocalAgent: true, DrainGrace: time.Second}
-	raw := func(text string) step { return step{raw: text} }
-	last := func(text string) step { return step{raw: text, shut: true} }
+	discoverySettings := refresh.Settings{Gateways: 1, MaxPollInterval: time.Millisecond, DrainGrace: 2 * time.Second, Seed: 1}
+	agentSettings := refresh.Settings{LocalAgent: true, DrainGrace: 2 * time.Second}
+	shortGraceAgentSettings := refresh.Settings{LocalAgent: true, DrainGrace: time.Second}
+	rawStep := func(text string) step { return step{answer: text} }
+	closingStep := func(text string) step { return step{answer: text, closesConn: true} }
 	var got bytes.Buffer
 	for _, c := range []struct {
-		name  string
-		set   refresh.Settings
-		known *EndpointList
-		steps []step
+		name     string
+		settings refresh.Settings
+		known    *EndpointList
+		steps    []step
 	}{
-		{"asked, nothing known: complete, changes, nothing new", asked, nil, []step{plain(complete), plain(delta), plain(`{"version":42,"full":false}`)}},
-		{"asked, a list known: complete, changes", asked, known, []step{plain(complete), plain(delta)}},
-		{"pushed, nothing known: complete, changes, nothing new", pushed, nil, []step{plain(complete), plain(delta), plain(`{"version":42,"full":false}`)}},
-		{"pushed, a list known: changes to it", pushed, known, []step{plain(delta), plain(complete), plain(complete)}},
-		{"pushed, an empty list known", pushed, &EndpointList{Version: 40}, []step{plain(complete)}},
-		{"asked, a failed call", asked, known, []step{raw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), plain(delta)}},
-		{"pushed, failed calls of each kind", quick, known, []step{
-			raw("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
-			raw("HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"),
-			raw("HTTP/1.1 204 No Content\r\n\r\n"),
-			raw("HTTP/1.1 206 Partial Content\r\nContent-Length: 2\r\n\r\n{}"),
-			raw("HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\n\x1f\x8b\x08"),
-			plain("<html>"), plain(`{"servers":[{"addr":"x"}]}`),
-			last("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + complete),
-			last(""),
-			last("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 17<<10) + "\r\nContent-Length: 2\r\n\r\n{}"),
-			last("no HTTP\r\n\r\n"),
-			plain(delta),
+		{"asked, nothing known: complete, changes, nothing new", discoverySettings, nil, []step{okStep(complete), okStep(delta), okStep(`{"version":42,"full":false}`)}},
+		{"asked, a list known: complete, changes", discoverySettings, known, []step{okStep(complete), okStep(delta)}},
+		{"pushed, nothing known: complete, changes, nothing new", agentSettings, nil, []step{okStep(complete), okStep(delta), okStep(`{"version":42,"full":false}`)}},
+		{"pushed, a list known: changes to it", agentSettings, known, []step{okStep(delta), okStep(complete), okStep(complete)}},
+		{"pushed, an empty list known", agentSettings, &EndpointList{Version: 40}, []step{okStep(complete)}},
+		{"asked, a failed call", discoverySettings, known, []step{rawStep("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), okStep(delta)}},
+		{"pushed, failed calls of each kind", shortGraceAgentSettings, known, []step{
+			rawStep("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+			rawStep("HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"),
+			rawStep("HTTP/1.1 204 No Content\r\n\r\n"),
+			rawStep("HTTP/1.1 206 Partial Content\r\nContent-Length: 2\r\n\r\n{}"),
+			rawStep("HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 3\r\n\r\n\x1f\x8b\x08"),
+			okStep("<html>"), okStep(`{"servers":[{"addr":"x"}]}`),
+			closingStep("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + complete),
+			closingStep(""),
+			closingStep("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 17<<10) + "\r\nContent-Length: 2\r\n\r\n{}"),
+			closingStep("no HTTP\r\n\r\n"),
+			okStep(delta),
 		}},
-		{"pushed, forms of an answer", pushed, nil, []step{
-			last("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + complete),
-			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n" + delta[:5] + "\r\n" + fmt.Sprintf("%x", len(delta)-5) + "\r\n" + delta[5:] + "\r\n0\r\n\r\n"),
-			last("HTTP/1.0 200 OK\r\nContent-Type: text/html\r\n\r\n" + strings.Replace(complete, "41", "43", 1)),
+		{"pushed, forms of an answer", agentSettings, nil, []step{
+			closingStep("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + complete),
+			rawStep("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n" + delta[:5] + "\r\n" + fmt.Sprintf("%x", len(delta)-5) + "\r\n" + delta[5:] + "\r\n0\r\n\r\n"),
+			closingStep("HTTP/1.0 200 OK\r\nContent-Type: text/html\r\n\r\n" + strings.Replace(complete, "41", "43", 1)),
 		}},
-		{"pushed, an older list, and changes to another", pushed, known, []step{
-			plain(strings.Replace(delta, "42", "7", 1)), plain(strings.Replace(complete, "41", "8", 1)),
-			plain(strings.Replace(complete, "41", "6", 1)), plain(strings.Replace(complete, "41", "5", 1)), plain(delta),
+		{"pushed, an older list, and changes to another", agentSettings, known, []step{
+			okStep(strings.Replace(delta, "42", "7", 1)), okStep(strings.Replace(complete, "41", "8", 1)),
+			okStep(strings.Replace(complete, "41", "6", 1)), okStep(strings.Replace(complete, "41", "5", 1)), okStep(delta),
 		}},
-		{"pushed, changes without a list", pushed, nil, []step{plain(delta), plain(`{}`), plain(complete)}},
-		{"pushed, negative versions", pushed, nil, []step{plain(strings.Replace(complete, "41", "-41", 1)), plain(strings.Replace(delta, "42", "-40", 1))}},
-		{"pushed, an answer that does not come", quick, known, []step{{hang: true}, plain(delta)}},
-		{"asked, the address changes during a call", asked, nil, []step{plain(complete), {moved: true}, plain(strings.Replace(complete, "41", "3", 1))}},
-		{"pushed, the address changes during a call", pushed, known, []step{{moved: true}, plain(strings.Replace(complete, "41", "3", 1))}},
+		{"pushed, changes without a list", agentSettings, nil, []step{okStep(delta), okStep(`{}`), okStep(complete)}},
+		{"pushed, negative versions", agentSettings, nil, []step{okStep(strings.Replace(complete, "41", "-41", 1)), okStep(strings.Replace(delta, "42", "-40", 1))}},
+		{"pushed, an answer that does not come", shortGraceAgentSettings, known, []step{{isUnanswered: true}, okStep(delta)}},
+		{"asked, the address changes during a call", discoverySettings, nil, []step{okStep(complete), {changesAddr: true}, okStep(strings.Replace(complete, "41", "3", 1))}},
+		{"pushed, the address changes during a call", agentSettings, known, []step{{changesAddr: true}, okStep(strings.Replace(complete, "41", "3", 1))}},
 	} {
-		fmt.Fprintf(&got, "# %s\n%s\n", c.name, session(t, c.set, c.known, c.steps))
+		fmt.Fprintf(&got, "# %s\n%s\n", c.name, recordSession(t, c.settings, c.known, c.steps))
 	}
 	golden.Check(t, "requests.txt", got.Bytes())
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,9 +1,9 @@
 // Package discovery keeps the endpoint list of a gateway up to date. A [Watcher] polls the discovery service, or an agent on
-// the same machine, over HTTP, one poll after another as package refresh schedules them, and passes each list on as an event
-// of the engine.
+// the same machine, over HTTP. It performs one poll at a time, as package refresh schedules them, and passes each list to its
+// handler as an event of the engine.
 //
-// The goroutine that calls Run owns the watcher's state and waits for all that it does; only SetAddr may be called by others
-// meanwhile. The functions on lists are pure.
+// The goroutine that calls Run owns the watcher's state, and Run returns only after everything that it started has ended. While
+// Run runs, other goroutines may call only SetAddr. The functions on lists are pure.
 package discovery
 
 import (
@@ -29,14 +29,14 @@
 
 	mu     sync.Mutex         // guards addr and cancel, which SetAddr uses while Run runs
 	addr   string             // of the service
-	cancel context.CancelFunc // ends the current poll and the delay before it; nil: there was none yet
+	cancel context.CancelFunc // cancels the current poll and the delay before it; nil before the first poll
 
-	// Only Run's goroutine uses these.
-	polledAddr string // which the current poll goes to
-	isStale    bool   // the log says so of the list that is held
+	// Only Run's goroutine uses these fields.
+	polledAddr  string // address of the current poll
+	staleLogged bool   // it has been logged that the list that is held is stale
 }
 
-// New returns a Watcher of the service at addr, as host:port. now is a monotonic clock.
+// New returns a Watcher of the service at addr, which has the form host:port. The function now is a monotonic clock.
 func New(addr string, settings refresh.Settings, now func() time.Duration, logger *slog.Logger) *Watcher {
 	return &Watcher{
 		logger:     logger,
@@ -48,11 +48,11 @@
 	}
 }
 
-// SetHandler sets what is called with each list, from Run's goroutine. It is to be called before Run.
+// SetHandler sets the function that Run's goroutine calls with each list. It must be called before Run.
 func (w *Watcher) SetHandler(handler func(engine.Event)) { w.handler = handler }
 
-// SetAddr changes the service's address; any goroutine may call it. A poll of the old address is canceled, and the new one
-// is polled at once for the complete list, so that no change is lost between the two.
+// SetAddr changes the address of the service. Any goroutine may call it. A poll of the old address is canceled, and the new
+// address is polled immediately for the complete list, so that no change between the two is lost.
 func (w *Watcher) SetAddr(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,7 +62,7 @@
 	w.addr = addr
 }
 
-// Run polls until ctx is done. known is the list that is held already; nil: none.
+// Run polls until ctx is done. The list known is the one that is held already, or nil if there is none.
 func (w *Watcher) Run(ctx context.Context, known *EndpointList) {
 	defer w.client.closeIdleConnections()
 	poll := w.firstPoll(known)
@@ -78,12 +78,12 @@
 			return
 		}
 		if errors.Is(err, context.Canceled) || w.addrChanged() {
-			continue // the outcome at an old address is not used
+			continue // the outcome of a poll of an old address is ignored
 		}
 		if err != nil {
-			poll = w.pollFailed(err)
+			poll = w.handlePollFailure(err)
 		} else {
-			poll = w.listReceived(list)
+			poll = w.handleList(list)
 		}
 	}
 }
@@ -96,7 +96,8 @@
 	return w.scheduler.Handle(w.now(), start)
 }
 
-// beginPoll returns the context of the next poll, and whether the service's address has changed since the last.
+// beginPoll returns the context of the next poll, its cancel function, and whether the service's address has changed since the
+// last poll.
 func (w *Watcher) beginPoll(ctx context.Context) (_ context.Context, cancel context.CancelFunc, addrChanged bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,10 +114,10 @@
 	return w.addr != w.polledAddr
 }
 
-// listReceived passes a list on if it may be applied, and returns the next poll.
-func (w *Watcher) listReceived(list *EndpointList) refresh.Poll {
-	if w.isStale {
-		w.isStale = false
+// handleList passes a list to the handler if it may be applied, and returns the next poll.
+func (w *Watcher) handleList(list *EndpointList) refresh.Poll {
+	if w.staleLogged {
+		w.staleLogged = false
 		w.logger.Info("endpoint list no longer stale", "version", list.Version, "addr", w.polledAddr)
 	}
 	if w.scheduler.Accepts(list.Version, list.Complete) {
@@ -132,7 +133,7 @@
 	return w.scheduler.Handle(w.now(), refresh.ListReceived{Version: list.Version, Complete: list.Complete})
 }
 
-// mode is how the engine is to apply a list received.
+// mode returns the mode in which the engine applies a received list.
 func (l *EndpointList) mode() balancer.ListMode {
 	if l.Complete {
 		return balancer.ListComplete
@@ -140,8 +141,8 @@
 	return balancer.ListDelta
 }
 
-// pollFailed returns the next poll after one that brought no list.
-func (w *Watcher) pollFailed(err error) refresh.Poll {
+// handlePollFailure logs a poll that failed with err, and returns the next poll.
+func (w *Watcher) handlePollFailure(err error) refresh.Poll {
 	var next refresh.Poll
 	if errors.Is(err, ErrTimeout) {
 		w.client.closeIdleConnections()
@@ -153,15 +154,15 @@
 	return next
 }
 
-// logFailure logs a failed poll and, once for each outage, that the list has become stale.
+// logFailure logs a failed poll and, once per outage, that the list has become stale.
 func (w *Watcher) logFailure(next refresh.Poll, err error) {
 	fields := []any{"addr", w.polledAddr, "err", err, "retry_in", next.Delay}
-	if explained := operr.Of(err); explained != nil {
-		fields = append(fields, "remedy", explained.Remedy())
+	if operrError := operr.Of(err); operrError != nil {
+		fields = append(fields, "remedy", operrError.Remedy())
 	}
 	w.logger.Warn("endpoint list poll failed", fields...)
-	if now := w.now(); !w.isStale && next.StaleAt > 0 && now >= next.StaleAt {
-		w.isStale = true
+	if now := w.now(); !w.staleLogged && next.StaleAt > 0 && now >= next.StaleAt {
+		w.staleLogged = true
 		w.logger.Error("endpoint list stale", "age", w.scheduler.Age(now), "addr", w.polledAddr)
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// An answer that is no list, too long or cut is a failure, after which another poll follows; a list that comes in pieces
-// is accepted.
+// An answer that is not a list, too long or incomplete is rejected, and another poll follows. A list that arrives in pieces is
+// accepted.
 func TestAnswers(t *testing.T) {
 	list := listOf(7, "s-00000001")
 	for name, c := range map[string]struct {
@@ -42,11 +42,11 @@
 		"indented": {func(w http.ResponseWriter, _ *http.Request) {
 			respond(w, strings.ReplaceAll(list, ",", ",\r\n\t "))
 		}, true},
-		"broken": {func(w http.ResponseWriter, _ *http.Request) {
+		"incomplete": {func(w http.ResponseWriter, _ *http.Request) {
 			respondPart(w, list[:20])
 			panic(http.ErrAbortHandler)
 		}, false},
-		"elsewhere": {func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/x", http.StatusFound) }, false},
+		"redirect": {func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/x", http.StatusFound) }, false},
 		"endless": {func(w http.ResponseWriter, _ *http.Request) {
 			for range 10 {
 				respond(w, strings.Repeat("\x00", 1<<20))
@@ -54,7 +54,7 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, refresh.Settings{}, func(t *testing.T, service *fakeService) {
+			runWatcher(t, refresh.Settings{}, func(t *testing.T, service *fakeService) {
 				t.Helper()
 				service.answer = func(w http.ResponseWriter, r *http.Request) {
 					if service.polls.Load() == 1 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// BenchmarkPoll is one poll of an agent that has no changes, with what the agent itself costs.
+// BenchmarkPoll measures one poll of an agent that has no changes, including the cost of the agent itself.
 func BenchmarkPoll(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		respond(w, `{"version":1,"full":false,"servers":[]}`)
