--- a/internal/discovery/refresh/timing.go
+++ b/internal/discovery/refresh/timing.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MaxNotificationDelay is a limit of the platform's protocol: a change counts as notified at most this long after discovery
-// has it and is reachable, even if the poll that should have brought it fails.
+// MaxNotificationDelay is a limit of the platform's protocol: a change counts as notified this long after discovery has it and
+// is reachable, even if the poll that should have brought it fails.
 const MaxNotificationDelay = 6 * time.Second
 
 // Further limits of the platform's protocol, for which there is no setting.
