--- a/gateway/confine.go
+++ b/gateway/confine.go
@@ -8,12 +8,14 @@
 	"example.org/milletvane/config"
 )
 
-// Confine keeps the program's runtime within the limits: garbage is collected sooner as memory runs short. A loop that
-// waits holds a processor of the runtime's, so there is one more for each: what is ready besides does not wait for it.
+// Confine adapts the Go runtime of the process to the limits. The soft memory limit is three quarters of MemoryMB, so the
+// garbage collector runs more often as memory runs short. GOMAXPROCS is twice the number of event loops, because an event
+// loop that waits in a system call still holds a processor of the runtime; other goroutines use the remaining ones.
 func Confine(l config.Limits) {
-	runtime.GOMAXPROCS(2 * eventLoops(l))
+	runtime.GOMAXPROCS(2 * eventLoopCount(l))
 	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * 3 / 4)
 }
 
-// eventLoops is the number of event loops that carry connections: one for each core.
-func eventLoops(l config.Limits) int { return max(int(math.Ceil(l.Cores)), 1) }
+// eventLoopCount returns the number of event loops that carry connections: one for each core, with a fraction of a core
+// counted as a whole one, and at least one.
+func eventLoopCount(l config.Limits) int { return max(int(math.Ceil(l.Cores)), 1) }
--- a/gateway/confine_test.go
+++ b/gateway/confine_test.go
@@ -18,7 +18,7 @@
 	}{{0.5, 1}, {1, 1}, {1.5, 2}, {4, 4}} {
 		l := config.Limits{Cores: c.cores, MemoryMB: 64}
 		Confine(l)
-		if got := runtime.GOMAXPROCS(0) - eventLoops(l); got != c.want {
+		if got := runtime.GOMAXPROCS(0) - eventLoopCount(l); got != c.want {
 			t.Errorf("%v cores: %d processors beside those of waiting loops, not %d", c.cores, got, c.want)
 		}
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway is the balancer as a library. New takes a checked configuration, Run serves until its context is
-// done, and Reload changes to a new configuration meanwhile.
+// Package gateway provides the load balancer as a library. New takes a validated configuration, Run serves until its
+// context is done, and Reload applies a new configuration while Run serves.
 //
-// A Gateway is run once. The engine's goroutine owns the state of requests and servers: all else posts events to it.
-// Run starts the other goroutines and waits for them before it returns. Reload and Ready may be called from any
-// goroutine, and at any time after New.
+// A Gateway can be run only once. The engine's goroutine owns the state of requests and servers; all other components post
+// events to it. Run starts the other goroutines and waits for them before it returns. Reload and Ready may be called from
+// any goroutine at any time after New.
 package gateway
 
 import (
@@ -30,23 +30,23 @@
 )
 
 const (
-	// readyTimeout is how long a start waits for an endpoint list. The platform wants nine in ten processes ready
-	// within 10 s, whatever discovery does.
+	// readyTimeout is how long a starting gateway waits for an endpoint list. The platform requires nine in ten processes
+	// to be ready within 10 s, even if discovery is unavailable.
 	readyTimeout = 8 * time.Second
-	// minServerPayload is the least bound, in bytes, of a message from a NATS server. Clients may be held to less, but
-	// servers forward what others publish.
+	// minServerPayload is the lowest size limit, in bytes, for a message from a NATS server. The configured limit for
+	// clients may be lower, but servers forward messages that clients elsewhere publish.
 	minServerPayload = 8 << 20
 )
 
-// Gateway is one balancer.
+// Gateway is one instance of the load balancer.
 type Gateway struct {
 	config config.Config
 	logger *slog.Logger
-	clock  func() time.Duration // Unix time, never backwards
+	clock  func() time.Duration // Unix time; never goes backwards
 
 	natsSettings    *operator.NATS // nil: NATS is off
 	planSettings    *operator.PlanSettings
-	clusterSettings *operator.Cluster // nil: the gateway recovers by itself
+	clusterSettings *operator.Cluster // nil: the gateway joins no cluster and recovers without peers
 
 	engine      *eventloop.Loop
 	lineBackend *backend.Backend
@@ -59,17 +59,17 @@
 	priorityCounters *metrics.PriorityCounters // nil: no priorities are configured
 
 	stateDir    *hotrestart.StateDir
-	predecessor *hotrestart.Snapshot // nil: there is none
+	predecessor *hotrestart.Snapshot // nil: this process has no predecessor
 
-	natsFrontend atomic.Pointer[natsfrontend.Frontend] // nil: not listening
-	cluster      atomic.Pointer[cluster.Cluster]       // nil: there is none, or it has not started
+	natsFrontend atomic.Pointer[natsfrontend.Frontend] // nil: not listening for NATS clients
+	cluster      atomic.Pointer[cluster.Cluster]       // nil: no cluster is configured, or it has not started
 	serving      atomic.Bool                           // clients are accepted, and no shutdown has been requested
 }
 
-// Option changes what New takes by default.
+// Option overrides a default of New.
 type Option func(*Gateway)
 
-// WithOperator switches on what an operator file holds. Nil settings change nothing.
+// WithOperator enables the features that an operator file configures. Nil settings change nothing.
 func WithOperator(s *operator.Settings) Option {
 	return func(g *Gateway) {
 		if s != nil {
@@ -78,12 +78,12 @@
 	}
 }
 
-// WithLogger sets the logger in place of slog.Default().
+// WithLogger sets the logger. It defaults to slog.Default().
 func WithLogger(l *slog.Logger) Option { return func(g *Gateway) { g.logger = l } }
 
-// New returns a gateway that has not started. It fails where the balancer rejects its part of the configuration.
+// New returns a gateway that has not started. It returns an error if the balancer rejects its part of the configuration.
 //
-//nolint:contextcheck // asking the logger for its level belongs to no caller's context
+//nolint:contextcheck // querying the logger's level needs no caller's context
 func New(c config.Config, options ...Option) (*Gateway, error) {
 	g := &Gateway{config: c, logger: slog.Default(), clock: newClock()}
 	for _, o := range options {
@@ -143,7 +143,8 @@
 	}
 }
 
-// engineOptions also creates the counters by priority, where the operator file has priorities.
+// engineOptions returns the options of the engine. If the operator file has priorities, it also creates the counters by
+// priority.
 func (g *Gateway) engineOptions(classes []string) engine.Options {
 	c := &g.config
 	o := engine.Options{
@@ -175,7 +176,7 @@
 	return o
 }
 
-// Send implements engine.Backend: each attempt is sent over its client's protocol.
+// Send implements engine.Backend. It sends an attempt over the protocol of the attempt's client.
 func (g *Gateway) Send(a engine.Attempt) engine.ActiveAttempt {
 	if g.natsBackend != nil && g.natsBackend.Handles(a) {
 		return g.natsBackend.Send(a)
@@ -183,7 +184,8 @@
 	return g.lineBackend.Send(a)
 }
 
-// post passes a discovery event to the engine. Endpoint lists get the plan's weights.
+// post passes a discovery event to the engine. An endpoint list also updates the cluster and the ids that the maintenance
+// store knows, and its servers get the weights of the placement plan.
 func (g *Gateway) post(ev engine.Event) {
 	list, ok := ev.(engine.EndpointList)
 	if !ok {
@@ -201,7 +203,7 @@
 	g.weights.apply(list)
 }
 
-// newClock returns Unix time, as discovery uses it, that never steps back.
+// newClock returns a clock of Unix time, which discovery also uses. The clock never goes backwards.
 func newClock() func() time.Duration {
 	start := time.Now()
 	base := time.Duration(start.UnixNano())
--- a/gateway/hotrestart.go
+++ b/gateway/hotrestart.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// stateDirPollInterval is the time between reads of what other processes wrote.
+	// stateDirPollInterval is the time between reads of the snapshots that other processes write.
 	stateDirPollInterval = 100 * time.Millisecond
-	// snapshotInterval is the time between snapshots of this process while it serves.
+	// snapshotInterval is the time between this process's snapshots while it serves.
 	snapshotInterval = time.Second
-	// drainingSnapshotInterval is the time between them during a shutdown. The successor has the connections that are open
-	// here when packets reach it, 3.7 s after the shutdown began at the earliest.
+	// drainingSnapshotInterval is the time between this process's snapshots during a shutdown. The successor must know the
+	// connections that are open here before their packets reach it, which is 3.7 s after the start of the shutdown at the
+	// earliest.
 	drainingSnapshotInterval = 250 * time.Millisecond
 )
 
-// loadPredecessor reads the snapshot of the process that this one replaces, if the clients' socket is inherited. The
-// predecessor's endpoint list replaces an older one of the configuration's.
+// loadPredecessor reads the snapshot of the process that this one replaces, if the clients' listening socket is inherited.
+// The predecessor's endpoint list replaces the configuration's if that is missing or older.
 func (g *Gateway) loadPredecessor() {
 	if g.config.InheritedSocket == 0 {
 		g.stateDir = hotrestart.NewStateDir("", hotrestart.Process{}, g.logger)
@@ -45,9 +46,10 @@
 		"version", state.Version, "connections", len(state.Flows))
 }
 
-// runHotRestart follows the predecessor's snapshots and writes those that a successor reads, until ctx is done. Once
-// shutdown is closed and a successor serves, the connections in the shared accept queue are left to that.
-func (g *Gateway) runHotRestart(ctx context.Context, shutdown <-chan struct{}, front *frontend.Listener) {
+// runHotRestart reads the predecessor's snapshots and writes this process's snapshots for a successor, until ctx is done.
+// Once shutdown is closed and a successor serves, it closes listener, so that the successor accepts the connections in the
+// shared accept queue.
+func (g *Gateway) runHotRestart(ctx context.Context, shutdown <-chan struct{}, listener *frontend.Listener) {
 	defer g.stateDir.Remove()
 	ticker := time.NewTicker(stateDirPollInterval)
 	defer ticker.Stop()
@@ -62,7 +64,7 @@
 			interval = drainingSnapshotInterval
 			if accepting && g.stateDir.HasSuccessor() {
 				accepting = false
-				front.Close()
+				listener.Close()
 			}
 		}
 		if now.Sub(writtenAt) >= interval || g.Ready() != wasReady {
@@ -86,13 +88,14 @@
 	}
 }
 
-// writeSnapshot writes what this process knows now. It writes nothing where ctx is done before the engine answers.
+// writeSnapshot writes a snapshot of this process's current state. It writes nothing if ctx is done before the engine
+// answers.
 func (g *Gateway) writeSnapshot(ctx context.Context, ready bool) {
-	answer := make(chan engine.State, 1)
-	g.engine.Post(engine.StateRequested{Deliver: func(s engine.State) { answer <- s }})
+	delivered := make(chan engine.State, 1)
+	g.engine.Post(engine.StateRequested{Deliver: func(s engine.State) { delivered <- s }})
 	select {
-	case state := <-answer:
-		g.weights.restoreListed(state.Servers) // a successor applies its own plan
+	case state := <-delivered:
+		g.weights.restoreListedWeights(state.Servers) // the successor applies its own plan
 		g.stateDir.Write(hotrestart.Snapshot{
 			WrittenAt: time.Now(), Ready: ready, KnownServers: g.maintenance.Known(), State: state,
 		})
--- a/gateway/loadshed.go
+++ b/gateway/loadshed.go
@@ -10,12 +10,12 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// runLoadShedding reports this gateway's requests and rejections to the cluster, and the cluster's shed level to the
-// engine, until ctx is done.
+// runLoadShedding reports this gateway's counts of requests, rejected and shed requests to the cluster, and passes the
+// cluster's shed level to the engine, until ctx is done.
 func (g *Gateway) runLoadShedding(ctx context.Context, c *cluster.Cluster) {
 	ticker := time.NewTicker(loadshed.ReportInterval)
 	defer ticker.Stop()
-	last := 0.0
+	previousLevel := 0.0
 	for {
 		select {
 		case <-ctx.Done():
@@ -26,13 +26,14 @@
 		level := c.UpdateLoad(loadshed.LocalCounts{
 			Requests: counts.Offered, Rejected: counts.Rejected, Shed: counts.Shed,
 		})
-		if level != last {
+		if level != previousLevel {
 			g.engine.Post(engine.FleetShedLevel{Level: level})
 		}
-		// The level is the number of priorities that are shed completely, and the shed ratio of the next.
-		if priorities := math.Floor(level); priorities != math.Floor(last) {
+		// The integer part of the level is the number of priorities that are shed completely. The fractional part is the
+		// fraction of the next priority that is shed, from 0 to 1.
+		if priorities := math.Floor(level); priorities != math.Floor(previousLevel) {
 			g.logger.Info("load shedding changed", "priorities", priorities, "next_ratio", level-priorities)
 		}
-		last = level
+		previousLevel = level
 	}
 }
--- a/gateway/recovery.go
+++ b/gateway/recovery.go
@@ -11,7 +11,8 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// startCluster joins the cluster, if the operator file has one, and returns what leaves it.
+// startCluster joins the cluster, if the operator file has one. It returns a function that leaves the cluster, and does
+// nothing if none is configured.
 func (g *Gateway) startCluster() (stop func(), err error) {
 	if g.clusterSettings == nil {
 		return func() {}, nil
@@ -46,14 +47,14 @@
 	}
 }
 
-func (g *Gateway) startClusterTasks(tasks *background, c *cluster.Cluster) {
+func (g *Gateway) startClusterTasks(tasks *taskGroup, c *cluster.Cluster) {
 	tasks.start(c.Run)
 	if g.priorityCounters != nil {
 		tasks.start(func(ctx context.Context) { g.runLoadShedding(ctx, c) })
 	}
 }
 
-// cachedList is the endpoint list that the configuration holds, or an empty one.
+// cachedList returns the endpoint list of the configuration, or an empty one if the configuration has none.
 func (g *Gateway) cachedList() engine.EndpointList {
 	if g.config.CachedList == nil {
 		return engine.EndpointList{Mode: balancer.ListCached}
@@ -61,50 +62,52 @@
 	return g.config.CachedList.EngineList(balancer.ListCached)
 }
 
-// recoverFromCluster starts with the endpoint list that the disk and the peers have, or with discovery's where that comes
-// first. It returns once a list has been posted, or none is to be waited for.
-func (g *Gateway) recoverFromCluster(tasks *background, c *cluster.Cluster) {
-	first := firstList{gateway: g}
-	g.watcher.SetHandler(first.postDiscovered)
+// recoverFromCluster posts the endpoint list that the disk and the peers hold, unless discovery sends an event first. It
+// also starts the task that polls discovery. It returns once the cluster has made its first decision, which may be to use
+// no list, discovery has answered or the tasks are stopped.
+func (g *Gateway) recoverFromCluster(tasks *taskGroup, c *cluster.Cluster) {
+	initial := initialList{gateway: g}
+	g.watcher.SetHandler(initial.postDiscovered)
 	tasks.start(func(ctx context.Context) { g.watcher.Run(ctx, nil) })
 	recovered := make(chan struct{})
 	finish := sync.OnceFunc(func() { close(recovered) })
 	tasks.start(func(ctx context.Context) {
 		defer finish()
-		c.Recover(ctx, func(hint *discovery.EndpointList) {
+		c.Recover(ctx, func(list *discovery.EndpointList) {
 			defer finish()
-			first.postRecovered(hint)
+			initial.postRecovered(list)
 		})
 	})
 	<-recovered
 }
 
-// firstList orders the recovered list before discovery's. Once discovery has sent an event, a recovered list is dropped:
-// it would take effect as the newer one.
-type firstList struct {
+// initialList ensures that the recovered endpoint list reaches the engine before any list of discovery's. Once discovery
+// has sent an event, a recovered list is dropped, because the engine would take it for the newer one.
+type initialList struct {
 	gateway *Gateway
 
-	mu         sync.Mutex
-	discovered bool
+	mu            sync.Mutex
+	discoverySeen bool
 }
 
-func (f *firstList) postDiscovered(ev engine.Event) {
+func (f *initialList) postDiscovered(ev engine.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.discovered = true
+	f.discoverySeen = true
 	f.gateway.post(ev)
 }
 
-// postRecovered posts the hint of the cluster, or the configuration's list where there is no hint.
-func (f *firstList) postRecovered(hint *discovery.EndpointList) {
+// postRecovered posts the list that the cluster recovered, or the configuration's list if recovered is nil. It posts nothing
+// if discovery has sent an event.
+func (f *initialList) postRecovered(recovered *discovery.EndpointList) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.discovered {
+	if f.discoverySeen {
 		return
 	}
 	list := f.gateway.cachedList()
-	if hint != nil {
-		list = hint.EngineList(balancer.ListCached)
+	if recovered != nil {
+		list = recovered.EngineList(balancer.ListCached)
 	}
 	f.gateway.post(list)
 }
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -9,12 +9,13 @@
 	"example.org/milletvane/config/operator"
 )
 
-// errNATSNeedsRestart says that the operator file has NATS where the running gateway has none, or the other way.
-var errNATSNeedsRestart = errors.New("nats: cannot be switched on or off by a reload, restart the gateway")
+// errNATSNeedsRestart is returned if the new operator file configures NATS and the running gateway does not, or vice versa.
+var errNATSNeedsRestart = errors.New("nats: cannot be enabled or disabled by a reload; restart the gateway")
 
-// Reload changes to a new configuration while Run serves: the new discovery address is polled at once, and the operator
-// settings take effect as one. With an error nothing has changed. All other settings are fixed until a restart: the log
-// names those that differ. Reload may be called at any time and from any goroutine.
+// Reload applies a new configuration while Run serves. The new discovery address is polled at once, and either all NATS and
+// plan settings of the operator file take effect or none do. If Reload returns an error, nothing has changed. All other
+// settings take effect only after a restart; the log lists those that differ. Reload may be called at any time and from any
+// goroutine.
 func (g *Gateway) Reload(c config.Config, op *operator.Settings) error {
 	if op == nil {
 		op = &operator.Settings{}
@@ -32,7 +33,8 @@
 	return nil
 }
 
-// reloadNATS changes to new settings, or to none of them where one that needs a restart differs.
+// reloadNATS applies new NATS settings. It returns an error and applies none of them if a setting that needs a restart
+// differs.
 func (g *Gateway) reloadNATS(n *operator.NATS) error {
 	switch {
 	case n == nil && g.natsSettings == nil:
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -16,43 +16,44 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// quiesceTimeout is how long the end waits for clients to read what was last sent. The platform ends the program 0.2 s
-// after the engine's end at the earliest.
+// quiesceTimeout is how long Run waits, after the engine has ended, for the last bytes to clients to be sent. The platform
+// kills the process 0.2 s after the engine's end at the earliest.
 const quiesceTimeout = 100 * time.Millisecond
 
-// descriptorDirectory lists the process's open descriptors, with one for reading it.
+// descriptorDirectory lists the process's open descriptors, including the one that is opened to read the directory.
 const descriptorDirectory = "/proc/self/fd"
 
-// background owns the goroutines that serve the engine. They outlive the request for a shutdown, and end with stop.
-type background struct {
+// taskGroup owns the background goroutines that serve the engine. They keep running after a shutdown has been requested and
+// end when stop is called.
+type taskGroup struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 }
 
-// newBackground returns an owner of goroutines whose context is not done when ctx is.
-func newBackground(ctx context.Context) *background {
-	b := &background{}
+// newTaskGroup returns a task group whose context has the values of ctx but is not cancelled with it.
+func newTaskGroup(ctx context.Context) *taskGroup {
+	b := &taskGroup{}
 	b.ctx, b.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	return b
 }
 
-// start runs a task in a goroutine. The task returns when its context is done.
-func (b *background) start(task func(context.Context)) {
+// start runs a task in a goroutine. The task must return when its context is done.
+func (b *taskGroup) start(task func(context.Context)) {
 	b.tasks.Go(func() { task(b.ctx) })
 }
 
-// stop ends all tasks and waits for them. It may be called again.
-func (b *background) stop() {
+// stop cancels all tasks and waits for them. It may be called more than once.
+func (b *taskGroup) stop() {
 	b.cancel()
 	b.tasks.Wait()
 }
 
-// Run serves until ctx is done, and then until pending requests have been answered and connections drained, within the
-// configuration's timeouts. It returns an error where an address cannot be listened on or the cluster cannot start. It
-// may be called once.
+// Run serves until ctx is done. It then waits until pending requests have been answered and connections have been drained,
+// for at most the configured timeouts. It returns an error if the event loops cannot be created, the inherited socket is
+// not usable, an address cannot be listened on or the cluster cannot start. Run may be called only once.
 func (g *Gateway) Run(ctx context.Context) error {
-	conns, err := reactor.New(eventLoops(g.config.Limits))
+	conns, err := reactor.New(eventLoopCount(g.config.Limits))
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
@@ -78,26 +79,26 @@
 	}
 	defer closeCluster()
 	defer g.weights.stop()
-	tasks := newBackground(ctx)
+	tasks := newTaskGroup(ctx)
 	defer tasks.stop()
 	g.restoreState(tasks)
-	front, err := g.listen(conns)
+	listener, err := g.listenClients(conns)
 	if err != nil {
 		return fmt.Errorf("listen %s: %w", g.config.Listen, err)
 	}
-	g.serve(ctx, tasks, front)
+	g.serve(ctx, tasks, listener)
 	tasks.stop()
 	conns.Quiesce(quiesceTimeout)
 	return nil
 }
 
-// Ready reports whether clients can be served: the endpoint list and the servers in maintenance are known, and no
-// shutdown has been requested.
+// Ready reports whether clients can be served: the endpoint list and the servers in maintenance mode are known, and no
+// shutdown has been requested. It may be called from any goroutine.
 func (g *Gateway) Ready() bool { return g.serving.Load() && g.engine.Ready() }
 
-// restoreState posts what is known before any client is accepted: the servers in maintenance, the endpoint list, and the
-// predecessor's state. It starts the tasks that keep these up to date.
-func (g *Gateway) restoreState(tasks *background) {
+// restoreState posts the known state before any client is accepted: the servers in maintenance mode, the endpoint list and
+// the predecessor's state. It also starts the tasks of the cluster and of discovery.
+func (g *Gateway) restoreState(tasks *taskGroup) {
 	c := g.cluster.Load()
 	if c != nil {
 		g.startClusterTasks(tasks, c)
@@ -114,21 +115,21 @@
 	}
 }
 
-// serve runs the engine until ctx is done and the clients have been drained.
-func (g *Gateway) serve(ctx context.Context, tasks *background, front *frontend.Listener) {
+// serve accepts clients and runs the engine until ctx is done and the clients have been drained.
+func (g *Gateway) serve(ctx context.Context, tasks *taskGroup, listener *frontend.Listener) {
 	tasks.start(g.maintenance.Run)
 	if g.config.InheritedSocket > 0 {
-		tasks.start(func(background context.Context) { g.runHotRestart(background, ctx.Done(), front) })
+		tasks.start(func(taskCtx context.Context) { g.runHotRestart(taskCtx, ctx.Done(), listener) })
 	}
 	g.serving.Store(true)
 	defer context.AfterFunc(ctx, func() { g.serving.Store(false) })()
-	g.logger.Info("serving", "name", g.config.Name, "listen", front.Addr(), "discovery", g.config.Discovery,
+	g.logger.Info("serving", "name", g.config.Name, "listen", listener.Addr(), "discovery", g.config.Discovery,
 		"pass", g.config.Gateway.ConnectionsOutliveGateway, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
-	front.Shutdown()
+	listener.Shutdown()
 }
 
-func (g *Gateway) listen(conns *reactor.Group) (*frontend.Listener, error) {
+func (g *Gateway) listenClients(conns *reactor.Group) (*frontend.Listener, error) {
 	if g.config.InheritedSocket > 0 {
 		return frontend.ListenFD(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
 	}
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// listenAdmin starts the operators' HTTP server, if it is configured, and returns what stops it.
+// listenAdmin starts the operators' HTTP server, if it is configured, and returns the function that stops it.
 func (g *Gateway) listenAdmin(conns *reactor.Group) (stop func(), err error) {
 	if g.config.Admin == "" {
 		return func() {}, nil
@@ -162,33 +163,33 @@
 	return func() { server.Close() }, nil
 }
 
-// appendMetrics appends the metrics page, with the descriptors as they are now.
+// appendMetrics appends the metrics page to b and returns the extended buffer. It updates the gauges of descriptors first.
 func (g *Gateway) appendMetrics(b []byte, conns *reactor.Group) []byte {
-	held, closing := conns.DescriptorCounts()
-	g.registry.ConnectionDescriptors.Store(int64(held))
+	connections, closing := conns.DescriptorCounts()
+	g.registry.ConnectionDescriptors.Store(int64(connections))
 	g.registry.ClosingDescriptors.Store(int64(closing))
-	if open, err := os.ReadDir(descriptorDirectory); err == nil { // without it the gauge stays as it was
+	if open, err := os.ReadDir(descriptorDirectory); err == nil { // on an error the gauge keeps its value
 		g.registry.Descriptors.Store(int64(len(open)))
 	}
 	return g.registry.AppendStatsd(b)
 }
 
-// listenNATS accepts NATS clients, if the operator file has them, and returns what stops that. Clients are asked to leave
-// once ctx is done.
+// listenNATS accepts NATS clients, if the operator file configures NATS, and returns the function that stops the listener.
+// Once ctx is done, clients are asked to disconnect.
 func (g *Gateway) listenNATS(ctx context.Context, conns *reactor.Group) (stop func(), err error) {
 	if g.natsBackend == nil {
 		return func() {}, nil
 	}
 	g.natsBackend.Connect(g.engine, conns)
-	front, err := natsfrontend.Listen(g.config.Name, *g.natsSettings, g.engine, g.natsBackend, conns)
+	listener, err := natsfrontend.Listen(g.config.Name, *g.natsSettings, g.engine, g.natsBackend, conns)
 	if err != nil {
 		return nil, err
 	}
-	g.natsFrontend.Store(front)
-	cancelShutdown := context.AfterFunc(ctx, front.Shutdown)
-	g.logger.Info("serving nats", "listen", front.Addr())
+	g.natsFrontend.Store(listener)
+	cancelShutdown := context.AfterFunc(ctx, listener.Shutdown)
+	g.logger.Info("serving nats", "listen", listener.Addr())
 	return func() {
 		cancelShutdown()
-		front.Close()
+		listener.Close()
 	}, nil
 }
--- a/gateway/weights.go
+++ b/gateway/weights.go
@@ -12,8 +12,8 @@
 	"example.org/milletvane/internal/planapply"
 )
 
-// planWeights posts endpoint lists to the engine with the weights of the placement plan. It may be used by several
-// goroutines: lists reach the engine in the order in which they were applied.
+// planWeights posts endpoint lists to the engine with the weights of the placement plan. Its methods may be called from any
+// goroutine; lists reach the engine in the order in which they were applied.
 type planWeights struct {
 	clock  func() time.Duration
 	engine *eventloop.Loop
@@ -21,7 +21,7 @@
 
 	mu      sync.Mutex
 	applier planapply.Applier
-	timer   *time.Timer // runs out when the next server is warm; nil: none was needed yet
+	timer   *time.Timer // expires when the next server has warmed up; nil: no timer was needed yet
 	stopped bool
 }
 
@@ -29,7 +29,7 @@
 	return &planWeights{clock: clock, engine: e, logger: l, applier: planapply.Applier{WarmupDuration: warmup}}
 }
 
-// setPlan changes to a plan, or with nil to none.
+// setPlan replaces the placement plan and posts the weights that change. With nil, servers keep their listed weights.
 func (w *planWeights) setPlan(p *operator.PlanSettings) {
 	if p == nil {
 		p = &operator.PlanSettings{}
@@ -39,15 +39,15 @@
 	w.postLocked(w.applier.SetPlan(w.clock(), p.Plan, p.Zone))
 }
 
-// apply posts an endpoint list with the plan's weights.
+// apply posts an endpoint list with the weights of the plan.
 func (w *planWeights) apply(l engine.EndpointList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.postLocked(w.applier.Apply(w.clock(), l))
 }
 
-// restoreListed gives servers their weights as listed, in place of the plan's.
-func (w *planWeights) restoreListed(servers []engine.Server) {
+// restoreListedWeights replaces the plan's weights of servers by their weights in the endpoint list.
+func (w *planWeights) restoreListedWeights(servers []engine.Server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range servers {
@@ -57,7 +57,7 @@
 	}
 }
 
-// refresh posts the weights that have changed with time alone.
+// refresh posts the weights that have changed only because time has passed.
 func (w *planWeights) refresh() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,7 +67,7 @@
 	w.postLocked(w.applier.Tick(w.clock()))
 }
 
-// stop ends the refreshes. Lists are still posted.
+// stop ends the refreshes. Endpoint lists are still posted afterwards.
 func (w *planWeights) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,7 +77,8 @@
 	}
 }
 
-// postLocked posts a list, logs where its weights come from if that has changed, and sets the timer for the next refresh.
+// postLocked posts a list, unless it changes nothing, and sets the timer for the next refresh. A source that is not empty
+// is where the weights come from now; it is logged. The caller holds mu.
 func (w *planWeights) postLocked(l engine.EndpointList, source string) {
 	if source != "" {
 		w.logger.Info("endpoint weights changed", "source", source)
