--- a/gateway/confine_test.go
+++ b/gateway/confine_test.go
@@ -8,8 +8,9 @@
 	"example.org/milletvane/config"
 )
 
-// Loops wait in system calls, each with a processor of the runtime's: there have to be as many left as there are cores.
-func TestConfineLeavesEachCoreAProcessor(t *testing.T) {
+// Guards against event loops that take all processors of the Go runtime: each loop holds one while it waits in a system
+// call, so GOMAXPROCS must exceed the number of loops by the number of cores.
+func TestConfineLeavesOneProcessorPerCore(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
 	for _, c := range []struct {
@@ -19,7 +20,7 @@
 		l := config.Limits{Cores: c.cores, MemoryMB: 64}
 		Confine(l)
 		if got := runtime.GOMAXPROCS(0) - eventLoopCount(l); got != c.want {
-			t.Errorf("%v cores: %d processors beside those of waiting loops, not %d", c.cores, got, c.want)
+			t.Errorf("%v cores: got %d processors besides those of the event loops, want %d", c.cores, got, c.want)
 		}
 	}
 }
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what must come. Nothing that passes waits for so long.
+// testTimeout is how long a test waits for an expected event. A test that passes never waits this long.
 const testTimeout = 20 * time.Second
 
-// scriptedServer is a scripted server: each connection is handed to the test.
+// scriptedServer is a server whose connections are handed to the test, which plays the server's part.
 type scriptedServer struct {
 	t     *testing.T
 	l     net.Listener
 	conns chan *testConn
 }
 
-// testConn is one end of a connection.
+// testConn is one end of a connection. Its methods fail the test on an unexpected error.
 type testConn struct {
 	t *testing.T
 	c net.Conn
@@ -45,10 +45,10 @@
 	}
 }
 
-// trySend sends to a peer that may have closed the connection.
+// trySend sends to a peer that may have closed the connection; errors are ignored.
 func (e *testConn) trySend(s string) { _, _ = io.WriteString(e.c, s) }
 
-// close may be called again.
+// close closes the connection. It may be called more than once.
 func (e *testConn) close() {
 	e.t.Helper()
 	if err := e.c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -56,10 +56,10 @@
 	}
 }
 
-// closeWrite ends the sending. The peer may have closed the connection.
+// closeWrite closes the sending direction. The peer may have closed the connection already.
 func (e *testConn) closeWrite() { _ = e.c.(*net.TCPConn).CloseWrite() }
 
-// reset ends a connection as a process that dies does.
+// reset closes the connection with a TCP reset, as the death of a process does.
 func (e *testConn) reset() {
 	e.t.Helper()
 	if err := e.c.(*net.TCPConn).SetLinger(0); err != nil {
@@ -68,53 +68,54 @@
 	e.close()
 }
 
-func (e *testConn) line() string {
+func (e *testConn) readLine() string {
 	e.t.Helper()
 	s, err := e.r.ReadString('\n')
 	if err != nil {
-		e.t.Fatalf("%q, then %v", s, err)
+		e.t.Fatalf("read %q, then %v, want a line", s, err)
 	}
 	return s
 }
 
-func (e *testConn) expect(want string) {
+func (e *testConn) expectLine(want string) {
 	e.t.Helper()
-	if got := e.line(); got != want {
+	if got := e.readLine(); got != want {
 		e.t.Fatalf("got %q, want %q", got, want)
 	}
 }
 
-// closeError reads up to the end of the connection and returns how it ended.
-func (e *testConn) closeError() error {
+// awaitClose reads until the peer closes the connection, and returns the read error; nil is an orderly close. It reports an
+// error if anything is received or if the connection stays open.
+func (e *testConn) awaitClose() error {
 	e.t.Helper()
 	b, err := io.ReadAll(e.r)
 	if len(b) > 0 {
-		e.t.Errorf("%q came before the end", b)
+		e.t.Errorf("received %q before the connection closed, want nothing", b)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		e.t.Error("it never ended")
+		e.t.Error("the connection was never closed")
 	}
 	return err
 }
 
-// expectClosed reads up to the end of the connection, which may be a reset.
+// expectClosed waits until the peer closes the connection, by an orderly close or by a reset.
 func (e *testConn) expectClosed() {
 	e.t.Helper()
-	_ = e.closeError()
+	_ = e.awaitClose()
 }
 
-// expectFinal reads a final answer and the end behind it, which is in order.
-func (e *testConn) expectFinal(want string) {
+// expectFinalLine reads a line with the prefix want, which must be followed by an orderly close.
+func (e *testConn) expectFinalLine(want string) {
 	e.t.Helper()
-	if got := e.line(); !strings.HasPrefix(got, want) {
-		e.t.Errorf("answered %q, want %s", got, want)
+	if got := e.readLine(); !strings.HasPrefix(got, want) {
+		e.t.Errorf("got the final line %q, want the prefix %q", got, want)
 	}
-	if err := e.closeError(); err != nil {
-		e.t.Errorf("%s ended with %v", want, err)
+	if err := e.awaitClose(); err != nil {
+		e.t.Errorf("after %s the connection closed with %v, want an orderly close", want, err)
 	}
 }
 
-// closeAll closes what a test has opened.
+// closeAll closes closers and fails the test on an error.
 func closeAll(tb testing.TB, closers ...io.Closer) {
 	tb.Helper()
 	for _, c := range closers {
@@ -150,7 +151,7 @@
 	case e := <-p.conns:
 		return e
 	case <-time.After(testTimeout):
-		p.t.Fatal("no connection came")
+		p.t.Fatal("no connection was made to the scripted server")
 		return nil
 	}
 }
--- a/gateway/crossing_stop_test.go
+++ b/gateway/crossing_stop_test.go
@@ -10,52 +10,53 @@
 
 var modes = []string{"pass", "proxy"}
 
-// stopScenarios bring clients into a state before a shutdown, and return what is to be checked after its start.
-var stopScenarios = map[string]func(t *testing.T, p *program) (after func()){
-	"resting": func(t *testing.T, p *program) func() {
+// stopScenarios bring a client into a state before a shutdown. Each returns the checks that run once the shutdown has
+// started.
+var stopScenarios = map[string]func(t *testing.T, p *programProcess) (check func()){
+	"idle client": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client := p.dial()
-		return func() { client.expectFinal("BUSY") }
+		return func() { client.expectFinalLine("BUSY") }
 	},
-	"a line half read": func(t *testing.T, p *program) func() {
+	"opening line completed after the start of the shutdown": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client := p.dial()
 		client.send("OPEN 77 0a c=c,")
 		return func() {
 			client.send("d=60000\r\n")
 			server := p.server.accept()
-			server.line()
+			server.readLine()
 			server.send("UP r\r\n")
-			client.expect("UP r\r\n")
-			client.expectFinal("MOVE")
+			client.expectLine("UP r\r\n")
+			client.expectFinalLine("MOVE")
 			server.expectClosed()
 		}
 	},
-	"a line never finished": func(t *testing.T, p *program) func() {
+	"opening line never completed": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client := p.dial()
 		client.send("OPEN 77 0a c=c,")
-		return func() { client.expectFinal("BUSY") }
+		return func() { client.expectFinalLine("BUSY") }
 	},
-	"an attempt without an answer": func(t *testing.T, p *program) func() {
+	"attempt without an answer": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client, server := p.request()
 		return func() {
-			client.expectFinal("BUSY")
+			client.expectFinalLine("BUSY")
 			server.expectClosed()
 		}
 	},
-	"an attempt answered later": func(t *testing.T, p *program) func() {
+	"attempt answered after the start of the shutdown": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client, server := p.request()
 		return func() {
 			server.send("UP r\r\n")
-			client.expect("UP r\r\n")
-			client.expectFinal("MOVE")
+			client.expectLine("UP r\r\n")
+			client.expectFinalLine("MOVE")
 			server.expectClosed()
 		}
 	},
-	"an answer half passed on": func(t *testing.T, p *program) func() {
+	"server's line half relayed": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client, server := p.open()
 		server.send("M 1 ha")
@@ -65,11 +66,11 @@
 		}
 		return func() {
 			server.send("lf\r\n")
-			client.expect("lf\r\n")
-			client.expectFinal("MOVE")
+			client.expectLine("lf\r\n")
+			client.expectFinalLine("MOVE")
 		}
 	},
-	"unread lines of the client's": func(t *testing.T, p *program) func() {
+	"client's lines sent while the server's line is half relayed": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client, server := p.open()
 		server.send("M 1 half")
@@ -79,113 +80,115 @@
 		return func() {
 			client.send("M 1\r\nM 2\r\n")
 			server.send("\r\n")
-			client.expect("\r\n")
-			client.expectFinal("MOVE")
+			client.expectLine("\r\n")
+			client.expectFinalLine("MOVE")
 		}
 	},
-	"a client that returns at once": func(t *testing.T, p *program) func() {
+	"client that reconnects at once": func(t *testing.T, p *programProcess) func() {
 		t.Helper()
 		client, _ := p.open()
 		return func() {
-			client.expectFinal("MOVE")
-			for range 5 { // in the time in which the platform still sends some here
-				again := p.dial()
-				again.send(strings.Replace(p.line(), "\r\n", ",again=1\r\n", 1))
+			client.expectFinalLine("MOVE")
+			for range 5 { // the platform still routes some new connections here at this time
+				reconnected := p.dial()
+				reconnected.send(strings.Replace(p.openLine(), "\r\n", ",again=1\r\n", 1))
 				server := p.server.accept()
-				server.line()
+				server.readLine()
 				server.send("UP r\r\n")
-				again.expect("UP r\r\n")
-				defer again.expectFinal("MOVE")
+				reconnected.expectLine("UP r\r\n")
+				defer reconnected.expectFinalLine("MOVE")
 			}
 		}
 	},
 }
 
-// Where connections end at the gateway, SIGTERM in any state of a client ends in an answer, or in MOVE between two lines,
-// and in an orderly end. (How soon, the engine's tests say on a clock of their own.)
+// In proxy mode, connections end at the gateway. Whatever the state of a client at SIGTERM, it must get an answer, or MOVE
+// between two lines, and then an orderly close. (The engine's tests check the times on a simulated clock.)
 func TestStopCrossesClientsWhereConnectionsEndHere(t *testing.T) {
-	for name, play := range stopScenarios {
+	for name, setUp := range stopScenarios {
 		t.Run(name, func(t *testing.T) {
 			p := startProgram(t, programConfig{mode: "proxy"})
-			after := play(t, p)
+			check := setUp(t, p)
 			p.stop()
-			after()
+			check()
 			p.expectExit()
 		})
 	}
 }
 
-// Where packets pass through, what waits at a stop is answered in time all the same, and who rests too.
+// In pass mode, connections outlive the gateway. At a shutdown, pending requests must still be answered in time, as must a
+// client that completes its opening line after the shutdown has started.
 func TestStopCrossesClientsWherePacketsPass(t *testing.T) {
 	p := startProgram(t, programConfig{mode: "pass"})
 	open, _ := p.open()
-	hung, server := p.request()
-	half := p.dial()
-	half.send("OPEN 77 0a c=c,")
+	unanswered, server := p.request()
+	partial := p.dial()
+	partial.send("OPEN 77 0a c=c,")
 	p.stop()
-	half.send("d=60000\r\n")
+	partial.send("d=60000\r\n")
 	second := p.server.accept()
-	second.line()
+	second.readLine()
 	second.send("UP r\r\n")
-	half.expect("UP r\r\n")
-	hung.expectFinal("BUSY")
+	partial.expectLine("UP r\r\n")
+	unanswered.expectFinalLine("BUSY")
 	server.expectClosed()
 	open.close()
-	half.close()
+	partial.close()
 	p.expectExit()
 }
 
-// A request that waits for a connection that does not come up, or for a list, is answered at a stop; as is each in the
-// kernel's queue, when the signal comes first.
+// Guards against requests that a shutdown leaves unanswered: a request that waits for a connection which is never
+// established, one that waits for an endpoint list, and requests that are still in the kernel's accept queue when SIGTERM
+// arrives.
 func TestStopCrossesWhatIsNotUnderWay(t *testing.T) {
 	for _, mode := range modes {
 		t.Run(mode+", connecting", func(t *testing.T) {
-			p := startProgram(t, programConfig{mode: mode, addrs: []string{crowdedAddr(t)}})
+			p := startProgram(t, programConfig{mode: mode, addrs: []string{fullBacklogAddr(t)}})
 			client := p.dial()
-			client.send(p.line())
+			client.send(p.openLine())
 			p.stop()
-			client.expectFinal("BUSY")
+			client.expectFinalLine("BUSY")
 			p.expectExit()
 		})
-		t.Run(mode+", no list", func(t *testing.T) {
+		t.Run(mode+", no endpoint list", func(t *testing.T) {
 			p := startProgram(t, programConfig{mode: mode, withoutList: true})
 			client := p.dial()
-			client.send(p.line())
+			client.send(p.openLine())
 			p.stop()
-			client.expectFinal("BUSY")
+			client.expectFinalLine("BUSY")
 			p.expectExit()
 		})
 		t.Run(mode+", not accepted yet", func(t *testing.T) {
 			p := startProgram(t, programConfig{mode: mode, withoutList: true})
 			p.signal(syscall.SIGSTOP)
 			var clients []*testConn
-			for range 40 { // more than are accepted before the engine has seen some
+			for range 40 { // more than the gateway accepts before the engine has seen some of them
 				client := p.dial()
-				client.send(p.line())
+				client.send(p.openLine())
 				clients = append(clients, client)
 			}
 			p.signal(syscall.SIGTERM)
 			p.signal(syscall.SIGCONT)
 			for _, client := range clients {
-				client.expectFinal("BUSY")
+				client.expectFinalLine("BUSY")
 			}
 			p.expectExit()
 		})
 	}
 }
 
-// SIGHUP to another address and SIGTERM right behind it are both acted on, with discovery away too.
+// SIGHUP with another discovery address and SIGTERM right after it must both take effect, also if discovery is unavailable.
 func TestStopRightAfterAReload(t *testing.T) {
 	for _, withoutList := range []bool{false, true} {
-		t.Run(fmt.Sprint("without a list ", withoutList), func(t *testing.T) {
+		t.Run(fmt.Sprint("without a list: ", withoutList), func(t *testing.T) {
 			p := startProgram(t, programConfig{mode: "proxy", withoutList: withoutList})
 			other := newFakeDiscovery(t, "")
 			p.configure(other.addr)
 			p.signal(syscall.SIGHUP)
 			p.signal(syscall.SIGTERM)
 			p.expectLog(`msg="shutdown started"`)
-			rests := p.dial()
-			rests.expectFinal("BUSY")
+			idle := p.dial()
+			idle.expectFinalLine("BUSY")
 			p.expectExit()
 		})
 	}
--- a/gateway/descriptors_test.go
+++ b/gateway/descriptors_test.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// descriptors is how many the program holds.
-func (p *program) descriptors() int {
+// descriptorCount returns the number of descriptors that the program has open.
+func (p *programProcess) descriptorCount() int {
 	p.t.Helper()
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return len(all)
+	return len(entries)
 }
 
-// Idle clients by the hundred, many more than there are descriptors, while discovery tells nobody: the program keeps its
-// limit, who is closed is told BUSY, and once discovery is back it is asked, servers are reached and clients served.
+// Guards against idle clients that use up the descriptors. Hundreds of clients connect, many more than there are
+// descriptors, while discovery returns no list. The program must stay within its limit and answer BUSY to each client that
+// it closes. Once discovery is available again, the program must poll it, reach servers and serve clients.
 func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
 	const sockets, clients = 128, 400
 	p := startProgram(t, programConfig{mode: "pass", withoutList: true, sockets: sockets})
@@ -29,38 +30,39 @@
 	var idle []*testConn
 	for i := range clients {
 		idle = append(idle, p.dial())
-		if i%7 == 0 { // some do ask
-			idle[i].send(p.line())
+		if i%7 == 0 { // some clients send a request
+			idle[i].send(p.openLine())
 		}
-		most = max(most, p.descriptors())
+		most = max(most, p.descriptorCount())
 	}
 	for i, e := range idle {
 		if i%7 == 0 {
-			e.expectFinal("BUSY")
+			e.expectFinalLine("BUSY")
 		}
 	}
-	p.service.set(listOf(1, p.config.addrs...))
+	p.discovery.set(endpointListJSON(1, p.config.addrs...))
 	(&testGateway{t: t, addr: p.addr}).waitReady()
 	for range 10 {
 		client, server := p.open()
 		client.send("M 1\r\n")
-		server.expect("M 1\r\n")
-		most = max(most, p.descriptors())
+		server.expectLine("M 1\r\n")
+		most = max(most, p.descriptorCount())
 	}
 	if most > sockets {
-		t.Errorf("%d descriptors, %d are allowed", most, sockets)
+		t.Errorf("got up to %d open descriptors, want at most %d", most, sockets)
 	}
 	for i, e := range idle {
 		if i%7 != 0 {
-			e.expectFinal("BUSY")
+			e.expectFinalLine("BUSY")
 		}
 	}
 }
 
-// A flood of clients that come and go at once, some with much that nobody asked for, leaves nothing behind.
+// Guards against descriptors that leak when many clients connect and disconnect at once: some send invalid data, some reset
+// the connection under a request, and some send only the beginning of a line.
 func TestAFloodLeavesNothingBehind(t *testing.T) {
 	p := startProgram(t, programConfig{mode: "pass", sockets: 128})
-	before := p.descriptors()
+	before := p.descriptorCount()
 	junk := make([]byte, 64<<10)
 	for i := range 600 {
 		c, err := net.Dial("tcp", p.addr)
@@ -69,9 +71,9 @@
 		}
 		switch i % 4 {
 		case 0:
-			_, _ = c.Write(junk) // it may be cut off
+			_, _ = c.Write(junk) // the program may close the connection meanwhile
 		case 1:
-			_, _ = c.Write([]byte(p.line()))
+			_, _ = c.Write([]byte(p.openLine()))
 			if err := c.(*net.TCPConn).SetLinger(0); err != nil {
 				t.Fatal(err)
 			}
@@ -80,29 +82,28 @@
 		}
 		closeAll(t, c)
 	}
-	client, line := p.dial(), p.line()
+	client, line := p.dial(), p.openLine()
 	client.send(line)
 	server := p.server.accept()
-	for { // attempts for clients that left at once may have come up before
+	for { // attempts for clients that left may have been made before
 		if got, _ := server.r.ReadString('\n'); strings.HasPrefix(got, line[:10]) {
 			break
 		}
 		server = p.server.accept()
 	}
 	server.send("UP r\r\n")
-	client.expect("UP r\r\n")
+	client.expectLine("UP r\r\n")
 	client.close()
 	server.expectClosed()
-	for end := time.Now().Add(testTimeout); p.descriptors() > before+2; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); p.descriptorCount() > before+2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d descriptors are left of %d", p.descriptors(), before)
+			t.Fatalf("got %d open descriptors after the flood, want at most 2 more than %d", p.descriptorCount(), before)
 		}
 	}
 }
 
-// sampleDescriptors counts the program's descriptors without a pause, until the function that it returns is called, which
-// returns the highest count.
-func (p *program) sampleDescriptors() (stop func() int) {
+// sampleDescriptors counts the program's descriptors continuously until stop is called, which returns the highest count.
+func (p *programProcess) sampleDescriptors() (stop func() int) {
 	directory := fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)
 	done, highest := make(chan struct{}), make(chan int)
 	go func() {
@@ -114,9 +115,9 @@
 				return
 			default:
 			}
-			all, err := os.ReadDir(directory)
-			if err == nil { // else the program has ended
-				most = max(most, len(all))
+			entries, err := os.ReadDir(directory)
+			if err == nil { // an error means that the program has ended
+				most = max(most, len(entries))
 			}
 		}
 	}()
@@ -126,8 +127,8 @@
 	}
 }
 
-// dialWhileStopped has clients connect while the program is off the processor.
-func (p *program) dialWhileStopped(clients int) {
+// dialWhileStopped connects clients while the program is suspended by SIGSTOP.
+func (p *programProcess) dialWhileStopped(clients int) {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
 	for i := range clients {
@@ -139,8 +140,8 @@
 	p.signal(syscall.SIGCONT)
 }
 
-// Guards against descriptors over the limit, at which neither servers nor discovery can be dialed: hundreds of clients
-// connect while the program is off the processor, as on a busy machine, again and again, and amid its shutdown.
+// Guards against more open descriptors than the limit, at which neither servers nor discovery can be dialed. Bursts of
+// hundreds of clients connect while the program does not run, as happens on a busy machine, also during its shutdown.
 func TestBurstsKeepTheDescriptorLimit(t *testing.T) {
 	const sockets, clients, bursts = 128, 300, 4
 	for _, mode := range []string{"pass", "proxy"} {
@@ -151,15 +152,15 @@
 				p.dialWhileStopped(clients)
 				client, server := p.open()
 				client.send("M 1\r\n")
-				server.expect("M 1\r\n")
+				server.expectLine("M 1\r\n")
 			}
 			p.stop()
 			p.dialWhileStopped(clients)
 			p.expectExit()
 			highest := stop()
-			t.Logf("%d descriptors were open at most, %d are allowed", highest, sockets)
+			t.Logf("got up to %d open descriptors, want at most %d", highest, sockets)
 			if highest > sockets {
-				t.Error("descriptors over the limit")
+				t.Error("more descriptors were open than the limit allows")
 			}
 		})
 	}
--- a/gateway/discovery_test.go
+++ b/gateway/discovery_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// fakeDiscovery serves one endpoint list, or fails, as the test sets it.
+// fakeDiscovery is a discovery server whose endpoint list the test sets. Without a list it answers 503.
 type fakeDiscovery struct {
 	*http.Server
 	t     *testing.T
@@ -22,7 +22,7 @@
 
 	mu      sync.Mutex
 	list    string
-	changed chan struct{} // closed at each change
+	changed chan struct{} // closed and replaced when list changes
 }
 
 func newFakeDiscovery(t *testing.T, list string) *fakeDiscovery {
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	s := &fakeDiscovery{t: t, addr: l.Addr().String(), list: list, changed: make(chan struct{})}
-	s.Server = &http.Server{Handler: http.HandlerFunc(s.answer)}
+	s.Server = &http.Server{Handler: http.HandlerFunc(s.serveList)}
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(l) }()
 	t.Cleanup(func() {
@@ -46,7 +46,7 @@
 	return s
 }
 
-func (s *fakeDiscovery) answer(w http.ResponseWriter, r *http.Request) {
+func (s *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	s.mu.Lock()
 	changed := s.changed
@@ -64,7 +64,7 @@
 		http.Error(w, "too many callers", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, s.list) // the gateway may have gone
+	_, _ = io.WriteString(w, s.list) // the gateway may have disconnected
 }
 
 func (s *fakeDiscovery) version() string {
@@ -88,8 +88,8 @@
 	s.changed = make(chan struct{})
 }
 
-// listOf is a whole list of servers in service.
-func listOf(version int, addrs ...string) string {
+// endpointListJSON returns a full endpoint list of servers that are in service.
+func endpointListJSON(version int, addrs ...string) string {
 	var b strings.Builder
 	for i, a := range addrs {
 		if i > 0 {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -17,15 +17,15 @@
 	"example.org/milletvane/gateway"
 )
 
-// testGateway runs a gateway in front of one scripted server, on a port that the kernel picks.
+// testGateway is a gateway that runs in the test's process in front of one scripted server, on a port that the kernel picks.
 type testGateway struct {
-	t      *testing.T
-	addr   string
-	server *scriptedServer
-	stop   context.CancelFunc
-	done   chan error
-	calls  atomic.Int32
-	opens  atomic.Int32
+	t              *testing.T
+	addr           string
+	server         *scriptedServer
+	stop           context.CancelFunc
+	done           chan error
+	discoveryCalls atomic.Int32
+	opens          atomic.Int32
 }
 
 func startGateway(t *testing.T, mode string) *testGateway {
@@ -34,18 +34,18 @@
 	h := &testGateway{t: t, server: newScriptedServer(t), done: make(chan error, 1)}
 	list := fmt.Sprintf(`{"version":1,"full":true,"servers":[{"id":"s-00000001","addr":%q,"state":"in_service","weight":1}]}`,
 		h.server.l.Addr())
-	quit := make(chan struct{})
-	disco := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if h.calls.Add(1) > 1 { // nothing is new
+	stopDiscovery := make(chan struct{})
+	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if h.discoveryCalls.Add(1) > 1 { // the list has not changed
 			select {
-			case <-quit:
+			case <-stopDiscovery:
 			case <-r.Context().Done():
 			}
 		}
-		_, _ = io.WriteString(w, list) // the gateway may have gone
+		_, _ = io.WriteString(w, list) // the gateway may have disconnected
 	}))
-	t.Cleanup(disco.Close)
-	t.Cleanup(func() { close(quit) })
+	t.Cleanup(discoveryServer.Close)
+	t.Cleanup(func() { close(stopDiscovery) })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	text := fmt.Sprintf(`{"listen":%q,"discovery":%q,"settings":{"caps":{"max_attempts":2,"retry_after":true,
 	 "max_retry_after_ns":1000000000},"discovery":"ask","family_info":{"mode":%q},
 	 "classes":[{"name":"c","effect":"idempotent","group":"all","give_up_ns":100000000,"slo_ns":90000000000}]}}`,
-		h.addr, strings.TrimPrefix(disco.URL, "http://"), mode)
+		h.addr, strings.TrimPrefix(discoveryServer.URL, "http://"), mode)
 	c, err := config.Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	return h
 }
 
-// waitReady waits until PING is answered with PONG, which says that requests can be served.
+// waitReady waits until the gateway answers PING with PONG, which means that it can serve requests.
 func (h *testGateway) waitReady() {
 	for until := time.Now().Add(testTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", h.addr)
@@ -91,13 +91,13 @@
 		}
 		e := newTestConn(h.t, c)
 		e.send("PING\r\n")
-		answer := e.line()
+		answer := e.readLine()
 		e.close()
 		if answer == "PONG\r\n" {
 			return
 		}
 	}
-	h.t.Fatal("never ready")
+	h.t.Fatal("the gateway did not become ready")
 }
 
 func (h *testGateway) dial() *testConn {
@@ -109,55 +109,55 @@
 	return newTestConn(h.t, c)
 }
 
-// open sets a connection up through the gateway.
+// open establishes a connection through the gateway and returns both ends.
 func (h *testGateway) open() (client, server *testConn) {
 	h.t.Helper()
 	client = h.dial()
 	client.send(fmt.Sprintf("OPEN 1%d 0a c=c,d=60000,x=1\r\n", h.opens.Add(1)))
 	server = h.server.accept()
-	server.line()
+	server.readLine()
 	server.send("UP r1\r\n")
-	client.expect("UP r1\r\n")
+	client.expectLine("UP r1\r\n")
 	return client, server
 }
 
-func TestLinesPassBothWaysAndTheEndFollows(t *testing.T) {
+func TestLinesAndOrderlyCloseAreRelayed(t *testing.T) {
 	h := startGateway(t, "pass")
 	client, server := h.open()
 	client.send("M 1\r\nM 2\r\n")
-	server.expect("M 1\r\n")
-	server.expect("M 2\r\n")
+	server.expectLine("M 1\r\n")
+	server.expectLine("M 2\r\n")
 	server.send("M 1 a\r\nLOAD 5\r\nBYE\r\n")
 	server.close()
-	client.expect("M 1 a\r\n")
-	client.expect("LOAD 5\r\n")
-	client.expect("BYE\r\n")
-	if err := client.closeError(); err != nil {
-		t.Errorf("an orderly end came as %v", err)
+	client.expectLine("M 1 a\r\n")
+	client.expectLine("LOAD 5\r\n")
+	client.expectLine("BYE\r\n")
+	if err := client.awaitClose(); err != nil {
+		t.Errorf("the client's connection closed with %v, want an orderly close", err)
 	}
 }
 
-// A reset is passed on as a reset, from either side.
-func TestResetsPassAsResets(t *testing.T) {
+// A reset by either side must reach the other side as a reset, and an orderly close as an orderly close.
+func TestResetsAreRelayedAsResets(t *testing.T) {
 	h := startGateway(t, "pass")
 	client, server := h.open()
 	server.reset()
-	if client.closeError() == nil {
-		t.Error("the client saw an orderly end")
+	if client.awaitClose() == nil {
+		t.Error("the client's connection closed in order, want a reset")
 	}
 	client, server = h.open()
 	client.reset()
-	if server.closeError() == nil {
-		t.Error("the server saw an orderly end")
+	if server.awaitClose() == nil {
+		t.Error("the server's connection closed in order, want a reset")
 	}
 	client, server = h.open()
 	client.close()
-	if err := server.closeError(); err != nil {
-		t.Errorf("the server saw %v", err)
+	if err := server.awaitClose(); err != nil {
+		t.Errorf("the server's connection closed with %v, want an orderly close", err)
 	}
 }
 
-// Lines may come in any pieces, and the first is passed on but for d.
+// Lines may arrive in pieces of any size. The opening line must be relayed unchanged except for the value of d.
 func TestSplitLines(t *testing.T) {
 	h := startGateway(t, "pass")
 	client := h.dial()
@@ -165,19 +165,19 @@
 		client.send(piece)
 	}
 	server := h.server.accept()
-	got := server.line()
+	got := server.readLine()
 	if !strings.HasPrefix(got, "OPEN 02 0a c=c,d=") || !strings.HasSuffix(got, ",z=9\r\n") {
-		t.Errorf("passed on as %q", got)
+		t.Errorf("the server got %q, want the opening line with another value of d", got)
 	}
 	server.send("U")
 	server.send("P r2\r\nM 0")
-	client.expect("UP r2\r\n")
+	client.expectLine("UP r2\r\n")
 	client.send("M 1\r\nM")
-	server.expect("M 1\r\n")
+	server.expectLine("M 1\r\n")
 	client.send(" 2\r\n")
-	server.expect("M 2\r\n")
+	server.expectLine("M 2\r\n")
 	server.send("\r\n")
-	client.expect("M 0\r\n")
+	client.expectLine("M 0\r\n")
 }
 
 func TestInvalidFirstLinesAreAnsweredERR(t *testing.T) {
@@ -189,26 +189,27 @@
 	} {
 		client := h.dial()
 		client.send(line)
-		client.expect("ERR\r\n")
-		if client.closeError() != nil {
-			t.Logf("%.20q: what was not read made the end a reset", line)
+		client.expectLine("ERR\r\n")
+		if client.awaitClose() != nil {
+			t.Logf("%.20q: the connection was reset, because not all of the line had been read", line)
 		}
 	}
 }
 
-// A client that does not wait for UP is no client: its attempt is closed before any server has served it.
-func TestMoreBeforeUpEndsTheRequest(t *testing.T) {
+// A client that sends a line before it has received UP violates the protocol: it must get ERR, and its attempt must be
+// closed.
+func TestLineBeforeUPEndsTheRequest(t *testing.T) {
 	h := startGateway(t, "pass")
 	client := h.dial()
 	client.send("OPEN 04 0a c=c,d=60000\r\n")
 	server := h.server.accept()
-	server.line()
+	server.readLine()
 	client.send("OPEN 05 0a c=c,d=60000\r\n")
-	client.expect("ERR\r\n")
+	client.expectLine("ERR\r\n")
 	server.expectClosed()
 }
 
-// Each taken request has one answer, whatever its server does with the attempts that the rules make.
+// Each request must get exactly one answer, whatever the server answers to its attempts.
 func TestEachRequestHasOneAnswer(t *testing.T) {
 	h := startGateway(t, "pass")
 	for _, answer := range []string{
@@ -225,37 +226,37 @@
 		for got := ""; got == ""; {
 			select {
 			case server := <-h.server.conns:
-				_, _ = server.r.ReadString('\n') // an attempt may have been cancelled
+				_, _ = server.r.ReadString('\n') // the attempt may have been cancelled
 				server.trySend(answer)
 				server.close()
 			case got = <-answered:
 				if !strings.HasPrefix(got, "BUSY ") {
-					t.Fatalf("after %.20q answered %q", answer, got)
+					t.Fatalf("the server sent %.20q: the client got %q, want BUSY", answer, got)
 				}
 			}
 		}
-		if err := client.closeError(); err != nil {
-			t.Errorf("after %.20q ended with %v", answer, err)
+		if err := client.awaitClose(); err != nil {
+			t.Errorf("the server sent %.20q: the client's connection closed with %v, want an orderly close", answer, err)
 		}
 	}
 }
 
-// Where connections end at the gateway a planned stop moves each, between two lines.
-func TestStopMovesBetweenLines(t *testing.T) {
+// In proxy mode, a shutdown must send MOVE to each client between two lines, not within one.
+func TestShutdownMovesClientsBetweenLines(t *testing.T) {
 	h := startGateway(t, "proxy")
 	client, server := h.open()
 	server.send("half")
 	if b := make([]byte, 4); func() error { _, err := io.ReadFull(client.r, b); return err }() != nil {
-		t.Fatal("the half line did not come")
+		t.Fatal("the first half of the line did not arrive")
 	}
 	whole, _ := h.open()
 	h.stop()
-	whole.expect("MOVE\r\n")
+	whole.expectLine("MOVE\r\n")
 	server.send(" and half\r\n")
-	client.expect(" and half\r\n")
-	client.expect("MOVE\r\n")
-	if err := client.closeError(); err != nil {
-		t.Errorf("ended with %v", err)
+	client.expectLine(" and half\r\n")
+	client.expectLine("MOVE\r\n")
+	if err := client.awaitClose(); err != nil {
+		t.Errorf("the client's connection closed with %v, want an orderly close", err)
 	}
 	server.expectClosed()
 }
--- a/gateway/hotrestart_test.go
+++ b/gateway/hotrestart_test.go
@@ -25,25 +25,26 @@
 	"example.org/milletvane/internal/hotrestart"
 )
 
-// platform holds the clients' listening socket and starts processes of one gateway on it.
-type platform struct {
+// processManager owns the clients' listening socket and starts successive processes of one gateway, which inherit it. The
+// "processes" are gateways within the test's process.
+type processManager struct {
 	t        *testing.T
 	listener *net.TCPListener
 	server   *scriptedServer
 	catalog  *fakeserver.Catalog
-	temp     string
+	tempDir  string
 	opens    int
 }
 
-// process is one of them.
-type process struct {
+// gatewayProcess is one of the processes that a processManager starts.
+type gatewayProcess struct {
 	admin    string
 	stateDir string
 	stop     context.CancelFunc
 	done     chan error
 }
 
-func newPlatform(t *testing.T) *platform {
+func newPlatform(t *testing.T) *processManager {
 	t.Helper()
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,19 +52,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeAll(t, l) })
-	p := &platform{t: t, listener: l.(*net.TCPListener), server: newScriptedServer(t), temp: t.TempDir()}
-	if p.catalog, err = fakeserver.NewCatalog(p.node(fakeserver.StateInService)); err != nil {
+	p := &processManager{t: t, listener: l.(*net.TCPListener), server: newScriptedServer(t), tempDir: t.TempDir()}
+	if p.catalog, err = fakeserver.NewCatalog(p.endpoint(fakeserver.StateInService)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.catalog.Close)
 	return p
 }
 
-func (p *platform) node(state string) fakeserver.Endpoint {
+func (p *processManager) endpoint(state string) fakeserver.Endpoint {
 	return fakeserver.Endpoint{ID: "s-00000001", Addr: p.server.l.Addr().String(), State: state, Weight: 1}
 }
 
-// control calls do with a listener's descriptor.
+// control calls do with the descriptor of a listener.
 func control(t *testing.T, l *net.TCPListener, do func(fd int) error) {
 	t.Helper()
 	raw, err := l.SyscallConn()
@@ -89,17 +90,17 @@
 	return duplicated
 }
 
-func (p *platform) start() *process {
+func (p *processManager) start() *gatewayProcess {
 	p.t.Helper()
 	return p.startWithList("null")
 }
 
-// startWithList starts a process whose configuration has an endpoint list, as JSON.
-func (p *platform) startWithList(known string) *process {
+// startWithList starts a process whose configuration holds an endpoint list, given as JSON.
+func (p *processManager) startWithList(known string) *gatewayProcess {
 	p.t.Helper()
 	fd := duplicate(p.t, p.listener)
-	r := &process{admin: freeAddr(p.t), done: make(chan error, 1)}
-	env := map[string]string{config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: p.temp, config.EnvAdmin: r.admin}
+	r := &gatewayProcess{admin: reserveAddr(p.t), done: make(chan error, 1)}
+	env := map[string]string{config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: p.tempDir, config.EnvAdmin: r.admin}
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"known":%s,"settings":{"caps":{"max_attempts":2,"retry_after":true,
 	 "max_retry_after_ns":1000000000},"discovery":"ask","family_info":{"mode":"pass"},
 	 "classes":[{"name":"c","effect":"idempotent","group":"all","give_up_ns":100000000,"slo_ns":90000000000}]}}`,
@@ -127,20 +128,20 @@
 			p.t.Error("the process did not stop")
 		}
 	})
-	p.eventually("ready", func() bool { status, _ := r.call(http.MethodGet, "/-/ready"); return status == 200 })
+	p.eventually("the process is ready", func() bool { status, _ := r.request(http.MethodGet, "/-/ready"); return status == 200 })
 	return r
 }
 
-func (p *platform) eventually(what string, ok func() bool) {
+func (p *processManager) eventually(what string, ok func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatal("never " + what)
+			p.t.Fatal("timed out waiting for the condition: " + what)
 		}
 	}
 }
 
-func (r *process) call(method, path string) (status int, body string) {
+func (r *gatewayProcess) request(method, path string) (status int, body string) {
 	q, err := http.NewRequest(method, "http://"+r.admin+path, nil)
 	if err != nil {
 		return 0, ""
@@ -154,10 +155,10 @@
 	return a.StatusCode, string(b)
 }
 
-// succeeded is the figure of served requests of the class; -1: it could not be read.
-func (r *process) succeeded() int {
-	_, figures := r.call(http.MethodGet, "/-/metrics")
-	_, rest, found := strings.Cut(figures, "succeeded.c:")
+// succeededCount returns the metric of succeeded requests of the class, or -1 if it cannot be read.
+func (r *gatewayProcess) succeededCount() int {
+	_, metricsPage := r.request(http.MethodGet, "/-/metrics")
+	_, rest, found := strings.Cut(metricsPage, "succeeded.c:")
 	digits, _, _ := strings.Cut(rest, "|")
 	n, err := strconv.Atoi(digits)
 	if !found || err != nil {
@@ -166,7 +167,7 @@
 	return n
 }
 
-func (p *platform) dial() *testConn {
+func (p *processManager) dial() *testConn {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.listener.Addr().String())
 	if err != nil {
@@ -175,109 +176,110 @@
 	return newTestConn(p.t, c)
 }
 
-func (p *platform) opening() string {
+func (p *processManager) openLine() string {
 	p.opens++
 	return fmt.Sprintf("OPEN 2%d 0a c=c,d=60000\r\n", p.opens)
 }
 
-func (p *platform) serve(client *testConn) {
+func (p *processManager) serve(client *testConn) {
 	p.t.Helper()
 	server := p.server.accept()
-	server.line()
+	server.readLine()
 	server.send("UP r\r\n")
-	client.expect("UP r\r\n")
+	client.expectLine("UP r\r\n")
 }
 
-// While one process follows another every connection that comes is served, those included that the old one holds half
-// read; what the old one accepted it keeps.
+// Guards against connections that a hot restart loses. Every new connection must be served, and the old process must keep
+// and serve those that it has accepted, including the ones whose opening line it has read only in part.
 func TestNoConnectionIsLostInAHotRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.start()
-	var half []*testConn
+	var partial []*testConn
 	for range 4 {
-		half = append(half, p.dial())
-		half[len(half)-1].send("OPEN 9" + strconv.Itoa(len(half)) + " 0a c=c,")
+		partial = append(partial, p.dial())
+		partial[len(partial)-1].send("OPEN 9" + strconv.Itoa(len(partial)) + " 0a c=c,")
 	}
 	next := p.start()
 	for i := range 40 {
 		if i == 20 {
 			old.stop()
-			p.eventually("closed to operators", func() bool { status, _ := old.call(http.MethodGet, "/-/ready"); return status != 200 })
+			p.eventually("the old process is not ready", func() bool { status, _ := old.request(http.MethodGet, "/-/ready"); return status != 200 })
 		}
 		client := p.dial()
-		client.send(p.opening())
+		client.send(p.openLine())
 		p.serve(client)
 		client.close()
 	}
-	for _, client := range half {
+	for _, client := range partial {
 		client.send("d=60000\r\n")
 		p.serve(client)
 	}
-	if status, _ := next.call(http.MethodGet, "/-/ready"); status != 200 {
-		t.Errorf("the new process says %d", status)
+	if status, _ := next.request(http.MethodGet, "/-/ready"); status != 200 {
+		t.Errorf("the new process answers /-/ready with %d, want 200", status)
 	}
-	flags := 0
+	listens := 0
 	control(t, p.listener, func(fd int) (err error) {
-		flags, err = unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
+		listens, err = unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 		return err
 	})
-	if flags == 0 {
-		t.Error("the platform's socket no longer listens")
+	if listens == 0 {
+		t.Error("the shared socket no longer listens")
 	}
 }
 
-// A ban holds across an upgrade, and may be lifted at the process that was not given it.
+// Maintenance mode must survive a hot restart, and either process must be able to end it.
 func TestMaintenanceHoldsAcrossAHotRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.start()
-	if status, _ := old.call(http.MethodPost, "/-/servers/s-00000002/disable"); status != 404 {
-		t.Errorf("an id that was never listed: %d", status)
+	if status, _ := old.request(http.MethodPost, "/-/servers/s-00000002/disable"); status != 404 {
+		t.Errorf("disable of a server that was never listed: status %d, want 404", status)
 	}
-	if status, _ := old.call(http.MethodPost, "/-/servers/s-00000001/disable"); status != 200 {
-		t.Fatalf("taken out with %d", status)
+	if status, _ := old.request(http.MethodPost, "/-/servers/s-00000001/disable"); status != 200 {
+		t.Fatalf("disable: status %d, want 200", status)
 	}
-	if left, _ := filepath.Glob(filepath.Join(p.temp, "*", "out-*")); len(left) != 1 {
-		t.Fatalf("files of bans: %v", left)
+	if files, _ := filepath.Glob(filepath.Join(p.tempDir, "*", "out-*")); len(files) != 1 {
+		t.Fatalf("got the maintenance files %v, want one", files)
 	}
 	next := p.start()
 	for range 4 {
 		client := p.dial()
-		client.send(p.opening())
-		if answer := client.line(); !strings.HasPrefix(answer, "BUSY") {
-			t.Fatalf("answered %q while the only server is out", answer)
+		client.send(p.openLine())
+		if answer := client.readLine(); !strings.HasPrefix(answer, "BUSY") {
+			t.Fatalf("got the answer %q while the only server is in maintenance mode, want BUSY", answer)
 		}
 	}
-	for _, r := range []*process{old, next} {
-		if _, figures := r.call(http.MethodGet, "/-/metrics"); !strings.Contains(figures, "edge_proxy.ejected:1|g") {
-			t.Errorf("figures: %s", figures)
+	for _, r := range []*gatewayProcess{old, next} {
+		if _, metricsPage := r.request(http.MethodGet, "/-/metrics"); !strings.Contains(metricsPage, "edge_proxy.ejected:1|g") {
+			t.Errorf("got the metrics page\n%s\nwant one ejected server", metricsPage)
 		}
 	}
-	if status, _ := next.call(http.MethodPost, "/-/servers/s-00000001/enable"); status != 200 {
-		t.Fatalf("put back with %d", status)
+	if status, _ := next.request(http.MethodPost, "/-/servers/s-00000001/enable"); status != 200 {
+		t.Fatalf("enable: status %d, want 200", status)
 	}
-	p.eventually("back at both", func() bool {
-		_, figures := old.call(http.MethodGet, "/-/metrics")
-		return strings.Contains(figures, "edge_proxy.ejected:0|g")
+	p.eventually("the server is back in service at the old process", func() bool {
+		_, metricsPage := old.request(http.MethodGet, "/-/metrics")
+		return strings.Contains(metricsPage, "edge_proxy.ejected:0|g")
 	})
 }
 
-// A descriptor that is no listening socket of ours ends the start with a word of which key is at fault.
-func TestInheritedSocketThatIsNoListenerOfOurs(t *testing.T) {
+// If the inherited descriptor is not a socket that listens at the configured address, Run must fail with an error that names
+// the environment variable.
+func TestInvalidInheritedSocketFailsTheStart(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeAll(t, l)
-	other := duplicate(t, l.(*net.TCPListener))
+	otherListener := duplicate(t, l.(*net.TCPListener))
 	defer func() {
-		if err := unix.Close(other); err != nil {
+		if err := unix.Close(otherListener); err != nil {
 			t.Error(err)
 		}
 	}()
-	for name, fd := range map[string]int{"closed": 1 << 15, "another address": other} {
+	for name, fd := range map[string]int{"closed": 1 << 15, "another address": otherListener} {
 		env := map[string]string{
 			config.EnvInheritedSocket: strconv.Itoa(fd), config.EnvTempDir: t.TempDir(),
-			config.EnvListen: freeAddr(t), config.EnvDiscovery: "127.0.0.1:1",
+			config.EnvListen: reserveAddr(t), config.EnvDiscovery: "127.0.0.1:1",
 		}
 		c, err := config.Parse(nil, func(k string) string { return env[k] })
 		if err != nil {
@@ -288,39 +290,39 @@
 			t.Fatal(err)
 		}
 		if err := g.Run(context.Background()); err == nil || !strings.Contains(err.Error(), config.EnvInheritedSocket) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: Run returned %v, want an error that names the environment variable", name, err)
 		}
 	}
 }
 
-// A process that is told to stop before another serves goes on taking what comes.
+// A process that is told to stop before its successor serves must keep accepting new connections until then.
 func TestStopBeforeTheSuccessorServes(t *testing.T) {
 	p := newPlatform(t)
 	old := p.start()
-	held := p.dial()
-	held.send(p.opening())
-	p.serve(held) // or the stop would be over at once
+	open := p.dial()
+	open.send(p.openLine())
+	p.serve(open) // keeps the process from ending at once
 	old.stop()
-	p.eventually("stopping", func() bool { status, _ := old.call(http.MethodGet, "/-/ready"); return status == 503 })
+	p.eventually("the old process is stopping", func() bool { status, _ := old.request(http.MethodGet, "/-/ready"); return status == 503 })
 	for range 10 {
 		client := p.dial()
-		client.send(p.opening())
+		client.send(p.openLine())
 		p.serve(client)
 		client.close()
 	}
 	next := p.start()
-	p.eventually("left to the next", func() bool {
+	p.eventually("the successor serves new connections", func() bool {
 		client := p.dial()
-		client.send(p.opening())
+		client.send(p.openLine())
 		p.serve(client)
 		client.close()
-		return next.succeeded() >= 5
+		return next.succeededCount() >= 5
 	})
-	held.close() // the stop waits for it
+	open.close() // the old process waits for it before it ends
 }
 
-// Guards against a successor that goes by an older list of its configuration, though the process before it has written a newer
-// one: while discovery is away, it would send new requests to a server that has drained.
+// Guards against a successor that uses the older endpoint list of its configuration, though its predecessor has written a
+// newer one: while discovery is unavailable, it would send new requests to a server that has drained.
 func TestSuccessorGoesByThePredecessorsNewerList(t *testing.T) {
 	p := newPlatform(t)
 	older, err := json.Marshal(discovery.EndpointList{Version: 1, Complete: true, Endpoints: []discovery.Endpoint{
@@ -330,18 +332,18 @@
 		t.Fatal(err)
 	}
 	old := p.startWithList(string(older))
-	p.catalog.SetEndpoint(p.node(fakeserver.StateTerminating))
-	p.eventually("known to the first process", p.catalog.IsListKnown)
-	p.eventually("written for the next process", func() bool {
+	p.catalog.SetEndpoint(p.endpoint(fakeserver.StateTerminating))
+	p.eventually("the first process has the new list", p.catalog.IsListKnown)
+	p.eventually("the first process has written the new list for its successor", func() bool {
 		reader := hotrestart.NewStateDir(old.stateDir, hotrestart.Process{StartedAt: math.MaxInt64}, slog.New(slog.DiscardHandler))
 		snapshot, ok := reader.ReadPredecessor(time.Now())
 		return ok && snapshot.State.Servers[0].State == balancer.Draining && snapshot.State.Version == 2
 	})
 	p.catalog.Close()
 	p.startWithList(string(older))
-	for range 12 { // each process takes some
+	for range 12 { // enough for each process to accept some
 		client := p.dial()
-		client.send(p.opening())
-		client.expectFinal("BUSY")
+		client.send(p.openLine())
+		client.expectFinalLine("BUSY")
 	}
 }
--- a/gateway/nats_benchmark_test.go
+++ b/gateway/nats_benchmark_test.go
@@ -16,7 +16,7 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// BenchmarkNATSRelay is a round trip of one message by way of the gateway; nothing in it allocates.
+// BenchmarkNATSRelay measures the round trip of one message through the gateway. The benchmark's client does not allocate.
 func BenchmarkNATSRelay(b *testing.B) {
 	server, err := fakeserver.NewNATSEcho()
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// startBenchmarkGateway runs a gateway in front of one node and returns its address for NATS clients.
+// startBenchmarkGateway runs a gateway in front of one node and returns the gateway's address for NATS clients.
 func startBenchmarkGateway(b *testing.B, node string) string {
 	b.Helper()
 	catalog, err := fakeserver.NewCatalog(
@@ -78,7 +78,7 @@
 	return addr
 }
 
-// releasedAddr is an address that was free just now.
+// releasedAddr returns an address whose port the kernel has just picked and that has been released again.
 func releasedAddr(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,7 +89,7 @@
 	return l.Addr().String()
 }
 
-// dialEcho connects a subscriber, again until the gateway has its endpoint list.
+// dialEcho connects a subscriber. It retries until the gateway has its endpoint list.
 func dialEcho(b *testing.B, addr string, buf []byte) net.Conn {
 	b.Helper()
 	for {
--- a/gateway/nats_fleet_test.go
+++ b/gateway/nats_fleet_test.go
@@ -19,7 +19,7 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// fleet is a gateway in front of stand-in NATS nodes.
+// fleet is a gateway in front of fake NATS nodes.
 type fleet struct {
 	t       *testing.T
 	cluster *fakeserver.NATSCluster
@@ -55,16 +55,16 @@
 		}
 		t.Cleanup(n.Close)
 		f.nodes = append(f.nodes, n)
-		list = append(list, f.entry(i, fakeserver.StateInService))
+		list = append(list, f.endpoint(i, fakeserver.StateInService))
 	}
 	var err error
 	if f.catalog, err = fakeserver.NewCatalog(list...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.catalog.Close)
-	f.addr = freeAddr(t)
+	f.addr = reserveAddr(t)
 	c, err := config.Parse([]byte(fmt.Sprintf(`{"name":"g1","listen":%q,"discovery":%q,"settings":%s}`,
-		freeAddr(t), f.catalog.Addr(), natsSettings)), func(string) string { return "" })
+		reserveAddr(t), f.catalog.Addr(), natsSettings)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	return f
 }
 
-func freeAddr(t *testing.T) string {
+func reserveAddr(t *testing.T) string {
 	t.Helper()
 	addr, release, err := fakeserver.ReserveAddress()
 	if err != nil {
@@ -108,17 +108,17 @@
 	return addr
 }
 
-func (f *fleet) entry(i int, state string) fakeserver.Endpoint {
+func (f *fleet) endpoint(i int, state string) fakeserver.Endpoint {
 	return fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: f.nodes[i].Addr(), State: state, Weight: 1}
 }
 
-// drain has the list and, with tell, the node itself say that a node drains.
-func (f *fleet) drain(i int, tell bool) {
-	f.nodes[i].Drain(tell)
-	f.catalog.SetEndpoint(f.entry(i, fakeserver.StateTerminating))
+// drain marks a node as draining in the endpoint list. With announce, the node also notifies its clients.
+func (f *fleet) drain(i int, announce bool) {
+	f.nodes[i].Drain(announce)
+	f.catalog.SetEndpoint(f.endpoint(i, fakeserver.StateTerminating))
 }
 
-// connect returns a client that does not come again by itself.
+// connect returns a connected client that does not reconnect by itself. It retries until the gateway accepts the client.
 func (f *fleet) connect(o ...nats.Option) *nats.Conn {
 	f.t.Helper()
 	var err error
@@ -133,33 +133,33 @@
 	return nil
 }
 
-// holder is the node that holds the only session.
-func (f *fleet) holder() int {
+// sessionNode returns the index of the node that holds the only session.
+func (f *fleet) sessionNode() int {
 	f.t.Helper()
 	for i, n := range f.nodes {
 		if n.ConnectionCount() > 0 {
 			return i
 		}
 	}
-	f.t.Fatal("no node holds it")
+	f.t.Fatal("no node holds a session")
 	return 0
 }
 
-// sessions is the number of connections of sessions at all nodes.
-func (f *fleet) sessions() (count int) {
+// sessionCount returns the number of sessions' connections at all nodes.
+func (f *fleet) sessionCount() (count int) {
 	for _, n := range f.nodes {
 		count += n.ConnectionCount()
 	}
 	return count
 }
 
-func (f *fleet) eachNode(do func(*fakeserver.NATSNode)) {
+func (f *fleet) forEachNode(do func(*fakeserver.NATSNode)) {
 	for _, n := range f.nodes {
 		do(n)
 	}
 }
 
-// sendConnect has a client connect and send its CONNECT, without waiting for an answer.
+// sendConnect connects a client that sends CONNECT, SUB and PING. It does not wait for an answer.
 func (f *fleet) sendConnect() {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.addr)
@@ -167,7 +167,7 @@
 		f.t.Fatal(err)
 	}
 	e := newTestConn(f.t, c)
-	e.line() // INFO
+	e.readLine() // INFO
 	e.send("CONNECT {}\r\nSUB a 1\r\nPING\r\n")
 }
 
@@ -175,7 +175,7 @@
 	t.Helper()
 	for until := time.Now().Add(testTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("not so: %s", what)
+			t.Fatalf("timed out waiting for the condition: %s", what)
 		}
 	}
 }
@@ -203,8 +203,9 @@
 	return sub
 }
 
-// stream publishes numbered messages until stopped and checks that the client has each once and in order.
-func (f *fleet) stream(nc *nats.Conn, n int, during func(i int)) {
+// checkStream publishes n numbered messages and calls during before each one. It checks that the client receives them once,
+// in order and without loss, except for those whose loss a failed node excuses.
+func (f *fleet) checkStream(nc *nats.Conn, n int, during func(i int)) {
 	t := f.t
 	t.Helper()
 	var got []int
@@ -225,7 +226,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	eventually(t, "the last message is in", func() bool {
+	eventually(t, "the client has the last message", func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(got) > 0 && got[len(got)-1] == n-1
@@ -233,7 +234,7 @@
 	seen := map[int]bool{}
 	for i, x := range got {
 		if i > 0 && x <= got[i-1] {
-			t.Errorf("%d came behind %d", x, got[i-1])
+			t.Errorf("message %d came after message %d, want rising numbers", x, got[i-1])
 		}
 		seen[x] = true
 	}
@@ -244,6 +245,6 @@
 		}
 	}
 	if lost > 0 {
-		t.Errorf("%d messages are lost", lost)
+		t.Errorf("%d messages were lost, want none", lost)
 	}
 }
--- a/gateway/nats_test.go
+++ b/gateway/nats_test.go
@@ -35,10 +35,10 @@
 	for i := range 100 {
 		m, err := sub.NextMsg(testTimeout)
 		if err != nil || m.Header.Get("n") != strconv.Itoa(i) || len(m.Data) != i*1000 {
-			t.Fatalf("message %d: %v, %v", i, m, err)
+			t.Fatalf("message %d: got %v, %v, want its number in the header and its number of kilobytes", i, m, err)
 		}
 	}
-	// Between clients a request is a plain message; that nobody listens comes from the node.
+	// A request from one client to another is relayed as a plain message; the node reports that there are no responders.
 	if _, err := b.Subscribe("ask", func(m *nats.Msg) {
 		if err := m.Respond([]byte("yes")); err != nil {
 			t.Error(err)
@@ -48,19 +48,19 @@
 	}
 	flush(t, b)
 	if m, err := a.Request("ask", nil, testTimeout); err != nil || string(m.Data) != "yes" {
-		t.Errorf("%v, %v", m, err)
+		t.Errorf("request between clients: got %v, %v, want yes", m, err)
 	}
 	if _, err := a.Request("nobody", nil, testTimeout); !errors.Is(err, nats.ErrNoResponders) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("request without responders: got %v, want ErrNoResponders", err)
 	}
 	if _, err := nats.Connect("nats://"+f.addr, nats.UserInfo("nobody", "x"), nats.NoReconnect()); !errors.Is(err, nats.ErrAuthorization) {
-		t.Errorf("a client that the node turns away is told %v", err)
+		t.Errorf("client rejected by the node: got %v, want ErrAuthorization", err)
 	}
 	if err := a.Drain(); err != nil {
 		t.Error(err)
 	}
 	b.Close()
-	eventually(t, "nodes hold nothing", func() bool {
+	eventually(t, "no node holds connections or subscriptions", func() bool {
 		n := 0
 		for _, node := range f.nodes {
 			n += node.ConnectionCount() + node.SubscriptionCount()
@@ -75,44 +75,45 @@
 	for i := range 200 {
 		body := []byte(fmt.Sprintf("r%d body", i))
 		if m, err := nc.Request(fmt.Sprintf("svc.safe.%d", i), body, testTimeout); err != nil || string(m.Data) != string(body) {
-			t.Fatalf("request %d: %v, %v", i, m, err)
+			t.Fatalf("request %d: got %v, %v, want its own body", i, m, err)
 		}
 	}
 	if most, overlapping, _ := f.cluster.AttemptStats(); most != 1 || overlapping != 0 {
-		t.Errorf("%d attempts at most, %d at once", most, overlapping)
+		t.Errorf("got up to %d attempts for a request, %d pairs overlapped, want 1 and 0", most, overlapping)
 	}
 }
 
-// A node that answers nothing: a safe request is tried elsewhere, with the first attempt withdrawn; an unsafe one is given
-// up once its time is over, for it may have run.
-func TestNATSRequestsAtASilentNode(t *testing.T) {
+// A node answers no request. A safe (idempotent) request must be retried at another node after its first attempt has been
+// cancelled. An unsafe one must not be retried, because it may have been executed: it fails at its deadline.
+func TestNATSRequestsToAnUnresponsiveNode(t *testing.T) {
 	f := newFleet(t, 2, true, "")
 	nc := f.connect()
-	at := f.holder()
-	f.nodes[at].SetHandler(func([]byte) ([]byte, time.Duration) { return nil, 0 })
+	unresponsive := f.sessionNode()
+	f.nodes[unresponsive].SetHandler(func([]byte) ([]byte, time.Duration) { return nil, 0 })
 	for i := range 6 {
 		if _, err := nc.Request(fmt.Sprintf("svc.safe.%d", i), []byte(fmt.Sprint("s", i)), testTimeout); err != nil {
-			t.Errorf("safe request %d: %v", i, err)
+			t.Errorf("safe request %d: got %v, want an answer", i, err)
 		}
 	}
 	timedOut := 0
 	for i := range 6 {
 		m, err := nc.Request(fmt.Sprintf("svc.unsafe.%d", i), []byte(fmt.Sprint("u", i)), testTimeout)
 		if err != nil {
-			t.Errorf("unsafe request %d: %v", i, err)
+			t.Errorf("unsafe request %d: got %v, want an answer or a status", i, err)
 		} else if s := m.Header.Get("Status"); s != "" {
 			timedOut++
 		}
 	}
 	most, overlapping, _ := f.cluster.AttemptStats()
 	if most > 5 || overlapping != 0 {
-		t.Errorf("%d attempts at most, %d at once", most, overlapping)
+		t.Errorf("got up to %d attempts for a request, %d pairs overlapped, want at most 5 and 0", most, overlapping)
 	}
-	t.Logf("%d of 6 unsafe requests given up, %d attempts at most", timedOut, most)
+	t.Logf("%d of 6 unsafe requests timed out, up to %d attempts for a request", timedOut, most)
 }
 
-// A client that drops while its set-up is not confirmed leaves nothing anywhere.
-func TestNATSClientDropsInItsSetUp(t *testing.T) {
+// Guards against connections and subscriptions that stay at the node when a client disconnects before its session's setup
+// is confirmed.
+func TestNATSClientDisconnectsDuringSetup(t *testing.T) {
 	f := newFleet(t, 1, false, "")
 	f.connect().Close()
 	f.nodes[0].IgnorePings()
@@ -124,16 +125,16 @@
 		if _, err := io.WriteString(c, "CONNECT {}\r\nSUB a 1\r\nPING\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		if i%2 == 0 { // the others are gone before anything is sent
-			eventually(t, "it is half set up", func() bool { return f.nodes[0].ConnectionCount() > 0 })
+		if i%2 == 0 { // the other clients disconnect at once
+			eventually(t, "the node has the session's connection", func() bool { return f.nodes[0].ConnectionCount() > 0 })
 		}
 		closeAll(t, c)
 	}
 	eventually(t, "the node holds nothing", func() bool { return f.nodes[0].ConnectionCount() == 0 && f.nodes[0].SubscriptionCount() == 0 })
 }
 
-// Bad input is answered with the protocol's own words, and closed.
-func TestNATSBadInput(t *testing.T) {
+// Invalid input must be answered with the error text of the NATS protocol, and the connection closed.
+func TestNATSInvalidInput(t *testing.T) {
 	f := newFleet(t, 1, false, `(max-payload 100) (max-subscriptions 2)`)
 	f.connect().Close()
 	for in, want := range map[string]string{
@@ -154,15 +155,16 @@
 			t.Fatal(err)
 		}
 		e := newTestConn(t, c)
-		e.line() // INFO
+		e.readLine() // INFO
 		e.send(in)
-		e.expect("-ERR '" + want + "'\r\n")
+		e.expectLine("-ERR '" + want + "'\r\n")
 		e.expectClosed()
 	}
 }
 
-// A client in verbose mode has +OK for each operation, and one without headers reads statuses as payloads.
-func TestNATSPlainClient(t *testing.T) {
+// A client in verbose mode must get +OK for each operation. A client without header support must get a status as the
+// payload of a message.
+func TestNATSVerboseClientWithoutHeaders(t *testing.T) {
 	f := newFleet(t, 1, true, `(max-requests 1)`)
 	f.connect().Close()
 	c, err := net.Dial("tcp", f.addr)
@@ -170,31 +172,31 @@
 		t.Fatal(err)
 	}
 	e := newTestConn(t, c)
-	e.line()
+	e.readLine()
 	e.send("CONNECT {\"verbose\":true}\r\nPING\r\n")
-	e.expect("+OK\r\n")
-	e.expect("PONG\r\n")
+	e.expectLine("+OK\r\n")
+	e.expectLine("PONG\r\n")
 	e.send("SUB in 1\r\n")
-	e.expect("+OK\r\n")
+	e.expectLine("+OK\r\n")
 	f.nodes[0].SetHandler(func(b []byte) ([]byte, time.Duration) { return b, 50 * time.Millisecond })
 	e.send("PUB svc.safe.1 in 2\r\nhi\r\nPUB svc.safe.2 in 2\r\nho\r\n")
 	var got []string
 	for range 6 {
-		got = append(got, strings.TrimSpace(e.line()))
+		got = append(got, strings.TrimSpace(e.readLine()))
 	}
 	text := strings.Join(got, "|")
 	if strings.Count(text, "+OK") != 2 || !strings.Contains(text, "NATS/1.0 429 Too Many Requests") {
-		t.Errorf("got %q", text)
+		t.Errorf("got %q, want +OK twice and the status 429", text)
 	}
-	e.expect("MSG in 1 2\r\n")
-	e.expect("hi\r\n")
+	e.expectLine("MSG in 1 2\r\n")
+	e.expectLine("hi\r\n")
 }
 
-// When the gateway stops, clients hear of it, what is under way ends, and the connections are closed in time.
-func TestNATSStop(t *testing.T) {
+// At a shutdown, clients must be notified, pending requests must be answered, and connections must be closed in time.
+func TestNATSShutdown(t *testing.T) {
 	f := newFleet(t, 2, true, "")
-	var lame atomic.Bool
-	nc := f.connect(nats.LameDuckModeHandler(func(*nats.Conn) { lame.Store(true) }))
+	var notified atomic.Bool
+	nc := f.connect(nats.LameDuckModeHandler(func(*nats.Conn) { notified.Store(true) }))
 	for _, n := range f.nodes {
 		n.SetHandler(func(b []byte) ([]byte, time.Duration) { return b, 200 * time.Millisecond })
 	}
@@ -203,19 +205,19 @@
 		_, err := nc.Request("svc.safe.1", []byte("x"), testTimeout)
 		answered <- err
 	}()
-	eventually(t, "the request is out", func() bool { most, _, _ := f.cluster.AttemptStats(); return most == 1 })
+	eventually(t, "the request is pending", func() bool { most, _, _ := f.cluster.AttemptStats(); return most == 1 })
 	f.stop()
 	if err := <-answered; err != nil {
-		t.Errorf("the request under way: %v", err)
+		t.Errorf("pending request: got %v, want an answer", err)
 	}
 	eventually(t, "the client is closed", nc.IsClosed)
-	if !lame.Load() {
-		t.Error("the client was not told")
+	if !notified.Load() {
+		t.Error("the client was not notified of the shutdown")
 	}
 }
 
-// A client that has vanished without a word is closed, and its node let go of it.
-func TestNATSVanishedClient(t *testing.T) {
+// A client that answers no PING must be closed, and so must its session at the node.
+func TestNATSUnresponsiveClientIsClosed(t *testing.T) {
 	f := newFleet(t, 1, false, `(ping-clients "50ms")`)
 	f.connect().Close()
 	c, err := net.Dial("tcp", f.addr)
@@ -223,93 +225,94 @@
 		t.Fatal(err)
 	}
 	e := newTestConn(t, c)
-	e.line()
+	e.readLine()
 	e.send("CONNECT {}\r\nPING\r\n")
 	for _, want := range []string{"PONG", "PING", "PING", "-ERR 'Stale Connection'"} {
-		e.expect(want + "\r\n")
+		e.expectLine(want + "\r\n")
 	}
 	e.expectClosed()
-	eventually(t, "the node holds nothing", func() bool { return f.nodes[0].ConnectionCount() == 0 })
+	eventually(t, "the node holds no connection", func() bool { return f.nodes[0].ConnectionCount() == 0 })
 }
 
-// The largest payload passes both ways, an end that straddles a move holds, and one request id may be used twice.
-func TestNATSLargeAndLimited(t *testing.T) {
+// The largest payload, 1 MiB, must be relayed both ways. The message limit of a subscription must hold across a migration. A
+// request that is sent twice must be answered twice.
+func TestNATSLargePayloadAndAutoUnsubscribe(t *testing.T) {
 	f := newFleet(t, 2, false, "")
 	nc := f.connect()
-	big := []byte(strings.Repeat("x", 1<<20))
-	sub, few := subscribeSync(t, nc, "big"), subscribeSync(t, nc, "few")
-	if err := few.AutoUnsubscribe(5); err != nil {
+	largePayload := []byte(strings.Repeat("x", 1<<20))
+	large, limited := subscribeSync(t, nc, "big"), subscribeSync(t, nc, "few")
+	if err := limited.AutoUnsubscribe(5); err != nil {
 		t.Fatal(err)
 	}
-	publish(t, nc, "big", big)
+	publish(t, nc, "big", largePayload)
 	for range 3 {
 		publish(t, nc, "few", nil)
 	}
-	if m, err := sub.NextMsg(testTimeout); err != nil || len(m.Data) != len(big) {
-		t.Fatalf("%v", err)
+	if m, err := large.NextMsg(testTimeout); err != nil || len(m.Data) != len(largePayload) {
+		t.Fatalf("large message: got an error or a payload of another length: %v", err)
 	}
-	at := f.holder()
-	f.drain(at, true)
-	eventually(t, "it has moved", func() bool { return f.nodes[at].ConnectionCount() == 0 })
+	draining := f.sessionNode()
+	f.drain(draining, true)
+	eventually(t, "the session has migrated", func() bool { return f.nodes[draining].ConnectionCount() == 0 })
 	for range 5 {
-		f.nodes[1-at].Publish("few", nil)
+		f.nodes[1-draining].Publish("few", nil)
 	}
 	flush(t, nc)
 	for i := range 5 {
-		if _, err := few.NextMsg(testTimeout); err != nil {
+		if _, err := limited.NextMsg(testTimeout); err != nil {
 			t.Fatalf("message %d of 5: %v", i, err)
 		}
 	}
-	if m, err := few.NextMsg(20 * time.Millisecond); err == nil {
-		t.Errorf("a message beyond the end: %v", m)
+	if m, err := limited.NextMsg(20 * time.Millisecond); err == nil {
+		t.Errorf("got a message after the limit of 5: %v", m)
 	}
-	in := subscribeSync(t, nc, "in")
+	answers := subscribeSync(t, nc, "in")
 	for range 2 {
 		if err := nc.PublishRequest("svc.safe.1", "in", []byte("same")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 2 {
-		if m, err := in.NextMsg(testTimeout); err != nil || string(m.Data) != "same" {
-			t.Errorf("%v, %v", m, err)
+		if m, err := answers.NextMsg(testTimeout); err != nil || string(m.Data) != "same" {
+			t.Errorf("got the answer %v, %v, want the request's body", m, err)
 		}
 	}
-	if m, err := in.NextMsg(20 * time.Millisecond); err == nil {
-		t.Errorf("a third answer: %v", m)
+	if m, err := answers.NextMsg(20 * time.Millisecond); err == nil {
+		t.Errorf("got a third answer to two requests: %v", m)
 	}
 }
 
-// New operator settings are taken whole, or not at all.
+// A reload must apply all new operator settings or none of them.
 func TestNATSReload(t *testing.T) {
 	f := newFleet(t, 1, false, "")
-	a := f.connect()
-	again := func(listen, extra string) error {
+	client := f.connect()
+	reload := func(listen, extra string) error {
 		op, err := operator.Parse("test", []byte(fmt.Sprintf(natsOperator, listen, extra)), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return f.gateway.Reload(f.config, op)
 	}
-	if err := again(freeAddr(t), "(max-subscriptions 1)"); err == nil || !strings.Contains(err.Error(), "nats.listen") {
-		t.Errorf("another address: %v", err)
+	if err := reload(reserveAddr(t), "(max-subscriptions 1)"); err == nil || !strings.Contains(err.Error(), "nats.listen") {
+		t.Errorf("reload with another address: got %v, want an error about nats.listen", err)
 	}
 	if err := f.gateway.Reload(f.config, nil); err == nil {
-		t.Error("switched off while it runs")
+		t.Error("a reload disabled NATS, want an error")
 	}
 	subscribe := func() error {
 		for i := range 2 {
-			if _, err := a.SubscribeSync(fmt.Sprint("r", i)); err != nil {
+			if _, err := client.SubscribeSync(fmt.Sprint("r", i)); err != nil {
 				return err
 			}
 		}
-		return a.FlushTimeout(testTimeout)
+		return client.FlushTimeout(testTimeout)
 	}
 	if err := subscribe(); err != nil {
-		t.Errorf("what was not taken shows: %v", err)
+		t.Errorf("settings of a rejected reload took effect: %v", err)
 	}
-	if err := again(f.addr, "(max-subscriptions 1)"); err != nil {
+	if err := reload(f.addr, "(max-subscriptions 1)"); err != nil {
 		t.Fatal(err)
 	}
-	_ = subscribe() // the session may end before it returns
-	eventually(t, "the new bound ends the session", a.IsClosed)
+	_ = subscribe() // the session may end before subscribe returns
+	eventually(t, "the session is closed for exceeding the new subscription limit", client.IsClosed)
 }
--- a/gateway/process_test.go
+++ b/gateway/process_test.go
@@ -20,7 +20,7 @@
 	"example.org/milletvane/internal/cli"
 )
 
-// childEnv has the test's binary be the program.
+// childEnv is the environment variable that makes the test binary run as the program.
 const childEnv = "MILLETVANE_TEST_CHILD"
 
 func TestMain(m *testing.M) {
@@ -30,54 +30,55 @@
 	goleak.VerifyTestMain(m)
 }
 
-// program is a process of the program in front of a scripted server.
-type program struct {
-	t       *testing.T
-	cmd     *exec.Cmd
-	addr    string
-	file    string
-	config  programConfig
-	server  *scriptedServer
-	service *fakeDiscovery
-	logs    chan string // its lines
-	exited  chan error
-	opens   atomic.Int32
+// programProcess is a process that runs the program in front of a scripted server.
+type programProcess struct {
+	t          *testing.T
+	cmd        *exec.Cmd
+	addr       string
+	configFile string
+	config     programConfig
+	server     *scriptedServer
+	discovery  *fakeDiscovery
+	logs       chan string // the lines of its log
+	exited     chan error
+	opens      atomic.Int32
 }
 
-// programConfig is what tests vary of the configuration.
+// programConfig holds the parts of the configuration that tests vary.
 type programConfig struct {
 	mode        string // pass or proxy
 	sockets     int
-	addrs       []string // of servers; nil: the scripted one
-	withoutList bool     // discovery tells no list
+	addrs       []string // of the servers; nil: that of the scripted server
+	withoutList bool     // discovery has no endpoint list
 	deadline    time.Duration
 
 	effect    string        // of the class; empty: idempotent
-	window    time.Duration // of repeats
-	objective time.Duration // of a set-up: the time of each attempt but the last
+	window    time.Duration // the dedup window
+	objective time.Duration // the latency objective, which is the timeout of each attempt but the last
 }
 
-// classDeadline is the deadline of the class: all that waits at a stop is answered 0.3 s later, and the end is 0.5 s later.
+// classDeadline is the default deadline of the class. At a shutdown, pending requests are answered at most 0.3 s after this
+// time, and the program exits at most 0.5 s after it.
 const classDeadline = 600 * time.Millisecond
 
-func startProgram(t *testing.T, c programConfig) *program {
+func startProgram(t *testing.T, c programConfig) *programProcess {
 	t.Helper()
 	t.Parallel()
-	p := &program{
+	p := &programProcess{
 		t: t, config: c, server: newScriptedServer(t), logs: make(chan string, 4096), exited: make(chan error, 1),
-		file: filepath.Join(t.TempDir(), "config.json"),
+		configFile: filepath.Join(t.TempDir(), "config.json"),
 	}
 	if c.addrs == nil {
 		p.config.addrs = []string{p.server.l.Addr().String()}
 	}
 	list := ""
 	if !c.withoutList {
-		list = listOf(1, p.config.addrs...)
+		list = endpointListJSON(1, p.config.addrs...)
 	}
-	p.service = newFakeDiscovery(t, list)
-	p.configure(p.service.addr)
+	p.discovery = newFakeDiscovery(t, list)
+	p.configure(p.discovery.addr)
 	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), childEnv+"=1", "GORACE=atexit_sleep_ms=0", "PROXY_CONFIG="+p.file, "PROXY_LISTEN=127.0.0.1:0", "TMPDIR="+t.TempDir())
+	p.cmd.Env = append(os.Environ(), childEnv+"=1", "GORACE=atexit_sleep_ms=0", "PROXY_CONFIG="+p.configFile, "PROXY_LISTEN=127.0.0.1:0", "TMPDIR="+t.TempDir())
 	errs, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -109,8 +110,8 @@
 	return p
 }
 
-// configure writes the configuration, with a discovery.
-func (p *program) configure(discovery string) {
+// configure writes the configuration file, with the address of discovery.
+func (p *programProcess) configure(discovery string) {
 	c := p.config
 	if c.sockets == 0 {
 		c.sockets = 256
@@ -128,45 +129,45 @@
 	 "max_retry_after_ns":1000000000},"discovery":"ask","family_info":{"mode":%q},"rules":{"stop_sending_within_ns":500000000},
 	 "classes":[{"name":"c","effect":%q,"group":"all","window_ns":%d,"give_up_ns":%d,"slo_ns":%d}]}}`,
 		discovery, c.sockets, c.mode, c.effect, c.window.Nanoseconds(), c.deadline.Nanoseconds(), c.objective.Nanoseconds())
-	if err := os.WriteFile(p.file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(p.configFile, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// expectLog waits for a line that holds a text.
-func (p *program) expectLog(text string) string {
+// expectLog waits for a log line that contains a text and returns it.
+func (p *programProcess) expectLog(text string) string {
 	p.t.Helper()
-	for late := time.After(testTimeout); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
 		case line, ok := <-p.logs:
 			if !ok {
-				p.t.Fatalf("it ended before it logged %q", text)
+				p.t.Fatalf("the program ended before it logged %q", text)
 			}
 			if strings.Contains(line, text) {
 				return line
 			}
-		case <-late:
-			p.t.Fatalf("never logged %q", text)
+		case <-timeout:
+			p.t.Fatalf("the program did not log %q", text)
 		}
 	}
 }
 
-// stop sends SIGTERM and waits until it is being acted on.
-func (p *program) stop() {
+// stop sends SIGTERM and waits until the shutdown has started.
+func (p *programProcess) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	p.expectLog(`msg="shutdown started"`)
 }
 
-func (p *program) signal(s syscall.Signal) {
+func (p *programProcess) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// expectExit waits for the program's end, which is in order.
-func (p *program) expectExit() {
+// expectExit waits until the program exits, which must be with status 0.
+func (p *programProcess) expectExit() {
 	p.t.Helper()
 	go func() {
 		for range p.logs {
@@ -175,14 +176,14 @@
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			p.t.Errorf("ended with %v", err)
+			p.t.Errorf("the program exited with %v, want status 0", err)
 		}
 	case <-time.After(testTimeout):
-		p.t.Error("it does not end")
+		p.t.Error("the program did not exit")
 	}
 }
 
-func (p *program) dial() *testConn {
+func (p *programProcess) dial() *testConn {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -191,30 +192,33 @@
 	return newTestConn(p.t, c)
 }
 
-// line is a new client's opening line.
-func (p *program) line() string { return fmt.Sprintf("OPEN 1%04d 0a c=c,d=60000\r\n", p.opens.Add(1)) }
+// openLine is a new client's opening openLine.
+func (p *programProcess) openLine() string {
+	return fmt.Sprintf("OPEN 1%04d 0a c=c,d=60000\r\n", p.opens.Add(1))
+}
 
-// request sends a new client's line, and returns with the server's end of the attempt.
-func (p *program) request() (client, server *testConn) {
+// request sends a new client's opening line. It returns the client's connection, and the server's one once the attempt has
+// reached the server.
+func (p *programProcess) request() (client, server *testConn) {
 	p.t.Helper()
 	client = p.dial()
-	client.send(p.line())
+	client.send(p.openLine())
 	server = p.server.accept()
-	server.line()
+	server.readLine()
 	return client, server
 }
 
-// open sets a connection up.
-func (p *program) open() (client, server *testConn) {
+// open establishes a connection through the program and returns both ends.
+func (p *programProcess) open() (client, server *testConn) {
 	p.t.Helper()
 	client, server = p.request()
 	server.send("UP r\r\n")
-	client.expect("UP r\r\n")
+	client.expectLine("UP r\r\n")
 	return client, server
 }
 
-// crowdedAddr is an address whose queue of connections is full: whoever connects waits.
-func crowdedAddr(t *testing.T) string {
+// fullBacklogAddr returns an address whose accept queue is full: a connection attempt to it stays pending.
+func fullBacklogAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -241,6 +245,6 @@
 		if err != nil {
 			return addr
 		}
-		newTestConn(t, c) // closed with the test
+		newTestConn(t, c) // closed when the test ends
 	}
 }
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// resident is the program's memory in bytes.
-func (p *program) resident() (pages int) {
+// residentBytes returns the program's resident memory in bytes.
+func (p *programProcess) residentBytes() (pages int) {
 	p.t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
@@ -23,16 +23,16 @@
 	return pages * os.Getpagesize()
 }
 
-// A server whose line behind UP never ends, to a client that does not read, is left unread and cut off: what waits has a
-// bound, and others are served meanwhile.
-func TestALineWithoutEndHasABound(t *testing.T) {
-	const most = 16 << 20 // beside what the program has at its start; the line is ten times that
+// Guards against memory that grows with a line that a server never ends, for a client that does not read. The gateway must
+// stop reading at a bound and close the connection, and serve other clients meanwhile.
+func TestUnterminatedLineIsBounded(t *testing.T) {
+	const maxGrowth = 16 << 20 // beyond the memory at the start; the line is ten times as long
 	p := startProgram(t, programConfig{mode: "pass"})
 	client, server := p.open()
 	if err := client.c.(*net.TCPConn).SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
-	before := p.resident()
+	before := p.residentBytes()
 	if err := server.c.SetWriteDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -41,18 +41,18 @@
 		junk[i] = 'x'
 	}
 	var err error
-	for n := 0; err == nil && n < 10*most; n += len(junk) {
+	for n := 0; err == nil && n < 10*maxGrowth; n += len(junk) {
 		_, err = server.c.Write(junk)
 	}
 	if err == nil {
-		t.Error("all of it was taken")
+		t.Error("the whole line was read, want the connection to be closed")
 	} else if strings.Contains(err.Error(), "timeout") {
-		t.Error("it was never cut off")
+		t.Error("the connection was never closed")
 	}
-	if grown := p.resident() - before; grown > most {
-		t.Errorf("%d bytes more", grown)
+	if grown := p.residentBytes() - before; grown > maxGrowth {
+		t.Errorf("resident memory grew by %d bytes, want at most 16 MiB", grown)
 	}
-	other, at := p.open()
-	other.send("M 1\r\n")
-	at.expect("M 1\r\n")
+	otherClient, otherServer := p.open()
+	otherClient.send("M 1\r\n")
+	otherServer.expectLine("M 1\r\n")
 }
