--- a/gateway/crossing_retry_test.go
+++ b/gateway/crossing_retry_test.go
@@ -171,7 +171,7 @@
 func TestServersEndCrossesTheClientsLines(t *testing.T) {
 	for _, lastLine := range []string{"MOVE\r\n", "BYE\r\n", "M 1 x\r\n"} {
 		for _, first := range []string{"client", "server"} { // the kernel reports events in the order in which they happened
-			t.Run(strings.TrimSpace(lastLine)+", "+first+" first", func(t *testing.T) {
+			t.Run(strings.TrimSpace(lastLine)+", first: "+first, func(t *testing.T) {
 				p := startProgram(t, programConfig{mode: "pass"})
 				client, server := p.open()
 				p.signal(syscall.SIGSTOP) // both sides act before the program notices either
