--- a/gateway/process_test.go
+++ b/gateway/process_test.go
@@ -192,7 +192,7 @@
 	return newTestConn(p.t, c)
 }
 
-// openLine is a new client's opening openLine.
+// openLine returns a new client's opening line.
 func (p *programProcess) openLine() string {
 	return fmt.Sprintf("OPEN 1%04d 0a c=c,d=60000\r\n", p.opens.Add(1))
 }
--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -19,7 +19,7 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// The processes and times of the files in testdata. Process 1 runs on every machine.
+// The start time and the PID in the files in testdata. Process 1 is running on every machine.
 const (
 	writerStartedAt = 1790000000000000010
 	writerPID       = 1
@@ -27,7 +27,7 @@
 
 var writtenAt = time.Date(2026, 9, 21, 14, 13, 20, 10, time.UTC)
 
-// fullSnapshot has a value of its own in every field.
+// fullSnapshot returns a snapshot in which every field has a value, each a different one.
 func fullSnapshot() Snapshot {
 	return Snapshot{
 		WrittenAt:    writtenAt,
@@ -58,7 +58,7 @@
 	}
 }
 
-// appendSnapshot prints a snapshot field by field.
+// appendSnapshot appends the fields of a snapshot as text. Files in testdata hold this text, so it stays as it is.
 func appendSnapshot(b *bytes.Buffer, r Snapshot) {
 	fmt.Fprintf(b, "process born=%d pid=%d\n", r.Process.StartedAt, r.Process.PID)
 	fmt.Fprintf(b, "written=%s ready=%t\n", r.WrittenAt.Format(time.RFC3339Nano), r.Ready)
@@ -86,7 +86,7 @@
 	}
 }
 
-// writerFile is the file of the process that started at writerStartedAt.
+// writerFile is the name of the file of the process that started at writerStartedAt.
 const writerFile = "state-1790000000000000010"
 
 func mustRead(t *testing.T, path string) []byte {
@@ -98,8 +98,8 @@
 	return b
 }
 
-// put writes a file into a directory, as changed at a time.
-func put(t *testing.T, dir, name string, text []byte, changed time.Time) {
+// writeFile writes a file into a directory and sets its modification time.
+func writeFile(t *testing.T, dir, name string, text []byte, changed time.Time) {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// listing names the files of a directory.
-func listing(t *testing.T, dir string) []string {
+// fileNames returns the names of the files in a directory.
+func fileNames(t *testing.T, dir string) []string {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -124,13 +124,13 @@
 	return names
 }
 
-// framed puts the first line before a body, as the format states it: a word, the version, a checksum and the size.
-func framed(word string, version int, body string) []byte {
+// withHeader returns a body with the header of the format before it: a magic word, the version, the checksum and the size.
+func withHeader(magic string, version int, body string) []byte {
 	sum := crc32.Checksum([]byte(body), crc32.MakeTable(crc32.Castagnoli))
-	return fmt.Appendf(nil, "%s %d %08x %d\n%s", word, version, sum, len(body), body)
+	return fmt.Appendf(nil, "%s %d %08x %d\n%s", magic, version, sum, len(body), body)
 }
 
-// What is written is, byte for byte, what earlier builds wrote, in a file and a directory that nobody else may read.
+// A snapshot must be written byte for byte as earlier builds wrote it, to a file and a directory that only the owner may read.
 func TestFormatWritten(t *testing.T) {
 	for name, r := range map[string]Snapshot{"full.state": fullSnapshot(), "zero.state": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -138,44 +138,45 @@
 			NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger).Write(r)
 			path := filepath.Join(dir, writerFile)
 			golden.Check(t, name, mustRead(t, path))
-			for at, want := range map[string]os.FileMode{path: 0o600, dir: 0o700} {
-				info, err := os.Stat(at)
+			for created, want := range map[string]os.FileMode{path: 0o600, dir: 0o700} {
+				info, err := os.Stat(created)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if got := info.Mode().Perm(); got != want {
-					t.Errorf("%s has mode %o, want %o", filepath.Base(at), got, want)
+					t.Errorf("%s has mode %o, want %o", filepath.Base(created), got, want)
 				}
 			}
-			if names := listing(t, dir); !slices.Equal(names, []string{writerFile}) {
-				t.Errorf("the directory holds %q", names)
+			if names := fileNames(t, dir); !slices.Equal(names, []string{writerFile}) {
+				t.Errorf("the directory holds %q, want only the snapshot's file", names)
 			}
 		})
 	}
 }
 
-// The first line is as the format states it for every body: the checksum has eight digits, the first of them zero at times.
+// Guards against a checksum without its leading zeros: in the header it must have eight digits for every body. The test
+// writes bodies until some checksums begin with zero.
 func TestFormatOfFirstLine(t *testing.T) {
 	dir := t.TempDir()
 	d := NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger)
-	zeros := 0
+	leadingZeros := 0
 	for i := range 64 {
 		d.Write(Snapshot{State: engine.State{Version: int64(i)}})
 		text := mustRead(t, filepath.Join(dir, writerFile))
 		_, body, _ := strings.Cut(string(text), "\n")
-		if want := framed("milletvane-handover", 1, body); !bytes.Equal(text, want) {
+		if want := withHeader("milletvane-handover", 1, body); !bytes.Equal(text, want) {
 			t.Fatalf("wrote:\n%s\nwant:\n%s", text, want)
 		}
 		if bytes.Contains(text, []byte("handover 1 0")) {
-			zeros++
+			leadingZeros++
 		}
 	}
-	if zeros == 0 {
-		t.Error("no checksum begins with zero")
+	if leadingZeros == 0 {
+		t.Error("no checksum begins with zero, want at least one")
 	}
 }
 
-// A file of an earlier build is read field by field, and written again as it was.
+// A file of an earlier build must be read with the same value in every field, and must be written again byte for byte.
 func TestFormatReadAndWrittenAgain(t *testing.T) {
 	for _, name := range []string{"full.state", "zero.state"} {
 		t.Run(name, func(t *testing.T) {
@@ -185,132 +186,134 @@
 			if name == "zero.state" {
 				now = time.Time{}
 			}
-			put(t, dir, writerFile, text, writtenAt)
+			writeFile(t, dir, writerFile, text, writtenAt)
 			r, ok := NewStateDir(dir, Process{StartedAt: writerStartedAt + 1, PID: os.Getpid()},
 				discardLogger).ReadPredecessor(now)
 			if !ok {
-				t.Fatal("was not taken up")
+				t.Fatal("the snapshot was not read")
 			}
 			var b bytes.Buffer
 			appendSnapshot(&b, r)
 			golden.Check(t, strings.TrimSuffix(name, ".state")+".fields", b.Bytes())
 			NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger).Write(r)
-			if again := mustRead(t, filepath.Join(dir, writerFile)); !bytes.Equal(again, text) {
-				t.Errorf("written again:\n%s\nwant:\n%s", again, text)
+			if rewritten := mustRead(t, filepath.Join(dir, writerFile)); !bytes.Equal(rewritten, text) {
+				t.Errorf("written again as:\n%s\nwant:\n%s", rewritten, text)
 			}
 		})
 	}
 }
 
-// readForm is a file in a state directory, and when it is read.
-type readForm struct {
+// readCase is a file in a state directory and the time at which it is read. The names of cases stand in testdata/forms.txt,
+// so they stay as they are.
+type readCase struct {
 	name    string
-	file    string // "": state-10
+	file    string // empty: state-10
 	text    []byte
 	now     time.Time // zero: writtenAt
-	changed time.Time // zero: writtenAt
+	changed time.Time // modification time of the file; zero: writtenAt
 }
 
-const headerWord = "milletvane-handover"
+const headerMagic = "milletvane-handover"
 
-// shortBody is a snapshot with the least that is needed.
-var shortBody = `{"Process":{"Born":7,"PID":1},"Written":"` + writtenAt.Format(time.RFC3339Nano) + `"}`
+// minimalBody is a snapshot with only the required fields.
+var minimalBody = `{"Process":{"Born":7,"PID":1},"Written":"` + writtenAt.Format(time.RFC3339Nano) + `"}`
 
-// shortForm is a file of shortBody in which a text has been replaced.
-func shortForm(from, to string) []byte {
-	return framed(headerWord, 1, strings.Replace(shortBody, from, to, 1))
+// minimalFile returns a file of minimalBody in which the text from is replaced by to.
+func minimalFile(from, to string) []byte {
+	return withHeader(headerMagic, 1, strings.Replace(minimalBody, from, to, 1))
 }
 
-// lowerKeys is a JSON text with its keys in lower case.
-func lowerKeys(body string) string {
+// withLowerCaseKeys returns a JSON text with its keys in lower case.
+func withLowerCaseKeys(body string) string {
 	return regexp.MustCompile(`"[A-Za-z]+":`).ReplaceAllStringFunc(body, strings.ToLower)
 }
 
-// bodyForms are files whose first line is as it should be, or may be.
-func bodyForms(t *testing.T) []readForm {
+// bodyCases returns files with a valid header.
+func bodyCases(t *testing.T) []readCase {
 	t.Helper()
 	whole := string(mustRead(t, filepath.Join("testdata", "full.state")))
 	_, wholeBody, _ := strings.Cut(whole, "\n")
-	return []readForm{
-		{name: "short", text: framed(headerWord, 1, shortBody)},
-		{name: "unknown fields are passed over", text: shortForm(
+	return []readCase{
+		{name: "short", text: withHeader(headerMagic, 1, minimalBody)},
+		{name: "unknown fields are passed over", text: minimalFile(
 			`"Written"`,
 			`"Later":{"a":[1]},"Written"`,
 		)},
-		{name: "keys in lower case", text: framed(headerWord, 1, lowerKeys(wholeBody))},
-		{name: "null lists", text: shortForm(
+		{name: "keys in lower case", text: withHeader(headerMagic, 1, withLowerCaseKeys(wholeBody))},
+		{name: "null lists", text: minimalFile(
 			`"Written"`,
 			`"Known":null,"State":{"Servers":null,"Flows":null,"Learned":{"Servers":null,"Classes":null}},"Written"`,
 		)},
-		{name: "empty lists", text: shortForm(
+		{name: "empty lists", text: minimalFile(
 			`"Written"`,
 			`"Known":[],"State":{"Servers":[],"Flows":[]},"Written"`,
 		)},
-		{name: "no process", text: shortForm(`"Process":{"Born":7,"PID":1},`, ``)},
-		{name: "process of number 0", text: shortForm(`"PID":1`, `"PID":0`)},
-		{name: "process that has ended", text: shortForm(`"PID":1`, `"PID":1073741824`)},
-		{name: "checksum without leading zeros", text: shortChecksum()},
-		{name: "more in the first line", text: []byte(strings.Replace(string(framed(headerWord, 1, shortBody)), "\n",
+		{name: "no process", text: minimalFile(`"Process":{"Born":7,"PID":1},`, ``)},
+		{name: "process of number 0", text: minimalFile(`"PID":1`, `"PID":0`)},
+		{name: "process that has ended", text: minimalFile(`"PID":1`, `"PID":1073741824`)},
+		{name: "checksum without leading zeros", text: fileWithShortChecksum()},
+		{name: "more in the first line", text: []byte(strings.Replace(string(withHeader(headerMagic, 1, minimalBody)), "\n",
 			" more\n", 1))},
 	}
 }
 
-// shortChecksum is a file whose checksum begins with a zero that is left out.
-func shortChecksum() []byte {
+// fileWithShortChecksum returns a file whose checksum lacks its leading zero.
+func fileWithShortChecksum() []byte {
 	for i := 0; ; i++ {
-		text := string(shortForm(`{`, `{`+strings.Repeat(" ", i)))
+		text := string(minimalFile(`{`, `{`+strings.Repeat(" ", i)))
 		if cut := strings.Replace(text, " 1 0", " 1 ", 1); cut != text {
 			return []byte(cut)
 		}
 	}
 }
 
-// damagedForms are files that are cut short, altered, too large or of another format.
-func damagedForms(t *testing.T) []readForm {
+// damagedCases returns files that are truncated, altered, too large or of another format, and one of the largest valid size.
+func damagedCases(t *testing.T) []readCase {
 	t.Helper()
 	const sizeLimit = 16 << 20
 	whole := string(mustRead(t, filepath.Join("testdata", "full.state")))
-	head := len(fmt.Sprintf("%s %d %08x %d\n", headerWord, 1, 0, sizeLimit))
-	largest := framed(headerWord, 1, shortBody+strings.Repeat(" ", sizeLimit-head-len(shortBody)))
-	return []readForm{
+	head := len(fmt.Sprintf("%s %d %08x %d\n", headerMagic, 1, 0, sizeLimit))
+	largest := withHeader(headerMagic, 1, minimalBody+strings.Repeat(" ", sizeLimit-head-len(minimalBody)))
+	return []readCase{
 		{name: "empty", text: []byte{}},
-		{name: "no first line", text: []byte(headerWord)},
-		{name: "first line alone", text: framed(headerWord, 1, "")},
+		{name: "no first line", text: []byte(headerMagic)},
+		{name: "first line alone", text: withHeader(headerMagic, 1, "")},
 		{name: "cut short", text: []byte(whole[:len(whole)-1])},
 		{name: "one byte more", text: []byte(whole + "x")},
 		{name: "one bit changed", text: []byte(strings.Replace(whole, `"s-1"`, `"s-0"`, 1))},
-		{name: "other word", text: framed("milletvine-handover", 1, shortBody)},
-		{name: "version 0", text: framed(headerWord, 0, shortBody)},
-		{name: "version 2", text: framed(headerWord, 2, shortBody)},
-		{name: "no JSON", text: framed(headerWord, 1, "{")},
-		{name: "JSON of another form", text: framed(headerWord, 1, `{"Written":7}`)},
-		{name: "list of names", text: framed(headerWord, 1, `["s-1"]`)},
+		{name: "other word", text: withHeader("milletvine-handover", 1, minimalBody)},
+		{name: "version 0", text: withHeader(headerMagic, 0, minimalBody)},
+		{name: "version 2", text: withHeader(headerMagic, 2, minimalBody)},
+		{name: "no JSON", text: withHeader(headerMagic, 1, "{")},
+		{name: "JSON of another form", text: withHeader(headerMagic, 1, `{"Written":7}`)},
+		{name: "list of names", text: withHeader(headerMagic, 1, `["s-1"]`)},
 		{name: "as large as may be", text: largest},
 		{name: "larger than may be", text: append(slices.Clone(largest), ' ')},
 	}
 }
 
-// placedForms are files of other ages and names.
-func placedForms() []readForm {
-	short := framed(headerWord, 1, shortBody)
-	return []readForm{
-		{name: "written 10 s ago", text: short, now: writtenAt.Add(10 * time.Second)},
-		{name: "written over 10 s ago", text: short, now: writtenAt.Add(10*time.Second + 1)},
-		{name: "written 10 s ahead", text: short, now: writtenAt.Add(-10 * time.Second)},
-		{name: "written over 10 s ahead", text: short, now: writtenAt.Add(-10*time.Second - 1)},
-		{name: "changed a minute ago", text: short, changed: writtenAt.Add(-time.Minute)},
-		{name: "changed over a minute ago", text: short, changed: writtenAt.Add(-time.Minute - time.Millisecond)},
-		{name: "birth that is no number", file: "state-abc", text: short},
-		{name: "birth of this process", file: "state-20", text: short},
-		{name: "birth of this process with a zero", file: "state-020", text: short},
-		{name: "birth after this process", file: "state-21", text: short},
-		{name: "other prefix", file: "stat-10", text: short},
-		{name: "put aside before", file: "bad-state-10", text: short},
+// ageAndNameCases returns valid files of various ages and names.
+func ageAndNameCases() []readCase {
+	text := withHeader(headerMagic, 1, minimalBody)
+	return []readCase{
+		{name: "written 10 s ago", text: text, now: writtenAt.Add(10 * time.Second)},
+		{name: "written over 10 s ago", text: text, now: writtenAt.Add(10*time.Second + 1)},
+		{name: "written 10 s ahead", text: text, now: writtenAt.Add(-10 * time.Second)},
+		{name: "written over 10 s ahead", text: text, now: writtenAt.Add(-10*time.Second - 1)},
+		{name: "changed a minute ago", text: text, changed: writtenAt.Add(-time.Minute)},
+		{name: "changed over a minute ago", text: text, changed: writtenAt.Add(-time.Minute - time.Millisecond)},
+		{name: "birth that is no number", file: "state-abc", text: text},
+		{name: "birth of this process", file: "state-20", text: text},
+		{name: "birth of this process with a zero", file: "state-020", text: text},
+		{name: "birth after this process", file: "state-21", text: text},
+		{name: "other prefix", file: "stat-10", text: text},
+		{name: "put aside before", file: "bad-state-10", text: text},
 	}
 }
 
-// appendRead prints whether a file is taken up, what is left of it, and what was read.
-func appendRead(t *testing.T, b *bytes.Buffer, c readForm) {
+// appendRead appends whether the snapshot of a case is used, which files are left, and the fields of the snapshot. Files in
+// testdata hold this text, so it stays as it is.
+func appendRead(t *testing.T, b *bytes.Buffer, c readCase) {
 	t.Helper()
 	dir := t.TempDir()
 	file, now, changed := cmp.Or(c.file, "state-10"), c.now, c.changed
@@ -320,59 +323,60 @@
 	if changed.IsZero() {
 		changed = writtenAt
 	}
-	put(t, dir, file, c.text, changed)
-	s, ok := runningAt(dir, 20).ReadPredecessor(now)
-	fmt.Fprintf(b, "== %s: taken up %t, left %q\n", c.name, ok, listing(t, dir))
+	writeFile(t, dir, file, c.text, changed)
+	s, ok := newRunningStateDir(dir, 20).ReadPredecessor(now)
+	fmt.Fprintf(b, "== %s: taken up %t, left %q\n", c.name, ok, fileNames(t, dir))
 	if ok {
 		appendSnapshot(b, s)
 	}
 }
 
-// Old, damaged and foreign files: which are taken up, and what becomes of each.
+// For each case, the golden file states whether the snapshot is used and whether the file is kept, quarantined or removed.
 func TestFormatReadForms(t *testing.T) {
 	var out bytes.Buffer
-	for _, c := range slices.Concat(bodyForms(t), damagedForms(t), placedForms()) {
+	for _, c := range slices.Concat(bodyCases(t), damagedCases(t), ageAndNameCases()) {
 		appendRead(t, &out, c)
 	}
 	golden.Check(t, "forms.txt", out.Bytes())
 }
 
-// Of several processes the last born before this one counts, and of those after it any that is ready and runs.
+// Of several processes, the predecessor must be the last running one that started before this one. A successor is any running
+// process that started after this one and is ready.
 func TestFormatOfSeveralProcesses(t *testing.T) {
-	record := func(born int64, pid int, ready bool) []byte {
-		return framed("milletvane-handover", 1, fmt.Sprintf(`{"Process":{"Born":%d,"PID":%d},"Written":%q,"Ready":%t}`,
-			born, pid, writtenAt.Format(time.RFC3339Nano), ready))
+	snapshotFile := func(startedAt int64, pid int, ready bool) []byte {
+		return withHeader("milletvane-handover", 1, fmt.Sprintf(`{"Process":{"Born":%d,"PID":%d},"Written":%q,"Ready":%t}`,
+			startedAt, pid, writtenAt.Format(time.RFC3339Nano), ready))
 	}
-	const ended = 1 << 30
+	const endedPID = 1 << 30
 	for _, c := range []struct {
-		name     string
-		files    map[string][]byte
-		before   int64 // birth of the process that is followed; 0: none
-		followed bool
+		name         string
+		files        map[string][]byte
+		predecessor  int64 // start time of the predecessor; 0: there is none
+		hasSuccessor bool
 	}{
 		{"none", nil, 0, false},
-		{"two before", map[string][]byte{"state-9": record(9, 1, true), "state-10": record(10, 1, true)}, 10, false},
+		{"two before", map[string][]byte{"state-9": snapshotFile(9, 1, true), "state-10": snapshotFile(10, 1, true)}, 10, false},
 		{
-			"by number, not by letters",
-			map[string][]byte{"state-5": record(5, 1, true), "state-19": record(19, 1, true)},
+			"in numerical order, not alphabetical",
+			map[string][]byte{"state-5": snapshotFile(5, 1, true), "state-19": snapshotFile(19, 1, true)},
 			19,
 			false,
 		},
 		{
-			"the later has ended",
-			map[string][]byte{"state-9": record(9, 1, true), "state-10": record(10, ended, true)},
+			"the later one has ended",
+			map[string][]byte{"state-9": snapshotFile(9, 1, true), "state-10": snapshotFile(10, endedPID, true)},
 			9,
 			false,
 		},
-		{"the later is damaged", map[string][]byte{"state-9": record(9, 1, true), "state-10": []byte("x")}, 9, false},
-		{"not ready", map[string][]byte{"state-9": record(9, 1, false)}, 9, false},
-		{"after, ready", map[string][]byte{"state-30": record(30, 1, true)}, 0, true},
-		{"after, not ready", map[string][]byte{"state-30": record(30, 1, false)}, 0, false},
-		{"after, ended", map[string][]byte{"state-30": record(30, ended, true)}, 0, false},
+		{"the later one is damaged", map[string][]byte{"state-9": snapshotFile(9, 1, true), "state-10": []byte("x")}, 9, false},
+		{"not ready", map[string][]byte{"state-9": snapshotFile(9, 1, false)}, 9, false},
+		{"after, ready", map[string][]byte{"state-30": snapshotFile(30, 1, true)}, 0, true},
+		{"after, not ready", map[string][]byte{"state-30": snapshotFile(30, 1, false)}, 0, false},
+		{"after, ended", map[string][]byte{"state-30": snapshotFile(30, endedPID, true)}, 0, false},
 		{"after, damaged", map[string][]byte{"state-30": []byte("x")}, 0, false},
 		{
 			"after, one of two ready",
-			map[string][]byte{"state-30": record(30, 1, false), "state-31": record(31, 1, true)},
+			map[string][]byte{"state-30": snapshotFile(30, 1, false), "state-31": snapshotFile(31, 1, true)},
 			0,
 			true,
 		},
@@ -380,15 +384,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			for name, text := range c.files {
-				put(t, dir, name, text, writtenAt)
+				writeFile(t, dir, name, text, writtenAt)
 			}
-			d := runningAt(dir, 20)
+			d := newRunningStateDir(dir, 20)
 			r, ok := d.ReadPredecessor(writtenAt)
-			if ok != (c.before > 0) || r.Process.StartedAt != c.before {
-				t.Errorf("follows %d (%t), want %d", r.Process.StartedAt, ok, c.before)
+			if ok != (c.predecessor > 0) || r.Process.StartedAt != c.predecessor {
+				t.Errorf("got the predecessor %d (ok: %t), want %d", r.Process.StartedAt, ok, c.predecessor)
 			}
-			if got := d.HasSuccessor(); got != c.followed {
-				t.Errorf("followed: %t, want %t", got, c.followed)
+			if got := d.HasSuccessor(); got != c.hasSuccessor {
+				t.Errorf("HasSuccessor: got %t, want %t", got, c.hasSuccessor)
 			}
 		})
 	}
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenerError says that an inherited descriptor is not the listening socket that the gateway needs. The process manager
+// ListenerError reports that an inherited descriptor is not the listening socket that the gateway needs. The process manager
 // must pass a TCP socket that listens at the configured address.
 type ListenerError struct {
 	FD      int
-	Problem string // as the rest of a sentence about the descriptor
-	Err     error  // of the system call that found it; nil: none
+	Problem string // the predicate of a sentence whose subject is the descriptor
+	Err     error  // of the system call that failed; nil: none failed
 }
 
 func (e *ListenerError) Error() string {
@@ -27,9 +27,9 @@
 // Unwrap returns the system call's error.
 func (e *ListenerError) Unwrap() error { return e.Err }
 
-// PrepareListener checks that a descriptor is a TCP socket that listens at an address, IP:port, and makes it fit for a
-// reactor. The open file is shared with other processes: it is made non-blocking, which all of them want, and nothing else
-// of it is changed. All errors are of type *ListenerError.
+// PrepareListener checks that a descriptor is a TCP socket that listens at an address, given as IP:port, and prepares it for
+// a reactor. The open file description is shared with other processes, so only the non-blocking mode is set on it, which all
+// of them need; close-on-exec is set on the descriptor, which is not shared. All errors are of type *ListenerError.
 func PrepareListener(fd int, address string) error {
 	if err := checkListens(fd); err != nil {
 		return err
@@ -38,22 +38,22 @@
 		return err
 	}
 	if err := unix.SetNonblock(fd, true); err != nil {
-		return &ListenerError{FD: fd, Problem: "can't be made non-blocking", Err: err}
+		return &ListenerError{FD: fd, Problem: "cannot be made non-blocking", Err: err}
 	}
 	unix.CloseOnExec(fd)
 	return nil
 }
 
-// checkListens checks that a descriptor is a TCP socket that listens.
+// checkListens checks that a descriptor is a listening TCP socket.
 func checkListens(fd int) error {
 	socketType, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil {
-		return &ListenerError{FD: fd, Problem: "is no socket", Err: err}
+		return &ListenerError{FD: fd, Problem: "is not a socket", Err: err}
 	}
 	protocol, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_PROTOCOL)
 	isTCP := protocol == unix.IPPROTO_TCP || protocol == unix.IPPROTO_MPTCP
 	if err != nil || socketType != unix.SOCK_STREAM || !isTCP {
-		return &ListenerError{FD: fd, Problem: "is no TCP socket", Err: err}
+		return &ListenerError{FD: fd, Problem: "is not a TCP socket", Err: err}
 	}
 	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil || listens == 0 {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// checkAddress checks that a socket listens at an address, or at all addresses of the host with its port.
+// checkAddress checks that a socket listens at an address, or at all addresses of the host on the same port.
 func checkAddress(fd int, address string) error {
 	local, err := localAddress(fd)
 	if err != nil {
@@ -70,16 +70,16 @@
 	}
 	want, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return &ListenerError{FD: fd, Problem: fmt.Sprintf("can't be compared: listen is %q, not IP:port", address)}
+		return &ListenerError{FD: fd, Problem: fmt.Sprintf("cannot be compared: listen is %q, want IP:port", address)}
 	}
 	sameIP := local.Addr() == want.Addr().Unmap() || local.Addr().IsUnspecified()
 	if local.Port() != want.Port() || !sameIP {
-		return &ListenerError{FD: fd, Problem: fmt.Sprintf("listens at %v, not at %v", local, want)}
+		return &ListenerError{FD: fd, Problem: fmt.Sprintf("listens at %v, want %v", local, want)}
 	}
 	return nil
 }
 
-var errNoIPSocket = errors.New("not a socket of IPv4 or IPv6")
+var errNotIPSocket = errors.New("not an IPv4 or IPv6 socket")
 
 func localAddress(fd int) (netip.AddrPort, error) {
 	name, err := unix.Getsockname(fd)
@@ -92,5 +92,5 @@
 	case *unix.SockaddrInet6:
 		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port)), nil
 	}
-	return netip.AddrPort{}, errNoIPSocket
+	return netip.AddrPort{}, errNotIPSocket
 }
--- a/internal/hotrestart/listener_test.go
+++ b/internal/hotrestart/listener_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func closeAtEnd(t *testing.T, c io.Closer) {
+func closeOnCleanup(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
 		if err := c.Close(); err != nil {
@@ -20,8 +20,8 @@
 	})
 }
 
-// inherited is a copy of a socket's descriptor, as a process inherits it.
-func inherited(t *testing.T, socket any) (fd int) {
+// duplicateDescriptor returns a duplicate of a socket's descriptor, which stands for the one that a process inherits.
+func duplicateDescriptor(t *testing.T, socket any) (fd int) {
 	t.Helper()
 	raw, err := socket.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -44,45 +44,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, listener)
+	closeOnCleanup(t, listener)
 	addr := listener.Addr().String()
 	_, port, _ := net.SplitHostPort(addr)
 	connection, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, connection)
+	closeOnCleanup(t, connection)
 	packets, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, packets)
-	everywhere, err := net.Listen("tcp4", "0.0.0.0:0")
+	closeOnCleanup(t, packets)
+	wildcard, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, everywhere)
-	_, everywherePort, _ := net.SplitHostPort(everywhere.Addr().String())
+	closeOnCleanup(t, wildcard)
+	_, wildcardPort, _ := net.SplitHostPort(wildcard.Addr().String())
 
-	good := inherited(t, listener)
-	if err := unix.SetNonblock(good, false); err != nil {
+	valid := duplicateDescriptor(t, listener)
+	if err := unix.SetNonblock(valid, false); err != nil {
 		t.Fatal(err)
 	}
-	const closed = 1 << 15 // no descriptor has this number
+	const closed = 1 << 15 // no open descriptor has this number
 	for _, c := range []struct {
 		name    string
 		fd      int
 		address string
-		want    string // of the error; empty: none
+		want    string // a part of the error; empty: no error
 	}{
-		{"the listener", good, addr, ""},
-		{"a listener at all addresses", inherited(t, everywhere), "127.0.0.1:" + everywherePort, ""},
-		{"no descriptor", closed, addr, "is no socket"},
-		{"a UDP socket", inherited(t, packets), addr, "is no TCP socket"},
-		{"a connection", inherited(t, connection), addr, "does not listen"},
-		{"another IP", good, "127.0.0.2:" + port, "listens at"},
-		{"another port", good, "127.0.0.1:1", "listens at"},
-		{"a host name", good, "localhost:" + port, "can't be compared"},
+		{"the listener", valid, addr, ""},
+		{"a listener at all addresses", duplicateDescriptor(t, wildcard), "127.0.0.1:" + wildcardPort, ""},
+		{"no descriptor", closed, addr, "is not a socket"},
+		{"a UDP socket", duplicateDescriptor(t, packets), addr, "is not a TCP socket"},
+		{"a connection", duplicateDescriptor(t, connection), addr, "does not listen"},
+		{"another IP", valid, "127.0.0.2:" + port, "listens at"},
+		{"another port", valid, "127.0.0.1:1", "listens at"},
+		{"a host name", valid, "localhost:" + port, "cannot be compared"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := PrepareListener(c.fd, c.address)
@@ -92,13 +92,13 @@
 				}
 				return
 			}
-			var wrong *ListenerError
-			if !errors.As(err, &wrong) || wrong.FD != c.fd || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("PrepareListener: %v, want %q of descriptor %d", err, c.want, c.fd)
+			var listenerErr *ListenerError
+			if !errors.As(err, &listenerErr) || listenerErr.FD != c.fd || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("PrepareListener: got the error %v, want %q for descriptor %d", err, c.want, c.fd)
 			}
 		})
 	}
-	if flags, err := unix.FcntlInt(uintptr(good), unix.F_GETFL, 0); err != nil || flags&unix.O_NONBLOCK == 0 {
-		t.Errorf("flags %o, %v: an inherited listener would block", flags, err)
+	if flags, err := unix.FcntlInt(uintptr(valid), unix.F_GETFL, 0); err != nil || flags&unix.O_NONBLOCK == 0 {
+		t.Errorf("got flags %o, %v, want O_NONBLOCK: the inherited listener would block", flags, err)
 	}
 }
--- a/internal/hotrestart/statedir.go
+++ b/internal/hotrestart/statedir.go
@@ -23,34 +23,35 @@
 	dirMode          = 0o700
 	fileMode         = 0o600
 
-	maxSnapshotAge = 10 * time.Second // what was written longer ago is of a process that no longer runs
-	maxFileAge     = time.Minute      // files that were changed longer ago are removed
+	maxSnapshotAge = 10 * time.Second // an older snapshot is that of a process that no longer runs
+	maxFileAge     = time.Minute      // files that were modified longer ago are removed
 )
 
-// StateDir is the directory where the processes of one gateway leave their snapshots for each other. It belongs to one
-// goroutine at a time. No fault of the directory or of a file in it is an error: it is logged, and the process serves
-// without.
+// StateDir is the directory through which the processes of one gateway exchange snapshots. It may be used by only one
+// goroutine at a time. Its methods return no errors: they log a failure of the directory or of a file in it, and the process
+// serves without the snapshot.
 type StateDir struct {
 	dir    string
 	self   Process
 	logger *slog.Logger
 
-	lastFailure string // of writing; logged when it changes
+	lastFailure string // error of the last write, which is logged when it changes; empty: the write succeeded
 
-	searched    bool      // for the predecessor, which is done once
-	predecessor string    // its file; empty: there is none
-	readAt      time.Time // modification time of the file when it was last read
+	hasSearched bool      // the predecessor has been searched for, which is done only once
+	predecessor string    // name of the predecessor's file; empty: there is none
+	lastModTime time.Time // modification time of the predecessor's file when it was last read
 }
 
-// NewStateDir returns the state directory at a path, as a process uses it. With the path "" nothing is written or found.
+// NewStateDir returns the state directory at a path, for use by the process self. With the path "", nothing is written or
+// found.
 func NewStateDir(dir string, self Process, logger *slog.Logger) *StateDir {
 	return &StateDir{dir: dir, self: self, logger: logger}
 }
 
-// fileName is the name of a process's file.
+// fileName returns the name of a process's file.
 func fileName(p Process) string { return filePrefix + strconv.FormatInt(p.StartedAt, 10) }
 
-// startedAt is when the process of a file started. A name without a number is taken for the oldest.
+// startedAt returns the start time of the process that a file name is for. A name without a number counts as the oldest.
 func startedAt(name string) int64 {
 	n, err := strconv.ParseInt(strings.TrimPrefix(name, filePrefix), 10, 64)
 	if errors.Is(err, strconv.ErrSyntax) {
@@ -61,7 +62,7 @@
 
 func (d *StateDir) path(name string) string { return filepath.Join(d.dir, name) }
 
-// Write replaces this process's snapshot as a whole. A fault is logged once, until it is another.
+// Write atomically replaces this process's snapshot. A failure is logged only if it differs from that of the previous write.
 func (d *StateDir) Write(s Snapshot) {
 	if d.dir == "" {
 		return
@@ -88,7 +89,7 @@
 	return renameio.WriteFile(d.path(fileName(d.self)), file, fileMode, renameio.WithTempDir(d.dir))
 }
 
-// Remove takes this process's snapshot away.
+// Remove removes this process's snapshot.
 func (d *StateDir) Remove() {
 	if d.dir != "" {
 		d.remove(fileName(d.self))
@@ -101,8 +102,8 @@
 	}
 }
 
-// others lists the files of other processes. A directory that can't be read holds none.
-func (d *StateDir) others() (names []string) {
+// otherFiles returns the names of other processes' files. It returns none if the directory cannot be read.
+func (d *StateDir) otherFiles() (names []string) {
 	if d.dir == "" {
 		return nil
 	}
@@ -119,32 +120,32 @@
 	return names
 }
 
-// ReadPredecessor returns the snapshot of the process that this one follows, if it is new since the last call. That process
-// is searched for once: of those that run, the last one that started before this one. Files that are corrupt or of another
-// format are quarantined, old ones are ignored or removed.
+// ReadPredecessor returns the predecessor's snapshot; ok is false if there is none or if it has not changed since the last
+// call. The predecessor is determined by the first call: of the running processes that started before this one, it is the
+// one that started last. Files that are corrupt or of another format are quarantined; old files are ignored or removed.
 func (d *StateDir) ReadPredecessor(now time.Time) (s Snapshot, ok bool) {
 	if d.predecessor != "" {
-		return d.readAgain(now)
+		return d.readChanged(now)
 	}
-	if d.searched {
+	if d.hasSearched {
 		return Snapshot{}, false
 	}
-	d.searched = true
+	d.hasSearched = true
 	return d.findPredecessor(now)
 }
 
-// readAgain reads the predecessor's file where it was changed.
-func (d *StateDir) readAgain(now time.Time) (s Snapshot, ok bool) {
+// readChanged reads the predecessor's file if it has been modified since it was last read.
+func (d *StateDir) readChanged(now time.Time) (s Snapshot, ok bool) {
 	info, err := os.Stat(d.path(d.predecessor))
-	if err != nil || info.ModTime().Equal(d.readAt) {
+	if err != nil || info.ModTime().Equal(d.lastModTime) {
 		return Snapshot{}, false
 	}
-	d.readAt = info.ModTime()
-	return d.read(d.predecessor, now)
+	d.lastModTime = info.ModTime()
+	return d.readRecent(d.predecessor, now)
 }
 
 func (d *StateDir) findPredecessor(now time.Time) (s Snapshot, ok bool) {
-	names := d.others()
+	names := d.otherFiles()
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(startedAt(b), startedAt(a)) })
 	for _, name := range names {
 		if startedAt(name) >= d.self.StartedAt {
@@ -158,17 +159,18 @@
 			d.remove(name)
 			continue
 		}
-		if s, ok := d.read(name, now); ok && isAlive(s.Process.PID) {
-			d.predecessor, d.readAt = name, info.ModTime()
+		if s, ok := d.readRecent(name, now); ok && isAlive(s.Process.PID) {
+			d.predecessor, d.lastModTime = name, info.ModTime()
 			return s, true
 		}
 	}
 	return Snapshot{}, false
 }
 
-// read returns the snapshot of a file, if it can be read and is recent.
-func (d *StateDir) read(name string, now time.Time) (s Snapshot, ok bool) {
-	s, err := d.load(name)
+// readRecent returns the snapshot of a file; ok is false if the file cannot be read, which quarantines it, or if the
+// snapshot's time differs from now by more than maxSnapshotAge.
+func (d *StateDir) readRecent(name string, now time.Time) (s Snapshot, ok bool) {
+	s, err := d.readFile(name)
 	if err != nil {
 		d.quarantine(name, err)
 		return Snapshot{}, false
@@ -180,13 +182,13 @@
 	return s, true
 }
 
-func (d *StateDir) load(name string) (Snapshot, error) {
+func (d *StateDir) readFile(name string) (Snapshot, error) {
 	info, err := os.Stat(d.path(name))
 	if err != nil {
 		return Snapshot{}, err
 	}
 	if info.Size() > maxFileBytes {
-		return Snapshot{}, fmt.Errorf("%w: %d bytes, at most %d are read", ErrCorrupt, info.Size(), maxFileBytes)
+		return Snapshot{}, fmt.Errorf("%w: file has %d bytes, want at most %d", ErrCorrupt, info.Size(), maxFileBytes)
 	}
 	file, err := os.ReadFile(d.path(name))
 	if err != nil {
@@ -195,26 +197,26 @@
 	return decode(file)
 }
 
-// quarantine renames a file that can't be read, so that it is not read again and can be looked into.
+// quarantine renames a file that cannot be read, so that it is not read again and can be inspected.
 func (d *StateDir) quarantine(name string, reason error) {
 	err := os.Rename(d.path(name), d.path(quarantinePrefix+name))
 	d.logger.Warn("snapshot quarantined", "file", name, "err", errors.Join(reason, err))
 }
 
-// HasSuccessor reports whether a process that started later serves clients now.
+// HasSuccessor reports whether a process that started after this one is running and serves clients.
 func (d *StateDir) HasSuccessor() bool {
-	for _, name := range d.others() {
+	for _, name := range d.otherFiles() {
 		if startedAt(name) <= d.self.StartedAt {
 			continue
 		}
-		if s, err := d.load(name); err == nil && s.Ready && isAlive(s.Process.PID) {
+		if s, err := d.readFile(name); err == nil && s.Ready && isAlive(s.Process.PID) {
 			return true
 		}
 	}
 	return false
 }
 
-// isAlive reports whether a process runs, be it another user's.
+// isAlive reports whether a process is running, also if it belongs to another user.
 func isAlive(pid int) bool {
 	if pid <= 0 {
 		return false
--- a/internal/hotrestart/statedir_test.go
+++ b/internal/hotrestart/statedir_test.go
@@ -17,8 +17,8 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// runningAt is the state directory as a process uses it that started at a time and runs.
-func runningAt(dir string, startedAt int64) *StateDir {
+// newRunningStateDir returns a state directory for the use of a running process that started at startedAt.
+func newRunningStateDir(dir string, startedAt int64) *StateDir {
 	return NewStateDir(dir, Process{StartedAt: startedAt, PID: os.Getpid()}, discardLogger)
 }
 
@@ -40,60 +40,61 @@
 func TestSnapshotIsReadAsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	now := time.Now()
-	writer, reader := runningAt(dir, 10), runningAt(dir, 20)
-	if _, ok := runningAt(dir, 5).ReadPredecessor(now); ok {
-		t.Error("a snapshot where there is none")
+	writer, reader := newRunningStateDir(dir, 10), newRunningStateDir(dir, 20)
+	if _, ok := newRunningStateDir(dir, 5).ReadPredecessor(now); ok {
+		t.Error("got a predecessor's snapshot from an empty directory")
 	}
 	want := sampleSnapshot(now)
 	writer.Write(want)
 	want.Process = writer.self
 	got, ok := reader.ReadPredecessor(now)
 	if diff := cmp.Diff(want, got); !ok || diff != "" {
-		t.Fatalf("ReadPredecessor: %t (-want +got):\n%s", ok, diff)
+		t.Fatalf("ReadPredecessor: ok is %t, want true (-want +got):\n%s", ok, diff)
 	}
 	if _, ok := reader.ReadPredecessor(now); ok {
 		t.Error("a snapshot that did not change was read again")
 	}
 	want.KnownServers = nil
 	writer.Write(want)
-	later := now.Add(time.Second) // the file's own modification time is coarse
+	later := now.Add(time.Second) // the file system's modification times are coarse
 	if err := os.Chtimes(filepath.Join(dir, "state-10"), later, later); err != nil {
 		t.Fatal(err)
 	}
 	if got, ok := reader.ReadPredecessor(now); !ok || got.KnownServers != nil {
-		t.Error("the new snapshot was not read")
+		t.Error("the changed snapshot was not read")
 	}
-	if names := listing(t, dir); len(names) != 1 {
-		t.Errorf("the directory holds %q", names)
+	if names := fileNames(t, dir); len(names) != 1 {
+		t.Errorf("the directory holds %q, want one file", names)
 	}
 }
 
-// Whatever a file holds, a start goes on without it, and one that can't be read is quarantined.
+// Guards against a start that fails because of an unusable file. A file that cannot be read must be quarantined, and one
+// whose time is too far from now must be left in place and ignored.
 func TestUnusableSnapshots(t *testing.T) {
 	now := time.Now()
 	dir := t.TempDir()
-	runningAt(dir, 10).Write(sampleSnapshot(now))
-	whole := string(mustRead(t, filepath.Join(dir, "state-10")))
+	newRunningStateDir(dir, 10).Write(sampleSnapshot(now))
+	valid := string(mustRead(t, filepath.Join(dir, "state-10")))
 	for name, c := range map[string]struct {
 		text string
 		now  time.Time
-		kept bool
+		kept bool // the file keeps its name
 	}{
 		"empty":           {"", now, false},
-		"cut short":       {whole[:len(whole)-9], now, false},
-		"no first line":   {"milletvane-handover", now, false},
-		"altered":         {strings.Replace(whole, `"s-1"`, `"s-2"`, 1), now, false},
-		"version 2":       {strings.Replace(whole, "handover 1 ", "handover 2 ", 1), now, false},
-		"another word":    {strings.Replace(whole, "milletvane", "milletvine", 1), now, false},
-		"more bytes":      {whole + "x", now, false},
-		"old":             {whole, now.Add(20 * time.Second), true},
-		"from the future": {whole, now.Add(-20 * time.Second), true},
+		"truncated":       {valid[:len(valid)-9], now, false},
+		"no header":       {"milletvane-handover", now, false},
+		"altered":         {strings.Replace(valid, `"s-1"`, `"s-2"`, 1), now, false},
+		"version 2":       {strings.Replace(valid, "handover 1 ", "handover 2 ", 1), now, false},
+		"another magic":   {strings.Replace(valid, "milletvane", "milletvine", 1), now, false},
+		"excess byte":     {valid + "x", now, false},
+		"old":             {valid, now.Add(20 * time.Second), true},
+		"from the future": {valid, now.Add(-20 * time.Second), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			put(t, dir, "state-10", []byte(c.text), now)
-			if _, ok := runningAt(dir, 20).ReadPredecessor(c.now); ok {
-				t.Error("was taken up")
+			writeFile(t, dir, "state-10", []byte(c.text), now)
+			if _, ok := newRunningStateDir(dir, 20).ReadPredecessor(c.now); ok {
+				t.Error("the snapshot was used, want it to be ignored")
 			}
 			if _, err := os.Stat(filepath.Join(dir, "state-10")); (err == nil) != c.kept {
 				t.Errorf("kept in place: %t, want %t", err == nil, c.kept)
@@ -102,43 +103,44 @@
 	}
 }
 
-// A process follows the last one that started before it and runs; one that died is passed over, and follows nobody.
+// The predecessor of a process must be the last running process that started before it. A process that has died must be
+// neither a predecessor nor a successor.
 func TestPredecessorAndSuccessor(t *testing.T) {
 	dir := t.TempDir()
 	now := time.Now()
-	first, third := runningAt(dir, 10), runningAt(dir, 30)
+	first, third := newRunningStateDir(dir, 10), newRunningStateDir(dir, 30)
 	died := NewStateDir(dir, Process{StartedAt: 20, PID: 1 << 30}, discardLogger)
 	s := sampleSnapshot(now)
 	s.State.Version = 1
 	first.Write(s)
 	if first.HasSuccessor() {
-		t.Error("a successor where there is none")
+		t.Error("the only process has a successor")
 	}
 	s.State.Version = 2
 	died.Write(s)
 	if first.HasSuccessor() {
-		t.Error("a successor that died")
+		t.Error("a process that has died counts as the successor")
 	}
 	if got, ok := third.ReadPredecessor(now); !ok || got.State.Version != 1 {
-		t.Errorf("follows %+v", got.Process)
+		t.Errorf("the third process's predecessor is %+v, want the first process", got.Process)
 	}
 	s.Ready = false
 	third.Write(s)
 	if first.HasSuccessor() {
-		t.Error("a successor that is not ready")
+		t.Error("a process that is not ready counts as the successor")
 	}
 	s.Ready = true
 	third.Write(s)
 	if !first.HasSuccessor() || third.HasSuccessor() {
-		t.Error("the third follows the first, and none the third")
+		t.Error("want a successor of the first process and none of the third")
 	}
 	third.Remove()
 	if first.HasSuccessor() {
-		t.Error("a successor that has left")
+		t.Error("a process that has removed its snapshot counts as the successor")
 	}
 }
 
-// Without a directory, or with one that takes no files, nothing is written or found.
+// Without a directory, or if its path is that of a file, nothing must be written or found.
 func TestNoDirectory(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -146,7 +148,7 @@
 	}
 	for name, dir := range map[string]string{"no path": "", "a file": file} {
 		t.Run(name, func(t *testing.T) {
-			d := runningAt(dir, 10)
+			d := newRunningStateDir(dir, 10)
 			d.Write(sampleSnapshot(time.Now()))
 			if _, ok := d.ReadPredecessor(time.Now()); ok || d.HasSuccessor() {
 				t.Error("found a snapshot")
@@ -167,12 +169,12 @@
 	}{
 		"empty":        {nil, ErrCorrupt},
 		"altered":      {append(file[:len(file)-1:len(file)-1], ' '), ErrCorrupt},
-		"version 2":    {framed(formatWord, 2, "{}"), ErrUnsupportedFormat},
-		"another form": {framed(formatWord, formatVersion, "[]"), ErrUnsupportedFormat},
+		"version 2":    {withHeader(formatMagic, 2, "{}"), ErrUnsupportedFormat},
+		"another form": {withHeader(formatMagic, formatVersion, "[]"), ErrUnsupportedFormat},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := decode(c.file); !errors.Is(err, c.want) {
-				t.Errorf("decode: %v, want %v", err, c.want)
+				t.Errorf("decode: got the error %v, want %v", err, c.want)
 			}
 		})
 	}
