--- a/internal/maintenance/directory.go
+++ b/internal/maintenance/directory.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	maxIDBytes = 8 << 10 // of an id that is kept
-	filePrefix = "out-"  // of a file's name, before the hash of the id
+	maxIDBytes = 8 << 10 // maximum length of a stored id
+	filePrefix = "out-"  // precedes the hash of the id in a file name
 	dirMode    = 0o700
 	fileMode   = 0o600
 )
 
-// errForeignFile says that a file holds something else than the id that its name is of.
+// errForeignFile is returned for a file whose content is not the id that its name is the hash of.
 var errForeignFile = errors.New("not a file of a server in maintenance mode")
 
-// directory is where the files are, each with an id for its content. The empty one holds none, and takes none.
+// directory is the path of the directory that has one file for each server in maintenance mode; the content of a file is the
+// server's id. If the path is empty, nothing is stored.
 type directory string
 
-func (d directory) exists() bool { return d != "" }
+func (d directory) isConfigured() bool { return d != "" }
 
-// fileName is the name of an id's file. The id itself may have any characters.
+// fileName returns the name of an id's file. The name is a hash, because an id may have any characters.
 func fileName(id string) string {
 	sum := sha256.Sum256([]byte(id))
 	return filePrefix + hex.EncodeToString(sum[:])
@@ -36,9 +37,9 @@
 
 func (d directory) path(name string) string { return filepath.Join(string(d), name) }
 
-// write makes an id's file as a whole, or not at all.
+// write atomically creates an id's file.
 func (d directory) write(id string) error {
-	if !d.exists() {
+	if !d.isConfigured() {
 		return nil
 	}
 	if err := os.MkdirAll(string(d), dirMode); err != nil {
@@ -47,9 +48,9 @@
 	return renameio.WriteFile(d.path(fileName(id)), []byte(id), fileMode, renameio.WithTempDir(string(d)))
 }
 
-// remove takes an id's file away, if there is one.
+// remove removes an id's file. It is not an error if there is none.
 func (d directory) remove(id string) error {
-	if !d.exists() {
+	if !d.isConfigured() {
 		return nil
 	}
 	if err := os.Remove(d.path(fileName(id))); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// list returns the names of the files that may be of servers in maintenance mode.
+// list returns the names of the files that have the prefix of maintenance files.
 func (d directory) list() (names map[string]bool, err error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -73,7 +74,7 @@
 	return names, nil
 }
 
-// read returns the id that a file holds; errForeignFile where the file's name is of another one.
+// read returns the id that a file holds. It returns errForeignFile if the id is too long or does not match the file's name.
 func (d directory) read(name string) (id string, err error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
--- a/internal/maintenance/format_test.go
+++ b/internal/maintenance/format_test.go
@@ -16,23 +16,24 @@
 	"example.org/milletvane/internal/golden"
 )
 
-const idLimit = 8192 // bytes of the longest id
+const wantMaxIDBytes = 8192 // length of the longest id that is stored
 
-// short is an id, or the beginning of one that is too long to print.
-func short(id string) string {
+// quoteID returns an id in quotes, or the beginning and the length of a long one. Files in testdata hold this text, so it
+// stays as it is, as do the other texts that the tests below print.
+func quoteID(id string) string {
 	if len(id) > 80 {
 		return fmt.Sprintf("%q (%d bytes)", id[:8], len(id))
 	}
 	return fmt.Sprintf("%q", id)
 }
 
-// fileOf is the name of an id's file, as the format states it.
-func fileOf(id string) string {
+// wantFileName returns the name that the format prescribes for an id's file.
+func wantFileName(id string) string {
 	sum := sha256.Sum256([]byte(id))
 	return "out-" + hex.EncodeToString(sum[:])
 }
 
-// appendDirectory prints the files of a directory.
+// appendDirectory appends the files of a directory with their modes and contents as text.
 func appendDirectory(t *testing.T, b *bytes.Buffer, dir string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -52,25 +53,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(b, "  file %s mode %o holds %s\n", e.Name(), info.Mode().Perm(), short(string(text)))
+		fmt.Fprintf(b, "  file %s mode %o holds %s\n", e.Name(), info.Mode().Perm(), quoteID(string(text)))
 	}
 }
 
 var formatIDs = []string{
-	"s-1", "../../s-2", "a/b%2F", "ümlaut\n\x00\xff", ".", "", strings.Repeat("x", idLimit),
-	strings.Repeat("x", idLimit+1),
+	"s-1", "../../s-2", "a/b%2F", "ümlaut\n\x00\xff", ".", "", strings.Repeat("x", wantMaxIDBytes),
+	strings.Repeat("x", wantMaxIDBytes+1),
 }
 
-// The directory after each call holds, byte for byte, the files that earlier builds wrote.
+// After the calls, the directory must hold the same files, byte for byte, as earlier builds wrote.
 func TestFormatWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "state")
-	p := newProcess(dir)
+	p := newTestStore(dir)
 	p.AddKnown(formatIDs)
 	var b bytes.Buffer
-	for _, out := range []bool{true, true, false, false} {
+	for _, inMaintenance := range []bool{true, true, false, false} {
 		for _, id := range formatIDs {
-			err := p.Set(t.Context(), id, out)
-			fmt.Fprintf(&b, "set %s out=%t: unknown %t, other fault %t\n", short(id), out, errors.Is(err, ErrUnknownServer),
+			err := p.Set(t.Context(), id, inMaintenance)
+			fmt.Fprintf(&b, "set %s out=%t: unknown %t, other fault %t\n", quoteID(id), inMaintenance, errors.Is(err, ErrUnknownServer),
 				err != nil && !errors.Is(err, ErrUnknownServer))
 		}
 		appendDirectory(t, &b, dir)
@@ -83,59 +84,59 @@
 	golden.Check(t, "written.txt", b.Bytes())
 }
 
-// Files of earlier builds are taken up, and all else that stands in the directory is passed over and stays.
+// Files of earlier builds must be read. All other files in the directory must be ignored and kept.
 func TestFormatRead(t *testing.T) {
 	var b bytes.Buffer
 	for _, c := range []struct{ name, file, text string }{
-		{"an id", fileOf("s-1"), "s-1"},
-		{"an id that is a path", fileOf("../../s-2"), "../../s-2"},
-		{"no text in an id", fileOf("ümlaut\n\x00\xff"), "ümlaut\n\x00\xff"},
-		{"an empty id", fileOf(""), ""},
-		{"the longest id", fileOf(strings.Repeat("x", idLimit)), strings.Repeat("x", idLimit)},
-		{"an id that is too long", fileOf(strings.Repeat("x", idLimit+1)), strings.Repeat("x", idLimit+1)},
-		{"the name of another id", fileOf("s-2"), "s-1"},
-		{"a name in upper case", "out-" + strings.ToUpper(strings.TrimPrefix(fileOf("s-1"), "out-")), "s-1"},
-		{"a newline more", fileOf("s-1"), "s-1\n"},
+		{"an id", wantFileName("s-1"), "s-1"},
+		{"an id that is a path", wantFileName("../../s-2"), "../../s-2"},
+		{"no text in an id", wantFileName("ümlaut\n\x00\xff"), "ümlaut\n\x00\xff"},
+		{"an empty id", wantFileName(""), ""},
+		{"the longest id", wantFileName(strings.Repeat("x", wantMaxIDBytes)), strings.Repeat("x", wantMaxIDBytes)},
+		{"an id that is too long", wantFileName(strings.Repeat("x", wantMaxIDBytes+1)), strings.Repeat("x", wantMaxIDBytes+1)},
+		{"the name of another id", wantFileName("s-2"), "s-1"},
+		{"a name in upper case", "out-" + strings.ToUpper(strings.TrimPrefix(wantFileName("s-1"), "out-")), "s-1"},
+		{"a newline more", wantFileName("s-1"), "s-1\n"},
 		{"a short name", "out-00", "s-1"},
 		{"a prefix alone", "out-", ""},
-		{"another prefix", "in-" + strings.TrimPrefix(fileOf("s-1"), "out-"), "s-1"},
+		{"another prefix", "in-" + strings.TrimPrefix(wantFileName("s-1"), "out-"), "s-1"},
 		{"a record of a process", "state-10", "milletvane-handover"},
 	} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, c.file), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Mkdir(filepath.Join(dir, fileOf("folder")), 0o700); err != nil {
+		if err := os.Mkdir(filepath.Join(dir, wantFileName("folder")), 0o700); err != nil {
 			t.Fatal(err)
 		}
-		p := newProcess(dir)
+		p := newTestStore(dir)
 		p.Sync()
 		fmt.Fprintf(&b, "== %s\n", c.name)
-		for id, out := range p.inMaintenance { // one at most
-			fmt.Fprintf(&b, "  taken up: %s out=%t\n", short(id), out)
+		for id, inMaintenance := range p.inMaintenance { // one at most
+			fmt.Fprintf(&b, "  taken up: %s out=%t\n", quoteID(id), inMaintenance)
 		}
 		for _, id := range p.Known() {
-			fmt.Fprintf(&b, "  known: %s\n", short(id))
+			fmt.Fprintf(&b, "  known: %s\n", quoteID(id))
 		}
 		appendDirectory(t, &b, dir)
 	}
 	golden.Check(t, "read.txt", b.Bytes())
 }
 
-// What one process does with the directory, another takes up at its next sync, in this order.
+// A sync must apply the changes that other processes have made to the directory.
 func TestFormatSharedByProcesses(t *testing.T) {
 	dir := t.TempDir()
 	ids := []string{"s-1", "s-2", "s-3"}
 	for _, id := range ids {
-		if err := os.WriteFile(filepath.Join(dir, fileOf(id)), []byte(id), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, wantFileName(id)), []byte(id), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p := newProcess(dir)
+	p := newTestStore(dir)
 	state := func() []string {
 		list := []string{}
-		for id, out := range p.inMaintenance {
-			list = append(list, fmt.Sprintf("%s %t", id, out))
+		for id, inMaintenance := range p.inMaintenance {
+			list = append(list, fmt.Sprintf("%s %t", id, inMaintenance))
 		}
 		slices.Sort(list)
 		return list
@@ -143,12 +144,12 @@
 	check := func(step string, want ...string) {
 		t.Helper()
 		if got := state(); !slices.Equal(got, want) {
-			t.Errorf("%s: %q, want %q", step, got, want)
+			t.Errorf("%s: got %q, want %q", step, got, want)
 		}
 	}
 	p.Sync()
 	check("three files", "s-1 true", "s-2 true", "s-3 true")
-	if err := os.Remove(filepath.Join(dir, fileOf("s-2"))); err != nil {
+	if err := os.Remove(filepath.Join(dir, wantFileName("s-2"))); err != nil {
 		t.Fatal(err)
 	}
 	p.Sync()
@@ -159,17 +160,17 @@
 	p.Sync()
 	check("no directory", "s-1 false", "s-2 false", "s-3 false")
 	p.set(t, "s-1", true)
-	check("out again", "s-1 true", "s-2 false", "s-3 false")
-	if text, err := os.ReadFile(filepath.Join(dir, fileOf("s-1"))); err != nil || string(text) != "s-1" {
-		t.Errorf("the file holds %q, %v", text, err)
+	check("in maintenance mode again", "s-1 true", "s-2 false", "s-3 false")
+	if text, err := os.ReadFile(filepath.Join(dir, wantFileName("s-1"))); err != nil || string(text) != "s-1" {
+		t.Errorf("the file holds %q, %v, want s-1", text, err)
 	}
 }
 
-// The texts that an operator's call is answered with.
+// The error texts that operators receive must stay as they are.
 func TestFormatOfErrors(t *testing.T) {
 	parent := t.TempDir()
 	dir := filepath.Join(parent, "state")
-	p := newProcess(dir)
+	p := newTestStore(dir)
 	p.AddKnown([]string{"s-1"})
 	p.set(t, "s-1", true)
 	if err := os.RemoveAll(dir); err != nil {
@@ -178,24 +179,24 @@
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ended, end := context.WithCancel(t.Context())
-	end()
-	slow := New("", discardLogger)
-	slow.OnChange(func(string, bool, func()) {})
-	slow.AddKnown([]string{"s-1"})
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	neverApplied := New("", discardLogger)
+	neverApplied.OnChange(func(string, bool, func()) {})
+	neverApplied.AddKnown([]string{"s-1"})
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
 		{p.Set(t.Context(), "s-9", true), "no server of this id was ever listed"},
-		{slow.Set(ended, "s-1", true), "not in force yet, call again"},
-		{p.Set(t.Context(), "s-1", false), "the ban's file stays: remove DIR/" + fileOf("s-1") + ": not a directory"},
+		{neverApplied.Set(cancelled, "s-1", true), "not in force yet, call again"},
+		{p.Set(t.Context(), "s-1", false), "maintenance mode not ended: remove DIR/" + wantFileName("s-1") + ": not a directory"},
 	} {
 		if c.err == nil || strings.ReplaceAll(c.err.Error(), dir, "DIR") != c.want {
-			t.Errorf("%v, want %s", c.err, c.want)
+			t.Errorf("got the error %v, want %s", c.err, c.want)
 		}
 	}
 	if !p.inMaintenance["s-1"] {
-		t.Error("a call that failed changed what is in force")
+		t.Error("a call that failed ended maintenance mode")
 	}
 }
--- a/internal/maintenance/known.go
+++ b/internal/maintenance/known.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Bounds of the ids that are remembered: they are part of each snapshot that is handed over.
+// Limits of the ids that are remembered. They bound the size of the snapshots for a successor, which hold all these ids.
 const (
-	maxKnown      = 16 << 10
+	maxKnownIDs   = 16 << 10
 	maxKnownBytes = 1 << 20
 )
 
-// knownServers remembers ids that were listed, as many as the bounds allow. The zero value holds none.
+// knownServers holds the ids of servers that discovery has listed, within the limits. The zero value is empty.
 type knownServers struct {
-	ids   map[string]struct{}
-	order []string // the longest known first
-	bytes int      // of all ids together
+	ids        map[string]struct{}
+	order      []string // the ids, oldest first
+	totalBytes int      // total length of all ids
 }
 
 func (k *knownServers) has(id string) bool {
@@ -20,12 +20,12 @@
 	return found
 }
 
-// add remembers an id, unless it is too long, and forgets those known for longest where there is no space for it.
+// add adds an id, unless it is too long, and evicts the oldest ids if a limit would be exceeded.
 func (k *knownServers) add(id string) {
 	if k.has(id) || len(id) > maxIDBytes {
 		return
 	}
-	for len(k.order) >= maxKnown || len(k.order) > 0 && k.bytes+len(id) > maxKnownBytes {
+	for len(k.order) >= maxKnownIDs || len(k.order) > 0 && k.totalBytes+len(id) > maxKnownBytes {
 		k.forgetOldest()
 	}
 	if k.ids == nil {
@@ -33,14 +33,14 @@
 	}
 	k.ids[id] = struct{}{}
 	k.order = append(k.order, id)
-	k.bytes += len(id)
+	k.totalBytes += len(id)
 }
 
 func (k *knownServers) forgetOldest() {
 	oldest := k.order[0]
 	k.order = k.order[1:]
 	delete(k.ids, oldest)
-	k.bytes -= len(oldest)
+	k.totalBytes -= len(oldest)
 }
 
 func (k *knownServers) list() []string { return slices.Clone(k.order) }
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -1,6 +1,6 @@
-// Package maintenance keeps which servers operators have put into maintenance mode: a small file for each in a directory,
-// which outlives the process and is shared with the process that follows it in a hot restart. What maintenance mode means
-// for requests is the engine's to decide.
+// Package maintenance stores which servers operators have put into maintenance mode. It keeps a small file for each such
+// server in a directory, which outlives the process and is shared with the successor in a hot restart. The engine decides
+// what maintenance mode means for requests.
 package maintenance
 
 import (
@@ -13,46 +13,47 @@
 	"time"
 )
 
-// syncInterval bounds how late another process's calls hold here: within twice this.
+// syncInterval is the interval between syncs with the directory. A change by another process takes effect here within twice
+// this time.
 const syncInterval = 100 * time.Millisecond
 
-// Errors of calls. Their texts answer operators' calls over HTTP.
+// Errors of Set. The admin server returns their texts to operators over HTTP.
 var (
-	// ErrUnknownServer says that the id is of no server that discovery ever listed. Check the id.
+	// ErrUnknownServer is returned for an id of a server that discovery has never listed. The operator should check the id.
 	ErrUnknownServer = errors.New("no server of this id was ever listed")
-	// ErrNotApplied says that the engine did not take the change up in time. Repeat the call.
+	// ErrNotApplied is returned if the engine has not applied the change in time. The operator should repeat the call.
 	ErrNotApplied = errors.New("not in force yet, call again")
 )
 
-// ApplyFunc has the engine take up that a server is in maintenance mode, or no longer is. It calls done, unless that is
-// nil, once the change holds. It must not call the Store.
+// ApplyFunc tells the engine that a server is in maintenance mode or no longer is. It calls done, unless that is nil, once the
+// change is in effect. It must not call the Store.
 type ApplyFunc func(id string, inMaintenance bool, done func())
 
-// Store holds the servers that are in maintenance mode at one gateway. Its methods may be called by any goroutine, but for
-// OnChange, which comes before all others.
+// Store holds the servers that are in maintenance mode at one gateway. Its methods may be called from any goroutine, except
+// OnChange, which must be called before all others.
 type Store struct {
 	dir    directory
 	logger *slog.Logger
 	apply  ApplyFunc
 
-	mu sync.Mutex // for all that follows; it orders calls and syncs
-	// The servers in maintenance mode by id; false where the file could not be written, which the next sync tries again.
+	mu sync.Mutex // guards the fields below and serializes calls and syncs
+	// The servers in maintenance mode by id. The value is false if the file could not be written; the next sync retries that.
 	persisted map[string]bool
 	known     knownServers
-	// The directory failed and has taken no file since; this was logged.
+	// The directory has failed and no file has been written since. The failure has been logged.
 	failing bool
 }
 
-// New returns a Store whose files are in dir; "" keeps maintenance mode in memory alone. What the files hold is taken up
-// by the first Sync.
+// New returns a Store whose files are in dir. If dir is empty, maintenance mode is kept only in memory. Existing files are
+// read by the first Sync.
 func New(dir string, logger *slog.Logger) *Store {
 	return &Store{dir: directory(dir), logger: logger, persisted: map[string]bool{}}
 }
 
-// OnChange sets how changes reach the engine, before all other calls.
+// OnChange sets the function that passes changes to the engine. It must be called before all other methods.
 func (s *Store) OnChange(apply ApplyFunc) { s.apply = apply }
 
-// AddKnown remembers ids that discovery has listed. The ids known for longest are forgotten where there are too many.
+// AddKnown adds ids that discovery has listed. If there are too many, the oldest ids are forgotten.
 func (s *Store) AddKnown(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,17 +62,17 @@
 	}
 }
 
-// Known returns the ids that were ever listed, as far as they are remembered, those known for longest first.
+// Known returns the remembered ids of servers that discovery has listed, oldest first.
 func (s *Store) Known() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.known.list()
 }
 
-// Set puts a server into maintenance mode or ends that, and returns once this holds here and for the process that follows.
-// It may be repeated. Where the directory takes no file, maintenance mode holds in this process and is written as soon as
-// that is possible. The errors are ErrUnknownServer, ErrNotApplied where ctx ends first, and that of a file which can't be
-// removed: the server stays in maintenance mode then.
+// Set enables or disables maintenance mode for a server, and returns once the change is in effect in this process and stored
+// for its successor. Set is idempotent. If the file cannot be written, maintenance mode is in effect in this process, and the
+// file is written as soon as possible. Set returns ErrUnknownServer for an unknown id, ErrNotApplied if ctx is done before the
+// change is in effect, or the error of removing the file; in the last case the server stays in maintenance mode.
 func (s *Store) Set(ctx context.Context, id string, inMaintenance bool) error {
 	applied := make(chan struct{})
 	if err := s.change(id, inMaintenance, func() { close(applied) }); err != nil {
@@ -95,7 +96,7 @@
 		s.persist(id)
 	} else {
 		if err := s.dir.remove(id); err != nil {
-			return fmt.Errorf("the ban's file stays: %w", err)
+			return fmt.Errorf("maintenance mode not ended: %w", err)
 		}
 		delete(s.persisted, id)
 	}
@@ -104,14 +105,14 @@
 	return nil
 }
 
-// persist writes a server's file. What fails is tried again at the next sync.
+// persist writes a server's file. The next sync retries a failed write.
 func (s *Store) persist(id string) {
 	err := s.dir.write(id)
 	s.persisted[id] = err == nil
 	s.logFailure(err)
 }
 
-// logFailure logs that the directory fails once, until it takes a file again.
+// logFailure logs a failure of the directory, but no further ones until a file has been written again.
 func (s *Store) logFailure(err error) {
 	if err != nil && !s.failing {
 		s.logger.Warn("maintenance mode not persisted", "err", err)
@@ -119,9 +120,9 @@
 	s.failing = err != nil
 }
 
-// Sync takes up what the directory holds: calls that another process was given since the last sync.
+// Sync applies the changes that other processes have made to the directory since the last sync.
 func (s *Store) Sync() {
-	if !s.dir.exists() {
+	if !s.dir.isConfigured() {
 		return
 	}
 	s.mu.Lock()
@@ -129,13 +130,13 @@
 	files, err := s.dir.list()
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		s.logFailure(err)
-		return // nothing is known of the files, so nothing changes
+		return // without the list of files, no change can be detected
 	}
 	s.syncOwn(files)
-	s.adopt(files)
+	s.syncOthers(files)
 }
 
-// syncOwn compares the servers in maintenance mode with the files, and takes their files out of the set.
+// syncOwn compares the servers that are in maintenance mode here with the files, and removes the matching files from the set.
 func (s *Store) syncOwn(files map[string]bool) {
 	for id, persisted := range s.persisted {
 		name := fileName(id)
@@ -143,7 +144,7 @@
 		case files[name]:
 			s.persisted[id] = true
 			delete(files, name)
-		case persisted: // another process ended it
+		case persisted: // another process has ended maintenance mode
 			delete(s.persisted, id)
 			s.logger.Info("maintenance mode changed by another process", "server", id, "enabled", false)
 			s.apply(id, false, nil)
@@ -153,12 +154,12 @@
 	}
 }
 
-// adopt takes up the files of servers that are not in maintenance mode here.
-func (s *Store) adopt(files map[string]bool) {
+// syncOthers puts the servers of files into maintenance mode that are not in it here.
+func (s *Store) syncOthers(files map[string]bool) {
 	for name := range files {
 		id, err := s.dir.read(name)
 		if err != nil {
-			continue // gone again, or not a file of ours
+			continue // the file was removed meanwhile or is not a maintenance file
 		}
 		s.known.add(id)
 		s.persisted[id] = true
@@ -167,7 +168,7 @@
 	}
 }
 
-// Run syncs at intervals until ctx is done.
+// Run calls Sync at regular intervals until ctx is done.
 func (s *Store) Run(ctx context.Context) {
 	ticker := time.NewTicker(syncInterval)
 	defer ticker.Stop()
--- a/internal/maintenance/store_test.go
+++ b/internal/maintenance/store_test.go
@@ -15,14 +15,14 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// process is one process's store, whose engine takes every change up at once.
-type process struct {
+// testStore is the Store of one process, whose engine applies every change at once.
+type testStore struct {
 	*Store
-	inMaintenance map[string]bool // as the engine was last notified
+	inMaintenance map[string]bool // the state of which the engine was last notified, by id
 }
 
-func newProcess(dir string) *process {
-	p := &process{Store: New(dir, discardLogger), inMaintenance: map[string]bool{}}
+func newTestStore(dir string) *testStore {
+	p := &testStore{Store: New(dir, discardLogger), inMaintenance: map[string]bool{}}
 	p.OnChange(func(id string, inMaintenance bool, done func()) {
 		p.inMaintenance[id] = inMaintenance
 		if done != nil {
@@ -32,26 +32,26 @@
 	return p
 }
 
-// set makes an operator's call that must succeed.
-func (p *process) set(t *testing.T, id string, inMaintenance bool) {
+// set makes a call of Set that must succeed.
+func (p *testStore) set(t *testing.T, id string, inMaintenance bool) {
 	t.Helper()
 	if err := p.Set(t.Context(), id, inMaintenance); err != nil {
 		t.Fatalf("Set(%.20q, %t): %v", id, inMaintenance, err)
 	}
 }
 
-// check compares what the process's engine knows of a server.
-func (p *process) check(t *testing.T, step, id string, want bool) {
+// check compares the state that the process's engine knows for a server.
+func (p *testStore) check(t *testing.T, step, id string, want bool) {
 	t.Helper()
 	if got := p.inMaintenance[id]; got != want {
-		t.Errorf("%s: %.20q is in maintenance mode: %t, want %t", step, id, got, want)
+		t.Errorf("%s: maintenance mode of %.20q is %t, want %t", step, id, got, want)
 	}
 }
 
-// Two processes of one gateway see each other's calls, in whatever order and however often they come.
+// Two processes of one gateway must apply each other's changes, in any order and also if calls are repeated.
 func TestProcessesShareMaintenanceMode(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	a, b := newProcess(dir), newProcess(dir)
+	a, b := newTestStore(dir), newTestStore(dir)
 	ids := []string{"s-1", "../../s-2", "a/b%2F", strings.Repeat("x", 4000), "."}
 	a.AddKnown(ids)
 	b.AddKnown(ids)
@@ -65,7 +65,7 @@
 		a.Sync()
 		a.check(t, "after the other process ended it", id, false)
 
-		// Begun and ended before the other process syncs: as if nothing had been.
+		// Maintenance mode that is enabled and disabled before the other process syncs must have no effect there.
 		b.set(t, id, true)
 		a.set(t, id, false)
 		b.Sync()
@@ -73,49 +73,51 @@
 		a.check(t, "after the last call ended it", id, false)
 		b.check(t, "after the last call ended it", id, false)
 	}
-	for where, want := range map[string]int{dir: 0, filepath.Dir(dir): 1} {
-		entries, err := os.ReadDir(where)
+	for path, want := range map[string]int{dir: 0, filepath.Dir(dir): 1} {
+		entries, err := os.ReadDir(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(entries) != want {
-			t.Errorf("%s holds %v, want %d entries", where, entries, want)
+			t.Errorf("%s holds %v, want %d entries", path, entries, want)
 		}
 	}
 }
 
-// A process that follows one that was killed knows its servers in maintenance mode before any list.
+// A process that is started after another one was killed must know the servers in maintenance mode before it has an endpoint
+// list.
 func TestMaintenanceModeOutlivesTheProcess(t *testing.T) {
 	dir := t.TempDir()
-	a := newProcess(dir)
+	a := newTestStore(dir)
 	a.AddKnown([]string{"s-1"})
 	a.set(t, "s-1", true)
-	b := newProcess(dir)
+	b := newTestStore(dir)
 	b.Sync()
-	b.check(t, "at the process that follows", "s-1", true)
-	b.set(t, "s-1", false) // known by its file
+	b.check(t, "at the later process", "s-1", true)
+	b.set(t, "s-1", false) // the id is known from its file
 	if err := b.Set(t.Context(), "s-2", true); !errors.Is(err, ErrUnknownServer) {
-		t.Errorf("Set of an id that was never listed: %v", err)
+		t.Errorf("Set of an id that was never listed: got the error %v, want ErrUnknownServer", err)
 	}
 }
 
-// A directory that takes no files must not keep operators from maintenance mode; it is written once that is possible.
-func TestDirectoryThatTakesNoFiles(t *testing.T) {
+// Operators must be able to enable maintenance mode although the directory cannot be written. The files must be written once
+// that is possible.
+func TestDirectoryThatCannotBeWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a := newProcess(dir)
+	a := newTestStore(dir)
 	a.AddKnown([]string{"s-1"})
 	a.set(t, "s-1", true)
 	a.Sync()
-	a.check(t, "while the directory takes no files", "s-1", true)
+	a.check(t, "while the directory cannot be written", "s-1", true)
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
 	a.Sync()
-	a.check(t, "once the directory takes files", "s-1", true)
-	b := newProcess(dir)
+	a.check(t, "once the directory can be written", "s-1", true)
+	b := newTestStore(dir)
 	b.Sync()
 	b.check(t, "at the other process", "s-1", true)
 }
@@ -127,20 +129,20 @@
 			t.Fatal(err)
 		}
 	}
-	a := newProcess(dir)
+	a := newTestStore(dir)
 	if a.Sync(); len(a.inMaintenance) > 0 {
-		t.Errorf("took up %v", a.inMaintenance)
+		t.Errorf("got %v from foreign files, want nothing", a.inMaintenance)
 	}
 }
 
 func TestKnownServersAreBounded(t *testing.T) {
-	a := newProcess("")
-	for i := range maxKnown + 10 {
+	a := newTestStore("")
+	for i := range maxKnownIDs + 10 {
 		a.AddKnown([]string{strconv.Itoa(i)})
 	}
 	known := a.Known()
-	if len(known) != maxKnown || slices.Contains(known, "9") || !slices.Contains(known, "10") {
-		t.Errorf("%d known", len(known))
+	if len(known) != maxKnownIDs || slices.Contains(known, "9") || !slices.Contains(known, "10") {
+		t.Errorf("%d ids are remembered, want the latest maxKnownIDs", len(known))
 	}
 	for i := range 1000 {
 		a.AddKnown([]string{strconv.Itoa(i) + " " + strings.Repeat("x", 4000)})
@@ -150,11 +152,11 @@
 		size += len(id)
 	}
 	if size > maxKnownBytes || size < maxKnownBytes/2 {
-		t.Errorf("%d bytes of ids are remembered", size)
+		t.Errorf("%d bytes of ids are remembered, want between half of maxKnownBytes and maxKnownBytes", size)
 	}
 }
 
-// An engine that does not take the change up in time makes no call succeed.
+// Set must fail with ErrNotApplied if the engine has not applied the change before the context is done.
 func TestSetFailsBeforeTheEngineApplies(t *testing.T) {
 	s := New("", discardLogger)
 	s.OnChange(func(string, bool, func()) {})
@@ -162,23 +164,23 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	if err := s.Set(ctx, "s-1", true); !errors.Is(err, ErrNotApplied) {
-		t.Errorf("Set: %v, want %v", err, ErrNotApplied)
+		t.Errorf("Set: got the error %v, want %v", err, ErrNotApplied)
 	}
 }
 
-// Run takes up other processes' calls until its context is done.
+// Run must apply the changes of other processes until its context is done.
 func TestRunSyncs(t *testing.T) {
 	dir := t.TempDir()
-	a := newProcess(dir)
+	a := newTestStore(dir)
 	a.AddKnown([]string{"s-1"})
 	a.set(t, "s-1", true)
 	s := New(dir, discardLogger)
 	ctx, cancel := context.WithCancel(t.Context())
 	s.OnChange(func(id string, inMaintenance bool, _ func()) {
 		if id != "s-1" || !inMaintenance {
-			t.Errorf("changed %q to %t", id, inMaintenance)
+			t.Errorf("got the change of %q to %t, want s-1 to true", id, inMaintenance)
 		}
 		cancel()
 	})
-	s.Run(ctx) // returns once the change has come
+	s.Run(ctx) // returns once OnChange's function has been called
 }
