--- a/internal/admin/connlimit.go
+++ b/internal/admin/connlimit.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxConnections bounds the connections to operators, with the one that waits to be admitted. The gateway sets
-	// descriptors aside for them.
+	// maxConnections is the maximum number of operators' connections, including the one that waits to be admitted. The
+	// gateway reserves descriptors for them.
 	maxConnections = 16
-	// minRequestTime is how long a connection has at least to send its request before a new one may displace it. Two
-	// hundred connections that send nothing delay the next one by 0.4 s.
+	// minRequestTime is the minimum time that a connection has for sending its request before a new connection may evict it.
+	// With this value, 200 connections that send nothing delay the next one by 0.4 s.
 	minRequestTime = 30 * time.Millisecond
 )
 
-// connLimiter is a listener that bounds the number of connections against peers that connect and send no request: at the
-// limit, a new connection displaces the one whose request has been outstanding for longest.
+// connLimiter is a listener that limits the number of connections, as a protection against peers that connect and send no
+// request. At the limit, a new connection evicts the one that has been waiting longest for its request to be read.
 type connLimiter struct {
 	net.Listener
 
-	mu        sync.Mutex // guards what follows
-	conns     map[net.Conn]*limitedConn
-	unread    *list.List    // *limitedConn whose request is not read yet, the oldest first
-	freed     chan struct{} // a connection was removed
-	closed    chan struct{}
-	closeOnce sync.Once
+	mu          sync.Mutex // guards conns and unreadConns
+	conns       map[net.Conn]*limitedConn
+	unreadConns *list.List    // of *limitedConn whose request has not been read yet, oldest first
+	connRemoved chan struct{} // receives a value when a connection is removed
+	closed      chan struct{}
+	closeOnce   sync.Once
 }
 
 // limitedConn is a connection that a connLimiter has admitted.
@@ -36,20 +36,20 @@
 	limiter    *connLimiter
 	conn       net.Conn
 	admittedAt time.Time
-	element    *list.Element // in the limiter's unread; nil: its request is read
+	element    *list.Element // in the limiter's unreadConns, guarded by its mu; nil: the request has been read
 }
 
 func newConnLimiter(listener net.Listener) *connLimiter {
 	return &connLimiter{
-		Listener: listener,
-		conns:    map[net.Conn]*limitedConn{},
-		unread:   list.New(),
-		freed:    make(chan struct{}, 1),
-		closed:   make(chan struct{}),
+		Listener:    listener,
+		conns:       map[net.Conn]*limitedConn{},
+		unreadConns: list.New(),
+		connRemoved: make(chan struct{}, 1),
+		closed:      make(chan struct{}),
 	}
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It returns a connection only once that is admitted.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -57,10 +57,10 @@
 	}
 	for !l.admit(conn) {
 		select {
-		case <-l.freed:
+		case <-l.connRemoved:
 		case <-time.After(minRequestTime):
 		case <-l.closed:
-			_ = conn.Close() // nothing was sent
+			_ = conn.Close() // nothing has been sent on it
 			return nil, net.ErrClosed
 		}
 	}
@@ -73,22 +73,23 @@
 	return l.Listener.Close()
 }
 
-// admit admits a connection, if need be in place of another. It returns false if none may be displaced yet.
+// admit admits a connection; at the limit it evicts another one. It returns false if no connection may be evicted yet.
 func (l *connLimiter) admit(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.conns) >= maxConnections-1 && !l.displaceOldest() { // one descriptor is that of conn
+	if len(l.conns) >= maxConnections-1 && !l.evictOldest() { // conn itself uses one of the descriptors
 		return false
 	}
 	admitted := &limitedConn{limiter: l, conn: conn, admittedAt: time.Now()}
-	admitted.element = l.unread.PushBack(admitted)
+	admitted.element = l.unreadConns.PushBack(admitted)
 	l.conns[conn] = admitted
 	return true
 }
 
-// displaceOldest closes the connection whose request has been outstanding for longest, if it has had its minimal time.
-func (l *connLimiter) displaceOldest() bool {
-	front := l.unread.Front()
+// evictOldest closes the connection that has been waiting longest for its request to be read. It returns false if there is
+// none or if minRequestTime has not passed for it. The caller holds mu.
+func (l *connLimiter) evictOldest() bool {
+	front := l.unreadConns.Front()
 	if front == nil {
 		return false
 	}
@@ -97,7 +98,7 @@
 		return false
 	}
 	l.remove(oldest)
-	_ = oldest.conn.Close() // its request is given up
+	_ = oldest.conn.Close() // its request is dropped
 	return true
 }
 
@@ -108,19 +109,19 @@
 	}
 	delete(l.conns, c.conn)
 	select {
-	case l.freed <- struct{}{}:
+	case l.connRemoved <- struct{}{}:
 	default:
 	}
 }
 
 func (l *connLimiter) markRead(c *limitedConn) {
 	if c.element != nil {
-		l.unread.Remove(c.element)
+		l.unreadConns.Remove(c.element)
 		c.element = nil
 	}
 }
 
-// connState is http.Server's ConnState.
+// connState is the ConnState callback of the http.Server. It removes a closed connection.
 func (l *connLimiter) connState(conn net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
@@ -134,15 +135,16 @@
 
 type connKey struct{}
 
-// connContext is http.Server's ConnContext: the connection's handler finds it again for requestRead.
+// connContext is the ConnContext callback of the http.Server. It stores the connection in the context, from which
+// markRequestRead takes it.
 func (l *connLimiter) connContext(ctx context.Context, conn net.Conn) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return context.WithValue(ctx, connKey{}, l.conns[conn])
 }
 
-// requestRead records that the request of the connection of ctx is read: it is not displaced any more.
-func requestRead(ctx context.Context) {
+// markRequestRead records that the request of the connection in ctx has been read. The connection is not evicted any more.
+func markRequestRead(ctx context.Context) {
 	if c, _ := ctx.Value(connKey{}).(*limitedConn); c != nil {
 		c.limiter.mu.Lock()
 		defer c.limiter.mu.Unlock()
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -14,37 +14,37 @@
 	"example.org/milletvane/internal/golden"
 )
 
-// dateHeader is the one part of a response that differs from run to run.
+// dateHeader matches the only part of a response that differs between runs.
 var dateHeader = regexp.MustCompile(`Date: [^\r]+ GMT\r\n`)
 
-// exchange sends text as it is and returns all that comes until the connection ends.
-func exchange(t *testing.T, addr, text string, deadline time.Time) string {
+// sendAndReadAll sends text on a new connection and returns all that is received until the connection is closed.
+func sendAndReadAll(t *testing.T, addr, text string, deadline time.Time) string {
 	t.Helper()
 	c := dial(t, addr, deadline)
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(c)
-	if err != nil && (len(answer) == 0 || errors.Is(err, os.ErrDeadlineExceeded)) {
-		t.Fatalf("%.100s: %v", text, err)
+	response, err := io.ReadAll(c)
+	if err != nil && (len(response) == 0 || errors.Is(err, os.ErrDeadlineExceeded)) {
+		t.Fatalf("%.100s: read the response: %v", text, err)
 	}
-	return dateHeader.ReplaceAllString(string(answer), "Date: -\r\n")
+	return dateHeader.ReplaceAllString(string(response), "Date: -\r\n")
 }
 
-// transcript records exchanges with a server.
+// transcript records requests to a server, its responses and its calls of SetMaintenance.
 type transcript struct {
 	server   *testServer
 	text     bytes.Buffer
-	deadline time.Time // of all exchanges together
+	deadline time.Time // of all requests together
 }
 
-// play sends a request and writes down the response, and the calls of SetMaintenance. The text is older than the names in
-// the code and stays as it is.
-func (r *transcript) play(t *testing.T, line, rest string) {
+// recordExchange sends a request and records the response and the calls of SetMaintenance. The golden file holds older terms
+// than the code, so the recorded text stays as it is.
+func (r *transcript) recordExchange(t *testing.T, line, rest string) {
 	t.Helper()
-	answer := exchange(t, r.server.Addr(), line+rest, r.deadline)
+	response := sendAndReadAll(t, r.server.Addr(), line+rest, r.deadline)
 	fmt.Fprintf(&r.text, "# %.100s\n", line)
-	for part := range strings.Lines(answer) {
+	for part := range strings.Lines(response) {
 		fmt.Fprintf(&r.text, "%q\n", part)
 	}
 	for _, call := range r.server.takeCalls() {
@@ -53,7 +53,7 @@
 	}
 }
 
-// goldenPaths are sent with each of goldenMethods.
+// Each of goldenPaths is requested with each of goldenMethods.
 var (
 	goldenPaths = []string{
 		"/-/ready", "/-/metrics", "/-/servers/s-1/disable", "/-/servers/s-1/enable", "/-/servers/unlisted/disable",
@@ -69,7 +69,8 @@
 	goldenMethods = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "get"}
 )
 
-// goldenRequests are further requests of a gateway that is ready: methods, versions, bodies, and malformed ones.
+// goldenRequests are further requests, to a gateway that is ready: other methods, HTTP versions and bodies, and malformed
+// requests.
 var goldenRequests = []struct{ line, rest string }{
 	{"GET /-/ready", " HTTP/1.1\r\nHost: x\r\n\r\n"},
 	{"HEAD /-/ready", " HTTP/1.1\r\nHost: x\r\n\r\n"},
@@ -89,17 +90,17 @@
 	{"GET /-/servers/" + strings.Repeat("x", 64<<10), " HTTP/1.1\r\nHost: x\r\n\r\n"},
 }
 
-// Every response byte for byte, and the calls of SetMaintenance.
+// Every response must stay the same byte for byte, as must the calls of SetMaintenance.
 func TestAnswersGolden(t *testing.T) {
-	r := &transcript{server: startServer(t), deadline: time.Now().Add(patience)}
+	r := &transcript{server: startServer(t), deadline: time.Now().Add(testTimeout)}
 	for _, path := range goldenPaths {
 		for _, method := range goldenMethods {
-			r.play(t, method+" "+path, " HTTP/1.1\r\nHost: x\r\n\r\n")
+			r.recordExchange(t, method+" "+path, " HTTP/1.1\r\nHost: x\r\n\r\n")
 		}
 	}
 	r.server.ready.Store(true)
 	for _, request := range goldenRequests {
-		r.play(t, request.line, request.rest)
+		r.recordExchange(t, request.line, request.rest)
 	}
 	golden.Check(t, "answers.txt", r.text.Bytes())
 }
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -12,7 +12,7 @@
 	"example.org/milletvane/internal/maintenance"
 )
 
-// Paths of requests. A maintenance request is POST serversPath + escaped id + "/" + action.
+// Request paths. A maintenance request is a POST to serversPath + escaped id + "/" + action.
 const (
 	readyPath     = "/-/ready"
 	metricsPath   = "/-/metrics"
@@ -23,9 +23,9 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	requestRead(r.Context())
+	markRequestRead(r.Context())
 	r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
-	// The path as it was sent: an id may hold an escaped slash.
+	// The path stays escaped here, because an id may contain an escaped slash.
 	switch path := r.URL.EscapedPath(); path {
 	case readyPath:
 		s.serveReady(w, r)
@@ -69,11 +69,11 @@
 		http.Error(w, "the id is not escaped as paths are", http.StatusBadRequest)
 		return
 	}
-	// A change that has begun is finished even if the operator hangs up.
+	// A change that has started is completed even if the operator disconnects.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), maintenanceTimeout)
 	defer cancel()
 	if err := s.options.SetMaintenance(ctx, id, request.inMaintenance); err != nil {
-		s.maintenanceFailed(w, id, request.inMaintenance, err)
+		s.respondMaintenanceError(w, id, request.inMaintenance, err)
 		return
 	}
 	if request.inMaintenance {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *Server) maintenanceFailed(w http.ResponseWriter, id string, inMaintenance bool, err error) {
+func (s *Server) respondMaintenanceError(w http.ResponseWriter, id string, inMaintenance bool, err error) {
 	switch {
 	case errors.Is(err, maintenance.ErrUnknownServer):
 		http.Error(w, err.Error(), http.StatusNotFound)
@@ -95,13 +95,13 @@
 	}
 }
 
-// maintenanceRequest is what the path of a maintenance request says.
+// maintenanceRequest holds the parsed path of a maintenance request.
 type maintenanceRequest struct {
 	escapedID     string
 	inMaintenance bool
 }
 
-// parseMaintenancePath parses an escaped path; ok is false if it is not one of a maintenance request.
+// parseMaintenancePath parses an escaped path. ok is false if the path is not that of a maintenance request.
 func parseMaintenancePath(path string) (_ maintenanceRequest, ok bool) {
 	rest, ok := strings.CutPrefix(path, serversPath)
 	if !ok {
@@ -114,7 +114,7 @@
 	return maintenanceRequest{escapedID: id, inMaintenance: action == disableAction}, true
 }
 
-// allowMethods reports whether a request has one of the methods, and answers it if not.
+// allowMethods reports whether a request has one of the methods. If not, it responds with status 405.
 func allowMethods(w http.ResponseWriter, r *http.Request, methods ...string) bool {
 	if slices.Contains(methods, r.Method) {
 		return true
@@ -124,5 +124,5 @@
 	return false
 }
 
-// respond writes a body. An operator who has hung up misses it.
+// respond writes a body. Errors are ignored, because they mean that the operator has disconnected.
 func respond(w http.ResponseWriter, body string) { _, _ = io.WriteString(w, body) }
--- a/internal/admin/service_test.go
+++ b/internal/admin/service_test.go
@@ -17,14 +17,14 @@
 	"example.org/milletvane/internal/maintenance"
 )
 
-// patience bounds what a test waits for, also on a busy machine.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits at most. It leaves time for a busy machine.
+const testTimeout = 20 * time.Second
 
-// testServer is a Server on loopback with the calls of SetMaintenance that it made.
+// testServer is a Server on loopback that records its calls of SetMaintenance.
 type testServer struct {
 	*Server
 	ready atomic.Bool
-	block chan struct{} // SetMaintenance of the id "blocked" returns once it is closed
+	block chan struct{} // SetMaintenance for the id "blocked" returns once this is closed
 
 	mu    sync.Mutex // guards calls
 	calls []maintenanceCall
@@ -34,7 +34,7 @@
 type maintenanceCall struct {
 	id            string
 	inMaintenance bool
-	bounded       bool // its context ends within maintenanceTimeout
+	bounded       bool // the deadline of its context is within maintenanceTimeout
 }
 
 func startServer(t *testing.T) *testServer {
@@ -56,12 +56,12 @@
 
 func (s *testServer) setMaintenance(ctx context.Context, id string, inMaintenance bool) error {
 	deadline, ok := ctx.Deadline()
-	left := time.Until(deadline)
+	remaining := time.Until(deadline)
 	s.mu.Lock()
 	s.calls = append(s.calls, maintenanceCall{
 		id:            id,
 		inMaintenance: inMaintenance,
-		bounded:       ok && left > 0 && left <= 900*time.Millisecond,
+		bounded:       ok && remaining > 0 && remaining <= 900*time.Millisecond,
 	})
 	s.mu.Unlock()
 	switch id {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// takeCalls returns the calls since the last time.
+// takeCalls returns the calls since it was last called.
 func (s *testServer) takeCalls() []maintenanceCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,12 +86,12 @@
 	return calls
 }
 
-// request sends text in pieces of the given size and returns the response's status and body.
-func (s *testServer) request(t *testing.T, text string, piece int) (status int, body string) {
+// request sends text in pieces of pieceSize bytes and returns the response's status and body.
+func (s *testServer) request(t *testing.T, text string, pieceSize int) (status int, body string) {
 	t.Helper()
-	c := dial(t, s.Addr(), time.Now().Add(patience))
+	c := dial(t, s.Addr(), time.Now().Add(testTimeout))
 	for rest := text; rest != ""; {
-		n := min(piece, len(rest))
+		n := min(pieceSize, len(rest))
 		if _, err := io.WriteString(c, rest[:n]); err != nil {
 			t.Fatal(err)
 		}
@@ -103,13 +103,13 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if !response.Close {
-		t.Error("the response does not say that the connection ends")
+		t.Error("the response does not announce that the connection is closed")
 	}
-	content, _ := io.ReadAll(response.Body) // of HEAD there is none, whatever the header says
+	content, _ := io.ReadAll(response.Body) // a response to HEAD has no body, whatever its Content-Length
 	return response.StatusCode, string(content)
 }
 
-// dial opens a connection that is closed when the test ends.
+// dial opens a connection with the given deadline, which is closed when the test ends.
 func dial(t *testing.T, addr string, deadline time.Time) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
