--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/internal/golden"
 )
 
-// The metrics page, for each kind of settings and with every metric at another value.
+// The metrics page must stay the same byte for byte for various classes. Every metric has a different value.
 func TestPageGolden(t *testing.T) {
 	var got bytes.Buffer
 	for _, c := range []struct {
@@ -46,7 +46,8 @@
 	golden.Check(t, "page.txt", got.Bytes())
 }
 
-// Requests counted by priority, with priorities out of range. The golden file keeps its older words.
+// Counts by priority must stay the same, also for priorities that are out of range. The golden file holds older terms than
+// the code, so the printed text stays as it is.
 func TestPriorityCountsGolden(t *testing.T) {
 	var got bytes.Buffer
 	for _, priorities := range []int{1, 2, 5} {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics holds the counters and gauges of one gateway. The component that settles an outcome counts it, once; any
-// goroutine may count and read at any time without waiting for another. The package does no I/O, and takes no name from a
-// client: the classes are those of the settings.
+// Package metrics holds the counters and gauges of one gateway. The component that determines an outcome counts it, exactly
+// once. Any goroutine may update and read the metrics at any time; updates and reads do not block. The package does no I/O
+// and takes no names from clients: the classes are those of the settings.
 package metrics
 
 import (
@@ -8,13 +8,13 @@
 	"sync/atomic"
 )
 
-// defaultClass has the requests of a gateway whose settings name no classes.
+// defaultClass is the class of all requests if the settings name no classes.
 const defaultClass = "other"
 
-// ClassCounters count how the requests of one class were answered since the start.
+// ClassCounters counts how the requests of one class were answered since the start.
 type ClassCounters struct {
 	Succeeded atomic.Int64 // a connection was established, or a server answered
-	Declined  atomic.Int64 // rejected: a retry is harmless
+	Declined  atomic.Int64 // rejected; the client can safely retry
 	Aborted   atomic.Int64 // failed
 }
 
@@ -26,20 +26,20 @@
 	Forwards    atomic.Int64 // attempts completely written to servers since the start
 	Outstanding atomic.Int64 // admitted requests and established connections that have not ended
 	Discovered  atomic.Int64 // servers in the endpoint list
-	Ejected     atomic.Int64 // of these, those in maintenance or ejected as outliers
-	Unreachable atomic.Int64 // of these, ready servers without an entry in the lookup table
+	Ejected     atomic.Int64 // of the discovered ones, servers in maintenance mode or ejected as outliers
+	Unreachable atomic.Int64 // of the discovered ones, ready servers without an entry in the lookup table
 
-	Descriptors           atomic.Int64 // open in the process
-	ConnectionDescriptors atomic.Int64 // of these, of connections to clients and servers, load polls included
-	ClosingDescriptors    atomic.Int64 // of these, of connections that this side has ended
+	Descriptors           atomic.Int64 // open descriptors of the process
+	ConnectionDescriptors atomic.Int64 // of these, descriptors of connections to clients and servers, including load polls
+	ClosingDescriptors    atomic.Int64 // of these, descriptors of connections that this side has closed
 }
 
 type classMetrics struct {
-	label    string // the name as it is reported
+	label    string // the class name in the statsd format
 	counters *ClassCounters
 }
 
-// New returns a Registry for the classes that the settings name. Without any, all requests count as one class.
+// New returns a Registry for the classes that the settings name. If there are none, all requests count as the class "other".
 func New(classes []string) *Registry {
 	r := &Registry{byName: make(map[string]*ClassCounters, len(classes))}
 	if len(classes) == 0 {
@@ -57,11 +57,11 @@
 	r.byName[name] = counters
 }
 
-// labelReplacer replaces what would break the statsd format.
+// labelReplacer replaces the characters that are not allowed in a name of the statsd format.
 var labelReplacer = strings.NewReplacer(":", "_", "|", "_", "@", "_", "\n", "_", "\r", "_", " ", "_")
 
-// Class returns the counters of a class. For a name that is not in the settings it returns those of the class "other", or
-// nil if there is none.
+// Class returns the counters of a class. For a class that the settings do not name, it returns the counters of the class
+// "other", or nil if that does not exist either.
 func (r *Registry) Class(name string) *ClassCounters {
 	if counters := r.byName[name]; counters != nil {
 		return counters
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -43,19 +43,19 @@
 		class   string
 		counted bool
 	}{
-		"of the settings":    {classes: []string{"plan-diario"}, class: "plan-diario", counted: true},
-		"made up":            {classes: []string{"plan-diario"}, class: "a client's", counted: false},
-		"made up, with rest": {classes: []string{"plan-diario", "other"}, class: "a client's", counted: true},
-		"without classes":    {class: "any", counted: true},
+		"named in the settings":            {classes: []string{"plan-diario"}, class: "plan-diario", counted: true},
+		"unknown, without the class other": {classes: []string{"plan-diario"}, class: "a client's", counted: false},
+		"unknown, with the class other":    {classes: []string{"plan-diario", "other"}, class: "a client's", counted: true},
+		"settings without classes":         {class: "any", counted: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if counters := New(c.classes).Class(c.class); (counters != nil) != c.counted {
-				t.Errorf("counters %p, want some: %v", counters, c.counted)
+				t.Errorf("got the counters %p, want non-nil: %v", counters, c.counted)
 			}
 		})
 	}
 	if r := New(nil); r.Class("any") != r.Class("another") {
-		t.Error("without classes two names are counted apart")
+		t.Error("without classes, two names have different counters, want the same")
 	}
 }
 
@@ -64,13 +64,13 @@
 	c.AddOffered(1)
 	c.AddOffered(1)
 	c.AddRejected(0)
-	c.AddShed(7) // out of range: the highest
+	c.AddShed(7) // out of range, so it counts as the highest priority
 	want := PriorityCounts{Offered: []uint64{0, 2}, Rejected: []uint64{1, 0}, Shed: []uint64{0, 1}}
 	if diff := cmp.Diff(want, c.TakeCounts()); diff != "" {
 		t.Errorf("counts differ (-want +got):\n%s", diff)
 	}
 	want = PriorityCounts{Offered: []uint64{0, 0}, Rejected: []uint64{0, 0}, Shed: []uint64{0, 0}}
 	if diff := cmp.Diff(want, c.TakeCounts()); diff != "" {
-		t.Errorf("taken twice (-want +got):\n%s", diff)
+		t.Errorf("counts of the second call differ (-want +got):\n%s", diff)
 	}
 }
--- a/internal/metrics/statsd.go
+++ b/internal/metrics/statsd.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Prefix begins the name of every metric.
+// Prefix is the prefix of every metric name.
 const Prefix = "edge_proxy."
 
 // Metric types of the statsd format.
@@ -11,7 +11,7 @@
 	statsdGauge   = 'g'
 )
 
-// AppendStatsd appends all metrics to b in the statsd format, one to a line, and returns the extended buffer. Counters are
+// AppendStatsd appends all metrics to b in the statsd format, one per line, and returns the extended buffer. Counters are
 // totals since the start.
 func (r *Registry) AppendStatsd(b []byte) []byte {
 	for _, class := range r.classes {
@@ -30,7 +30,7 @@
 	return b
 }
 
-// appendMetric appends one line; a label that is not empty is part of the name.
+// appendMetric appends the line of one metric. A label that is not empty is appended to the name after a dot.
 func appendMetric(b []byte, name, label string, value int64, metricType byte) []byte {
 	b = append(b, Prefix...)
 	b = append(b, name...)
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -1,7 +1,7 @@
-// Package operr defines the form of errors that an operator has to act on: what the problem is, whether a retry may help,
-// and what the remedy is. Packages implement Error with types of their own; logs and operators' calls print its parts.
+// Package operr defines an interface for errors that an operator has to act on: each states the problem, whether a retry may
+// help, and a remedy. Packages implement Error with their own types; logs and the operators' commands print its parts.
 //
-// The package keeps no state; its functions may be called from any goroutine.
+// The package has no state; its functions may be called from any goroutine.
 package operr
 
 import (
@@ -9,15 +9,15 @@
 	"log/slog"
 )
 
-// Error is an error that says what an operator can do.
+// Error is an error that states what an operator can do about it.
 type Error interface {
 	error
-	Problem() string // what failed, with the name of the thing
+	Problem() string // what failed, with the name of the object, such as a file or an address
 	Retryable() bool // whether a later retry may help
 	Remedy() string  // what an operator can do
 }
 
-// Of returns the first Error in the chain of err; nil: there is none.
+// Of returns the first Error in the chain of err, or nil if there is none.
 func Of(err error) Error {
 	var e Error
 	if errors.As(err, &e) {
@@ -26,7 +26,8 @@
 	return nil
 }
 
-// Log logs an error: one with an Error in its chain by its parts and its cause, any other by its text.
+// Log logs an error. If there is an Error in its chain, Log logs the parts of that and its cause; otherwise it logs err
+// itself.
 func Log(l *slog.Logger, err error) {
 	e := Of(err)
 	if e == nil {
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -21,13 +21,13 @@
 	"example.org/milletvane/internal/wal"
 )
 
-const module = "example.org/milletvane/"
+const modulePrefix = "example.org/milletvane/"
 
-// packages are those whose error types all implement operr.Error.
-var packages = []string{"config/operator", "internal/membership", "internal/wal"}
+// checkedPackages are the packages whose error types must all implement operr.Error.
+var checkedPackages = []string{"config/operator", "internal/membership", "internal/wal"}
 
-// samples has an error of each type of these packages.
-var samples = []operr.Error{
+// sampleErrors holds an error of each type of these packages.
+var sampleErrors = []operr.Error{
 	&wal.NoSpaceError{Dir: "d", Err: io.ErrShortWrite},
 	&wal.WriteFailedError{Dir: "d", Err: io.ErrShortWrite},
 	&wal.CorruptionError{File: "f", Offset: 3, Reason: "r"},
@@ -38,18 +38,19 @@
 	&membership.IncarnationError{File: "f", Err: io.ErrShortWrite},
 }
 
-// Every error names its problem and a remedy, is found in errors that wrap it, and is logged by its parts.
+// Every error must state its problem and a remedy, must be found in the chain of an error that wraps it, and must be logged
+// with its parts.
 func TestErrorsSayWhatToDo(t *testing.T) {
-	for _, e := range samples {
+	for _, e := range sampleErrors {
 		t.Run(typeName(e), func(t *testing.T) {
 			if e.Problem() == "" || e.Remedy() == "" || !strings.Contains(e.Error(), e.Problem()) {
-				t.Errorf("%q, problem %q, remedy %q", e.Error(), e.Problem(), e.Remedy())
+				t.Errorf("text %q, problem %q, remedy %q: want the problem in the text, and a remedy", e.Error(), e.Problem(), e.Remedy())
 			}
 			wrapped := fmt.Errorf("at start: %w", errors.Join(io.EOF, e))
 			if got := operr.Of(wrapped); got != e {
-				t.Errorf("found %v", got)
+				t.Errorf("Of the wrapped error: got %v, want the error itself", got)
 			}
-			line := logged(wrapped)
+			line := logText(wrapped)
 			for _, key := range []string{"problem=", "retryable=", "remedy=", "err="} {
 				if !strings.Contains(line, key) {
 					t.Errorf("logged without %s: %s", key, line)
@@ -64,19 +65,19 @@
 	return t.PkgPath() + "." + t.Name()
 }
 
-func logged(err error) string {
+func logText(err error) string {
 	var out bytes.Buffer
 	operr.Log(slog.New(slog.NewTextHandler(&out, nil)), err)
 	return out.String()
 }
 
-// Every error type of the packages is among the samples.
+// Every error type of the checked packages must be among the samples.
 func TestEveryErrorTypeIsCovered(t *testing.T) {
 	var covered []string
-	for _, e := range samples {
+	for _, e := range sampleErrors {
 		covered = append(covered, typeName(e))
 	}
-	for _, dir := range packages {
+	for _, dir := range checkedPackages {
 		types := errorTypes(t, dir)
 		if len(types) == 0 {
 			t.Errorf("%s has no error types", dir)
@@ -89,7 +90,8 @@
 	}
 }
 
-// errorTypes finds the types of a package that have an Error method. It has to be on a pointer.
+// errorTypes returns the types of a package that have an Error method. It reports an error for an Error method that is not on
+// a pointer receiver.
 func errorTypes(t *testing.T, dir string) (types []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "..", filepath.FromSlash(dir), "*.go"))
@@ -108,10 +110,10 @@
 			}
 			switch receiver := method.Recv.List[0].Type.(type) {
 			case *ast.StarExpr:
-				types = append(types, module+dir+"."+receiver.X.(*ast.Ident).Name)
+				types = append(types, modulePrefix+dir+"."+receiver.X.(*ast.Ident).Name)
 			default:
-				if dir != "config/operator" { // its Fault names file, line and key instead
-					t.Errorf("%s: Error is not on a pointer", name)
+				if dir != "config/operator" { // its FileError is exempt: it names file, line and key instead
+					t.Errorf("%s: Error has no pointer receiver", name)
 				}
 			}
 		}
@@ -120,10 +122,10 @@
 }
 
 func TestOtherErrorsAreLogged(t *testing.T) {
-	if line := logged(io.EOF); !strings.Contains(line, "EOF") {
-		t.Errorf("logged as %s", line)
+	if line := logText(io.EOF); !strings.Contains(line, "EOF") {
+		t.Errorf("got the log line %s, want the error's text", line)
 	}
 	if e := operr.Of(io.EOF); e != nil {
-		t.Errorf("found %v", e)
+		t.Errorf("Of an error without an Error in its chain: got %v, want nil", e)
 	}
 }
