--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -131,15 +131,15 @@
 	}
 }
 
-func (g *Gateway) natsOptions(n *operator.NATS) natsbackend.Options {
+func (g *Gateway) natsOptions(settings *operator.NATS) natsbackend.Options {
 	return natsbackend.Options{
 		ConnectTimeout: g.config.Gateway.ConnectTimeout,
-		NodePort:       n.NodePort,
-		PingInterval:   n.PingInterval,
-		MaxSharedConns: n.MaxShared,
+		NodePort:       settings.NodePort,
+		PingInterval:   settings.PingInterval,
+		MaxSharedConns: settings.MaxShared,
 		Name:           g.config.Name,
 		Forwards:       &g.registry.Forwards,
-		Limits:         codec.Limits{MaxPayload: max(n.MaxPayload, minServerPayload)},
+		Limits:         codec.Limits{MaxPayload: max(settings.MaxPayload, minServerPayload)},
 	}
 }
 
@@ -147,7 +147,7 @@
 // priority.
 func (g *Gateway) engineOptions(classes []string) engine.Options {
 	c := &g.config
-	o := engine.Options{
+	options := engine.Options{
 		MaxSockets:                c.Limits.ClientSockets(),
 		MaxIdleClients:            c.Limits.MaxIdleClients(),
 		Classes:                   classes,
@@ -166,14 +166,14 @@
 		Logger:                    g.logger,
 	}
 	if g.clusterSettings == nil {
-		return o
+		return options
 	}
-	if byClass, n := g.clusterSettings.Priorities(); n > 0 {
-		g.priorityCounters = metrics.NewPriorityCounters(n)
-		o.PriorityCounters = g.priorityCounters
-		o.PriorityOf = func(class, _ string) int { return byClass[class] }
+	if priorityByClass, priorities := g.clusterSettings.Priorities(); priorities > 0 {
+		g.priorityCounters = metrics.NewPriorityCounters(priorities)
+		options.PriorityCounters = g.priorityCounters
+		options.PriorityOf = func(class, _ string) int { return priorityByClass[class] }
 	}
-	return o
+	return options
 }
 
 // Send implements engine.Backend. It sends an attempt over the protocol of the attempt's client.
--- a/gateway/hotrestart.go
+++ b/gateway/hotrestart.go
@@ -23,7 +23,7 @@
 )
 
 // loadPredecessor reads the snapshot of the process that this one replaces, if the clients' listening socket is inherited.
-// The predecessor's endpoint list replaces the configuration's if that is missing or older.
+// The predecessor's endpoint list, unless it is empty, replaces the configuration's if that is missing or older.
 func (g *Gateway) loadPredecessor() {
 	if g.config.InheritedSocket == 0 {
 		g.stateDir = hotrestart.NewStateDir("", hotrestart.Process{}, g.logger)
--- a/gateway/nats_benchmark_test.go
+++ b/gateway/nats_benchmark_test.go
@@ -16,7 +16,7 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// BenchmarkNATSRelay measures the round trip of one message through the gateway. The benchmark's client does not allocate.
+// BenchmarkNATSRelay measures the round trip of one message through the gateway. The round trip allocates nothing.
 func BenchmarkNATSRelay(b *testing.B) {
 	server, err := fakeserver.NewNATSEcho()
 	if err != nil {
--- a/gateway/nats_fleet_test.go
+++ b/gateway/nats_fleet_test.go
@@ -43,10 +43,10 @@
   {"name":"safe","effect":"idempotent","group":"all","give_up_ns":2000000000,"slo_ns":300000000},
   {"name":"unsafe","effect":"at_most_once","group":"all","give_up_ns":1000000000,"slo_ns":300000000}]}`
 
-func newFleet(t *testing.T, nodes int, alone bool, extra string) *fleet {
+func newFleet(t *testing.T, nodes int, isolated bool, extraSettings string) *fleet {
 	t.Helper()
 	t.Parallel()
-	f := &fleet{t: t, cluster: fakeserver.NewNATSCluster(fakeserver.NewDeliveryLog(), alone), done: make(chan error, 1)}
+	f := &fleet{t: t, cluster: fakeserver.NewNATSCluster(fakeserver.NewDeliveryLog(), isolated), done: make(chan error, 1)}
 	var list []fakeserver.Endpoint
 	for i := range nodes {
 		n, err := f.cluster.StartNode(fmt.Sprint("node", i+1))
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	op, err := operator.Parse("test", []byte(fmt.Sprintf(natsOperator, f.addr, extra)), nil)
+	op, err := operator.Parse("test", []byte(fmt.Sprintf(natsOperator, f.addr, extraSettings)), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/gateway/process_test.go
+++ b/gateway/process_test.go
@@ -57,8 +57,8 @@
 	objective time.Duration // the latency objective, which is the timeout of each attempt but the last
 }
 
-// classDeadline is the default deadline of the class. At a shutdown, pending requests are answered at most 0.3 s after this
-// time, and the program exits at most 0.5 s after it.
+// classDeadline is the default deadline of the class. At a shutdown, pending requests are answered after at most this time
+// plus 0.3 s; in proxy mode, the program exits after at most this time plus 0.5 s.
 const classDeadline = 600 * time.Millisecond
 
 func startProgram(t *testing.T, c programConfig) *programProcess {
--- a/gateway/recovery.go
+++ b/gateway/recovery.go
@@ -90,24 +90,24 @@
 	discoverySeen bool
 }
 
-func (f *initialList) postDiscovered(ev engine.Event) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.discoverySeen = true
-	f.gateway.post(ev)
+func (l *initialList) postDiscovered(ev engine.Event) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.discoverySeen = true
+	l.gateway.post(ev)
 }
 
 // postRecovered posts the list that the cluster recovered, or the configuration's list if recovered is nil. It posts nothing
 // if discovery has sent an event.
-func (f *initialList) postRecovered(recovered *discovery.EndpointList) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.discoverySeen {
+func (l *initialList) postRecovered(recovered *discovery.EndpointList) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.discoverySeen {
 		return
 	}
-	list := f.gateway.cachedList()
+	list := l.gateway.cachedList()
 	if recovered != nil {
 		list = recovered.EngineList(balancer.ListCached)
 	}
-	f.gateway.post(list)
+	l.gateway.post(list)
 }
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -35,19 +35,19 @@
 
 // reloadNATS applies new NATS settings. It returns an error and applies none of them if a setting that needs a restart
 // differs.
-func (g *Gateway) reloadNATS(n *operator.NATS) error {
+func (g *Gateway) reloadNATS(settings *operator.NATS) error {
 	switch {
-	case n == nil && g.natsSettings == nil:
+	case settings == nil && g.natsSettings == nil:
 		return nil
-	case n == nil || g.natsSettings == nil:
+	case settings == nil || g.natsSettings == nil:
 		return errNATSNeedsRestart
-	case n.Listen != g.natsSettings.Listen:
+	case settings.Listen != g.natsSettings.Listen:
 		return fmt.Errorf("nats.listen: %q is not the address in use, %q; restart the gateway to change it",
-			n.Listen, g.natsSettings.Listen)
+			settings.Listen, g.natsSettings.Listen)
 	}
-	g.natsBackend.SetOptions(g.natsOptions(n))
+	g.natsBackend.SetOptions(g.natsOptions(settings))
 	if f := g.natsFrontend.Load(); f != nil {
-		f.SetSettings(n)
+		f.SetSettings(settings)
 	}
 	return nil
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -16,8 +16,8 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// quiesceTimeout is how long Run waits, after the engine has ended, for the last bytes to clients to be sent. The platform
-// kills the process 0.2 s after the engine's end at the earliest.
+// quiesceTimeout is how long Run waits, after the engine has ended, for clients to read the last bytes sent to them. The
+// platform terminates the process 0.2 s after the engine's end at the earliest.
 const quiesceTimeout = 100 * time.Millisecond
 
 // descriptorDirectory lists the process's open descriptors, including the one that is opened to read the directory.
@@ -33,20 +33,20 @@
 
 // newTaskGroup returns a task group whose context has the values of ctx but is not cancelled with it.
 func newTaskGroup(ctx context.Context) *taskGroup {
-	b := &taskGroup{}
-	b.ctx, b.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	return b
+	t := &taskGroup{}
+	t.ctx, t.cancel = context.WithCancel(context.WithoutCancel(ctx))
+	return t
 }
 
 // start runs a task in a goroutine. The task must return when its context is done.
-func (b *taskGroup) start(task func(context.Context)) {
-	b.tasks.Go(func() { task(b.ctx) })
+func (t *taskGroup) start(task func(context.Context)) {
+	t.tasks.Go(func() { task(t.ctx) })
 }
 
 // stop cancels all tasks and waits for them. It may be called more than once.
-func (b *taskGroup) stop() {
-	b.cancel()
-	b.tasks.Wait()
+func (t *taskGroup) stop() {
+	t.cancel()
+	t.tasks.Wait()
 }
 
 // Run serves until ctx is done. It then waits until pending requests have been answered and connections have been drained,
--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -156,7 +156,7 @@
 
 // Guards against a checksum without its leading zeros: in the header it must have eight digits for every body. The test
 // writes bodies until some checksums begin with zero.
-func TestFormatOfFirstLine(t *testing.T) {
+func TestHeaderChecksumKeepsLeadingZeros(t *testing.T) {
 	dir := t.TempDir()
 	d := NewStateDir(dir, Process{StartedAt: writerStartedAt, PID: writerPID}, discardLogger)
 	leadingZeros := 0
@@ -332,7 +332,7 @@
 }
 
 // For each case, the golden file states whether the snapshot is used and whether the file is kept, quarantined or removed.
-func TestFormatReadForms(t *testing.T) {
+func TestFormatOfFilesRead(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range slices.Concat(bodyCases(t), damagedCases(t), ageAndNameCases()) {
 		appendRead(t, &out, c)
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -40,7 +40,7 @@
 
 // Every error must state its problem and a remedy, must be found in the chain of an error that wraps it, and must be logged
 // with its parts.
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsStateProblemAndRemedy(t *testing.T) {
 	for _, e := range sampleErrors {
 		t.Run(typeName(e), func(t *testing.T) {
 			if e.Problem() == "" || e.Remedy() == "" || !strings.Contains(e.Error(), e.Problem()) {
