--- a/internal/reactor/close.go
+++ b/internal/reactor/close.go
@@ -6,16 +6,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of lingering: how long a connection that this side has ended is kept for the peer to end its own, and how many
-// bytes of the peer are discarded meanwhile.
+// Limits of lingering: how long a connection that this side has ended is kept open for the peer to end its side, and how
+// many received bytes are discarded meanwhile.
 const (
 	lingerTimeout = 500 * time.Millisecond
 	lingerBytes   = 256 << 10
 )
 
-// Close ends the connection in order: everything sent is written, then this side ends. What the peer has sent and still sends
-// is discarded for lingerTimeout or until the peer ends its side, since closing a descriptor with unread bytes resets the
-// connection, and the peer then loses what it has not read yet.
+// Close closes the connection in order: all bytes passed to Send are written, then this side is shut down. Bytes that the
+// peer has sent, or still sends, are discarded for lingerTimeout or until the peer ends its side. Closing a descriptor with
+// unread bytes would reset the connection, and the peer would lose what it has not read yet.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,24 +24,25 @@
 		c.close(false)
 	case c.state > established:
 	case c.pending() > 0:
-		c.state = closing
-		c.leaving = c.loop.group.descriptors.leave(c, c.leaving, awaitsWriting)
-		c.rewatch()
+		c.state = flushing
+		c.evictable = c.loop.group.descriptors.addEvictable(c, c.evictable, evictableFlushing)
+		c.updateInterest()
 	default:
 		c.linger()
 	}
 }
 
-// Abort ends the connection now; with reset the peer sees a reset. When it returns nothing more is sent.
+// Abort closes the connection immediately. If reset is true, the peer sees a connection reset. When Abort returns, no more
+// bytes are sent.
 func (c *Conn) Abort(reset bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.close(reset)
 }
 
-// linger ends this side and waits for the peer.
+// linger shuts down this side and waits for the peer to end its own. The caller holds mu.
 func (c *Conn) linger() {
-	if !c.listed || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
+	if !c.registered || unix.Shutdown(c.fd, unix.SHUT_WR) != nil {
 		c.close(false)
 		return
 	}
@@ -50,12 +51,13 @@
 		c.stallTimer.Stop()
 	}
 	c.resumeSources()
-	c.watch(readEvents)
-	c.deadline = time.AfterFunc(lingerTimeout, func() { c.Abort(false) })
-	c.leaving = c.loop.group.descriptors.leave(c, c.leaving, awaitsPeer)
+	c.setInterest(readEvents)
+	c.timeoutTimer = time.AfterFunc(lingerTimeout, func() { c.Abort(false) })
+	c.evictable = c.loop.group.descriptors.addEvictable(c, c.evictable, evictableLingering)
 }
 
-// discard reads what arrives at a lingering connection, and closes it at the peer's end or after lingerBytes.
+// discard reads the bytes that arrive on a lingering connection. It closes the connection when the peer has ended its side
+// or more than lingerBytes have arrived.
 func (c *Conn) discard() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,13 +69,13 @@
 	if isRetryable(errno) {
 		return
 	}
-	c.drained += n
-	if n <= 0 || c.drained > lingerBytes {
+	c.discarded += n
+	if n <= 0 || c.discarded > lingerBytes {
 		c.close(false)
 	}
 }
 
-// close closes the descriptor, in any state.
+// close closes the descriptor. It may be called in any state and repeatedly. The caller holds mu.
 func (c *Conn) close(reset bool) {
 	if c.state == closed {
 		return
@@ -82,29 +84,30 @@
 	if c.stallTimer != nil {
 		c.stallTimer.Stop()
 	}
-	if c.deadline != nil {
-		c.deadline.Stop()
+	if c.timeoutTimer != nil {
+		c.timeoutTimer.Stop()
 	}
-	if c.listed {
-		c.listed = false
+	if c.registered {
+		c.registered = false
 		c.loop.remove(c.slot)
 	}
 	if c.fd >= 0 {
 		if reset {
-			// Should this fail the peer sees an end in order.
+			// If this fails, the peer sees an orderly end instead.
 			_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		}
 		closeFD(c.fd)
-		c.loop.group.descriptors.release(c.leaving)
+		c.loop.group.descriptors.release(c.evictable)
 	}
 	c.out, c.outWritten = nil, 0
 	c.resumeSources()
 }
 
-// resumeSources resumes the connections that send to this one: they have to find it closed, not wait for it.
+// resumeSources resumes the connections that send to this one, so that they find it closed and don't wait for it. The
+// caller holds mu.
 func (c *Conn) resumeSources() {
-	for _, s := range c.sources {
+	for _, s := range c.pausedSources {
 		c.loop.Post(func() { s.resume(pausedByBacklog) })
 	}
-	c.sources = nil
+	c.pausedSources = nil
 }
--- a/internal/reactor/close_test.go
+++ b/internal/reactor/close_test.go
@@ -9,29 +9,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// heldDescriptors is the number of descriptors of the group's connections.
+// heldDescriptors returns the number of descriptors counted for the group.
 func (g *Group) heldDescriptors() int {
 	held, _ := g.DescriptorCounts()
 	return held
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits until holds returns true. condition describes what it checks.
 func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in time: " + condition)
+			t.Fatal("condition does not hold after the timeout: " + condition)
 		}
 	}
 }
 
-// unread is the number of bytes in the kernel's receive queue.
+// unread returns the number of bytes in the kernel's receive queue.
 func (c *Conn) unread() int {
 	n, _ := unix.IoctlGetInt(c.fd, unix.SIOCINQ)
 	return n
 }
 
-// pausedListener accepts connections, which are left unread, and passes them to a channel.
+// pausedListener accepts connections, pauses them and sends them to conns. end is called for OnEnd and may be nil.
 func pausedListener(t *testing.T, g *Group, end func(*Conn, error)) (addr string, conns chan *Conn) {
 	t.Helper()
 	conns = make(chan *Conn, 8)
@@ -40,7 +40,8 @@
 	}), conns
 }
 
-// Bytes of the peer that were not read, or that arrive once this side has ended, don't reset what was sent before.
+// Guards against a reset that loses what was sent: closing a descriptor while bytes of the peer are unread, or arrive
+// later, resets the connection, and the peer can't read the last line any more.
 func TestCloseWithUnreadBytesKeepsWhatWasSent(t *testing.T) {
 	g := newGroup(t, 1)
 	addr, conns := pausedListener(t, g, nil)
@@ -56,7 +57,7 @@
 			conn := await(t, conns)
 			if test.beforeClose != "" {
 				writeString(t, client, test.beforeClose)
-				waitFor(t, "bytes arrived", func() bool { return conn.unread() > 0 })
+				waitFor(t, "the bytes have arrived", func() bool { return conn.unread() > 0 })
 			}
 			noError(t, conn.Send([]byte("BUSY\r\n")))
 			conn.Close()
@@ -66,27 +67,30 @@
 			if test.afterClose != "" {
 				writeString(t, client, test.afterClose)
 			}
-			time.Sleep(5 * time.Millisecond) // for a reset to arrive, if there is one
+			time.Sleep(5 * time.Millisecond) // a reset would arrive within this time
 			if got, err := io.ReadAll(client); string(got) != "BUSY\r\n" || err != nil {
-				t.Errorf("the peer got %q, %v", got, err)
+				t.Errorf("the peer got %q, %v, want BUSY and no error", got, err)
 			}
 			noError(t, client.Close())
-			waitFor(t, "descriptors released", func() bool { return g.heldDescriptors() == 0 })
+			waitFor(t, "the descriptors are released", func() bool { return g.heldDescriptors() == 0 })
 		})
 	}
 }
 
-// A peer that never ends its side, or floods a connection that was closed, doesn't keep its descriptor in use.
+// Guards against closed connections that keep their descriptors: lingering ends after lingerTimeout if the peer does not
+// end its side, and after lingerBytes if the peer keeps sending.
 func TestLingeringIsBounded(t *testing.T) {
 	g := newGroup(t, 1)
-	addr, conns := pausedListener(t, g, func(*Conn, error) { t.Error("OnEnd was called for a connection that this side has ended") })
+	addr, conns := pausedListener(t, g, func(*Conn, error) {
+		t.Error("OnEnd was called for a connection that this side has closed")
+	})
 	dial(t, addr)
 	in := await(t, conns)
 	begun := time.Now()
 	in.Close()
-	waitFor(t, "descriptors released", func() bool { return g.heldDescriptors() == 0 })
+	waitFor(t, "the descriptors are released", func() bool { return g.heldDescriptors() == 0 })
 	if d := time.Since(begun); d < lingerTimeout {
-		t.Errorf("it lingered for %v", d)
+		t.Errorf("lingered for %v, want lingerTimeout at least", d)
 	}
 	c := dial(t, addr)
 	in = await(t, conns)
@@ -96,12 +100,13 @@
 		_, err = c.Write(make([]byte, lingerBytes/4))
 	}
 	if d := time.Since(begun); d > lingerTimeout {
-		t.Errorf("a flood was read for %v", d)
+		t.Errorf("a peer that keeps sending was read for %v, want lingerTimeout at most", d)
 	}
 }
 
-// Above the budget the connection that has lingered longest is closed first, and no established one.
-func TestLingeringYieldsToTheDescriptorBudget(t *testing.T) {
+// At the descriptor budget, the connection that has lingered longest is closed for a new one, and no established connection
+// is.
+func TestLongestLingeringConnectionIsClosedFirst(t *testing.T) {
 	g := newGroup(t, 1)
 	g.SetDescriptorBudget(3)
 	addr, conns := pausedListener(t, g, nil)
@@ -114,13 +119,14 @@
 	ins[2].Close()
 	dial(t, addr)
 	await(t, conns)
-	waitFor(t, "descriptors released", func() bool { return g.heldDescriptors() == 3 })
-	if ins[0].Closed() || ins[1].isLeaving() || !ins[2].isLeaving() {
-		t.Errorf("established %v, first lingers %v, second lingers %v", !ins[0].Closed(), ins[1].isLeaving(), ins[2].isLeaving())
+	waitFor(t, "the descriptors are released", func() bool { return g.heldDescriptors() == 3 })
+	if ins[0].Closed() || ins[1].isClosing() || !ins[2].isClosing() {
+		t.Errorf("established %v, first lingers %v, second lingers %v; want true, false, true",
+			!ins[0].Closed(), ins[1].isClosing(), ins[2].isClosing())
 	}
 }
 
-// Quiesce waits for what was posted and for connections that are closing, within its timeout.
+// Quiesce waits for posted calls and for connections that are being closed, but not longer than its timeout.
 func TestQuiesce(t *testing.T) {
 	g := newGroup(t, 2)
 	addr, conns := pausedListener(t, g, nil)
@@ -136,7 +142,7 @@
 		readErr <- errors.Join(err, c.Close())
 	}()
 	g.Quiesce(testTimeout)
-	if !in.Closed() || in.isLeaving() {
+	if !in.Closed() || in.isClosing() {
 		t.Error("Quiesce returned before the connection was closed")
 	}
 	noError(t, await(t, readErr))
@@ -145,12 +151,12 @@
 	begun := time.Now()
 	g.Quiesce(20 * time.Millisecond)
 	if d := time.Since(begun); d < 20*time.Millisecond || d >= lingerTimeout {
-		t.Errorf("waited %v", d)
+		t.Errorf("Quiesce waited %v, want about 20ms", d)
 	}
 }
 
-// A late hangup event of a closed connection, whose descriptor is another connection's by then, does not affect the other:
-// it is still read.
+// Guards against a late hangup event of a closed connection that is applied to another connection with the same descriptor
+// number: the other connection must still be read.
 func TestLateHangupDoesNotAffectAnotherConnection(t *testing.T) {
 	g := newGroup(t, 1)
 	heard := make(chan string, 1)
@@ -172,12 +178,13 @@
 	old.Abort(false)
 	c := dial(t, addr)
 	next := await(t, conns)
-	old.fd = next.fd // as if the kernel had given it anew, as it does with the lowest that is free
+	old.fd = next.fd // as if the kernel had reused the number, as it does with the lowest free one
 	done := make(chan bool)
-	next.Do(func() { old.ready(unix.EPOLLRDHUP); close(done) }) // as the loop does with what it took from the kernel before
+	// As the loop does with an event that it took from the kernel before the Abort.
+	next.Do(func() { old.handleEvents(unix.EPOLLRDHUP); close(done) })
 	await(t, done)
 	writeString(t, c, "heard")
 	if s := await(t, heard); s != "heard" {
-		t.Errorf("got %q", s)
+		t.Errorf("the other connection got %q, want heard", s)
 	}
 }
--- a/internal/reactor/conn.go
+++ b/internal/reactor/conn.go
@@ -8,101 +8,102 @@
 	"golang.org/x/sys/unix"
 )
 
-// readEvents are the events of an established connection that is not paused.
+// readEvents are the epoll events that an established connection waits for while it is not paused.
 const readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
 
-// Conn is a connection. Its methods may be called by any goroutine.
+// Conn is a TCP connection that a loop drives. Its methods may be called by any goroutine.
 type Conn struct {
 	loop    *Loop
 	fd      int
 	handler Handler
 
-	mu           sync.Mutex // protects what follows up to in, and that fd is this connection's
-	slot         int32
-	generation   int32
-	listed       bool // in the loop's slots
-	state        state
-	watched      uint32 // the epoll events
-	pauseReasons uint8
-	hungUp       bool   // while paused
-	out          []byte // to be written, from outWritten on
-	outWritten   int    // bytes of out that are written
-	stallTimer   *time.Timer
-	maxPending   int         // bytes to write above which sources are paused, if more than highWater
-	sendQueue    int         // bytes in the kernel's send queue at the last check for a stall
-	sources      []*Conn     // paused until out is short again
-	deadline     *time.Timer // of the dial, or of lingering
-	drained      int         // bytes read while lingering
-	leaving      leavingEntry
-
-	in []byte // read and not consumed yet; the loop alone uses it
+	mu            sync.Mutex // protects the fields below up to in, and fd against reuse by another connection
+	slot          int32
+	generation    int32
+	registered    bool // in the loop's epoll set
+	state         state
+	interest      uint32 // the epoll events that are waited for
+	pauseReasons  uint8
+	hungUp        bool   // the peer has ended its side during the current pause
+	out           []byte // bytes to write, starting at outWritten
+	outWritten    int    // number of bytes of out that were written
+	stallTimer    *time.Timer
+	maxPending    int         // pending bytes above which sources are paused, if more than highWater
+	sendQueue     int         // bytes in the kernel's send queue when the stall check last ran
+	pausedSources []*Conn     // connections paused until fewer bytes are pending here
+	timeoutTimer  *time.Timer // limits the dial, later the lingering
+	discarded     int         // bytes read and discarded while lingering
+	evictable     evictableEntry
+
+	in []byte // bytes read and not consumed yet; only the loop uses it
 }
 
-// state is the progress of a connection. States follow in the order of the constants, but closed may follow each.
+// state is the state of a connection. A connection passes through the states in the order of the constants and may skip
+// some. It may become closed in any state.
 type state uint8
 
 const (
-	dialing     state = iota // not connected yet
-	established              // open in both directions
-	closing                  // out is written, nothing is read
-	lingering                // this side has ended; what arrives is discarded until the peer ends too
+	dialing     state = iota // the connection is not established yet
+	established              // both directions are open
+	flushing                 // closing: pending bytes are written, nothing is read
+	lingering                // closing: this side has ended; received bytes are discarded until the peer ends its side
 	closed
 )
 
-// begin registers an accepted connection with its loop.
-func (c *Conn) begin() {
+// start registers an accepted connection with its loop and calls OnOpen. The connection's loop calls it.
+func (c *Conn) start() {
 	c.mu.Lock()
-	err := c.enlist()
+	err := c.register()
 	c.mu.Unlock()
 	if err == nil {
 		c.handler.OnOpen(c, nil)
 	}
 }
 
-// enlist adds the descriptor to the loop's slots. The connection is closed if that fails.
-func (c *Conn) enlist() (err error) {
+// register adds the descriptor to the loop's epoll set. It closes the connection if that fails. The caller holds mu.
+func (c *Conn) register() (err error) {
 	if c.state == closed {
 		return ErrClosed
 	}
-	if c.slot, c.generation, err = c.loop.add(c.fd, c, c.watched); err != nil {
+	if c.slot, c.generation, err = c.loop.add(c.fd, c, c.interest); err != nil {
 		c.close(false)
 		return err
 	}
-	c.listed = true
+	c.registered = true
 	return nil
 }
 
-// watch changes the events that are watched for, less those that a pause masks.
-func (c *Conn) watch(events uint32) {
+// setInterest sets the epoll events to wait for, except those that a pause masks. The caller holds mu.
+func (c *Conn) setInterest(events uint32) {
 	if c.pauseReasons != 0 {
 		events &^= unix.EPOLLIN
 		if c.hungUp {
-			events &^= unix.EPOLLRDHUP // epoll would report it again and again
+			events &^= unix.EPOLLRDHUP // it is level-triggered, so epoll would report it at every wait
 		}
 	}
-	if c.listed && events != c.watched {
-		c.watched = events
+	if c.registered && events != c.interest {
+		c.interest = events
 		c.loop.modify(c.fd, c.slot, c.generation, events)
 	}
 }
 
-// rewatch watches for the events that the state needs.
-func (c *Conn) rewatch() {
+// updateInterest sets the epoll events that an established or flushing connection needs. The caller holds mu.
+func (c *Conn) updateInterest() {
 	events := uint32(readEvents)
-	if c.state == closing {
+	if c.state == flushing {
 		events = 0
 	}
 	if c.pending() > 0 {
 		events |= unix.EPOLLOUT
 	}
-	c.watch(events)
+	c.setInterest(events)
 }
 
-// pending is the number of bytes to write.
+// pending returns the number of bytes that are still to be written.
 func (c *Conn) pending() int { return len(c.out) - c.outWritten }
 
-// ready implements source.
-func (c *Conn) ready(events uint32) {
+// handleEvents implements eventTarget.
+func (c *Conn) handleEvents(events uint32) {
 	c.mu.Lock()
 	state, paused := c.state, c.pauseReasons != 0
 	c.mu.Unlock()
@@ -113,7 +114,7 @@
 	switch {
 	case state == dialing:
 		c.finishDial(nil)
-	case state == closing:
+	case state == flushing:
 		if gone {
 			c.Abort(false)
 		}
@@ -123,23 +124,23 @@
 		if gone || events&readEvents != 0 {
 			c.read()
 		}
-	case gone: // there is no peer any more to leave it unread for
-		c.endByPeer(unix.ECONNRESET)
+	case gone: // the connection has failed, so there is nothing left to read after the pause
+		c.handleEnd(unix.ECONNRESET)
 	case events&unix.EPOLLRDHUP != 0:
-		c.hangUp()
+		c.notifyHangup()
 	}
 }
 
-// hangUp notifies the handler that the peer of a paused connection has ended its side.
-func (c *Conn) hangUp() {
+// notifyHangup tells the handler that the peer of a paused connection has ended its side.
+func (c *Conn) notifyHangup() {
 	h, ok := c.handler.(HangupHandler)
 	if c.setHungUp() && ok {
 		h.OnHangup(c)
 	}
 }
 
-// setHungUp returns false if the hangup was seen before, or if the connection has been closed meanwhile: its descriptor may
-// be another connection's by now.
+// setHungUp records that the peer has ended its side. It returns false if that was recorded already, or if the connection
+// has been closed in the meantime: its descriptor may then belong to another connection.
 func (c *Conn) setHungUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,32 +148,33 @@
 		return false
 	}
 	c.hungUp = true
-	c.rewatch()
+	c.updateInterest()
 	return true
 }
 
-// Loop is the connection's loop.
+// Loop returns the connection's loop.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// Do has the connection's loop call f soon, unless the group is closed. Use it where the caller may not block, or holds
-// locks that f needs.
+// Do makes the connection's loop call f soon. The call is dropped if the group is closed. Do is for callers that must not
+// block or that hold locks that f needs.
 func (c *Conn) Do(f func()) { c.loop.Post(f) }
 
-// Closed reports whether this side or the peer has ended the connection.
+// Closed reports whether Close or Abort was called, or whether the connection has ended by the peer or by an error.
 func (c *Conn) Closed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state > established
 }
 
-// isLeaving reports whether Close was called and has not finished.
-func (c *Conn) isLeaving() bool {
+// isClosing reports whether Close was called and has not completed yet.
+func (c *Conn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state == closing || c.state == lingering
+	return c.state == flushing || c.state == lingering
 }
 
-// Peer is the address and port of the other end; empty if it is not known any more.
+// Peer returns the address and port of the peer, or an empty string if the connection is closed or the address is not
+// known.
 func (c *Conn) Peer() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/reactor/descriptors.go
+++ b/internal/reactor/descriptors.go
@@ -7,71 +7,75 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptors counts the descriptors of a group's connections and holds the connections that can be closed to make room: those
-// that this side has ended.
+// descriptors counts the descriptors of a group's connections against a budget. It lists the connections that may be closed
+// early to free a descriptor: those that this side is closing.
 type descriptors struct {
-	mu      sync.Mutex
-	held    int
-	budget  int // maximum of held; 0: unlimited
-	leaving [leavingStates]list.List
+	mu        sync.Mutex
+	held      int
+	budget    int // the maximum of held; zero means no limit
+	evictable [evictableKinds]list.List
 }
 
-// leavingState is why a connection that this side has ended is still open. Those in the first state are closed first.
-type leavingState uint8
+// evictableKind says why a connection that this side is closing is still open. Connections of the first kind are evicted
+// first.
+type evictableKind uint8
 
 const (
-	awaitsPeer    leavingState = iota // lingering: all is written, and the peer has not ended its side
-	awaitsWriting                     // closing: bytes are pending for the peer
-	leavingStates
+	evictableLingering evictableKind = iota // all bytes are written, the peer has not ended its side
+	evictableFlushing                       // bytes are still pending for the peer
+	evictableKinds
 )
 
-// leavingEntry is a connection's place among those that are leaving; the zero value is none.
-type leavingEntry struct {
+// evictableEntry is a connection's position in the lists of evictable connections. The zero value means that it is in none.
+type evictableEntry struct {
 	element *list.Element
-	state   leavingState
+	kind    evictableKind
 }
 
-// SetDescriptorBudget sets how many descriptors connections may hold, with those of ReserveDescriptor; 0 is no limit. At the
-// limit connections that this side has ended are closed for new ones, the longest lingering first, and none is accepted
-// while there is no such connection. A dial that the caller has room for is never refused.
+// SetDescriptorBudget sets how many descriptors the group's connections may hold, including those of ReserveDescriptor.
+// Zero means no limit. At the limit, a connection that this side is closing is evicted for each new one, the one that has
+// lingered longest first. If there is none, no connection is accepted. A dial is never refused: the caller makes sure that
+// there is room for it.
 func (g *Group) SetDescriptorBudget(n int) {
 	g.descriptors.mu.Lock()
 	defer g.descriptors.mu.Unlock()
 	g.descriptors.budget = n
 }
 
-// ReserveDescriptor counts a descriptor that the caller opens outside the group, until ReleaseDescriptor.
+// ReserveDescriptor counts a descriptor that the caller opens outside the group towards the budget until ReleaseDescriptor
+// is called.
 func (g *Group) ReserveDescriptor() { g.descriptors.reserve() }
 
-// ReleaseDescriptor is called once for each ReserveDescriptor, when that descriptor is closed.
-func (g *Group) ReleaseDescriptor() { g.descriptors.release(leavingEntry{}) }
+// ReleaseDescriptor ends the count of ReserveDescriptor. It must be called once for each ReserveDescriptor, when the
+// descriptor is closed.
+func (g *Group) ReleaseDescriptor() { g.descriptors.release(evictableEntry{}) }
 
-// DescriptorCounts returns how many descriptors are counted, and how many of these connections have that this side has
-// ended.
-func (g *Group) DescriptorCounts() (held, leaving int) {
+// DescriptorCounts returns how many descriptors are counted, and how many of them belong to connections that this side is
+// closing.
+func (g *Group) DescriptorCounts() (held, closing int) {
 	d := &g.descriptors
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i := range d.leaving {
-		leaving += d.leaving[i].Len()
+	for i := range d.evictable {
+		closing += d.evictable[i].Len()
 	}
-	return d.held, leaving
+	return d.held, closing
 }
 
-// reserve counts a descriptor, after it has closed as many connections that are leaving as are over the budget with it. The
-// caller must not hold the lock of a connection.
+// reserve counts a descriptor. Before that it evicts as many connections as the descriptor would exceed the budget by, as
+// far as there are evictable ones. The caller must not hold the lock of a connection.
 func (d *descriptors) reserve() {
-	for c := d.reserveOrEvict(); c != nil; c = d.reserveOrEvict() {
+	for c := d.tryReserve(); c != nil; c = d.tryReserve() {
 		c.evict()
 	}
 }
 
-// reserveOrEvict counts a descriptor, or returns the connection to be closed first.
-func (d *descriptors) reserveOrEvict() *Conn {
+// tryReserve counts a descriptor and returns nil, or returns the connection that has to be evicted first.
+func (d *descriptors) tryReserve() *Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.isFull() {
-		if c := d.popLeaving(); c != nil {
+		if c := d.popEvictable(); c != nil {
 			return c
 		}
 	}
@@ -79,58 +83,59 @@
 	return nil
 }
 
-// canMakeRoom reports whether a descriptor can be reserved within the budget.
+// canMakeRoom reports whether a descriptor can be reserved within the budget, by an eviction if necessary.
 func (d *descriptors) canMakeRoom() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.isFull() || d.leaving[awaitsPeer].Len()+d.leaving[awaitsWriting].Len() > 0
+	return !d.isFull() || d.evictable[evictableLingering].Len()+d.evictable[evictableFlushing].Len() > 0
 }
 
 func (d *descriptors) isFull() bool { return d.budget > 0 && d.held >= d.budget }
 
-func (d *descriptors) popLeaving() *Conn {
-	for i := range d.leaving {
-		if e := d.leaving[i].Front(); e != nil {
-			return d.leaving[i].Remove(e).(*Conn)
+func (d *descriptors) popEvictable() *Conn {
+	for i := range d.evictable {
+		if e := d.evictable[i].Front(); e != nil {
+			return d.evictable[i].Remove(e).(*Conn)
 		}
 	}
 	return nil
 }
 
-// leave records that a connection is leaving, in place of its entry before.
-func (d *descriptors) leave(c *Conn, before leavingEntry, state leavingState) leavingEntry {
+// addEvictable adds a connection to the list of a kind, replaces its previous entry, and returns the new one.
+func (d *descriptors) addEvictable(c *Conn, previous evictableEntry, kind evictableKind) evictableEntry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.remove(before)
-	return leavingEntry{element: d.leaving[state].PushBack(c), state: state}
+	d.remove(previous)
+	return evictableEntry{element: d.evictable[kind].PushBack(c), kind: kind}
 }
 
-// release forgets a descriptor that is closed, with its connection's entry.
-func (d *descriptors) release(e leavingEntry) {
+// release ends the count of a descriptor that is closed and removes its connection's entry.
+func (d *descriptors) release(e evictableEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.held--
 	d.remove(e)
 }
 
-// remove has no effect on an entry that popLeaving has removed.
-func (d *descriptors) remove(e leavingEntry) {
+// remove removes an entry. It has no effect on an entry that popEvictable has removed. The caller holds mu.
+func (d *descriptors) remove(e evictableEntry) {
 	if e.element != nil {
-		d.leaving[e.state].Remove(e.element)
+		d.evictable[e.kind].Remove(e.element)
 	}
 }
 
-// maxEvictedBytes is how much an evicted connection is read of what has arrived: the longest opening line.
+// maxEvictedBytes is how many received bytes of an evicted connection are read. It is the length of the longest opening
+// line.
 const maxEvictedBytes = 4 << 10
 
-// evict closes a connection that is leaving. What has arrived is read before: unread bytes would have the peer see a reset,
-// and lose what it has not read yet.
+// evict closes a connection that this side is closing, without waiting any longer. It reads what has arrived first: with
+// unread bytes the peer would see a reset and lose what it has not read yet.
 func (c *Conn) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == lingering {
 		var discarded [maxEvictedBytes]byte
-		_, _, _ = unix.Recvfrom(c.fd, discarded[:], unix.MSG_DONTWAIT) // whether there was anything makes no difference
+		_, _, _ = unix.Recvfrom(c.fd, discarded[:], unix.MSG_DONTWAIT) // the eviction goes on whether or not bytes had arrived
 	}
 	c.close(false)
 }
--- a/internal/reactor/descriptors_test.go
+++ b/internal/reactor/descriptors_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Guards against closed connections that keep their descriptors until the event at which others are accepted is over: a
-// burst that waits in the kernel's queue is accepted at one event, and each of its connections closed at once.
+// Guards against closed connections that keep their descriptors until the loop has handled the event that accepted them: a
+// burst that waits in the kernel's accept queue is accepted at one event, and each of its connections is closed at once.
 func TestBurstStaysWithinTheDescriptorBudget(t *testing.T) {
 	const budget, burst = 20, 200
 	g := newGroup(t, 1)
@@ -23,23 +23,23 @@
 			c.Close()
 		}}
 	})
-	clients := burstOf(t, g, addr, burst)
+	clients := dialWhileBusy(t, g, addr, burst)
 	for i, client := range clients {
 		if got, err := io.ReadAll(client); string(got) != "BUSY\r\n" || err != nil {
-			t.Errorf("client %d got %q, %v", i, got, err)
+			t.Errorf("client %d got %q, %v, want BUSY and no error", i, got, err)
 		}
 	}
 	if highest.Load() > budget {
-		t.Errorf("%d descriptors were held, the budget is %d", highest.Load(), budget)
+		t.Errorf("%d descriptors were held at once, want %d at most", highest.Load(), budget)
 	}
 }
 
-// Guards against a program that can't dial servers: connections that are closing make room for a dial, also those that have
-// bytes to write, and those that are not closing do not.
+// Guards against dials that find no free descriptor: a dial evicts connections that are being closed, including those with
+// pending bytes, and no others.
 func TestDialMakesRoomInTheDescriptorBudget(t *testing.T) {
 	const budget = 4
 	g, _, _, ins := fullGroup(t, budget)
-	noError(t, ins[0].Send(make([]byte, 8<<20))) // more than the kernel takes
+	noError(t, ins[0].Send(make([]byte, 8<<20))) // more than the kernel buffers
 	ins[0].Close()
 	ins[1].Close()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,8 +57,8 @@
 	}
 }
 
-// Guards against accepting beyond the budget: while no connection is closing, clients wait in the kernel's queue, and are
-// accepted once there is room again.
+// Guards against accepting beyond the budget: while no connection is being closed, clients wait in the kernel's accept
+// queue. They are accepted once a descriptor is free.
 func TestFullBudgetLeavesClientsInTheAcceptQueue(t *testing.T) {
 	const budget = 3
 	g, addr, conns, ins := fullGroup(t, budget)
@@ -75,7 +75,7 @@
 	}
 }
 
-// Guards against a shutdown that accepts all that waits in the kernel's queue before it closes the first of it.
+// Guards against a shutdown that accepts all connections of the kernel's accept queue before it closes the first of them.
 func TestDrainStaysWithinTheDescriptorBudget(t *testing.T) {
 	const budget, waiting = 20, 200
 	g := newGroup(t, 2)
@@ -100,7 +100,7 @@
 	for range waiting {
 		clients = append(clients, dial(t, listener.Addr()))
 	}
-	await(t, unfinished) // the first; the others wait
+	await(t, unfinished) // the first client; the others wait in the accept queue
 	isDraining.Store(true)
 	listener.Drain()
 	rejected := 0
@@ -110,14 +110,14 @@
 		}
 	}
 	if rejected != waiting-1 {
-		t.Errorf("%d of %d clients were rejected", rejected, waiting-1)
+		t.Errorf("%d clients were rejected, want %d", rejected, waiting-1)
 	}
 	if highest.Load() > budget {
-		t.Errorf("%d descriptors were held, the budget is %d", highest.Load(), budget)
+		t.Errorf("%d descriptors were held at once, want %d at most", highest.Load(), budget)
 	}
 }
 
-// Guards against descriptors that are counted once too often or too little, in every way in which a connection ends.
+// Guards against descriptors that are released twice or never, for each way in which a connection ends.
 func TestDescriptorsAreReleasedOnce(t *testing.T) {
 	g := newGroup(t, 2)
 	addr, conns := pausedListener(t, g, nil)
@@ -132,7 +132,7 @@
 		in := await(t, conns)
 		end(in)
 		noError(t, client.Close())
-		waitFor(t, "released", func() bool { return g.heldDescriptors() == 0 })
+		waitFor(t, "the descriptor is released", func() bool { return g.heldDescriptors() == 0 })
 	}
 	for _, target := range []string{"no address", "127.0.0.1:1", addr} {
 		c := g.Dial(target, testTimeout, &handlerFuncs{open: func(*Conn, error) {}}, nil)
@@ -140,7 +140,7 @@
 		c.Abort(false)
 	}
 	g.Quiesce(testTimeout)
-	waitFor(t, "released after dials", func() bool {
+	waitFor(t, "the descriptors of the dials are released", func() bool {
 		for len(conns) > 0 {
 			(<-conns).Abort(false)
 		}
@@ -148,12 +148,13 @@
 	})
 	g.ReserveDescriptor()
 	g.ReleaseDescriptor()
-	if held, leaving := g.DescriptorCounts(); held != 0 || leaving != 0 {
-		t.Errorf("%d descriptors and %d connections that are leaving are left", held, leaving)
+	if held, closing := g.DescriptorCounts(); held != 0 || closing != 0 {
+		t.Errorf("%d descriptors are counted and %d connections are being closed, want 0 and 0", held, closing)
 	}
 }
 
-// fullGroup returns a group whose descriptor budget is used up by connections, with a listener that has more come to conns.
+// fullGroup returns a group whose descriptor budget is used up by the connections ins. Its listener sends further
+// connections to conns.
 func fullGroup(t *testing.T, budget int) (g *Group, addr string, conns chan *Conn, ins []*Conn) {
 	t.Helper()
 	g = newGroup(t, 1)
@@ -166,8 +167,8 @@
 	return g, addr, conns, ins
 }
 
-// burstOf has clients connect while the loops are busy, so that all are accepted at one event or few.
-func burstOf(t *testing.T, g *Group, addr string, n int) []net.Conn {
+// dialWhileBusy connects n clients while the loops are blocked, so that one event or a few accept them all.
+func dialWhileBusy(t *testing.T, g *Group, addr string, n int) []net.Conn {
 	t.Helper()
 	release := make(chan struct{})
 	for _, l := range g.loops {
--- a/internal/reactor/dial.go
+++ b/internal/reactor/dial.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial starts a connection to an IP address and port, and returns at once. The handler's OnOpen is called when the dial has
-// ended, with ErrTimeout if that takes longer than the timeout. The connection shares the loop of sibling, if that is not
-// nil.
+// Dial starts a connection to an IP address and port and returns at once. The handler's OnOpen is called when the dial has
+// succeeded or failed, with ErrTimeout if it took longer than the timeout. It is not called if the connection is closed
+// first. If sibling is not nil, the connection is driven by the loop of sibling.
 func (g *Group) Dial(addr string, timeout time.Duration, h Handler, sibling *Conn) *Conn {
-	l := g.pick()
+	l := g.pickLoop()
 	if sibling != nil {
 		l = sibling.loop
 	}
-	c := &Conn{loop: l, fd: -1, handler: h, watched: unix.EPOLLOUT}
+	c := &Conn{loop: l, fd: -1, handler: h, interest: unix.EPOLLOUT}
 	l.Post(func() { c.connect(addr, timeout) })
 	return c
 }
@@ -29,8 +29,8 @@
 	}
 }
 
-// startConnect starts the dial with the descriptor that is reserved, unless the connection is closed already. The connection
-// is closed if that fails.
+// startConnect starts the dial with the descriptor that was reserved, unless the connection is closed already. If the dial
+// can't be started, the connection is closed.
 func (c *Conn) startConnect(addr string, timeout time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,16 +45,16 @@
 		return err
 	}
 	c.fd = fd
-	if err := c.enlist(); err != nil {
+	if err := c.register(); err != nil {
 		return err
 	}
-	c.deadline = time.AfterFunc(timeout, func() {
+	c.timeoutTimer = time.AfterFunc(timeout, func() {
 		c.loop.Post(func() { c.finishDial(ErrTimeout) })
 	})
 	return nil
 }
 
-// connectSocket returns a non-blocking socket that connects to an address.
+// connectSocket returns a non-blocking socket that is connecting to an address.
 func connectSocket(addr string) (fd int, err error) {
 	remote, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return fd, nil
 }
 
-// socketAddr is an address in the form of the system calls, with its family.
+// socketAddr converts an address to the form of the system calls and returns it with its address family.
 func socketAddr(addr netip.AddrPort) (family int, sockaddr unix.Sockaddr) {
 	port := int(addr.Port())
 	if addr.Addr().Is4() {
@@ -82,7 +82,8 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: port, Addr: addr.Addr().As16()}
 }
 
-// finishDial ends the dial: with an error, or with the socket's own result if err is nil.
+// finishDial ends the dial, with err if it is not nil, otherwise with the result of the socket's connect. The connection's
+// loop calls it.
 func (c *Conn) finishDial(err error) {
 	c.mu.Lock()
 	if c.state != dialing {
@@ -90,20 +91,20 @@
 		return
 	}
 	c.state = established
-	c.deadline.Stop()
+	c.timeoutTimer.Stop()
 	if err == nil {
 		err = socketError(c.fd)
 	}
 	if err != nil {
 		c.close(false)
 	} else {
-		c.rewatch() // what was sent meanwhile is to be written
+		c.updateInterest() // also waits until bytes that were sent meanwhile can be written
 	}
 	c.mu.Unlock()
 	c.handler.OnOpen(c, err)
 }
 
-// socketError is the result of a non-blocking connect.
+// socketError returns the result of a non-blocking connect.
 func socketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
--- a/internal/reactor/dial_test.go
+++ b/internal/reactor/dial_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialResult dials and returns a channel for the result.
+// dialResult dials an address and returns a channel that receives the result.
 func dialResult(g *Group, addr string, timeout time.Duration) <-chan error {
 	result := make(chan error, 1)
 	g.Dial(addr, timeout, &handlerFuncs{open: func(_ *Conn, err error) { result <- err }}, nil)
@@ -28,13 +28,13 @@
 	for _, addr := range []string{unused, "nowhere", "127.0.0.1:x"} {
 		t.Run(addr, func(t *testing.T) {
 			if await(t, dialResult(g, addr, testTimeout)) == nil {
-				t.Error("the dial succeeded")
+				t.Error("the dial succeeded, want an error")
 			}
 		})
 	}
 }
 
-// unresponsiveAddr is the address of a listener with the shortest accept queue, from which nothing is accepted.
+// unresponsiveAddr returns the address of a listener with the shortest accept queue, from which nothing is accepted.
 func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -51,7 +51,7 @@
 	return (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: sa.(*unix.SockaddrInet4).Port}).String()
 }
 
-// A dial to a full accept queue times out, and one that is aborted reports nothing.
+// A dial to a full accept queue times out. OnOpen is not called for a dial that is aborted.
 func TestDialTimesOutOrIsAborted(t *testing.T) {
 	g, addr := newGroup(t, 1), unresponsiveAddr(t)
 	const dials = 8
@@ -66,7 +66,7 @@
 		}
 	}
 	if timedOut == 0 {
-		t.Error("no dial timed out")
+		t.Error("no dial timed out, want one at least")
 	}
 	aborted := g.Dial(addr, time.Hour, &handlerFuncs{
 		open: func(*Conn, error) { t.Error("OnOpen was called for an aborted dial") },
@@ -74,7 +74,7 @@
 	aborted.Abort(false)
 }
 
-// What is sent before a dialed connection is established is written once it is.
+// Bytes that are sent before a dialed connection is established are written once it is.
 func TestBytesSentWhileDialingAreWritten(t *testing.T) {
 	g := newGroup(t, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,7 +83,7 @@
 	}
 	t.Cleanup(func() { _ = l.Close() })
 	c := g.Dial(l.Addr().String(), testTimeout, &handlerFuncs{}, nil)
-	c.Do(func() { noError(t, c.Send([]byte("early"))) }) // after connect was called, before it has finished
+	c.Do(func() { noError(t, c.Send([]byte("early"))) }) // after the call of connect, before the dial has finished
 	in, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -92,6 +92,6 @@
 	noError(t, in.SetDeadline(time.Now().Add(testTimeout)))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(in, got); err != nil || string(got) != "early" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("the server got %q, %v, want early and no error", got, err)
 	}
 }
--- a/internal/reactor/epoll.go
+++ b/internal/reactor/epoll.go
@@ -7,15 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollEvents takes the events that are ready without waiting. The runtime need not be notified of a call that doesn't block,
-// hence the raw system call.
+// pollEvents returns the number of events that are ready, without waiting for any. The raw system call skips the
+// notification of the runtime's scheduler, which a call that doesn't block doesn't need.
 func pollEvents(epoll int, events []unix.EpollEvent) int {
 	n, _, errno := syscall.RawSyscall6(unix.SYS_EPOLL_PWAIT, uintptr(epoll),
 		uintptr(unsafe.Pointer(&events[0])), uintptr(len(events)), 0, 0, 0)
 	return eventCount(n, errno)
 }
 
-// waitEvents waits until an event is ready.
+// waitEvents waits until at least one event is ready and returns the number of events. It returns 0 if the call was
+// interrupted.
 func waitEvents(epoll int, events []unix.EpollEvent) int {
 	const noTimeout = ^uintptr(0)
 	n, _, errno := syscall.Syscall6(unix.SYS_EPOLL_PWAIT, uintptr(epoll),
@@ -30,7 +31,7 @@
 	return int(n)
 }
 
-// readFD reads into b, which must not be empty, from a non-blocking descriptor.
+// readFD reads from a non-blocking descriptor into b, which must not be empty.
 func readFD(fd int, b []byte) (int, syscall.Errno) {
 	n, _, errno := syscall.RawSyscall(unix.SYS_READ, uintptr(fd), uintptr(unsafe.Pointer(&b[0])), uintptr(len(b)))
 	if errno != 0 {
@@ -39,11 +40,12 @@
 	return int(n), 0
 }
 
-// isRetryable reports whether a read failed only for the moment.
+// isRetryable reports whether a read failed only temporarily and may be repeated.
 func isRetryable(errno syscall.Errno) bool { return errno == unix.EAGAIN || errno == unix.EINTR }
 
-// closeFD closes a descriptor. Linux frees it also if close fails, so that nothing is left to do then.
+// closeFD closes a descriptor. Linux frees the descriptor even if close fails, so the error is ignored.
 func closeFD(fd int) { _ = unix.Close(fd) }
 
-// setNoDelay turns Nagle's algorithm off. Without it the connection works all the same, if slower.
+// setNoDelay turns Nagle's algorithm off. The error is ignored, since the connection still works with the algorithm, only
+// slower.
 func setNoDelay(fd int) { _ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }
--- a/internal/reactor/group.go
+++ b/internal/reactor/group.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// quiesceInterval is the interval at which Quiesce checks the loops.
+// quiesceInterval is how long Quiesce waits between two checks of the loops.
 const quiesceInterval = 2 * time.Millisecond
 
-// Group is a set of loops that share the connections.
+// Group is a set of event loops and the connections and listeners that they drive.
 type Group struct {
 	loops []*Loop
-	next  atomic.Uint32 // for pick
+	next  atomic.Uint32 // counts the calls of pickLoop
 	wg    sync.WaitGroup
 
 	descriptors descriptors
 }
 
-// New starts n loops, and at least one.
+// New returns a group of n loops, or of one if n is less than 1, and starts the loops.
 func New(n int) (*Group, error) {
 	g := &Group{}
 	for range max(n, 1) {
@@ -33,11 +33,12 @@
 	return g, nil
 }
 
-// Close ends the loops and all connections, without notifying handlers, and waits for the loops.
+// Close stops the loops and closes all connections and listeners without notifying handlers, and waits for the loops. A
+// handler must not call it.
 func (g *Group) Close() {
 	for _, l := range g.loops {
-		l.end()
-		for _, s := range l.sources() {
+		l.stop()
+		for _, s := range l.targets() {
 			switch s := s.(type) {
 			case *Conn:
 				s.Abort(false)
@@ -53,14 +54,15 @@
 	}
 }
 
-// pick is the loop for the next connection.
-func (g *Group) pick() *Loop { return g.loops[int(g.next.Add(1))%len(g.loops)] }
+// pickLoop returns the loop for the next connection, round robin.
+func (g *Group) pickLoop() *Loop { return g.loops[int(g.next.Add(1))%len(g.loops)] }
 
-// Each has the loop of every connection call f with the connection's handler soon, after OnOpen.
+// Each makes every loop call f soon with the handlers of the loop's connections. For an accepted connection, OnOpen has
+// been called before.
 func (g *Group) Each(f func(Handler)) {
 	for _, l := range g.loops {
 		l.Post(func() {
-			for _, s := range l.sources() {
+			for _, s := range l.targets() {
 				if c, ok := s.(*Conn); ok {
 					f(c.handler)
 				}
@@ -69,8 +71,9 @@
 	}
 }
 
-// Quiesce waits until the loops have run what was posted, and until no connection lingers or has bytes to write before it
-// closes; for the timeout at most.
+// Quiesce waits until the loops have run all posted calls and no connection is being closed, that is, lingers or has bytes
+// to write first. No check of the loops starts after the timeout; a check waits at most lingerTimeout for each loop. A
+// handler must not call Quiesce.
 func (g *Group) Quiesce(timeout time.Duration) {
 	end := time.Now().Add(timeout)
 	for time.Now().Before(end) && !g.isQuiescent() {
@@ -78,18 +81,19 @@
 	}
 }
 
-// isQuiescent checks each loop after what was posted to it before.
+// isQuiescent reports whether no connection is being closed. It checks each loop after the calls that were posted to it
+// before.
 func (g *Group) isQuiescent() bool {
 	for _, l := range g.loops {
 		done := make(chan struct{})
 		l.Post(func() { close(done) })
 		select {
 		case <-done:
-		case <-time.After(lingerTimeout): // a handler is running for long
+		case <-time.After(lingerTimeout): // a handler has been running for too long
 			return false
 		}
-		for _, s := range l.sources() {
-			if c, ok := s.(*Conn); ok && c.isLeaving() {
+		for _, s := range l.targets() {
+			if c, ok := s.(*Conn); ok && c.isClosing() {
 				return false
 			}
 		}
--- a/internal/reactor/pause.go
+++ b/internal/reactor/pause.go
@@ -1,15 +1,16 @@
 package reactor
 
-// Reasons to leave a connection unread. Each is withdrawn on its own.
+// Reasons for which a connection is paused. Each is set and withdrawn independently; the connection is read while none is
+// set.
 const (
-	pausedByCaller  uint8 = 1 << iota // by Pause
-	pausedByBacklog                   // the connection that it sends to has too much to write
+	pausedByCaller  uint8 = 1 << iota // Pause was called
+	pausedByBacklog                   // too many bytes are pending for the connection that it sends to
 )
 
-// Pause leaves the connection unread once the handler's current call has returned.
+// Pause stops reading the connection once the handler's current call has returned.
 func (c *Conn) Pause() { c.pause(pausedByCaller) }
 
-// Resume has the connection read again; what was not consumed is shown first.
+// Resume continues reading the connection. Bytes that were not consumed are passed to the handler first.
 func (c *Conn) Resume() { c.resume(pausedByCaller) }
 
 func (c *Conn) pause(reason uint8) {
@@ -18,7 +19,7 @@
 	wasPaused := c.pauseReasons != 0
 	c.pauseReasons |= reason
 	if c.state == established && !wasPaused {
-		c.rewatch()
+		c.updateInterest()
 	}
 }
 
@@ -31,26 +32,26 @@
 	c.pauseReasons &^= reason
 	if c.pauseReasons == 0 {
 		c.hungUp = false
-		c.loop.Post(c.continueReading)
+		c.loop.Post(c.resumeReading)
 	}
 }
 
-// continueReading shows what was not consumed before a pause, and has the connection watched again.
-func (c *Conn) continueReading() {
+// resumeReading passes the bytes that were not consumed before a pause to the handler and waits for events again.
+func (c *Conn) resumeReading() {
 	if !c.isUnpaused() {
 		return
 	}
 	if len(c.in) > 0 {
-		c.show(c.in)
+		c.deliver(c.in)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == established {
-		c.rewatch()
+		c.updateInterest()
 	}
 }
 
-// isUnpaused reports whether the connection is open, or being dialed, and not paused.
+// isUnpaused reports whether the connection is not paused and is either dialing or established.
 func (c *Conn) isUnpaused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -1,41 +1,43 @@
-// Package reactor drives TCP connections with a few event loops. A loop waits for the events of all its connections with
-// epoll, passes what has arrived to handlers in place, and writes without a copy what the kernel takes at once. It knows no
-// protocol.
+// Package reactor drives non-blocking TCP connections with a few event loops. Each loop waits with epoll for the events of
+// all its connections, passes received bytes to handlers without copying them, and writes directly from the caller's
+// buffers as far as the kernel accepts the bytes at once. The package is independent of any protocol.
 //
-// A Group owns its loops and connections; Close ends them and waits for the loops. Handlers are called by the loop of their
-// connection, one at a time. The methods of Group, Listener and Conn may be called by any goroutine and don't block on the
-// network, but for Group.Close and Group.Quiesce, which wait for the loops and must not be called by a handler.
+// A Group owns its loops and connections; Close closes the connections and waits for the loops. The loop of a connection
+// calls the connection's handler, one call at a time. The methods of Group, Listener and Conn may be called by any
+// goroutine and don't block on the network. The exceptions are Group.Close, Group.Quiesce and Listener.Drain, which wait
+// for loops: a handler must not call them.
 //
-// A loop waits in a system call, which occupies one of the runtime's processors until the runtime's monitor takes it back,
-// up to 10 ms later: the program needs one processor more for each loop. Waiting for the loop's epoll descriptor in the
-// runtime's poller would need none, but not every platform reports that an epoll descriptor within another is ready: one
-// that supports only sockets, pipes and eventfds there never showed a client.
+// A loop waits in a system call, which occupies one of the Go runtime's processors until the runtime's monitor takes it
+// back, up to 10 ms later. The program therefore needs one more processor for each loop. Waiting for the loop's epoll
+// descriptor in the runtime's poller would need none, but not every platform reports readiness of an epoll descriptor that
+// is nested in another epoll set: on one that supports only sockets, pipes and eventfds there, the loop never saw an event
+// of a client.
 //
-// Memory is bounded: a connection is left unread while the one that it sends to has too much to write, and a peer that does
-// not read at all is disconnected.
+// Memory use is bounded: a connection is not read while too many bytes are pending for the connection that it sends to, and
+// a peer that stops reading is disconnected.
 package reactor
 
 import "errors"
 
-// Handler handles the events of a connection. Its methods are called by the connection's loop, one at a time, and must not
+// Handler handles the events of a connection. The connection's loop calls the methods, one call at a time. They must not
 // block.
 type Handler interface {
-	// OnOpen is called first: for a dialed connection when it is established, or with an error when that failed; for an
-	// accepted one with nil.
+	// OnOpen is called first. For a dialed connection it is called when the connection is established, or with the error if
+	// the dial failed. For an accepted connection err is nil.
 	OnOpen(c *Conn, err error)
-	// OnData shows the bytes that have arrived and were not consumed yet, and returns how many it consumes. The others are
-	// shown again, followed by further ones. The bytes are valid during the call alone.
+	// OnData receives the bytes that have arrived and that were not consumed yet, and returns how many of them it consumes.
+	// The others are passed again, followed by further bytes. The slice is valid only during the call.
 	OnData(c *Conn, b []byte) int
-	// OnEnd is called when the peer has ended the connection, or when it is broken or stalled (ErrStalled). It is not
-	// called after this side has ended it.
+	// OnEnd is called when the peer has ended the connection (err is nil), when the connection has failed, or when the peer
+	// does not read (ErrStalled). It is not called after this side has closed the connection.
 	OnEnd(c *Conn, err error)
 }
 
-// HangupHandler is a Handler that is notified when the peer of a paused connection has ended its side: what was sent before
-// is still to be read. OnHangup is called once a pause.
+// HangupHandler is implemented by a Handler that needs to know when the peer of a paused connection has ended its side.
+// Bytes that the peer sent before are still unread then. OnHangup is called at most once during a pause.
 type HangupHandler interface{ OnHangup(c *Conn) }
 
-// Errors of OnEnd, OnOpen and Send, besides the system's own.
+// Errors that OnEnd, OnOpen and Send report besides system errors.
 var (
 	ErrStalled = errors.New("reactor: peer does not read")
 	ErrTimeout = errors.New("reactor: connect timed out")
@@ -45,5 +47,6 @@
 	errNoDescriptor = errors.New("reactor: descriptor budget is used up")
 )
 
-// WasReset reports whether an error of OnEnd means a broken connection, not one that its peer has ended in order.
+// WasReset reports whether an error passed to OnEnd means that the connection failed, as opposed to an orderly end by the
+// peer.
 func WasReset(err error) bool { return err != nil }
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -17,10 +17,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testTimeout bounds what a test waits for.
+// testTimeout limits each wait of a test.
 const testTimeout = 20 * time.Second
 
-// handlerFuncs is a handler made of functions, each of which may be nil.
+// handlerFuncs is a Handler that calls its functions, each of which may be nil.
 type handlerFuncs struct {
 	open func(*Conn, error)
 	data func(*Conn, []byte) int
@@ -96,17 +96,18 @@
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatal("nothing was received")
+		t.Fatal("nothing was received within the timeout")
 		panic("unreachable")
 	}
 }
 
-// relay forwards between an accepted connection and one dialed to addr, both ways.
+// relay is the Handler of an accepted connection. It forwards bytes between that connection and one that it dials to addr,
+// in both directions.
 type relay struct {
 	group      *Group
 	addr       string
 	server     *Conn
-	maxPending *atomic.Int64 // the most bytes that were seen pending for the server
+	maxPending *atomic.Int64 // the highest number of bytes seen pending for the server
 }
 
 func (r *relay) OnOpen(c *Conn, _ error) {
@@ -120,7 +121,7 @@
 			c.Resume()
 		},
 		data: func(server *Conn, b []byte) int {
-			_ = c.SendFrom(server, b) // the client may have gone; the test compares what arrives
+			_ = c.SendFrom(server, b) // an error is ignored: the client may have disconnected, and the test compares what arrives
 			return len(b)
 		},
 		end: func(*Conn, error) { c.Close() },
@@ -128,7 +129,7 @@
 }
 
 func (r *relay) OnData(c *Conn, b []byte) int {
-	_ = r.server.SendFrom(c, b) // the test compares what arrives
+	_ = r.server.SendFrom(c, b) // an error is ignored: the test compares what arrives
 	if n := int64(r.server.Buffered()); n > r.maxPending.Load() {
 		r.maxPending.Store(n)
 	}
@@ -137,7 +138,7 @@
 
 func (r *relay) OnEnd(*Conn, error) { r.server.Close() }
 
-// All that is sent arrives in order, though the reader is slow; what is pending in between is bounded.
+// All bytes arrive in order although the reader is slow, and the number of bytes pending in the relay is bounded.
 func TestRelayIsCompleteAndBounded(t *testing.T) {
 	for _, loops := range []int{1, 3} {
 		t.Run(fmt.Sprintf("%d loops", loops), func(t *testing.T) { testRelay(t, loops) })
@@ -172,15 +173,15 @@
 	}()
 	got, err := io.ReadAll(server)
 	if err != nil || !bytes.Equal(got, sent) {
-		t.Fatalf("%d of %d bytes arrived, %v", len(got), len(sent), err)
+		t.Fatalf("%d of %d bytes arrived, want all, equal to those sent; error %v", len(got), len(sent), err)
 	}
 	noError(t, await(t, writeErr))
 	if n := maxPending.Load(); n > highWater+readSize {
-		t.Errorf("%d bytes were pending, want %d at most", n, highWater+readSize)
+		t.Errorf("%d bytes were pending at once, want %d at most", n, highWater+readSize)
 	}
 }
 
-// What a handler does not consume is shown again, followed by what has arrived since.
+// Bytes that a handler does not consume are passed again, followed by those that have arrived since.
 func TestUnconsumedBytesAreShownAgain(t *testing.T) {
 	got := make(chan string, 10)
 	addr := listen(t, newGroup(t, 1), func() Handler {
@@ -204,7 +205,7 @@
 	}
 }
 
-// A paused connection is not read; after Resume all bytes are shown, and its end last.
+// A paused connection is not read. After Resume all its bytes are delivered, and its end after them.
 func TestPausedConnectionIsReadAfterResume(t *testing.T) {
 	conns, data, ends := make(chan *Conn, 1), make(chan string, 10), make(chan error, 1)
 	addr := listen(t, newGroup(t, 1), func() Handler {
@@ -220,21 +221,21 @@
 	in := await(t, conns)
 	select {
 	case s := <-data:
-		t.Fatalf("%q was read", s)
+		t.Fatalf("%q was read while the connection was paused", s)
 	case <-ends:
-		t.Fatal("ended before it was read")
+		t.Fatal("OnEnd was called while the connection was paused")
 	case <-time.After(20 * time.Millisecond):
 	}
 	in.Resume()
 	if s := await(t, data); s != "kept" {
-		t.Errorf("got %q", s)
+		t.Errorf("got %q after Resume, want kept", s)
 	}
 	if err := await(t, ends); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("OnEnd got %v, want nil", err)
 	}
 }
 
-// recordingListener accepts connections and passes them, and the errors that they end with, to channels.
+// recordingListener accepts connections and sends them to conns and the errors of their OnEnd to ends.
 func recordingListener(t *testing.T) (addr string, conns <-chan *Conn, ends <-chan error) {
 	t.Helper()
 	opened, ended := make(chan *Conn, 1), make(chan error, 1)
--- a/internal/reactor/read.go
+++ b/internal/reactor/read.go
@@ -5,14 +5,14 @@
 	"syscall"
 )
 
-// read reads what has arrived and shows it to the handler.
+// read reads the bytes that have arrived and passes them to the handler.
 func (c *Conn) read() {
 	c.mu.Lock()
 	if c.state != established {
 		c.mu.Unlock()
 		return
 	}
-	// The usual case: everything fits the loop's own buffer, and an idle connection holds none.
+	// Usually all bytes fit in the loop's read buffer, so that an idle connection holds no buffer.
 	buf := c.loop.buf
 	unconsumed := len(c.in)
 	if unconsumed < len(buf) {
@@ -24,31 +24,31 @@
 	n, errno := readFD(c.fd, buf[unconsumed:])
 	c.mu.Unlock()
 	if n > 0 {
-		c.show(buf[:unconsumed+n])
+		c.deliver(buf[:unconsumed+n])
 		return
 	}
-	c.handleReadEnd(errno)
+	c.handleEmptyRead(errno)
 }
 
-// growIn makes room for at least half a readSize after the bytes that were not consumed.
+// growIn makes room in c.in for at least readSize/2 bytes after the unconsumed ones. The caller holds mu.
 func (c *Conn) growIn() {
 	if cap(c.in)-len(c.in) < readSize/2 {
 		c.in = append(make([]byte, 0, 2*cap(c.in)+readSize), c.in...)
 	}
 }
 
-// handleReadEnd handles a read that brought nothing; errno is 0 if the peer has ended its side.
-func (c *Conn) handleReadEnd(errno syscall.Errno) {
+// handleEmptyRead handles a read that returned no bytes. errno is 0 if the peer has ended its side.
+func (c *Conn) handleEmptyRead(errno syscall.Errno) {
 	switch {
 	case errno == 0:
-		c.endByPeer(nil)
+		c.handleEnd(nil)
 	case !isRetryable(errno):
-		c.endByPeer(errno)
+		c.handleEnd(errno)
 	}
 }
 
-// show passes bytes to the handler, and keeps those that it doesn't consume. b may be c.in.
-func (c *Conn) show(b []byte) {
+// deliver passes b to the handler and keeps the bytes that the handler doesn't consume. b may be c.in.
+func (c *Conn) deliver(b []byte) {
 	consumed := 0
 	for consumed < len(b) {
 		n := c.handler.OnData(c, b[consumed:])
@@ -61,18 +61,18 @@
 		c.in = nil
 		return
 	}
-	c.in = append(c.in[:0], b[consumed:]...) // within one array this copies towards the start
+	c.in = append(c.in[:0], b[consumed:]...) // append copies correctly where b and c.in overlap
 }
 
-// isReadable reports whether the handler may be called with data.
+// isReadable reports whether the handler may be called with further bytes.
 func (c *Conn) isReadable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pauseReasons == 0 && c.state == established
 }
 
-// endByPeer handles the end of the connection by the peer, or by an error.
-func (c *Conn) endByPeer(err error) {
+// handleEnd handles the end of the connection by the peer (err is nil) or by an error.
+func (c *Conn) handleEnd(err error) {
 	if c.closeIfEnded() {
 		return
 	}
@@ -80,8 +80,8 @@
 	c.Abort(errors.Is(err, ErrStalled))
 }
 
-// closeIfEnded closes a connection that this side has ended already; its handler is not notified. It returns false for
-// another one.
+// closeIfEnded closes the connection without notifying the handler if this side was closing it already, and reports whether
+// this side was.
 func (c *Conn) closeIfEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/reactor/wait_test.go
+++ b/internal/reactor/wait_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// No loop may wait by way of another epoll descriptor, such as the runtime's: not every platform reports that one within
-// another is ready.
+// Guards against loops that wait through another epoll descriptor, such as that of the runtime's poller: not every platform
+// reports readiness of an epoll descriptor that is nested in another epoll set.
 func TestNoNestedEpoll(t *testing.T) {
 	g := newGroup(t, 2)
 	echo := listen(t, g, func() Handler {
 		return &handlerFuncs{data: func(c *Conn, b []byte) int { noError(t, c.Send(b)); return len(b) }}
 	})
-	c := dial(t, echo) // by now the runtime's poller runs too
+	c := dial(t, echo) // starts the runtime's poller too
 	if _, err := c.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	const eventpoll = "anon_inode:[eventpoll]"
 	links, err := filepath.Glob("/proc/self/fd/*")
 	if err != nil || len(links) == 0 {
-		t.Fatalf("no descriptors are to be seen: %v", err)
+		t.Fatalf("no descriptors found in /proc/self/fd: %v", err)
 	}
 	epolls := 0
 	for _, link := range links {
@@ -43,16 +43,16 @@
 				continue
 			}
 			if kind, err := os.Readlink("/proc/self/fd/" + f[1]); err == nil && kind == eventpoll {
-				t.Errorf("descriptor %s waits within %s", f[1], filepath.Base(link))
+				t.Errorf("epoll descriptor %s is nested in the epoll set of descriptor %s", f[1], filepath.Base(link))
 			}
 		}
 	}
 	if epolls < 3 {
-		t.Errorf("%d epoll descriptors, not one for each loop and the runtime's", epolls)
+		t.Errorf("%d epoll descriptors, want 3 at least: one for each loop and the runtime's", epolls)
 	}
 }
 
-// A group without any events closes too, though its loops wait without a timeout.
+// A group without events closes too, although its loops wait without a timeout.
 func TestCloseEndsIdleLoops(t *testing.T) {
 	g, err := New(3)
 	if err != nil {
@@ -63,6 +63,6 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("the loops went on waiting")
+		t.Fatal("Close did not return: the loops are still waiting")
 	}
 }
--- a/internal/reactor/write.go
+++ b/internal/reactor/write.go
@@ -8,24 +8,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// StallAfter is how long a peer may read nothing while bytes are pending for it.
+// StallAfter is how long a peer may read nothing while bytes are pending for it before it is disconnected.
 const StallAfter = 900 * time.Millisecond
 
-// Bounds of what is pending for one peer. Above the first its sources are paused, at the second or below they are resumed;
-// what has been read by then and what a handler adds on its own comes on top.
+// Limits of the bytes pending for one peer. Above highWater, the connections that send to it are paused; at lowWater or
+// below, they are resumed. More bytes than highWater can be pending: those that had been read when the pause began, and
+// those that a handler sends on its own.
 const (
 	highWater = 64 << 10
 	lowWater  = 16 << 10
 )
 
-// maxParts is how many parts are gathered into one write.
+// maxParts is how many parts a single system call writes.
 const maxParts = 16
 
-// Send writes the parts in order, after what is pending. What the kernel does not take at once is copied and kept; the
-// caller may reuse the parts. The error is ErrClosed if this side or the peer has ended the connection, otherwise nil.
+// Send writes the parts in order, after the pending bytes. Bytes that the kernel does not accept at once are copied and
+// kept, so the caller may reuse the parts. Send returns ErrClosed if this side is closing the connection or it has ended,
+// otherwise nil.
 func (c *Conn) Send(parts ...[]byte) error { return c.SendFrom(nil, parts...) }
 
-// SendFrom is Send for bytes that were read from another connection, which is paused while too much is pending here.
+// SendFrom is like Send for bytes that were read from the connection source, which is paused while too many bytes are
+// pending here.
 func (c *Conn) SendFrom(source *Conn, parts ...[]byte) error {
 	c.mu.Lock()
 	if c.state > established {
@@ -35,7 +38,7 @@
 	c.enqueue(parts)
 	overfull := source != nil && c.pending() > max(c.maxPending, highWater)
 	if overfull {
-		c.sources = append(c.sources, source)
+		c.pausedSources = append(c.pausedSources, source)
 	}
 	c.mu.Unlock()
 	if overfull {
@@ -44,7 +47,7 @@
 	return nil
 }
 
-// enqueue writes what the kernel takes, if nothing is pending, and keeps the rest.
+// enqueue writes as much as the kernel accepts, if nothing was pending, and keeps the rest. The caller holds mu.
 func (c *Conn) enqueue(parts [][]byte) {
 	wasEmpty := c.pending() == 0
 	if wasEmpty && c.state == established {
@@ -54,12 +57,13 @@
 		c.out = append(c.out, p...)
 	}
 	if wasEmpty && c.pending() > 0 && c.state == established {
-		c.rewatch()
+		c.updateInterest()
 		c.armStallTimer()
 	}
 }
 
-// writeParts writes what the kernel takes and returns the rest. An error is left to the next read.
+// writeParts writes as much as the kernel accepts and returns the rest. An error is not reported, since the next read
+// reports it.
 func writeParts(fd int, parts [][]byte) [][]byte {
 	for len(parts) > 0 {
 		written, size, errno := writeOnce(fd, parts[:min(len(parts), maxParts)])
@@ -77,7 +81,8 @@
 	return nil
 }
 
-// writeOnce writes at most maxParts parts with one system call. It returns how many bytes of their size were written.
+// writeOnce writes at most maxParts parts with one system call. It returns how many bytes were written and the size of the
+// parts in bytes.
 func writeOnce(fd int, parts [][]byte) (written, size int, errno syscall.Errno) {
 	var vectors [maxParts]unix.Iovec
 	count := 0
@@ -103,7 +108,7 @@
 	return int(n), size, errno
 }
 
-// skipBytes is the parts without their first n bytes.
+// skipBytes returns the parts without their first n bytes.
 func skipBytes(parts [][]byte, n int) [][]byte {
 	for len(parts) > 0 && n >= len(parts[0]) {
 		n -= len(parts[0])
@@ -115,18 +120,18 @@
 	return append([][]byte{parts[0][n:]}, parts[1:]...)
 }
 
-// flush writes what is pending, and resumes the sources once that is little enough.
+// flush writes pending bytes, and resumes the paused sources if at most lowWater bytes remain.
 func (c *Conn) flush() {
 	for _, s := range c.writePending() {
 		s.resume(pausedByBacklog)
 	}
 }
 
-// writePending writes what is pending and returns the sources to resume.
+// writePending writes pending bytes and returns the sources to resume.
 func (c *Conn) writePending() (resumable []*Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state != established && c.state != closing || c.pending() == 0 {
+	if c.state != established && c.state != flushing || c.pending() == 0 {
 		return nil
 	}
 	rest := 0
@@ -139,21 +144,22 @@
 	}
 	c.trimOut()
 	if c.pending() <= lowWater {
-		resumable, c.sources = c.sources, nil
+		resumable, c.pausedSources = c.pausedSources, nil
 	}
 	return resumable
 }
 
-// trimOut frees what is written, once that is everything or more than half, and goes on to what follows the last byte.
+// trimOut frees the written part of c.out once it is all or more than half of it. After the last byte it lingers if this
+// side is closing the connection, or stops waiting for the socket to become writable. The caller holds mu.
 func (c *Conn) trimOut() {
 	switch {
 	case c.pending() == 0:
 		c.out, c.outWritten = nil, 0
 		c.stallTimer.Stop()
-		if c.state == closing {
+		if c.state == flushing {
 			c.linger()
 		} else {
-			c.rewatch()
+			c.updateInterest()
 		}
 	case c.outWritten > len(c.out)/2:
 		c.out = append(c.out[:0], c.out[c.outWritten:]...)
@@ -169,15 +175,16 @@
 	c.stallTimer.Reset(StallAfter)
 }
 
-// checkStall ends a connection whose peer doesn't read: its bytes would be kept for an unlimited time.
+// checkStall disconnects a peer that doesn't read, since its pending bytes would be kept without a time limit.
 func (c *Conn) checkStall() {
 	if c.isStalled() {
-		c.endByPeer(ErrStalled)
+		c.handleEnd(ErrStalled)
 	}
 }
 
-// isStalled reports whether the peer has read nothing since the timer was armed, and arms it again if the peer has. The
-// kernel holds bytes too, and reports the socket writable only after many have been sent.
+// isStalled reports whether the peer has read nothing since the stall timer was armed, and rearms the timer if it has read
+// something. It compares the lengths of the kernel's send queue, since the kernel holds pending bytes too and reports the
+// socket as writable only after many of them have been sent.
 func (c *Conn) isStalled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,15 +200,16 @@
 	return true
 }
 
-// SetMaxPending sets how many bytes may be pending for the peer before what sends to it is paused. The default, 64 KiB, is
-// also the minimum.
+// SetMaxPending sets how many bytes may be pending for the peer before the connections that send to it are paused. Defaults
+// to 64 KiB, which is also the minimum.
 func (c *Conn) SetMaxPending(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxPending = limit
 }
 
-// Buffered is the number of bytes pending for the peer on this side; what the kernel has taken is not counted.
+// Buffered returns the number of bytes pending for the peer in this process. Bytes that the kernel has accepted are not
+// counted.
 func (c *Conn) Buffered() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
