--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -1,9 +1,9 @@
-// Package upstream holds the state that an attempt at a server has in every protocol: its connection, its phase and the
-// time for which the oldest request has gone without a response.
+// Package upstream implements the part of an attempt at a server that is common to all protocols: its connection, its
+// phase, and how long the oldest request has been waiting for a response.
 //
-// An attempt is dialed, sends its request, is established and ends. Each transition happens once, while the engine may
-// cancel the attempt at any moment from another goroutine. The package knows no protocol; a protocol's backend embeds
-// Attempt and drives it from the callbacks of its reactor.Conn.
+// An attempt dials, sends its request, becomes established and ends. Each transition happens at most once, even though the
+// engine may cancel the attempt at any time from another goroutine. The package is independent of any protocol: a
+// protocol's backend embeds Attempt and drives it from the callbacks of its reactor.Conn.
 package upstream
 
 import (
@@ -14,31 +14,33 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// Phase is the progress of an attempt. Phases follow in the order of the constants, but Ended may follow each.
+// Phase is the phase of an attempt. An attempt passes through the phases in the order of the constants. Ended may follow
+// any other phase.
 type Phase uint8
 
 // The phases of an attempt.
 const (
 	Dialing     Phase = iota
-	Pending           // connected; no response has arrived
+	Pending           // connected; the server has not accepted the request yet
 	Established       // the server has accepted the request
 	Ended
 )
 
-// Attempt is a connection to a server with its phase. It is a part of what implements engine.ActiveAttempt. Its methods may
-// be called by any goroutine and don't block on the network.
+// Attempt is a connection to a server and the phase of the attempt. Types that embed it implement engine.ActiveAttempt with
+// its methods. The methods may be called by any goroutine and don't block on the network.
 type Attempt struct {
-	mu    sync.Mutex // protects phase; never held while writing or posting
+	mu    sync.Mutex // protects phase; not held while writing to a connection or posting events
 	phase Phase
 	conn  *reactor.Conn
 	start time.Time
 
-	// When the oldest request without a response was sent, in nanoseconds since start plus one; 0: there is none.
+	// The time at which the oldest request without a response was sent, in nanoseconds since start, plus one. Zero means
+	// that there is no such request.
 	sentAt atomic.Int64
 }
 
-// Start dials. The connection's handler may be called before Start returns; the methods that depend on the phase then block
-// until it does.
+// Start calls dial and keeps the connection that it returns. The connection's handler may be called before Start returns;
+// methods that depend on the phase then block until Start returns.
 func (a *Attempt) Start(dial func() *reactor.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -46,20 +48,21 @@
 	a.conn = dial()
 }
 
-// Conn is the connection. It may be used in the connection's handler, and by others once Start has returned.
+// Conn returns the connection. The connection's handler may call Conn at any time, others once Start has returned.
 func (a *Attempt) Conn() *reactor.Conn { return a.conn }
 
-// Age is the time since Start.
+// Age returns the time since Start.
 func (a *Attempt) Age() time.Duration { return time.Since(a.start) }
 
-// Phase is the current phase.
+// Phase returns the current phase.
 func (a *Attempt) Phase() Phase {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.phase
 }
 
-// Transition changes the phase from one to another. It reports false, and changes nothing, in any other phase.
+// Transition changes the phase from one value to another and returns true. If the phase is not from, Transition changes
+// nothing and returns false.
 func (a *Attempt) Transition(from, to Phase) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,7 +73,7 @@
 	return true
 }
 
-// Finish ends the attempt and returns the phase that it was in. The connection is left to the caller.
+// Finish ends the attempt and returns the phase that it was in. The caller is responsible for closing the connection.
 func (a *Attempt) Finish() (previous Phase) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,8 +82,8 @@
 	return previous
 }
 
-// Cancel implements engine.ActiveAttempt: it ends an attempt that is not established. When it returns true the connection is
-// closed and carries nothing any more; false means that the attempt is established or has ended.
+// Cancel implements engine.ActiveAttempt: it ends an attempt that is not established. If it returns true, the connection is
+// closed and carries no more data. It returns false if the attempt is established or has ended.
 func (a *Attempt) Cancel() bool {
 	if !a.endUnestablished() {
 		return false
@@ -99,14 +102,14 @@
 	return true
 }
 
-// RequestSent records that a request was sent now, unless an older one has no response yet.
+// RequestSent records that a request is sent now. It has no effect while an older request has no response.
 func (a *Attempt) RequestSent() { a.sentAt.CompareAndSwap(0, a.now()) }
 
-// RequestRenewed treats the oldest request without a response as sent now.
+// RequestRenewed records that the oldest request without a response counts as sent now.
 func (a *Attempt) RequestRenewed() { a.sentAt.Store(a.now()) }
 
-// ResponseReceived records that every request has its response. It returns for how long the oldest had none, at least 1 ns;
-// 0 if there was no request.
+// ResponseReceived records that every request has its response. It returns how long the oldest one had none, at least 1 ns,
+// or zero if there was no request.
 func (a *Attempt) ResponseReceived() time.Duration {
 	sent := a.sentAt.Swap(0)
 	if sent == 0 {
@@ -115,7 +118,8 @@
 	return max(a.since(sent), 1)
 }
 
-// UnansweredFor implements engine.ActiveAttempt: for how long the oldest request has had no response; 0 if there is none.
+// UnansweredFor implements engine.ActiveAttempt: it returns how long the oldest request has had no response, or zero if
+// there is none.
 func (a *Attempt) UnansweredFor() time.Duration {
 	sent := a.sentAt.Load()
 	if sent == 0 {
@@ -124,8 +128,8 @@
 	return max(a.since(sent), 0)
 }
 
-// now is the current time in the form of sentAt.
+// now returns the current time in the form of sentAt.
 func (a *Attempt) now() int64 { return int64(a.Age()) + 1 }
 
-// since is the time since sent, a value of sentAt. It may be off by a nanosecond.
+// since returns the time since sent, a value of sentAt. The plus one in sentAt makes the result up to 1 ns too short.
 func (a *Attempt) since(sent int64) time.Duration { return a.Age() - time.Duration(sent) }
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,7 +14,7 @@
 func (discardHandler) OnData(_ *reactor.Conn, b []byte) int { return len(b) }
 func (discardHandler) OnEnd(*reactor.Conn, error)           {}
 
-// startedAttempt is an attempt that dials a listener of the test's own.
+// startedAttempt returns an attempt that dials a listener of the test.
 func startedAttempt(t *testing.T) *Attempt {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 				t.Errorf("Cancel() = %v, want %v", got, test.cancel)
 			}
 			if got := attempt.Conn().Closed(); got != test.cancel {
-				t.Errorf("connection closed: %v, want %v", got, test.cancel)
+				t.Errorf("after Cancel the connection is closed: %v, want %v", got, test.cancel)
 			}
 			want := test.phase
 			if test.cancel {
@@ -62,7 +62,7 @@
 				t.Errorf("Finish() = %v, want %v", got, want)
 			}
 			if attempt.Transition(test.phase, Established) && test.phase != Ended {
-				t.Errorf("Transition from %v after Finish succeeded", test.phase)
+				t.Errorf("Transition from phase %v after Finish succeeded, want false", test.phase)
 			}
 		})
 	}
@@ -95,6 +95,6 @@
 	before := attempt.UnansweredFor()
 	attempt.RequestRenewed()
 	if sent := time.Duration(attempt.sentAt.Load()); sent < before {
-		t.Errorf("the request counts from %v after the start, want %v or more", sent, before)
+		t.Errorf("the request counts as sent %v after the start, want %v or more", sent, before)
 	}
 }
