--- a/internal/lineproto/codec/codec.go
+++ b/internal/lineproto/codec/codec.go
@@ -1,8 +1,7 @@
-// Package codec reads and writes the lines that clients, balancers and servers exchange.
+// Package codec parses and formats the lines that clients, balancers and servers exchange.
 //
-// It does no I/O and holds no state: parsers work on the bytes that they are given, and the slices in their results are parts
-// of these bytes. All functions may be called by any goroutine. Lines end with CRLF; what a server sends may also end with a
-// bare LF.
+// It does no I/O and holds no state. Parsers don't copy: the slices in their results refer to the bytes that were parsed.
+// All functions may be called by any goroutine. Lines end with CRLF; lines of a server may also end with a bare LF.
 package codec
 
 import (
@@ -13,25 +12,25 @@
 	"time"
 )
 
-// MaxLineLength is the length of the longest line in bytes, its end included.
+// MaxLineLength is the length of the longest line in bytes, including its line end.
 const MaxLineLength = 4 << 10
 
-// Lines that the balancer itself sends.
+// Lines that the balancer sends on its own behalf.
 const (
 	Pong  = "PONG\r\n"
 	No    = "NO\r\n"
 	Err   = "ERR\r\n"
 	Move  = "MOVE\r\n"
-	Stats = "STATS\r\n" // to a server, on a connection for health checks
+	Stats = "STATS\r\n" // asks a server for its load report, on a connection for load polls
 )
 
-// Errors of ParseOpen.
+// Errors that ParseOpen returns.
 var (
 	ErrTooLong   = errors.New("line too long")
 	ErrMalformed = errors.New("malformed line")
 )
 
-// Bounds of a number.
+// Limits of a number: its length in bytes and its value.
 const (
 	maxNumberLength = 24
 	maxNumber       = 1e12
@@ -44,27 +43,27 @@
 	crlf   = []byte("\r\n")
 )
 
-// trimEnd cuts off the end of a line, CRLF or a bare LF.
+// trimEnd returns the line without its line end, CRLF or a bare LF.
 func trimEnd(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte{'\n'})
 	return bytes.TrimSuffix(line, []byte{'\r'})
 }
 
-// splitCommand splits a line into its first word and the rest, without the end.
+// splitCommand splits a line into its first word and the rest, without the line end.
 func splitCommand(line []byte) (command, rest []byte) {
 	command, rest, _ = bytes.Cut(trimEnd(line), space)
 	return command, rest
 }
 
-// cutField cuts the first name=value pair off a list that is separated by commas. It reports false for a pair without a name
-// or without an equals sign; pair is then what was cut off.
+// cutField splits the first name=value pair off a list of pairs that are separated by commas. pair is the text that was
+// split off. ok is false if it has no name or no equals sign.
 func cutField(list []byte) (pair, name, value, rest []byte, ok bool) {
 	pair, rest, _ = bytes.Cut(list, comma)
 	name, value, ok = bytes.Cut(pair, equals)
 	return pair, name, value, rest, ok && len(name) > 0
 }
 
-// parseNumber reads a decimal number from 0 to maxNumber.
+// parseNumber parses a decimal number from 0 to maxNumber and reports whether it is valid.
 func parseNumber(text []byte) (float64, bool) {
 	if len(text) == 0 || len(text) > maxNumberLength {
 		return 0, false
@@ -76,7 +75,8 @@
 	return number, true
 }
 
-// Busy is a rejection. With retryAfter above 0 it tells the client when to retry, in milliseconds rounded up.
+// Busy returns a BUSY line, which rejects a request. If retryAfter is above zero, the line tells the client after how many
+// milliseconds to retry, rounded up.
 func Busy(retryAfter time.Duration) []byte {
 	line := []byte("BUSY")
 	if retryAfter > 0 {
--- a/internal/lineproto/codec/codec_test.go
+++ b/internal/lineproto/codec/codec_test.go
@@ -68,7 +68,7 @@
 
 var alphanumeric = rapid.StringMatching(`[0-9a-z]{1,16}`)
 
-// Whatever the other fields are, only the value of d changes on a forwarded line.
+// Forward changes only the value of d, whatever other fields the line has.
 func TestForwardChangesOnlyTheTimeout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[e-z][0-9a-z]{2,6}`), 0, 6, rapid.ID).Draw(t, "names")
@@ -87,12 +87,12 @@
 			t.Fatal(err)
 		}
 		if o.Timeout != time.Duration(wait)*time.Millisecond {
-			t.Fatalf("wait %v, want %d ms", o.Timeout, wait)
+			t.Fatalf("Timeout = %v, want %d ms", o.Timeout, wait)
 		}
 		left := rapid.IntRange(1, 100000).Draw(t, "left")
 		got := string(bytes.Join(o.Forward(nil, time.Duration(left)*time.Millisecond), nil))
 		if want := build(strconv.Itoa(left)); got != want {
-			t.Fatalf("forwarded %q, want %q", got, want)
+			t.Fatalf("forwarded as %q, want %q", got, want)
 		}
 	})
 }
@@ -107,14 +107,14 @@
 		ParseRequestKind(line)
 		if o, err := ParseOpen(line); err == nil {
 			if !bytes.HasSuffix(line, []byte("\r\n")) || len(o.ID) == 0 || len(o.Key) == 0 || o.Timeout < 0 || o.Load < 0 {
-				t.Fatalf("%q read as %+v", line, o)
+				t.Fatalf("ParseOpen(%q) = %+v, want a valid request or an error", line, o)
 			}
 		}
 		ParseReply(line)
 		if r, ok := ParsePong(line); ok {
 			EachReportField(r, func(name string, v float64) {
 				if name == "" || !(v >= 0) {
-					t.Fatalf("%q has the field %q=%v", line, name, v)
+					t.Fatalf("the report of %q has the field %q=%v, want a name and a value of 0 at least", line, name, v)
 				}
 			})
 		}
--- a/internal/lineproto/codec/format_test.go
+++ b/internal/lineproto/codec/format_test.go
@@ -16,7 +16,7 @@
 
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
-// The readers' results as text, field by field.
+// The functions below return the results of the parsers as text, field by field.
 
 func describeOpen(line []byte) string {
 	open, err := codec.ParseOpen(line)
@@ -81,7 +81,7 @@
 	return b.String()
 }
 
-// describeAll is what every reader makes of a line.
+// describeAll returns the results of all parsers for a line.
 func describeAll(line []byte) string {
 	return strings.Join([]string{
 		describeKind(line), describeOpen(line), describeReply(line), describePong(line),
@@ -89,9 +89,9 @@
 	}, " | ")
 }
 
-// inPieces is what a reader makes of each prefix of a line: every result that differs from the one before, with the
-// prefix's length.
-func inPieces(line string, read func([]byte) string) string {
+// describePrefixes returns the results of a parser for the prefixes of a line: each result that differs from that for the
+// prefix before, with the prefix's length.
+func describePrefixes(line string, read func([]byte) string) string {
 	var b strings.Builder
 	last := ""
 	for n := range len(line) + 1 {
@@ -103,7 +103,7 @@
 	return strings.TrimSpace(b.String())
 }
 
-// corrupted are the lines that differ from a line in one byte: left out, replaced or put in before it.
+// corrupted returns the lines that differ from a line in one byte: one that is removed, replaced or inserted.
 func corrupted(line string) (all []string) {
 	for i := range len(line) + 1 {
 		for _, c := range "\x00 ,=\r\n\x7f\xff9xc." {
@@ -119,7 +119,7 @@
 	return all
 }
 
-// openLines are opening lines, good and bad, without their end.
+// openLines returns valid and malformed opening lines without their line ends.
 func openLines() []string {
 	lines := []string{
 		"OPEN 9b1f03aa5c7e2d41 7f3a9c21 c=chat,d=2000,g=5c0f,t=acme,r=1,again=1,mid=1,at=s-1,h=3.5,zz=9",
@@ -197,7 +197,7 @@
 		"PING\t\r\n", "PING \r\n", "PING\r\r\n", "PING\n\n", "STATS\r\n", "STATS all\r\n", "STATSX\r\n", "stats\r\n",
 		"PONG\r\n", "UP 1\r\n", "\r\n", "\n", " ", "\x00\r\n",
 	} {
-		lines = append(lines, fmt.Sprintf("%q: %s", line, inPieces(line, describeKind)))
+		lines = append(lines, fmt.Sprintf("%q: %s", line, describePrefixes(line, describeKind)))
 	}
 	golden.CheckLines(t, "first_lines.txt", lines)
 }
@@ -217,7 +217,7 @@
 		for _, l := range []string{line, bare + "\n", bare} {
 			lines = append(lines, fmt.Sprintf("%q: %s", l, describeReply([]byte(l))))
 		}
-		lines = append(lines, fmt.Sprintf("%q in pieces: %s", line, inPieces(line, describeReply)))
+		lines = append(lines, fmt.Sprintf("%q in pieces: %s", line, describePrefixes(line, describeReply)))
 	}
 	golden.CheckLines(t, "server_lines.txt", lines)
 }
@@ -260,7 +260,7 @@
 	golden.CheckLines(t, "written.txt", lines)
 }
 
-// Each line with any one byte corrupted, as a digest of what all readers make of it.
+// Compares a digest of the results of all parsers for each line with one byte corrupted.
 func TestCorruptedLines(t *testing.T) {
 	var lines []string
 	for _, line := range []string{
@@ -280,7 +280,7 @@
 	golden.CheckLines(t, "spoilt.txt", lines)
 }
 
-// linePieces are the parts of random lines.
+// linePieces are the pieces that random lines are composed of.
 var linePieces = []string{
 	"OPEN", "PING", "PONG", "STATS", "UP", "BYE", "MOVE", "ERR", "BUSY", "LOAD", " ", " ", " ",
 	"=", ",", "id", "key", "c=", "d=", "g=", "t=", "h=", "r=1",
@@ -301,7 +301,7 @@
 	return line.String()
 }
 
-// Random lines of the protocol's own parts, as a digest of each hundred.
+// Compares a digest of the results of all parsers for each hundred random lines, composed of pieces of the protocol.
 func TestRandomLines(t *testing.T) {
 	var lines []string
 	for seed := range uint64(300) {
--- a/internal/lineproto/codec/reply.go
+++ b/internal/lineproto/codec/reply.go
@@ -5,7 +5,7 @@
 
 // The commands of a server's lines.
 const (
-	ReplyOther ReplyKind = iota // a line of the connection's own traffic
+	ReplyOther ReplyKind = iota // no command of the protocol: data for the client
 	ReplyUp
 	ReplyBye
 	ReplyMove
@@ -14,14 +14,15 @@
 	ReplyLoad
 )
 
-// Reply is a server's line.
+// Reply is a parsed line of a server.
 type Reply struct {
 	Kind   ReplyKind
-	Load   float64 // of ReplyLoad
-	Report []byte  // what follows BYE, ERR or BUSY, as sent; a part of the line
+	Load   float64 // the load, for ReplyLoad only
+	Report []byte  // the text after BYE, ERR or BUSY, as sent; refers to the line's bytes
 }
 
-// ParseReply reads a server's line, with or without its end. A line that is none of the protocol's is ReplyOther.
+// ParseReply parses a server's line, with or without its line end. A line that is no command of the protocol has the kind
+// ReplyOther.
 func ParseReply(line []byte) Reply {
 	command, rest := splitCommand(line)
 	switch string(command) {
@@ -43,15 +44,15 @@
 	return Reply{}
 }
 
-// ParsePong reads the answer to a health check and returns its load report, which is empty in an answer to PING. It reports
+// ParsePong parses the answer to PING or STATS and returns its load report, which is empty in an answer to PING. ok is
 // false for any other line.
 func ParsePong(line []byte) (report []byte, ok bool) {
 	command, rest := splitCommand(line)
 	return rest, string(command) == "PONG"
 }
 
-// EachReportField calls visit for each field of a load report such as inflight=7,queue=2,util=0.61, in order. Malformed fields
-// are skipped.
+// EachReportField calls visit for each field of a load report such as inflight=7,queue=2,util=0.61, in order. It skips
+// malformed fields.
 func EachReportField(report []byte, visit func(name string, value float64)) {
 	for len(report) > 0 {
 		_, name, value, rest, ok := cutField(report)
--- a/internal/lineproto/codec/request.go
+++ b/internal/lineproto/codec/request.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxTimeout bounds a client's timeout, so that no sum of times overflows.
+// maxTimeout limits a client's timeout, so that sums of times can't overflow.
 const maxTimeout = 24 * time.Hour
 
 // RequestKind is the command of a client's first line.
@@ -14,13 +14,13 @@
 
 // The commands of a client's first line.
 const (
-	RequestOther RequestKind = iota // none of the protocol's
+	RequestOther RequestKind = iota // no command of the protocol
 	RequestOpen
 	RequestPing
 	RequestStats
 )
 
-// ParseRequestKind reads the command of a client's first line, with or without its end.
+// ParseRequestKind returns the command of a client's first line, with or without its line end.
 func ParseRequestKind(line []byte) RequestKind {
 	command, _ := splitCommand(line)
 	switch string(command) {
@@ -34,25 +34,25 @@
 	return RequestOther
 }
 
-// Open is a client's opening line. Its slices are parts of the line.
+// Open is a client's parsed opening line. Its slices refer to the bytes of the line.
 type Open struct {
-	Line         []byte // complete, with its end
+	Line         []byte // the complete line, with its line end
 	ID           []byte
 	Key          []byte
 	Class        []byte
 	Group        []byte
 	Tenant       []byte
-	Owner        []byte        // the server that has held the connection since before this process; empty: none
-	Timeout      time.Duration // for which the client waits for UP after it has sent the line; 0: not stated
-	Load         float64       // the expected load, in the client's unit; 0: not stated
+	Owner        []byte        // the server that owned the connection before this process started; empty if none
+	Timeout      time.Duration // how long the client waits for UP after sending the line; zero if not stated
+	Load         float64       // the expected load, in the client's unit; zero if not stated
 	Retry        bool
 	Reconnecting bool
 	MidFlow      bool
 
-	timeoutStart, timeoutEnd int // offsets of the timeout's digits in Line; both 0: not stated
+	timeoutStart, timeoutEnd int // offsets of the timeout's digits in Line; both zero if not stated
 }
 
-// ParseOpen reads an opening line, its end included. The error is ErrTooLong or ErrMalformed.
+// ParseOpen parses an opening line, including its line end. It returns ErrTooLong or ErrMalformed if the line is not valid.
 func ParseOpen(line []byte) (Open, error) {
 	if len(line) > MaxLineLength {
 		return Open{}, ErrTooLong
@@ -69,7 +69,8 @@
 	return open, nil
 }
 
-// openBody is a line without its end, which has to be CRLF. It reports false for a line with control characters.
+// openBody returns a line without its line end, which has to be CRLF. It returns false if the line has another end or
+// contains control characters.
 func openBody(line []byte) ([]byte, bool) {
 	body, ok := bytes.CutSuffix(line, crlf)
 	if !ok {
@@ -83,7 +84,7 @@
 	return body, true
 }
 
-// parseHead reads the command, the request's ID and its key, and returns the list of fields, which may be empty.
+// parseHead parses the command, the request's ID and its key, and returns the list of fields, which may be empty.
 func (o *Open) parseHead(body []byte) (fields []byte, ok bool) {
 	command, rest, _ := bytes.Cut(body, space)
 	if string(command) != "OPEN" {
@@ -99,7 +100,7 @@
 	return fields, true
 }
 
-// parseFields reads the list of fields, which starts at an offset in the line. Unknown fields are ignored.
+// parseFields parses the list of fields, which starts at offset in the line. It ignores unknown fields.
 func (o *Open) parseFields(fields []byte, offset int) bool {
 	for len(fields) > 0 {
 		pair, name, value, rest, ok := cutField(fields)
@@ -112,7 +113,8 @@
 	return true
 }
 
-// setField takes the value of one field; offset is where the value starts in the line.
+// setField stores the value of a field. offset is the position of the value in the line. It returns false if the value is
+// malformed.
 func (o *Open) setField(name string, value []byte, offset int) bool {
 	ok := true
 	switch name {
@@ -140,8 +142,8 @@
 
 func isSet(value []byte) bool { return string(value) == "1" }
 
-// setTimeout takes the timeout, in milliseconds. It may be stated once only, since Forward rewrites it in one place, and a
-// client that does not wait at all is malformed.
+// setTimeout parses the timeout in milliseconds. A second timeout is malformed, since Forward replaces only one, and so is
+// a timeout of zero: such a client would not wait at all.
 func (o *Open) setTimeout(value []byte, offset int) bool {
 	milliseconds, ok := parseNumber(value)
 	if !ok || milliseconds == 0 || o.timeoutEnd > 0 {
@@ -152,8 +154,9 @@
 	return true
 }
 
-// Forward appends to parts the pieces of the line for a server, for a vectored write. They are the line's own bytes, but for
-// the timeout, which is replaced by the one given, in whole milliseconds and at least 1.
+// Forward appends the pieces of the line that a server receives to parts, for a vectored write, and returns the result. The
+// pieces are the line's own bytes except for the timeout, which is replaced by the given one in whole milliseconds, 1 at
+// least. A line without a timeout stays as it is.
 func (o *Open) Forward(parts [][]byte, timeout time.Duration) [][]byte {
 	if o.timeoutEnd == 0 {
 		return append(parts, o.Line)
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -10,32 +10,33 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// phase is the progress of a client's connection. Phases follow in the order of the constants, but phaseEnded may follow
-// each.
+// phase is the phase of a client's connection. A connection passes through the phases in the order of the constants.
+// phaseEnded may follow any other phase.
 type phase uint8
 
 const (
-	phaseOpening  phase = iota // no opening line has been read
-	phaseWaiting               // for the engine, or for a server's reply
+	phaseOpening  phase = iota // no opening line has been received
+	phaseWaiting               // the opening line was passed to the engine; no server has accepted it yet
 	phaseRelaying              // lines are forwarded to the server
 	phaseEnded
 )
 
-// Conn is a client's connection.
+// Conn is the connection of a client. The reactor calls its Handler methods, the engine its engine.Client methods, and a
+// server's connection its backend.Client methods.
 type Conn struct {
 	listener *Listener
-	onSeen   func() // reports to the reactor that the engine knows the connection
+	onSeen   func() // tells the reactor's listener that the engine knows the connection
 	conn     *reactor.Conn
 	handle   engine.ClientHandle
 	open     codec.Open
 
 	mu     sync.Mutex // protects phase and server
 	phase  phase
-	server *backend.ServerConn // set while phaseRelaying, and after it
+	server *backend.ServerConn // set from phaseRelaying on
 
-	outMu       sync.Mutex // orders the server's lines and MOVE
-	midLine     bool       // the last line that was relayed is incomplete
-	movePending bool       // MOVE has to follow that line
+	outMu       sync.Mutex // orders writes of the server's lines and of MOVE; protects the fields below
+	midLine     bool       // the last relayed line is incomplete
+	movePending bool       // MOVE has to be sent at the end of that line
 }
 
 var _ backend.Client = (*Conn)(nil)
@@ -59,7 +60,7 @@
 	case phaseOpening:
 		return c.readFirstLine(b)
 	case phaseWaiting:
-		// A client has to wait for UP before it sends more: no server may read this, so its request is given up.
+		// A client has to wait for UP before it sends more. No server may receive these bytes, so the request is abandoned.
 		c.failProtocol()
 	case phaseRelaying:
 		server.Forward(b)
@@ -67,24 +68,24 @@
 	return len(b)
 }
 
-// OnEnd implements reactor.Handler. All that the client has sent was passed to OnData before.
+// OnEnd implements reactor.Handler. All bytes that the client sent were passed to OnData before.
 func (c *Conn) OnEnd(_ *reactor.Conn, err error) {
-	if !c.finish() {
+	if !c.markEnded() {
 		return
 	}
 	c.endServer(reactor.WasReset(err))
 	c.listener.engine.Post(engine.ClientDisconnected{Client: c})
 }
 
-// currentPhase is the phase at the moment.
+// currentPhase returns the current phase.
 func (c *Conn) currentPhase() phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase
 }
 
-// finish ends the client's side. It returns false if that had ended already.
-func (c *Conn) finish() bool {
+// markEnded sets the phase to phaseEnded. It returns false if that was the phase already.
+func (c *Conn) markEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	previous := c.phase
@@ -92,38 +93,39 @@
 	return previous != phaseEnded
 }
 
-// endServer ends the server's side if there is one. It is called after finish, when server changes no more.
+// endServer closes the server's connection if there is one. It must be called after markEnded, after which c.server doesn't
+// change.
 func (c *Conn) endServer(reset bool) {
 	if c.server != nil {
 		c.server.End(reset)
 	}
 }
 
-// send writes to the client. A write that fails does so because the connection has ended, which OnEnd handles, or finish
-// has been called.
+// send writes to the client. The error is ignored: a write fails only if the connection has ended, which OnEnd handles, or
+// if it was closed after markEnded.
 func (c *Conn) send(parts ...[]byte) { _ = c.conn.Send(parts...) }
 
 // Handle implements engine.Client.
 func (c *Conn) Handle() *engine.ClientHandle { return &c.handle }
 
 // Reject implements engine.Client.
-func (c *Conn) Reject(retryAfter time.Duration) { c.endWith(codec.Busy(retryAfter)) }
+func (c *Conn) Reject(retryAfter time.Duration) { c.closeWithLine(codec.Busy(retryAfter)) }
 
 // Fail implements engine.Client.
-func (c *Conn) Fail() { c.endWith([]byte(codec.Err)) }
+func (c *Conn) Fail() { c.closeWithLine([]byte(codec.Err)) }
 
-// endWith sends a last line and closes the connection.
-func (c *Conn) endWith(line []byte) {
-	if !c.finish() {
+// closeWithLine sends a last line and closes the connection.
+func (c *Conn) closeWithLine(line []byte) {
+	if !c.markEnded() {
 		return
 	}
 	c.send(line)
 	c.conn.Close()
 }
 
-// failProtocol ends the connection after what the protocol doesn't allow.
+// failProtocol answers ERR and closes the connection after a violation of the protocol.
 func (c *Conn) failProtocol() {
-	if !c.finish() {
+	if !c.markEnded() {
 		return
 	}
 	c.send([]byte(codec.Err))
@@ -131,26 +133,27 @@
 	c.listener.engine.Post(engine.ProtocolViolated{Client: c})
 }
 
-// Close implements engine.Client. An idle client's opening line may be in flight, to this side or to the engine: BUSY
-// answers it, and means nothing to a client that has sent no request. An established one was due to get MOVE, after a line
-// that has not ended.
+// Close implements engine.Client. While the connection waits for an opening line or a server, an opening line may be in
+// flight, to this process or to the engine. BUSY answers that line; a client that has sent no request ignores BUSY. An
+// established client gets no answer: MOVE was to be sent to it after the end of an incomplete line.
 func (c *Conn) Close() {
 	switch c.currentPhase() {
 	case phaseOpening, phaseWaiting:
 		c.Reject(0)
 	case phaseRelaying:
-		c.conn.Do(c.closeRelayed) // runs after a Migrate that was called before
+		c.conn.Do(c.closeRelaying) // runs after the call that an earlier Migrate has posted
 	}
 }
 
-func (c *Conn) closeRelayed() {
-	if c.finish() {
+func (c *Conn) closeRelaying() {
+	if c.markEnded() {
 		c.conn.Close()
 	}
 	c.endServer(false)
 }
 
-// RejectWaiting rejects a client that has no server yet. It is for clients that an engine which has ended will not answer.
+// RejectWaiting rejects a client that has no server yet. It is for clients that the engine will not answer since it has
+// ended.
 func (c *Conn) RejectWaiting() {
 	if c.currentPhase() < phaseRelaying {
 		c.Reject(0)
--- a/internal/lineproto/frontend/listener.go
+++ b/internal/lineproto/frontend/listener.go
@@ -1,8 +1,8 @@
-// Package frontend is the platform's line protocol towards clients. It accepts connections, reads their opening lines for
-// the engine and relays lines between client and server once a server has accepted the request.
+// Package frontend implements the client side of the platform's line protocol. It accepts connections, passes their opening
+// lines to the engine, and relays lines between client and server once a server has accepted the request.
 //
-// Each connection's state belongs to its Conn. The reactor calls its Handler methods on the connection's loop; the engine
-// calls its engine.Client methods from its own goroutine, and these don't block.
+// Each connection's state is held by its Conn. The reactor calls the Handler methods on the connection's loop. The engine
+// calls the engine.Client methods on its own goroutine; they don't block.
 package frontend
 
 import (
@@ -12,7 +12,7 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// Engine is what the frontend needs of the engine.
+// Engine is the part of the engine that the frontend uses.
 type Engine interface {
 	Post(engine.Event)
 	Ready() bool
@@ -21,28 +21,28 @@
 // Listener accepts clients on one address.
 type Listener struct {
 	engine   Engine
-	conns    *reactor.Group
+	group    *reactor.Group
 	listener *reactor.Listener
-	shared   bool // other processes accept on the socket too
-	stopped  atomic.Bool
+	shared   bool        // another process accepts from the same socket
+	stopped  atomic.Bool // Shutdown was called: new connections are rejected
 }
 
-// maxUnseen is how many accepted connections may be unknown to the engine yet. Further ones wait in the kernel's accept
-// queue, where they use no descriptor that requests under way need.
+// maxUnseen is how many accepted connections the engine may not know yet. Further ones wait in the kernel's accept queue,
+// where they don't use up descriptors that running requests need.
 const maxUnseen = 16
 
-// Listen opens the address and accepts connections from then on.
+// Listen listens on the address and accepts connections from then on.
 func Listen(addr string, e Engine, g *reactor.Group) (*Listener, error) {
-	l := &Listener{engine: e, conns: g}
+	l := &Listener{engine: e, group: g}
 	var err error
 	l.listener, err = g.Listen(addr, maxUnseen, l.accept)
 	return l, err
 }
 
-// ListenFD accepts connections from an inherited listening socket that is shared with another process; see
+// ListenFD accepts connections on an inherited listening socket that is shared with another process; see
 // reactor.Group.ListenFD.
 func ListenFD(fd int, addr string, e Engine, g *reactor.Group) (*Listener, error) {
-	l := &Listener{engine: e, conns: g, shared: true}
+	l := &Listener{engine: e, group: g, shared: true}
 	var err error
 	l.listener, err = g.ListenFD(fd, addr, maxUnseen, l.accept)
 	return l, err
@@ -52,14 +52,15 @@
 	return &Conn{listener: l, onSeen: done}
 }
 
-// Addr is the address that is listened on.
+// Addr returns the address that the listener listens on.
 func (l *Listener) Addr() string { return l.listener.Addr() }
 
 // Close stops accepting. Accepted connections stay open.
 func (l *Listener) Close() { l.listener.Close() }
 
-// Shutdown rejects all clients that the engine, which has ended, will not answer: those that it has not seen, and those in
-// the kernel's accept queue unless another process accepts from it.
+// Shutdown closes the listener and rejects all clients that the engine will not answer since it has ended: those that it
+// does not know, those that wait for a server, and those in the kernel's accept queue unless another process accepts from
+// it too.
 func (l *Listener) Shutdown() {
 	l.stopped.Store(true)
 	if l.shared {
@@ -67,7 +68,7 @@
 	} else {
 		l.listener.Drain()
 	}
-	l.conns.Each(func(h reactor.Handler) {
+	l.group.Each(func(h reactor.Handler) {
 		if c, ok := h.(*Conn); ok {
 			c.RejectWaiting()
 		}
--- a/internal/lineproto/frontend/listener_test.go
+++ b/internal/lineproto/frontend/listener_test.go
@@ -13,10 +13,10 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// testTimeout bounds what a test waits for.
+// testTimeout limits each wait of a test.
 const testTimeout = 20 * time.Second
 
-// unresponsiveEngine records events and does nothing, as an engine that has ended or is overloaded.
+// unresponsiveEngine records events and does nothing else, like an engine that has ended or is overloaded.
 type unresponsiveEngine struct {
 	mu     sync.Mutex
 	events []engine.Event
@@ -30,7 +30,7 @@
 
 func (e *unresponsiveEngine) Ready() bool { return true }
 
-// accepted are the events that announce connections.
+// accepted returns the events that announce connections.
 func (e *unresponsiveEngine) accepted() (all []engine.ClientConnected) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,12 +42,12 @@
 	return all
 }
 
-// waitAccepted waits until the number of accepted connections meets the condition.
+// waitAccepted waits until condition returns true for the number of accepted connections.
 func (e *unresponsiveEngine) waitAccepted(t *testing.T, condition func(n int) bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(len(e.accepted())); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections were accepted", len(e.accepted()))
+			t.Fatalf("%d connections were accepted within the timeout, which is not the expected number", len(e.accepted()))
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	return clients
 }
 
-// expectReply checks all that a client reads up to the end of its connection.
+// expectReply checks that a client reads exactly want before the end of its connection.
 func expectReply(t *testing.T, client net.Conn, want string) {
 	t.Helper()
 	if got, err := io.ReadAll(client); string(got) != want || err != nil {
@@ -95,9 +95,9 @@
 	}
 }
 
-// While the engine is overloaded a bounded number of connections is accepted that it has not seen; the others wait in the
-// kernel's accept queue until it catches up. What it has not answered when it ends is rejected, accepted or not, with or
-// without an opening line that was read.
+// Guards against unbounded accepting while the engine is overloaded: a limited number of connections that the engine has
+// not seen is accepted, and the others wait in the kernel's accept queue until it catches up. When the engine ends, each
+// client that it has not answered is rejected, whether or not it was accepted or its opening line was read.
 func TestUnseenConnectionsAreBoundedAndRejectedAtShutdown(t *testing.T) {
 	group, unresponsive := newGroup(t), &unresponsiveEngine{}
 	listener, err := Listen("127.0.0.1:0", unresponsive, group)
@@ -109,18 +109,18 @@
 		writeLine(t, clients[i], "OPEN 01 0a c=c,d=60000\r\n")
 	}
 	unresponsive.waitAccepted(t, func(n int) bool { return n == maxUnseen })
-	group.Quiesce(testTimeout) // the loops have seen all that there is to see
+	group.Quiesce(testTimeout) // the loops have handled all pending events
 	if n := len(unresponsive.accepted()); n != maxUnseen {
-		t.Errorf("%d connections are accepted and unseen, want %d", n, maxUnseen)
+		t.Errorf("%d connections were accepted and not seen by the engine, want %d", n, maxUnseen)
 	}
 	for _, connected := range unresponsive.accepted() {
 		connected.Done()
 	}
-	// Accepting goes on once half are done, so that the last of them may find the listener full again.
+	// Accepting continues once half of the connections are done, so the listener may be full again when the last is done.
 	unresponsive.waitAccepted(t, func(n int) bool { return n >= maxUnseen+maxUnseen/2 })
 	group.Quiesce(testTimeout)
 	if n := len(unresponsive.accepted()); n > 2*maxUnseen {
-		t.Errorf("%d connections are accepted, %d of them seen", n, maxUnseen)
+		t.Errorf("%d connections were accepted while the engine has seen %d, want at most twice as many", n, maxUnseen)
 	}
 	listener.Shutdown()
 	for _, client := range clients {
@@ -155,7 +155,7 @@
 	for range n {
 		conn, err := listener.Accept()
 		if err != nil {
-			t.Fatal("accepted by the process that shuts down: ", err)
+			t.Fatal("the other process got no queued connection: ", err)
 		}
 		writeLine(t, conn, line)
 		if err := conn.Close(); err != nil {
@@ -164,8 +164,8 @@
 	}
 }
 
-// A process that ends while another serves on the same socket rejects the clients that it has accepted, and leaves the accept
-// queue to the other.
+// Guards against a process that takes clients from the other during a hot restart: a process that shuts down while another
+// accepts from the same socket rejects the clients that it has accepted, and leaves the accept queue to the other.
 func TestShutdownLeavesASharedQueueToTheOtherProcess(t *testing.T) {
 	group, unresponsive := newGroup(t), &unresponsiveEngine{}
 	other, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/lineproto/frontend/opening.go
+++ b/internal/lineproto/frontend/opening.go
@@ -7,14 +7,15 @@
 	"example.org/milletvane/internal/lineproto/codec"
 )
 
-// readFirstLine takes a line once it is complete. The engine ends a connection whose line is late.
+// readFirstLine handles a line once it is complete and returns the number of consumed bytes. The engine closes a connection
+// whose line is late.
 func (c *Conn) readFirstLine(b []byte) int {
 	end := bytes.IndexByte(b[:min(len(b), codec.MaxLineLength)], '\n')
 	if end < 0 && len(b) < codec.MaxLineLength {
 		return 0
 	}
-	// Clients wait after each line. Bytes after it belong to no connection that a server has accepted, and hundreds of
-	// commands at once would have as many answers to write.
+	// A client has to wait for an answer after each line. Bytes after the line would belong to no request that a server has
+	// accepted, and hundreds of commands received at once would cause as many answers.
 	if end < 0 || len(b) > end+1 {
 		c.failProtocol()
 		return len(b)
@@ -41,8 +42,8 @@
 	c.listener.engine.Post(engine.ClientActive{Client: c})
 }
 
-// readOpen passes a request to the engine. The line is parsed in place first, so that a malformed one costs no copy; the
-// attempts need a copy, since the buffer belongs to the loop.
+// readOpen passes a request to the engine. It parses the line in place first, so that a malformed line is not copied.
+// Attempts use the line later and need a copy, since the loop reuses its read buffer.
 func (c *Conn) readOpen(line []byte) {
 	if _, err := codec.ParseOpen(line); err != nil {
 		c.failProtocol()
@@ -59,7 +60,7 @@
 	}})
 }
 
-// setOpen takes the opening line. It returns false if the connection has ended meanwhile.
+// setOpen stores the parsed opening line. It returns false if the connection has ended in the meantime.
 func (c *Conn) setOpen(open codec.Open) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lineproto/frontend/relay.go
+++ b/internal/lineproto/frontend/relay.go
@@ -29,7 +29,7 @@
 	return true
 }
 
-// setServer has the client's lines forwarded from here on. It returns false if the connection has ended.
+// setServer makes the client's lines go to the server from then on. It returns false if the connection has ended.
 func (c *Conn) setServer(server *backend.ServerConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,12 +51,12 @@
 		}
 	}
 	c.midLine = b[len(b)-1] != '\n'
-	_ = c.conn.SendFrom(from, b) // fails only once the connection has ended, which OnEnd handles
+	_ = c.conn.SendFrom(from, b) // fails only if the connection has ended, which OnEnd handles
 }
 
 // ServerEnded implements backend.Client.
 func (c *Conn) ServerEnded(reset bool) {
-	if !c.finish() {
+	if !c.markEnded() {
 		return
 	}
 	if reset {
@@ -66,15 +66,15 @@
 	}
 }
 
-// Migrate implements engine.Client. MOVE is sent by the connection's loop, since posting to the engine may block there but
-// not here.
+// Migrate implements engine.Client. The connection's loop sends MOVE, since sending it includes posting to the engine,
+// which may block: the loop may wait for that, the engine's goroutine may not.
 func (c *Conn) Migrate() time.Duration {
-	c.conn.Do(c.move)
+	c.conn.Do(c.sendMoveAtLineEnd)
 	return 0
 }
 
-// move sends MOVE, at once or at the end of the line that is being relayed.
-func (c *Conn) move() {
+// sendMoveAtLineEnd sends MOVE at once, or after the end of the line that is being relayed.
+func (c *Conn) sendMoveAtLineEnd() {
 	c.outMu.Lock()
 	defer c.outMu.Unlock()
 	if c.midLine {
@@ -84,9 +84,9 @@
 	c.sendMove(nil)
 }
 
-// sendMove writes the rest of a line and MOVE, and ends both sides.
+// sendMove writes the rest of a line and MOVE, and closes the connections of the client and the server.
 func (c *Conn) sendMove(rest []byte) {
-	if !c.finish() {
+	if !c.markEnded() {
 		return
 	}
 	c.send(rest, []byte(codec.Move))
