--- a/internal/lineproto/backend/helpers_test.go
+++ b/internal/lineproto/backend/helpers_test.go
@@ -9,23 +9,23 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// testTimeout bounds what a test waits for.
+// testTimeout limits each wait of a test.
 const testTimeout = 10 * time.Second
 
-// eventQueue is a Poster that drops nothing.
+// eventQueue is a Poster that drops no event.
 type eventQueue chan engine.Event
 
 func (q eventQueue) Post(ev engine.Event)    { q <- ev }
 func (q eventQueue) TryPost(ev engine.Event) { q <- ev }
 
-// next is the next event.
+// next waits for the next event and returns it.
 func (q eventQueue) next(t *testing.T) engine.Event {
 	t.Helper()
 	select {
 	case ev := <-q:
 		return ev
 	case <-time.After(testTimeout):
-		t.Fatal("no event was posted")
+		t.Fatal("no event was posted within the timeout")
 		return nil
 	}
 }
--- a/internal/lineproto/backend/linetracker.go
+++ b/internal/lineproto/backend/linetracker.go
@@ -2,17 +2,17 @@
 
 import "bytes"
 
-// maxLinePrefix is how many bytes of a line are kept to read its command.
+// maxLinePrefix is how many bytes of a line are kept in order to parse its command.
 const maxLinePrefix = 64
 
-// lineTracker keeps the start of the line that is passing by in parts.
+// lineTracker keeps the start of the current line of a stream that arrives in pieces.
 type lineTracker struct {
 	prefix []byte
 }
 
-// next takes bytes up to the end of the first line in b. It returns the start of that line, valid until the next call, and
-// the bytes that follow; complete is false if b has no end of a line.
-func (t *lineTracker) next(b []byte) (prefix, rest []byte, complete bool) {
+// nextLine consumes the bytes of b up to the end of the first line. It returns the start of that line, valid until the next
+// call, and the bytes after the line. complete is false if b contains no end of a line.
+func (t *lineTracker) nextLine(b []byte) (prefix, rest []byte, complete bool) {
 	part := b
 	end := bytes.IndexByte(b, '\n')
 	if end >= 0 {
--- a/internal/lineproto/backend/loadpoll.go
+++ b/internal/lineproto/backend/loadpoll.go
@@ -10,14 +10,15 @@
 	"example.org/milletvane/internal/lineproto/codec"
 )
 
-// pollTimeout bounds the dial and, separately, the exchange of a load poll: a later report would be out of date.
+// pollTimeout limits the dial and, separately, the exchange of a load poll: a report that arrives later would be out of
+// date.
 const pollTimeout = 500 * time.Millisecond
 
-// errNoReport is an answer to a load poll that is not a load report.
+// errNoReport means that the server answered a load poll with something else than a load report.
 var errNoReport = errors.New("answer to STATS is not a load report")
 
-// loadPoller polls one server. Its goroutine, run, ends when requests is closed; the engine's goroutine, which closes it,
-// doesn't wait for that, since a poll may still take pollTimeout.
+// loadPoller polls one server. The engine's goroutine closes requests to end the poller's goroutine, run, and doesn't wait
+// for its end, since a poll in flight may still run into pollTimeout.
 type loadPoller struct {
 	server   balancer.ServerID
 	addr     string
@@ -26,7 +27,8 @@
 	requests chan struct{}
 }
 
-// PollLoad implements engine.LoadPoller. At most one poll of a server is in flight, and one more queued.
+// PollLoad implements engine.LoadPoller: it requests a poll of a server. At most one poll of a server is in flight and one
+// more is queued; further requests are dropped. A server whose address has changed gets a new poller.
 func (b *Backend) PollLoad(id balancer.ServerID, addr string) {
 	p := b.pollers[id]
 	if p != nil && p.addr != addr {
@@ -42,7 +44,7 @@
 	}
 	select {
 	case p.requests <- struct{}{}:
-	default: // one is queued already
+	default: // a poll is queued already
 	}
 }
 
@@ -54,7 +56,7 @@
 	}
 }
 
-// run polls for each request until there will be no more.
+// run polls once for each request until requests is closed.
 func (p *loadPoller) run() {
 	defer p.conns.forget(p)
 	for range p.requests {
@@ -62,8 +64,9 @@
 	}
 }
 
-// poll posts the server's load report if there is one. Servers close idle connections, which shows only at the next use and
-// says nothing of the server's health: the poll is then retried once, on a new connection.
+// poll polls the server and posts its load report if there is one. A server may have closed an idle connection, which shows
+// only at the next use and says nothing about the server's health. In this case the poll is retried once on a new
+// connection.
 func (p *loadPoller) poll() {
 	report, isReused, err := p.attempt()
 	if isReused && maybeClosedIdle(err) {
@@ -74,12 +77,12 @@
 	}
 }
 
-// maybeClosedIdle reports whether an error may come of the server having closed an idle connection.
+// maybeClosedIdle reports whether the server may have caused the error by closing an idle connection.
 func maybeClosedIdle(err error) bool {
 	return err != nil && !errors.Is(err, errNoReport) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// attempt polls once. The connection is kept unless that fails.
+// attempt polls once. It keeps the connection for the next poll if the poll succeeds, and otherwise closes it.
 func (p *loadPoller) attempt() (report engine.LoadReport, isReused bool, err error) {
 	conn, isReused, err := p.conns.get(p)
 	if err != nil {
@@ -90,12 +93,12 @@
 		p.conns.closeConn(conn)
 		return engine.LoadReport{}, isReused, err
 	}
-	report = parseLoadReport(text) // before another poll may read into the connection's buffer
+	report = parseLoadReport(text) // text is part of the connection's buffer, which the next poll overwrites
 	p.conns.put(p, conn)
 	return report, isReused, nil
 }
 
-// parseLoadReport takes what the balancer uses of a load report.
+// parseLoadReport returns the fields of a load report that the balancer uses.
 func parseLoadReport(text []byte) (report engine.LoadReport) {
 	codec.EachReportField(text, func(name string, value float64) {
 		switch name {
--- a/internal/lineproto/backend/loadpoll_test.go
+++ b/internal/lineproto/backend/loadpoll_test.go
@@ -13,8 +13,8 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// serveReports answers the first line on each connection with answer(n), n counted from 0, and closes the connection. Each
-// answer is noted in answered, if that is not nil.
+// serveReports answers the first line on each connection with answer(n), where n counts the connections from 0, and closes
+// the connection. It sends n to answered after each answer if answered is not nil.
 func serveReports(listener net.Listener, answer func(n int) string, answered chan<- int) {
 	for n := 0; ; n++ {
 		conn, err := listener.Accept()
@@ -22,7 +22,7 @@
 			return
 		}
 		if _, err := bufio.NewReader(conn).ReadString('\n'); err == nil {
-			_, _ = io.WriteString(conn, answer(n)) // a poller that has gone reads nothing
+			_, _ = io.WriteString(conn, answer(n)) // an error is ignored: the poller may have closed the connection
 		}
 		_ = conn.Close()
 		if answered != nil {
@@ -40,7 +40,8 @@
 	return b, events
 }
 
-// A server closes idle connections. That shows only at the next poll, which must not be lost for it.
+// Guards against load polls that are lost because the server has closed an idle connection: that shows only at the next
+// poll, which must be retried.
 func TestPollIsRetriedAfterAnIdleClose(t *testing.T) {
 	listener := listen(t)
 	go serveReports(listener, func(int) string { return "PONG x0=0.5,inflight=3\r\n" }, nil)
@@ -50,24 +51,23 @@
 		ev := events.next(t)
 		reported, ok := ev.(engine.LoadReported)
 		if !ok || reported.Report.Utilization != 0.5 || reported.Report.Connections != 3 {
-			t.Errorf("posted %#v", ev)
+			t.Errorf("posted %#v, want LoadReported with utilization 0.5 and 3 connections", ev)
 		}
 	}
 }
 
-// An answer to STATS that is cut short, absurd or too long says nothing of the server's load, and does not affect the next
-// poll.
+// An answer to STATS that is incomplete, out of range or too long is ignored, and the next poll works.
 func TestMalformedReportsAreIgnored(t *testing.T) {
 	for name, malformed := range map[string]string{
-		"cut short":   "PONG x0=0.",
-		"no number":   "PONG x0=NaN\r\n",
-		"negative":    "PONG x0=-4\r\n",
-		"endless":     "PONG x0=Inf\r\n",
-		"huge":        "PONG x0=1e300\r\n",
-		"no report":   "PONG\r\n",
-		"no answer":   "ERR\r\n",
-		"not allowed": "NO\r\n",
-		"too long":    "PONG x0=" + strings.Repeat("9", 10_000) + "\r\n",
+		"incomplete":   "PONG x0=0.",
+		"not a number": "PONG x0=NaN\r\n",
+		"negative":     "PONG x0=-4\r\n",
+		"infinite":     "PONG x0=Inf\r\n",
+		"huge":         "PONG x0=1e300\r\n",
+		"no report":    "PONG\r\n",
+		"no answer":    "ERR\r\n",
+		"refused":      "NO\r\n",
+		"too long":     "PONG x0=" + strings.Repeat("9", 10_000) + "\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := listen(t)
@@ -87,20 +87,21 @@
 			}
 			b.PollLoad(1, listener.Addr().String())
 			if got := nextUtilization(t, events); got != 0.5 {
-				t.Errorf("utilization %v, want 0.5", got)
+				t.Errorf("the next poll reported utilization %v, want 0.5", got)
 			}
 		})
 	}
 }
 
-// nextUtilization is the next utilization that is reported. Only load reports may be posted before it.
+// nextUtilization returns the next utilization that is reported. It fails the test if another event than a load report is
+// posted before it.
 func nextUtilization(t *testing.T, events eventQueue) float64 {
 	t.Helper()
 	for {
 		ev := events.next(t)
 		reported, ok := ev.(engine.LoadReported)
 		if !ok {
-			t.Fatalf("posted %#v", ev)
+			t.Fatalf("posted %#v, want LoadReported", ev)
 		}
 		if reported.Report.HasUtilization {
 			return reported.Report.Utilization
@@ -108,7 +109,7 @@
 	}
 }
 
-// openCounter is a descriptorCounter that keeps the highest count.
+// openCounter is a descriptorCounter that records the highest count.
 type openCounter struct {
 	mu            sync.Mutex
 	open, highest int
@@ -136,8 +137,8 @@
 	c.highest = max(c.highest, c.open)
 }
 
-// Guards against a descriptor for each server that is polled, of which there may be more than the program has: polls share a
-// few, whether their servers answer, hang or refuse, and give them back with their servers.
+// Guards against a connection for each polled server, which could use up the program's descriptors: load polls share a few
+// connections, whether their servers answer or refuse, and release them when the servers are forgotten.
 func TestLoadPollsShareFewConnections(t *testing.T) {
 	const servers, rounds = 6 * maxPollConns, 4
 	events := make(eventQueue, servers*rounds)
@@ -146,7 +147,7 @@
 	counter := &openCounter{}
 	b.pollConns.descriptors = counter
 	answering := listen(t)
-	go serveAll(answering)
+	go answerAllPolls(answering)
 	refusing := listen(t)
 	refused := refusing.Addr().String()
 	if err := refusing.Close(); err != nil {
@@ -166,20 +167,20 @@
 		}
 	}
 	if highest := counter.highestCount(); highest > maxPollConns {
-		t.Errorf("%d connections were open at once, at most %d may be", highest, maxPollConns)
+		t.Errorf("%d connections were open at once, want %d at most", highest, maxPollConns)
 	}
 	for id := range balancer.ServerID(servers) {
 		b.Forget(id + 1)
 	}
 	for end := time.Now().Add(testTimeout); counter.openCount() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are left", counter.openCount())
+			t.Fatalf("%d connections are open after all servers were forgotten, want 0", counter.openCount())
 		}
 	}
 }
 
-// serveAll answers every line on every connection with a report.
-func serveAll(listener net.Listener) {
+// answerAllPolls answers every line on every connection with a load report.
+func answerAllPolls(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
--- a/internal/lineproto/backend/pollconns.go
+++ b/internal/lineproto/backend/pollconns.go
@@ -10,8 +10,8 @@
 	"example.org/milletvane/internal/lineproto/codec"
 )
 
-// maxPollConns bounds the connections of load polls. They share the descriptors that the program sets aside with
-// connections that are accepted and not admitted yet.
+// maxPollConns limits the connections of load polls. They take their descriptors from those that the program reserves for
+// them and for connections that are accepted and not admitted yet.
 const maxPollConns = 12
 
 // descriptorCounter counts descriptors that are opened outside a reactor.Group towards the group's budget.
@@ -20,44 +20,45 @@
 	ReleaseDescriptor()
 }
 
-// uncounted is a descriptorCounter without a budget.
-type uncounted struct{}
+// noopCounter is a descriptorCounter that counts nothing.
+type noopCounter struct{}
 
-func (uncounted) ReserveDescriptor() {}
-func (uncounted) ReleaseDescriptor() {}
+func (noopCounter) ReserveDescriptor() {}
+func (noopCounter) ReleaseDescriptor() {}
 
-// pollConn is a connection to a server for its load polls.
+// pollConn is a connection to a server for load polls.
 type pollConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// pollConns holds the connections of load polls. A poll that needs a new one while maxPollConns are open has the one that has
-// been idle longest closed, or waits until another poll is over. Its methods may be called by any goroutine.
+// pollConns holds the connections of load polls. If a poll needs a new connection while maxPollConns are open, the one that
+// has been idle longest is closed, or the poll waits until another poll has ended. The methods may be called by any
+// goroutine.
 type pollConns struct {
 	descriptors descriptorCounter
 
-	mu      sync.Mutex
-	idle    list.List // of *idleConn, the one that has been idle longest first
-	idleOf  map[*loadPoller]*list.Element
-	open    int
-	changed sync.Cond // signalled when a connection becomes idle or is closed
+	mu           sync.Mutex
+	idle         list.List // of *idleConn, longest idle first
+	idleByPoller map[*loadPoller]*list.Element
+	openCount    int
+	available    sync.Cond // signaled when a connection becomes idle or is closed
 }
 
-// idleConn is a connection that is kept for its poller's next poll.
+// idleConn is a connection that is kept for the next poll of a poller.
 type idleConn struct {
 	poller *loadPoller
 	conn   *pollConn
 }
 
 func newPollConns() *pollConns {
-	p := &pollConns{descriptors: uncounted{}, idleOf: map[*loadPoller]*list.Element{}}
-	p.changed.L = &p.mu
+	p := &pollConns{descriptors: noopCounter{}, idleByPoller: map[*loadPoller]*list.Element{}}
+	p.available.L = &p.mu
 	return p
 }
 
-// get returns the poller's connection, which belongs to the caller until put or closeConn. isReused says that it was used
-// before, so that its server may have closed it.
+// get returns the poller's idle connection or dials a new one. The caller owns it until it calls put or closeConn. isReused
+// is true for a connection that was used before, which its server may have closed.
 func (p *pollConns) get(poller *loadPoller) (conn *pollConn, isReused bool, err error) {
 	if conn := p.takeIdle(poller); conn != nil {
 		return conn, true, nil
@@ -74,36 +75,37 @@
 func (p *pollConns) takeIdle(poller *loadPoller) *pollConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	element := p.idleOf[poller]
+	element := p.idleByPoller[poller]
 	if element == nil {
 		return nil
 	}
 	return p.removeIdle(element)
 }
 
-// removeIdle is called with the lock held.
+// removeIdle removes an idle connection and returns it. The caller holds mu.
 func (p *pollConns) removeIdle(element *list.Element) *pollConn {
 	removed := p.idle.Remove(element).(*idleConn)
-	delete(p.idleOf, removed.poller)
+	delete(p.idleByPoller, removed.poller)
 	return removed.conn
 }
 
-// reserve waits until a connection may be opened.
+// reserve waits until a connection may be opened, and counts it. It may close an idle connection instead, whose descriptor
+// stays counted.
 func (p *pollConns) reserve() {
 	p.mu.Lock()
-	for p.open >= maxPollConns && p.idle.Len() == 0 {
-		p.changed.Wait()
+	for p.openCount >= maxPollConns && p.idle.Len() == 0 {
+		p.available.Wait()
 	}
 	var evicted *pollConn
-	if p.open >= maxPollConns {
+	if p.openCount >= maxPollConns {
 		evicted = p.removeIdle(p.idle.Front())
 	} else {
-		p.open++
+		p.openCount++
 	}
 	p.mu.Unlock()
 	if evicted != nil {
-		_ = evicted.Close() // nothing is pending on it
-		return              // its descriptor is counted on
+		_ = evicted.Close() // idle, so no answer is pending on it
+		return              // the new connection takes over its count
 	}
 	p.descriptors.ReserveDescriptor()
 }
@@ -112,13 +114,13 @@
 func (p *pollConns) put(poller *loadPoller, conn *pollConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idleOf[poller] = p.idle.PushBack(&idleConn{poller: poller, conn: conn})
-	p.changed.Signal()
+	p.idleByPoller[poller] = p.idle.PushBack(&idleConn{poller: poller, conn: conn})
+	p.available.Signal()
 }
 
 // closeConn closes a connection that get has returned.
 func (p *pollConns) closeConn(conn *pollConn) {
-	_ = conn.Close() // nothing sent on it is of use any more
+	_ = conn.Close() // the error is ignored, as nothing on the connection is needed any more
 	p.release()
 }
 
@@ -126,20 +128,21 @@
 	p.descriptors.ReleaseDescriptor()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
-	p.changed.Signal()
+	p.openCount--
+	p.available.Signal()
 }
 
-// forget closes the connection that is kept for a poller, if there is one.
+// forget closes the idle connection of a poller if there is one.
 func (p *pollConns) forget(poller *loadPoller) {
 	if conn := p.takeIdle(poller); conn != nil {
 		p.closeConn(conn)
 	}
 }
 
-// exchange sends STATS and reads the answer.
+// exchange sends STATS and returns the load report of the answer. The report is valid until the next exchange.
 func (c *pollConn) exchange() (report []byte, err error) {
-	_ = c.SetDeadline(time.Now().Add(pollTimeout)) // on a closed connection; the write then fails too
+	// SetDeadline fails only on a closed connection, where the write fails too.
+	_ = c.SetDeadline(time.Now().Add(pollTimeout))
 	if _, err := c.Write([]byte(codec.Stats)); err != nil {
 		return nil, err
 	}
--- a/internal/lineproto/backend/serverconn.go
+++ b/internal/lineproto/backend/serverconn.go
@@ -10,45 +10,46 @@
 	"example.org/milletvane/internal/upstream"
 )
 
-// maxOpenParts is the number of pieces in which a client's opening line is sent.
+// maxOpenParts is the highest number of pieces of a forwarded opening line.
 const maxOpenParts = 3
 
-// ServerConn is an attempt and, once it is established, the server's side of the client's connection. Its response clock
-// runs from a line of the client's to the server's next line. OnOpen, OnData and OnEnd are called by the connection's loop,
-// Forward by the client's, which is the same; End may be called by any goroutine.
+// ServerConn is an attempt and, once it is established, the server's side of a client's connection. Its response time runs
+// from a line of the client to the next line of the server. The connection's loop calls OnOpen, OnData and OnEnd. The loop
+// of the client's connection, which is the same one, calls Forward. Any goroutine may call End.
 type ServerConn struct {
 	upstream.Attempt
 	backend *Backend
 	attempt engine.Attempt
 	client  Client
 
-	// The connection's loop alone uses these.
-	forwarded bool            // the opening line was written completely, and counted
-	lines     lineTracker     // of the server, once established
-	lastReply codec.ReplyKind // of the server's last complete line
+	// Only the connection's loop uses the fields below.
+	forwarded bool            // the attempt was counted in Options.Forwarded
+	lines     lineTracker     // the server's lines, once established
+	lastReply codec.ReplyKind // the kind of the server's last complete line
 }
 
-// OnOpen implements reactor.Handler: it sends the opening line, or ends the attempt if there is no connection.
+// OnOpen implements reactor.Handler: it sends the opening line, or ends the attempt if the dial has failed.
 func (s *ServerConn) OnOpen(c *reactor.Conn, err error) {
-	if err != nil || s.connectedLate() {
+	if err != nil || s.connectTimedOut() {
 		s.fail(balancer.ConnectFailed)
 		return
 	}
-	if !s.Transition(upstream.Dialing, upstream.Pending) { // cancelled meanwhile
+	if !s.Transition(upstream.Dialing, upstream.Pending) { // cancelled in the meantime
 		return
 	}
 	line := s.client.Forward(make([][]byte, 0, maxOpenParts), s.attempt.Timeout-s.Age())
-	_ = c.Send(line...) // fails only once the connection has ended, which OnEnd or Cancel handles
+	_ = c.Send(line...) // fails only if the connection has ended, which OnEnd or Cancel handles
 	s.countForwarded()
 }
 
-// connectedLate reports whether the time to connect is over: a loop that was delayed runs the dial's timeout late too.
-func (s *ServerConn) connectedLate() bool {
+// connectTimedOut reports whether the connect timeout has passed. A delayed loop also delays the timeout of the dial, so a
+// connection can be established too late.
+func (s *ServerConn) connectTimedOut() bool {
 	return s.attempt.ConnectTimeout > 0 && s.Age() > s.attempt.ConnectTimeout
 }
 
-// countForwarded counts the attempt once the kernel has the last byte of its opening line. It is called again at each later
-// event of an attempt for which that was not so at first.
+// countForwarded counts the attempt once the kernel has accepted the last byte of its opening line. It is called at each
+// event of the attempt until it has counted the attempt.
 func (s *ServerConn) countForwarded() {
 	if !s.forwarded && s.Conn().Buffered() == 0 {
 		s.forwarded = true
@@ -56,7 +57,7 @@
 	}
 }
 
-// fail ends an attempt that is not established, and posts its result, once.
+// fail ends an attempt that is not established, and posts its result. It has no effect on any other attempt.
 func (s *ServerConn) fail(result balancer.Result) {
 	if s.Cancel() {
 		s.postEnded(result)
@@ -69,7 +70,7 @@
 	})
 }
 
-// End ends the server's side after the client's has ended; with reset the server sees a reset connection.
+// End closes the server's connection after the client's has ended. If reset is true, the server sees a connection reset.
 func (s *ServerConn) End(reset bool) {
 	switch previous := s.Finish(); {
 	case previous == upstream.Ended:
@@ -80,31 +81,32 @@
 	}
 }
 
-// Forward sends bytes of the client to the server. The client is left unread while the server doesn't read.
+// Forward sends bytes of the client to the server. The client's connection is paused while too many bytes are pending for
+// the server.
 func (s *ServerConn) Forward(b []byte) {
 	if s.backend.options.MeasuresDelay && bytes.IndexByte(b, '\n') >= 0 {
 		s.RequestSent()
 	}
-	_ = s.Conn().SendFrom(s.client.Conn(), b) // fails only once the connection has ended, which OnEnd or End handles
+	_ = s.Conn().SendFrom(s.client.Conn(), b) // fails only if the connection has ended, which OnEnd or End handles
 }
 
-// OnEnd implements reactor.Handler. All that the server has sent was passed to OnData before.
+// OnEnd implements reactor.Handler. All bytes that the server sent were passed to OnData before.
 func (s *ServerConn) OnEnd(c *reactor.Conn, err error) {
 	switch s.Phase() {
 	case upstream.Pending:
 		s.countForwarded()
-		// The request never ran if its last byte was not written; otherwise it may have.
+		// If the last byte of the opening line was not written, the request never ran. Otherwise it may have run.
 		if c.Buffered() > 0 {
 			s.fail(balancer.ConnectFailed)
 		} else {
 			s.fail(balancer.Reset)
 		}
 	case upstream.Established:
-		s.endByServer(s.result(), reactor.WasReset(err))
+		s.handleServerEnd(s.result(), reactor.WasReset(err))
 	}
 }
 
-// result is that of an established connection that the server has ended, by its last line.
+// result returns the result of an established connection that the server has ended. It depends on the server's last line.
 func (s *ServerConn) result() balancer.Result {
 	switch s.lastReply {
 	case codec.ReplyBye:
@@ -115,8 +117,8 @@
 	return balancer.Reset
 }
 
-// endByServer ends an established connection that the server has ended, once.
-func (s *ServerConn) endByServer(result balancer.Result, reset bool) {
+// handleServerEnd handles the end of an established connection by the server. A second call has no effect.
+func (s *ServerConn) handleServerEnd(result balancer.Result, reset bool) {
 	if s.Finish() == upstream.Ended {
 		return
 	}
@@ -129,7 +131,7 @@
 func (s *ServerConn) OnData(_ *reactor.Conn, b []byte) int {
 	switch s.Phase() {
 	case upstream.Established:
-		s.inspect(b)
+		s.inspectLines(b)
 		s.client.Relay(s.Conn(), b)
 	case upstream.Pending:
 		return s.readReply(b)
@@ -137,7 +139,8 @@
 	return len(b)
 }
 
-// readReply takes the server's first line once it is complete. The engine cancels an attempt whose reply is late.
+// readReply handles the server's first line once it is complete and returns the number of consumed bytes. The engine
+// cancels an attempt whose reply is late.
 func (s *ServerConn) readReply(b []byte) int {
 	s.countForwarded()
 	end := bytes.IndexByte(b[:min(len(b), codec.MaxLineLength)], '\n')
@@ -150,7 +153,7 @@
 	}
 	line := b[:end+1]
 	switch reply := codec.ParseReply(line); reply.Kind {
-	case codec.ReplyUp, codec.ReplyBye: // BYE as the first line: served and ended at once
+	case codec.ReplyUp, codec.ReplyBye: // BYE as the first line: the request was served and has ended
 		s.lastReply = reply.Kind
 		s.establish(line)
 		return len(line)
@@ -164,7 +167,8 @@
 	return len(b)
 }
 
-// establish connects the client to the server. From here on the engine sees no lines.
+// establish marks the attempt as established and connects the client to the server. The engine takes no part in the lines
+// that follow.
 func (s *ServerConn) establish(firstLine []byte) {
 	if !s.Transition(upstream.Pending, upstream.Established) {
 		return
@@ -177,20 +181,20 @@
 	}
 }
 
-// inspect reads the server's lines as they pass.
-func (s *ServerConn) inspect(b []byte) {
+// inspectLines parses the server's lines as they are relayed.
+func (s *ServerConn) inspectLines(b []byte) {
 	for len(b) > 0 {
-		line, rest, complete := s.lines.next(b)
+		line, rest, complete := s.lines.nextLine(b)
 		if !complete {
 			return
 		}
-		s.observe(codec.ParseReply(line))
+		s.handleReply(codec.ParseReply(line))
 		b = rest
 	}
 }
 
-// observe reports the connection's load, and the delay of an answer to the client.
-func (s *ServerConn) observe(reply codec.Reply) {
+// handleReply posts the load of the connection, or the delay of a server's answer to the client.
+func (s *ServerConn) handleReply(reply codec.Reply) {
 	s.lastReply = reply.Kind
 	switch reply.Kind {
 	case codec.ReplyLoad:
--- a/internal/lineproto/backend/serverconn_test.go
+++ b/internal/lineproto/backend/serverconn_test.go
@@ -16,7 +16,7 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// fakeClient is a client of which an attempt needs its opening line alone.
+// fakeClient is a Client for tests that need only its opening line.
 type fakeClient struct {
 	engine.Client
 	open codec.Open
@@ -37,14 +37,14 @@
 func (discardHandler) OnData(_ *reactor.Conn, b []byte) int { return len(b) }
 func (discardHandler) OnEnd(*reactor.Conn, error)           {}
 
-// lateConnection is an attempt whose connection is established, but has not been passed to OnOpen yet.
-type lateConnection struct {
+// connectedAttempt is an attempt whose connection is established and has not been passed to OnOpen yet.
+type connectedAttempt struct {
 	events eventQueue
 	conn   *ServerConn
-	server net.Conn // the other end
+	server net.Conn // the server's end of the connection
 }
 
-func connectWithin(t *testing.T, connectTimeout time.Duration) lateConnection {
+func connectAttempt(t *testing.T, connectTimeout time.Duration) connectedAttempt {
 	t.Helper()
 	listener, group := listen(t), newGroup(t)
 	open, err := codec.ParseOpen([]byte("OPEN 01 0a c=c,d=60000\r\n"))
@@ -69,11 +69,11 @@
 	if err := server.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	return lateConnection{events: events, conn: conn, server: server}
+	return connectedAttempt{events: events, conn: conn, server: server}
 }
 
-// callOnOpen calls OnOpen as the connection's loop does.
-func (c lateConnection) callOnOpen() {
+// callOnOpen calls OnOpen on the connection's loop and waits for it to return.
+func (c connectedAttempt) callOnOpen() {
 	done := make(chan struct{})
 	c.conn.Conn().Do(func() {
 		c.conn.OnOpen(c.conn.Conn(), nil)
@@ -82,26 +82,26 @@
 	<-done
 }
 
-// A connection that is established after the time to connect carries nothing, and the attempt never ran: the dial has run
-// out of time, or its loop was delayed.
+// Guards against a request that is sent on a connection established after the connect timeout, because the dial or its loop
+// was delayed: such a connection carries nothing, and the attempt ends as ConnectFailed.
 func TestLateConnectionCarriesNothing(t *testing.T) {
 	buf := make([]byte, 100)
 	t.Run("in time", func(t *testing.T) {
-		c := connectWithin(t, testTimeout)
+		c := connectAttempt(t, testTimeout)
 		c.callOnOpen()
 		if n, err := c.server.Read(buf); n == 0 {
-			t.Errorf("nothing was forwarded: %v", err)
+			t.Errorf("read nothing, %v, want the opening line", err)
 		}
 	})
 	t.Run("late", func(t *testing.T) {
 		const connectTimeout = time.Millisecond
-		c := connectWithin(t, connectTimeout)
+		c := connectAttempt(t, connectTimeout)
 		for c.conn.Age() <= connectTimeout {
 			time.Sleep(connectTimeout)
 		}
 		c.callOnOpen()
 		if n, err := c.server.Read(buf); n > 0 || !errors.Is(err, io.EOF) {
-			t.Errorf("%q was forwarded, %v", buf[:n], err)
+			t.Errorf("read %q, %v, want nothing and EOF", buf[:n], err)
 		}
 		expectConnectFailed(t, c.events)
 	})
@@ -136,7 +136,7 @@
 	}
 }
 
-// unresponsiveAddr is an address whose accept queue is full, so that no dial is answered.
+// unresponsiveAddr returns an address whose accept queue is full, so that dials to it get no answer.
 func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
