--- a/internal/lineproto/codec/codec_test.go
+++ b/internal/lineproto/codec/codec_test.go
@@ -77,21 +77,21 @@
 			pairs = append(pairs, n+"="+alphanumeric.Draw(t, "value"))
 		}
 		at := rapid.IntRange(0, len(pairs)).Draw(t, "at")
-		wait := rapid.IntRange(1, 100000).Draw(t, "wait")
+		timeout := rapid.IntRange(1, 100000).Draw(t, "wait")
 		build := func(d string) string {
 			all := append(append(append([]string{}, pairs[:at]...), "d="+d), pairs[at:]...)
 			return "OPEN " + "i" + " " + "k" + " " + strings.Join(all, ",") + "\r\n"
 		}
-		o, err := ParseOpen([]byte(build(strconv.Itoa(wait))))
+		o, err := ParseOpen([]byte(build(strconv.Itoa(timeout))))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if o.Timeout != time.Duration(wait)*time.Millisecond {
-			t.Fatalf("Timeout = %v, want %d ms", o.Timeout, wait)
+		if o.Timeout != time.Duration(timeout)*time.Millisecond {
+			t.Fatalf("Timeout = %v, want %d ms", o.Timeout, timeout)
 		}
-		left := rapid.IntRange(1, 100000).Draw(t, "left")
-		got := string(bytes.Join(o.Forward(nil, time.Duration(left)*time.Millisecond), nil))
-		if want := build(strconv.Itoa(left)); got != want {
+		remaining := rapid.IntRange(1, 100000).Draw(t, "left")
+		got := string(bytes.Join(o.Forward(nil, time.Duration(remaining)*time.Millisecond), nil))
+		if want := build(strconv.Itoa(remaining)); got != want {
 			t.Fatalf("forwarded as %q, want %q", got, want)
 		}
 	})
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -135,7 +135,7 @@
 
 // Close implements engine.Client. While the connection waits for an opening line or a server, an opening line may be in
 // flight, to this process or to the engine. BUSY answers that line; a client that has sent no request ignores BUSY. An
-// established client gets no answer: MOVE was to be sent to it after the end of an incomplete line.
+// established client is disconnected without MOVE, which was to follow an incomplete line whose rest has not arrived.
 func (c *Conn) Close() {
 	switch c.currentPhase() {
 	case phaseOpening, phaseWaiting:
--- a/internal/reactor/close_test.go
+++ b/internal/reactor/close_test.go
@@ -85,19 +85,19 @@
 		t.Error("OnEnd was called for a connection that this side has closed")
 	})
 	dial(t, addr)
-	in := await(t, conns)
+	conn := await(t, conns)
 	begun := time.Now()
-	in.Close()
+	conn.Close()
 	waitFor(t, "the descriptors are released", func() bool { return g.heldDescriptors() == 0 })
 	if d := time.Since(begun); d < lingerTimeout {
 		t.Errorf("lingered for %v, want lingerTimeout at least", d)
 	}
-	c := dial(t, addr)
-	in = await(t, conns)
-	in.Close()
+	client := dial(t, addr)
+	conn = await(t, conns)
+	conn.Close()
 	begun = time.Now()
-	for _, err := c.Write(make([]byte, lingerBytes/4)); err == nil; {
-		_, err = c.Write(make([]byte, lingerBytes/4))
+	for _, err := client.Write(make([]byte, lingerBytes/4)); err == nil; {
+		_, err = client.Write(make([]byte, lingerBytes/4))
 	}
 	if d := time.Since(begun); d > lingerTimeout {
 		t.Errorf("a peer that keeps sending was read for %v, want lingerTimeout at most", d)
@@ -110,19 +110,19 @@
 	g := newGroup(t, 1)
 	g.SetDescriptorBudget(3)
 	addr, conns := pausedListener(t, g, nil)
-	var ins []*Conn
+	var accepted []*Conn
 	for range 3 {
 		dial(t, addr)
-		ins = append(ins, await(t, conns))
+		accepted = append(accepted, await(t, conns))
 	}
-	ins[1].Close()
-	ins[2].Close()
+	accepted[1].Close()
+	accepted[2].Close()
 	dial(t, addr)
 	await(t, conns)
 	waitFor(t, "the descriptors are released", func() bool { return g.heldDescriptors() == 3 })
-	if ins[0].Closed() || ins[1].isClosing() || !ins[2].isClosing() {
+	if accepted[0].Closed() || accepted[1].isClosing() || !accepted[2].isClosing() {
 		t.Errorf("established %v, first lingers %v, second lingers %v; want true, false, true",
-			!ins[0].Closed(), ins[1].isClosing(), ins[2].isClosing())
+			!accepted[0].Closed(), accepted[1].isClosing(), accepted[2].isClosing())
 	}
 }
 
@@ -130,19 +130,19 @@
 func TestQuiesce(t *testing.T) {
 	g := newGroup(t, 2)
 	addr, conns := pausedListener(t, g, nil)
-	c := dial(t, addr)
-	in := await(t, conns)
-	in.Do(func() {
-		noError(t, in.Send([]byte("MOVE\r\n")))
-		in.Close()
+	client := dial(t, addr)
+	conn := await(t, conns)
+	conn.Do(func() {
+		noError(t, conn.Send([]byte("MOVE\r\n")))
+		conn.Close()
 	})
 	readErr := make(chan error, 1)
 	go func() {
-		_, err := io.ReadAll(c)
-		readErr <- errors.Join(err, c.Close())
+		_, err := io.ReadAll(client)
+		readErr <- errors.Join(err, client.Close())
 	}()
 	g.Quiesce(testTimeout)
-	if !in.Closed() || in.isClosing() {
+	if !conn.Closed() || conn.isClosing() {
 		t.Error("Quiesce returned before the connection was closed")
 	}
 	noError(t, await(t, readErr))
@@ -159,32 +159,32 @@
 // number: the other connection must still be read.
 func TestLateHangupDoesNotAffectAnotherConnection(t *testing.T) {
 	g := newGroup(t, 1)
-	heard := make(chan string, 1)
+	received := make(chan string, 1)
 	first := true
 	conns := make(chan *Conn, 2)
 	addr := listen(t, g, func() Handler {
-		s := &handlerFuncs{data: func(_ *Conn, b []byte) int { heard <- string(b); return len(b) }}
-		s.open = func(c *Conn, _ error) {
+		handler := &handlerFuncs{data: func(_ *Conn, b []byte) int { received <- string(b); return len(b) }}
+		handler.open = func(c *Conn, _ error) {
 			if first {
 				c.Pause()
 			}
 			first = false
 			conns <- c
 		}
-		return s
+		return handler
 	})
 	dial(t, addr)
 	old := await(t, conns)
 	old.Abort(false)
-	c := dial(t, addr)
+	client := dial(t, addr)
 	next := await(t, conns)
 	old.fd = next.fd // as if the kernel had reused the number, as it does with the lowest free one
 	done := make(chan bool)
 	// As the loop does with an event that it took from the kernel before the Abort.
 	next.Do(func() { old.handleEvents(unix.EPOLLRDHUP); close(done) })
 	await(t, done)
-	writeString(t, c, "heard")
-	if s := await(t, heard); s != "heard" {
-		t.Errorf("the other connection got %q, want heard", s)
+	writeString(t, client, "data")
+	if got := await(t, received); got != "data" {
+		t.Errorf("the other connection got %q, want data", got)
 	}
 }
--- a/internal/reactor/descriptors_test.go
+++ b/internal/reactor/descriptors_test.go
@@ -38,10 +38,10 @@
 // pending bytes, and no others.
 func TestDialMakesRoomInTheDescriptorBudget(t *testing.T) {
 	const budget = 4
-	g, _, _, ins := fullGroup(t, budget)
-	noError(t, ins[0].Send(make([]byte, 8<<20))) // more than the kernel buffers
-	ins[0].Close()
-	ins[1].Close()
+	g, _, _, accepted := fullGroup(t, budget)
+	noError(t, accepted[0].Send(make([]byte, 8<<20))) // more than the kernel buffers
+	accepted[0].Close()
+	accepted[1].Close()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	noError(t, err)
 	t.Cleanup(func() { noError(t, server.Close()) })
@@ -49,8 +49,8 @@
 		opened := make(chan error, 1)
 		g.Dial(server.Addr().String(), testTimeout, &handlerFuncs{open: func(_ *Conn, err error) { opened <- err }}, nil)
 		noError(t, await(t, opened))
-		for j, in := range ins {
-			if isClosed := in.Peer() == ""; isClosed != closed[j] {
+		for j, conn := range accepted {
+			if isClosed := conn.Peer() == ""; isClosed != closed[j] {
 				t.Errorf("after dial %d connection %d is closed: %v, want %v", i+1, j, isClosed, closed[j])
 			}
 		}
@@ -61,14 +61,14 @@
 // queue. They are accepted once a descriptor is free.
 func TestFullBudgetLeavesClientsInTheAcceptQueue(t *testing.T) {
 	const budget = 3
-	g, addr, conns, ins := fullGroup(t, budget)
+	g, addr, conns, accepted := fullGroup(t, budget)
 	dial(t, addr)
 	select {
 	case <-conns:
 		t.Fatal("accepted beyond the budget")
 	case <-time.After(5 * acceptPause):
 	}
-	ins[0].Abort(false)
+	accepted[0].Abort(false)
 	await(t, conns)
 	if held, _ := g.DescriptorCounts(); held != budget {
 		t.Errorf("%d descriptors are held, want %d", held, budget)
@@ -129,8 +129,8 @@
 		func(c *Conn) { c.Close(); c.evict() },
 	} {
 		client := dial(t, addr)
-		in := await(t, conns)
-		end(in)
+		conn := await(t, conns)
+		end(conn)
 		noError(t, client.Close())
 		waitFor(t, "the descriptor is released", func() bool { return g.heldDescriptors() == 0 })
 	}
@@ -153,18 +153,18 @@
 	}
 }
 
-// fullGroup returns a group whose descriptor budget is used up by the connections ins. Its listener sends further
+// fullGroup returns a group whose descriptor budget is used up by the connections accepted. Its listener sends further
 // connections to conns.
-func fullGroup(t *testing.T, budget int) (g *Group, addr string, conns chan *Conn, ins []*Conn) {
+func fullGroup(t *testing.T, budget int) (g *Group, addr string, conns chan *Conn, accepted []*Conn) {
 	t.Helper()
 	g = newGroup(t, 1)
 	g.SetDescriptorBudget(budget)
 	addr, conns = pausedListener(t, g, nil)
 	for range budget {
 		dial(t, addr)
-		ins = append(ins, await(t, conns))
+		accepted = append(accepted, await(t, conns))
 	}
-	return g, addr, conns, ins
+	return g, addr, conns, accepted
 }
 
 // dialWhileBusy connects n clients while the loops are blocked, so that one event or a few accept them all.
--- a/internal/reactor/dial_test.go
+++ b/internal/reactor/dial_test.go
@@ -84,14 +84,14 @@
 	t.Cleanup(func() { _ = l.Close() })
 	c := g.Dial(l.Addr().String(), testTimeout, &handlerFuncs{}, nil)
 	c.Do(func() { noError(t, c.Send([]byte("early"))) }) // after the call of connect, before the dial has finished
-	in, err := l.Accept()
+	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = in.Close() })
-	noError(t, in.SetDeadline(time.Now().Add(testTimeout)))
+	t.Cleanup(func() { _ = conn.Close() })
+	noError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	got := make([]byte, 5)
-	if _, err := io.ReadFull(in, got); err != nil || string(got) != "early" {
+	if _, err := io.ReadFull(conn, got); err != nil || string(got) != "early" {
 		t.Errorf("the server got %q, %v, want early and no error", got, err)
 	}
 }
--- a/internal/reactor/listener.go
+++ b/internal/reactor/listener.go
@@ -13,8 +13,8 @@
 	maxAccepts  = 64 // per event, so that a burst of connections doesn't delay the established ones
 	acceptPause = 10 * time.Millisecond
 
-	// drainTimeout limits the time that Drain takes for accepting. The platform kills the program 0.2 s after the shutdown
-	// has begun at the earliest.
+	// drainTimeout limits the time that Drain takes for accepting. The platform kills the program no earlier than 0.2 s
+	// after the shutdown has begun.
 	drainTimeout = 80 * time.Millisecond
 )
 
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -193,9 +193,9 @@
 			return 0
 		}}
 	})
-	c := dial(t, addr)
+	client := dial(t, addr)
 	for _, part := range []string{"a", "b", "c\nd", "e\n\nf", "\n"} {
-		writeString(t, c, part)
+		writeString(t, client, part)
 		time.Sleep(time.Millisecond)
 	}
 	for _, want := range []string{"abc", "de", "", "f"} {
@@ -215,10 +215,10 @@
 			end:  func(_ *Conn, err error) { ends <- err },
 		}
 	})
-	c := dial(t, addr)
-	writeString(t, c, "kept")
-	noError(t, c.CloseWrite())
-	in := await(t, conns)
+	client := dial(t, addr)
+	writeString(t, client, "kept")
+	noError(t, client.CloseWrite())
+	conn := await(t, conns)
 	select {
 	case s := <-data:
 		t.Fatalf("%q was read while the connection was paused", s)
@@ -226,7 +226,7 @@
 		t.Fatal("OnEnd was called while the connection was paused")
 	case <-time.After(20 * time.Millisecond):
 	}
-	in.Resume()
+	conn.Resume()
 	if s := await(t, data); s != "kept" {
 		t.Errorf("got %q after Resume, want kept", s)
 	}
