--- a/config/address.go
+++ b/config/address.go
@@ -9,11 +9,12 @@
 
 const (
 	defaultName      = "milletvane"
-	firstInheritedFD = 3  // those below are the standard streams
-	maxFileNamePart  = 64 // of each part of the state directory's name
+	firstInheritedFD = 3  // 0 to 2 are the standard streams
+	maxFileNamePart  = 64 // bytes of the gateway's name, and of its listen address, in the state directory's name
 )
 
-// readAddresses reads the gateway's name and the addresses that it listens at and calls.
+// readAddresses reads the gateway's name, the addresses that it listens on and the address of its discovery. Only the admin
+// address may be missing. An error is a *KeyError.
 func (c *Config) readAddresses(f *file, getenv func(string) string) error {
 	c.Name = cmp.Or(getenv(EnvName), f.Name, defaultName)
 	c.Listen = cmp.Or(getenv(EnvListen), f.Listen)
@@ -31,6 +32,7 @@
 	return checkAddress("admin_addr ("+EnvAdmin+")", c.Admin)
 }
 
+// checkAddress returns a *KeyError for the key unless address is host:port with a numeric port.
 func checkAddress(key, address string) error {
 	if address == "" {
 		return keyError(key, "is missing")
@@ -45,7 +47,8 @@
 	return nil
 }
 
-// readEnvironment reads what the environment alone has. Name and listen address are known by now.
+// readEnvironment reads the values that only the environment can hold. It derives the state directory from c.Name and
+// c.Listen, so readAddresses runs first.
 func (c *Config) readEnvironment(getenv func(string) string) error {
 	if value := getenv(EnvInheritedSocket); value != "" {
 		fd, err := strconv.ParseUint(value, 10, 16)
@@ -55,23 +58,25 @@
 		c.InheritedSocket = int(fd)
 	}
 	if dir := getenv(EnvTempDir); dir != "" {
-		// Named for the gateway, as a machine's directory for such files may serve several.
+		// Several gateways on one machine may share the temporary directory, so each has a subdirectory of its own.
 		c.StateDir = filepath.Join(dir, "milletvane-"+fileNamePart(c.Name)+"-"+fileNamePart(c.Listen))
 	}
 	return nil
 }
 
-// fileNamePart keeps of a text what may stand in a file's name.
+// fileNamePart returns s as a part of a file name: each byte that is not an ASCII letter or digit becomes an underscore, and
+// the result is cut to maxFileNamePart bytes.
 func fileNamePart(s string) string {
 	b := []byte(s)
-	for i, letter := range b {
-		if !isAlphanumeric(letter) {
+	for i, char := range b {
+		if !isAlphanumeric(char) {
 			b[i] = '_'
 		}
 	}
 	return string(b[:min(len(b), maxFileNamePart)])
 }
 
+// isAlphanumeric reports whether b is an ASCII letter or digit.
 func isAlphanumeric(b byte) bool {
 	return '0' <= b && b <= '9' || 'a' <= b && b <= 'z' || 'A' <= b && b <= 'Z'
 }
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a gateway's configuration is read, checked and given defaults. What it returns is
-// not changed afterwards, so that any goroutine may use it.
+// Package config reads a gateway's configuration from JSON and the environment, checks it and fills in the defaults. No other
+// package reads it. Configurations are not changed after they are returned, so any goroutine may use them.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/settings"
 )
 
-// The environment's keys.
+// Environment variables that the package reads.
 const (
 	EnvName            = "PROXY_NAME"
 	EnvListen          = "PROXY_LISTEN"
@@ -24,26 +24,26 @@
 	EnvTempDir         = "TMPDIR"
 )
 
-// Config is a checked configuration.
+// Config is a configuration whose values have been checked.
 type Config struct {
 	Name            string
-	Listen          string // host:port, where clients connect
-	Discovery       string // host:port
-	Admin           string // host:port, where operators call; empty: nowhere
-	InheritedSocket int    // the descriptor of a listening socket that the platform holds; 0: there is none
-	StateDir        string // for what the next process should know; empty: there is none
+	Listen          string // host:port that clients connect to
+	Discovery       string // host:port of the discovery
+	Admin           string // host:port for operators' requests; empty means that there is no such listener
+	InheritedSocket int    // the descriptor of a listening socket that the platform passes on; 0 means none
+	StateDir        string // for state that the next process reads; empty means none
 	Limits          Limits
-	CachedList      *discovery.EndpointList // the endpoint list as last held; nil: none
+	CachedList      *discovery.EndpointList // the last endpoint list that the platform knew; nil means none
 	Balancer        balancer.Settings
 	ListRefresh     refresh.Settings
 	Gateway         settings.Gateway
-	AnswerTimeout   time.Duration // from a planned stop until all that waits has its answer
-	DrainTimeout    time.Duration // from a planned stop to the end
+	AnswerTimeout   time.Duration // from the start of a graceful shutdown until all pending requests are answered
+	DrainTimeout    time.Duration // from the start of a graceful shutdown until the process ends
 }
 
-// KeyError says what is wrong with the value of a key, of the JSON or the environment.
+// KeyError says what is wrong with the value of a key in the JSON or the environment.
 type KeyError struct {
-	Key     string // as limits.sockets, or listen (PROXY_LISTEN)
+	Key     string // for example limits.sockets, or listen (PROXY_LISTEN)
 	Problem string
 }
 
@@ -53,9 +53,9 @@
 	return &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Load reads the configuration: the file that the environment names, over which the environment's own values take
-// precedence, but for discovery: its address may be replaced in the file while the program runs, and the environment could
-// not follow. An error names the faulty key. A reload is another Load.
+// Load reads the configuration from the environment and from the file that EnvFile names, if it names one. Values in the
+// environment take precedence over those in the file, except for the discovery address: the file may be given another one
+// while the program runs, and the environment can't change then. An error names the faulty key. A reload calls Load again.
 func Load(getenv func(string) string) (*Config, error) {
 	var text []byte
 	if path := getenv(EnvFile); path != "" {
@@ -67,8 +67,8 @@
 	return Parse(text, getenv)
 }
 
-// Parse reads a configuration from JSON, which may be empty, and the environment. What is wrong with a value is a
-// *KeyError, or wraps a *settings.ValueError.
+// Parse reads a configuration from JSON, which may be empty, and the environment. The error for a faulty value is a
+// *KeyError or wraps a *settings.ValueError.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	f, err := parseFile(text)
 	if err != nil {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -21,9 +21,9 @@
   "discovery":"ask","family_info":{"mode":"pass","message_aim_ns":[60000000],"tells_load":true,"tells_delay":true,"park_ns":6449143000},
   "replicas_of_me":3,"reporting":{"fields":["concurrent","depth","x0"]},"rules":{"cold_ns":21000000000,"tip_multiple":4.0},"tenants":[]}}`
 
-func noEnvironment(string) string { return "" }
+func emptyEnvironment(string) string { return "" }
 
-// environment looks keys up in a map.
+// environment returns a lookup of variables in a map.
 func environment(values map[string]string) func(string) string {
 	return func(key string) string { return values[key] }
 }
@@ -63,24 +63,24 @@
 		AnswerTimeout: 3300 * time.Millisecond,
 		DrainTimeout:  15 * time.Second,
 	}
-	got := mustParse(t, sampleJSON, noEnvironment)
+	got := mustParse(t, sampleJSON, emptyEnvironment)
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("configuration (-want +got):\n%s", diff)
 	}
 	if got.Limits.MaxConnections() != 544 {
-		t.Errorf("%d connections at most, want 544", got.Limits.MaxConnections())
+		t.Errorf("MaxConnections() = %d, want 544", got.Limits.MaxConnections())
 	}
 }
 
-// The platform ends the program 3.7 s after SIGTERM or later. Connections that end here are migrated by then; those that
-// pass through must not end before.
+// The platform kills the program 3.7 s after SIGTERM at the earliest. Connections that end at the gateway have to be migrated
+// by then. Connections that pass through it survive only if the gateway doesn't end before it is killed.
 func TestDrainTimeout(t *testing.T) {
-	if c := mustParse(t, sampleJSON, noEnvironment); c.DrainTimeout < 10*time.Second {
-		t.Errorf("where packets pass a stop takes %v", c.DrainTimeout)
+	if c := mustParse(t, sampleJSON, emptyEnvironment); c.DrainTimeout < 10*time.Second {
+		t.Errorf("drain timeout in mode pass = %v, want 10s or more", c.DrainTimeout)
 	}
-	c := mustParse(t, strings.Replace(sampleJSON, `"pass"`, `"proxy"`, 1), noEnvironment)
+	c := mustParse(t, strings.Replace(sampleJSON, `"pass"`, `"proxy"`, 1), emptyEnvironment)
 	if c.DrainTimeout != 3500*time.Millisecond {
-		t.Errorf("where connections end here a stop takes %v", c.DrainTimeout)
+		t.Errorf("drain timeout in mode proxy = %v, want 3.5s", c.DrainTimeout)
 	}
 }
 
@@ -89,7 +89,7 @@
 
 	c := mustParse(t, sampleJSON, environment(env))
 	if c.Name != "n9" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.0.2.1:8500" {
-		t.Errorf("over a file: %+v", c) // discovery is the file's, which can be replaced
+		t.Errorf("with a file: %+v", c) // the discovery address comes from the file, which a reload reads again
 	}
 	c = mustParse(t, "", environment(env))
 	if c.Limits.Sockets != DefaultSockets || c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 ||
@@ -99,7 +99,7 @@
 	env[EnvAdmin], env[EnvInheritedSocket], env[EnvTempDir] = "127.0.0.9:3", "3", "/tmp/x"
 	c = mustParse(t, strings.Replace(sampleJSON, `"seed"`, `"admin_addr":"127.0.0.4:1","seed"`, 1), environment(env))
 	if c.Admin != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateDir != "/tmp/x/milletvane-n9-127_0_0_9_1" {
-		t.Errorf("with all of the environment: %+v", c)
+		t.Errorf("with all variables: %+v", c)
 	}
 }
 
@@ -108,13 +108,13 @@
 		t.Run(fd, func(t *testing.T) {
 			_, err := Parse([]byte(sampleJSON), environment(map[string]string{EnvInheritedSocket: fd}))
 			if err == nil || !strings.Contains(err.Error(), EnvInheritedSocket) {
-				t.Errorf("Parse: %v, want the key %s", err, EnvInheritedSocket)
+				t.Errorf("Parse: %v, want an error that names %s", err, EnvInheritedSocket)
 			}
 		})
 	}
 }
 
-// Whoever mistypes a value reads which one it was.
+// The error for a faulty value names its key.
 func TestErrorsNameTheirKey(t *testing.T) {
 	const limits = `"limits":{"cores":1.0,"memory_mb":192,"sockets":1136}`
 	for _, c := range []struct{ from, to, key string }{
@@ -137,29 +137,29 @@
 		{`{"name"`, `{name`, EnvFile},
 	} {
 		t.Run(c.to, func(t *testing.T) {
-			_, err := Parse([]byte(change(t, sampleJSON, c.from, c.to)), noEnvironment)
+			_, err := Parse([]byte(replaceOnce(t, sampleJSON, c.from, c.to)), emptyEnvironment)
 			if err == nil || !strings.Contains(err.Error(), c.key) {
-				t.Errorf("Parse: %v, want the key %s", err, c.key)
+				t.Errorf("Parse: %v, want an error that names the key %s", err, c.key)
 			}
 		})
 	}
 }
 
 func TestChangesNeedingRestart(t *testing.T) {
-	old := mustParse(t, sampleJSON, noEnvironment)
-	free := strings.NewReplacer("127.0.2.1:8500", "127.0.2.9:1", "8c1f", "9c1f", `"version":41`, `"version":42`)
-	if keys := old.ChangesNeedingRestart(mustParse(t, free.Replace(sampleJSON), noEnvironment)); len(keys) > 0 {
-		t.Errorf("a new discovery, seed and list change %q", keys)
+	old := mustParse(t, sampleJSON, emptyEnvironment)
+	reloadable := strings.NewReplacer("127.0.2.1:8500", "127.0.2.9:1", "8c1f", "9c1f", `"version":41`, `"version":42`)
+	if keys := old.ChangesNeedingRestart(mustParse(t, reloadable.Replace(sampleJSON), emptyEnvironment)); len(keys) > 0 {
+		t.Errorf("a new discovery address, seed and endpoint list need a restart for %q, want no key", keys)
 	}
-	fixed := strings.NewReplacer(`"n3"`, `"n4"`, ".4:5000", ".4:5001", "1136", "1137", `"max_attempts":5`,
+	restartOnly := strings.NewReplacer(`"n3"`, `"n4"`, ".4:5000", ".4:5001", "1136", "1137", `"max_attempts":5`,
 		`"max_attempts":4`)
-	keys := old.ChangesNeedingRestart(mustParse(t, fixed.Replace(sampleJSON), noEnvironment))
+	keys := old.ChangesNeedingRestart(mustParse(t, restartOnly.Replace(sampleJSON), emptyEnvironment))
 	if diff := cmp.Diff([]string{"name", "listen", "limits", "settings"}, keys); diff != "" {
-		t.Errorf("changed keys (-want +got):\n%s", diff)
+		t.Errorf("keys that need a restart (-want +got):\n%s", diff)
 	}
 }
 
-// A gateway that is given an address polls there, unless the settings say otherwise.
+// A gateway polls its discovery address, unless the settings say that a local agent pushes the list.
 func TestDiscoveryIsPolledByDefault(t *testing.T) {
 	for text, wantAgent := range map[string]bool{
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2"}`:                                 false,
@@ -168,8 +168,8 @@
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"push"}}`: true,
 	} {
 		t.Run(text, func(t *testing.T) {
-			if c := mustParse(t, text, noEnvironment); c.ListRefresh.LocalAgent != wantAgent {
-				t.Errorf("a local agent: %t, want %t", c.ListRefresh.LocalAgent, wantAgent)
+			if c := mustParse(t, text, emptyEnvironment); c.ListRefresh.LocalAgent != wantAgent {
+				t.Errorf("LocalAgent = %t, want %t", c.ListRefresh.LocalAgent, wantAgent)
 			}
 		})
 	}
--- a/config/file.go
+++ b/config/file.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// file is the form of the JSON. What is not given is nil or empty.
+// file is the JSON form of a configuration. Members that are absent are nil or empty.
 type file struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -22,16 +22,16 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// parseFile reads JSON; an empty text gives no value.
+// parseFile decodes a configuration file. An empty text gives a file without any member.
 func parseFile(text []byte) (*file, error) {
 	f := &file{}
 	if len(text) == 0 {
 		return f, nil
 	}
 	err := json.Unmarshal(text, f)
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return nil, keyError(wrong.Field, "%s is not %s", wrong.Value, wrong.Type)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return nil, keyError(typeErr.Field, "%s is not %s", typeErr.Value, typeErr.Type)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", EnvFile, err)
@@ -39,10 +39,10 @@
 	return f, nil
 }
 
-// isGiven reports whether a member of the JSON is there and not null.
+// isGiven reports whether a member of the JSON is present and not null.
 func isGiven(raw json.RawMessage) bool { return len(raw) > 0 && string(raw) != "null" }
 
-// valueOr is the value of a member, or its default where it is not given.
+// valueOr returns the value of a member, or defaultValue if the member is absent or null.
 func valueOr[T any](member *T, defaultValue T) T {
 	if member != nil {
 		return *member
--- a/config/format_cases_test.go
+++ b/config/format_cases_test.go
@@ -1,9 +1,9 @@
 package config
 
-// replacement is a text of the full configuration, and what stands there in place of it.
+// replacement replaces a text of the full configuration by another.
 type replacement struct{ from, to string }
 
-// validReplacements leave a configuration that is read.
+// validReplacements each leave a valid configuration.
 var validReplacements = []replacement{
 	{`"name"`, `"name"`},
 	{`"pass"`, `"proxy"`},
@@ -36,7 +36,7 @@
 	{`"caps":{`, `"cap":{`},
 }
 
-// faultyReplacements leave a configuration with one fault.
+// faultyReplacements each leave a configuration with one fault.
 var faultyReplacements = []replacement{
 	{`"127.0.0.4:5000"`, `"nowhere"`},
 	{`"127.0.0.4:5000"`, `""`},
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -11,13 +11,14 @@
 	"example.org/milletvane/internal/golden"
 )
 
-// appendConfig prints a configuration field by field.
+// appendConfig prints all fields of a configuration.
 func appendConfig(b *bytes.Buffer, c *Config) {
 	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin,
 		c.InheritedSocket, c.StateDir)
-	l := c.Limits
+	limits := c.Limits
 	fmt.Fprintf(b, "limits cores=%g memory_mb=%d sockets=%d admin=%d clients=%d idle=%d connections=%d\n",
-		l.Cores, l.MemoryMB, l.Sockets, l.AdminSockets, l.ClientSockets(), l.MaxIdleClients(), l.MaxConnections())
+		limits.Cores, limits.MemoryMB, limits.Sockets, limits.AdminSockets, limits.ClientSockets(),
+		limits.MaxIdleClients(), limits.MaxConnections())
 	fmt.Fprintf(b, "answer_by=%s drain=%s\n", c.AnswerTimeout, c.DrainTimeout)
 	if c.CachedList == nil {
 		fmt.Fprintf(b, "known: none\n")
@@ -28,30 +29,34 @@
 				s.ID, s.Addr, s.Zone, s.Kind, s.Cell, s.State, s.Weight, s.StartedMS)
 		}
 	}
-	r := c.Balancer
+	balancer := c.Balancer
 	fmt.Fprintf(b, "seed=%016x gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
-		r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.FlowRetention, r.DrainGrace)
+		balancer.Seed, balancer.Gateways, balancer.OverQuotaWeightFactor, balancer.MaxAttempts,
+		balancer.FlowRetention, balancer.DrainGrace)
 	fmt.Fprintf(b, "cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t\n",
-		r.WarmupDuration, r.ColdOverloadFactor, r.ColdOverloadDuration, r.RemovalIsAdvisory, r.MaxRetryAfter, r.CanPollLoad)
-	fmt.Fprintf(b, "budget span=%s free=%g share=%g\n", r.RetryBudgetWindow, r.RetryBudgetMin, r.RetryBudgetRatio)
-	for _, k := range r.Classes {
+		balancer.WarmupDuration, balancer.ColdOverloadFactor, balancer.ColdOverloadDuration, balancer.RemovalIsAdvisory,
+		balancer.MaxRetryAfter, balancer.CanPollLoad)
+	fmt.Fprintf(b, "budget span=%s free=%g share=%g\n",
+		balancer.RetryBudgetWindow, balancer.RetryBudgetMin, balancer.RetryBudgetRatio)
+	for _, class := range balancer.Classes {
 		fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
-			k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout,
-			k.MessageLatencyObjective)
+			class.Name, int(class.Idempotency), int(class.DedupScope), class.DedupWindow, class.PriorityWeight,
+			class.SetupLatencyObjective, class.Timeout, class.MessageLatencyObjective)
 	}
-	for _, t := range r.Tenants {
-		fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
+	for _, tenant := range balancer.Tenants {
+		fmt.Fprintf(b, "tenant %q quota=%g\n", tenant.Name, tenant.ConnectionQuota)
 	}
 	fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%016x\n",
 		c.ListRefresh.LocalAgent, c.ListRefresh.Gateways, c.ListRefresh.MaxPollInterval, c.ListRefresh.DrainGrace,
 		c.ListRefresh.Seed)
-	n := c.Gateway
+	gateway := c.Gateway
 	fmt.Fprintf(b,
 		"node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
-		n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad,
-		n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
+		gateway.ConnectTimeout, gateway.ConnectionsOutliveGateway, gateway.ReportsMessageDelay, gateway.ReportsConnectionLoad,
+		gateway.CanPollLoad, gateway.MessageLatencyObjective, gateway.AnswerGrace, gateway.MaxClassTimeout)
 }
 
+// appendResult prints the result of Parse or Load: the configuration, or the error.
 func appendResult(b *bytes.Buffer, c *Config, err error) {
 	if err != nil {
 		fmt.Fprintf(b, "%v\n", err)
@@ -69,21 +74,21 @@
 	return string(text)
 }
 
-// change replaces a text that must be part of a form.
-func change(t *testing.T, form, from, to string) string {
+// replaceOnce replaces the first occurrence of from in text, which must contain it.
+func replaceOnce(t *testing.T, text, from, to string) string {
 	t.Helper()
-	if !strings.Contains(form, from) {
-		t.Fatalf("%q is no part of the form", from)
+	if !strings.Contains(text, from) {
+		t.Fatalf("the text does not contain %q", from)
 	}
-	return strings.Replace(form, from, to, 1)
+	return strings.Replace(text, from, to, 1)
 }
 
-// Files as the platform writes them are read field by field: all keys given, defaults, and values at their bounds.
-func TestFormatRead(t *testing.T) {
+// Parsed files have the values that the golden file states: with all keys given, with defaults, and with values at their bounds.
+func TestParsedFilesMatchGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, c := range validReplacements {
 		fmt.Fprintf(&b, "== %s => %s\n", c.from, c.to)
-		got, err := Parse([]byte(change(t, fullJSON(t), c.from, c.to)), noEnvironment)
+		got, err := Parse([]byte(replaceOnce(t, fullJSON(t), c.from, c.to)), emptyEnvironment)
 		if err != nil {
 			t.Errorf("%s: %v", c.to, err)
 			continue
@@ -96,7 +101,7 @@
 		`{"listen":"[::1]:1","discovery":"127.0.0.1:2","settings":{},"known":{}}`,
 	} {
 		fmt.Fprintf(&b, "== %s\n", text)
-		got, err := Parse([]byte(text), noEnvironment)
+		got, err := Parse([]byte(text), emptyEnvironment)
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 			continue
@@ -106,14 +111,14 @@
 	golden.Check(t, "read.txt", b.Bytes())
 }
 
-// Each fault's message, word by word.
-func TestFormatOfFaults(t *testing.T) {
+// The error text of each kind of fault is the one in the golden file.
+func TestErrorTextsMatchGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, c := range faultyReplacements {
 		fmt.Fprintf(&b, "== %s => %s\n", c.from, c.to)
-		got, err := Parse([]byte(change(t, fullJSON(t), c.from, c.to)), noEnvironment)
+		got, err := Parse([]byte(replaceOnce(t, fullJSON(t), c.from, c.to)), emptyEnvironment)
 		if err == nil {
-			t.Errorf("%s: no fault", c.to)
+			t.Errorf("Parse with %s: got no error, want one", c.to)
 		}
 		appendResult(&b, got, err)
 	}
@@ -124,17 +129,17 @@
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":63}}`,
 	} {
 		fmt.Fprintf(&b, "== %s\n", text)
-		got, err := Parse([]byte(text), noEnvironment)
+		got, err := Parse([]byte(text), emptyEnvironment)
 		if err == nil {
-			t.Errorf("%s: no fault", text)
+			t.Errorf("Parse(%s): got no error, want one", text)
 		}
 		appendResult(&b, got, err)
 	}
 	golden.Check(t, "faults.txt", b.Bytes())
 }
 
-// The environment's keys by name, and which value goes over which.
-func TestFormatOfEnvironment(t *testing.T) {
+// The environment variables keep their names, and the golden file states for each whether it or the file takes precedence.
+func TestEnvironmentMatchesGolden(t *testing.T) {
 	var b bytes.Buffer
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(fullJSON(t)), 0o600); err != nil {
@@ -166,9 +171,9 @@
 			values[key] = strings.Replace(value, "FILE", path, 1)
 		}
 		got, err := Load(func(key string) string { return values[key] })
-		var one bytes.Buffer
-		appendResult(&one, got, err)
-		b.WriteString(strings.ReplaceAll(one.String(), path, "FILE"))
+		var result bytes.Buffer
+		appendResult(&result, got, err)
+		b.WriteString(strings.ReplaceAll(result.String(), path, "FILE"))
 	}
 	golden.Check(t, "environment.txt", b.Bytes())
 }
--- a/config/limits.go
+++ b/config/limits.go
@@ -1,6 +1,6 @@
 package config
 
-// Defaults for limits that the configuration leaves out.
+// Defaults for limits that the configuration does not state.
 const (
 	DefaultMemoryMB = 192
 	DefaultSockets  = 1024
@@ -9,51 +9,55 @@
 
 const (
 	minMemoryMB      = 16
-	ownSockets       = 48 // for the listener, discovery, epoll, logs, and TransientSockets
-	adminSockets     = 20 // for operators: their listener, those who call and files that are written for them
-	minClientSockets = 16 // for clients and their servers
+	reservedSockets  = 48 // for the listener, discovery, epoll and logs, and for TransientSockets
+	adminSockets     = 20 // for the admin listener, its connections and the files that its requests write
+	minClientSockets = 16 // for connections to clients and servers
 )
 
-// TransientSockets is how many of the program's own descriptors may have connections that are accepted and not admitted yet,
-// load polls, and connections that are closing.
+// TransientSockets is how many of the descriptors that are reserved for the gateway itself may be in use by connections that
+// are accepted and not admitted yet, by load polls, and by connections that are closing.
 const TransientSockets = 28
 
-// Limits are what the program may use.
+// Limits holds the resources that the gateway may use.
 type Limits struct {
 	Cores        float64
 	MemoryMB     int
-	Sockets      int // descriptors, of every use
-	AdminSockets int // of Sockets, those set aside for operators
+	Sockets      int // descriptors, for all uses
+	AdminSockets int // the part of Sockets that is reserved for operators
 }
 
-// ClientSockets is how many descriptors clients and their servers may take.
-func (l Limits) ClientSockets() int { return l.Sockets - ownSockets - l.AdminSockets }
+// ClientSockets returns how many descriptors connections to clients and servers may use.
+func (l Limits) ClientSockets() int { return l.Sockets - reservedSockets - l.AdminSockets }
 
-// MaxIdleClients is how many of these clients may take that have requested nothing. The rest is free for those that do.
+// MaxIdleClients returns how many of the ClientSockets may belong to clients without a request so far. The rest stays free
+// for clients that send requests.
 func (l Limits) MaxIdleClients() int { return l.ClientSockets() / 4 }
 
-// MaxConnections is how many clients may be served at once: each has a connection to its server too.
+// MaxConnections returns how many clients may be served at once. Each of them uses two descriptors: its own connection and
+// the one to its server.
 func (l Limits) MaxConnections() int { return l.ClientSockets() / 2 }
 
-// readLimits reads the limits. It is known by now whether operators have an address.
+// readLimits reads the limits. Their reserve for operators depends on c.Admin, so readAddresses runs first. An error is a
+// *KeyError.
 func (c *Config) readLimits(f *file) error {
-	l := Limits{
+	limits := Limits{
 		Cores:    valueOr(f.Limits.Cores, DefaultCores),
 		MemoryMB: valueOr(f.Limits.MemoryMB, DefaultMemoryMB),
 		Sockets:  valueOr(f.Limits.Sockets, DefaultSockets),
 	}
 	if c.Admin != "" {
-		l.AdminSockets = adminSockets
+		limits.AdminSockets = adminSockets
 	}
-	if l.Cores <= 0 {
-		return keyError("limits.cores", "%v is not above 0", l.Cores)
+	if limits.Cores <= 0 {
+		return keyError("limits.cores", "%v is not above 0", limits.Cores)
 	}
-	if l.MemoryMB < minMemoryMB {
-		return keyError("limits.memory_mb", "%d is under %d", l.MemoryMB, minMemoryMB)
+	if limits.MemoryMB < minMemoryMB {
+		return keyError("limits.memory_mb", "%d is under %d", limits.MemoryMB, minMemoryMB)
 	}
-	if l.ClientSockets() < minClientSockets {
-		return keyError("limits.sockets", "%d is under %d", l.Sockets, l.Sockets-l.ClientSockets()+minClientSockets)
+	if limits.ClientSockets() < minClientSockets {
+		return keyError("limits.sockets", "%d is under %d", limits.Sockets,
+			limits.Sockets-limits.ClientSockets()+minClientSockets)
 	}
-	c.Limits = l
+	c.Limits = limits
 	return nil
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -10,7 +10,7 @@
 	"example.org/milletvane/internal/settings"
 )
 
-// readCachedList reads the endpoint list that the platform held last.
+// readCachedList reads the last endpoint list that the platform knew, if the file holds one.
 func (c *Config) readCachedList(f *file) error {
 	if !isGiven(f.Known) {
 		return nil
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// readSettings reads the platform's settings and the seed.
+// readSettings reads the platform's settings, and the seed, which takes precedence over the seed among the settings.
 func (c *Config) readSettings(f *file) error {
 	pairs := settings.Pairs{}
 	if isGiven(f.Settings) {
@@ -50,46 +50,46 @@
 	return nil
 }
 
-// readBalancerSettings reads the balancer's settings, and has the balancer check them.
+// readBalancerSettings reads the balancer's settings and lets the balancer check them.
 func (c *Config) readBalancerSettings(pairs settings.Pairs, seed string) error {
-	set, err := pairs.Balancer()
+	balancerSettings, err := pairs.Balancer()
 	if err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	if seed != "" {
-		if set.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
+		if balancerSettings.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 			return keyError("seed", "%q is not 64 bits of hex", seed)
 		}
 	}
-	if _, err := balancer.New(*set); err != nil {
+	if _, err := balancer.New(*balancerSettings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.Balancer = *set
+	c.Balancer = *balancerSettings
 	return nil
 }
 
-// ChangesNeedingRestart lists the keys whose values in a new configuration are others, though they are fixed for a
-// gateway's life. What the program is given anew with each start, the seed and the endpoint list, is not among them.
-func (c *Config) ChangesNeedingRestart(to *Config) (keys []string) {
-	for _, fixed := range []struct {
+// ChangesNeedingRestart returns the keys that differ in updated and that take effect only at a restart. The seed and the
+// endpoint list never count: the platform provides new ones with each start.
+func (c *Config) ChangesNeedingRestart(updated *Config) (keys []string) {
+	for _, field := range []struct {
 		key       string
 		unchanged bool
 	}{
-		{"name", c.Name == to.Name},
-		{"listen", c.Listen == to.Listen},
-		{"admin_addr", c.Admin == to.Admin},
-		{"limits", c.Limits == to.Limits},
-		{"settings", c.hasSettingsOf(to)},
+		{"name", c.Name == updated.Name},
+		{"listen", c.Listen == updated.Listen},
+		{"admin_addr", c.Admin == updated.Admin},
+		{"limits", c.Limits == updated.Limits},
+		{"settings", c.hasSameSettings(updated)},
 	} {
-		if !fixed.unchanged {
-			keys = append(keys, fixed.key)
+		if !field.unchanged {
+			keys = append(keys, field.key)
 		}
 	}
 	return keys
 }
 
-// hasSettingsOf reports whether two configurations have the same settings but for their seeds.
-func (c *Config) hasSettingsOf(other *Config) bool {
+// hasSameSettings reports whether two configurations have the same settings, apart from their seeds.
+func (c *Config) hasSameSettings(other *Config) bool {
 	balancerSettings, otherBalancer := c.Balancer, other.Balancer
 	balancerSettings.Seed, otherBalancer.Seed = 0, 0
 	listRefresh, otherRefresh := c.ListRefresh, other.ListRefresh
--- a/config/shutdown.go
+++ b/config/shutdown.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	defaultClassTimeout = 3 * time.Second // where no class has one
+	defaultClassTimeout = 3 * time.Second // of a configuration in which no class has a timeout
 
-	maxDrainedTimeout = 3 * time.Second        // a longer timeout is taken as this when the platform ends a program,
-	answerGrace       = 300 * time.Millisecond // and a client that comes late still has its answer,
-	drainGrace        = 500 * time.Millisecond // and half a line its end
-	// Where packets pass through, another gateway takes up what is open when this one is gone. An end before the
-	// platform ends the program would break these connections instead, so it is left to the platform for so long.
+	maxClassTimeout  = 3 * time.Second        // a longer class timeout counts as this at a graceful shutdown
+	lateClientGrace  = 300 * time.Millisecond // on top of it, for the answer to a client that arrives late
+	partialLineGrace = 500 * time.Millisecond // on top of it, for the rest of a line that has arrived in part
+	// Where packets pass through the gateway, another gateway takes over its open connections when this one is gone. Ending
+	// the process before the platform kills it would break those connections, so the process waits this long for the kill.
 	passThroughDrainTimeout = 15 * time.Second
 )
 
-// setTimeouts derives from the settings how long a planned stop takes.
+// setTimeouts derives the timeouts of a graceful shutdown from the settings.
 func (c *Config) setTimeouts() {
-	longest := min(c.Gateway.MaxClassTimeout, maxDrainedTimeout)
-	c.AnswerTimeout = longest + answerGrace
-	c.DrainTimeout = longest + drainGrace
+	classTimeout := min(c.Gateway.MaxClassTimeout, maxClassTimeout)
+	c.AnswerTimeout = classTimeout + lateClientGrace
+	c.DrainTimeout = classTimeout + partialLineGrace
 	if c.Gateway.ConnectionsOutliveGateway {
 		c.DrainTimeout = passThroughDrainTimeout
 	}
