--- a/config/operator/cluster.go
+++ b/config/operator/cluster.go
@@ -10,20 +10,23 @@
 	"time"
 )
 
-// Cluster has instances recover together: who they are, and the disk that lasts. It is for installations where instances
-// may talk to each other; a platform that has no disk, or lets no instance talk to another, leaves it out.
+// Cluster lets instances recover together: it holds their addresses and the directory for what they store. It is for
+// installations where instances may talk to each other. It is left out on a platform that has no persistent disk or does not
+// let instances talk to each other.
 type Cluster struct {
-	Listen      string            // IP:port for the other members, UDP and TCP
-	Members     map[string]string // the others by name, with their IP:port
-	KeyFile     string            // as the operator file names it
-	Key         []byte            // 16, 24 or 32 bytes that all members share; nil from Parse, which reads no other file
-	Dir         string            // on a disk that lasts
-	PeerTimeout time.Duration     // for the others' answers, after a start
-	// Tiers are of classes, the highest first; under overload the lowest are shed first. Classes in no tier are below all.
+	Listen      string            // IP:port that the other members call, over UDP and TCP
+	Members     map[string]string // IP:port of each other member, by name
+	KeyFile     string            // the path as it stands in the operator file
+	Key         []byte            // 16, 24 or 32 bytes that all members share; Parse leaves it nil, as it reads no other file
+	Dir         string            // on a persistent disk
+	PeerTimeout time.Duration     // how long a start waits for the other members' answers
+	// Tiers holds the classes of each tier, the highest tier first. Under overload the lowest tier is shed first. Classes that
+	// are in no tier rank below all tiers.
 	Tiers            [][]string
-	MinAdmittedRatio float64 // of the lowest tier, that is admitted whatever happens
+	MinAdmittedRatio float64 // the share of the lowest tier, 0 to 1, that is admitted under any overload
 }
 
+// readCluster reads the section cluster. Tiers may name only the given classes, unless none are given.
 func readCluster(s *section, classes []string) *Cluster {
 	c := &Cluster{
 		Listen:      s.text("listen"),
@@ -49,12 +52,13 @@
 	return c
 }
 
+// readMembers reads the other members' addresses by name.
 func readMembers(s *section) map[string]string {
 	members := map[string]string{}
 	s.entries("member", func(e *entry) {
 		name, address := e.text("its name"), e.text("its address")
 		switch {
-		case name == "" || address == "": // which e.text has reported
+		case name == "" || address == "": // e.text has reported it
 		case !isPeerAddress(address):
 			e.fail(e.form.line, "%q is not IP:port", address)
 		case members[name] != "":
@@ -66,19 +70,20 @@
 	return members
 }
 
+// readTiers reads the classes of each tier, the highest tier first.
 func readTiers(s *section, classes []string) (tiers [][]string) {
-	named := map[string]bool{}
+	assigned := map[string]bool{} // classes that a tier has named so far
 	s.entries("tier", func(e *entry) {
 		var tier []string
-		for e.more() && !e.failed {
+		for e.hasMore() && !e.failed {
 			class := e.text("a class")
 			if len(classes) > 0 && class != "" && !slices.Contains(classes, class) {
 				e.fail(e.form.line, "%q is no class of the settings", class)
 			}
-			if named[class] {
+			if assigned[class] {
 				e.fail(e.form.line, "%q is named twice", class)
 			}
-			named[class] = true
+			assigned[class] = true
 			tier = append(tier, class)
 		}
 		if len(tier) == 0 {
@@ -89,7 +94,7 @@
 	return tiers
 }
 
-// isPeerAddress reports whether an address is IP:port, with a port that others can call.
+// isPeerAddress reports whether an address is IP:port with a port other than 0, so that other members can call it.
 func isPeerAddress(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
@@ -99,8 +104,8 @@
 	return err == nil && n > 0
 }
 
-// Priorities are the tiers' priorities by class, from the lowest on, which is 0: that of classes that no tier names. count
-// is how many there are; 0: no tiers are named.
+// Priorities returns the priority of each class that a tier names, and the number of priorities. A higher number is a higher
+// priority. Classes that no tier names have priority 0, the lowest. Without tiers byClass is nil and count is 0.
 func (c *Cluster) Priorities() (byClass map[string]int, count int) {
 	if len(c.Tiers) == 0 {
 		return nil, 0
@@ -114,9 +119,9 @@
 	return byClass, len(c.Tiers) + 1
 }
 
-// loadKey reads the key that all members share. Its errors are of type *KeyError.
+// loadKey reads the key that all members share. An error is a *KeyError.
 func (c *Cluster) loadKey(operatorFile string) error {
-	text, err := os.ReadFile(besideFile(operatorFile, c.KeyFile))
+	text, err := os.ReadFile(resolvePath(operatorFile, c.KeyFile))
 	if err != nil {
 		return &KeyError{File: operatorFile, Reason: err.Error()}
 	}
@@ -128,21 +133,21 @@
 	return nil
 }
 
-// KeyError says that the members' key can't be used. It implements operr.Error.
+// KeyError says why the key that all members share can't be used. It implements operr.Error.
 type KeyError struct {
-	File   string // the operator file that names the key's
+	File   string // the operator file that names the key file
 	Reason string
 }
 
 func (e *KeyError) Error() string { return e.Problem() + ": " + e.Reason }
 
-// Problem is what failed.
+// Problem returns the operator file and the key whose value can't be used.
 func (e *KeyError) Problem() string { return e.File + ": cluster.key-file" }
 
-// Retryable is false: the file has to be put right.
+// Retryable returns false: the key file has to be corrected first.
 func (e *KeyError) Retryable() bool { return false }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do.
 func (e *KeyError) Remedy() string {
 	return "put the key that all members share there, 16, 24 or 32 letters"
 }
--- a/config/operator/constraint.go
+++ b/config/operator/constraint.go
@@ -6,11 +6,12 @@
 	"example.org/milletvane/placement"
 )
 
-// maxRatioTerm bounds the numerator and the denominator of a ratio, and the load of one connection.
+// maxRatioTerm is the largest numerator and denominator of a ratio, and the largest load of one connection.
 const maxRatioTerm = 1_000_000
 
+// readConstraints reads all constraints. Their names must differ.
 func readConstraints(s *section) (constraints []placement.Constraint) {
-	lines := map[string]int{} // by name
+	lines := map[string]int{} // of the constraints so far, by name
 	s.entries("constraint", func(e *entry) {
 		c := placement.Constraint{Name: e.text("its name"), Line: e.form.line}
 		if first, twice := lines[c.Name]; twice {
@@ -18,18 +19,18 @@
 		}
 		lines[c.Name] = e.form.line
 		if x, ok := e.next("what it demands"); ok {
-			e.readDemand(&c, x)
+			e.readConstraintForm(&c, x)
 		}
 		constraints = append(constraints, c)
 	})
 	return constraints
 }
 
-// demandReaders read what a constraint demands, by the word that it begins with.
-var demandReaders = map[string]func(*entry, *placement.Constraint){
+// constraintReaders holds a reader for each kind of constraint, by the symbol that the constraint's form begins with.
+var constraintReaders = map[string]func(*entry, *placement.Constraint){
 	"carry": func(e *entry, c *placement.Constraint) {
 		c.Kind = placement.Carry
-		if e.more() {
+		if e.hasMore() {
 			c.Class = e.text("a class")
 		}
 	},
@@ -44,7 +45,7 @@
 	"spread": func(e *entry, c *placement.Constraint) {
 		c.Kind, c.Class, c.Count = placement.Spread, e.text("a class"), e.number("a count of zones", 1, placement.MaxZones)
 		c.Least = 1
-		if e.more() {
+		if e.hasMore() {
 			c.Least = e.number("the least load in each", 1, placement.MaxLoad)
 		}
 	},
@@ -62,24 +63,24 @@
 	},
 }
 
-// readDemand reads what a constraint demands: a list that begins with its kind.
-func (e *entry) readDemand(c *placement.Constraint, x expr) {
+// readConstraintForm reads the form of a constraint, a list that begins with the kind.
+func (e *entry) readConstraintForm(c *placement.Constraint, x expr) {
 	kind, ok := x.head()
 	if !ok {
 		e.fail(x.line, "%s is not (kind value …)", x)
 		return
 	}
-	in := &entry{section: e.section, key: e.key + "." + c.Name, form: x, values: x.list[1:]}
-	read, ok := demandReaders[kind]
+	form := &entry{section: e.section, key: e.key + "." + c.Name, form: x, values: x.list[1:]}
+	read, ok := constraintReaders[kind]
 	if !ok {
-		in.fail(x.line, "%q is no kind of constraint", kind)
+		form.fail(x.line, "%q is no kind of constraint", kind)
 		return
 	}
-	read(in, c)
-	in.close()
+	read(form, c)
+	form.close()
 }
 
-// ratio reads a numerator and a denominator of a ratio up to 1.
+// ratio reads the numerator and the denominator of a ratio from 0 to 1.
 func (e *entry) ratio() placement.Ratio {
 	r := placement.Ratio{
 		Num: e.number("a part's numerator", 0, maxRatioTerm),
--- a/config/operator/entry.go
+++ b/config/operator/entry.go
@@ -1,31 +1,34 @@
 package operator
 
-// entry reads the values of one form, (key value …), in order. Only the first error of an entry is reported.
+// entry reads the values of one form, (key value …), in order. It reports only the first error.
 type entry struct {
 	section *section
 	key     string
 	form    expr
-	values  []expr // that are left to read
+	values  []expr // the values that are not read yet
 	failed  bool
 }
 
-// entries reads every form of a key, and reports values that nobody asked for.
+// entries calls read for every form of a key, and reports values that read has left over.
 func (s *section) entries(key string, read func(*entry)) {
-	for _, form := range s.all(key) {
+	for _, form := range s.forms(key) {
 		e := &entry{section: s, key: key, form: form, values: form.list[1:]}
 		read(e)
 		e.close()
 	}
 }
 
+// close reports a value that was not read.
 func (e *entry) close() {
-	if e.more() {
+	if e.hasMore() {
 		e.fail(e.values[0].line, "%s is one value too many", e.values[0])
 	}
 }
 
-func (e *entry) more() bool { return len(e.values) > 0 }
+// hasMore reports whether there are values left to read.
+func (e *entry) hasMore() bool { return len(e.values) > 0 }
 
+// fail adds an error about the entry, unless the entry has one already.
 func (e *entry) fail(line int, format string, args ...any) {
 	if !e.failed {
 		e.section.fail(line, e.key, format, args...)
@@ -33,9 +36,10 @@
 	e.failed = true
 }
 
-// next is the next value; what it is stands in the error where there is none.
+// next returns the next value and true. If there is none, it adds an error and returns false. The error text refers to the
+// value as what, here and in the methods below.
 func (e *entry) next(what string) (expr, bool) {
-	if !e.more() {
+	if !e.hasMore() {
 		e.fail(e.form.line, "%s is missing", what)
 		return expr{}, false
 	}
@@ -44,7 +48,7 @@
 	return x, true
 }
 
-// text is the next value, a string that is not empty.
+// text returns the next value, which must be a string that is not empty.
 func (e *entry) text(what string) string {
 	x, ok := e.next(what)
 	if !ok {
@@ -57,15 +61,15 @@
 	return text
 }
 
-// texts are all values that are left.
+// texts returns all values that are left, which must be strings that are not empty.
 func (e *entry) texts(what string) (list []string) {
-	for e.more() {
+	for e.hasMore() {
 		list = append(list, e.text(what))
 	}
 	return list
 }
 
-// number is the next value, a whole number within bounds.
+// number returns the next value, which must be an integer from minValue to maxValue. After an error it returns minValue.
 func (e *entry) number(what string, minValue, maxValue int64) int64 {
 	x, ok := e.next(what)
 	if !ok {
--- a/config/operator/errors.go
+++ b/config/operator/errors.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// FileError is something wrong in an operator file or a plan file.
+// FileError says what is wrong at one place of an operator file or a plan file.
 type FileError struct {
 	File    string
-	Line    int    // from 1 on
-	Key     string // the path of keys, as nats.request.deadline; empty: the file as a whole
+	Line    int    // counted from 1
+	Key     string // the path of keys, for example nats.request.deadline; empty for the file as a whole
 	Problem string
 }
 
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Problem)
 }
 
-// errorList gathers all that is wrong in one file, so that an operator sees it in one go.
+// errorList collects all errors of one file, so that an operator sees them at once.
 type errorList struct {
 	file   string
 	errors []FileError
@@ -31,8 +31,8 @@
 	l.errors = append(l.errors, FileError{File: l.file, Line: line, Key: key, Problem: problem})
 }
 
-// joined returns all errors by line as one; nil where there are none.
-func (l *errorList) joined() error {
+// join returns all errors as one, ordered by line, or nil if there are none.
+func (l *errorList) join() error {
 	slices.SortStableFunc(l.errors, func(a, b FileError) int { return a.Line - b.Line })
 	all := make([]error, len(l.errors))
 	for i, err := range l.errors {
@@ -41,7 +41,7 @@
 	return errors.Join(all...)
 }
 
-// first returns the error that was found first; nil where there is none.
+// first returns the error that was added first, or nil if there is none.
 func (l *errorList) first() error {
 	if len(l.errors) == 0 {
 		return nil
@@ -49,7 +49,7 @@
 	return l.errors[0]
 }
 
-// joinPath is the path of a key in a section.
+// joinPath returns the path of a key in a section. Either may be empty.
 func joinPath(section, key string) string {
 	if section == "" || key == "" {
 		return section + key
--- a/config/operator/example_test.go
+++ b/config/operator/example_test.go
@@ -6,7 +6,7 @@
 	"example.org/milletvane/config/operator"
 )
 
-// All that is wrong in a file is reported in one go.
+// All errors of a file are reported at once.
 func ExampleParse() {
 	_, err := operator.Parse("operator.edn", []byte(`(nats
   (listen "127.0.0.1:4222")
--- a/config/operator/expr.go
+++ b/config/operator/expr.go
@@ -12,24 +12,24 @@
 	"olympos.io/encoding/edn"
 )
 
-// Bounds of a file: what it holds is kept, and a list in a list is read by a call in a call.
+// Bounds of a file. They limit the memory that a file takes, and the recursion into nested lists.
 const (
 	maxFileBytes   = 64 << 20
 	maxDepth       = 20
-	maxAtomBytes   = 64 // of an atom that is no string: a number of any size takes the library any time
-	maxQuotedBytes = 20 // of an atom that an error names
+	maxAtomBytes   = 64 // of an atom other than a string: the library's time for a number grows without bound with its length
+	maxQuotedBytes = 20 // of an atom that an error text quotes
 )
 
-// expr is one S-expression with the line it starts on: a list, or an atom.
+// expr is one S-expression, a list or an atom, with the line it starts on.
 type expr struct {
 	line int
-	list []expr // of a list
+	list []expr // the items of a list
 	atom any    // string, edn.Symbol, int64, float64 or bool; nil for a list
 }
 
 func (x expr) isList() bool { return x.atom == nil }
 
-// String is the expression as an error names it.
+// String returns the expression as error texts show it: an atom by its text, a list as "a list".
 func (x expr) String() string {
 	switch a := x.atom.(type) {
 	case nil:
@@ -41,7 +41,7 @@
 	}
 }
 
-// head is the symbol that a list begins with; ok is false for all else.
+// head returns the symbol that a list begins with; ok is false for anything else.
 func (x expr) head() (name string, ok bool) {
 	if !x.isList() || len(x.list) == 0 {
 		return "", false
@@ -50,72 +50,73 @@
 	return string(symbol), ok
 }
 
-// isForm reports whether an expression is a list that begins with a symbol.
+// isForm reports whether an expression is a list that begins with the symbol name.
 func (x expr) isForm(name string) bool {
 	head, ok := x.head()
 	return ok && head == name
 }
 
-// readExprs reads all expressions of a file. Its errors are of type FileError.
+// readExprs reads all expressions of a file. An error is a FileError.
 func readExprs(file string, text []byte) ([]expr, error) {
-	failure := func(line int, problem string) error { return FileError{File: file, Line: line, Problem: problem} }
+	newError := func(line int, problem string) error { return FileError{File: file, Line: line, Problem: problem} }
 	if len(text) > maxFileBytes {
-		return nil, failure(1, fmt.Sprintf("is over %d bytes", maxFileBytes))
+		return nil, newError(1, fmt.Sprintf("is over %d bytes", maxFileBytes))
 	}
-	if !utf8.Valid(text) { // the library would put other bytes in their place
-		return nil, failure(1, "is not UTF-8")
+	if !utf8.Valid(text) { // the library would replace invalid bytes
+		return nil, newError(1, "is not UTF-8")
 	}
-	// The library reads a list as it is written, with its values as raw text, from which each value's offset is known.
+	// The library returns each expression as the raw text of the file, which gives the offset of every value in it.
 	decoder := edn.NewDecoder(bytes.NewReader(text))
 	r := &exprReader{text: text}
 	var exprs []expr
 	for offset := 0; ; {
-		offset += blankBytes(text[offset:])
+		offset += blankPrefixLen(text[offset:])
 		line := r.line(offset)
 		var raw edn.RawMessage
 		if err := decoder.Decode(&raw); errors.Is(err, io.EOF) {
 			return exprs, nil
 		} else if err != nil {
-			return nil, failure(line, "is no S-expression: "+strings.TrimPrefix(err.Error(), "edn: "))
+			return nil, newError(line, "is no S-expression: "+strings.TrimPrefix(err.Error(), "edn: "))
 		}
 		x, err := r.read(offset, raw, 0)
 		if err != nil {
-			return nil, failure(line, err.Error())
+			return nil, newError(line, err.Error())
 		}
 		exprs = append(exprs, x)
-		offset = min(r.find(offset, raw)+len(raw), len(text))
+		offset = min(r.findValue(offset, raw)+len(raw), len(text))
 	}
 }
 
-// exprReader takes raw values apart and finds the lines that they start on.
+// exprReader parses raw values and finds the lines that they start on.
 type exprReader struct {
 	text []byte
-	// Newlines before an offset, from which lines are counted on: they are asked for in order.
-	counted  int
-	newlines int
+	// newlines is the number of newlines before the offset countedTo. Lines are asked for in increasing order, so counting
+	// goes on from there.
+	countedTo int
+	newlines  int
 }
 
-// line is the line of an offset.
+// line returns the line of an offset, from 1. An offset below an earlier one gets the line of that one.
 func (r *exprReader) line(offset int) int {
-	if offset > r.counted {
-		r.newlines += bytes.Count(r.text[r.counted:offset], []byte{'\n'})
-		r.counted = offset
+	if offset > r.countedTo {
+		r.newlines += bytes.Count(r.text[r.countedTo:offset], []byte{'\n'})
+		r.countedTo = offset
 	}
 	return 1 + r.newlines
 }
 
-// find is the offset of a raw value that starts at or after from.
-func (r *exprReader) find(from int, raw []byte) int {
+// findValue returns the offset at which a raw value first occurs, at or after from.
+func (r *exprReader) findValue(from int, raw []byte) int {
 	from = min(from, len(r.text))
-	from += blankBytes(r.text[from:])
+	from += blankPrefixLen(r.text[from:])
 	if i := bytes.Index(r.text[from:], raw); i > 0 {
 		return from + i
 	}
 	return from
 }
 
-// blankBytes is the length of the white space and comments that b begins with.
-func blankBytes(b []byte) int {
+// blankPrefixLen returns the length of the white space and comments that b begins with.
+func blankPrefixLen(b []byte) int {
 	i := 0
 	for i < len(b) {
 		switch b[i] {
@@ -134,11 +135,12 @@
 	return i
 }
 
+// read parses the raw value that starts at or after offset and lies depth lists deep.
 func (r *exprReader) read(offset int, raw edn.RawMessage, depth int) (expr, error) {
 	if depth > maxDepth {
 		return expr{}, errors.New("is nested too deeply")
 	}
-	offset = r.find(offset, raw)
+	offset = r.findValue(offset, raw)
 	x := expr{line: r.line(offset)}
 	var err error
 	if raw[0] == '(' {
@@ -149,27 +151,28 @@
 	return x, err
 }
 
+// readList parses the items of a list.
 func (r *exprReader) readList(offset int, raw edn.RawMessage, depth int) (list []expr, err error) {
 	var items []edn.RawMessage
 	if err := edn.Unmarshal(raw, &items); err != nil {
 		return nil, err
 	}
-	offset++ // past the bracket
+	offset++ // past the opening parenthesis
 	for _, item := range items {
 		x, err := r.read(offset, item, depth+1)
 		if err != nil {
 			return nil, err
 		}
 		list = append(list, x)
-		offset = r.find(offset, item) + len(item)
+		offset = r.findValue(offset, item) + len(item)
 	}
 	return list, nil
 }
 
-// readAtom reads a string, a symbol, a number or a boolean. What the library makes of other forms is not wanted.
+// readAtom parses a string, a symbol, a number or a boolean. It rejects the other kinds of values that the library knows.
 func readAtom(raw edn.RawMessage) (any, error) {
 	isString := raw[0] == '"'
-	if !isString && (len(raw) > maxAtomBytes || hasForeignSyntax(raw)) {
+	if !isString && (len(raw) > maxAtomBytes || hasUnsupportedSyntax(raw)) {
 		return nil, fmt.Errorf("%.*s is neither a list, a word, a string nor a figure", maxQuotedBytes, raw)
 	}
 	var value any
@@ -183,7 +186,8 @@
 	return nil, fmt.Errorf("%s is neither a list, a word, a string nor a figure", raw)
 }
 
-// hasForeignSyntax reports whether an atom is a tag, a vector, a map, a keyword, a character or a number of any size.
-func hasForeignSyntax(raw edn.RawMessage) bool {
+// hasUnsupportedSyntax reports whether an atom has the syntax of a tag, set, vector, map, keyword, character or
+// arbitrary-precision number.
+func hasUnsupportedSyntax(raw edn.RawMessage) bool {
 	return strings.IndexByte("#[{:\\", raw[0]) >= 0 || strings.IndexByte("NM", raw[len(raw)-1]) >= 0
 }
--- a/config/operator/format_cases_test.go
+++ b/config/operator/format_cases_test.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// change is a form in which a text has been replaced by another.
+// change replaces a text of a form by another.
 type change struct{ from, to string }
 
 var natsChanges = []change{
--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -14,7 +14,7 @@
 	"example.org/milletvane/internal/golden"
 )
 
-// appendSettings prints what an operator file holds, field by field.
+// appendSettings prints all fields of the settings from an operator file.
 func appendSettings(b *bytes.Buffer, s *Settings) {
 	fmt.Fprintf(b, "parts: nats %t, placement %t, plan %t, cluster %t\n",
 		s.NATS != nil, s.Placement != nil, s.Plan != nil, s.Cluster != nil)
@@ -88,7 +88,7 @@
 	}
 }
 
-// appendResult prints settings, or each line of what is wrong with them.
+// appendResult prints the result of Parse or Load: the settings, or the errors, one per line.
 func appendResult(b *bytes.Buffer, s *Settings, err error) {
 	if err != nil {
 		fmt.Fprintf(b, "%v\n", err)
@@ -97,8 +97,8 @@
 	appendSettings(b, s)
 }
 
-// The files in deploy read as they did, with and without the platform's classes.
-func TestFormatOfDeployedFiles(t *testing.T) {
+// The example files in deploy give the settings and errors in the golden files, with and without the platform's classes.
+func TestExampleFilesMatchGolden(t *testing.T) {
 	for _, name := range []string{"nats", "placement", "cluster"} {
 		t.Run(name, func(t *testing.T) {
 			text, err := os.ReadFile(filepath.Join("..", "..", "deploy", name+".example.edn"))
@@ -141,19 +141,20 @@
   (tier "informe-alta") (tier "ajuste-plan" "plan-diario"))
 `
 
-const planUseForm = `(plan (file "plan.edn") (zone "bilbao"))
+const planSettingsForm = `(plan (file "plan.edn") (zone "bilbao"))
 `
 
-func (c change) of(t *testing.T, form string) []byte {
+// applyTo replaces the first occurrence of the text in a form, which must contain it.
+func (c change) applyTo(t *testing.T, form string) []byte {
 	t.Helper()
 	if !strings.Contains(form, c.from) {
-		t.Fatalf("%q is no part of the form", c.from)
+		t.Fatalf("the form does not contain %q", c.from)
 	}
 	return []byte(strings.Replace(form, c.from, c.to, 1))
 }
 
-// Good and bad forms, with what is read or the faults, word by word.
-func TestFormatOfForms(t *testing.T) {
+// Valid and invalid forms give the settings and error texts in the golden files.
+func TestFormsMatchGolden(t *testing.T) {
 	classes := []string{"sesion", "plan-diario", "serie-hecha"}
 	for _, c := range []struct {
 		name    string
@@ -166,15 +167,15 @@
 		{"placement", placementForm, nil, placementChanges},
 		{"cluster", clusterForm, nil, clusterChanges},
 		{"cluster with classes", clusterForm, []string{"informe-alta", "ajuste-plan"}, clusterWithClassesChanges},
-		{"plan", planUseForm, nil, planChanges},
-		{"all", natsForm + placementForm + clusterForm + planUseForm, nil, allChanges},
+		{"plan", planSettingsForm, nil, planChanges},
+		{"all", natsForm + placementForm + clusterForm + planSettingsForm, nil, allChanges},
 		{"empty", "; nothing\n", nil, emptyChanges},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var b bytes.Buffer
 			for _, change := range c.changes {
 				fmt.Fprintf(&b, "== %.200q => %.200q\n", change.from, change.to)
-				s, err := Parse("op.edn", change.of(t, c.form), c.classes)
+				s, err := Parse("op.edn", change.applyTo(t, c.form), c.classes)
 				appendResult(&b, s, err)
 			}
 			golden.Check(t, "forms-"+strings.ReplaceAll(c.name, " ", "-")+".txt", b.Bytes())
@@ -182,26 +183,27 @@
 	}
 }
 
-// A file that is larger than may be is not read.
-func TestFormatOfLargeFile(t *testing.T) {
+// A file that is larger than maxFileBytes is rejected.
+func TestLargeFileIsRejected(t *testing.T) {
 	const want = "op.edn:1: is over 67108864 bytes"
 	if _, err := Parse("op.edn", make([]byte, 64<<20+1), nil); err == nil || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("Parse: %v, want %s", err, want)
 	}
 }
 
-// Each fault can be found among those that are joined, with its file, line and key apart.
-func TestFormatOfOneFault(t *testing.T) {
-	_, err := Parse("op.edn", change{"(cluster true)", "(cluster 1)"}.of(t, natsForm), nil)
-	var f FileError
-	if !errors.As(err, &f) || f.File != "op.edn" || f.Line != 4 || f.Key != "nats.cluster" ||
-		f.Problem != "1 is not true or false" {
-		t.Errorf("%v is found as file %q, line %d, key %q, text %q", err, f.File, f.Line, f.Key, f.Problem)
+// errors.As finds a FileError among the joined errors, with its file, line, key and problem in separate fields.
+func TestFileErrorIsFoundAmongJoinedErrors(t *testing.T) {
+	_, err := Parse("op.edn", change{"(cluster true)", "(cluster 1)"}.applyTo(t, natsForm), nil)
+	var fileErr FileError
+	if !errors.As(err, &fileErr) || fileErr.File != "op.edn" || fileErr.Line != 4 || fileErr.Key != "nats.cluster" ||
+		fileErr.Problem != "1 is not true or false" {
+		t.Errorf("errors.As on %v finds file %q, line %d, key %q, problem %q", err,
+			fileErr.File, fileErr.Line, fileErr.Key, fileErr.Problem)
 	}
 }
 
-// What is read beside the operator file: the members' key, and the plan.
-func TestFormatOfFilesBeside(t *testing.T) {
+// Load gives the settings and errors in the golden file for valid, invalid and missing key files and plan files.
+func TestLoadedFilesMatchGolden(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name string, text []byte) {
 		t.Helper()
@@ -213,16 +215,16 @@
 	load := func(step string) {
 		t.Helper()
 		s, err := Load(filepath.Join(dir, "op.edn"), nil)
-		var one bytes.Buffer
-		appendResult(&one, s, err)
-		var bad *KeyError
-		if errors.As(err, &bad) {
-			fmt.Fprintf(&one, "failed: %s\ndo: %s\nagain: %t\n", bad.Problem(), bad.Remedy(), bad.Retryable())
+		var result bytes.Buffer
+		appendResult(&result, s, err)
+		var keyErr *KeyError
+		if errors.As(err, &keyErr) {
+			fmt.Fprintf(&result, "failed: %s\ndo: %s\nagain: %t\n", keyErr.Problem(), keyErr.Remedy(), keyErr.Retryable())
 		}
 		if err == nil && s.Plan != nil {
-			appendPlan(&one, s.Plan.Plan)
+			appendPlan(&result, s.Plan.Plan)
 		}
-		fmt.Fprintf(&b, "== %s\n%s", step, strings.ReplaceAll(one.String(), dir, "DIR"))
+		fmt.Fprintf(&b, "== %s\n%s", step, strings.ReplaceAll(result.String(), dir, "DIR"))
 	}
 	load("no operator file")
 	write("op.edn", []byte(clusterForm))
@@ -234,17 +236,17 @@
 		write("key", []byte(key))
 		load(fmt.Sprintf("key %q", key))
 	}
-	write("op.edn", []byte(planUseForm))
+	write("op.edn", []byte(planSettingsForm))
 	load("no plan")
 	write("plan.edn", []byte("(format 1)"))
 	load("a plan cut short")
 	plan := fullPlan()
-	delete(plan.Load, "") // which is written, and not read
+	delete(plan.Load, "") // Marshal writes a node without a name, and ParsePlan rejects it
 	write("plan.edn", plan.Marshal())
 	load("a plan")
-	write("op.edn", change{`"plan.edn"`, `"` + filepath.Join(dir, "plan.edn") + `"`}.of(t, planUseForm))
+	write("op.edn", change{`"plan.edn"`, `"` + filepath.Join(dir, "plan.edn") + `"`}.applyTo(t, planSettingsForm))
 	load("a plan named from the root")
-	write("op.edn", []byte(clusterForm+planUseForm))
+	write("op.edn", []byte(clusterForm+planSettingsForm))
 	load("key and plan")
 	golden.Check(t, "beside.txt", b.Bytes())
 }
--- a/config/operator/nats.go
+++ b/config/operator/nats.go
@@ -9,47 +9,49 @@
 	"olympos.io/encoding/edn"
 )
 
-// NATS switches the NATS client protocol on.
+// NATS holds the settings of the NATS client protocol. The protocol is enabled if the operator file has this section.
 type NATS struct {
-	Listen             string        // IP:port, where clients connect
-	NodePort           int           // at which nodes speak NATS; 0: at their listed address
-	Cluster            bool          // the nodes pass messages on to each other
+	Listen             string        // IP:port that clients connect to
+	NodePort           int           // on which nodes speak NATS; zero means the port of their listed address
+	Cluster            bool          // whether the nodes forward messages to each other
 	MaxPayload         int           // bytes
 	ControlLine        int           // bytes
-	MaxSubscriptions   int           // a session
-	MaxRequests        int           // in flight at once, a session
-	MaxPending         int           // bytes that wait for one peer before its source is no longer read
-	PingInterval       time.Duration // to nodes
-	ClientPingInterval time.Duration // a client that answers none of two is closed
-	MigrationTimeout   time.Duration // a session has another node by then, or is closed
-	FlushTimeout       time.Duration // an old node has sent what it has queued by then
-	MaxShared          int           // connections to nodes for requests that left their session's node
+	MaxSubscriptions   int           // per session
+	MaxRequests        int           // in flight at once, per session
+	MaxPending         int           // bytes queued for one peer above which their source is no longer read
+	PingInterval       time.Duration // between pings to a node
+	ClientPingInterval time.Duration // between pings to a client; one that answers neither of two is closed
+	MigrationTimeout   time.Duration // until a session has another node; else it is closed
+	FlushTimeout       time.Duration // for the former node to send what it has queued
+	MaxShared          int           // connections to nodes for requests that go to another node than their session's
 	Session            Session
 	Requests           []RequestClass
 }
 
-// Session says what a client's CONNECT is to the balancer.
+// Session holds the class, key and group that the balancer sees for a client's CONNECT.
 type Session struct {
 	Class   string
 	Key     KeySource
 	Group   KeySource
-	Timeout time.Duration // until a node has taken it
+	Timeout time.Duration // until a node has accepted the session
 }
 
-// RequestClass is a class of requests: PUB with a reply on a subject that the pattern matches. The first match counts.
+// RequestClass says which class a request has: a PUB with a reply subject, sent to a subject that the pattern matches. The first
+// match counts.
 type RequestClass struct {
 	Subject string // a pattern
 	Class   string
 	Timeout time.Duration
 	Key     KeySource
-	Line    int // in the file
+	Line    int // in the operator file
 }
 
-// KeySource says where a key comes from.
+// KeySource says which part of a message a key is taken from.
 type KeySource struct {
-	// Kind is user, name, client (each client its own), session (the session's key), token (of a subject) or "" (none).
+	// Kind is user, name, client (a key of its own for each client), session (the session's key), token (of the subject), or
+	// empty for no key.
 	Kind  string
-	Token int // of Kind token, from 0
+	Token int // the index of the token in the subject, from 0; for Kind token
 }
 
 const (
@@ -59,9 +61,10 @@
 	sourceSession = "session"
 	sourceToken   = "token"
 
-	maxTokens = 64 // of a subject
+	maxSubjectTokens = 64 // of a subject
 )
 
+// readNATS reads the section nats. Its classes must be among those given, unless none are.
 func readNATS(s *section, classes []string) *NATS {
 	n := &NATS{
 		Listen:             s.text("listen"),
@@ -84,13 +87,13 @@
 		s.fail(s.line, "listen", "%q is not IP:port", n.Listen)
 	}
 	n.Session = readSession(s, classes)
-	for _, form := range s.all("request") {
+	for _, form := range s.forms("request") {
 		n.Requests = append(n.Requests, readRequestClass(s, form, classes, n.Requests))
 	}
 	return n
 }
 
-// isListenAddress reports whether an address is IP:port; port 0 has the system choose one.
+// isListenAddress reports whether an address is IP:port. The port may be 0: the system then chooses one.
 func isListenAddress(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
@@ -100,13 +103,14 @@
 	return err == nil
 }
 
+// readSession reads the section session of nats, which may be absent.
 func readSession(s *section, classes []string) Session {
 	session := Session{Key: KeySource{Kind: sourceClient}, Timeout: 2 * time.Second}
-	given := s.subsection("session", func(in *section) {
-		session.Class = in.class(classes)
-		session.Key = in.keySource("key", session.Key, sourceUser, sourceName, sourceClient)
-		session.Group = in.keySource("group", KeySource{}, sourceUser, sourceName)
-		session.Timeout = in.duration("wait", session.Timeout, 10*time.Millisecond, time.Minute)
+	given := s.subsection("session", func(sub *section) {
+		session.Class = sub.class(classes)
+		session.Key = sub.keySource("key", session.Key, sourceUser, sourceName, sourceClient)
+		session.Group = sub.keySource("group", KeySource{}, sourceUser, sourceName)
+		session.Timeout = sub.duration("wait", session.Timeout, 10*time.Millisecond, time.Minute)
 	})
 	if !given && len(classes) > 0 {
 		session.Class = classes[0]
@@ -114,28 +118,29 @@
 	return session
 }
 
+// readRequestClass reads one section request of nats. Its subject must differ from those of the earlier ones.
 func readRequestClass(s *section, form expr, classes []string, earlier []RequestClass) RequestClass {
-	in := openSection(s.errs, joinPath(s.path, "request"), form.line, form.list[1:])
+	sub := openSection(s.errs, joinPath(s.path, "request"), form.line, form.list[1:])
 	r := RequestClass{
-		Subject: in.text("subject"),
-		Class:   in.class(classes),
-		Timeout: in.duration("deadline", time.Second, time.Millisecond, time.Hour),
-		Key:     in.keySource("key", KeySource{Kind: sourceSession}, sourceSession, sourceUser, sourceToken),
+		Subject: sub.text("subject"),
+		Class:   sub.class(classes),
+		Timeout: sub.duration("deadline", time.Second, time.Millisecond, time.Hour),
+		Key:     sub.keySource("key", KeySource{Kind: sourceSession}, sourceSession, sourceUser, sourceToken),
 		Line:    form.line,
 	}
 	if r.Subject == "" {
-		in.fail(form.line, "subject", "is missing")
+		sub.fail(form.line, "subject", "is missing")
 	}
 	for _, other := range earlier {
 		if other.Subject == r.Subject && r.Subject != "" {
-			in.fail(form.line, "subject", "%q is given twice, first on line %d", r.Subject, other.Line)
+			sub.fail(form.line, "subject", "%q is given twice, first on line %d", r.Subject, other.Line)
 		}
 	}
-	in.close()
+	sub.close()
 	return r
 }
 
-// class is the class of a section; where none is named the first of the platform's settings.
+// class returns the class that a section names. Defaults to the first class of the platform's settings.
 func (s *section) class(classes []string) string {
 	name := s.text("class")
 	switch {
@@ -150,7 +155,7 @@
 	return name
 }
 
-// keySource reads a word that stands for a source, or (token N) where that is allowed.
+// keySource reads a source: one of the allowed symbols, or (token N) if token is allowed.
 func (s *section) keySource(key string, defaultSource KeySource, allowed ...string) KeySource {
 	v, ok := s.value(key)
 	if !ok {
@@ -160,7 +165,7 @@
 		return KeySource{Kind: string(word)}
 	}
 	if slices.Contains(allowed, sourceToken) && v.isForm(sourceToken) && len(v.list) == 2 {
-		if n, ok := v.list[1].atom.(int64); ok && n >= 0 && n < maxTokens {
+		if n, ok := v.list[1].atom.(int64); ok && n >= 0 && n < maxSubjectTokens {
 			return KeySource{Kind: sourceToken, Token: int(n)}
 		}
 	}
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads operator files: the gateway's own settings, as S-expressions. The platform's settings stay JSON,
-// and without an operator file the program does what it does without these settings. Reading is strict, and all that is
-// wrong in a file is reported in one go.
+// Package operator reads operator files, which hold the gateway's own settings as S-expressions, and the plan files that they
+// name. The platform's settings are separate: they are JSON. Without an operator file none of the features here are enabled.
+// Parsing is strict: unknown keys are errors, and all errors of an operator file are reported at once.
 //
-// Nothing here is changed after it was read, so that any goroutine may use it.
+// The values that the package returns are not changed afterwards, so any goroutine may use them.
 package operator
 
 import (
@@ -11,10 +11,10 @@
 	"path/filepath"
 )
 
-// EnvFile names the operator file, where the command line does not.
+// EnvFile is the environment variable that names the operator file, if the command line does not.
 const EnvFile = "MILLETVANE_OPERATOR"
 
-// Settings are what an operator file holds. A nil part is off.
+// Settings holds the sections of an operator file. A section that is nil is not enabled.
 type Settings struct {
 	NATS      *NATS
 	Placement *Placement
@@ -22,16 +22,16 @@
 	Cluster   *Cluster
 }
 
-// PlanSettings has a gateway follow a plan file.
+// PlanSettings lets a gateway follow a plan file.
 type PlanSettings struct {
-	File string // as the operator file names it
+	File string // the path as it stands in the operator file
 	Zone string // of this gateway
-	Plan *Plan  // what the file holds; nil from Parse, which reads no other file
+	Plan *Plan  // the content of the file; Parse leaves it nil, as it reads no other file
 }
 
-// Load reads an operator file, and the files that it names. The classes are those of the platform's settings; with none,
-// any may be named. The error is that of a file which can't be read, a *KeyError, or all that is wrong in the file as
-// FileErrors that are joined.
+// Load reads an operator file and the files that it names. The classes are those of the platform's settings; if there are
+// none, the file may name any class. The error is that of a file which can't be read, a *KeyError, or the joined FileErrors
+// of a file.
 func Load(file string, classes []string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -54,9 +54,9 @@
 	return s, nil
 }
 
-// load reads the plan file. It is part of the settings: one that can't be read leaves the whole of them.
+// load reads the plan file. The settings include the plan, so an error here fails all of Load.
 func (p *PlanSettings) load(operatorFile string) error {
-	path := besideFile(operatorFile, p.File)
+	path := resolvePath(operatorFile, p.File)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("%s: plan.file: %w", operatorFile, err)
@@ -65,15 +65,15 @@
 	return err
 }
 
-// besideFile is the path of a file that another one names: relative to that one's directory, unless it is absolute.
-func besideFile(file, name string) string {
+// resolvePath returns the path of a file that another file names. A relative name is relative to the other file's directory.
+func resolvePath(file, name string) string {
 	if filepath.IsAbs(name) {
 		return name
 	}
 	return filepath.Join(filepath.Dir(file), name)
 }
 
-// Parse is Load for a text; it reads no other file.
+// Parse reads the text of an operator file as Load does, but none of the files that it names.
 func Parse(file string, text []byte, classes []string) (*Settings, error) {
 	exprs, err := readExprs(file, text)
 	if err != nil {
@@ -82,18 +82,19 @@
 	errs := &errorList{file: file}
 	top := openSection(errs, "", 0, exprs)
 	s := &Settings{}
-	top.subsection("nats", func(in *section) { s.NATS = readNATS(in, classes) }, "request")
-	top.subsection("placement", func(in *section) { s.Placement = readPlacement(in) },
+	top.subsection("nats", func(sub *section) { s.NATS = readNATS(sub, classes) }, "request")
+	top.subsection("placement", func(sub *section) { s.Placement = readPlacement(sub) },
 		"capacity", "demand", "crossing", "constraint", "batch")
-	top.subsection("plan", func(in *section) { s.Plan = readPlanSettings(in) })
-	top.subsection("cluster", func(in *section) { s.Cluster = readCluster(in, classes) }, "member", "tier")
+	top.subsection("plan", func(sub *section) { s.Plan = readPlanSettings(sub) })
+	top.subsection("cluster", func(sub *section) { s.Cluster = readCluster(sub, classes) }, "member", "tier")
 	top.close()
-	if err := errs.joined(); err != nil {
+	if err := errs.join(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
+// readPlanSettings reads the section plan.
 func readPlanSettings(s *section) *PlanSettings {
 	p := &PlanSettings{File: s.text("file"), Zone: s.text("zone")}
 	if p.File == "" {
--- a/config/operator/placement.go
+++ b/config/operator/placement.go
@@ -8,22 +8,23 @@
 	"example.org/milletvane/placement"
 )
 
-// Placement is what plans are worked out from, but for the list of nodes.
+// Placement holds the input for the computation of plans, apart from the list of nodes.
 type Placement struct {
-	Capacity    map[string]int64 // by the list's kind, in units of load
+	Capacity    map[string]int64 // of a node, in units of load, by the kind that the endpoint list gives it
 	Demands     []placement.Demand
 	Crossings   []placement.Crossing
-	DefaultCost int64 // of a crossing that none of Crossings names, for each unit of load
+	DefaultCost int64 // per unit of load, of a crossing between zones that Crossings does not name
 	Constraints []placement.Constraint
 	Batches     []placement.Batch
-	Order       []placement.Goal // in which goals count; nil: the default order
+	Order       []placement.Goal // of the goals, the first one first; nil means the default order
 }
 
+// readPlacement reads the section placement.
 func readPlacement(s *section) *Placement {
 	p := &Placement{Capacity: map[string]int64{}}
 	s.entries("capacity", func(e *entry) {
 		kind := e.text("a kind of node")
-		if _, twice := p.Capacity[kind]; twice {
+		if _, repeated := p.Capacity[kind]; repeated {
 			e.fail(e.form.line, "%q is given twice", kind)
 		}
 		p.Capacity[kind] = e.number("its capacity", 0, placement.MaxLoad)
@@ -49,12 +50,12 @@
 	return p
 }
 
-// readGoals reads the order in which goals count: each of them, once.
+// readGoals reads the order of the goals, which must name each goal once.
 func readGoals(e *entry) (order []placement.Goal) {
-	for e.more() {
+	for e.hasMore() {
 		x, _ := e.next("a goal")
-		word, ok := x.atom.(edn.Symbol)
-		goal := placement.Goal(word)
+		symbol, ok := x.atom.(edn.Symbol)
+		goal := placement.Goal(symbol)
 		if !ok || !slices.Contains(placement.DefaultOrder, goal) || slices.Contains(order, goal) {
 			e.fail(x.line, "%s is not one of %v, each once", x, placement.DefaultOrder)
 		}
--- a/config/operator/placement_test.go
+++ b/config/operator/placement_test.go
@@ -46,13 +46,13 @@
 			`(headroom 8 10)`, `(headroom 8)`,
 			`f:3: placement.constraint.b: a part's denominator is missing`,
 		},
-		"no string": {`(spread "x" 2 5)`, `(spread 2)`, `f:4: placement.constraint.d: 2 is not a class, a string`},
+		"not a string": {`(spread "x" 2 5)`, `(spread 2)`, `f:4: placement.constraint.d: 2 is not a class, a string`},
 		"repeated constraint": {
 			`(constraint "d"`, `(constraint "a"`,
 			`f:4: placement.constraint: "a" is given twice, first on line 3`,
 		},
-		"value too many": {`"z" "x" 4`, `"z" "x" 4 5`, `f:2: placement.demand: 5 is one value too many`},
-		"two goals": {
+		"extra value": {`"z" "x" 4`, `"z" "x" 4 5`, `f:2: placement.demand: 5 is one value too many`},
+		"missing goals": {
 			`(batch "n" 2)`, `(goals fullest moves)`,
 			`f:2: placement.goals: 2 goals are named and 4 wanted`,
 		},
@@ -62,9 +62,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("f", change{c.from, c.to}.of(t, samplePlacement), nil)
+			_, err := Parse("f", change{c.from, c.to}.applyTo(t, samplePlacement), nil)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("Parse: %v, want %s", err, c.want)
+				t.Errorf("Parse: %v, want an error that contains %q", err, c.want)
 			}
 		})
 	}
--- a/config/operator/plan.go
+++ b/config/operator/plan.go
@@ -12,31 +12,32 @@
 	"example.org/milletvane/placement"
 )
 
-// PlanFormat is the version of plan files that this program writes, and the newest that it reads.
+// PlanFormat is the version of the plan file format that this program writes, and the newest that it reads.
 const PlanFormat = 1
 
-// Plan is a plan file: what each node is to carry, now and after losses, and what that was worked out from.
+// Plan is the content of a plan file: the load that each node shall carry, now and after losses, and the input from which that
+// was computed.
 type Plan struct {
 	Version       int64
-	ListHash      uint64 // of the nodes that it is for
+	ListHash      uint64 // of the list of nodes that the plan is for
 	SettingsHash  uint64 // of the placement settings
-	Proven        bool   // no plan is better
+	Proven        bool   // whether no better plan exists
 	Goals         placement.Goals
 	Load          map[string]int64 // by node, in units of load
 	Flows         []placement.Flow
 	Contingencies []PlanContingency
 }
 
-// PlanContingency is a loss of nodes with the plan for it.
+// PlanContingency is the plan for one loss of nodes.
 type PlanContingency struct {
 	Name  string
-	Lost  []string         // nodes
-	Short int64            // units of load that are not carried then
-	Load  map[string]int64 // of nodes that carry something else than in the plan
-	Flows []placement.Flow // all of them; none: there is no plan for this loss
+	Lost  []string         // the lost nodes
+	Short int64            // units of load that are not carried after the loss
+	Load  map[string]int64 // by node, of nodes whose load differs from the plan's
+	Flows []placement.Flow // all flows after the loss; empty if there is no plan for it
 }
 
-// Marshal is the file's text. Its last form is a checksum of all before it.
+// Marshal returns the text of the plan file. Its last form is a checksum of everything before it.
 func (p *Plan) Marshal() []byte {
 	w := &planWriter{}
 	w.printf("; Worked out by milletvane plan solve. Changed by hand it is not taken.\n")
@@ -53,6 +54,7 @@
 	return w.text.Bytes()
 }
 
+// planWriter holds the text of a plan file as it is written.
 type planWriter struct{ text bytes.Buffer }
 
 func (w *planWriter) printf(format string, args ...any) { fmt.Fprintf(&w.text, format, args...) }
@@ -80,9 +82,10 @@
 	w.printf(" )\n")
 }
 
+// quote returns a string as an EDN literal.
 func quote(s string) string {
 	text, err := edn.Marshal(s)
-	if err != nil { // of a string: it cannot be
+	if err != nil { // can't happen: every string has an encoding
 		panic(err)
 	}
 	return string(text)
--- a/config/operator/plan_format_test.go
+++ b/config/operator/plan_format_test.go
@@ -18,7 +18,7 @@
 	"example.org/milletvane/placement"
 )
 
-// appendPlan prints a plan file, field by field.
+// appendPlan prints all fields of a plan.
 func appendPlan(b *bytes.Buffer, p *Plan) {
 	loads := func(indent string, load map[string]int64) {
 		for _, id := range slices.Sorted(maps.Keys(load)) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// fullPlan has a value of its own in every field.
+// fullPlan returns a plan in which every field is set.
 func fullPlan() *Plan {
 	return &Plan{
 		Version: 3, ListHash: 0x1f2e3d4c5b6a7988, SettingsHash: 2, Proven: true,
@@ -61,15 +61,15 @@
 	}
 }
 
-// Plan files are written byte for byte as by earlier builds.
-func TestFormatOfPlanWritten(t *testing.T) {
+// Plan files are written byte for byte as earlier builds wrote them.
+func TestWrittenPlansMatchGolden(t *testing.T) {
 	for name, p := range map[string]*Plan{"plan-full.edn": fullPlan(), "plan-zero.edn": {}} {
 		t.Run(name, func(t *testing.T) { golden.Check(t, name, p.Marshal()) })
 	}
 }
 
-// Plan files of earlier builds are read field by field and written again as they were.
-func TestFormatOfPlanReadAndWrittenAgain(t *testing.T) {
+// Plan files of earlier builds have the fields that the golden files hold, and are written again byte for byte.
+func TestPlansRoundTripByteForByte(t *testing.T) {
 	for _, name := range []string{"plan-full", "plan-zero"} {
 		t.Run(name, func(t *testing.T) {
 			text, err := os.ReadFile(filepath.Join("testdata", name+".edn"))
@@ -78,11 +78,11 @@
 			}
 			p, err := ParsePlan("p", text)
 			if name == "plan-full" {
-				// A node without a name is written, and not read.
+				// Marshal writes a node without a name, and ParsePlan rejects it.
 				if err == nil || err.Error() != `p:6: node: "" is not a node, a string` {
-					t.Fatalf("a node without a name: %v", err)
+					t.Fatalf("ParsePlan with a node without a name: %v", err)
 				}
-				text = sealed(strings.Replace(body(string(text)), "(node \"\" 0)\n", "", 1))
+				text = withChecksum(strings.Replace(withoutChecksum(string(text)), "(node \"\" 0)\n", "", 1))
 				p, err = ParsePlan("p", text)
 			}
 			if err != nil {
@@ -92,49 +92,50 @@
 			appendPlan(&b, p)
 			golden.Check(t, name+".fields", b.Bytes())
 			if again := p.Marshal(); !bytes.Equal(again, text) {
-				t.Errorf("written again:\n%s\nwant:\n%s", again, text)
+				t.Errorf("Marshal() of the parsed plan:\n%s\nwant:\n%s", again, text)
 			}
 		})
 	}
 }
 
-// body is the text of a plan file without its checksum.
-func body(text string) string { return text[:strings.LastIndex(text, "(sum ")] }
+// withoutChecksum returns the text of a plan file without its last form, the checksum.
+func withoutChecksum(text string) string { return text[:strings.LastIndex(text, "(sum ")] }
 
-// sealed adds the checksum to a text, as the format states it.
-func sealed(body string) []byte {
+// withChecksum returns a text with its checksum appended in the plan file format.
+func withChecksum(body string) []byte {
 	return fmt.Appendf([]byte(body), "(sum \"%016x\")\n", xxhash.Sum64String(body))
 }
 
-// Good and bad plan files, each with a checksum that fits unless it says otherwise.
-func TestFormatOfPlanForms(t *testing.T) {
+// Valid and invalid plan files give the plans and errors in the golden file. Each has a matching checksum, unless its name says
+// otherwise.
+func TestPlanFormsMatchGolden(t *testing.T) {
 	full, err := os.ReadFile(filepath.Join("testdata", "plan-full.edn"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := strings.Replace(body(string(full)), "(node \"\" 0)\n", "", 1)
+	base := strings.Replace(withoutChecksum(string(full)), "(node \"\" 0)\n", "", 1)
 	var b bytes.Buffer
 	check := func(name string, text []byte) {
 		t.Helper()
 		fmt.Fprintf(&b, "== %s\n", name)
 		p, err := ParsePlan("p", text)
 		if err != nil {
-			var f FileError
-			fmt.Fprintf(&b, "%v\nis a fault of the file: %t\n", err, errors.As(err, &f))
+			var fileErr FileError
+			fmt.Fprintf(&b, "%v\nis a fault of the file: %t\n", err, errors.As(err, &fileErr))
 			return
 		}
 		appendPlan(&b, p)
 	}
 	for _, c := range planFileChanges {
-		check(fmt.Sprintf("%q => %q", c.from, c.to), sealed(string(c.of(t, base))))
+		check(fmt.Sprintf("%q => %q", c.from, c.to), withChecksum(string(c.applyTo(t, base))))
 	}
 	check("no checksum", []byte(base))
-	check("checksum of another text", []byte(strings.Replace(string(sealed(base)), "(version 3)", "(version 4)", 1)))
+	check("checksum of another text", []byte(strings.Replace(string(withChecksum(base)), "(version 3)", "(version 4)", 1)))
 	check("checksum that is no string", []byte(base+"(sum 7)\n"))
 	check("checksum of two values", []byte(base+"(sum \"7\" \"8\")\n"))
-	check("more after the checksum", append(sealed(base), []byte("(version 4)\n")...))
+	check("more after the checksum", append(withChecksum(base), []byte("(version 4)\n")...))
 	check("cut in a list", []byte(base[:len(base)-3]))
-	check("format alone", sealed("(format 1)\n"))
+	check("format alone", withChecksum("(format 1)\n"))
 	check("empty", nil)
 	golden.Check(t, "plan-forms.txt", b.Bytes())
 }
--- a/config/operator/plan_test.go
+++ b/config/operator/plan_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestPlanIsReadAsWritten(t *testing.T) {
+func TestPlanRoundTrip(t *testing.T) {
 	want := samplePlan()
 	got, err := ParsePlan("p", want.Marshal())
 	if err != nil {
@@ -36,17 +36,18 @@
 	}
 }
 
-// A file that is cut short or altered is refused, whatever byte it is.
-func TestDamagedPlans(t *testing.T) {
+// A plan file that is truncated after any byte is rejected. With one bit flipped in any byte it is rejected too, or still read
+// as the same plan.
+func TestDamagedPlansAreRejected(t *testing.T) {
 	text := string(samplePlan().Marshal())
 	for n := range len(text) - 1 {
 		if _, err := ParsePlan("p", []byte(text[:n])); err == nil {
-			t.Fatalf("read, though cut short after %d bytes", n)
+			t.Fatalf("ParsePlan accepts a file that is truncated after %d bytes", n)
 		}
 		changed := []byte(text)
 		changed[n] ^= 1
 		if p, err := ParsePlan("p", changed); err == nil && !cmp.Equal(p, samplePlan()) {
-			t.Fatalf("read, with byte %d altered", n)
+			t.Fatalf("ParsePlan reads another plan from a file with byte %d altered", n)
 		}
 	}
 }
@@ -54,14 +55,14 @@
 func TestPlanErrors(t *testing.T) {
 	text := string(samplePlan().Marshal())
 	for name, c := range map[string]struct{ from, to, want string }{
-		"newer format": {`(format 1)`, `(format 2)`, "p:2: format: 2 is not one that this program knows; 1 is the newest"},
-		"altered load": {`(node "b" 2)`, `(node "b" 3)`, "sum: "},
-		"sum misspelt": {`(sum`, `(sun`, "sum: is missing: the file is cut short"},
+		"newer format":     {`(format 1)`, `(format 2)`, "p:2: format: 2 is not one that this program knows; 1 is the newest"},
+		"altered load":     {`(node "b" 2)`, `(node "b" 3)`, "sum: "},
+		"missing checksum": {`(sum`, `(sun`, "sum: is missing: the file is cut short"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := ParsePlan("p", change{c.from, c.to}.of(t, text))
+			_, err := ParsePlan("p", change{c.from, c.to}.applyTo(t, text))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("ParsePlan: %v, want %s", err, c.want)
+				t.Errorf("ParsePlan: %v, want an error that contains %q", err, c.want)
 			}
 		})
 	}
--- a/config/operator/planparse.go
+++ b/config/operator/planparse.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxPlanVersion = 1 << 53 // that every reader of numbers keeps exactly
-	maxPlanNumber  = 1 << 62 // of goals, and of load that is not carried
+	maxPlanVersion = 1 << 53 // a float64 holds each integer up to here exactly
+	maxGoalValue   = 1 << 62 // of a goal's value, and of the load that is not carried
 )
 
-// ParsePlan reads a plan file. One that is cut short, altered or of a newer program is a FileError.
+// ParsePlan reads a plan file. The error is a FileError, also for a file that is truncated, altered, or of a newer format.
 func ParsePlan(file string, text []byte) (*Plan, error) {
 	exprs, err := readExprs(file, text)
 	if err != nil {
@@ -26,7 +26,7 @@
 	if err := errs.first(); err != nil {
 		return nil, err
 	}
-	checkPlanSum(errs, exprs[len(exprs)-1], text)
+	checkPlanChecksum(errs, exprs[len(exprs)-1], text)
 	if err := errs.first(); err != nil {
 		return nil, err
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// checkPlanSum checks the last form of a plan file, (sum "checksum").
-func checkPlanSum(errs *errorList, last expr, text []byte) {
+// checkPlanChecksum checks the last form of a plan file, (sum "checksum").
+func checkPlanChecksum(errs *errorList, last expr, text []byte) {
 	summed := bytes.LastIndex(text, []byte("(sum "))
 	if !last.isForm("sum") || len(last.list) != 2 || summed < 0 {
 		errs.add(last.line, "sum", "is missing: the file is cut short")
@@ -65,15 +65,16 @@
 	}
 }
 
+// readPlan reads the forms between the format and the checksum.
 func readPlan(s *section) *Plan {
 	p := &Plan{}
 	s.entries("version", func(e *entry) { p.Version = e.number("a version", 0, maxPlanVersion) })
-	s.subsection("made-for", func(in *section) {
-		p.ListHash, p.SettingsHash = in.hash("list"), in.hash("settings")
+	s.subsection("made-for", func(sub *section) {
+		p.ListHash, p.SettingsHash = sub.hash("list"), sub.hash("settings")
 	})
-	s.subsection("goals", func(in *section) {
-		p.Goals = readGoalFigures(in)
-		p.Proven = in.boolean("proven")
+	s.subsection("goals", func(sub *section) {
+		p.Goals = readGoalValues(sub)
+		p.Proven = sub.boolean("proven")
 	})
 	p.Load = readLoads(s)
 	p.Flows = readFlows(s)
@@ -81,14 +82,16 @@
 	return p
 }
 
-// hash reads a hash in hexadecimal digits. A text that is none is of no list and no settings, as 0 is.
+// hash reads a hash in hexadecimal digits. A text that is not a hash gives a value that matches no list and no settings, as 0
+// does.
 func (s *section) hash(key string) (hash uint64) {
 	s.entries(key, func(e *entry) { hash, _ = strconv.ParseUint(e.text("a hash"), 16, 64) })
 	return hash
 }
 
-func readGoalFigures(s *section) (g placement.Goals) {
-	figure := func(e *entry) int64 { return e.number("a figure", 0, maxPlanNumber) }
+// readGoalValues reads what the plan reaches for each goal.
+func readGoalValues(s *section) (g placement.Goals) {
+	figure := func(e *entry) int64 { return e.number("a figure", 0, maxGoalValue) }
 	s.entries("uncarried", func(e *entry) { g.Uncarried = figure(e) })
 	s.entries("crossings", func(e *entry) { g.Crossings = figure(e) })
 	s.entries("moves", func(e *entry) { g.Moves = figure(e) })
@@ -96,6 +99,7 @@
 	return g
 }
 
+// readLoads reads the load of each node.
 func readLoads(s *section) map[string]int64 {
 	load := map[string]int64{}
 	s.entries("node", func(e *entry) { load[e.text("a node")] = e.number("its load", 0, placement.MaxLoad) })
@@ -112,14 +116,15 @@
 	return flows
 }
 
+// readContingency reads the plan for one loss: its name, and the forms in it.
 func readContingency(e *entry) PlanContingency {
 	c := PlanContingency{Name: e.text("its name")}
-	in := openSection(e.section.errs, "contingency", e.form.line, e.values, "node", "flow")
+	sub := openSection(e.section.errs, "contingency", e.form.line, e.values, "node", "flow")
 	e.values = nil
-	in.entries("lost", func(e *entry) { c.Lost = e.texts("a node") })
-	in.entries("short", func(e *entry) { c.Short = e.number("units of load", 0, maxPlanNumber) })
-	c.Load = readLoads(in)
-	c.Flows = readFlows(in)
-	in.close()
+	sub.entries("lost", func(e *entry) { c.Lost = e.texts("a node") })
+	sub.entries("short", func(e *entry) { c.Short = e.number("units of load", 0, maxGoalValue) })
+	c.Load = readLoads(sub)
+	c.Flows = readFlows(sub)
+	sub.close()
 	return c
 }
--- a/config/operator/section.go
+++ b/config/operator/section.go
@@ -6,80 +6,80 @@
 	"time"
 )
 
-// section reads the keys of one list, (name (key value …) …), and adds all that is wrong to a list of errors. Each
-// method that reads a key marks it as known.
+// section reads the keys of one list, (name (key value …) …), and adds all errors to a list. Each method that reads a key marks
+// it as known.
 type section struct {
-	errs  *errorList
-	path  string // of keys, down to this section
-	line  int
-	exprs map[string][]expr // by key, with the key in front
-	known map[string]bool   // keys that were asked for
-	order []string          // of the keys in the file
+	errs       *errorList
+	path       string // the keys that lead to this section, joined by dots
+	line       int
+	formsByKey map[string][]expr // the forms (key value …) by key
+	knownKeys  map[string]bool   // keys that a method has read
+	keys       []string          // the keys as they are ordered in the file
 }
 
-// openSection takes the items of a list apart. Keys that may be given more than once are named.
+// openSection sorts the items of a list by key. Only the repeatable keys may occur more than once.
 func openSection(errs *errorList, path string, line int, items []expr, repeatable ...string) *section {
-	s := &section{errs: errs, path: path, line: line, exprs: map[string][]expr{}, known: map[string]bool{}}
+	s := &section{errs: errs, path: path, line: line, formsByKey: map[string][]expr{}, knownKeys: map[string]bool{}}
 	for _, item := range items {
 		key, ok := item.head()
 		if !ok {
 			s.fail(item.line, "", "%s is not (key value)", item)
 			continue
 		}
-		first, repeated := s.exprs[key]
+		first, repeated := s.formsByKey[key]
 		if repeated && !slices.Contains(repeatable, key) {
 			s.fail(item.line, key, "is given twice, first on line %d", first[0].line)
 			continue
 		}
 		if !repeated {
-			s.order = append(s.order, key)
+			s.keys = append(s.keys, key)
 		}
-		s.exprs[key] = append(s.exprs[key], item)
+		s.formsByKey[key] = append(s.formsByKey[key], item)
 	}
 	return s
 }
 
-// close reports the keys that nobody asked for.
+// close reports the keys that are not known: no method has read them.
 func (s *section) close() {
-	for _, key := range s.order {
-		if !s.known[key] {
-			s.fail(s.exprs[key][0].line, key, "is no known key")
+	for _, key := range s.keys {
+		if !s.knownKeys[key] {
+			s.fail(s.formsByKey[key][0].line, key, "is no known key")
 		}
 	}
 }
 
-// subsection reads the list of a key, where it is given.
+// subsection calls read with the section of a key, if the key is given, and closes the section.
 func (s *section) subsection(key string, read func(*section), repeatable ...string) (given bool) {
 	values, line := s.values(key)
 	if line == 0 {
 		return false
 	}
-	in := openSection(s.errs, joinPath(s.path, key), line, values, repeatable...)
-	read(in)
-	in.close()
+	sub := openSection(s.errs, joinPath(s.path, key), line, values, repeatable...)
+	read(sub)
+	sub.close()
 	return true
 }
 
-// fail adds an error about a key; "" is the section itself.
+// fail adds an error about a key, or about the section itself if key is empty.
 func (s *section) fail(line int, key, format string, args ...any) {
 	s.errs.add(line, joinPath(s.path, key), fmt.Sprintf(format, args...))
 }
 
-// all are the expressions of a key that may be given more than once.
-func (s *section) all(key string) []expr {
-	s.known[key] = true
-	return s.exprs[key]
+// forms returns the forms of a key, which may be repeatable.
+func (s *section) forms(key string) []expr {
+	s.knownKeys[key] = true
+	return s.formsByKey[key]
 }
 
-// values are the values of a key and its line; 0: it is not given.
+// values returns the values of a key and its line. The line is 0 if the key is not given.
 func (s *section) values(key string) (values []expr, line int) {
-	if given := s.all(key); len(given) > 0 {
+	if given := s.forms(key); len(given) > 0 {
 		return given[0].list[1:], given[0].line
 	}
 	return nil, 0
 }
 
-// value is the single value of a key.
+// value returns the only value of a key and true, or false if the key is not given or has another number of values.
 func (s *section) value(key string) (expr, bool) {
 	values, line := s.values(key)
 	if line == 0 {
@@ -92,7 +92,7 @@
 	return values[0], true
 }
 
-// text is the string of a key; "" where it is not given.
+// text returns the string of a key. Defaults to an empty string.
 func (s *section) text(key string) string {
 	v, ok := s.value(key)
 	if !ok {
@@ -105,6 +105,7 @@
 	return text
 }
 
+// integer returns the integer of a key, from minValue to maxValue.
 func (s *section) integer(key string, defaultValue, minValue, maxValue int) int {
 	v, ok := s.value(key)
 	if !ok {
@@ -122,7 +123,7 @@
 	return int(n)
 }
 
-// boolean is the boolean of a key; false where it is not given.
+// boolean returns the boolean of a key. Defaults to false.
 func (s *section) boolean(key string) bool {
 	v, ok := s.value(key)
 	if !ok {
@@ -135,6 +136,7 @@
 	return b
 }
 
+// duration returns the duration of a key, from minValue to maxValue.
 func (s *section) duration(key string, defaultValue, minValue, maxValue time.Duration) time.Duration {
 	v, ok := s.value(key)
 	if !ok {
