--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -5,7 +5,7 @@
 	"example.org/milletvane/internal/discovery/refresh"
 )
 
-// The platform's words for what may be done with a class's requests more than once, and where repeats are recognised.
+// The platform's words for the idempotency of a class's requests, and for the scope in which duplicates are detected.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"":             balancer.NonIdempotent,
@@ -24,7 +24,7 @@
 // Balancer reads the settings of the balancer. An error is a *ValueError.
 func (p Pairs) Balancer() (*balancer.Settings, error) {
 	d := &decoder{pairs: p}
-	if d.number("rules.start_capacity") > 1 { // of no use to the balancer, but a contradiction
+	if d.number("rules.start_capacity") > 1 { // the balancer doesn't use it, but a value above 1 contradicts itself
 		d.fail("rules.start_capacity", "a share, between 0 and 1")
 	}
 	s := &balancer.Settings{
@@ -50,18 +50,20 @@
 	return s, d.err
 }
 
+// classes reads the list of classes.
 func (d *decoder) classes() (classes []balancer.Class) {
 	messageObjectives := d.durations("family_info.message_aim_ns")
-	for i := range d.count("classes") {
+	for i := range d.listLen("classes") {
 		class := d.class(i)
-		class.MessageLatencyObjective = at(messageObjectives, i)
+		class.MessageLatencyObjective = itemOrZero(messageObjectives, i)
 		classes = append(classes, class)
 	}
 	return classes
 }
 
+// class reads the class at an index of the list.
 func (d *decoder) class(index int) balancer.Class {
-	member := func(name string) string { return item("classes", index, name) }
+	member := func(name string) string { return memberPath("classes", index, name) }
 	idempotency, ok := idempotencies[d.pairs[member("effect")]]
 	if !ok {
 		d.fail(member("effect"), "a known effect")
@@ -81,16 +83,19 @@
 	}
 }
 
+// tenants reads the list of tenants, with their connection quotas from a list of its own.
 func (d *decoder) tenants() (tenants []balancer.Tenant) {
 	quotas := d.numbers("family_info.tenant_quota_connections")
-	for i := range d.count("tenants") {
-		tenants = append(tenants, balancer.Tenant{Name: d.pairs[item("tenants", i, "name")], ConnectionQuota: at(quotas, i)})
+	for i := range d.listLen("tenants") {
+		tenants = append(tenants, balancer.Tenant{
+			Name: d.pairs[memberPath("tenants", i, "name")], ConnectionQuota: itemOrZero(quotas, i),
+		})
 	}
 	return tenants
 }
 
-// ListRefresh reads the settings of the endpoint list's refresh. Where nothing says who has the list, it is polled: an
-// address is given, so there is something to poll. An error is a *ValueError.
+// ListRefresh reads the settings of the endpoint list's refresh. If the settings don't say how the list is obtained, it is
+// polled, as a gateway always has the address of its discovery. An error is a *ValueError.
 func (p Pairs) ListRefresh() (refresh.Settings, error) {
 	d := &decoder{pairs: p}
 	s := refresh.Settings{
--- a/internal/settings/decoder.go
+++ b/internal/settings/decoder.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	maxItems  = 10_000 // of a list of settings
-	maxNumber = 1e18   // of a number that may have a fraction
+	maxItems  = 10_000 // in a list of objects
+	maxNumber = 1e18   // for a number that may have a fraction
 )
 
-// decoder reads values and keeps the first error.
+// decoder reads values by their paths and keeps the first error. Absent values and those with an error are read as zero.
 type decoder struct {
 	pairs Pairs
 	err   error
 }
 
+// fail records that a value is not what it should be, unless an earlier error is recorded.
 func (d *decoder) fail(path, want string) {
 	if d.err == nil {
 		d.err = &ValueError{Path: path, Value: d.pairs[path], Want: want}
 	}
 }
 
-// given returns a value; ok is false where it is absent.
-func (d *decoder) given(path string) (value string, ok bool) {
+// lookup returns a value; ok is false if it is absent, empty or null.
+func (d *decoder) lookup(path string) (value string, ok bool) {
 	value = d.pairs[path]
 	return value, value != "" && value != null
 }
 
+// number reads a number from 0 to maxNumber, which may have a fraction.
 func (d *decoder) number(path string) float64 {
-	value, ok := d.given(path)
+	value, ok := d.lookup(path)
 	if !ok {
 		return 0
 	}
@@ -41,17 +43,18 @@
 	return x
 }
 
-// parseNumber reads a number from 0 to maxNumber.
+// parseNumber parses a number from 0 to maxNumber.
 func parseNumber(s string) (x float64, ok bool) {
 	x, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(x >= 0 && x <= maxNumber) { // NaN is neither
+	if err != nil || !(x >= 0 && x <= maxNumber) { // false for NaN too
 		return 0, false
 	}
 	return x, true
 }
 
+// integer reads an integer of 0 or more.
 func (d *decoder) integer(path string) int64 {
-	value, ok := d.given(path)
+	value, ok := d.lookup(path)
 	if !ok {
 		return 0
 	}
@@ -66,8 +69,9 @@
 // duration reads a whole number of nanoseconds.
 func (d *decoder) duration(path string) time.Duration { return time.Duration(d.integer(path)) }
 
+// boolean reads a boolean in one of the forms that ParseBool knows.
 func (d *decoder) boolean(path string) bool {
-	value, ok := d.given(path)
+	value, ok := d.lookup(path)
 	if !ok {
 		return false
 	}
@@ -78,8 +82,8 @@
 	return v
 }
 
-// count is the length of a list of objects.
-func (d *decoder) count(path string) int {
+// listLen reads the length of a list of objects, at most maxItems.
+func (d *decoder) listLen(path string) int {
 	n := d.integer(path + ".count")
 	if n > maxItems {
 		d.fail(path+".count", "a count in range")
@@ -88,12 +92,12 @@
 	return int(n)
 }
 
-// item is the path of a member of an object in a list.
-func item(list string, index int, member string) string {
+// memberPath returns the path of a member of an object in a list.
+func memberPath(list string, index int, member string) string {
 	return list + "." + strconv.Itoa(index) + "." + member
 }
 
-// numbers reads a list of plain values; null ones are 0.
+// numbers reads a list of numbers, which are separated by commas. Null is read as 0.
 func (d *decoder) numbers(path string) (list []float64) {
 	if d.pairs[path] == "" {
 		return nil
@@ -113,7 +117,7 @@
 	return list
 }
 
-// durations reads a list of numbers of nanoseconds.
+// durations reads a list of numbers of nanoseconds. Fractions are cut off.
 func (d *decoder) durations(path string) (list []time.Duration) {
 	for _, x := range d.numbers(path) {
 		list = append(list, time.Duration(x))
@@ -121,8 +125,8 @@
 	return list
 }
 
-// at is the item of a list; the zero value where the list is shorter.
-func at[T any](list []T, index int) (item T) {
+// itemOrZero returns the item at an index of a list, or the zero value if the list is shorter.
+func itemOrZero[T any](list []T, index int) (item T) {
 	if index < len(list) {
 		item = list[index]
 	}
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// ErrNotObject says that nested settings are valid JSON, but no object.
+// ErrNotObject says that nested settings are valid JSON but not an object.
 var ErrNotObject = errors.New("not an object")
 
-// Flatten turns nested JSON settings into pairs: members are joined by dots, a list of plain values becomes one value with
-// commas, and a list of objects its length under .count and its items under .0, .1 and on. The errors are those of JSON,
-// and ErrNotObject.
+// Flatten turns nested JSON settings into pairs. The names of nested members are joined by dots. A list gives its length under
+// .count, its plain values as one value that is separated by commas, and its objects and lists under .0, .1 and so on. The
+// error is that of the JSON decoder, or ErrNotObject.
 func Flatten(nested []byte) (Pairs, error) {
 	decoder := json.NewDecoder(bytes.NewReader(nested))
 	decoder.UseNumber() // whole numbers of nanoseconds keep every digit
@@ -30,6 +30,7 @@
 	return p, nil
 }
 
+// flatten adds the pairs of a JSON value at a path.
 func (p Pairs) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -46,6 +47,7 @@
 	}
 }
 
+// flattenList adds the pairs of a list at a path.
 func (p Pairs) flattenList(path string, list []any) {
 	plain := make([]string, 0, len(list))
 	for i, value := range list {
@@ -60,7 +62,7 @@
 	p[path] = strings.Join(plain, ",")
 }
 
-// plainText is the text of a JSON value that is neither an object nor a list.
+// plainText returns the text of a JSON value that is neither an object nor a list.
 func plainText(value any) string {
 	if value == nil {
 		return null
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -10,43 +10,44 @@
 	"example.org/milletvane/internal/golden"
 )
 
-// appendAll prints what the three readers make of pairs, field by field, or their faults.
+// appendAll prints all fields of the balancer's, the list refresh's and the gateway's settings, or the errors.
 func appendAll(b *bytes.Buffer, p Pairs) {
-	if r, err := p.Balancer(); err != nil {
+	if balancer, err := p.Balancer(); err != nil {
 		fmt.Fprintf(b, "rules: %v\n", err)
 	} else {
 		fmt.Fprintf(b, "rules seed=%d gateways=%d over_share_worth=%g max_attempts=%d park=%s drain_grace=%s\n",
-			r.Seed, r.Gateways, r.OverQuotaWeightFactor, r.MaxAttempts, r.FlowRetention, r.DrainGrace)
+			balancer.Seed, balancer.Gateways, balancer.OverQuotaWeightFactor, balancer.MaxAttempts,
+			balancer.FlowRetention, balancer.DrainGrace)
 		fmt.Fprintf(b,
 			"rules cold=%s tip_multiple=%g tip=%s gone_is_advice=%t max_retry_after=%s reports=%t span=%s free=%g share=%g\n",
-			r.WarmupDuration, r.ColdOverloadFactor, r.ColdOverloadDuration, r.RemovalIsAdvisory, r.MaxRetryAfter, r.CanPollLoad,
-			r.RetryBudgetWindow, r.RetryBudgetMin, r.RetryBudgetRatio)
-		for _, k := range r.Classes {
+			balancer.WarmupDuration, balancer.ColdOverloadFactor, balancer.ColdOverloadDuration, balancer.RemovalIsAdvisory,
+			balancer.MaxRetryAfter, balancer.CanPollLoad, balancer.RetryBudgetWindow, balancer.RetryBudgetMin, balancer.RetryBudgetRatio)
+		for _, class := range balancer.Classes {
 			fmt.Fprintf(b, "class %q effect=%d scope=%d window=%s worth=%g aim=%s deadline=%s message_aim=%s\n",
-				k.Name, int(k.Idempotency), int(k.DedupScope), k.DedupWindow, k.PriorityWeight, k.SetupLatencyObjective, k.Timeout,
-				k.MessageLatencyObjective)
+				class.Name, int(class.Idempotency), int(class.DedupScope), class.DedupWindow, class.PriorityWeight,
+				class.SetupLatencyObjective, class.Timeout, class.MessageLatencyObjective)
 		}
-		for _, t := range r.Tenants {
-			fmt.Fprintf(b, "tenant %q quota=%g\n", t.Name, t.ConnectionQuota)
+		for _, tenant := range balancer.Tenants {
+			fmt.Fprintf(b, "tenant %q quota=%g\n", tenant.Name, tenant.ConnectionQuota)
 		}
 	}
-	if l, err := p.ListRefresh(); err != nil {
+	if list, err := p.ListRefresh(); err != nil {
 		fmt.Fprintf(b, "list: %v\n", err)
 	} else {
-		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", l.LocalAgent, l.Gateways,
-			l.MaxPollInterval, l.DrainGrace, l.Seed)
+		fmt.Fprintf(b, "list pushed=%t gateways=%d ask_within=%s drain_grace=%s seed=%d\n", list.LocalAgent, list.Gateways,
+			list.MaxPollInterval, list.DrainGrace, list.Seed)
 	}
-	if n, err := p.Gateway(); err != nil {
+	if gateway, err := p.Gateway(); err != nil {
 		fmt.Fprintf(b, "node: %v\n", err)
 	} else {
 		fmt.Fprintf(b,
 			"node connect_timeout=%s pass=%t tells_delay=%t tells_load=%t probes=%t message_aim=%s answer_slack=%s longest_wait=%s\n",
-			n.ConnectTimeout, n.ConnectionsOutliveGateway, n.ReportsMessageDelay, n.ReportsConnectionLoad, n.CanPollLoad,
-			n.MessageLatencyObjective, n.AnswerGrace, n.MaxClassTimeout)
+			gateway.ConnectTimeout, gateway.ConnectionsOutliveGateway, gateway.ReportsMessageDelay, gateway.ReportsConnectionLoad,
+			gateway.CanPollLoad, gateway.MessageLatencyObjective, gateway.AnswerGrace, gateway.MaxClassTimeout)
 	}
 }
 
-// fullPairs gives each path that is read a value of its own.
+// fullPairs returns a value for every path that is read, most of them distinct.
 func fullPairs() Pairs {
 	return Pairs{
 		"init_seed": "77", "replicas_of_me": "3", "over_share_worth": "0.5", "discovery": "push",
@@ -71,8 +72,9 @@
 	}
 }
 
-// Every path, with good and bad values: absent, empty, null, bounds, and what is none of its kind.
-func TestFormatOfValues(t *testing.T) {
+// Each path with valid and invalid values gives the settings or the error text in the golden file: with an empty value, null,
+// values at the bounds, and values of another type.
+func TestValuesMatchGolden(t *testing.T) {
 	var b bytes.Buffer
 	b.WriteString("== none\n")
 	appendAll(&b, Pairs{})
@@ -80,7 +82,7 @@
 	var full bytes.Buffer
 	appendAll(&full, fullPairs())
 	b.Write(full.Bytes())
-	usual := strings.Split(strings.TrimSpace(full.String()), "\n") // lines that are not printed again
+	fullLines := strings.Split(strings.TrimSpace(full.String()), "\n") // not printed again for each value
 	paths := []string{}
 	for path := range fullPairs() {
 		paths = append(paths, path)
@@ -93,12 +95,12 @@
 		} {
 			p := fullPairs()
 			p[path] = value
-			var one bytes.Buffer
-			appendAll(&one, p)
-			lines := strings.Split(strings.TrimSpace(one.String()), "\n")
+			var result bytes.Buffer
+			appendAll(&result, p)
+			lines := strings.Split(strings.TrimSpace(result.String()), "\n")
 			fmt.Fprintf(&b, "== %s=%s: %d lines\n", path, value, len(lines))
 			for _, line := range lines {
-				if !slices.Contains(usual, line) {
+				if !slices.Contains(fullLines, line) {
 					fmt.Fprintf(&b, "%s\n", line)
 				}
 			}
@@ -107,8 +109,8 @@
 	golden.Check(t, "values.txt", b.Bytes())
 }
 
-// Nested JSON becomes pairs, or a fault.
-func TestFormatOfFlatten(t *testing.T) {
+// Flatten gives the pairs or the error text in the golden file.
+func TestFlattenMatchesGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, text := range []string{
 		`{}`, `{"a":1,"b":{"c":"x","d":{"e":true}},"f":null}`, `{"n":9223372036854775807,"x":1.50,"y":1e3,"z":-0,"s":"1"}`,
@@ -135,10 +137,10 @@
 	golden.Check(t, "flatten.txt", b.Bytes())
 }
 
-func TestFormatOfBools(t *testing.T) {
+func TestParseBool(t *testing.T) {
 	for _, c := range []struct {
-		text   string
-		v, isA bool
+		text     string
+		want, ok bool
 	}{
 		{"1", true, true},
 		{"true", true, true},
@@ -151,8 +153,8 @@
 		{"null", false, false},
 		{" 1", false, false},
 	} {
-		if v, ok := ParseBool(c.text); v != c.v || ok != c.isA {
-			t.Errorf("ParseBool(%q) = %t, %t, want %t, %t", c.text, v, ok, c.v, c.isA)
+		if v, ok := ParseBool(c.text); v != c.want || ok != c.ok {
+			t.Errorf("ParseBool(%q) = %t, %t, want %t, %t", c.text, v, ok, c.want, c.ok)
 		}
 	}
 }
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Gateway holds the settings that a real gateway itself goes by; the balancer's decisions don't depend on them.
+// Gateway holds the settings of the gateway that serves real connections. The balancer's decisions don't depend on them.
 type Gateway struct {
-	ConnectTimeout            time.Duration // until a connection to a server is established; 0: no bound is stated
-	ConnectionsOutliveGateway bool          // their packets reach another gateway when this one is gone
-	ReportsMessageDelay       bool          // the balancer wants to know of slow messages
-	ReportsConnectionLoad     bool          // and of the connections' loads
-	CanPollLoad               bool          // servers may be polled for their load, and report it
-	MessageLatencyObjective   time.Duration // the shortest of the classes' ones; 0: none is stated
-	AnswerGrace               time.Duration // a final answer may come this long after the client's deadline
-	MaxClassTimeout           time.Duration // the longest time that a class's clients wait; 0: none is stated
+	ConnectTimeout            time.Duration // for a connection to a server to be established; zero means that no bound is stated
+	ConnectionsOutliveGateway bool          // whether their packets reach another gateway when this one is gone
+	ReportsMessageDelay       bool          // whether the balancer is notified of slow messages
+	ReportsConnectionLoad     bool          // whether the balancer is notified of the connections' loads
+	CanPollLoad               bool          // whether servers may be polled and include their load in the answer
+	MessageLatencyObjective   time.Duration // the shortest objective of a class; zero means that none is stated
+	AnswerGrace               time.Duration // how long after the client's deadline a final answer still counts
+	MaxClassTimeout           time.Duration // the longest timeout of a class; zero means that none is stated
 }
 
 // Gateway reads the settings of a gateway. An error is a *ValueError.
@@ -40,13 +40,13 @@
 			g.MessageLatencyObjective = objective
 		}
 	}
-	for i := range d.count("classes") {
-		g.MaxClassTimeout = max(g.MaxClassTimeout, d.duration(item("classes", i, "give_up_ns")))
+	for i := range d.listLen("classes") {
+		g.MaxClassTimeout = max(g.MaxClassTimeout, d.duration(memberPath("classes", i, "give_up_ns")))
 	}
 	return g, d.err
 }
 
-// reportsLoad reports whether servers' answers to polls hold their load, in one of the two fields for it.
+// reportsLoad reports whether servers' answers to load polls include one of the two fields that hold their load.
 func (p Pairs) reportsLoad() bool {
 	fields := strings.Split(p["reporting.fields"], ",")
 	return slices.Contains(fields, "x0") || slices.Contains(fields, "x1")
