--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli is milletvane's command line, and what signals do: SIGTERM and SIGINT shut the program down gracefully,
-// SIGHUP reloads its configuration. A call of Run owns all its state, and returns once its goroutines have ended.
+// Package cli implements milletvane's command line and its signal handling: SIGTERM and SIGINT shut the program down
+// gracefully, SIGHUP reloads its configuration. Each call of Run has a state of its own, and returns after its goroutines have
+// ended.
 package cli
 
 import (
@@ -23,23 +24,23 @@
 const (
 	exitOK     = 0
 	exitFailed = 1
-	// exitInfeasible is the exit code where constraints cannot be met together: no plan is written.
+	// exitInfeasible says that the constraints of a placement plan can't be met together, so no plan is written.
 	exitInfeasible = 3
 )
 
-// program is one run of a command line.
+// program holds the state of one call of Run.
 type program struct {
 	getenv func(string) string
 	out    io.Writer
-	errs   io.Writer
+	errOut io.Writer
 	logger *slog.Logger
 }
 
-// Run carries out a command line and returns the program's exit code: 0, 1 for a failure, or 3 where the constraints of a
-// placement plan conflict. The log goes to errs.
+// Run executes a command line and returns the program's exit code: 0 for success, 1 for a failure, or 3 if the constraints of
+// a placement plan conflict. The log goes to errs.
 func Run(ctx context.Context, args []string, getenv func(string) string, out, errs io.Writer) int {
-	p := &program{getenv: getenv, out: out, errs: errs}
-	p.logger = slog.New(slog.NewTextHandler(errs, nil)) // until the flags are read
+	p := &program{getenv: getenv, out: out, errOut: errs}
+	p.logger = slog.New(slog.NewTextHandler(errs, nil)) // until the flags are parsed
 	err := p.rootCommand().Run(ctx, args)
 	if err == nil {
 		return exitOK
@@ -52,16 +53,17 @@
 	return exitFailed
 }
 
+// rootCommand returns the root command with its subcommands. Without a subcommand it serves.
 func (p *program) rootCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "milletvane",
 		Usage:     "balances long-lived connections over the servers that discovery lists",
 		Writer:    p.out,
-		ErrWriter: p.errs,
+		ErrWriter: p.errOut,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "log-format", Value: "text", Usage: "text (key=value) or json"},
 			&cli.StringFlag{
-				Name: "operator", Usage: "operator `FILE` with our own settings; " + operator.EnvFile + " names it too",
+				Name: "operator", Usage: "operator `FILE` with the gateway's own settings; defaults to the value of " + operator.EnvFile,
 			},
 			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warn or error"},
 		},
@@ -80,13 +82,13 @@
 	}
 }
 
-// setLogger goes over to the logger that the flags describe.
+// setLogger replaces the logger by the one that the flags describe.
 func (p *program) setLogger(ctx context.Context, c *cli.Command) (context.Context, error) {
-	l, err := newLogger(p.errs, c.String("log-format"), c.String("log-level"))
+	logger, err := newLogger(p.errOut, c.String("log-format"), c.String("log-level"))
 	if err != nil {
 		return ctx, err
 	}
-	p.logger = l
+	p.logger = logger
 	return ctx, nil
 }
 
@@ -95,13 +97,15 @@
 	return err
 }
 
+// checkConfig reads and checks the configuration and the operator file, and prints a summary.
 func (p *program) checkConfig(_ context.Context, cmd *cli.Command) error {
-	c, op, err := p.loadConfig(cmd)
+	c, operatorSettings, err := p.loadConfig(cmd)
 	if err != nil {
 		return err
 	}
-	if op != nil && op.NATS != nil {
-		_, err := fmt.Fprintf(p.out, "nats=%s classes_of_requests=%d\n", op.NATS.Listen, len(op.NATS.Requests))
+	if operatorSettings != nil && operatorSettings.NATS != nil {
+		_, err := fmt.Fprintf(p.out, "nats=%s classes_of_requests=%d\n", operatorSettings.NATS.Listen,
+			len(operatorSettings.NATS.Requests))
 		if err != nil {
 			return err
 		}
@@ -112,8 +116,8 @@
 	return err
 }
 
-// loadConfig reads the platform's configuration and, where one is named, the operator file. Without one the operator
-// settings are nil.
+// loadConfig reads the platform's configuration and the operator file, if one is named. Otherwise the operator settings are
+// nil.
 func (p *program) loadConfig(c *cli.Command) (*config.Config, *operator.Settings, error) {
 	conf, err := config.Load(p.getenv)
 	if err != nil {
@@ -127,11 +131,11 @@
 	for i, class := range conf.Balancer.Classes {
 		classes[i] = class.Name
 	}
-	op, err := operator.Load(file, classes)
-	return conf, op, err
+	operatorSettings, err := operator.Load(file, classes)
+	return conf, operatorSettings, err
 }
 
-// operatorFile is the operator file that the flag or the environment names, or empty.
+// operatorFile returns the operator file that the flag names, else the one that the environment names, else an empty string.
 func (p *program) operatorFile(c *cli.Command) string {
 	if file := c.String("operator"); file != "" {
 		return file
@@ -139,18 +143,18 @@
 	return p.getenv(operator.EnvFile)
 }
 
-// newLogger writes lines of the given format, from the given level up.
+// newLogger returns a logger that writes records of the given level and above in the given format, text or json.
 func newLogger(out io.Writer, format, level string) (*slog.Logger, error) {
 	var minLevel slog.Level
 	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("log-level: %q is not debug, info, warn or error", level)
 	}
-	o := &slog.HandlerOptions{Level: minLevel}
+	options := &slog.HandlerOptions{Level: minLevel}
 	switch format {
 	case "text":
-		return slog.New(slog.NewTextHandler(out, o)), nil
+		return slog.New(slog.NewTextHandler(out, options)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(out, o)), nil
+		return slog.New(slog.NewJSONHandler(out, options)), nil
 	}
 	return nil, fmt.Errorf("log-format: %q is not text or json", format)
 }
--- a/internal/cli/format_test.go
+++ b/internal/cli/format_test.go
@@ -12,8 +12,8 @@
 	"example.org/milletvane/internal/golden"
 )
 
-// formatDir is a directory with files by name.
-func formatDir(t *testing.T, files map[string]string) string {
+// writeFiles writes files by name into a new directory and returns it.
+func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, text := range files {
@@ -24,32 +24,34 @@
 	return dir
 }
 
-var took = regexp.MustCompile(`, in [0-9.]+(µs|ms|s)\n`)
+var elapsedPattern = regexp.MustCompile(`, in [0-9.]+(µs|ms|s)\n`)
 
-// appendRun prints what a command line writes to standard output, and its exit code. What it logs is left out.
+// appendRun executes a command line and prints its exit code and its standard output, but not its log. DIR in the arguments and
+// the environment stands for the directory.
 func appendRun(b *bytes.Buffer, dir string, env map[string]string, args ...string) {
 	values := map[string]string{}
 	for key, value := range env {
 		values[key] = strings.ReplaceAll(value, "DIR", dir)
 	}
-	given := make([]string, len(args))
+	expanded := make([]string, len(args))
 	for i, arg := range args {
-		given[i] = strings.ReplaceAll(arg, "DIR", dir)
+		expanded[i] = strings.ReplaceAll(arg, "DIR", dir)
 	}
-	code, out, _ := run(values, given...)
-	out = took.ReplaceAllString(strings.ReplaceAll(out, dir, "DIR"), ", in TIME\n")
+	code, out, _ := run(values, expanded...)
+	out = elapsedPattern.ReplaceAllString(strings.ReplaceAll(out, dir, "DIR"), ", in TIME\n")
 	fmt.Fprintf(b, "== %s: exit %d\n%s", strings.Join(args, " "), code, out)
 }
 
-const formatConfig = `{"name":"n3","listen":"127.0.0.4:5000","discovery":"127.0.2.1:8500","admin_addr":"127.0.0.4:1",
+const sampleConfig = `{"name":"n3","listen":"127.0.0.4:5000","discovery":"127.0.2.1:8500","admin_addr":"127.0.0.4:1",
  "limits":{"sockets":1136},
  "settings":{"classes":[{"name":"a","effect":"idempotent","give_up_ns":800000000},{"name":"b"}],"family_info":{"mode":"proxy"},"replicas_of_me":3}}`
 
-func TestFormatOfCheckConfig(t *testing.T) {
-	dir := formatDir(t, map[string]string{
-		"config.json":  formatConfig,
-		"passing.json": strings.Replace(formatConfig, `"proxy"`, `"pass"`, 1),
-		"bad.json":     strings.Replace(formatConfig, `"proxy"`, `"both"`, 1),
+// The output and the exit codes of check-config are those in the golden file.
+func TestCheckConfigMatchesGolden(t *testing.T) {
+	dir := writeFiles(t, map[string]string{
+		"config.json":  sampleConfig,
+		"passing.json": strings.Replace(sampleConfig, `"proxy"`, `"pass"`, 1),
+		"bad.json":     strings.Replace(sampleConfig, `"proxy"`, `"both"`, 1),
 		"nats.edn":     `(nats (listen "127.0.0.1:4222") (request (subject "a")) (request (subject "b") (class "b")))`,
 		"unknown.edn":  `(nats (listen "127.0.0.1:4222") (request (subject "a") (class "nada")))`,
 		"off.edn":      `; nothing`,
@@ -81,7 +83,7 @@
 	golden.Check(t, "check-config.txt", b.Bytes())
 }
 
-const formatPlacement = `(placement
+const samplePlacement = `(placement
   (capacity "nuevo" 150) (capacity "antiguo" 100) (capacity "viejo" 10)
   (demand "bilbao" "x" 200) (demand "oviedo" "x" 100) (demand "oviedo" "y" 20)
   (crossing "bilbao" "oviedo" 2) (crossing-default 3) (batch "nuevo" 2)
@@ -90,35 +92,36 @@
   (constraint "twice" (spread "x" 2 5)) (constraint "near" (together "y")) (constraint "few" (connections "viejo" 3 2))
   (constraint "calm" (moves 1000)) (constraint "here" (keep "y" "oviedo")) (constraint "both" (pair "viejo" "nuevo")))`
 
-const formatList = `{"version":1,"full":true,"servers":[
+const sampleList = `{"version":1,"full":true,"servers":[
  {"id":"s-3","zone":"oviedo","kind":"nuevo","state":"in_service"},
  {"id":"s-1","zone":"bilbao","kind":"nuevo","state":"in_service"},
  {"id":"s-2","zone":"bilbao","kind":"antiguo","state":"in_service"},
  {"id":"s-4","zone":"oviedo","kind":"viejo","state":"in_service"},
  {"id":"s \"5\"","zone":"oviedo","kind":"nuevo","state":"draining"}]}`
 
-// planDir is a directory with the files that the plan commands are given.
-func planDir(t *testing.T) string {
+// writePlanInput writes the input files of the plan commands into a new directory and returns it.
+func writePlanInput(t *testing.T) string {
 	t.Helper()
-	return formatDir(t, map[string]string{
-		"op.edn": formatPlacement, "list.json": formatList,
-		"moved.edn":   "; a comment\n\n" + formatPlacement,
-		"renamed.edn": strings.Replace(formatPlacement, `"room"`, `"rooms"`, 1),
-		"shuffled.edn": strings.Replace(formatPlacement, `(goals uncarried moves crossings fullest)`,
+	return writeFiles(t, map[string]string{
+		"op.edn": samplePlacement, "list.json": sampleList,
+		"moved.edn":   "; a comment\n\n" + samplePlacement,
+		"renamed.edn": strings.Replace(samplePlacement, `"room"`, `"rooms"`, 1),
+		"shuffled.edn": strings.Replace(samplePlacement, `(goals uncarried moves crossings fullest)`,
 			`(goals uncarried crossings moves fullest)`, 1),
-		"tight.edn": strings.Replace(strings.Replace(formatPlacement, `"x" 200`, `"x" 300`, 1), `(constraint "room"`,
+		"tight.edn": strings.Replace(strings.Replace(samplePlacement, `"x" 200`, `"x" 300`, 1), `(constraint "room"`,
 			`(constraint "all" (carry)) (constraint "room"`, 1),
-		"small.edn": planOperator, "small.json": planList,
-		"no-kind.edn": strings.Replace(formatPlacement, `(capacity "viejo" 10)`, ``, 1),
+		"small.edn": smallPlacement, "small.json": smallList,
+		"no-kind.edn": strings.Replace(samplePlacement, `(capacity "viejo" 10)`, ``, 1),
 		"off.edn":     `; nothing`,
-		"other.json":  strings.Replace(formatList, `"s-3"`, `"s-9"`, 1),
-		"moved.json":  strings.Replace(formatList, `"version":1`, `"version":2`, 1),
+		"other.json":  strings.Replace(sampleList, `"s-3"`, `"s-9"`, 1),
+		"moved.json":  strings.Replace(sampleList, `"version":1`, `"version":2`, 1),
 	})
 }
 
-// The plan commands: what they print, and the plan files byte for byte, with the hashes of list and settings in them.
-func TestFormatOfPlans(t *testing.T) {
-	dir := planDir(t)
+// The output of the plan commands is that in the golden files, and the plan files are the same byte for byte, with the hashes of
+// the list and of the settings in them.
+func TestPlanCommandsMatchGolden(t *testing.T) {
+	dir := writePlanInput(t)
 	var b bytes.Buffer
 	plan := func(operator string, args ...string) {
 		appendRun(&b, dir, nil, append([]string{"--operator", "DIR/" + operator, "plan"}, args...)...)
@@ -154,12 +157,13 @@
 		golden.Check(t, name, text)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "none.edn")); err == nil {
-		t.Error("a plan was written that could not be solved")
+		t.Error("plan solve wrote a plan file although it failed")
 	}
 }
 
-// The names of commands and flags, and the exit codes where one is not known or is missing. What help says of them may change.
-func TestFormatOfUsage(t *testing.T) {
+// Commands and flags keep their names, and unknown or missing ones give the exit codes in the golden file. The help texts may
+// change.
+func TestUsageMatchesGolden(t *testing.T) {
 	var b bytes.Buffer
 	for _, args := range [][]string{
 		{"no-such-command"},
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -12,26 +12,26 @@
 	"example.org/milletvane/config/operator"
 )
 
-// planCommand has the commands that solve, check and show placement plans.
+// planCommand returns the command with the subcommands that compute, check and show placement plans.
 func (p *program) planCommand() *cli.Command {
 	list := &cli.StringFlag{Name: "list", Usage: "discovery's list of nodes, a `FILE` of JSON", Required: true}
 	plan := &cli.StringFlag{Name: "plan", Usage: "plan `FILE`", Required: true}
 	return &cli.Command{
-		Name: "plan", Usage: "work out ahead of time which node is to carry how much",
+		Name: "plan", Usage: "compute, check and show placement plans, which state the load of each node",
 		Commands: []*cli.Command{
 			{
 				Name:  "solve",
-				Usage: "write the best plan and what to do after each loss; exit code 3 if the constraints conflict",
+				Usage: "write the best plan and a plan for each loss; exit code 3 if the constraints conflict",
 				Flags: []cli.Flag{
 					list,
 					&cli.StringFlag{Name: "out", Usage: "plan `FILE` to write", Required: true},
 					&cli.StringFlag{Name: "from", Usage: "plan `FILE` in force, from which moves are counted"},
-					&cli.IntFlag{Name: "steps", Usage: "networks to solve at most for a better plan, and 16 times as many for a first one; 0: until it is proven best"},
+					&cli.IntFlag{Name: "steps", Usage: "maximum number of networks to solve for a better plan, 16 times as many for a first one; 0: no limit"},
 				},
 				Action: p.solvePlan,
 			},
 			{
-				Name: "check", Usage: "say whether a plan file is sound and fits a list and the settings",
+				Name: "check", Usage: "check that a plan file is valid and was made for a list and the settings",
 				Flags:  []cli.Flag{list, plan},
 				Action: p.checkPlan,
 			},
@@ -41,7 +41,7 @@
 				Action: p.explainPlan,
 			},
 			{
-				Name: "diff", Usage: "show what differs between two plans",
+				Name: "diff", Usage: "show the nodes whose load differs between two plans",
 				Flags:  []cli.Flag{plan, &cli.StringFlag{Name: "from", Usage: "the other plan `FILE`", Required: true}},
 				Action: p.diffPlans,
 			},
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkPlan fails where a plan was made for another list or other settings.
+// checkPlan returns an error for a plan file that is invalid, or was made for another list or other settings.
 func (p *program) checkPlan(_ context.Context, c *cli.Command) error {
 	in, err := p.loadPlanInput(c)
 	if err != nil {
@@ -76,9 +76,10 @@
 	return operator.ParsePlan(file, text)
 }
 
-func newTable(out io.Writer, heads ...any) table.Writer {
+// newTable returns a table with the given column headers, which Render prints to out.
+func newTable(out io.Writer, headers ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
-	t.AppendHeader(heads)
+	t.AppendHeader(headers)
 	return t
 }
--- a/internal/cli/planinput.go
+++ b/internal/cli/planinput.go
@@ -15,9 +15,9 @@
 	"example.org/milletvane/placement"
 )
 
-var errNoOperatorFile = errors.New("no operator file is named")
+var errNoOperatorFile = errors.New("no operator file is named, set --operator or MILLETVANE_OPERATOR")
 
-// planInput is what a plan is made for, with the hashes by which a plan names it.
+// planInput holds the input of a plan, and the hashes by which a plan file identifies that input.
 type planInput struct {
 	Problem      *placement.Problem
 	Settings     *operator.Placement
@@ -25,27 +25,28 @@
 	SettingsHash uint64
 }
 
-// loadPlanInput reads the operator file and discovery's list.
+// loadPlanInput reads the operator file, which must have a section placement, and discovery's list of nodes.
 func (p *program) loadPlanInput(c *cli.Command) (*planInput, error) {
 	file := p.operatorFile(c)
 	if file == "" {
 		return nil, errNoOperatorFile
 	}
-	op, err := operator.Load(file, nil)
+	operatorSettings, err := operator.Load(file, nil)
 	if err != nil {
 		return nil, err
 	}
-	if op.Placement == nil {
+	if operatorSettings.Placement == nil {
 		return nil, fmt.Errorf("%s: placement: is missing", file)
 	}
 	endpoints, err := loadEndpoints(c.String("list"))
 	if err != nil {
 		return nil, err
 	}
-	in := &planInput{Settings: op.Placement, SettingsHash: hashSettings(op.Placement)}
+	in := &planInput{Settings: operatorSettings.Placement, SettingsHash: hashSettings(operatorSettings.Placement)}
 	in.Problem = &placement.Problem{
-		Demands: op.Placement.Demands, Crossings: op.Placement.Crossings, DefaultCost: op.Placement.DefaultCost,
-		Constraints: op.Placement.Constraints, Order: op.Placement.Order,
+		Demands: operatorSettings.Placement.Demands, Crossings: operatorSettings.Placement.Crossings,
+		DefaultCost: operatorSettings.Placement.DefaultCost,
+		Constraints: operatorSettings.Placement.Constraints, Order: operatorSettings.Placement.Order,
 	}
 	for _, d := range in.Problem.Demands {
 		in.addZone(d.Zone)
@@ -71,7 +72,7 @@
 	}), nil
 }
 
-// addNodes adds a node for each endpoint and sets the hash of the list. A node that is not in service has no capacity.
+// addNodes adds a node for each endpoint and sets the hash of the list. Nodes that are not in service get a capacity of 0.
 func (in *planInput) addNodes(operatorFile string, endpoints []discovery.Endpoint) error {
 	hash := xxhash.New()
 	for _, e := range endpoints {
@@ -84,23 +85,26 @@
 		}
 		in.addZone(e.Zone)
 		in.Problem.Nodes = append(in.Problem.Nodes, placement.Node{ID: e.ID, Zone: e.Zone, Model: e.Kind, Capacity: capacity})
-		_, _ = fmt.Fprintf(hash, "%q %q %q %d\n", e.ID, e.Zone, e.Kind, capacity) // a hash takes every write
+		_, _ = fmt.Fprintf(hash, "%q %q %q %d\n", e.ID, e.Zone, e.Kind, capacity) // a hash accepts every write
 	}
 	in.ListHash = hash.Sum64()
 	return nil
 }
 
+// addZone adds a zone, unless the problem has it.
 func (in *planInput) addZone(zone string) {
 	if !slices.Contains(in.Problem.Zones, zone) {
 		in.Problem.Zones = append(in.Problem.Zones, zone)
 	}
 }
 
+// hashSettings returns the hash by which a plan file identifies placement settings. Its input is the printed form of the
+// settings, so the names and the order of the fields of placement.Constraint must not change.
 func hashSettings(s *operator.Placement) uint64 {
 	hash := xxhash.New()
 	_, _ = fmt.Fprintf(hash, "%v %v %v %v %v %v", s.Order, s.Capacity, s.Demands, s.Crossings, s.DefaultCost, s.Batches)
 	for _, constraint := range s.Constraints {
-		constraint.Line = 0 // comments and blank lines do not make other settings
+		constraint.Line = 0 // comments and blank lines must not change the hash
 		_, _ = fmt.Fprintf(hash, "%+v", constraint)
 	}
 	return hash.Sum64()
--- a/internal/cli/planshow.go
+++ b/internal/cli/planshow.go
@@ -29,9 +29,10 @@
 	return nil
 }
 
-// zoneSums are the units of load of a zone.
+// zoneSums holds sums over a zone, in units of load.
 type zoneSums struct{ capacity, demand, carried, incoming, outgoing int64 }
 
+// sumByZone returns the sums of each zone. Flows from or to a zone that the problem does not have are left out.
 func sumByZone(p *placement.Problem, plan *operator.Plan) map[string]*zoneSums {
 	sums := map[string]*zoneSums{}
 	for _, zone := range p.Zones {
@@ -53,6 +54,7 @@
 	return sums
 }
 
+// renderZones prints a table of the zones.
 func renderZones(w io.Writer, p *placement.Problem, plan *operator.Plan) {
 	t := newTable(w, "zone", "capacity", "own demand", "carried", "from elsewhere", "to elsewhere", "not carried")
 	sums := sumByZone(p, plan)
@@ -64,20 +66,21 @@
 	t.Render()
 }
 
+// renderNodes prints a table of the nodes.
 func renderNodes(w io.Writer, p *placement.Problem, plan *operator.Plan) {
 	t := newTable(w, "node", "zone", "kind", "load", "of capacity", "why")
 	for _, n := range p.Nodes {
 		load := plan.Load[n.ID]
 		utilization := fmt.Sprintf("%.1f %%", 100*float64(load)/float64(max(n.Capacity, 1)))
-		t.AppendRow(table.Row{n.ID, n.Zone, n.Model, load, utilization, reason(p, plan, n)})
+		t.AppendRow(table.Row{n.ID, n.Zone, n.Model, load, utilization, explainLoad(p, plan, n)})
 	}
 	t.Render()
 }
 
-// reason says why a node has its load.
-func reason(p *placement.Problem, plan *operator.Plan, n placement.Node) string {
+// explainLoad returns the text that explains why a node has its load.
+func explainLoad(p *placement.Problem, plan *operator.Plan, n placement.Node) string {
 	load := plan.Load[n.ID]
-	part := placement.Ratio{Num: load, Den: max(n.Capacity, 1)}
+	utilization := placement.Ratio{Num: load, Den: max(n.Capacity, 1)}
 	for _, c := range p.Constraints {
 		switch {
 		case c.Kind == placement.Headroom && load > 0 && load == n.Capacity*c.Part.Num/c.Part.Den:
@@ -91,7 +94,7 @@
 		return "not in service, or of no capacity"
 	case load == 0:
 		return "its zone has no load for it"
-	case part.Num*plan.Goals.Fullest.Den == plan.Goals.Fullest.Num*part.Den:
+	case utilization.Num*plan.Goals.Fullest.Den == plan.Goals.Fullest.Num*utilization.Den:
 		return "the fullest: no plan has a fullest node that is emptier"
 	}
 	return "its part of its zone's load, as even as whole units allow"
--- a/internal/cli/plansolve.go
+++ b/internal/cli/plansolve.go
@@ -15,10 +15,10 @@
 	"example.org/milletvane/placement"
 )
 
-// progressInterval is the time between lines about the progress of long work.
+// progressInterval is the shortest time between two lines about the progress of a computation.
 const progressInterval = time.Second
 
-// solvePlan writes the best plan, with a contingency for each loss, and prints a summary.
+// solvePlan computes the best plan with a contingency for each loss, writes it, and prints a summary.
 func (p *program) solvePlan(_ context.Context, c *cli.Command) error {
 	in, err := p.loadPlanInput(c)
 	if err != nil {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	losses, err := placement.Contingencies(in.Problem, best, in.Settings.Batches, options, progressTo(p.errs, start))
+	losses, err := placement.Contingencies(in.Problem, best, in.Settings.Batches, options, progressPrinter(p.errOut, start))
 	if err != nil {
 		return err
 	}
@@ -54,22 +54,23 @@
 	if err := writePlan(c.String("out"), plan); err != nil {
 		return err
 	}
-	return printSolved(p.out, plan, best, time.Since(start))
+	return printSummary(p.out, plan, best, time.Since(start))
 }
 
-// progressTo prints the progress of work that takes long.
-func progressTo(w io.Writer, start time.Time) func(done, all int) {
+// progressPrinter returns a function that prints the progress to w, at most once per progressInterval.
+func progressPrinter(w io.Writer, start time.Time) func(done, all int) {
 	printedAt := start
 	return func(done, all int) {
 		if time.Since(printedAt) <= progressInterval {
 			return
 		}
 		printedAt = time.Now()
-		_, _ = fmt.Fprintf(w, "%d of %d losses worked out\n", done, all) // the plan matters more than its progress
+		_, _ = fmt.Fprintf(w, "%d of %d losses computed\n", done, all) // a failed write must not end the computation
 	}
 }
 
-// planContingency has only the loads that differ from the best plan's.
+// planContingency returns the contingency for a loss as a plan file holds it: with only the loads that differ from those of the
+// best plan.
 func planContingency(loss *placement.Contingency, best *placement.Plan) operator.PlanContingency {
 	contingency := operator.PlanContingency{
 		Name: loss.Name, Lost: loss.Lost, Short: loss.Shortfall, Load: map[string]int64{},
@@ -86,13 +87,13 @@
 	return contingency
 }
 
-// writePlan replaces a file: whoever reads it meanwhile, or after a crash, has the old plan or the new one, and no part of
-// either.
+// writePlan replaces a plan file atomically: a reader, also after a crash, sees either the whole old plan or the whole new one.
 func writePlan(file string, plan *operator.Plan) error {
 	return renameio.WriteFile(file, plan.Marshal(), 0o644, renameio.WithTempDir(filepath.Dir(file)))
 }
 
-func printSolved(w io.Writer, plan *operator.Plan, best *placement.Plan, elapsed time.Duration) error {
+// printSummary prints a summary of a plan, and the load that is not carried after each loss.
+func printSummary(w io.Writer, plan *operator.Plan, best *placement.Plan, elapsed time.Duration) error {
 	proof := "proven best"
 	if !best.Proven {
 		proof = fmt.Sprintf("not proven best; at best %d not carried and crossings of %d",
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -13,23 +13,23 @@
 	"example.org/milletvane/gateway"
 )
 
-// serve runs a gateway until a signal to stop.
+// serve runs a gateway until SIGTERM or SIGINT.
 func (p *program) serve(ctx context.Context, c *cli.Command) error {
 	if c.Args().Present() { // a mistyped command must not start a balancer
 		return fmt.Errorf("unknown command %q", c.Args().First())
 	}
-	// Signals are caught before anything else is done: one that comes early must not end the program.
+	// The signal handlers are installed first, so that an early signal doesn't kill the process.
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	conf, op, err := p.loadConfig(c)
+	conf, operatorSettings, err := p.loadConfig(c)
 	if err != nil {
 		return err
 	}
 	gateway.Confine(conf.Limits)
-	g, err := gateway.New(*conf, gateway.WithLogger(p.logger), gateway.WithOperator(op))
+	g, err := gateway.New(*conf, gateway.WithLogger(p.logger), gateway.WithOperator(operatorSettings))
 	if err != nil {
 		return err
 	}
@@ -49,17 +49,18 @@
 			return
 		case <-signals:
 		}
-		// A fault in the new file must not end a program that serves: the old configuration stays.
+		// An error in the new file must not end the serving process: the old configuration stays in force.
 		if err := p.reload(c, g); err != nil {
 			p.logger.Error("config reload failed", "err", err)
 		}
 	}
 }
 
+// reload reads the configuration again and passes it to the gateway.
 func (p *program) reload(c *cli.Command, g *gateway.Gateway) error {
-	conf, op, err := p.loadConfig(c)
+	conf, operatorSettings, err := p.loadConfig(c)
 	if err != nil {
 		return err
 	}
-	return g.Reload(*conf, op)
+	return g.Reload(*conf, operatorSettings)
 }
--- a/internal/settings/format_test.go
+++ b/internal/settings/format_test.go
@@ -139,8 +139,8 @@
 
 func TestParseBool(t *testing.T) {
 	for _, c := range []struct {
-		text     string
-		want, ok bool
+		text        string
+		want, valid bool
 	}{
 		{"1", true, true},
 		{"true", true, true},
@@ -153,8 +153,8 @@
 		{"null", false, false},
 		{" 1", false, false},
 	} {
-		if v, ok := ParseBool(c.text); v != c.want || ok != c.ok {
-			t.Errorf("ParseBool(%q) = %t, %t, want %t, %t", c.text, v, ok, c.want, c.ok)
+		if v, ok := ParseBool(c.text); v != c.want || ok != c.valid {
+			t.Errorf("ParseBool(%q) = %t, %t, want %t, %t", c.text, v, ok, c.want, c.valid)
 		}
 	}
 }
