--- a/cmd/adapter/host.go
+++ b/cmd/adapter/host.go
@@ -9,20 +9,21 @@
 	"example.org/milletvane/internal/simproto"
 )
 
-// pollTimer is the timer of the next endpoint list request; the balancer's own have lower numbers.
+// pollTimer is the reference of the timer for the next endpoint list request. The balancer's timers have lower numbers.
 const pollTimer = 1 << 32
 
-// host holds the running instances by their number.
+// host holds the running instances by number.
 type host map[int]*instance
 
-// instance is the decisions of one gateway, with the schedule of its endpoint list where that has to be requested.
+// instance is one simulated gateway: its balancer, and the schedule of its endpoint list requests if it polls the list.
 type instance struct {
 	number    int
 	balancer  *balancer.Balancer
-	listPolls *refresh.Scheduler // nil: changes arrive without a request
+	listPolls *refresh.Scheduler // nil if the list is pushed
 }
 
-// handle appends the actions that answer an event. A panic ends the instance as broken, and no other.
+// handle appends the actions that answer an event. After a panic it removes the instance and reports it as broken. The other
+// instances go on.
 func (h host) handle(reply []byte, now time.Duration, ev simproto.Event) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -39,7 +40,7 @@
 	}
 	i := h[ev.Instance]
 	if i == nil {
-		return reply // events and the end of an instance may cross
+		return reply // the event was sent before the instance's end was known
 	}
 	if ev.ListFailed {
 		return i.handleListFailure(reply, now)
@@ -47,7 +48,8 @@
 	return i.handle(reply, now, ev.Balancer)
 }
 
-// start begins an instance, in place of one that has its number. Unusable settings end it as broken.
+// start starts an instance, which replaces one with the same number. With invalid settings it removes the instance and reports it
+// as broken.
 func (h host) start(reply []byte, now time.Duration, number int, start *simproto.Start) []byte {
 	b, err := balancer.New(start.Balancer)
 	if err != nil {
@@ -63,6 +65,7 @@
 	return i.appendPoll(reply, i.listPolls.Handle(now, refresh.Start{}))
 }
 
+// handleListFailure schedules the next endpoint list request after a failed one.
 func (i *instance) handleListFailure(reply []byte, now time.Duration) []byte {
 	if i.listPolls == nil {
 		return reply
@@ -70,6 +73,7 @@
 	return i.appendPoll(reply, i.listPolls.Handle(now, refresh.Failed{}))
 }
 
+// handle appends the actions that answer an event of the balancer.
 func (i *instance) handle(reply []byte, now time.Duration, ev balancer.Event) []byte {
 	switch ev := ev.(type) {
 	case balancer.TimerFired:
@@ -78,7 +82,7 @@
 		}
 	case balancer.EndpointList:
 		if ev.Mode != balancer.ListCached && i.listPolls != nil {
-			// The simulator continues a watch by itself: the schedule notes what was received, and no request follows.
+			// The simulator continues a watch by itself, so the schedule records the list and no request follows.
 			i.listPolls.Handle(now, refresh.ListReceived{Complete: true})
 		}
 	}
@@ -88,7 +92,7 @@
 	return reply
 }
 
-// appendPoll appends the endpoint list request that the schedule has next, or the timer for it.
+// appendPoll appends the next endpoint list request of the schedule, or the timer for it.
 func (i *instance) appendPoll(reply []byte, poll refresh.Poll) []byte {
 	if poll.Delay > 0 {
 		return simproto.AppendAction(reply, i.number, balancer.SetTimer{After: poll.Delay, Ref: pollTimer})
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs instances of the balancer behind the simulator's protocol: batches of events on standard input,
-// one answer each on standard output. Instances share nothing.
+// Command adapter runs instances of the balancer for a simulator. It reads batches of events from standard input and writes one
+// answer per batch to standard output. The instances share no state.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/simproto"
 )
 
-// gcPercent trades memory for speed: a few megabytes at most are live.
+// gcPercent makes garbage collection rare. That costs little memory, as the live heap is a few megabytes at most.
 const gcPercent = 800
 
 func main() {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -21,17 +21,17 @@
 	}
 	replies := strings.Split(strings.TrimSuffix(out.String(), "yield\n"), "yield\n")
 	if len(replies) != 4 {
-		t.Fatalf("%d replies: %q", len(replies), replies)
+		t.Fatalf("got %d replies, want 4: %q", len(replies), replies)
 	}
 	if replies[0] != "" || replies[3] != "" {
-		t.Errorf("empty batches answered %q and %q", replies[0], replies[3])
+		t.Errorf("replies to batches that need no action: %q and %q, want none", replies[0], replies[3])
 	}
 	if !strings.HasPrefix(replies[2], "hand_off relay=1 ticket=7 backend=9 limit_ns=") {
-		t.Errorf("the request was answered %q", replies[2])
+		t.Errorf("reply to the request: %q, want a hand_off to server 9", replies[2])
 	}
 }
 
-func TestUnusableSettingsBreakInstance(t *testing.T) {
+func TestInvalidSettingsBreakInstance(t *testing.T) {
 	in := "mark t_ns=1\ncreate relay=1 classes.count=2 classes.0.name=a classes.1.name=a\nover_to_you\n"
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -46,6 +46,6 @@
 func TestMalformedInputEndsRun(t *testing.T) {
 	err := run(strings.NewReader("mark t_ns=1\nnonsense relay=1\n"), &bytes.Buffer{})
 	if err == nil || err.Error() != `line 2: unknown event "nonsense"` {
-		t.Errorf("got %v", err)
+		t.Errorf("run: %v, want an error about the unknown event on line 2", err)
 	}
 }
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,4 @@
-// Command experiment measures and tests a gateway between fake servers and clients, all on loopback.
+// Command experiment measures and tests gateways with fake servers and clients. All of them run on the loopback interface.
 package main
 
 import (
--- a/cmd/milletvane/main.go
+++ b/cmd/milletvane/main.go
@@ -1,4 +1,4 @@
-// Command milletvane is the balancer.
+// Command milletvane is a load balancer for long-lived connections.
 package main
 
 import (
--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -21,15 +21,15 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// These tests run processes of two builds beside one another: as peers, on one disk, and on one socket that is passed on.
-// scripts/mixed-versions.sh names the builds; without it both are this one. What a case has to show it sees from outside,
-// in what clients are answered: names and log lines may differ between builds.
+// These tests run processes of two builds together: as peers, on one disk, and on one socket that is passed on.
+// scripts/mixed-versions.sh sets the builds; without it both are the current one. The tests check only what clients and
+// operators see, as names and log lines may differ between builds.
 
 const (
 	oldBuildEnv = "MILLETVANE_TEST_OLD" // path of a program
 	newBuildEnv = "MILLETVANE_TEST_NEW"
-	programEnv  = "MILLETVANE_TEST_PROGRAM" // has this test's binary be the program
-	patience    = 30 * time.Second
+	programEnv  = "MILLETVANE_TEST_PROGRAM" // set: the test binary runs as the program
+	waitTimeout = 30 * time.Second
 )
 
 func TestMain(m *testing.M) {
@@ -40,13 +40,14 @@
 	os.Exit(m.Run())
 }
 
-// build is a program that a test starts.
+// build is an executable of one build, with the environment that it needs.
 type build struct {
 	name, path string
 	env        []string
 }
 
-// buildPairs are the builds that run together: each once as the first, or this one alone.
+// buildPairs returns the pairs of builds to run together: the old and the new build in both orders, or the current build with
+// itself.
 func buildPairs(t *testing.T) [][2]build {
 	t.Helper()
 	oldPath, newPath := os.Getenv(oldBuildEnv), os.Getenv(newBuildEnv)
@@ -55,8 +56,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		this := build{name: "this", path: own, env: []string{programEnv + "=1", "GORACE=atexit_sleep_ms=0"}}
-		return [][2]build{{this, this}}
+		current := build{name: "this", path: own, env: []string{programEnv + "=1", "GORACE=atexit_sleep_ms=0"}}
+		return [][2]build{{current, current}}
 	}
 	if oldPath == "" || newPath == "" {
 		t.Fatalf("%s is %q and %s is %q: both have to name a program", oldBuildEnv, oldPath, newBuildEnv, newPath)
@@ -83,7 +84,7 @@
 	}
 }
 
-// site is what stands around the processes: servers and discovery.
+// site holds the servers and the discovery that the processes use.
 type site struct {
 	t         *testing.T
 	dir       string
@@ -95,7 +96,7 @@
 func newSite(t *testing.T) *site {
 	t.Helper()
 	s := &site{t: t, dir: t.TempDir()}
-	var nodes []fakeserver.Endpoint
+	var endpoints []fakeserver.Endpoint
 	for i := range 2 {
 		server, err := fakeserver.NewLineServer()
 		if err != nil {
@@ -103,10 +104,11 @@
 		}
 		t.Cleanup(server.Close)
 		s.servers = append(s.servers, server)
-		nodes = append(nodes, fakeserver.Endpoint{ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.StateInService, Weight: 1})
+		endpoints = append(endpoints, fakeserver.Endpoint{
+			ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.StateInService, Weight: 1})
 	}
 	var err error
-	if s.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", 7, nodes...); err != nil {
+	if s.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", 7, endpoints...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.catalog.Close)
@@ -114,6 +116,7 @@
 	return s
 }
 
+// reserve reserves an address until the test ends.
 func (s *site) reserve() string {
 	s.t.Helper()
 	addr, release, err := fakeserver.ReserveAddress()
@@ -124,6 +127,7 @@
 	return addr
 }
 
+// write writes a file and returns its path.
 func (s *site) write(name, text string) string {
 	s.t.Helper()
 	path := filepath.Join(s.dir, name)
@@ -133,7 +137,8 @@
 	return path
 }
 
-// config writes a gateway's configuration, in which no list stands: it has one from discovery, a disk, peers or a record.
+// config writes a gateway's configuration and returns its path. The configuration holds no endpoint list, so the gateway gets
+// one from discovery, its disk, its peers or the state of a predecessor.
 func (s *site) config(name, listen string) string {
 	s.t.Helper()
 	return s.write(name+".json", fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"limits":{"cores":1,"sockets":256},"settings":{
@@ -141,12 +146,13 @@
 	 "classes":[{"name":"c","effect":"idempotent","group":"all","give_up_ns":5000000000,"slo_ns":90000000000}]}}`, name, listen, s.discovery))
 }
 
-// member is a gateway of a cluster of two.
+// member is one gateway in a cluster of two.
 type member struct {
 	name, listen, peers, disk string
 	other                     *member
 }
 
+// members returns the two members of a cluster, with addresses and disks of their own.
 func (s *site) members() (a, b *member) {
 	s.t.Helper()
 	s.write("key", "0123456789abcdef")
@@ -161,34 +167,35 @@
 	return a, b
 }
 
+// startMember starts a member as a process of a build.
 func (s *site) startMember(b build, m *member) *process {
 	s.t.Helper()
-	operator := s.write(m.name+".edn", fmt.Sprintf(
+	operatorFile := s.write(m.name+".edn", fmt.Sprintf(
 		"(cluster (listen %q) (key-file \"key\") (dir %q) (peers-within \"1500ms\")\n (member %q %q) (tier \"c\"))\n",
 		m.peers, m.disk, m.other.name, m.other.peers))
-	return s.start(b, nil, "PROXY_CONFIG="+s.config(m.name, m.listen), "MILLETVANE_OPERATOR="+operator)
+	return s.start(b, nil, "PROXY_CONFIG="+s.config(m.name, m.listen), "MILLETVANE_OPERATOR="+operatorFile)
 }
 
-// process is a running program.
+// process is a started program.
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
 	admin  string
 	exited chan struct{}
-	err    error // of its end, once exited is closed
+	err    error // from waiting for its end; valid after exited is closed
 
 	mu  sync.Mutex
 	log strings.Builder
 }
 
-// Write takes what the process logs, which is shown where a test fails.
+// Write adds to the log of the process, which is printed if the test fails.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
-// start starts a program; a listener is passed on to it as descriptor 3.
+// start starts a process of a build. If passed is not nil, the process inherits it as descriptor 3.
 func (s *site) start(b build, passed *os.File, env ...string) *process {
 	s.t.Helper()
 	p := &process{t: s.t, cmd: exec.Command(b.path), admin: s.reserve(), exited: make(chan struct{})}
@@ -217,6 +224,7 @@
 	return p
 }
 
+// kill ends the process at once and waits for its end.
 func (p *process) kill() {
 	if err := p.cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		p.t.Error(err)
@@ -224,6 +232,7 @@
 	<-p.exited
 }
 
+// call sends a request to the admin address. The status is 0 if there is no answer.
 func (p *process) call(method, path string) (status int, body string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -242,19 +251,21 @@
 	return response.StatusCode, string(b)
 }
 
-func (p *process) awaitReady() {
+// waitUntilReady waits until the process reports that it is ready.
+func (p *process) waitUntilReady() {
 	p.t.Helper()
-	until(p.t, "ready", func() bool {
+	waitUntil(p.t, "ready", func() bool {
 		status, _ := p.call(http.MethodGet, "/-/ready")
 		return status == http.StatusOK
 	})
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until the condition holds. After waitTimeout it fails the test with the description of the condition.
+func waitUntil(t *testing.T, description string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met in time: %s", description)
 		}
 	}
 }
@@ -265,10 +276,10 @@
 	lines *bufio.Reader
 }
 
-// requestName is what a client calls a request.
+// requestName returns the name of a request, as clients send it to the gateway and the gateway to the server.
 func requestName(request int) string { return fmt.Sprint("2", request) }
 
-// open asks a gateway for a server. The answer is empty where there is none, and the client nil where it can't connect.
+// open connects to a gateway and requests a server. The client is nil if it can't connect, and the answer empty if none arrives.
 func open(addr string, request int) (c *client, answer string) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -286,7 +297,7 @@
 	}
 }
 
-// ask sends a line and returns the one that answers it.
+// ask sends a line and returns the line that answers it, or an empty string if there is none within 10 seconds.
 func (c *client) ask(line string) string {
 	if err := c.conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		return ""
@@ -301,11 +312,11 @@
 	return answer
 }
 
-// awaitServed asks a gateway until it serves a client.
-func awaitServed(t *testing.T, addr string) {
+// waitUntilServed sends requests to a gateway until it serves a client.
+func waitUntilServed(t *testing.T, addr string) {
 	t.Helper()
 	request := 0
-	until(t, "a client is served", func() bool {
+	waitUntil(t, "a client is served", func() bool {
 		request++
 		c, answer := open(addr, request)
 		if c == nil {
@@ -315,76 +326,79 @@
 		if !strings.HasPrefix(answer, "UP ") {
 			return false
 		}
-		echoes(t, c)
+		checkEcho(t, c)
 		return true
 	})
 }
 
-func echoes(t *testing.T, c *client) {
+// checkEcho checks that a line which the client sends is returned.
+func checkEcho(t *testing.T, c *client) {
 	t.Helper()
 	if got := c.ask("hello\r\n"); got != "hello\r\n" {
-		t.Errorf("a line came back as %q", got)
+		t.Errorf("echo = %q, want the line that was sent", got)
 	}
 }
 
-// A member without a list, a disk or discovery serves by the list that its peer, of another build, tells it.
-func testPeers(t *testing.T, holds, asks build) {
+// A member without an endpoint list, a stored state or discovery serves by the list that it gets from its peer of another build.
+func testPeers(t *testing.T, holder, requester build) {
 	t.Helper()
 	s := newSite(t)
 	a, b := s.members()
-	s.startMember(holds, a)
-	awaitServed(t, a.listen)
+	s.startMember(holder, a)
+	waitUntilServed(t, a.listen)
 	s.catalog.Close()
-	s.startMember(asks, b)
-	awaitServed(t, b.listen)
+	s.startMember(requester, b)
+	waitUntilServed(t, b.listen)
 }
 
-// awaitStored waits until a list is in the log of a disk.
-func (m *member) awaitStored(t *testing.T) {
+// waitUntilStored waits until an endpoint list is in the log on a member's disk.
+func (m *member) waitUntilStored(t *testing.T) {
 	t.Helper()
-	const segmentHead = 20
-	until(t, "the list is on the disk", func() bool {
+	const segmentHeaderLen = 20
+	waitUntil(t, "the list is on the disk", func() bool {
 		segments, err := filepath.Glob(filepath.Join(m.disk, "lists", "journal-*"))
 		if err != nil || len(segments) != 1 {
 			return false
 		}
 		info, err := os.Stat(segments[0])
-		return err == nil && info.Size() > segmentHead
+		return err == nil && info.Size() > segmentHeaderLen
 	})
 }
 
+// incarnation returns the incarnation that is stored on a member's disk.
 func (m *member) incarnation(t *testing.T) uint64 {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(m.disk, "incarnation"))
 	if err != nil || len(b) != 12 {
-		t.Fatalf("incarnation file of %d bytes, %v", len(b), err)
+		t.Fatalf("incarnation file has %d bytes, want 12 (%v)", len(b), err)
 	}
 	return binary.BigEndian.Uint64(b)
 }
 
-// A gateway alone serves by the list on its disk, which another build wrote, in a later incarnation than that one's.
-func testDisk(t *testing.T, writes, reads build) {
+// A gateway without peers or discovery serves by the list on its disk, which another build wrote. Its incarnation is later than
+// that build's.
+func testDisk(t *testing.T, writer, reader build) {
 	t.Helper()
 	s := newSite(t)
 	m, _ := s.members()
-	p := s.startMember(writes, m)
-	awaitServed(t, m.listen)
-	m.awaitStored(t)
+	p := s.startMember(writer, m)
+	waitUntilServed(t, m.listen)
+	m.waitUntilStored(t)
 	p.kill()
 	s.catalog.Close()
 	before := m.incarnation(t)
-	s.startMember(reads, m)
-	awaitServed(t, m.listen)
+	s.startMember(reader, m)
+	waitUntilServed(t, m.listen)
 	if after := m.incarnation(t); after <= before {
-		t.Errorf("incarnation %d follows %d", after, before)
+		t.Errorf("incarnation after the restart = %d, want more than %d", after, before)
 	}
-	moved, err := filepath.Glob(filepath.Join(m.disk, "*damaged*"))
-	if err != nil || len(moved) > 0 {
-		t.Errorf("taken for damaged: %v, %v", moved, err)
+	damaged, err := filepath.Glob(filepath.Join(m.disk, "*damaged*"))
+	if err != nil || len(damaged) > 0 {
+		t.Errorf("files quarantined as damaged: %v (%v), want none", damaged, err)
 	}
 }
 
-// sharedSocket is a listening socket that processes inherit one after another.
+// sharedSocket is a listening socket that several processes inherit, with one configuration for all of them.
 type sharedSocket struct {
 	site     *site
 	addr     string
@@ -393,6 +407,7 @@
 	requests int
 }
 
+// newSharedSocket opens a listening socket, which is closed when the test ends.
 func (s *site) newSharedSocket() *sharedSocket {
 	s.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -409,94 +424,98 @@
 		}
 	})
 	addr := listener.Addr().String()
-	return &sharedSocket{site: s, addr: addr, file: file, config: s.config("n0", addr), requests: 1000} // awaitServed has those before
+	return &sharedSocket{site: s, addr: addr, file: file, config: s.config("n0", addr), requests: 1000} // waitUntilServed uses lower numbers
 }
 
+// start starts a process that inherits the socket, and waits until it is ready.
 func (s *sharedSocket) start(b build) *process {
 	s.site.t.Helper()
 	p := s.site.start(b, s.file, "PROXY_CONFIG="+s.config)
-	p.awaitReady()
+	p.waitUntilReady()
 	return p
 }
 
-// open opens a connection, which has to be served at once.
-func (s *sharedSocket) open(when string) *client {
+// open opens a connection, which must be served at the first request. The phase is for the failure text.
+func (s *sharedSocket) open(phase string) *client {
 	s.site.t.Helper()
 	s.requests++
 	c, answer := open(s.addr, s.requests)
 	if !strings.HasPrefix(answer, "UP ") {
-		s.site.t.Fatalf("%s: request %d answered %q", when, s.requests, answer)
+		s.site.t.Fatalf("%s: answer to request %d = %q, want UP", phase, s.requests, answer)
 	}
-	echoes(s.site.t, c)
+	checkEcho(s.site.t, c)
 	return c
 }
 
-// serverWithout is the number of the server that does not have the last request.
-func (s *sharedSocket) serverWithout() int {
+// serverWithoutLastRequest returns the index of the server that does not have the last request.
+func (s *sharedSocket) serverWithoutLastRequest() int {
 	if s.site.servers[0].OpenedByName()[requestName(s.requests)] > 0 {
 		return 1
 	}
 	return 0
 }
 
-// awaitExit waits for a process's end, which is in order.
-func (p *process) awaitExit() {
+// waitForExit waits for the process to end, which must be with exit code 0.
+func (p *process) waitForExit() {
 	p.t.Helper()
 	select {
 	case <-p.exited:
 		if p.err != nil {
-			p.t.Errorf("the process ended with %v", p.err)
+			p.t.Errorf("the process ended with %v, want exit code 0", p.err)
 		}
-	case <-time.After(patience):
-		p.t.Fatal("the process did not end")
+	case <-time.After(waitTimeout):
+		p.t.Fatal("the process did not end in time")
 	}
 }
 
+// post sends a POST to the admin address, which must succeed.
 func (p *process) post(path string) {
 	p.t.Helper()
 	if status, body := p.call(http.MethodPost, path); status != http.StatusOK {
-		p.t.Errorf("%s: %d %s", path, status, body)
+		p.t.Errorf("POST %s: status %d, body %q, want 200", path, status, body)
 	}
 }
 
-// A process follows one of another build on one socket: with its list and the servers that an operator disabled, while the
-// old one keeps its connections; no client is rejected. Discovery is away all the time that both run.
-func testPassedSocket(t *testing.T, before, after build) {
+// A successor process of another build takes over the listening socket, the predecessor's endpoint list, and the servers that
+// an operator disabled. The predecessor keeps its connections, and no client is rejected. Discovery is unavailable from before
+// the successor's start on.
+func testPassedSocket(t *testing.T, firstBuild, secondBuild build) {
 	t.Helper()
 	s := newSite(t)
 	socket := s.newSharedSocket()
-	first := socket.start(before)
-	awaitServed(t, socket.addr)
-	kept := socket.open("alone")
-	disabled := socket.serverWithout() // a server that is disabled sends its clients away
+	predecessor := socket.start(firstBuild)
+	waitUntilServed(t, socket.addr)
+	kept := socket.open("before the upgrade")
+	// Clients of a disabled server are migrated, so the server of the kept connection stays enabled.
+	disabled := socket.serverWithoutLastRequest()
 	path := fmt.Sprintf("/-/servers/s-%08x/", disabled+1)
-	first.post(path + "disable")
+	predecessor.post(path + "disable")
 	s.catalog.Close()
-	time.Sleep(1500 * time.Millisecond) // the state is written once a second
+	time.Sleep(1500 * time.Millisecond) // the predecessor writes its state once a second
 
-	second := socket.start(after)
-	for _, p := range []*process{first, second} {
+	successor := socket.start(secondBuild)
+	for _, p := range []*process{predecessor, successor} {
 		if _, figures := p.call(http.MethodGet, "/-/metrics"); !strings.Contains(figures, "edge_proxy.ejected:1|g") {
-			t.Errorf("not one server is disabled: %s", figures)
+			t.Errorf("metrics without edge_proxy.ejected:1|g, want one disabled server: %s", figures)
 		}
 	}
 	opened := s.servers[disabled].Opened()
 	for i := range 30 {
 		if i == 10 {
-			if err := first.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+			if err := predecessor.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 		}
 		socket.open("during the upgrade").close(t)
 	}
 	if n := s.servers[disabled].Opened(); n != opened {
-		t.Errorf("%d connections went to the server that is disabled", n-opened)
+		t.Errorf("%d connections were opened to the disabled server, want none", n-opened)
 	}
-	echoes(t, kept)
+	checkEcho(t, kept)
 	kept.close(t)
-	first.awaitExit()
+	predecessor.waitForExit()
 	for range 5 {
 		socket.open("after the upgrade").close(t)
 	}
-	second.post(path + "enable")
+	successor.post(path + "enable")
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -63,7 +63,8 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "log-format", Value: "text", Usage: "text (key=value) or json"},
 			&cli.StringFlag{
-				Name: "operator", Usage: "operator `FILE` with the gateway's own settings; defaults to the value of " + operator.EnvFile,
+				Name:  "operator",
+				Usage: "operator `FILE` with the gateway's own settings; defaults to the file that " + operator.EnvFile + " names",
 			},
 			&cli.StringFlag{Name: "log-level", Value: "info", Usage: "debug, info, warn or error"},
 		},
--- a/internal/cli/plan_test.go
+++ b/internal/cli/plan_test.go
@@ -65,8 +65,8 @@
 	code, _, errOut := plan(conflicting, "solve", "--list", list, "--out", unwritten)
 	if _, err := os.Stat(unwritten); code != exitInfeasible || err == nil ||
 		!strings.Contains(errOut, "room (line 4)") || !strings.Contains(errOut, "all (line 5)") {
-		t.Errorf("plan solve with a conflict: exit code %d, errors %q, want %d, no plan and the constraints room and all",
-			code, errOut, exitInfeasible)
+		t.Errorf("plan solve with a conflict: exit code %d, errors %q, want 3, no plan and the constraints room and all",
+			code, errOut)
 	}
 	// check-config reads the plan that the gateway would follow.
 	env := map[string]string{"PROXY_LISTEN": "127.0.0.1:5000", "PROXY_DISCOVERY": "127.0.0.1:8500"}
