--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -105,7 +105,8 @@
 		t.Cleanup(server.Close)
 		s.servers = append(s.servers, server)
 		endpoints = append(endpoints, fakeserver.Endpoint{
-			ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.StateInService, Weight: 1})
+			ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.StateInService, Weight: 1,
+		})
 	}
 	var err error
 	if s.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", 7, endpoints...); err != nil {
--- a/config/address.go
+++ b/config/address.go
@@ -13,9 +13,9 @@
 	maxFileNamePart  = 64 // bytes of the gateway's name, and of its listen address, in the state directory's name
 )
 
-// readAddresses reads the gateway's name, the addresses that it listens on and the address of its discovery. Only the admin
-// address may be missing. An error is a *KeyError.
-func (c *Config) readAddresses(f *file, getenv func(string) string) error {
+// readAddresses reads the gateway's name, the addresses that it listens on and the address of the discovery service. Only the
+// admin address may be missing. An error is a *KeyError.
+func (c *Config) readAddresses(f *configFile, getenv func(string) string) error {
 	c.Name = cmp.Or(getenv(EnvName), f.Name, defaultName)
 	c.Listen = cmp.Or(getenv(EnvListen), f.Listen)
 	c.Discovery = cmp.Or(f.Discovery, getenv(EnvDiscovery))
--- a/config/file.go
+++ b/config/file.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// file is the JSON form of a configuration. Members that are absent are nil or empty.
-type file struct {
+// configFile is the JSON form of a configuration. Members that are absent are nil or empty.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -23,8 +23,8 @@
 }
 
 // parseFile decodes a configuration file. An empty text gives a file without any member.
-func parseFile(text []byte) (*file, error) {
-	f := &file{}
+func parseFile(text []byte) (*configFile, error) {
+	f := &configFile{}
 	if len(text) == 0 {
 		return f, nil
 	}
--- a/config/limits.go
+++ b/config/limits.go
@@ -39,7 +39,7 @@
 
 // readLimits reads the limits. Their reserve for operators depends on c.Admin, so readAddresses runs first. An error is a
 // *KeyError.
-func (c *Config) readLimits(f *file) error {
+func (c *Config) readLimits(f *configFile) error {
 	limits := Limits{
 		Cores:    valueOr(f.Limits.Cores, DefaultCores),
 		MemoryMB: valueOr(f.Limits.MemoryMB, DefaultMemoryMB),
--- a/config/operator/nats.go
+++ b/config/operator/nats.go
@@ -36,8 +36,8 @@
 	Timeout time.Duration // until a node has accepted the session
 }
 
-// RequestClass says which class a request has: a PUB with a reply subject, sent to a subject that the pattern matches. The first
-// match counts.
+// RequestClass is a rule that assigns a class to requests. A request is a PUB with a reply subject. It matches the rule if the
+// pattern matches its subject; the first rule that matches applies.
 type RequestClass struct {
 	Subject string // a pattern
 	Class   string
@@ -46,7 +46,7 @@
 	Line    int // in the operator file
 }
 
-// KeySource says which part of a message a key is taken from.
+// KeySource says what a key is taken from.
 type KeySource struct {
 	// Kind is user, name, client (a key of its own for each client), session (the session's key), token (of the subject), or
 	// empty for no key.
@@ -61,7 +61,7 @@
 	sourceSession = "session"
 	sourceToken   = "token"
 
-	maxSubjectTokens = 64 // of a subject
+	maxSubjectTokens = 64 // the index of a token is below it
 )
 
 // readNATS reads the section nats. Its classes must be among those given, unless none are.
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -30,8 +30,8 @@
 }
 
 // Load reads an operator file and the files that it names. The classes are those of the platform's settings; if there are
-// none, the file may name any class. The error is that of a file which can't be read, a *KeyError, or the joined FileErrors
-// of a file.
+// none, the file may name any class. The error is that of a file which can't be read, a *KeyError, the joined FileErrors of
+// the operator file, or the FileError of the plan file.
 func Load(file string, classes []string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/config/operator/placement.go
+++ b/config/operator/placement.go
@@ -16,7 +16,7 @@
 	DefaultCost int64 // per unit of load, of a crossing between zones that Crossings does not name
 	Constraints []placement.Constraint
 	Batches     []placement.Batch
-	Order       []placement.Goal // of the goals, the first one first; nil means the default order
+	Order       []placement.Goal // the goals, most important first; nil means the default order
 }
 
 // readPlacement reads the section placement.
--- a/config/operator/plan.go
+++ b/config/operator/plan.go
@@ -21,7 +21,7 @@
 	Version       int64
 	ListHash      uint64 // of the list of nodes that the plan is for
 	SettingsHash  uint64 // of the placement settings
-	Proven        bool   // whether no better plan exists
+	Proven        bool   // whether it is proven that no better plan exists
 	Goals         placement.Goals
 	Load          map[string]int64 // by node, in units of load
 	Flows         []placement.Flow
--- a/config/settings.go
+++ b/config/settings.go
@@ -11,7 +11,7 @@
 )
 
 // readCachedList reads the last endpoint list that the platform knew, if the file holds one.
-func (c *Config) readCachedList(f *file) error {
+func (c *Config) readCachedList(f *configFile) error {
 	if !isGiven(f.Known) {
 		return nil
 	}
@@ -24,7 +24,7 @@
 }
 
 // readSettings reads the platform's settings, and the seed, which takes precedence over the seed among the settings.
-func (c *Config) readSettings(f *file) error {
+func (c *Config) readSettings(f *configFile) error {
 	pairs := settings.Pairs{}
 	if isGiven(f.Settings) {
 		var err error
