--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// site holds the servers and the discovery that the processes use.
-type site struct {
+// fixture holds the servers and the discovery that the processes use, and a directory for their files.
+type fixture struct {
 	t         *testing.T
 	dir       string
 	catalog   *fakeserver.Catalog
@@ -93,9 +93,9 @@
 	servers   []*fakeserver.LineServer
 }
 
-func newSite(t *testing.T) *site {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir()}
+	f := &fixture{t: t, dir: t.TempDir()}
 	var endpoints []fakeserver.Endpoint
 	for i := range 2 {
 		server, err := fakeserver.NewLineServer()
@@ -103,65 +103,65 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(server.Close)
-		s.servers = append(s.servers, server)
+		f.servers = append(f.servers, server)
 		endpoints = append(endpoints, fakeserver.Endpoint{
 			ID: fmt.Sprintf("s-%08x", i+1), Addr: server.Addr(), State: fakeserver.StateInService, Weight: 1,
 		})
 	}
 	var err error
-	if s.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", 7, endpoints...); err != nil {
+	if f.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", 7, endpoints...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.catalog.Close)
-	s.discovery = s.catalog.Addr()
-	return s
+	t.Cleanup(f.catalog.Close)
+	f.discovery = f.catalog.Addr()
+	return f
 }
 
 // reserve reserves an address until the test ends.
-func (s *site) reserve() string {
-	s.t.Helper()
+func (f *fixture) reserve() string {
+	f.t.Helper()
 	addr, release, err := fakeserver.ReserveAddress()
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	s.t.Cleanup(release)
+	f.t.Cleanup(release)
 	return addr
 }
 
 // write writes a file and returns its path.
-func (s *site) write(name, text string) string {
-	s.t.Helper()
-	path := filepath.Join(s.dir, name)
+func (f *fixture) write(name, text string) string {
+	f.t.Helper()
+	path := filepath.Join(f.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return path
 }
 
 // config writes a gateway's configuration and returns its path. The configuration holds no endpoint list, so the gateway gets
 // one from discovery, its disk, its peers or the state of a predecessor.
-func (s *site) config(name, listen string) string {
-	s.t.Helper()
-	return s.write(name+".json", fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"limits":{"cores":1,"sockets":256},"settings":{
+func (f *fixture) config(name, listen string) string {
+	f.t.Helper()
+	return f.write(name+".json", fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"limits":{"cores":1,"sockets":256},"settings":{
 	 "caps":{"max_attempts":2,"retry_after":true,"max_retry_after_ns":1000000000},"discovery":"ask","family_info":{"mode":"pass"},
-	 "classes":[{"name":"c","effect":"idempotent","group":"all","give_up_ns":5000000000,"slo_ns":90000000000}]}}`, name, listen, s.discovery))
+	 "classes":[{"name":"c","effect":"idempotent","group":"all","give_up_ns":5000000000,"slo_ns":90000000000}]}}`, name, listen, f.discovery))
 }
 
 // member is one gateway in a cluster of two.
 type member struct {
-	name, listen, peers, disk string
-	other                     *member
+	name, listen, peerAddr, disk string
+	other                        *member
 }
 
 // members returns the two members of a cluster, with addresses and disks of their own.
-func (s *site) members() (a, b *member) {
-	s.t.Helper()
-	s.write("key", "0123456789abcdef")
+func (f *fixture) members() (a, b *member) {
+	f.t.Helper()
+	f.write("key", "0123456789abcdef")
 	for i, m := range []**member{&a, &b} {
 		name := fmt.Sprint("g", i)
-		*m = &member{name: name, listen: s.reserve(), peers: s.reserve(), disk: filepath.Join(s.dir, "disk-"+name)}
+		*m = &member{name: name, listen: f.reserve(), peerAddr: f.reserve(), disk: filepath.Join(f.dir, "disk-"+name)}
 		if err := os.Mkdir((*m).disk, 0o700); err != nil {
-			s.t.Fatal(err)
+			f.t.Fatal(err)
 		}
 	}
 	a.other, b.other = b, a
@@ -169,12 +169,12 @@
 }
 
 // startMember starts a member as a process of a build.
-func (s *site) startMember(b build, m *member) *process {
-	s.t.Helper()
-	operatorFile := s.write(m.name+".edn", fmt.Sprintf(
+func (f *fixture) startMember(b build, m *member) *process {
+	f.t.Helper()
+	operatorFile := f.write(m.name+".edn", fmt.Sprintf(
 		"(cluster (listen %q) (key-file \"key\") (dir %q) (peers-within \"1500ms\")\n (member %q %q) (tier \"c\"))\n",
-		m.peers, m.disk, m.other.name, m.other.peers))
-	return s.start(b, nil, "PROXY_CONFIG="+s.config(m.name, m.listen), "MILLETVANE_OPERATOR="+operatorFile)
+		m.peerAddr, m.disk, m.other.name, m.other.peerAddr))
+	return f.start(b, nil, "PROXY_CONFIG="+f.config(m.name, m.listen), "MILLETVANE_OPERATOR="+operatorFile)
 }
 
 // process is a started program.
@@ -197,29 +197,29 @@
 }
 
 // start starts a process of a build. If passed is not nil, the process inherits it as descriptor 3.
-func (s *site) start(b build, passed *os.File, env ...string) *process {
-	s.t.Helper()
-	p := &process{t: s.t, cmd: exec.Command(b.path), admin: s.reserve(), exited: make(chan struct{})}
-	p.cmd.Dir, p.cmd.Stderr = s.dir, p
-	p.cmd.Env = append(os.Environ(), "TMPDIR="+s.dir, "PROXY_ADMIN_ADDR="+p.admin)
+func (f *fixture) start(b build, passed *os.File, env ...string) *process {
+	f.t.Helper()
+	p := &process{t: f.t, cmd: exec.Command(b.path), admin: f.reserve(), exited: make(chan struct{})}
+	p.cmd.Dir, p.cmd.Stderr = f.dir, p
+	p.cmd.Env = append(os.Environ(), "TMPDIR="+f.dir, "PROXY_ADMIN_ADDR="+p.admin)
 	p.cmd.Env = append(append(p.cmd.Env, env...), b.env...)
 	if passed != nil {
 		p.cmd.ExtraFiles = []*os.File{passed}
 		p.cmd.Env = append(p.cmd.Env, "PROXY_PASSED_SOCKET=3")
 	}
 	if err := p.cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	go func() {
 		defer close(p.exited)
 		p.err = p.cmd.Wait()
 	}()
-	s.t.Cleanup(func() {
+	f.t.Cleanup(func() {
 		p.kill()
-		if s.t.Failed() {
+		if f.t.Failed() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			s.t.Logf("log of %s build:\n%s", b.name, p.log.String())
+			f.t.Logf("log of %s build:\n%s", b.name, p.log.String())
 		}
 	})
 	return p
@@ -343,12 +343,12 @@
 // A member without an endpoint list, a stored state or discovery serves by the list that it gets from its peer of another build.
 func testPeers(t *testing.T, holder, requester build) {
 	t.Helper()
-	s := newSite(t)
-	a, b := s.members()
-	s.startMember(holder, a)
+	f := newFixture(t)
+	a, b := f.members()
+	f.startMember(holder, a)
 	waitUntilServed(t, a.listen)
-	s.catalog.Close()
-	s.startMember(requester, b)
+	f.catalog.Close()
+	f.startMember(requester, b)
 	waitUntilServed(t, b.listen)
 }
 
@@ -380,15 +380,15 @@
 // that build's.
 func testDisk(t *testing.T, writer, reader build) {
 	t.Helper()
-	s := newSite(t)
-	m, _ := s.members()
-	p := s.startMember(writer, m)
+	f := newFixture(t)
+	m, _ := f.members()
+	p := f.startMember(writer, m)
 	waitUntilServed(t, m.listen)
 	m.waitUntilStored(t)
 	p.kill()
-	s.catalog.Close()
+	f.catalog.Close()
 	before := m.incarnation(t)
-	s.startMember(reader, m)
+	f.startMember(reader, m)
 	waitUntilServed(t, m.listen)
 	if after := m.incarnation(t); after <= before {
 		t.Errorf("incarnation after the restart = %d, want more than %d", after, before)
@@ -401,7 +401,7 @@
 
 // sharedSocket is a listening socket that several processes inherit, with one configuration for all of them.
 type sharedSocket struct {
-	site     *site
+	fixture  *fixture
 	addr     string
 	file     *os.File
 	config   string
@@ -409,48 +409,49 @@
 }
 
 // newSharedSocket opens a listening socket, which is closed when the test ends.
-func (s *site) newSharedSocket() *sharedSocket {
-	s.t.Helper()
+func (f *fixture) newSharedSocket() *sharedSocket {
+	f.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
-		s.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	s.t.Cleanup(func() {
+	f.t.Cleanup(func() {
 		if err := errors.Join(file.Close(), listener.Close()); err != nil {
-			s.t.Error(err)
+			f.t.Error(err)
 		}
 	})
 	addr := listener.Addr().String()
-	return &sharedSocket{site: s, addr: addr, file: file, config: s.config("n0", addr), requests: 1000} // waitUntilServed uses lower numbers
+	// waitUntilServed uses request numbers below 1000.
+	return &sharedSocket{fixture: f, addr: addr, file: file, config: f.config("n0", addr), requests: 1000}
 }
 
 // start starts a process that inherits the socket, and waits until it is ready.
 func (s *sharedSocket) start(b build) *process {
-	s.site.t.Helper()
-	p := s.site.start(b, s.file, "PROXY_CONFIG="+s.config)
+	s.fixture.t.Helper()
+	p := s.fixture.start(b, s.file, "PROXY_CONFIG="+s.config)
 	p.waitUntilReady()
 	return p
 }
 
 // open opens a connection, which must be served at the first request. The phase is for the failure text.
 func (s *sharedSocket) open(phase string) *client {
-	s.site.t.Helper()
+	s.fixture.t.Helper()
 	s.requests++
 	c, answer := open(s.addr, s.requests)
 	if !strings.HasPrefix(answer, "UP ") {
-		s.site.t.Fatalf("%s: answer to request %d = %q, want UP", phase, s.requests, answer)
+		s.fixture.t.Fatalf("%s: answer to request %d = %q, want UP", phase, s.requests, answer)
 	}
-	checkEcho(s.site.t, c)
+	checkEcho(s.fixture.t, c)
 	return c
 }
 
 // serverWithoutLastRequest returns the index of the server that does not have the last request.
 func (s *sharedSocket) serverWithoutLastRequest() int {
-	if s.site.servers[0].OpenedByName()[requestName(s.requests)] > 0 {
+	if s.fixture.servers[0].OpenedByName()[requestName(s.requests)] > 0 {
 		return 1
 	}
 	return 0
@@ -482,8 +483,8 @@
 // the successor's start on.
 func testPassedSocket(t *testing.T, firstBuild, secondBuild build) {
 	t.Helper()
-	s := newSite(t)
-	socket := s.newSharedSocket()
+	f := newFixture(t)
+	socket := f.newSharedSocket()
 	predecessor := socket.start(firstBuild)
 	waitUntilServed(t, socket.addr)
 	kept := socket.open("before the upgrade")
@@ -491,7 +492,7 @@
 	disabled := socket.serverWithoutLastRequest()
 	path := fmt.Sprintf("/-/servers/s-%08x/", disabled+1)
 	predecessor.post(path + "disable")
-	s.catalog.Close()
+	f.catalog.Close()
 	time.Sleep(1500 * time.Millisecond) // the predecessor writes its state once a second
 
 	successor := socket.start(secondBuild)
@@ -500,7 +501,7 @@
 			t.Errorf("metrics without edge_proxy.ejected:1|g, want one disabled server: %s", figures)
 		}
 	}
-	opened := s.servers[disabled].Opened()
+	opened := f.servers[disabled].Opened()
 	for i := range 30 {
 		if i == 10 {
 			if err := predecessor.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -509,7 +510,7 @@
 		}
 		socket.open("during the upgrade").close(t)
 	}
-	if n := s.servers[disabled].Opened(); n != opened {
+	if n := f.servers[disabled].Opened(); n != opened {
 		t.Errorf("%d connections were opened to the disabled server, want none", n-opened)
 	}
 	checkEcho(t, kept)
--- a/config/operator/entry.go
+++ b/config/operator/entry.go
@@ -36,11 +36,11 @@
 	e.failed = true
 }
 
-// next returns the next value and true. If there is none, it adds an error and returns false. The error text refers to the
-// value as what, here and in the methods below.
-func (e *entry) next(what string) (expr, bool) {
+// next returns the next value and true. If there is none, it adds an error and returns false. The error text calls the
+// value by the description, here and in the methods below.
+func (e *entry) next(description string) (expr, bool) {
 	if !e.hasMore() {
-		e.fail(e.form.line, "%s is missing", what)
+		e.fail(e.form.line, "%s is missing", description)
 		return expr{}, false
 	}
 	x := e.values[0]
@@ -49,35 +49,35 @@
 }
 
 // text returns the next value, which must be a string that is not empty.
-func (e *entry) text(what string) string {
-	x, ok := e.next(what)
+func (e *entry) text(description string) string {
+	x, ok := e.next(description)
 	if !ok {
 		return ""
 	}
 	text, ok := x.atom.(string)
 	if !ok || text == "" {
-		e.fail(x.line, "%s is not %s, a string", x, what)
+		e.fail(x.line, "%s is not %s, a string", x, description)
 	}
 	return text
 }
 
 // texts returns all values that are left, which must be strings that are not empty.
-func (e *entry) texts(what string) (list []string) {
+func (e *entry) texts(description string) (list []string) {
 	for e.hasMore() {
-		list = append(list, e.text(what))
+		list = append(list, e.text(description))
 	}
 	return list
 }
 
 // number returns the next value, which must be an integer from minValue to maxValue. After an error it returns minValue.
-func (e *entry) number(what string, minValue, maxValue int64) int64 {
-	x, ok := e.next(what)
+func (e *entry) number(description string, minValue, maxValue int64) int64 {
+	x, ok := e.next(description)
 	if !ok {
 		return minValue
 	}
 	n, ok := x.atom.(int64)
 	if !ok || n < minValue || n > maxValue {
-		e.fail(x.line, "%s is not %s, a whole number within %d and %d", x, what, minValue, maxValue)
+		e.fail(x.line, "%s is not %s, a whole number within %d and %d", x, description, minValue, maxValue)
 		return minValue
 	}
 	return n
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -37,7 +37,7 @@
 }
 
 // Run executes a command line and returns the program's exit code: 0 for success, 1 for a failure, or 3 if the constraints of
-// a placement plan conflict. The log goes to errs.
+// a placement plan conflict. The log goes to errOut.
 func Run(ctx context.Context, args []string, getenv func(string) string, out, errOut io.Writer) int {
 	p := &program{getenv: getenv, out: out, errOut: errOut}
 	p.logger = slog.New(slog.NewTextHandler(errOut, nil)) // until the flags are parsed
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -26,7 +26,7 @@
 					list,
 					&cli.StringFlag{Name: "out", Usage: "plan `FILE` to write", Required: true},
 					&cli.StringFlag{Name: "from", Usage: "plan `FILE` in force, from which moves are counted"},
-					&cli.IntFlag{Name: "steps", Usage: "maximum number of networks to solve for a better plan, 16 times as many for a first one; 0: no limit"},
+					&cli.IntFlag{Name: "steps", Usage: "maximum number of networks to solve for a better plan, 16 times as many for a first one; 0: until the plan is proven best"},
 				},
 				Action: p.solvePlan,
 			},
