--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -7,21 +7,21 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// notify passes an event to the balancer and carries out its actions. An event that follows from an action waits until
-// all actions before it are carried out.
+// notify passes an event to the balancer and executes the actions that the balancer returns. An event that results from
+// an action is queued until all actions of the events before it have been executed.
 func (e *Engine) notify(ev balancer.Event) {
 	e.pendingEvents = append(e.pendingEvents, ev)
 	if len(e.pendingEvents) > 1 {
-		return // called from an action: the loop below gets to it
+		return // called while an action is executed: the loop below handles the event
 	}
 	for i := 0; i < len(e.pendingEvents); i++ {
-		e.handleByBalancer(e.pendingEvents[i])
+		e.dispatchToBalancer(e.pendingEvents[i])
 	}
 	clear(e.pendingEvents)
 	e.pendingEvents = e.pendingEvents[:0]
 }
 
-func (e *Engine) handleByBalancer(ev balancer.Event) {
+func (e *Engine) dispatchToBalancer(ev balancer.Event) {
 	if e.options.Trace {
 		e.traceEvent(ev)
 	}
@@ -33,8 +33,8 @@
 	}
 }
 
-// execute carries out one action of the balancer. What it decided about a request may be late: the request can have
-// ended, or gone on, since the event that the action answers.
+// execute executes one action of the balancer. It ignores an action that came too late: the request may have ended or
+// changed its phase since the event that led to the action.
 func (e *Engine) execute(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
@@ -42,11 +42,11 @@
 	case balancer.Reject:
 		e.rejectPending(a)
 	case balancer.Fail:
-		if r := e.requestIn(a.ID, pending); r != nil {
+		if r := e.requestInPhase(a.ID, pending); r != nil {
 			e.fail(r)
 		}
 	case balancer.Migrate:
-		if r := e.requestIn(a.ID, established); r != nil {
+		if r := e.requestInPhase(a.ID, established); r != nil {
 			e.migrate(r, balancer.Cancelled)
 		}
 	case balancer.PollLoad:
@@ -60,8 +60,8 @@
 	}
 }
 
-// log writes a line of the balancer's to the gateway's log. Logger.LogAttrs would want a context, which a package
-// without I/O has no use for.
+// log writes a log line of the balancer to the gateway's log. It doesn't call Logger.LogAttrs, which requires a context,
+// because a package without I/O has none.
 func (e *Engine) log(line balancer.Log) {
 	args := make([]any, len(line.Attrs))
 	for i, attr := range line.Attrs {
@@ -70,8 +70,8 @@
 	e.options.Logger.Info(line.Message, args...)
 }
 
-// requestIn returns the request that an action is about if it is in a phase; nil: it is not, or has ended.
-func (e *Engine) requestIn(id balancer.RequestID, p phase) *request {
+// requestInPhase returns the request with an ID, or nil if it has ended or is in a phase other than p.
+func (e *Engine) requestInPhase(id balancer.RequestID, p phase) *request {
 	if r := e.requests.get(slotmap.Handle(id)); r != nil && r.phase == p {
 		return r
 	}
@@ -79,7 +79,7 @@
 }
 
 func (e *Engine) rejectPending(a balancer.Reject) {
-	r := e.requestIn(a.ID, pending)
+	r := e.requestInPhase(a.ID, pending)
 	if r == nil {
 		return
 	}
@@ -91,9 +91,10 @@
 	e.reject(r, a.RetryAfter)
 }
 
-// sendAttempt starts an attempt that the balancer decided on.
+// sendAttempt starts an attempt that the balancer decided on. If the request no longer waits for an attempt, the balancer
+// is notified that the attempt was not sent.
 func (e *Engine) sendAttempt(a balancer.Send) {
-	r := e.requestIn(a.ID, pending)
+	r := e.requestInPhase(a.ID, pending)
 	if r == nil || r.attempt != nil {
 		e.notify(balancer.AttemptEnded{ID: a.ID, Server: a.Server, Result: balancer.NotSent, Answered: true})
 		return
@@ -102,11 +103,11 @@
 	if a.Timeout != 0 {
 		timeout = min(timeout, a.Timeout)
 	}
-	e.startAttempt(r, a.Server, attemptBounds{timeout: timeout, connectTimeout: a.ConnectTimeout})
+	e.startAttempt(r, a.Server, attemptTimeouts{timeout: timeout, connectTimeout: a.ConnectTimeout})
 }
 
-// attemptBounds are the times that an attempt is given, from when it starts.
-type attemptBounds struct {
+// attemptTimeouts holds the timeouts of an attempt, counted from its start.
+type attemptTimeouts struct {
 	timeout        time.Duration
-	connectTimeout time.Duration // 0: no bound but the timeout
+	connectTimeout time.Duration // zero means that only timeout applies
 }
--- a/internal/engine/adopted.go
+++ b/internal/engine/adopted.go
@@ -7,33 +7,33 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// minAdoptedLifetime is the least time that a connection of the predecessor process is counted after that process last
-// reported it. It reports every second or sooner, so that three reports have to be missed.
+// minAdoptedLifetime is the minimum time for which a connection of the predecessor process is counted after the last
+// report of that process. The process reports at least every second, so that three reports must be missed.
 const minAdoptedLifetime = 3 * time.Second
 
-// State is what an engine passes to the one of the process that follows. It is written as JSON: the encoded names of
+// State is what an engine passes to the engine of the successor process. It is encoded as JSON, so the encoded names of
 // its fields must not change.
 type State struct {
-	Version  int64             // of the endpoint list
-	Servers  []Server          // as listed
+	Version  int64             // version of the endpoint list
+	Servers  []Server          // servers as discovery lists them
 	Balancer balancer.Snapshot `json:"Learned"`
 	Flows    []Flow
 }
 
-// Flow is an open connection whose packets the next process of the gateway will get.
+// Flow is an open connection whose packets the successor process will receive.
 type Flow struct {
-	ID     string // the client's name for it
+	ID     string // assigned by the client
 	Class  string
 	Key    string
 	Group  string
 	Server string
-	Load   float64 // in microseconds of work a second; 0: unknown
+	Load   float64 // in microseconds of work per second; zero means unknown
 }
 
-// adoptedConnections are the connections that the predecessor process still holds, and that this one counts.
+// adoptedConnections holds the connections of the predecessor process that this process counts.
 type adoptedConnections struct {
-	byClientID map[string]slotmap.Handle // those whose packets have not come here yet
-	claimed    map[string]bool           // those whose packets have
+	byClientID map[string]slotmap.Handle // connections that this process has received no packets of
+	claimed    map[string]bool           // IDs of connections whose packets this process has received
 	reportedAt time.Duration             // when the predecessor process last reported its connections
 }
 
@@ -57,7 +57,7 @@
 	ev.Deliver(state)
 }
 
-// flowOf returns what the next process has to know of an open connection; ok is false for what it can't take over.
+// flowOf returns the Flow of an open connection. The ok result is false if the successor process can't take it over.
 func (e *Engine) flowOf(r *request) (f Flow, ok bool) {
 	s := e.endpoints.byID[r.server]
 	isOpen := r.phase == established || r.phase == adoptable
@@ -69,8 +69,9 @@
 	return f, true
 }
 
-// onPredecessorState counts the connections that the predecessor process holds. They load their servers and take
-// sockets, as both processes share their limits. Packets of one that come here go to the server that holds it.
+// onPredecessorState adopts the connections that the predecessor process holds. They count towards the load of their
+// servers and towards the socket limit, because both processes share their limits. If packets of an adopted connection
+// arrive here, they are sent to the server that holds the connection.
 func (e *Engine) onPredecessorState(ev PredecessorState) {
 	if ev.First {
 		e.balancer.Restore(e.now, ev.State.Balancer)
@@ -78,14 +79,15 @@
 	e.adopted.reportedAt = e.now
 	for _, f := range ev.State.Flows {
 		if e.canAdopt(f) && !e.adopt(f) {
-			return // the table is full
+			return // the table of requests is full
 		}
 	}
 	e.releaseUnreported(ev.State.Flows)
 	e.updateOutstanding()
 }
 
-// canAdopt reports whether a connection of the predecessor process is to be counted from now on.
+// canAdopt reports whether a connection of the predecessor process is to be adopted: it has an ID, it is not known here
+// yet, and its server is listed.
 func (e *Engine) canAdopt(f Flow) bool {
 	if _, isAdopted := e.adopted.byClientID[f.ID]; isAdopted {
 		return false
@@ -94,7 +96,7 @@
 	return isListed && f.ID != "" && !e.requests.has(f.ID) && !e.adopted.claimed[f.ID]
 }
 
-// adopt counts a connection of the predecessor process; it returns false where the table of requests is full.
+// adopt starts to count a connection of the predecessor process. It returns false if the table of requests is full.
 func (e *Engine) adopt(f Flow) bool {
 	server := e.endpoints.idByName[f.Server]
 	r := &request{phase: adoptable, clientID: f.ID, server: server, flow: f, load: f.Load}
@@ -109,7 +111,7 @@
 	return true
 }
 
-// releaseUnreported gives up the connections that the predecessor process no longer reports.
+// releaseUnreported releases the adopted connections that the predecessor process no longer reports.
 func (e *Engine) releaseUnreported(flows []Flow) {
 	isReported := make(map[string]bool, len(flows))
 	for _, f := range flows {
@@ -122,7 +124,8 @@
 	}
 }
 
-// releaseAdopted gives up a connection of the predecessor process. It returns the server that held it.
+// releaseAdopted stops counting a connection of the predecessor process. It returns the server that holds it; ok is false
+// if the connection is not in the table.
 func (e *Engine) releaseAdopted(clientID string) (server balancer.ServerID, ok bool) {
 	r := e.requests.get(e.adopted.byClientID[clientID])
 	delete(e.adopted.byClientID, clientID)
@@ -134,17 +137,18 @@
 	return r.server, true
 }
 
-// claimAdopted takes over a connection of the predecessor process, as its packets come here now. It returns its server.
+// claimAdopted takes over a connection of the predecessor process whose packets arrive here now. It returns the server
+// that holds the connection; ok is false if the connection was not adopted.
 func (e *Engine) claimAdopted(clientID string) (server balancer.ServerID, ok bool) {
 	if _, isAdopted := e.adopted.byClientID[clientID]; !isAdopted {
 		return 0, false
 	}
-	e.adopted.claimed[clientID] = true // a state that was written before this still reports it
+	e.adopted.claimed[clientID] = true // a state that was written earlier still reports the connection
 	return e.releaseAdopted(clientID)
 }
 
-// expireAdopted gives up the connections whose packets never came, once the predecessor process has been silent for as
-// long as servers keep them.
+// expireAdopted releases the adopted connections whose packets never arrived, once the predecessor process has not
+// reported for as long as servers keep them.
 func (e *Engine) expireAdopted() {
 	lifetime := max(e.options.FlowRetention, minAdoptedLifetime)
 	if e.adopted.isEmpty() || e.now-e.adopted.reportedAt < lifetime {
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -7,37 +7,39 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// ownerResumeTimeout is the least time that a connection from before the start has to be resumed at its owner. It is
-// far beyond the usual timeout of a request, since such a connection can't be had elsewhere.
+// ownerResumeTimeout is the minimum time to resume a connection from before the start of this gateway at its owner. It
+// is far longer than the usual timeout of a request, because no other server can serve such a connection.
 const ownerResumeTimeout = 40 * time.Second
 
 // Attempt is one attempt of a request at a server.
 type Attempt struct {
 	RequestID slotmap.Handle
-	Number    int // of the request's attempts, counted from 0
+	Number    int // counts the attempts of the request from 0
 	Server    balancer.ServerID
 	Addr      string
 	Client    Client
-	Timeout   time.Duration // until the attempt is cancelled
-	// A connection established after ConnectTimeout must carry nothing: the attempt never ran. 0 is no such bound.
+	Timeout   time.Duration // time from the start of the attempt until it is cancelled
+	// ConnectTimeout is the time by which the connection must be established. Nothing may be sent on a connection that
+	// is established later, so that the attempt had no effect. Zero means no such limit.
 	ConnectTimeout time.Duration
 }
 
 // ActiveAttempt is an attempt that has been started.
 type ActiveAttempt interface {
-	// Cancel gives up an attempt that is not established, before it returns. It returns false for one that is
-	// established or has ended by itself: the event is on its way then.
+	// Cancel cancels an attempt that is not established, and returns true once it is cancelled. It returns false for an
+	// attempt that is established or has ended by itself: the event that says so has yet to be handled.
 	Cancel() bool
-	// UnansweredFor is for how long the oldest message of the client has been without an answer; 0: none is.
+	// UnansweredFor returns the age of the client's oldest unanswered message, or 0 if every message was answered.
 	UnansweredFor() time.Duration
 }
 
-// Backend starts attempts. For each one AttemptEstablished follows at most once, and AttemptEnded at most once after
-// that, unless it was cancelled or its client disconnected.
+// Backend starts attempts. For each attempt it sends at most one AttemptEstablished and after that at most one
+// AttemptEnded, unless the attempt was cancelled or its client disconnected.
 type Backend interface{ Send(Attempt) ActiveAttempt }
 
-// startAttempt starts an attempt at a server, or ends it at once where that has no address any more or no time is left.
-func (e *Engine) startAttempt(r *request, server balancer.ServerID, bounds attemptBounds) {
+// startAttempt starts an attempt at a server. If the server is no longer listed or no time is left, the attempt ends at
+// once.
+func (e *Engine) startAttempt(r *request, server balancer.ServerID, timeouts attemptTimeouts) {
 	r.attempts++
 	r.server, r.sentAt = server, e.now
 	s := e.endpoints.byID[server]
@@ -45,36 +47,36 @@
 		e.endAttempt(r, balancer.ConnectFailed)
 		return
 	}
-	if bounds.timeout <= 0 {
+	if timeouts.timeout <= 0 {
 		e.endAttempt(r, balancer.TimedOut)
 		return
 	}
-	e.resetTimer(&r.attemptTimer, e.now+bounds.timeout, attemptTimer, r)
+	e.resetTimer(&r.attemptTimer, e.now+timeouts.timeout, attemptTimer, r)
 	r.attempt = e.backend.Send(Attempt{
 		RequestID:      r.handle,
 		Number:         r.attemptNumber(),
 		Server:         server,
 		Addr:           s.addr,
 		Client:         r.client,
-		Timeout:        bounds.timeout,
-		ConnectTimeout: bounds.connectTimeout,
+		Timeout:        timeouts.timeout,
+		ConnectTimeout: timeouts.connectTimeout,
 	})
 }
 
-// resumeAtOwner takes up a connection that a server holds since before this gateway started. There is nothing to
-// decide: it goes to that server, and the balancer is notified of whom the server holds.
+// resumeAtOwner resumes a connection that a server has held since before this gateway started. The connection can only
+// go to that server, so the balancer decides nothing: it is only notified of the connection.
 func (e *Engine) resumeAtOwner(r *request, event balancer.Request, owner string) {
 	server, isListed := e.endpoints.idByName[owner]
-	r.isSticky = true
+	r.isPinned = true
 	r.deadline = max(r.deadline, e.now+ownerResumeTimeout)
-	e.resetTimer(&r.answerTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
+	e.resetTimer(&r.phaseTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
 	if !isListed {
 		e.options.Logger.Warn("connection owner not listed", "server", owner)
 		e.fail(r)
 		return
 	}
 	e.notify(balancer.AdoptedConnection{Request: event, Server: server})
-	e.startAttempt(r, server, attemptBounds{timeout: r.deadline - e.now})
+	e.startAttempt(r, server, attemptTimeouts{timeout: r.deadline - e.now})
 }
 
 func (e *Engine) onAttemptEstablished(ev AttemptEstablished) {
@@ -85,14 +87,14 @@
 	e.statistics.established++
 	r.counters.Succeeded.Add(1)
 	r.phase = established
-	e.timers.Remove(r.answerTimer)
+	e.timers.Remove(r.phaseTimer)
 	e.timers.Remove(r.attemptTimer)
-	if !r.isSticky {
+	if !r.isPinned {
 		e.notify(balancer.AttemptEstablished{ID: r.id(), Attempt: ev.Number, Server: r.server, Elapsed: ev.Elapsed})
 	}
 	switch {
-	case r.phase != established: // the balancer has migrated it
-	case e.shutdown.stage == closing: // the rest has been migrated already
+	case r.phase != established: // the balancer has migrated the client
+	case e.shutdown.stage == closing: // all other clients have been migrated already
 		e.migrate(r, balancer.Cancelled)
 	default:
 		e.notifyIfServerDrains(r)
@@ -105,7 +107,7 @@
 	}
 }
 
-// requestWithAttempt returns the request whose present attempt has a number; nil: that attempt is over.
+// requestWithAttempt returns the request whose current attempt has a number, or nil if that attempt is over.
 func (e *Engine) requestWithAttempt(h slotmap.Handle, number int) *request {
 	r := e.requests.get(h)
 	if r == nil || r.attempt == nil || r.attemptNumber() != number {
@@ -114,36 +116,36 @@
 	return r
 }
 
-// onAttemptTimeout cancels an attempt before the balancer is notified: a request never has two attempts at once.
+// onAttemptTimeout cancels an attempt before it notifies the balancer, so that a request never has two attempts at once.
 func (e *Engine) onAttemptTimeout(r *request) {
 	if r.attempt != nil && r.phase == pending && r.attempt.Cancel() {
 		e.endAttempt(r, balancer.TimedOut)
 	}
 }
 
-// endAttempt ends a request's attempt. An established connection and an answered request end with it; otherwise the
-// balancer decides what follows.
+// endAttempt ends the current attempt of a request. The request ends with it if its connection was established or the
+// server answered it. A pinned request fails, as it can't be retried. Otherwise the balancer decides what follows.
 func (e *Engine) endAttempt(r *request, result balancer.Result) {
 	e.timers.Remove(r.attemptTimer)
 	r.attempt = nil
 	isOver := r.phase == established || result == balancer.OK
-	ended := e.attemptEnded(r, result, isOver || r.isSticky)
-	if result == balancer.OK && r.phase == pending && !r.isSticky {
+	ended := e.attemptEnded(r, result, isOver || r.isPinned)
+	if result == balancer.OK && r.phase == pending && !r.isPinned {
 		e.countAnswer(r, ended)
 	}
 	switch {
 	case isOver:
 		e.statistics.ended++
 		e.release(r)
-	case r.isSticky:
+	case r.isPinned:
 		e.options.Logger.Warn("connection not resumed at its owner", "server", r.server, "result", result)
 		e.fail(r)
 	}
 	e.notify(ended)
 }
 
-// countAnswer counts the answer to a request without a connection. For the balancer it is as good as an established
-// connection, by whose number it tells a fault of one server from one that all share.
+// countAnswer counts an answered request that has no connection. It notifies the balancer as of an established
+// connection, because the balancer uses the number of these to tell the fault of one server from a fault of all.
 func (e *Engine) countAnswer(r *request, ended balancer.AttemptEnded) {
 	e.notify(balancer.AttemptEstablished{
 		ID:      ended.ID,
@@ -154,7 +156,7 @@
 	r.counters.Succeeded.Add(1)
 }
 
-// attemptEnded is the end of a request's last attempt, as the balancer is notified of it.
+// attemptEnded returns the event that notifies the balancer of the end of a request's last attempt.
 func (e *Engine) attemptEnded(r *request, result balancer.Result, isAnswered bool) balancer.AttemptEnded {
 	return balancer.AttemptEnded{
 		ID:       r.id(),
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -6,33 +6,35 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// idleTimeout is how long a client may stay connected without a request. Clients send their request at once; those that
-// do not are owed the end of the connection within 3 s, which leaves half a second for it to arrive.
+// idleTimeout is how long a client may stay connected without a request. Clients send their request at once. The
+// connections of those that don't must end within 3 s, which leaves half a second for the end to arrive.
 const idleTimeout = 2500 * time.Millisecond
 
-// ClientHandle ties a client to the engine's record of it. A frontend embeds one in each client, in its zero value, and
-// leaves it to the engine.
+// ClientHandle links a client to its entry in the engine. A frontend stores a zero ClientHandle in each client and does
+// not use it otherwise.
 type ClientHandle struct{ id slotmap.Handle }
 
-// Client is the frontend's end of a connection, or of a request without one. The engine calls it on its own
-// goroutine; no method may wait for the peer. Reject, Fail and Close are final: no ClientDisconnected follows them.
+// Client is the frontend's side of a client connection, or of a request without a connection. The engine calls its
+// methods on the engine's goroutine, and no method may wait for the peer. Reject, Fail and Close are final: the frontend
+// sends no ClientDisconnected after them.
 type Client interface {
-	// Handle returns the client's handle, always the same one.
+	// Handle returns the handle of the client, always the same one.
 	Handle() *ClientHandle
-	// Reject answers that the request had no effect and may be retried, after a time; 0 gives no advice.
+	// Reject answers that the request had no effect and may be retried after a delay. Zero means that no delay is given.
 	Reject(after time.Duration)
 	// Fail answers that the request failed: it may have had an effect, or can never be served.
 	Fail()
-	// Close ends both sides. A request that crosses it is answered as if it was rejected.
+	// Close closes the connections to the client and to its server. If a request of the client arrives at the same time,
+	// the frontend answers it as if it was rejected.
 	Close()
-	// Migrate asks an established connection to leave its server: its client is asked to connect again, or its
-	// frontend takes it to another server. ClientDisconnected says that this is done. A client for which it is not
-	// within the time returned is closed; 0 is taken as a second.
+	// Migrate starts to move an established connection away from its server: the client is asked to reconnect, or the
+	// frontend moves it to another server. ClientDisconnected reports that this is done. Migrate returns the time within
+	// which it has to be done; after that the client is closed. Zero means one second.
 	Migrate() time.Duration
 }
 
-// DrainObserver is a Client that its frontend can take to another server without the client's help. It is notified once
-// for a connection, as soon as that is established and its server drains or is removed, whichever comes first.
+// DrainObserver is a Client that its frontend can move to another server without the client's help. It is notified once
+// for each connection, as soon as the connection is established and its server is draining or removed.
 type DrainObserver interface{ ServerDraining() }
 
 func (e *Engine) onClientConnected(ev ClientConnected) {
@@ -42,17 +44,18 @@
 	}
 }
 
-// admitClient takes in a client that has sent no request, or rejects it for want of sockets.
+// admitClient adds a client that has sent no request. It rejects the client if no socket is left, or if the
+// shutdown has reached its closing stage.
 func (e *Engine) admitClient(c Client) {
 	if e.shutdown.stage >= closing || !e.ensureClientSocket() {
 		e.rejectUnadmitted(c)
 		return
 	}
 	r := &request{client: c, phase: idle}
-	e.requests.insert(r) // never full: there is an entry for each socket
+	e.requests.insert(r) // the table can't be full: its capacity is MaxSockets, and each entry takes a socket or more
 	e.requests.idle++
 	c.Handle().id = r.handle
-	e.resetTimer(&r.answerTimer, e.now+idleTimeout, idleTimer, r)
+	e.resetTimer(&r.phaseTimer, e.now+idleTimeout, idleTimer, r)
 }
 
 func (e *Engine) rejectUnadmitted(c Client) {
@@ -62,7 +65,7 @@
 
 func (e *Engine) onClientActive(ev ClientActive) {
 	if r := e.requestOf(ev.Client); r != nil && r.phase == idle {
-		e.resetTimer(&r.answerTimer, e.now+idleTimeout, idleTimer, r)
+		e.resetTimer(&r.phaseTimer, e.now+idleTimeout, idleTimer, r)
 	}
 }
 
@@ -72,7 +75,7 @@
 	}
 }
 
-// closeIdle ends a connection that has sent no request.
+// closeIdle closes a client that has sent no request.
 func (e *Engine) closeIdle(r *request) {
 	e.statistics.idleClosed++
 	r.client.Close()
@@ -102,28 +105,30 @@
 	e.abandon(r)
 }
 
-// requestOf returns a client's record; nil: it has none, or no longer has.
+// requestOf returns the request entry of a client, or nil if the client has none or it has ended.
 func (e *Engine) requestOf(c Client) *request { return e.requests.get(c.Handle().id) }
 
-// ensureClientSocket makes room for the socket of a new client. It reports false where there is none.
+// ensureClientSocket makes room for the socket of a new client, if need be by closing an idle client. It returns false if
+// there is no room.
 func (e *Engine) ensureClientSocket() bool {
 	tooManyIdle := e.options.MaxIdleClients > 0 && e.requests.idle >= e.options.MaxIdleClients
 	return !tooManyIdle && e.hasFreeSocket() || e.evictLongestIdle(nil)
 }
 
-// ensureServerSocket makes room for the server's socket of a client that now has a request.
+// ensureServerSocket makes room for the server socket of a client that now has a request, if need be by closing another
+// idle client. It returns false if there is no room.
 func (e *Engine) ensureServerSocket(r *request) bool {
 	return e.hasFreeSocket() || e.evictLongestIdle(r)
 }
 
-// hasFreeSocket counts two sockets for each request, and one for an idle client.
+// hasFreeSocket reports whether another socket fits into MaxSockets. A request takes two sockets, an idle client one.
 func (e *Engine) hasFreeSocket() bool {
 	return 2*e.requests.len()-e.requests.idle < e.options.MaxSockets
 }
 
-// evictLongestIdle closes the client, other than the given one, that has been idle longest. It keeps clients that
-// connect by hundreds and send nothing from shutting out all others; a client with a request is never closed for
-// that.
+// evictLongestIdle closes the client that has been idle longest, other than the given one. It returns false if there is
+// none. This keeps hundreds of clients that connect and send nothing from locking out all others. A client with a request
+// is never evicted.
 func (e *Engine) evictLongestIdle(except *request) bool {
 	longest := e.longestIdle(except)
 	if longest == nil {
@@ -138,7 +143,7 @@
 		return nil
 	}
 	e.requests.each(func(r *request) {
-		if r.phase == idle && r != except && (longest == nil || r.answerTimer.At() < longest.answerTimer.At()) {
+		if r.phase == idle && r != except && (longest == nil || r.phaseTimer.At() < longest.phaseTimer.At()) {
 			longest = r
 		}
 	})
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -8,31 +8,34 @@
 	"example.org/milletvane/balancer"
 )
 
-// Server is an entry of the endpoint list, with the address at which this gateway reaches it.
+// Server is an entry of the endpoint list with the address at which this gateway reaches the server.
 type Server struct {
 	Name string
 	Addr string
 	balancer.Server
 }
 
-// endpoint is what is known of a listed server.
+// endpoint holds the state of a listed server.
 type endpoint struct {
 	name    string
 	addr    string
 	latency latencyEstimator
 
-	listed balancer.Server      // as discovery lists it
-	state  balancer.ServerState // as the balancer was last notified
+	listed balancer.Server      // entry of the endpoint list
+	state  balancer.ServerState // state in the last notification of the balancer
 
-	// isSelfDraining: the server has announced that it drains. That holds until it starts anew, whatever is listed.
-	isSelfDraining bool
-	inMaintenance  bool
-	startBefore    time.Duration // its start as it was known when maintenance began
-	// assumedStart is taken for its start until a later one than startBefore is listed. 0: the listed one holds.
+	// isSelfDraining is set if the server has announced that it is draining. It holds until the server restarts,
+	// whatever the endpoint list says.
+	isSelfDraining         bool
+	inMaintenance          bool
+	startBeforeMaintenance time.Duration // listed start time when the endpoint was added or its maintenance began
+	// assumedStart is used as the start time until one other than startBeforeMaintenance is listed. Zero means that the
+	// listed start time is used.
 	assumedStart time.Duration
 }
 
-// effective is a server as the balancer is to see it: what discovery can't know, or lists late, overrides its entry.
+// effective returns the entry of a server that the balancer is notified of: the listed entry, overridden by what
+// discovery can't know or lists late.
 func (s *endpoint) effective() balancer.Server {
 	n := s.listed
 	if (s.isSelfDraining || s.inMaintenance) && n.State == balancer.Ready {
@@ -43,12 +46,12 @@
 	return n
 }
 
-// follow takes over a new entry of the list.
-func (s *endpoint) follow(listed balancer.Server) {
+// applyListed updates the endpoint from its new entry in the endpoint list.
+func (s *endpoint) applyListed(listed balancer.Server) {
 	if s.listed.Started != listed.Started {
 		s.isSelfDraining = false
 	}
-	if listed.Started != s.startBefore {
+	if listed.Started != s.startBeforeMaintenance {
 		s.assumedStart = 0
 	}
 	s.listed = listed
@@ -56,10 +59,10 @@
 
 // endpointTable holds the listed servers.
 type endpointTable struct {
-	byID     map[balancer.ServerID]*endpoint
-	idByName map[string]balancer.ServerID
-	received bool  // a list has been received
-	version  int64 // of the list
+	byID         map[balancer.ServerID]*endpoint
+	idByName     map[string]balancer.ServerID
+	listReceived bool  // whether an endpoint list has been received
+	version      int64 // of the endpoint list
 }
 
 func newEndpointTable() endpointTable {
@@ -67,7 +70,7 @@
 }
 
 func (t *endpointTable) add(listed Server, inMaintenance bool) *endpoint {
-	s := &endpoint{name: listed.Name, addr: listed.Addr, inMaintenance: inMaintenance, startBefore: listed.Started}
+	s := &endpoint{name: listed.Name, addr: listed.Addr, inMaintenance: inMaintenance, startBeforeMaintenance: listed.Started}
 	t.byID[listed.ID] = s
 	t.idByName[listed.Name] = listed.ID
 	return s
@@ -80,10 +83,10 @@
 
 func (t *endpointTable) sortedIDs() []balancer.ServerID { return slices.Sorted(maps.Keys(t.byID)) }
 
-// endpointUpdate collects what follows from an endpoint list.
+// endpointUpdate collects the results of processing an endpoint list.
 type endpointUpdate struct {
-	list     balancer.EndpointList // for the balancer
-	draining []balancer.ServerID   // servers that began to drain, or are removed
+	list     balancer.EndpointList // event for the balancer
+	draining []balancer.ServerID   // servers that started draining or were removed
 }
 
 func (e *Engine) onEndpointList(ev EndpointList) {
@@ -101,12 +104,12 @@
 	e.notifyDraining(update.draining)
 	e.updateEndpointGauges()
 	if ev.Mode == balancer.ListComplete || len(e.endpoints.byID) > 0 {
-		e.endpoints.received = true
+		e.endpoints.listReceived = true
 		e.ready.Store(true)
 	}
 }
 
-// removeUnlisted removes the servers that a whole list leaves out.
+// removeUnlisted removes the servers that are missing from a full list.
 func (e *Engine) removeUnlisted(servers []Server, update *endpointUpdate) {
 	listed := make(map[balancer.ServerID]bool, len(servers))
 	for _, s := range servers {
@@ -123,7 +126,7 @@
 	s := e.endpoints.byID[listed.ID]
 	switch {
 	case s != nil && s.name != listed.Name:
-		// Both would be one server to the balancer. The first one stays: which one it is must not change.
+		// The balancer can't tell two servers with one ID apart, so an ID keeps the server that was listed first.
 		e.options.Logger.Error("server id used by two servers", "server", listed.Name, "used_by", s.name)
 		return
 	case listed.State == balancer.Removed:
@@ -137,7 +140,7 @@
 	default:
 		s.addr = listed.Addr
 	}
-	s.follow(listed.Server)
+	s.applyListed(listed.Server)
 	effective := s.effective()
 	if s.state == balancer.Ready && effective.State == balancer.Draining {
 		update.draining = append(update.draining, listed.ID)
@@ -152,8 +155,9 @@
 	update.draining = append(update.draining, id)
 }
 
-// onServerDraining takes a server's own announcement that it drains. For the balancer that is as good as the list. One
-// that arrives after its attempt counts until the request's next attempt has begun: r.server is another one then.
+// onServerDraining handles a server's announcement that it is draining. The balancer treats the announcement like an
+// entry of the endpoint list. It also counts after its attempt has ended, but not once the request has started its next
+// attempt, because r.server is the server of that attempt then.
 func (e *Engine) onServerDraining(ev ServerDraining) {
 	r := e.requests.get(ev.RequestID)
 	if r == nil || r.attemptNumber() != ev.Number {
@@ -167,7 +171,8 @@
 	e.publishEndpoint(r.server, s)
 }
 
-// publishEndpoint notifies the balancer of a server that has changed, and its clients if it drains now.
+// publishEndpoint notifies the balancer of a changed server. If the server has started draining, it also notifies the
+// clients that are connected to it.
 func (e *Engine) publishEndpoint(id balancer.ServerID, s *endpoint) {
 	before := s.state
 	effective := s.effective()
@@ -178,7 +183,7 @@
 	}
 }
 
-// notifyDraining notifies the clients that are connected to servers that drain.
+// notifyDraining notifies the clients that are connected to servers that are draining or removed.
 func (e *Engine) notifyDraining(servers []balancer.ServerID) {
 	if len(servers) == 0 {
 		return
@@ -190,16 +195,17 @@
 	})
 }
 
-// notifyIfServerDrains notifies the client of a connection that was established after its server began to drain, or was
-// removed.
+// notifyIfServerDrains notifies the client of a newly established connection if its server started draining or was
+// removed before.
 func (e *Engine) notifyIfServerDrains(r *request) {
 	if s := e.endpoints.byID[r.server]; s == nil || s.state != balancer.Ready {
 		e.notifyClientOfDrain(r)
 	}
 }
 
-// notifyClientOfDrain notifies a client that its server drains, once. Clients whose frontend can't migrate them are asked
-// to leave by the server itself, and those that are not established are notified once they are.
+// notifyClientOfDrain notifies a client once that its server is draining. It skips a client whose frontend can't migrate
+// it, because the server itself asks that client to leave, and a client whose connection is not established, because
+// onAttemptEstablished notifies it later.
 func (e *Engine) notifyClientOfDrain(r *request) {
 	observer, ok := r.client.(DrainObserver)
 	if !ok || r.phase != established || r.isDrainNotified {
@@ -210,7 +216,7 @@
 	observer.ServerDraining()
 }
 
-// hasEstablished reports whether a connection to a server is established.
+// hasEstablished reports whether there is an established connection to a server.
 func (e *Engine) hasEstablished(id balancer.ServerID) (found bool) {
 	e.requests.each(func(r *request) {
 		found = found || r.phase == established && r.server == id
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,15 +1,15 @@
-// Package engine is the core of a gateway. It brings together what clients ask for, what becomes of attempts at
-// servers, what discovery lists and what the balancer decides.
+// Package engine implements the core of a gateway: a state machine that tracks client requests, attempts at servers and
+// the endpoint list, and executes the decisions of the balancer.
 //
-// An Engine is a state machine without I/O and without a clock. Handle takes one typed event, Expire fires the timers
-// that are due, and Next is when Expire has something to do; all times are durations on one clock that never runs
-// backwards. The engine notifies the balancer of what happened and carries out its actions by calls on Client,
-// Backend and LoadPoller. It knows neither sockets nor a wire protocol, so that frontends of several protocols share
-// one engine.
+// An Engine performs no I/O and reads no clock. Handle processes one typed event, Expire fires the timers that are due,
+// and Next returns the time at which the next timer is due. All times are durations on one monotonic clock. The engine
+// notifies the balancer of every event and executes the actions that the balancer returns through Client, Backend and
+// LoadPoller. It depends on neither sockets nor a wire protocol, so that the frontends of several protocols share one
+// engine.
 //
-// One goroutine owns an Engine with all its state and makes all calls on it, as package eventloop does. Ready alone
-// may be called by any goroutine. The engine calls its clients, backend and poller on the owner's goroutine: these
-// calls must not block, and must not call the engine back. What follows from them comes as later events.
+// One goroutine owns an Engine with all its state and makes all calls on it, as package eventloop does. Only Ready may
+// be called by any goroutine. The engine calls its clients, backend and poller on the owner's goroutine. These calls
+// must not block and must not call the engine back: they report their results as later events.
 //
 // Each lifecycle has a file of its own: client.go, request.go, attempt.go, migration.go, endpoint.go, maintenance.go,
 // polls.go, latency.go, adopted.go and shutdown.go.
@@ -25,22 +25,22 @@
 	"example.org/milletvane/internal/timerqueue"
 )
 
-// minAnswerGrace is the shortest time after a request's deadline until its answer is overdue: the balancer, whose
-// timers are set for the deadline itself, always has its turn first.
+// minAnswerGrace is the minimum of Options.AnswerGrace. The balancer sets its timers for the deadline itself, so that it
+// always answers a request before the engine considers the answer overdue.
 const minAnswerGrace = 5 * time.Millisecond
 
-// Engine runs a gateway's core. See the package comment for which goroutine may call it.
+// Engine is the core of a gateway. The package comment says which goroutine may call it.
 type Engine struct {
 	options  Options
 	balancer *balancer.Balancer
 	backend  Backend
 	poller   LoadPoller
 
-	ready atomic.Bool // all else belongs to the owner's goroutine
+	ready atomic.Bool // the only field that other goroutines may access
 
 	now           time.Duration
 	timers        timerqueue.Queue[timer]
-	pendingEvents []balancer.Event // that the balancer is to handle, in this order
+	pendingEvents []balancer.Event // queue of events that the balancer has yet to handle
 
 	requests    requestTable
 	endpoints   endpointTable
@@ -50,9 +50,9 @@
 	statistics  statistics
 }
 
-// New returns an engine that decides by a balancer, starts attempts with a backend and, where the options allow it,
-// asks servers for their load with a poller.
-func New(options Options, decider *balancer.Balancer, backend Backend, poller LoadPoller) *Engine {
+// New returns an Engine that executes the decisions of a balancer, starts attempts with a backend and, if polling is
+// enabled, polls servers for their load with a poller.
+func New(options Options, lb *balancer.Balancer, backend Backend, poller LoadPoller) *Engine {
 	if options.Logger == nil {
 		options.Logger = slog.Default()
 	}
@@ -62,7 +62,7 @@
 	options.AnswerGrace = max(options.AnswerGrace, minAnswerGrace)
 	return &Engine{
 		options:     options,
-		balancer:    decider,
+		balancer:    lb,
 		backend:     backend,
 		poller:      poller,
 		requests:    newRequestTable(options.MaxSockets, options.Classes),
@@ -72,7 +72,7 @@
 	}
 }
 
-// Start sets the regular timers. It comes before the first event.
+// Start sets the periodic timers. It must be called once, before the first event.
 func (e *Engine) Start(now time.Duration) {
 	e.now = now
 	e.setTimer(sweepInterval, timer{kind: sweepTimer})
@@ -82,17 +82,17 @@
 	}
 }
 
-// Ready reports whether the gateway takes requests: an endpoint list has been received, or Options.ReadyTimeout has
-// passed without one. In the latter case requests are rejected with advice when to come again, but a platform that
-// never sees the gateway ready would take it for dead. Any goroutine may call it.
+// Ready reports whether the gateway accepts requests: it has received an endpoint list, or Options.ReadyTimeout has
+// passed without one. In the latter case the gateway rejects requests with a retry delay, but it still reports itself
+// ready, because the platform considers a gateway dead that never becomes ready. Any goroutine may call Ready.
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
-// Ended reports whether the shutdown is complete. Nothing is done by Expire after that.
+// Ended reports whether the shutdown is complete. Expire does nothing after that.
 func (e *Engine) Ended() bool { return e.shutdown.stage == stopped }
 
-// onReadyTimeout has a gateway without an endpoint list call itself ready.
+// onReadyTimeout makes a gateway ready that has not received an endpoint list.
 func (e *Engine) onReadyTimeout() {
-	if e.endpoints.received {
+	if e.endpoints.listReceived {
 		return
 	}
 	e.options.Logger.Warn("ready without an endpoint list", "timeout", e.options.ReadyTimeout)
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -7,30 +7,30 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// Event is something that happened to a gateway. The concrete types are those below.
+// Event is an input of an Engine. This file declares its concrete types.
 type Event interface{ event() }
 
 // Events of clients.
 type (
-	// ClientConnected brings a connection that has not sent a request yet. Done, which may be nil, is called once the
+	// ClientConnected adds a connection that has not sent a request yet. Done, which may be nil, is called once the
 	// connection has been admitted or rejected.
 	ClientConnected struct {
 		Client Client
 		Done   func()
 	}
-	// ClientActive says that a connection without a request is in use, for example by health checks of the platform.
+	// ClientActive reports that a connection without a request is in use, for example by health checks of the platform.
 	ClientActive struct{ Client Client }
-	// ClientDisconnected says that a client ended its connection.
+	// ClientDisconnected reports that a client ended its connection.
 	ClientDisconnected struct{ Client Client }
-	// ProtocolViolated says that the frontend ended a client's connection for what it sent.
+	// ProtocolViolated reports that the frontend closed a client's connection because of a protocol violation.
 	ProtocolViolated struct{ Client Client }
-	// RequestReceived brings the request of a client that connected before.
+	// RequestReceived adds the request of a client that is already connected.
 	RequestReceived struct {
 		Client  Client
 		Request Request
 	}
-	// UnaryRequestReceived brings a request that comes without a connection of its own: its final answer ends it.
-	// AttemptEnded with balancer.OK says that its server has given that answer.
+	// UnaryRequestReceived adds a request that has no connection of its own and ends with its final answer.
+	// AttemptEnded with balancer.OK reports that its server has given that answer.
 	UnaryRequestReceived struct {
 		Client  Client
 		Request Request
@@ -39,30 +39,30 @@
 
 // Events of attempts and of the connections that they established. A stale RequestID or Number is ignored.
 type (
-	// AttemptEstablished says that an attempt's connection is established.
+	// AttemptEstablished reports that an attempt has established its connection.
 	AttemptEstablished struct {
 		RequestID slotmap.Handle
 		Number    int
 		Elapsed   time.Duration // since the attempt was sent
 	}
-	// AttemptEnded is the end of an attempt, or of the connection that it established.
+	// AttemptEnded reports the end of an attempt, or of the connection that it established.
 	AttemptEnded struct {
 		RequestID slotmap.Handle
 		Number    int
 		Result    balancer.Result
 	}
-	// ConnectionLoad reports the present load of an established connection, in microseconds of work a second.
+	// ConnectionLoad reports the current load of an established connection, in microseconds of work per second.
 	ConnectionLoad struct {
 		RequestID slotmap.Handle
 		Load      float64
 	}
-	// MessageAnswered reports how long a message on an established connection took to be answered.
+	// MessageAnswered reports the time from sending a message on an established connection to its answer.
 	MessageAnswered struct {
 		RequestID slotmap.Handle
 		Delay     time.Duration
 	}
-	// ServerDraining says that the server of an attempt has announced that it drains, which the endpoint list may not say
-	// yet.
+	// ServerDraining reports that the server of an attempt has announced that it is draining. The endpoint list may not
+	// show this yet.
 	ServerDraining struct {
 		RequestID slotmap.Handle
 		Number    int
@@ -71,18 +71,18 @@
 
 // Events of servers.
 type (
-	// EndpointList brings the servers that discovery lists, or changes of them.
+	// EndpointList is an endpoint list of discovery, or a change of it.
 	EndpointList struct {
 		Mode    balancer.ListMode
-		Version int64 // as discovery numbers its lists; 0: it does not
+		Version int64 // assigned by discovery; zero if discovery has no versions
 		Servers []Server
 	}
-	// LoadReported brings a server's answer to LoadPoller.PollLoad.
+	// LoadReported is a server's answer to LoadPoller.PollLoad.
 	LoadReported struct {
 		Server balancer.ServerID
 		Report LoadReport
 	}
-	// MaintenanceChanged puts a server into maintenance mode, whatever the endpoint list says of it, or ends that.
+	// MaintenanceChanged begins or ends the maintenance mode of a server, which overrides the state in the endpoint list.
 	// Done, which may be nil, is called once the change is in effect.
 	MaintenanceChanged struct {
 		Name          string
@@ -93,18 +93,19 @@
 
 // Events of the fleet and of the process.
 type (
-	// FleetShedLevel is what the fleet sheds, as balancer.FleetShedLevel.
+	// FleetShedLevel reports the shed level of the fleet, as defined by balancer.FleetShedLevel.
 	FleetShedLevel struct{ Level float64 }
-	// StateRequested asks for the state that the next process of the gateway is to take over.
+	// StateRequested requests the state that the successor process of the gateway takes over. The engine passes it to
+	// Deliver.
 	StateRequested struct{ Deliver func(State) }
-	// PredecessorState brings the state of the predecessor process. The first one also brings what its balancer has
-	// learned; later ones repeat its open connections as they are then.
+	// PredecessorState is the state of the predecessor process. The balancer restores its snapshot from the first one
+	// only; later ones update the open connections.
 	PredecessorState struct {
 		State State
 		First bool
 	}
-	// Shutdown begins a graceful shutdown. New requests are still served: until Options.AnswerTimeout has passed where
-	// connections end with this gateway, and else until Options.DrainTimeout has.
+	// Shutdown begins a graceful shutdown. New requests are still served: for Options.AnswerTimeout if connections end
+	// with this gateway, and otherwise for Options.DrainTimeout.
 	Shutdown struct{}
 )
 
@@ -127,7 +128,7 @@
 func (PredecessorState) event()     {}
 func (Shutdown) event()             {}
 
-// Handle takes one event.
+// Handle processes one event at a time on the engine's clock. A time before that of an earlier call counts as the latter.
 func (e *Engine) Handle(now time.Duration, ev Event) {
 	e.now = max(e.now, now)
 	switch ev := ev.(type) {
--- a/internal/engine/latency.go
+++ b/internal/engine/latency.go
@@ -8,69 +8,71 @@
 )
 
 const (
-	// messageSampleLifetime is how long a timed message tells of the present. Clients send a message every 2 s; half a
-	// second is added for what it takes.
+	// messageSampleLifetime is how long the delay of a timed message stays valid. Clients send a message every 2 s; half
+	// a second is added for the answer.
 	messageSampleLifetime = 2500 * time.Millisecond
-	// loadReportLifetime is how long a load report tells of the present: the slower of the two poll intervals, and half
-	// a second for the answer.
+	// loadReportLifetime is how long a load report stays valid: the longer of the two poll intervals, and half a second
+	// for the answer.
 	loadReportLifetime = 2500 * time.Millisecond
-	// messageDelayInterval is the least time between two reports of one server's message delay to the balancer, which
-	// counts on a report a second while messages are slow.
+	// messageDelayInterval is the minimum interval between two reports of a server's message delay to the balancer. The
+	// balancer relies on one report per second while messages are slow.
 	messageDelayInterval = time.Second
-	// slowMessageDivisor: messages that take more than this part of the latency objective are reported as slow.
+	// slowMessageDivisor defines slow messages: their delay exceeds the latency objective divided by it.
 	slowMessageDivisor = 3
-	// idleServiceDivisor: an unloaded server takes about this part of the shortest latency objective for a message.
-	idleServiceDivisor = 12
-	// maxUtilization is where the estimate of waiting times ends: beyond it a server does all that it can, and
-	// differences between reports are noise.
+	// unloadedDelayDivisor defines the message delay of an unloaded server: about the shortest latency objective divided
+	// by it.
+	unloadedDelayDivisor = 12
+	// maxUtilization is the utilization above which the estimated delay stays constant: the server works at its capacity
+	// there, and differences between reports are noise.
 	maxUtilization = 0.93
-	// maxEstimatedBacklog bounds the work that is estimated to have piled up. Reports are off by a sixth either way;
-	// without a bound what is too much in them adds up, and keeps a server out for seconds after it has capacity
+	// maxEstimatedBacklog limits the backlog that is estimated from load reports. Reports are wrong by up to a sixth in
+	// either direction. Without a limit the excess accumulates and keeps a server out for seconds after it has capacity
 	// again.
 	maxEstimatedBacklog = 100 * time.Millisecond
 )
 
-// latencyEstimator estimates how long messages take at a server now.
+// latencyEstimator estimates the current message delay at a server.
 //
-// The line protocol does not report it, so messages are timed from when they are sent to the answer. That alone
-// misses overload: unless it hangs, a server answers messages at once, beside the work that has piled up. Where load
-// reports can be polled, the time that a message takes is estimated from them too.
+// The line protocol doesn't report the delay, so the engine times each message from its sending to its answer. These
+// samples alone do not show overload: unless it hangs, a server answers messages at once, ahead of its backlog of work.
+// If load reports can be polled, the delay is estimated from them too.
 type latencyEstimator struct {
-	answeredIn   time.Duration // of the last message that was answered
-	answeredAt   time.Duration
-	answeredOn   slotmap.Handle // the connection
-	unanswered   time.Duration  // age of the oldest message that was not, at the last sweep
-	unansweredOn slotmap.Handle
+	answerDelay          time.Duration // of the last message that was answered
+	answeredAt           time.Duration
+	answeredConnection   slotmap.Handle // connection of that message
+	unansweredAge        time.Duration  // age of the oldest unanswered message at the last sweep
+	unansweredConnection slotmap.Handle
 
 	utilization float64 // as last reported
 	backlog     time.Duration
-	reportedAt  time.Duration // 0: never
+	reportedAt  time.Duration // zero means never
 	polledAt    time.Duration
 
-	isSlow     bool // as the balancer was last notified
+	isSlow     bool // in the last notification of the balancer
 	notifiedAt time.Duration
 }
 
-func (l *latencyEstimator) noteAnswer(now time.Duration, connection slotmap.Handle, delay time.Duration) {
-	l.answeredIn, l.answeredAt, l.answeredOn = delay, now, connection
+func (l *latencyEstimator) recordAnswer(now time.Duration, connection slotmap.Handle, delay time.Duration) {
+	l.answerDelay, l.answeredAt, l.answeredConnection = delay, now, connection
 }
 
-func (l *latencyEstimator) resetUnanswered() { l.unanswered, l.unansweredOn = 0, 0 }
+func (l *latencyEstimator) resetUnanswered() { l.unansweredAge, l.unansweredConnection = 0, 0 }
 
-func (l *latencyEstimator) noteUnanswered(connection slotmap.Handle, age time.Duration) {
-	if age > l.unanswered {
-		l.unanswered, l.unansweredOn = age, connection
+func (l *latencyEstimator) recordUnanswered(connection slotmap.Handle, age time.Duration) {
+	if age > l.unansweredAge {
+		l.unansweredAge, l.unansweredConnection = age, connection
 	}
 }
 
-// noteReport takes in a load report. Work beyond a server's capacity piles up, and what capacity is left works that
-// off. Reports are noisy, but a mean of the last few comes too late for the balancer to keep a server out of its jam:
-// that was tried, and lost more than false reports cost.
-func (l *latencyEstimator) noteReport(now time.Duration, r LoadReport) {
+// recordLoadReport updates the estimator from a load report. Without a reported backlog, it estimates the backlog: work
+// beyond a server's capacity adds to it, and spare capacity reduces it. Reports are noisy, but a mean of the last few
+// reacts too late for the balancer to keep the server out of overload: that was tried, and lost more than false reports
+// cost.
+func (l *latencyEstimator) recordLoadReport(now time.Duration, r LoadReport) {
 	switch {
 	case r.HasBacklog:
 		l.backlog = r.Backlog
-	case r.HasUtilization && l.hasReport(now):
+	case r.HasUtilization && l.hasValidReport(now):
 		l.backlog += time.Duration((r.Utilization - 1) * float64(now-l.reportedAt))
 		l.backlog = min(max(l.backlog, 0), maxEstimatedBacklog)
 	default:
@@ -79,31 +81,32 @@
 	l.utilization, l.reportedAt = r.Utilization, now
 }
 
-// hasReport reports whether the last load report still tells of the present.
-func (l *latencyEstimator) hasReport(now time.Duration) bool {
+// hasValidReport reports whether the last load report is recent enough to use.
+func (l *latencyEstimator) hasValidReport(now time.Duration) bool {
 	return l.reportedAt > 0 && now-l.reportedAt <= loadReportLifetime
 }
 
-// estimate is how long a message takes now, by the larger of what was timed and what load reports come to.
+// estimate returns the estimated message delay at a time: the maximum of the timed delays and the delay that follows
+// from the last load report. The objective is the shortest latency objective.
 func (l *latencyEstimator) estimate(now, objective time.Duration) time.Duration {
-	delay := l.unanswered
+	delay := l.unansweredAge
 	if now-l.answeredAt <= messageSampleLifetime {
-		delay = max(delay, l.answeredIn)
+		delay = max(delay, l.answerDelay)
 	}
-	if l.hasReport(now) {
-		// Messages wait for each other the longer the less capacity is left.
-		unloaded := float64(objective) / idleServiceDivisor
+	if l.hasValidReport(now) {
+		// Queueing delay grows as the spare capacity shrinks.
+		unloaded := float64(objective) / unloadedDelayDivisor
 		delay = max(delay, time.Duration(unloaded/(1-min(l.utilization, maxUtilization)))+l.backlog)
 	}
 	return delay
 }
 
-// slowestConnection is the one that the estimate stands for; 0: none in particular.
+// slowestConnection returns the connection with the longest timed delay, or 0 if no message was timed.
 func (l *latencyEstimator) slowestConnection() slotmap.Handle {
-	if l.unanswered > l.answeredIn {
-		return l.unansweredOn
+	if l.unansweredAge > l.answerDelay {
+		return l.unansweredConnection
 	}
-	return l.answeredOn
+	return l.answeredConnection
 }
 
 func (e *Engine) onMessageAnswered(ev MessageAnswered) {
@@ -112,12 +115,12 @@
 		return
 	}
 	if s := e.endpoints.byID[r.server]; s != nil {
-		s.latency.noteAnswer(e.now, r.handle, ev.Delay)
+		s.latency.recordAnswer(e.now, r.handle, ev.Delay)
 	}
 }
 
-// reportMessageDelay notifies the balancer of a server's message delay: at intervals while messages are slow, and
-// once more when they no longer are. The sample is any connection there, for want of a particular one.
+// reportMessageDelay notifies the balancer of a server's message delay: periodically while messages are slow, and once
+// more when they no longer are. The sample is any connection at the server, used if no message was timed.
 func (e *Engine) reportMessageDelay(id balancer.ServerID, s *endpoint, sample slotmap.Handle) {
 	l := &s.latency
 	if e.now-l.notifiedAt < messageDelayInterval {
--- a/internal/engine/latency_test.go
+++ b/internal/engine/latency_test.go
@@ -16,7 +16,7 @@
 		}
 	}
 	expect(time.Hour, 0)
-	l.noteAnswer(time.Hour, 1, 30*time.Millisecond)
+	l.recordAnswer(time.Hour, 1, 30*time.Millisecond)
 	expect(time.Hour+time.Second, 30*time.Millisecond)
 	expect(time.Hour+time.Minute, 0)
 }
@@ -26,21 +26,21 @@
 	var l latencyEstimator
 	now := time.Hour
 	for range 3 {
-		l.noteReport(now, LoadReport{Utilization: 1.23, HasUtilization: true})
+		l.recordLoadReport(now, LoadReport{Utilization: 1.23, HasUtilization: true})
 		now += time.Second
 	}
 	if got := l.estimate(now, testObjective); got < 2*testObjective {
 		t.Errorf("after two seconds of overload the estimate is %v", got)
 	}
 	for range 20 { // noise that adds up must not keep the server out
-		l.noteReport(now, LoadReport{Utilization: 1.2, HasUtilization: true})
+		l.recordLoadReport(now, LoadReport{Utilization: 1.2, HasUtilization: true})
 		now += time.Second
 	}
-	l.noteReport(now, LoadReport{Utilization: 0.2, HasUtilization: true})
+	l.recordLoadReport(now, LoadReport{Utilization: 0.2, HasUtilization: true})
 	if got := l.estimate(now, testObjective); got > testObjective/3 {
 		t.Errorf("after the overload the estimate is %v", got)
 	}
-	l.noteReport(now, LoadReport{Utilization: 0.2, HasUtilization: true, Backlog: time.Second, HasBacklog: true})
+	l.recordLoadReport(now, LoadReport{Utilization: 0.2, HasUtilization: true, Backlog: time.Second, HasBacklog: true})
 	if got := l.estimate(now, testObjective); got < time.Second {
 		t.Errorf("with a backlog of a second the estimate is %v", got)
 	}
--- a/internal/engine/maintenance.go
+++ b/internal/engine/maintenance.go
@@ -2,7 +2,7 @@
 
 import "example.org/milletvane/balancer"
 
-// maintenanceSet holds the names of servers in maintenance mode, whether they are listed or not.
+// maintenanceSet is the set of names of the servers in maintenance mode, including servers that are not listed.
 type maintenanceSet map[string]struct{}
 
 func (m maintenanceSet) set(name string, inMaintenance bool) {
@@ -43,27 +43,27 @@
 }
 
 func (e *Engine) beginMaintenance(id balancer.ServerID, s *endpoint) {
-	s.startBefore, s.assumedStart = s.listed.Started, 0
+	s.startBeforeMaintenance, s.assumedStart = s.listed.Started, 0
 	e.publishEndpoint(id, s)
 	e.retryPendingAttempts(id)
 }
 
-// endMaintenance puts a server back. Operators restart servers in maintenance, and the list may be late to show that:
-// unless a connection from here has outlived the maintenance, the server is taken to have started just now. That
-// keeps a server that warms up from being sent what a warm one can take.
+// endMaintenance returns a server to service. Operators restart servers during maintenance, and the endpoint list may show
+// the restart late. Therefore the server is assumed to have started just now, unless a connection from this gateway has
+// outlived the maintenance. This keeps a server that is warming up from getting the load of a warm one.
 func (e *Engine) endMaintenance(id balancer.ServerID, s *endpoint) {
-	if s.listed.Started == s.startBefore && !e.hasEstablished(id) {
+	if s.listed.Started == s.startBeforeMaintenance && !e.hasEstablished(id) {
 		s.assumedStart = e.now
 	}
 	e.notify(balancer.ServerReinstated{Server: id})
 	e.publishEndpoint(id, s)
 }
 
-// retryPendingAttempts cancels the attempts that are pending at a server and has the balancer send them elsewhere.
+// retryPendingAttempts cancels the attempts that are pending at a server, so that the balancer retries them elsewhere.
 func (e *Engine) retryPendingAttempts(id balancer.ServerID) {
 	var waiting []*request
 	e.requests.each(func(r *request) {
-		if r.phase == pending && r.server == id && r.attempt != nil && !r.isSticky {
+		if r.phase == pending && r.server == id && r.attempt != nil && !r.isPinned {
 			waiting = append(waiting, r)
 		}
 	})
--- a/internal/engine/migration.go
+++ b/internal/engine/migration.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// migrationTimeout is the time that a client has to migrate where its frontend states none. A client that is
+	// migrationTimeout is the time within which a client has to migrate if its frontend states none. A client that is
 	// asked to leave does so at once.
 	migrationTimeout = time.Second
-	// unansweredTimeout is how long a server may leave a message unanswered. Clients are owed the end of a dead
-	// connection 7 s after the last thing that came; they send a message every 2 s, so that the first one without an
-	// answer is up to 2 s younger than that, and a second is left for the migration.
+	// unansweredTimeout is how long a server may leave a message unanswered. A dead connection must end within 7 s of the
+	// last data that the client received. Clients send a message every 2 s, so that the first unanswered message is sent
+	// up to 2 s after that data, and a second is left for the migration.
 	unansweredTimeout = 4 * time.Second
 )
 
-// migrate asks the client of an established connection to leave its server; its attempt ends with the result. The
-// record is kept until the client has left.
+// migrate asks the client of an established connection to leave its server, and ends its attempt with a result. The
+// request stays in the table until the client has left.
 func (e *Engine) migrate(r *request, result balancer.Result) {
 	e.statistics.migrated++
 	r.phase, r.attempt = migrating, nil
@@ -25,7 +25,7 @@
 	if timeout <= 0 {
 		timeout = migrationTimeout
 	}
-	e.resetTimer(&r.answerTimer, e.now+timeout, migrationTimer, r)
+	e.resetTimer(&r.phaseTimer, e.now+timeout, migrationTimer, r)
 	e.notify(e.attemptEnded(r, result, true))
 }
 
@@ -38,8 +38,8 @@
 	})
 }
 
-// onMigrationTimeout closes a client that could not be asked to leave, as when its server stopped in the middle of a
-// message that has to be passed on first.
+// onMigrationTimeout closes a client that has not left in time. This happens if the client could not be asked to leave,
+// for example because its server stopped in the middle of a message, which has to be forwarded completely first.
 func (e *Engine) onMigrationTimeout(r *request) {
 	if r.phase == migrating {
 		r.client.Close()
@@ -47,7 +47,7 @@
 	}
 }
 
-// migrateFromUnresponsive migrates clients whose servers leave messages unanswered.
+// migrateFromUnresponsive migrates clients whose servers have left a message unanswered for too long.
 func (e *Engine) migrateFromUnresponsive(unresponsive []*request) {
 	for _, r := range unresponsive {
 		e.options.Logger.Warn("client migrated off unresponsive server", "server", r.server)
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -7,52 +7,53 @@
 	"example.org/milletvane/internal/metrics"
 )
 
-// Options configure an Engine.
+// Options holds the configuration of an Engine.
 type Options struct {
-	// MaxSockets bounds the sockets of clients and their servers, one for each side.
+	// MaxSockets is the maximum number of sockets to clients and to servers together. A request takes one of each.
 	MaxSockets int
-	// MaxIdleClients bounds the clients without a request, within MaxSockets. 0 is no bound of their own.
+	// MaxIdleClients is the maximum number of clients without a request. Zero means that only MaxSockets limits them.
 	MaxIdleClients int
 
-	// Classes are those of requests. Where there are any, a request of another class fails.
+	// Classes holds the request classes that the gateway serves. A request of any other class fails. If Classes is
+	// empty, every class is served.
 	Classes []string
-	// PriorityOf returns the priority of a request, 0 the lowest. Where it is nil all have 0.
+	// PriorityOf returns the priority of a request; 0 is the lowest. If it is nil, every request has priority 0.
 	PriorityOf func(class, tenant string) int
 
-	// RetryAfter is the advice to clients that are rejected for want of sockets. 0 gives none.
+	// RetryAfter is the retry delay that clients get when they are rejected for lack of sockets. Zero means that no
+	// delay is given.
 	RetryAfter time.Duration
-	// DefaultTimeout is that of requests that state none.
+	// DefaultTimeout is the timeout of requests that state none.
 	DefaultTimeout time.Duration
-	// AnswerGrace is how long after a request's deadline an answer still counts. A minimum of 5 ms is applied.
+	// AnswerGrace is how long after a request's deadline an answer still counts. Values below 5 ms mean 5 ms.
 	AnswerGrace time.Duration
-	// FlowRetention is how long servers keep a connection whose packets have stopped.
+	// FlowRetention is how long servers keep a connection after its last packet.
 	FlowRetention time.Duration
-	// ConnectionsOutliveGateway says that open connections go on at another gateway, so that a shutdown leaves them as
-	// they are. Otherwise their clients are migrated.
+	// ConnectionsOutliveGateway reports whether open connections continue at another gateway, so that a shutdown leaves
+	// them open. Otherwise a shutdown migrates their clients.
 	ConnectionsOutliveGateway bool
 
-	// ReportsMessageDelay says that the balancer is to be notified of slow messages.
+	// ReportsMessageDelay reports whether the balancer is notified of slow messages.
 	ReportsMessageDelay bool
-	// MessageLatencyObjective is the shortest latency objective of a message. 0: none is stated.
+	// MessageLatencyObjective is the shortest latency objective for a message. Zero means that there is none.
 	MessageLatencyObjective time.Duration
-	// CanPollLoad says that servers may be asked for their load.
+	// CanPollLoad reports whether the engine may poll servers for their load.
 	CanPollLoad bool
 
-	// ReadyTimeout is the time from the start until the gateway is ready without an endpoint list. 0: never.
+	// ReadyTimeout is how long after its start a gateway without an endpoint list becomes ready. Zero means never.
 	ReadyTimeout time.Duration
-	// AnswerTimeout is the time from Shutdown until all pending requests have their answers. 0, or a longer time, is
-	// taken as DrainTimeout.
+	// AnswerTimeout is the time after Shutdown by which all pending requests have been answered. Zero, or a value above
+	// DrainTimeout, means DrainTimeout.
 	AnswerTimeout time.Duration
-	// DrainTimeout is the time from Shutdown to the end.
+	// DrainTimeout is the time after Shutdown at which the engine ends at the latest.
 	DrainTimeout time.Duration
 
-	// Metrics are the counters and gauges to be updated. Where they are nil the engine keeps its own, which nobody
-	// reads.
+	// Metrics holds the counters and gauges that the engine updates. If it is nil, the engine uses a private registry.
 	Metrics *metrics.Registry
-	// PriorityCounters count what became of requests by priority. They may be nil.
+	// PriorityCounters counts the results of requests by priority. It may be nil.
 	PriorityCounters *metrics.PriorityCounters
-	// Logger is slog.Default() where it is nil.
+	// Logger defaults to slog.Default().
 	Logger *slog.Logger
-	// Trace logs each request's way at level debug.
+	// Trace enables a debug log of every event and decision that concerns a request.
 	Trace bool
 }
--- a/internal/engine/polls.go
+++ b/internal/engine/polls.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// pollInterval is how often a server with connections from here is asked for its load.
+	// pollInterval is the interval at which a server with connections from this gateway is polled for its load.
 	pollInterval = time.Second
-	// lowUtilization is the load under which a server is asked less often, since its messages are far from slow.
+	// lowUtilization is the utilization below which a server is polled less often, because its messages are far from
+	// slow.
 	lowUtilization = 0.6
-	// lowUtilizationPollInterval is the interval then. It ends before the last report is too old to tell of the
-	// present.
+	// lowUtilizationPollInterval is the poll interval below lowUtilization. It must be shorter than loadReportLifetime,
+	// so that the next report arrives while the last one is valid.
 	lowUtilizationPollInterval = 2 * pollInterval
 )
 
-// LoadReport is what a server reports of its load.
+// LoadReport is a server's report of its load.
 type LoadReport struct {
-	Utilization    float64 // the work asked of it by its capacity: 1 is all that it can do
+	Utilization    float64 // ratio of requested work to capacity: 1 is full capacity, overload is above 1
 	HasUtilization bool
-	Connections    float64       // there, of all gateways; 0: not reported
-	Backlog        time.Duration // work that waits
+	Connections    float64       // connections to the server from all gateways; zero means not reported
+	Backlog        time.Duration // waiting work, as the time that it takes
 	HasBacklog     bool
 }
 
-// LoadPoller asks servers for their load.
+// LoadPoller polls servers for their load.
 type LoadPoller interface {
-	// PollLoad asks a server at its address. LoadReported brings the answer, if there is one.
+	// PollLoad polls a server at an address. LoadReported reports the answer, if there is one.
 	PollLoad(server balancer.ServerID, addr string)
-	// Forget says that a server is not polled any more.
+	// Forget reports that a server is no longer polled.
 	Forget(server balancer.ServerID)
 }
 
@@ -38,7 +39,7 @@
 	if s == nil {
 		return
 	}
-	s.latency.noteReport(e.now, ev.Report)
+	s.latency.recordLoadReport(e.now, ev.Report)
 	if ev.Report.HasUtilization {
 		e.notify(balancer.LoadReport{
 			Server:      ev.Server,
@@ -48,7 +49,7 @@
 	}
 }
 
-// pollIfDue asks a server for its load at intervals.
+// pollIfDue polls a server for its load if its poll interval has passed.
 func (e *Engine) pollIfDue(id balancer.ServerID, s *endpoint) {
 	if !e.options.CanPollLoad || e.now-s.latency.polledAt < s.pollInterval() {
 		return
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -8,58 +8,58 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// Request is what a client asks for.
+// Request is a request as a client sends it.
 type Request struct {
-	ID           string // the client's name for it, which no other open connection has; empty: none
+	ID           string // assigned by the client, unique among open connections; empty if there is none
 	Class        string
 	Tenant       string
-	Key          string        // of the client, for placement; empty: none
-	Group        string        // of clients that are placed together; empty: none
-	Timeout      time.Duration // that the client waits for its answer; 0: Options.DefaultTimeout
-	Load         float64       // in microseconds of work a second; 0: unknown
-	Reconnecting bool          // its client had a connection that broke or was migrated
-	MidFlow      bool          // these are packets of a connection that some server already holds
-	Owner        string        // the server that holds the connection since before this gateway started; empty: none
+	Key          string        // placement key of the client; empty if there is none
+	Group        string        // clients of one group are placed together; empty if there is none
+	Timeout      time.Duration // how long the client waits for its answer; zero means Options.DefaultTimeout
+	Load         float64       // in microseconds of work per second; zero means unknown
+	Reconnecting bool          // an earlier connection of the client broke or was migrated
+	MidFlow      bool          // the request consists of packets of a connection that a server already holds
+	Owner        string        // server that has held the connection since before this gateway started; may be empty
 }
 
-// phase is how far a request has come.
+// phase is the state of a request.
 type phase uint8
 
 const (
-	idle        phase = iota // its client is connected and has sent no request
-	pending                  // its final answer is owed
-	established              // it has a connection to a server
-	migrating                // its client was asked to leave; for the balancer it has ended
-	adoptable                // the predecessor process holds its connection; only its server and its load are known
+	idle        phase = iota // the client is connected and has sent no request
+	pending                  // the request waits for its final answer
+	established              // the request has a connection to a server
+	migrating                // the client was asked to leave; the balancer considers the request ended
+	adoptable                // the predecessor process holds the connection; its server and load alone are known
 )
 
-// request is a client with what it asked for, or a connection that the predecessor process holds.
+// request holds the state of a client and its request, or of a connection that the predecessor process holds.
 type request struct {
 	handle   slotmap.Handle
-	clientID string // the client's name for it; empty: none
+	clientID string // ID that the client assigned to the request; empty if there is none
 	client   Client // nil while adoptable
 	phase    phase
-	flow     Flow    // what the next process has to know of it
-	load     float64 // as last reported
+	flow     Flow    // for the successor process; flowOf sets ID, Server and Load
+	load     float64 // in microseconds of work per second, as last reported
 	counters *metrics.ClassCounters
 	priority int
 
-	isSticky    bool // it belongs to the server that its client named, and goes nowhere else
-	deadline    time.Duration
-	answerTimer requestTimer // the end of its time: while idle, for its answer, or for its migration
+	isPinned   bool // the request may be sent only to the owner that it names
+	deadline   time.Duration
+	phaseTimer requestTimer // ends the phase: closes an idle client, answers a request or ends a migration
 
-	attempts     int           // started so far
-	attempt      ActiveAttempt // the one that is pending or established; nil: none
+	attempts     int           // number of attempts started
+	attempt      ActiveAttempt // pending or established attempt; nil if there is none
 	server       balancer.ServerID
-	sentAt       time.Duration
+	sentAt       time.Duration // when the last attempt was started
 	attemptTimer requestTimer
 
-	isDrainNotified bool // its client was notified that the server of its connection drains
+	isDrainNotified bool // the client was notified that the server of its connection is draining
 }
 
 func (r *request) id() balancer.RequestID { return balancer.RequestID(r.handle) }
 
-// attemptNumber is that of the last attempt started, counted from 0.
+// attemptNumber returns the number of the last attempt started. Numbers start at 0.
 func (r *request) attemptNumber() int { return r.attempts - 1 }
 
 func (e *Engine) onRequestReceived(ev RequestReceived) {
@@ -78,9 +78,9 @@
 	}
 }
 
-// onUnaryRequestReceived takes a request that comes together with its client. A socket is ensured here and, once
-// more, where the client is admitted: while the connections of the predecessor process take more sockets than there
-// are, each time closes one idle client.
+// onUnaryRequestReceived handles a request that arrives together with its client. It makes room for a socket here, and
+// admitClient does so again: while the connections of the predecessor process exceed the socket limit, each of the two
+// closes one idle client.
 func (e *Engine) onUnaryRequestReceived(ev UnaryRequestReceived) {
 	if !e.ensureClientSocket() {
 		e.rejectUnadmitted(ev.Client)
@@ -90,11 +90,11 @@
 	e.onRequestReceived(RequestReceived(ev))
 }
 
-// admitRequest has an idle client's request served.
+// admitRequest admits the request of an idle client and passes it to the balancer or to its owner.
 func (e *Engine) admitRequest(r *request, q Request) {
 	e.statistics.admitted++
 	e.warnWithoutEndpoints()
-	e.requests.activate(r, q.ID)
+	e.requests.markAdmitted(r, q.ID)
 	e.updateOutstanding()
 	q.Timeout = e.requestTimeout(q)
 	r.phase, r.deadline = pending, e.now+q.Timeout
@@ -111,12 +111,12 @@
 		e.resumeAtOwner(r, event, q.Owner)
 		return
 	}
-	e.resetTimer(&r.answerTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
+	e.resetTimer(&r.phaseTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
 	e.notify(event)
 }
 
-// requestTimeout is the time that a request is given. In a shutdown no answer may be owed when the platform ends the
-// program.
+// requestTimeout returns the timeout of a request. A shutdown shortens it, so that the request is answered before the
+// platform ends the process.
 func (e *Engine) requestTimeout(q Request) time.Duration {
 	timeout := q.Timeout
 	if timeout <= 0 {
@@ -128,7 +128,7 @@
 	return timeout
 }
 
-// balancerRequest is a request as the balancer gets to know it.
+// balancerRequest returns the event that notifies the balancer of a request.
 func (e *Engine) balancerRequest(r *request, q Request) balancer.Request {
 	event := balancer.Request{
 		ID:           r.id(),
@@ -147,7 +147,7 @@
 	return event
 }
 
-// reject answers that a request was not served and may be retried.
+// reject answers that a request was not served and may be retried after a delay.
 func (e *Engine) reject(r *request, after time.Duration) {
 	e.statistics.rejected++
 	r.counters.Declined.Add(1)
@@ -155,7 +155,7 @@
 	e.release(r)
 }
 
-// failInvalid answers a request that can't be served by any server.
+// failInvalid fails a request that no server can serve.
 func (e *Engine) failInvalid(r *request) {
 	e.statistics.invalid++
 	r.counters.Aborted.Add(1)
@@ -163,7 +163,7 @@
 	e.release(r)
 }
 
-// fail gives a pending request its final answer, which promises nothing.
+// fail answers a pending request with a failure, which leaves open whether the request had an effect.
 func (e *Engine) fail(r *request) {
 	e.statistics.failed++
 	r.counters.Aborted.Add(1)
@@ -172,14 +172,14 @@
 	e.release(r)
 }
 
-// onAnswerOverdue answers a request in the balancer's place, which owes it an answer by its deadline. It should never
-// have to.
+// onAnswerOverdue fails a request that the balancer has not answered by its deadline. This guards against a fault: the
+// balancer is expected to answer every request in time.
 func (e *Engine) onAnswerOverdue(r *request) {
 	if r.phase != pending {
 		return
 	}
 	if r.attempt != nil && !r.attempt.Cancel() {
-		return // it is established: the event is on its way
+		return // established or ended: its event has yet to be handled
 	}
 	e.options.Logger.Error("answer overdue", "attempts", r.attempts)
 	e.statistics.failed++
@@ -188,13 +188,13 @@
 	e.abandon(r)
 }
 
-// abandon ends a request whose client is gone, together with its attempt.
+// abandon ends a request whose client has left, and cancels its attempt.
 func (e *Engine) abandon(r *request) {
 	e.release(r)
 	if r.phase != pending && r.phase != established {
 		return
 	}
-	if r.phase == pending && !r.isSticky {
+	if r.phase == pending && !r.isPinned {
 		e.notify(balancer.ClientDisconnected{ID: r.id()})
 	}
 	if r.attempt != nil {
@@ -203,9 +203,9 @@
 	}
 }
 
-// release removes a request with its timers.
+// release removes a request and stops its timers.
 func (e *Engine) release(r *request) {
-	e.timers.Remove(r.answerTimer)
+	e.timers.Remove(r.phaseTimer)
 	e.timers.Remove(r.attemptTimer)
 	e.requests.remove(r)
 	e.updateOutstanding()
--- a/internal/engine/requesttable.go
+++ b/internal/engine/requesttable.go
@@ -5,9 +5,9 @@
 // requestTable holds the clients and requests of a gateway.
 type requestTable struct {
 	byHandle   *slotmap.Map[*request]
-	byClientID map[string]slotmap.Handle // of requests that were admitted, but for those without a name
-	idle       int                       // of all, those in phase idle
-	classes    map[string]bool           // empty: any class is served
+	byClientID map[string]slotmap.Handle // admitted requests to which their clients assigned an ID
+	idle       int                       // number of requests in phase idle
+	classes    map[string]bool           // classes that are served; all classes are if it is empty
 }
 
 func newRequestTable(capacity int, classes []string) requestTable {
@@ -24,13 +24,13 @@
 
 func (t *requestTable) len() int { return t.byHandle.Len() }
 
-// get returns the request of a handle; nil: it has ended.
+// get returns the request with a handle, or nil if that request has ended.
 func (t *requestTable) get(h slotmap.Handle) *request {
 	r, _ := t.byHandle.Get(h)
 	return r
 }
 
-// each visits all requests in order of their slots. The one that is visited may be removed.
+// each calls visit for each request in slot order. The visit function may remove the request that it is given.
 func (t *requestTable) each(visit func(*request)) {
 	t.byHandle.All(func(_ slotmap.Handle, r *request) bool {
 		visit(r)
@@ -38,14 +38,15 @@
 	})
 }
 
-// insert gives a request its handle; it returns false where the table is full.
+// insert adds a request and sets its handle. It returns false if the table is full.
 func (t *requestTable) insert(r *request) (ok bool) {
 	r.handle, ok = t.byHandle.Insert(r)
 	return ok
 }
 
-// activate marks an idle client's request as admitted, under the client's name for it.
-func (t *requestTable) activate(r *request, clientID string) {
+// markAdmitted records that the request of an idle client was admitted under the ID that the client assigned to it. The
+// ID may be empty.
+func (t *requestTable) markAdmitted(r *request, clientID string) {
 	if clientID != "" {
 		r.clientID = clientID
 		t.byClientID[clientID] = r.handle
@@ -63,15 +64,15 @@
 	}
 }
 
-// has reports whether a request was admitted under a client's name for it.
+// has reports whether the table holds an admitted request with an ID that a client assigned.
 func (t *requestTable) has(clientID string) bool {
 	_, ok := t.byClientID[clientID]
 	return ok
 }
 
-// canServe reports whether any server can use a request. One that can't must not reach a server, whose rejection
-// would count against it. That includes a request under the name of an open connection, which a server would take for
-// that one; only packets of an open connection come under its name again.
+// canServe reports whether a request is valid for any server. An invalid request must not be sent, because the server
+// would reject it and that would count as a failure of the server. A request that has the ID of an open connection is
+// invalid too, because a server would mistake it for that connection. Only a mid-flow request may repeat such an ID.
 func (t *requestTable) canServe(q Request) bool {
 	if len(t.classes) > 0 && !t.classes[q.Class] {
 		return false
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -6,37 +6,37 @@
 	"example.org/milletvane/balancer"
 )
 
-// stage is how far a shutdown has come. Stages follow in this order; closing is skipped where connections outlive the
-// gateway.
+// stage is the stage of a shutdown. Stages follow in the order of their values. The closing stage is skipped if
+// connections outlive the gateway.
 type stage uint8
 
 const (
 	serving  stage = iota
-	draining       // new requests are served, and answered before the platform may end the program
-	closing        // no client is admitted any more, and connections that are still established are migrated
+	draining       // new requests are served and answered before the platform may end the process
+	closing        // no client is admitted any more, and all established connections are migrated
 	stopped
 )
 
 const (
-	// lateRequestTimeout is the least time that a request has that comes in a shutdown. Servers answer well within
-	// it, and it ends before the platform ends the program.
+	// lateRequestTimeout is the minimum timeout of a request that arrives during a shutdown. Servers answer well
+	// within it, and it ends before the platform ends the process.
 	lateRequestTimeout = 150 * time.Millisecond
-	// idleBeforeStop is how long after Shutdown clients may still come though none is left: the platform takes a
-	// moment to send them elsewhere.
-	idleBeforeStop = time.Second
+	// minIdleShutdown is how long after Shutdown the engine waits for new clients if none is left: the platform needs a
+	// moment to send clients to other gateways.
+	minIdleShutdown = time.Second
 )
 
-// shutdownState is that of a graceful shutdown.
+// shutdownState holds the state of a graceful shutdown.
 type shutdownState struct {
 	stage          stage
 	startedAt      time.Duration
-	answerDeadline time.Duration // what is pending at the start is answered by then
+	answerDeadline time.Duration // when all requests pending at the start have been answered
 }
 
-// onShutdown begins a graceful shutdown. New connections keep coming for a while and are served. Where connections
-// outlive the gateway, established ones stay as they are, since another gateway takes them up; elsewhere their
-// clients are migrated at once, so that none is cut off. Pending requests are answered before the platform may end
-// the program, whatever their deadlines.
+// onShutdown begins a graceful shutdown. New connections keep arriving for a while and are served. If connections outlive
+// the gateway, established ones stay open, because another gateway takes them over. Otherwise their clients are migrated
+// at once, so that no connection is cut off. Pending requests are answered before the platform may end the process,
+// whatever their deadlines.
 func (e *Engine) onShutdown() {
 	if e.shutdown.stage > serving {
 		return
@@ -61,21 +61,21 @@
 	}
 }
 
-// capDeadline has a pending request answered in the time that a shutdown leaves.
+// capDeadline limits the deadline of a pending request to the answer deadline of the shutdown.
 func (e *Engine) capDeadline(r *request) {
 	if r.deadline <= e.shutdown.answerDeadline {
 		return
 	}
 	r.deadline = e.shutdown.answerDeadline
-	e.resetTimer(&r.answerTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
+	e.resetTimer(&r.phaseTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
 	if r.attemptTimer != nil && r.attemptTimer.At() > r.deadline {
 		e.resetTimer(&r.attemptTimer, r.deadline, attemptTimer, r)
 	}
 }
 
-// onClosing admits no more clients: idle ones are closed, established ones migrated. The time that is left is for the
-// rest of messages that a migration has to wait for.
-func (e *Engine) onClosing() {
+// beginClosing begins the stage in which no more clients are admitted. It closes idle clients and migrates established
+// ones. The rest of the drain timeout is for migrations that have to wait for the rest of a message.
+func (e *Engine) beginClosing() {
 	e.shutdown.stage = closing
 	e.requests.each(func(r *request) {
 		if r.phase == idle {
@@ -85,16 +85,16 @@
 	e.migrateAll()
 }
 
-// completeIfIdle ends a shutdown ahead of its time where no client is left.
+// completeIfIdle completes a shutdown early if no client is left.
 func (e *Engine) completeIfIdle() {
-	isIdle := e.requests.len() == 0 && e.now-e.shutdown.startedAt >= idleBeforeStop
+	isIdle := e.requests.len() == 0 && e.now-e.shutdown.startedAt >= minIdleShutdown
 	if e.shutdown.stage > serving && isIdle {
 		e.completeShutdown()
 	}
 }
 
-// completeShutdown gives all pending requests their answers. Connections that were established since the start of the
-// shutdown are migrated, or left to the gateway that takes them up.
+// completeShutdown answers all pending requests and ends the engine. Connections that were established since the start of
+// the shutdown are migrated, or left open if they outlive the gateway.
 func (e *Engine) completeShutdown() {
 	e.requests.each(e.endForShutdown)
 	if !e.options.ConnectionsOutliveGateway {
@@ -111,7 +111,7 @@
 	case pending:
 		if r.attempt == nil || r.attempt.Cancel() {
 			e.fail(r)
-		} else if !e.options.ConnectionsOutliveGateway { // it is established: the event is on its way
+		} else if !e.options.ConnectionsOutliveGateway { // established: the event has yet to be handled
 			r.client.Migrate()
 		}
 	case migrating:
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -6,26 +6,25 @@
 	"example.org/milletvane/internal/metrics"
 )
 
-// statisticsInterval is how often the statistics are logged. It is also the least time between two warnings that no
-// endpoint list has been received.
+// statisticsInterval is the interval at which the statistics are logged. Within one interval the engine warns at most
+// once that no endpoint list has been received.
 const statisticsInterval = 10 * time.Second
 
-// statistics are the counts since the start that are logged regularly.
+// statistics holds counts since the start, which are logged periodically.
 type statistics struct {
-	admitted    int // requests
-	established int // connections
-	rejected    int // clients and requests that may be retried
-	failed      int // requests, with a final answer that promises nothing
-	invalid     int // requests that can't be served, and clients that violated their protocol
-	idleClosed  int // clients without a request
-	migrated    int // clients
-	// drainsNotified are connections whose frontend was notified that their server drains.
-	drainsNotified int
-	disconnected   int // clients with a request
+	admitted       int // requests
+	established    int // connections
+	rejected       int // clients and requests that may be retried
+	failed         int // requests whose answer leaves open whether they had an effect
+	invalid        int // requests that can't be served, and clients that violated their protocol
+	idleClosed     int // clients closed without a request
+	migrated       int // clients
+	drainsNotified int // connections whose frontend was notified that their server is draining
+	disconnected   int // clients with a request that disconnected
 	ended          int // connections that ended at their server, and requests that were answered
 
-	unlistedClass metrics.ClassCounters // of requests whose class is not configured; not reported
-	hasWarned     bool                  // that no endpoint list has been received, in this interval
+	unconfiguredClass metrics.ClassCounters // of requests whose class is not configured; never reported
+	hasWarned         bool                  // about the missing endpoint list, in the current interval
 }
 
 func (e *Engine) onStatisticsDue() {
@@ -44,32 +43,32 @@
 		"migrated", s.migrated, "drains_notified", s.drainsNotified, "disconnected", s.disconnected, "ended", s.ended)
 }
 
-// warnWithoutEndpoints warns that requests can't be served yet.
+// warnWithoutEndpoints logs a warning if no endpoint list has been received, so that requests can't be served yet.
 func (e *Engine) warnWithoutEndpoints() {
-	if e.endpoints.received || e.statistics.hasWarned {
+	if e.endpoints.listReceived || e.statistics.hasWarned {
 		return
 	}
 	e.statistics.hasWarned = true
 	e.options.Logger.Warn("no endpoint list received, requests wait or are rejected")
 }
 
-// countersOf returns the counters of a class, or those that nobody reads for one that is not configured.
+// countersOf returns the counters of a class, or counters that are never reported if the class is not configured.
 func (e *Engine) countersOf(class string) *metrics.ClassCounters {
 	if c := e.options.Metrics.Class(class); c != nil {
 		return c
 	}
-	return &e.statistics.unlistedClass
+	return &e.statistics.unconfiguredClass
 }
 
-// updateOutstanding reports how many requests are pending and connections are open, but for those of the process
-// before.
+// updateOutstanding sets the gauge of pending requests and open connections. It leaves out connections of the predecessor
+// process.
 func (e *Engine) updateOutstanding() {
 	outstanding := e.requests.len() - e.requests.idle - len(e.adopted.byClientID)
 	e.options.Metrics.Outstanding.Store(int64(outstanding))
 }
 
-// updateEndpointGauges reports how many servers are listed, how many of these are in maintenance or ejected, and how
-// many ready ones the lookup table does not lead to.
+// updateEndpointGauges sets the gauges of servers: how many are listed, how many of these are in maintenance or ejected,
+// and how many ready servers the lookup table does not contain.
 func (e *Engine) updateEndpointGauges() {
 	avoided := 0
 	for id, s := range e.endpoints.byID {
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -8,37 +8,36 @@
 	"example.org/milletvane/internal/timerqueue"
 )
 
-// timerKind says what a timer does when it fires.
+// timerKind is the action of a timer.
 type timerKind uint8
 
 const (
-	balancerTimer   timerKind = iota // notifies the balancer, which set it
+	balancerTimer   timerKind = iota // notifies the balancer, which set the timer
 	idleTimer                        // closes a client that has sent no request
-	answerTimer                      // answers a request that the balancer has not
-	attemptTimer                     // ends an attempt that has had its time
+	answerTimer                      // fails a request that the balancer has not answered
+	attemptTimer                     // cancels an attempt that is not established in time
 	migrationTimer                   // closes a client that has not migrated
-	sweepTimer                       // runs the regular checks
+	sweepTimer                       // runs the periodic checks
 	statisticsTimer                  // logs the statistics
-	readyTimer                       // calls the gateway ready without an endpoint list
-	closingTimer                     // ends the time for answers of a shutdown
+	readyTimer                       // makes the gateway ready without an endpoint list
+	closingTimer                     // begins the closing stage of a shutdown
 	shutdownTimer                    // completes a shutdown
 )
 
-// timer is an entry of the timer queue. The request is set for the kinds that are about one, ref for those of the
-// balancer.
+// timer is an entry of the timer queue.
 type timer struct {
 	kind    timerKind
-	request slotmap.Handle
-	ref     int64
+	request slotmap.Handle // of the request, for kinds that concern one
+	ref     int64          // reference of the balancer, for balancerTimer
 }
 
-// requestTimer is a timer that a request keeps, to reset or stop it. It is nil before it was first set.
+// requestTimer is a timer that a request keeps in order to reset or stop it. It is nil until it is first set.
 type requestTimer = *timerqueue.Timer[timer]
 
-// Next is when Expire has something to do; ok is false where no timer is set.
+// Next returns the time at which the next timer is due. The ok result is false if no timer is set.
 func (e *Engine) Next() (at time.Duration, ok bool) { return e.timers.Next() }
 
-// Expire fires the timers that are due, in order of their times. Once the engine has ended it does nothing.
+// Expire fires the timers that are due at a time, in order of their times. Once the engine has ended it does nothing.
 func (e *Engine) Expire(now time.Duration) {
 	e.now = max(e.now, now)
 	for !e.Ended() {
@@ -61,7 +60,7 @@
 	case readyTimer:
 		e.onReadyTimeout()
 	case closingTimer:
-		e.onClosing()
+		e.beginClosing()
 	case shutdownTimer:
 		e.completeShutdown()
 	default:
@@ -71,7 +70,7 @@
 	}
 }
 
-// fireForRequest fires a timer of a request that is still there.
+// fireForRequest fires a timer of a request that has not ended.
 func (e *Engine) fireForRequest(kind timerKind, r *request) {
 	switch kind {
 	case idleTimer:
@@ -85,11 +84,11 @@
 	}
 }
 
-// setTimer sets a timer that is never stopped.
+// setTimer sets a timer that can't be stopped.
 func (e *Engine) setTimer(after time.Duration, t timer) { e.timers.Add(e.now+after, t) }
 
-// resetTimer sets a request's timer, in place of what it was set to.
-func (e *Engine) resetTimer(it *requestTimer, at time.Duration, kind timerKind, r *request) {
-	e.timers.Remove(*it)
-	*it = e.timers.Add(at, timer{kind: kind, request: r.handle})
+// resetTimer stops the timer in a field of a request and sets a new one in its place.
+func (e *Engine) resetTimer(field *requestTimer, at time.Duration, kind timerKind, r *request) {
+	e.timers.Remove(*field)
+	*field = e.timers.Add(at, timer{kind: kind, request: r.handle})
 }
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -5,12 +5,13 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// The trace follows each request through a gateway, by its client's name for it, and with the logs of all gateways
-// through the fleet. It is logged at level debug where Options.Trace is set.
+// The trace logs every event and decision that concerns a request, together with the ID that the client assigned to it.
+// The logs of all gateways show the path of a request through the fleet. The trace is logged at level debug if
+// Options.Trace is set.
 
 func (e *Engine) trace(msg string, args ...any) { e.options.Logger.Debug(msg, args...) }
 
-// traceRequest logs what concerns a request, at a server; 0: at the one of its last attempt.
+// traceRequest logs a message about a request at a server. Server 0 means the server of the request's last attempt.
 func (e *Engine) traceRequest(msg string, id balancer.RequestID, server balancer.ServerID, args ...any) {
 	clientID := ""
 	if r := e.requests.get(slotmap.Handle(id)); r != nil {
@@ -29,7 +30,7 @@
 	return ""
 }
 
-// traceEvent logs what the balancer is notified of.
+// traceEvent logs an event that the balancer is notified of.
 func (e *Engine) traceEvent(ev balancer.Event) {
 	switch ev := ev.(type) {
 	case balancer.Request:
@@ -57,11 +58,11 @@
 	}
 }
 
-// traceAction logs what the balancer decides.
+// traceAction logs an action that the balancer decided on.
 func (e *Engine) traceAction(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
-		e.traceRequest("attempt sent", a.ID, a.Server, "timeout", a.Timeout, "server_age_ms", e.serverAge(a.Server))
+		e.traceRequest("attempt sent", a.ID, a.Server, "timeout", a.Timeout, "server_age_ms", e.serverAgeMillis(a.Server))
 	case balancer.Reject:
 		e.traceRequest("request rejected", a.ID, 0, "retry_after", a.RetryAfter)
 	case balancer.Fail:
@@ -73,8 +74,9 @@
 	}
 }
 
-// serverAge is the time since a server's start, in milliseconds; 0: it started long ago.
-func (e *Engine) serverAge(id balancer.ServerID) int64 {
+// serverAgeMillis returns the time since a server's start in milliseconds, or 0 if the server started long ago or is not
+// listed.
+func (e *Engine) serverAgeMillis(id balancer.ServerID) int64 {
 	if s := e.endpoints.byID[id]; s != nil && s.effective().Started > 0 {
 		return (e.now - s.effective().Started).Milliseconds()
 	}
