--- a/internal/engine/adopted_test.go
+++ b/internal/engine/adopted_test.go
@@ -8,78 +8,80 @@
 	"example.org/milletvane/internal/metrics"
 )
 
-// An engine's open connections go to the same servers at the one that follows it, wherever their keys are placed there.
-func TestConnectionsKeepTheirServersAtTheNextProcess(t *testing.T) {
-	predecessor := newWorld(t, 3, func(o *Options) { o.MaxSockets = 64 })
+// Guards against connections that change their server during a hot restart: the successor process must send their
+// packets to the server that holds them, even if it would place their keys at another one.
+func TestConnectionsKeepTheirServersAtTheSuccessorProcess(t *testing.T) {
+	predecessor := newHarness(t, 3, func(o *Options) { o.MaxSockets = 64 })
 	addrOf := map[string]string{}
 	for _, id := range []string{"1", "2", "3", "4", "5", "6"} {
-		predecessor.arrive(predecessor.client(id), Request{ID: id, Key: "k" + id})
-		predecessor.establish(predecessor.attempt)
+		predecessor.connectAndRequest(predecessor.newClient(id), Request{ID: id, Key: "k" + id})
+		predecessor.establish(predecessor.lastAttempt)
 	}
-	state := predecessor.state()
+	state := predecessor.requestState()
 	if len(state.Flows) != 6 || len(state.Servers) != 3 {
 		t.Fatalf("the state has %d flows and %d servers, want 6 and 3", len(state.Flows), len(state.Servers))
 	}
 	registry := metrics.New([]string{"c"})
-	w := newWorld(t, 3, func(o *Options) { o.MaxSockets, o.Metrics = 64, registry })
-	for i := range state.Flows { // each at another server than its key is placed at
+	h := newHarness(t, 3, func(o *Options) { o.MaxSockets, o.Metrics = 64, registry })
+	for i := range state.Flows { // move each connection away from the server at which its key is placed
 		s := state.Servers[(int(state.Flows[i].Server[1]-'0'))%3]
 		state.Flows[i].Server, addrOf[state.Flows[i].ID] = s.Name, s.Addr
 	}
-	w.handle(PredecessorState{State: state, First: true})
-	w.expectRequests(6)
+	h.handle(PredecessorState{State: state, First: true})
+	h.expectRequests(6)
 	if n := registry.Outstanding.Load(); n != 0 {
-		t.Errorf("%d connections of the predecessor process are reported as its own", n)
+		t.Errorf("outstanding gauge counts %d connections of the predecessor process, want 0", n)
 	}
 	for _, id := range []string{"1", "2", "3", "4"} {
-		w.arrive(w.client(id), Request{ID: id, Key: "k" + id, MidFlow: true})
-		if w.attempt.sent.Addr != addrOf[id] {
-			t.Errorf("%s went to %s, its connection is at %s", id, w.attempt.sent.Addr, addrOf[id])
+		h.connectAndRequest(h.newClient(id), Request{ID: id, Key: "k" + id, MidFlow: true})
+		if h.lastAttempt.sent.Addr != addrOf[id] {
+			t.Errorf("packets of %s were sent to %s, want %s, which holds the connection", id, h.lastAttempt.sent.Addr, addrOf[id])
 		}
-		w.establish(w.attempt)
-		w.handle(PredecessorState{State: state}) // written before it came
+		h.establish(h.lastAttempt)
+		h.handle(PredecessorState{State: state}) // a state that was written before the packets arrived
 	}
-	w.expectRequests(6)
-	if n := len(w.state().Flows); n != 6 {
-		t.Errorf("a third process would get %d flows", n)
+	h.expectRequests(6)
+	if n := len(h.requestState().Flows); n != 6 {
+		t.Errorf("state for the next successor has %d flows, want 6", n)
 	}
-	// One that came has ended: a state that was written before must not bring it back.
-	w.end(w.attempt, balancer.OK)
-	w.handle(PredecessorState{State: state})
-	w.expectRequests(5)
-	// One ended at the predecessor; the last one never comes.
+	// A claimed connection ends: a state that was written before must not add it again.
+	h.endAttempt(h.lastAttempt, balancer.OK)
+	h.handle(PredecessorState{State: state})
+	h.expectRequests(5)
+	// One connection ends at the predecessor process; packets of the last one never arrive.
 	state.Flows = state.Flows[5:]
-	w.handle(PredecessorState{State: state})
-	w.expectRequests(4)
-	w.pass(10 * time.Second)
-	w.expectRequests(3)
+	h.handle(PredecessorState{State: state})
+	h.expectRequests(4)
+	h.advance(10 * time.Second)
+	h.expectRequests(3)
 }
 
-// The predecessor process may not know of a drain that is listed here: no connection may go there any more.
+// Guards against packets that are sent to a draining server: the endpoint list here may show a drain that the predecessor
+// process has not seen.
 func TestAdoptedConnectionsDoNotGoToDrainingServers(t *testing.T) {
-	predecessor := newWorld(t, 2, nil)
-	predecessor.arrive(predecessor.client("x"), Request{ID: "1", Key: "k"})
-	predecessor.establish(predecessor.attempt)
-	state := predecessor.state()
-	w := newWorld(t, 2, nil)
-	draining := predecessor.attempt.sent.Server
-	w.list(draining, balancer.Draining, 0)
-	w.handle(PredecessorState{State: state, First: true})
-	w.arrive(w.client("x"), Request{ID: "1", Key: "k", MidFlow: true})
-	if w.attempt.sent.Server == draining {
-		t.Error("sent to a server that drains")
+	predecessor := newHarness(t, 2, nil)
+	predecessor.connectAndRequest(predecessor.newClient("x"), Request{ID: "1", Key: "k"})
+	predecessor.establish(predecessor.lastAttempt)
+	state := predecessor.requestState()
+	h := newHarness(t, 2, nil)
+	draining := predecessor.lastAttempt.sent.Server
+	h.listServer(draining, balancer.Draining, 0)
+	h.handle(PredecessorState{State: state, First: true})
+	h.connectAndRequest(h.newClient("x"), Request{ID: "1", Key: "k", MidFlow: true})
+	if h.lastAttempt.sent.Server == draining {
+		t.Error("attempt was sent to the draining server")
 	}
 }
 
-// What was learned of a server holds for that start of it alone.
+// Guards against a load limit that outlives a restart: the balancer learned it about an earlier start of the server.
 func TestSnapshotOfARestartedServerIsDiscarded(t *testing.T) {
-	predecessor := newWorld(t, 2, nil)
-	predecessor.arrive(predecessor.client("x"), Request{ID: "1", Key: "k"})
-	predecessor.establish(predecessor.attempt)
+	predecessor := newHarness(t, 2, nil)
+	predecessor.connectAndRequest(predecessor.newClient("x"), Request{ID: "1", Key: "k"})
+	predecessor.establish(predecessor.lastAttempt)
 	for id := balancer.ServerID(1); id <= 2; id++ {
 		predecessor.handle(LoadReported{Server: id, Report: LoadReport{Utilization: 3, HasUtilization: true}})
 	}
-	state := predecessor.state()
+	state := predecessor.requestState()
 	for name, c := range map[string]struct {
 		isRestarted bool
 		wantLimits  int
@@ -88,19 +90,19 @@
 		"one server started": {true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 2, nil)
+			h := newHarness(t, 2, nil)
 			if c.isRestarted {
-				w.list(1, balancer.Ready, time.Minute)
+				h.listServer(1, balancer.Ready, time.Minute)
 			}
-			w.handle(PredecessorState{State: state, First: true})
+			h.handle(PredecessorState{State: state, First: true})
 			limits := 0
-			for _, s := range w.state().Balancer.Servers {
+			for _, s := range h.requestState().Balancer.Servers {
 				if s.LoadLimit > 0 {
 					limits++
 				}
 			}
 			if limits != c.wantLimits {
-				t.Errorf("%d load limits were taken over, want %d", limits, c.wantLimits)
+				t.Errorf("got %d load limits from the snapshot, want %d", limits, c.wantLimits)
 			}
 		})
 	}
--- a/internal/engine/latency_test.go
+++ b/internal/engine/latency_test.go
@@ -21,7 +21,8 @@
 	expect(time.Hour+time.Minute, 0)
 }
 
-// This failed once: messages were answered at once by a server that was asked for 1.23 of its capacity.
+// Guards against an overload that goes unnoticed because the server answers messages at once: a server with a utilization
+// of 1.23 did so.
 func TestLatencyEstimateFollowsOverloadAndItsEnd(t *testing.T) {
 	var l latencyEstimator
 	now := time.Hour
@@ -30,18 +31,18 @@
 		now += time.Second
 	}
 	if got := l.estimate(now, testObjective); got < 2*testObjective {
-		t.Errorf("after two seconds of overload the estimate is %v", got)
+		t.Errorf("after two seconds of overload the estimate is %v, want at least twice the objective", got)
 	}
-	for range 20 { // noise that adds up must not keep the server out
+	for range 20 { // the excess of noisy reports must not accumulate and keep the server out
 		l.recordLoadReport(now, LoadReport{Utilization: 1.2, HasUtilization: true})
 		now += time.Second
 	}
 	l.recordLoadReport(now, LoadReport{Utilization: 0.2, HasUtilization: true})
 	if got := l.estimate(now, testObjective); got > testObjective/3 {
-		t.Errorf("after the overload the estimate is %v", got)
+		t.Errorf("after the overload the estimate is %v, want at most a third of the objective", got)
 	}
 	l.recordLoadReport(now, LoadReport{Utilization: 0.2, HasUtilization: true, Backlog: time.Second, HasBacklog: true})
 	if got := l.estimate(now, testObjective); got < time.Second {
-		t.Errorf("with a backlog of a second the estimate is %v", got)
+		t.Errorf("with a backlog of 1 s the estimate is %v, want at least 1 s", got)
 	}
 }
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -7,72 +7,73 @@
 	"example.org/milletvane/balancer"
 )
 
-// A request without a connection is over with its answer, and holds nothing after it.
+// Guards against a unary request that stays in the table after its answer.
 func TestUnaryRequestEndsWithItsAnswer(t *testing.T) {
-	w := newWorld(t, 1, nil)
-	w.ask(w.client("x"))
-	w.expect("send a1/0")
-	w.end(w.attempt, balancer.OK)
-	w.pass(10 * time.Second)
-	w.expect()
-	w.expectRequests(0)
+	h := newHarness(t, 1, nil)
+	h.requestUnary(h.newClient("x"))
+	h.expectCalls("send a1/0")
+	h.endAttempt(h.lastAttempt, balancer.OK)
+	h.advance(10 * time.Second)
+	h.expectCalls()
+	h.expectRequests(0)
 }
 
 func TestUnaryRequestIsRetriedAndAnsweredOnce(t *testing.T) {
-	w := newWorld(t, 2, nil)
-	w.ask(w.client("x"))
-	first := w.attempt
-	w.end(first, balancer.ConnectFailed)
-	second := w.attempt
+	h := newHarness(t, 2, nil)
+	h.requestUnary(h.newClient("x"))
+	first := h.lastAttempt
+	h.endAttempt(first, balancer.ConnectFailed)
+	second := h.lastAttempt
 	if second == first || second.sent.Addr == first.sent.Addr {
-		t.Fatalf("the retry went to %s, as the first attempt", second.sent.Addr)
+		t.Fatalf("the retry was sent to %s, want another server than that of the first attempt", second.sent.Addr)
 	}
-	w.calls = nil
-	w.end(first, balancer.OK) // late: its attempt is over
-	w.expectRequests(1)
-	w.end(second, balancer.OK)
-	w.pass(10 * time.Second)
-	w.expect()
-	w.expectRequests(0)
+	h.calls = nil
+	h.endAttempt(first, balancer.OK) // ignored, as the attempt has ended
+	h.expectRequests(1)
+	h.endAttempt(second, balancer.OK)
+	h.advance(10 * time.Second)
+	h.expectCalls()
+	h.expectRequests(0)
 }
 
-// The answer and the deadline fall together: the attempt has ended by itself, so the event that is on its way counts.
+// Guards against a request that fails although its server has answered it: the attempt ended by itself before the
+// deadline, and its event is handled just after the deadline.
 func TestAnswerThatCrossesTheDeadlineCounts(t *testing.T) {
-	w := newWorld(t, 1, nil)
-	w.ask(w.client("x"))
-	w.attempt.isEstablished = true // it can't be cancelled any more
-	w.pass(3100 * time.Millisecond)
-	w.end(w.attempt, balancer.OK)
-	w.expect("send a1/0")
-	w.expectRequests(0)
+	h := newHarness(t, 1, nil)
+	h.requestUnary(h.newClient("x"))
+	h.lastAttempt.isEstablished = true // the attempt can't be cancelled any more
+	h.advance(3100 * time.Millisecond)
+	h.endAttempt(h.lastAttempt, balancer.OK)
+	h.expectCalls("send a1/0")
+	h.expectRequests(0)
 }
 
-func TestUnaryRequestIsRejectedForWantOfSockets(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.MaxSockets = 2 })
-	w.ask(w.client("x"))
-	w.ask(w.client("y"))
-	w.expect("send a1/0", "reject y")
-	w.expectRequests(1)
+func TestUnaryRequestIsRejectedForLackOfSockets(t *testing.T) {
+	h := newHarness(t, 1, func(o *Options) { o.MaxSockets = 2 })
+	h.requestUnary(h.newClient("x"))
+	h.requestUnary(h.newClient("y"))
+	h.expectCalls("send a1/0", "reject y")
+	h.expectRequests(1)
 }
 
-// No server gets a request that it could not use: its answer would count against it.
+// Guards against invalid requests that are sent to a server: its rejection would count as a failure of the server.
 func TestInvalidRequestsReachNoServer(t *testing.T) {
-	w := newWorld(t, 1, nil)
-	x := w.client("x")
-	w.arrive(x, Request{ID: "1"})
-	w.calls = nil
-	w.arrive(w.client("class"), Request{ID: "2", Class: "none"})
-	w.arrive(w.client("taken"), Request{ID: "1"})
-	w.expect("fail class", "fail taken")
-	w.arrive(w.client("mid-flow"), Request{ID: "1", MidFlow: true}) // packets of x come here again
-	w.handle(ProtocolViolated{x})
-	w.expect("send a1/0", "cancel a1/0")
-	w.arrive(w.client("taken"), Request{ID: "1"}) // still, by mid-flow
-	w.expect("fail taken")
-	w.end(w.attempt, balancer.Errored)
-	w.end(w.attempt, balancer.Errored)
-	w.calls = nil
-	w.arrive(w.client("y"), Request{ID: "1"})
-	w.expect("send a1/0")
-	w.expectRequests(1)
+	h := newHarness(t, 1, nil)
+	x := h.newClient("x")
+	h.connectAndRequest(x, Request{ID: "1"})
+	h.calls = nil
+	h.connectAndRequest(h.newClient("class"), Request{ID: "2", Class: "none"})
+	h.connectAndRequest(h.newClient("taken"), Request{ID: "1"})
+	h.expectCalls("fail class", "fail taken")
+	h.connectAndRequest(h.newClient("mid-flow"), Request{ID: "1", MidFlow: true}) // valid: packets of x may arrive again
+	h.handle(ProtocolViolated{x})
+	h.expectCalls("send a1/0", "cancel a1/0")
+	h.connectAndRequest(h.newClient("taken"), Request{ID: "1"}) // the mid-flow request still has the ID
+	h.expectCalls("fail taken")
+	h.endAttempt(h.lastAttempt, balancer.Errored)
+	h.endAttempt(h.lastAttempt, balancer.Errored)
+	h.calls = nil
+	h.connectAndRequest(h.newClient("y"), Request{ID: "1"})
+	h.expectCalls("send a1/0")
+	h.expectRequests(1)
 }
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -7,71 +7,71 @@
 	"time"
 )
 
-// What is pending at a shutdown is answered before the platform may end the program, whatever its deadline and
-// wherever it waits: at a hung server, with attempts left; for an endpoint list; or when it comes late.
+// Guards against requests without an answer when the platform ends the process after a shutdown. It covers requests with
+// late deadlines that wait for a hung server or for an endpoint list, and requests that arrive during the shutdown.
 func TestPendingRequestsAreAnsweredAtAShutdown(t *testing.T) {
 	for _, outlive := range []bool{false, true} {
 		for _, servers := range []int{0, 1} {
 			t.Run(fmt.Sprintf("connections outlive %t, %d servers", outlive, servers), func(t *testing.T) {
-				w := newWorld(t, servers, func(o *Options) {
+				h := newHarness(t, servers, func(o *Options) {
 					o.ConnectionsOutliveGateway, o.AnswerTimeout = outlive, 3300*time.Millisecond
 					if outlive {
 						o.DrainTimeout = 15 * time.Second
 					}
 				})
-				w.arrive(w.client("x"), Request{Key: "k", Timeout: time.Minute})
-				w.pass(850 * time.Millisecond) // its last attempt has all the time that is left
-				w.handle(Shutdown{})
-				w.arrive(w.client("y"), Request{Key: "k", Timeout: time.Minute})
-				w.pass(3300*time.Millisecond - 10*time.Millisecond)
-				w.arrive(w.client("z"), Request{Key: "k", Timeout: time.Minute})
-				w.pass(160 * time.Millisecond)
+				h.connectAndRequest(h.newClient("x"), Request{Key: "k", Timeout: time.Minute})
+				h.advance(850 * time.Millisecond) // so that the last attempt has all the time that is left
+				h.handle(Shutdown{})
+				h.connectAndRequest(h.newClient("y"), Request{Key: "k", Timeout: time.Minute})
+				h.advance(3300*time.Millisecond - 10*time.Millisecond)
+				h.connectAndRequest(h.newClient("z"), Request{Key: "k", Timeout: time.Minute})
+				h.advance(160 * time.Millisecond)
 				answers := map[string]int{}
-				for _, call := range w.calls {
+				for _, call := range h.calls {
 					answers[call]++
 				}
 				for _, c := range []string{"x", "y", "z"} {
 					if n := answers["reject "+c] + answers["fail "+c]; n != 1 {
-						t.Errorf("%s has %d answers: %q", c, n, w.calls)
+						t.Errorf("client %s got %d answers, want 1; calls are %q", c, n, h.calls)
 					}
 				}
-				w.expectRequests(0)
+				h.expectRequests(0)
 			})
 		}
 	}
 }
 
-// Where connections end with the gateway, idle clients are closed at the end of the time for answers, new ones are
-// rejected then, and what is established then is migrated; half a message keeps its client for the rest of the time
-// alone.
+// Guards against clients that are left when a gateway ends with its connections. After AnswerTimeout idle clients are
+// closed, new ones are rejected and newly established ones are migrated. A client that can't leave, because half a message
+// has to be forwarded first, is closed after DrainTimeout.
 func TestClosingEndsAllClients(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) {
+	h := newHarness(t, 1, func(o *Options) {
 		o.ConnectionsOutliveGateway, o.AnswerTimeout, o.MaxSockets = false, 3300*time.Millisecond, 20
 	})
-	w.handle(Shutdown{})
-	w.pass(900 * time.Millisecond)
-	w.handle(ClientConnected{Client: w.client("early")}) // without it the shutdown would end for want of clients
-	w.pass(2350 * time.Millisecond)
-	idler, late := w.client("idle"), w.client("late")
-	w.handle(ClientConnected{Client: idler})
-	w.arrive(late, Request{Key: "k"})
-	w.expect("send a1/0")
-	w.pass(60 * time.Millisecond)
-	w.expect("close early", "close idle")
-	w.handle(ClientConnected{Client: w.client("later")})
-	w.expect("reject later")
-	w.establish(w.attempt)
-	w.expect("migrate late")
-	w.pass(150 * time.Millisecond)
-	w.expect()
-	w.pass(time.Second)
-	w.expect("close late") // it never left: half a message has to be passed on first
-	if !w.engine.Ended() {
-		t.Error("not ended")
+	h.handle(Shutdown{})
+	h.advance(900 * time.Millisecond)
+	h.handle(ClientConnected{Client: h.newClient("early")}) // without a client the shutdown would complete early
+	h.advance(2350 * time.Millisecond)
+	idler, late := h.newClient("idle"), h.newClient("late")
+	h.handle(ClientConnected{Client: idler})
+	h.connectAndRequest(late, Request{Key: "k"})
+	h.expectCalls("send a1/0")
+	h.advance(60 * time.Millisecond)
+	h.expectCalls("close early", "close idle")
+	h.handle(ClientConnected{Client: h.newClient("later")})
+	h.expectCalls("reject later")
+	h.establish(h.lastAttempt)
+	h.expectCalls("migrate late")
+	h.advance(150 * time.Millisecond)
+	h.expectCalls()
+	h.advance(time.Second)
+	h.expectCalls("close late") // the client has not left, as if half a message had to be forwarded first
+	if !h.engine.Ended() {
+		t.Error("the engine has not ended after DrainTimeout")
 	}
 }
 
-// A connection that is established in the very moment of the end is no failure to its client.
+// Guards against a client that gets a failure although its connection was established just before the shutdown completed.
 func TestEstablishedInTheMomentOfTheEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		outlive bool
@@ -81,46 +81,46 @@
 		"connections outlive": {true, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 1, func(o *Options) { o.ConnectionsOutliveGateway = c.outlive })
-			w.arrive(w.client("x"), Request{Key: "k"})
-			w.attempt.isEstablished = true // the event is on its way
-			w.handle(Shutdown{})
-			w.calls = nil
-			w.engine.completeShutdown()
-			w.expect(c.want...)
+			h := newHarness(t, 1, func(o *Options) { o.ConnectionsOutliveGateway = c.outlive })
+			h.connectAndRequest(h.newClient("x"), Request{Key: "k"})
+			h.lastAttempt.isEstablished = true // the event is not handled before the shutdown completes
+			h.handle(Shutdown{})
+			h.calls = nil
+			h.engine.completeShutdown()
+			h.expectCalls(c.want...)
 		})
 	}
 }
 
 func TestShutdownLeavesConnectionsThatOutliveTheGateway(t *testing.T) {
-	w := newWorld(t, 1, nil)
-	w.arrive(w.client("x"), Request{Key: "k"})
-	w.establish(w.attempt)
-	w.handle(Shutdown{})
-	w.arrive(w.client("late"), Request{Key: "k", Timeout: time.Minute})
-	w.expect("send a1/0", "send a1/0")
-	w.establish(w.attempt)
-	w.arrive(w.client("later"), Request{Key: "k", Timeout: time.Minute})
-	w.calls = nil
-	w.pass(time.Minute)
-	if !w.engine.Ended() || slices.Contains(w.calls, "migrate x") || slices.Contains(w.calls, "migrate late") {
-		t.Errorf("ended %t, calls are %q", w.engine.Ended(), w.calls)
+	h := newHarness(t, 1, nil)
+	h.connectAndRequest(h.newClient("x"), Request{Key: "k"})
+	h.establish(h.lastAttempt)
+	h.handle(Shutdown{})
+	h.connectAndRequest(h.newClient("late"), Request{Key: "k", Timeout: time.Minute})
+	h.expectCalls("send a1/0", "send a1/0")
+	h.establish(h.lastAttempt)
+	h.connectAndRequest(h.newClient("later"), Request{Key: "k", Timeout: time.Minute})
+	h.calls = nil
+	h.advance(time.Minute)
+	if !h.engine.Ended() || slices.Contains(h.calls, "migrate x") || slices.Contains(h.calls, "migrate late") {
+		t.Errorf("ended %t, calls are %q, want an end without a migration", h.engine.Ended(), h.calls)
 	}
 }
 
 func TestShutdownMigratesConnectionsThatEndWithTheGateway(t *testing.T) {
-	w := newWorld(t, 1, func(o *Options) { o.ConnectionsOutliveGateway = false })
-	c := w.client("x")
-	w.arrive(c, Request{Key: "k"})
-	w.establish(w.attempt)
-	w.handle(Shutdown{})
-	w.expect("send a1/0", "migrate x")
-	w.handle(ClientDisconnected{c})
-	late := w.client("late")
-	w.arrive(late, Request{Key: "k"})
-	w.establish(w.attempt)
-	w.pass(time.Minute)
-	w.expect("send a1/0", "migrate late")
-	w.handle(ClientDisconnected{late})
-	w.expectRequests(0)
+	h := newHarness(t, 1, func(o *Options) { o.ConnectionsOutliveGateway = false })
+	c := h.newClient("x")
+	h.connectAndRequest(c, Request{Key: "k"})
+	h.establish(h.lastAttempt)
+	h.handle(Shutdown{})
+	h.expectCalls("send a1/0", "migrate x")
+	h.handle(ClientDisconnected{c})
+	late := h.newClient("late")
+	h.connectAndRequest(late, Request{Key: "k"})
+	h.establish(h.lastAttempt)
+	h.advance(time.Minute)
+	h.expectCalls("send a1/0", "migrate late")
+	h.handle(ClientDisconnected{late})
+	h.expectRequests(0)
 }
--- a/internal/engine/statistics_test.go
+++ b/internal/engine/statistics_test.go
@@ -12,93 +12,93 @@
 	"example.org/milletvane/internal/metrics"
 )
 
-// Each admitted request is counted under one result, whatever becomes of it, but for those whose clients disconnected
-// without an answer.
-func TestMetricsAddUp(t *testing.T) {
+// Guards against requests that the metrics count twice or not at all: each admitted request has one result, unless its
+// client disconnected before the answer.
+func TestEachRequestIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		registry := metrics.New([]string{"c"})
-		x := &drawnTraffic{
+		g := &trafficGenerator{
 			rt:       rt,
-			world:    newWorld(t, 3, func(o *Options) { o.MaxSockets, o.Metrics = 8, registry }),
+			harness:  newHarness(t, 3, func(o *Options) { o.MaxSockets, o.Metrics = 8, registry }),
 			registry: registry,
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			x.step()
-			x.check()
+			g.sendRandomEvent()
+			g.checkMetrics()
 		}
 	})
 }
 
-// drawnTraffic draws events for an engine, and counts what the metrics should say.
-type drawnTraffic struct {
+// trafficGenerator sends randomly drawn events to an engine and counts the expected values of the metrics.
+type trafficGenerator struct {
 	rt       *rapid.T
-	world    *world
+	harness  *harness
 	registry *metrics.Registry
 
 	clients      []*fakeClient
 	attempts     []*fakeAttempt
 	admitted     int
-	disconnected int // without an answer
+	disconnected int // clients that disconnected without an answer
 }
 
-func (x *drawnTraffic) step() {
-	w := x.world
-	w.attempt = nil
-	switch rapid.IntRange(0, 8).Draw(x.rt, "step") {
+func (g *trafficGenerator) sendRandomEvent() {
+	h := g.harness
+	h.lastAttempt = nil
+	switch rapid.IntRange(0, 8).Draw(g.rt, "step") {
 	case 0, 1, 2:
-		x.arrive()
+		g.connectAndRequest()
 	case 3:
-		if a := drawOne(x.rt, "established", x.attempts); a != nil && !a.isEstablished {
-			w.establish(a)
+		if a := drawOne(g.rt, "established", g.attempts); a != nil && !a.isEstablished {
+			h.establish(a)
 		}
 	case 4:
-		if a := drawOne(x.rt, "ended", x.attempts); a != nil {
-			result := rapid.IntRange(int(balancer.Errored), int(balancer.Cancelled)).Draw(x.rt, "result")
-			w.end(a, balancer.Result(result))
+		if a := drawOne(g.rt, "ended", g.attempts); a != nil {
+			result := rapid.IntRange(int(balancer.Errored), int(balancer.Cancelled)).Draw(g.rt, "result")
+			h.endAttempt(a, balancer.Result(result))
 		}
 	case 5:
-		w.pass(x.milliseconds("passed", 2000))
+		h.advance(g.drawMilliseconds("passed", 2000))
 	case 6, 7:
-		if c := drawOne(x.rt, "disconnected", x.clients); c != nil {
-			x.disconnect(c)
+		if c := drawOne(g.rt, "disconnected", g.clients); c != nil {
+			g.disconnect(c)
 		}
 	case 8:
-		server := rapid.IntRange(1, 3).Draw(x.rt, "server")
-		w.setMaintenance(fmt.Sprint("s", server), rapid.Bool().Draw(x.rt, "in maintenance"))
+		server := rapid.IntRange(1, 3).Draw(g.rt, "server")
+		h.setMaintenance(fmt.Sprint("s", server), rapid.Bool().Draw(g.rt, "in maintenance"))
 	}
-	if w.attempt != nil {
-		x.attempts = append(x.attempts, w.attempt)
+	if h.lastAttempt != nil {
+		g.attempts = append(g.attempts, h.lastAttempt)
 	}
 }
 
-func (x *drawnTraffic) arrive() {
-	w := x.world
-	c := w.client("x")
-	before := w.engine.requests.len()
-	w.handle(ClientConnected{Client: c})
-	if c.handle.id == 0 || w.engine.requests.len() == 0 && before == 0 {
-		return // rejected ahead of its request
+func (g *trafficGenerator) connectAndRequest() {
+	h := g.harness
+	c := h.newClient("x")
+	before := h.engine.requests.len()
+	h.handle(ClientConnected{Client: c})
+	if c.handle.id == 0 || h.engine.requests.len() == 0 && before == 0 {
+		return // the client was rejected before its request
 	}
-	x.clients = append(x.clients, c)
-	x.admitted++
-	w.handle(RequestReceived{Client: c, Request: Request{
-		ID:      strconv.Itoa(rapid.IntRange(0, 5).Draw(x.rt, "id")),
+	g.clients = append(g.clients, c)
+	g.admitted++
+	h.handle(RequestReceived{Client: c, Request: Request{
+		ID:      strconv.Itoa(rapid.IntRange(0, 5).Draw(g.rt, "id")),
 		Class:   "c",
 		Key:     "k",
-		Timeout: x.milliseconds("timeout", 3000),
+		Timeout: g.drawMilliseconds("timeout", 3000),
 	}})
 }
 
-func (x *drawnTraffic) disconnect(c *fakeClient) {
-	if r := x.world.engine.requestOf(c); r != nil && r.phase == pending {
-		x.disconnected++
+func (g *trafficGenerator) disconnect(c *fakeClient) {
+	if r := g.harness.engine.requestOf(c); r != nil && r.phase == pending {
+		g.disconnected++
 	}
-	x.world.handle(ClientDisconnected{c})
+	g.harness.handle(ClientDisconnected{c})
 }
 
-func (x *drawnTraffic) check() {
+func (g *trafficGenerator) checkMetrics() {
 	pendings, open := 0, 0
-	x.world.engine.requests.each(func(r *request) {
+	g.harness.engine.requests.each(func(r *request) {
 		switch r.phase {
 		case pending:
 			pendings++
@@ -106,22 +106,22 @@
 			open++
 		}
 	})
-	c := x.registry.Class("c")
+	c := g.registry.Class("c")
 	answered := int(c.Succeeded.Load() + c.Declined.Load() + c.Aborted.Load())
-	if x.admitted != answered+pendings+x.disconnected {
-		x.rt.Fatalf("admitted %d, answered %d, pending %d, disconnected %d",
-			x.admitted, answered, pendings, x.disconnected)
+	if g.admitted != answered+pendings+g.disconnected {
+		g.rt.Fatalf("admitted %d, want the sum of answered %d, pending %d and disconnected %d",
+			g.admitted, answered, pendings, g.disconnected)
 	}
-	if got := int(x.registry.Outstanding.Load()); got != pendings+open {
-		x.rt.Fatalf("outstanding %d, pending %d and open %d", got, pendings, open)
+	if got := int(g.registry.Outstanding.Load()); got != pendings+open {
+		g.rt.Fatalf("outstanding %d, want the sum of pending %d and open %d", got, pendings, open)
 	}
 }
 
-func (x *drawnTraffic) milliseconds(label string, most int) time.Duration {
-	return time.Duration(rapid.IntRange(1, most).Draw(x.rt, label)) * time.Millisecond
+func (g *trafficGenerator) drawMilliseconds(label string, maximum int) time.Duration {
+	return time.Duration(rapid.IntRange(1, maximum).Draw(g.rt, label)) * time.Millisecond
 }
 
-// drawOne draws an element; nil: there is none.
+// drawOne draws an element of a slice. It returns nil if the slice is empty.
 func drawOne[T any](rt *rapid.T, label string, from []*T) *T {
 	if len(from) == 0 {
 		return nil
--- a/internal/engine/trace_test.go
+++ b/internal/engine/trace_test.go
@@ -16,24 +16,24 @@
 	return slog.New(slog.NewJSONHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// tracedRecord is what the test reads of a log record.
+// tracedRecord holds the fields of a log record that the test compares.
 type tracedRecord struct {
 	Message string `json:"msg"`
 	Client  string `json:"client"`
 	Result  string `json:"result"`
 }
 
-// A request's name leads through all that was done with it.
+// The trace of a request can be found by the ID that the client assigned to it.
 func TestTraceFollowsARequest(t *testing.T) {
 	var log bytes.Buffer
-	w := newWorld(t, 2, func(o *Options) { o.Logger, o.Trace = debugLogger(&log), true })
-	w.arrive(w.client("a"), Request{ID: "7f3a", Key: "k"})
-	first := w.attempt
-	w.end(first, balancer.ConnectFailed)
-	if w.attempt == first {
-		t.Fatal("there was no second attempt")
+	h := newHarness(t, 2, func(o *Options) { o.Logger, o.Trace = debugLogger(&log), true })
+	h.connectAndRequest(h.newClient("a"), Request{ID: "7f3a", Key: "k"})
+	first := h.lastAttempt
+	h.endAttempt(first, balancer.ConnectFailed)
+	if h.lastAttempt == first {
+		t.Fatal("no second attempt was sent")
 	}
-	w.establish(w.attempt)
+	h.establish(h.lastAttempt)
 	var got []tracedRecord
 	for line := range strings.Lines(log.String()) {
 		var r tracedRecord
@@ -58,10 +58,10 @@
 
 func TestNothingIsTracedUnlessConfigured(t *testing.T) {
 	var log bytes.Buffer
-	w := newWorld(t, 2, func(o *Options) { o.Logger = debugLogger(&log) })
-	w.arrive(w.client("a"), Request{ID: "7f3a", Key: "k"})
-	w.establish(w.attempt)
+	h := newHarness(t, 2, func(o *Options) { o.Logger = debugLogger(&log) })
+	h.connectAndRequest(h.newClient("a"), Request{ID: "7f3a", Key: "k"})
+	h.establish(h.lastAttempt)
 	if strings.Contains(log.String(), "7f3a") {
-		t.Errorf("requests are in the log: %s", log.String())
+		t.Errorf("the log has records of the request without Options.Trace: %s", log.String())
 	}
 }
