--- a/internal/engine/digest_clients_test.go
+++ b/internal/engine/digest_clients_test.go
@@ -12,7 +12,7 @@
 func (s *simulation) newClient() *client {
 	s.nextClient++
 	if s.oneIn(3) {
-		m := &movableClient{client{simulation: s, number: s.nextClient}}
+		m := &migratableClient{client{simulation: s, number: s.nextClient}}
 		m.self = m
 		s.clients = append(s.clients, &m.client)
 		return &m.client
@@ -23,7 +23,7 @@
 	return c
 }
 
-func (s *simulation) accept() *client {
+func (s *simulation) connectClient() *client {
 	c := s.newClient()
 	event := engine.ClientConnected{Client: c.self}
 	if s.oneIn(2) {
@@ -33,49 +33,49 @@
 	return c
 }
 
-func (s *simulation) arrive(c *client) {
-	if c.gone && !s.oneIn(4) { // a line may cross the close
+func (s *simulation) sendRequest(c *client) {
+	if c.hasEnded && !s.oneIn(4) { // a request may arrive just after the connection was closed
 		return
 	}
 	c.hasRequest = true
 	s.handle("arrived", engine.RequestReceived{Client: c.self, Request: s.drawRequest()})
 }
 
-// arriveLate brings the request of a client that was accepted some time ago, or seldom a second one.
-func (s *simulation) arriveLate() {
+// sendLateRequest sends the request of a client that connected some time ago, or rarely its second request.
+func (s *simulation) sendLateRequest() {
 	s.withClient(func(c *client) {
 		if !c.hasRequest || s.oneIn(6) {
-			s.arrive(c)
+			s.sendRequest(c)
 		}
 	})
 }
 
-func (s *simulation) askUnary() {
+func (s *simulation) sendUnaryRequest() {
 	c := s.newClient()
-	c.hasRequest, c.answerOnly = true, true
+	c.hasRequest, c.isUnary = true, true
 	s.handle("asked", engine.UnaryRequestReceived{Client: c.self, Request: s.drawRequest()})
 }
 
-func (s *simulation) useClient() {
+func (s *simulation) reportClientActive() {
 	s.withClient(func(c *client) { s.handle("alive", engine.ClientActive{Client: c.self}) })
 }
 
-func (s *simulation) leave(c *client) {
-	c.gone = true
+func (s *simulation) disconnect(c *client) {
+	c.hasEnded = true
 	s.handle("left", engine.ClientDisconnected{Client: c.self})
 }
 
-func (s *simulation) reject() {
+func (s *simulation) violateProtocol() {
 	s.withClient(func(c *client) {
-		c.gone = true
+		c.hasEnded = true
 		s.handle("rejected", engine.ProtocolViolated{Client: c.self})
 	})
 }
 
-// withClient draws one of the clients that are there, if there is one. One that has gone is drawn seldom.
+// withClient draws a client and passes it to use, if there is one. It rarely draws a client whose connection has ended.
 func (s *simulation) withClient(use func(*client)) {
 	if !s.oneIn(30) {
-		s.clients = slices.DeleteFunc(s.clients, func(c *client) bool { return c.gone })
+		s.clients = slices.DeleteFunc(s.clients, func(c *client) bool { return c.hasEnded })
 	}
 	if len(s.clients) > 0 {
 		use(s.clients[s.random.IntN(len(s.clients))])
@@ -96,7 +96,7 @@
 		Group:  pick(s, "", "", fmt.Sprint("group-", s.random.IntN(4))),
 		Timeout: pick(s, 0, time.Millisecond, 30*time.Millisecond, 300*time.Millisecond, time.Second, 3*time.Second,
 			10*time.Second),
-		Load:         pick(s, 0.0, 0, 50, 200, 1000, 20000), // whole numbers: sums of them are exact in any order
+		Load:         pick(s, 0.0, 0, 50, 200, 1000, 20000), // integers, so that their sums are exact in any order
 		Reconnecting: s.oneIn(7),
 		MidFlow:      s.oneIn(10),
 	}
@@ -106,7 +106,7 @@
 	case 2:
 		q.Key = ""
 	case 3, 4:
-		q.Owner = s.serverName(1 + s.random.IntN(serversDrawn+1))
+		q.Owner = s.serverName(1 + s.random.IntN(serverCount+1))
 	}
 	if flows := s.predecessor.flows; len(flows) > 0 && (q.MidFlow || s.oneIn(10)) {
 		q.ID = flows[s.random.IntN(len(flows))].ID
@@ -115,34 +115,34 @@
 	return q
 }
 
-// establish has an attempt's connection stand. The event may come a little later than that.
+// establish establishes the connection of an attempt. The event may be sent to the engine after a delay.
 func (s *simulation) establish(a *attempt) {
-	if a.abandoned {
+	if a.cancelled {
 		return
 	}
 	a.established = true
 	elapsed := s.now - a.sentAt
-	s.after(s.drawCrossing(), func() {
+	s.schedule(s.drawEventDelay(), func() {
 		s.handle("up", engine.AttemptEstablished{RequestID: a.sent.RequestID, Number: a.sent.Number, Elapsed: elapsed})
-		s.after(s.between(100*time.Millisecond, 12*time.Second), func() { s.endEstablished(a) })
+		s.schedule(s.durationBetween(100*time.Millisecond, 12*time.Second), func() { s.endEstablished(a) })
 		if s.oneIn(3) {
-			s.after(s.between(0, 3*time.Second), func() { a.waitingFrom = s.now })
+			s.schedule(s.durationBetween(0, 3*time.Second), func() { a.unansweredSince = s.now })
 		}
 	})
 }
 
-// drawCrossing is how long an event is on its way.
-func (s *simulation) drawCrossing() time.Duration {
+// drawEventDelay draws the delay between a change and its event.
+func (s *simulation) drawEventDelay() time.Duration {
 	return pick(s, 0, 0, 0, 0, 5*time.Millisecond, 80*time.Millisecond, time.Second, 2*time.Second)
 }
 
-// end ends an attempt that is out.
-func (s *simulation) end(a *attempt, result balancer.Result) {
-	if a.abandoned || a.ended {
+// endAttempt ends an attempt that is pending or established. The event may be sent to the engine after a delay.
+func (s *simulation) endAttempt(a *attempt, result balancer.Result) {
+	if a.cancelled || a.ended {
 		return
 	}
 	a.ended = true
-	s.after(s.drawCrossing(), func() { s.handleEnded(a, result) })
+	s.schedule(s.drawEventDelay(), func() { s.handleEnded(a, result) })
 }
 
 func (s *simulation) endEstablished(a *attempt) {
@@ -154,7 +154,7 @@
 	s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: a.sent.Number, Result: result})
 }
 
-// withEstablished draws one of the latest attempts that are established, if there is one.
+// withEstablished draws one of the latest established attempts and passes it to use, if there is one.
 func (s *simulation) withEstablished(use func(*attempt)) {
 	var established []*attempt
 	for _, a := range s.attempts[max(0, len(s.attempts)-60):] {
@@ -167,28 +167,29 @@
 	}
 }
 
-func (s *simulation) serverLeaving() {
+func (s *simulation) announceDrain() {
 	s.withEstablished(func(a *attempt) {
 		s.handle("leaving", engine.ServerDraining{RequestID: a.sent.RequestID, Number: a.sent.Number})
 	})
 }
 
-func (s *simulation) load() {
+func (s *simulation) reportConnectionLoad() {
 	s.withEstablished(func(a *attempt) {
 		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: float64(s.random.IntN(5000))})
 	})
 }
 
-func (s *simulation) answered() {
+func (s *simulation) answerMessage() {
 	s.withEstablished(func(a *attempt) {
-		a.waitingFrom = 0
+		a.unansweredSince = 0
 		s.handle("answered", engine.MessageAnswered{RequestID: a.sent.RequestID, Delay: pick(s,
-			s.between(0, 30*time.Millisecond), s.between(0, 30*time.Millisecond), s.between(0, 400*time.Millisecond))})
+			s.durationBetween(0, 30*time.Millisecond), s.durationBetween(0, 30*time.Millisecond),
+			s.durationBetween(0, 400*time.Millisecond))})
 	})
 }
 
-// stale brings an event of an attempt that may be long over.
-func (s *simulation) stale() {
+// sendStaleEvent sends an event of an attempt that may have ended long ago.
+func (s *simulation) sendStaleEvent() {
 	if len(s.attempts) == 0 {
 		return
 	}
@@ -196,7 +197,7 @@
 	number := a.sent.Number + s.random.IntN(2)
 	switch s.random.IntN(4) {
 	case 0:
-		if a.established || a.abandoned {
+		if a.established || a.cancelled {
 			s.handle("up", engine.AttemptEstablished{RequestID: a.sent.RequestID, Number: number})
 		}
 	case 1:
--- a/internal/engine/digest_fakes_test.go
+++ b/internal/engine/digest_fakes_test.go
@@ -10,132 +10,132 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// client is the simulation's end of a connection, or of a request without one.
+// client is the simulated frontend's side of a client connection, or of a unary request.
 type client struct {
 	handle     engine.ClientHandle
 	simulation *simulation
-	self       engine.Client // this one, as the engine is given it
+	self       engine.Client // this client as the engine knows it: a *client or a *migratableClient
 	number     int
 	hasRequest bool
-	answerOnly bool // it has no connection of its own
-	gone       bool // refused, failed, closed, or it has left
+	isUnary    bool // the request is unary
+	hasEnded   bool // the client was rejected, failed or closed, or has disconnected
 }
 
-// movableClient is one that its front can take to another server.
-type movableClient struct{ client }
+// migratableClient is a client that its frontend can move to another server.
+type migratableClient struct{ client }
 
 func (c *client) Handle() *engine.ClientHandle { return &c.handle }
 
 func (c *client) Reject(after time.Duration) {
-	c.gone = true
+	c.hasEnded = true
 	c.simulation.transcript.call("refuse", field{"client", c.number}, field{"after", after})
 }
 
 func (c *client) Fail() {
-	c.gone = true
+	c.hasEnded = true
 	c.simulation.transcript.call("fail", field{"client", c.number})
 }
 
 func (c *client) Close() {
-	c.gone = true
+	c.hasEnded = true
 	c.simulation.transcript.call("close", field{"client", c.number})
 }
 
-// Migrate draws how long the client may take, and whether it leaves within that.
+// Migrate draws the time that the client has to leave, and whether and when it leaves.
 func (c *client) Migrate() time.Duration {
 	s := c.simulation
 	within := pick(s, 0, 0, 300*time.Millisecond, 2*time.Second, 5*time.Second)
 	s.transcript.call("move", field{"client", c.number}, field{"within", within})
 	if !s.oneIn(3) {
-		s.after(s.between(0, 1500*time.Millisecond), func() { s.leave(c) })
+		s.schedule(s.durationBetween(0, 1500*time.Millisecond), func() { s.disconnect(c) })
 	}
 	return within
 }
 
-func (m *movableClient) ServerDraining() {
+func (m *migratableClient) ServerDraining() {
 	s := m.simulation
 	s.transcript.call("server leaves", field{"client", m.number})
 	if s.oneIn(2) {
-		s.after(s.between(0, time.Second), func() { s.leave(&m.client) })
+		s.schedule(s.durationBetween(0, time.Second), func() { s.disconnect(&m.client) })
 	}
 }
 
-func numberOf(c engine.Client) int {
+func clientNumber(c engine.Client) int {
 	switch c := c.(type) {
 	case *client:
 		return c.number
-	case *movableClient:
+	case *migratableClient:
 		return c.number
 	}
 	return -1
 }
 
-// attempt is what the simulation's backend returns for an attempt that was sent.
+// attempt is an attempt that was sent to the simulated backend.
 type attempt struct {
-	simulation  *simulation
-	sent        engine.Attempt
-	sentAt      time.Duration
-	established bool // it can't be abandoned any more; the event may still be on its way
-	ended       bool // the same, by itself
-	abandoned   bool
-	reluctant   bool // it refuses to be abandoned once, and then reports nothing
-	waitingFrom time.Duration
+	simulation      *simulation
+	sent            engine.Attempt
+	sentAt          time.Duration
+	established     bool          // the attempt can't be cancelled any more; its event may be sent later
+	ended           bool          // the attempt ended by itself and can't be cancelled; its event may be sent later
+	cancelled       bool          // the engine has cancelled the attempt
+	failsNextCancel bool          // the next call of Cancel fails, although no event follows
+	unansweredSince time.Duration // when the oldest unanswered message was sent; zero if there is none
 }
 
 func (a *attempt) Cancel() bool {
-	refused := a.established || a.ended || a.reluctant
+	refused := a.established || a.ended || a.failsNextCancel
 	kind := "abandon"
 	if refused {
 		kind = "abandon failed"
 	}
 	a.simulation.transcript.call(kind, field{"request", int(a.sent.RequestID)}, field{"number", a.sent.Number})
-	a.reluctant = false
-	a.abandoned = !refused
+	a.failsNextCancel = false
+	a.cancelled = !refused
 	return !refused
 }
 
 func (a *attempt) UnansweredFor() time.Duration {
 	a.simulation.transcript.call("waiting", field{"request", int(a.sent.RequestID)}, field{"number", a.sent.Number})
-	if a.waitingFrom == 0 {
+	if a.unansweredSince == 0 {
 		return 0
 	}
-	return a.simulation.now - a.waitingFrom
+	return a.simulation.now - a.unansweredSince
 }
 
-// Send implements engine.Backend: it draws what becomes of the attempt.
+// Send implements engine.Backend. It draws the result of the attempt.
 func (s *simulation) Send(sent engine.Attempt) engine.ActiveAttempt {
 	s.transcript.call("send", field{"request", int(sent.RequestID)}, field{"number", sent.Number},
-		field{"server", int(sent.Server)}, field{"addr", sent.Addr}, field{"client", numberOf(sent.Client)},
+		field{"server", int(sent.Server)}, field{"addr", sent.Addr}, field{"client", clientNumber(sent.Client)},
 		field{"wait", sent.Timeout}, field{"begin", sent.ConnectTimeout})
 	a := &attempt{simulation: s, sent: sent, sentAt: s.now}
 	s.attempts = append(s.attempts, a)
-	delay := s.between(0, 400*time.Millisecond)
+	delay := s.durationBetween(0, 400*time.Millisecond)
 	switch n := s.random.IntN(100); {
-	case n < 12: // nothing is heard of it
+	case n < 12: // the server never answers
 	case n < 16:
-		a.reluctant = true
+		a.failsNextCancel = true
 	case n < 30:
-		s.after(delay, func() { s.end(a, pick(s, failures...)) })
+		s.schedule(delay, func() { s.endAttempt(a, pick(s, failures...)) })
 	case n < 35:
-		s.after(0, func() { s.end(a, pick(s, failures...)) })
-	case s.isAnswerOnly(sent.Client):
-		s.after(delay, func() { s.end(a, balancer.OK) })
+		s.schedule(0, func() { s.endAttempt(a, pick(s, failures...)) })
+	case s.isUnary(sent.Client):
+		s.schedule(delay, func() { s.endAttempt(a, balancer.OK) })
 	default:
-		s.after(delay, func() { s.establish(a) })
+		s.schedule(delay, func() { s.establish(a) })
 	}
 	return a
 }
 
-func (s *simulation) isAnswerOnly(c engine.Client) bool {
+func (s *simulation) isUnary(c engine.Client) bool {
 	i := slices.IndexFunc(s.clients, func(o *client) bool { return o.self == c })
-	return i >= 0 && s.clients[i].answerOnly
+	return i >= 0 && s.clients[i].isUnary
 }
 
-// PollLoad implements engine.LoadPoller: most servers report after a while.
+// PollLoad implements engine.LoadPoller. Most polls are answered after a short time.
 func (s *simulation) PollLoad(server balancer.ServerID, addr string) {
 	s.transcript.call("probe", field{"server", int(server)}, field{"addr", addr})
 	if !s.oneIn(6) {
-		s.after(s.between(0, 120*time.Millisecond), func() { s.report(server) })
+		s.schedule(s.durationBetween(0, 120*time.Millisecond), func() { s.reportLoad(server) })
 	}
 }
 
@@ -144,13 +144,13 @@
 	s.transcript.call("forget", field{"server", int(server)})
 }
 
-// logRecorder counts log records by level, and writes the figures of the regular statistics into the transcript.
+// logRecorder counts log records by level, and adds the integers of the periodic statistics to the transcript.
 type logRecorder struct {
 	transcript *transcript
 	counts     map[slog.Level]int
 }
 
-// minStatistics is the number of integers in a record from which on it is taken for the regular statistics.
+// minStatistics is the minimum number of integers in an info record that identifies it as the periodic statistics.
 const minStatistics = 10
 
 func (r *logRecorder) Enabled(context.Context, slog.Level) bool { return true }
--- a/internal/engine/digest_servers_test.go
+++ b/internal/engine/digest_servers_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// list brings a whole list: those that are gone may be listed as such, or left out.
-func (s *simulation) list(mode balancer.ListMode) {
+// sendFullList sends a full endpoint list. Removed servers may be listed as removed or left out.
+func (s *simulation) sendFullList(mode balancer.ListMode) {
 	event := engine.EndpointList{Mode: mode, Version: int64(s.random.IntN(50))}
 	if !s.oneIn(8) {
 		for _, l := range s.servers {
@@ -40,16 +40,16 @@
 }
 
 func (s *simulation) handleList(event engine.EndpointList) {
-	if s.isListed {
+	if s.hasDiscovery {
 		s.handle("list", event)
 	}
 }
 
-// changeServer changes one or two servers and lists what has changed.
+// changeServer changes one or two servers and sends an endpoint list with the changes.
 func (s *simulation) changeServer() {
 	event := engine.EndpointList{Mode: balancer.ListDelta}
 	for range 1 + s.random.IntN(2) {
-		l := &s.servers[s.random.IntN(serversDrawn)]
+		l := &s.servers[s.random.IntN(serverCount)]
 		switch s.random.IntN(6) {
 		case 0, 1, 2:
 			l.state = balancer.Ready
@@ -62,16 +62,16 @@
 		}
 		event.Servers = append(event.Servers, s.entry(*l))
 	}
-	if s.oneIn(10) { // another server under a number that is taken
-		twin := s.entry(s.servers[s.random.IntN(serversDrawn)])
+	if s.oneIn(10) { // another server with an ID that is in use
+		twin := s.entry(s.servers[s.random.IntN(serverCount)])
 		twin.Name = "twin"
 		event.Servers = append(event.Servers, twin)
 	}
 	s.handleList(event)
 }
 
-// report brings a server's report of its load, which changes now and then.
-func (s *simulation) report(server balancer.ServerID) {
+// reportLoad sends a load report of a server, whose load changes occasionally.
+func (s *simulation) reportLoad(server balancer.ServerID) {
 	report := engine.LoadReport{Utilization: s.drawLoad(), HasUtilization: !s.oneIn(10)}
 	if i := int(server) - 1; i < len(s.servers) {
 		if s.oneIn(25) {
@@ -83,20 +83,20 @@
 		report.Connections = float64(s.random.IntN(60))
 	}
 	if s.reportsBacklog && s.oneIn(2) {
-		report.Backlog, report.HasBacklog = s.between(0, 200*time.Millisecond), true
+		report.Backlog, report.HasBacklog = s.durationBetween(0, 200*time.Millisecond), true
 	}
 	s.handle("probed", engine.LoadReported{Server: server, Report: report})
 }
 
 func (s *simulation) changeMaintenance() {
-	id := 1 + s.random.IntN(serversDrawn+1)
+	id := 1 + s.random.IntN(serverCount+1)
 	event := engine.MaintenanceChanged{Name: s.serverName(id), InMaintenance: s.oneIn(2)}
 	if !s.oneIn(3) {
 		event.Done = func() { s.transcript.call("done", field{"banned", id}) }
 	}
 	s.handle("banned", event)
 	if event.InMaintenance {
-		s.after(s.between(0, 3*time.Second), func() {
+		s.schedule(s.durationBetween(0, 3*time.Second), func() {
 			s.handle("banned", engine.MaintenanceChanged{Name: s.serverName(id)})
 		})
 	}
@@ -110,11 +110,11 @@
 	s.isShuttingDown = true
 	s.handle("stop", engine.Shutdown{})
 	if s.oneIn(3) {
-		s.handle("stop", engine.Shutdown{}) // the second one is ignored
+		s.handle("stop", engine.Shutdown{}) // the engine ignores the second one
 	}
 }
 
-// requestState asks for the state, and records each field of it.
+// requestState requests the state of the engine and records each field of it.
 func (s *simulation) requestState() {
 	s.handle("tell", engine.StateRequested{Deliver: func(state engine.State) {
 		s.predecessor.snapshot = state.Balancer
@@ -146,9 +146,9 @@
 	}
 }
 
-// inherit brings the state of the predecessor process: at first with all its connections, then with one less now and
-// then.
-func (s *simulation) inherit() {
+// sendPredecessorState sends the state of the predecessor process. The first one has all its connections; each
+// later one may lack one connection of the state before.
+func (s *simulation) sendPredecessorState() {
 	p := &s.predecessor
 	event := engine.PredecessorState{First: !p.isKnown}
 	if !p.isKnown {
@@ -158,7 +158,7 @@
 		i := s.random.IntN(len(p.flows))
 		p.flows = slices.Delete(slices.Clone(p.flows), i, i+1)
 	}
-	s.handleInherit(event)
+	s.handlePredecessorState(event)
 	if event.First {
 		s.refreshPredecessor()
 	}
@@ -177,7 +177,7 @@
 			Class:  pick(s, "interactive", "bulk"),
 			Key:    fmt.Sprint("key-", s.random.IntN(40)),
 			Group:  pick(s, "", "group-1"),
-			Server: s.serverName(1 + s.random.IntN(serversDrawn)),
+			Server: s.serverName(1 + s.random.IntN(serverCount)),
 			Load:   pick(s, 0.0, 300),
 		})
 	}
@@ -186,16 +186,16 @@
 	}
 }
 
-func (s *simulation) handleInherit(event engine.PredecessorState) {
+func (s *simulation) handlePredecessorState(event engine.PredecessorState) {
 	event.State.Flows = slices.Clone(s.predecessor.flows)
 	s.handle("inherit", event)
 }
 
-// refreshPredecessor repeats the state of the predecessor process while it has more than one connection.
+// refreshPredecessor sends the state of the predecessor process periodically while it has more than one connection.
 func (s *simulation) refreshPredecessor() {
-	s.after(predecessorRefreshDelay, func() {
+	s.schedule(predecessorRefreshDelay, func() {
 		if len(s.predecessor.flows) > 1 {
-			s.handleInherit(engine.PredecessorState{})
+			s.handlePredecessorState(engine.PredecessorState{})
 			s.refreshPredecessor()
 		}
 	})
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -15,13 +15,14 @@
 
 const (
 	stepsPerSeed            = 160
-	serversDrawn            = 8
-	prioritiesDrawn         = 4
-	startOfClock            = 1000 * time.Hour
-	shutdownTimeLimit       = 30 * time.Second // by then an engine that was stopped has ended
+	serverCount             = 8
+	priorityCount           = 4
+	clockStart              = 1000 * time.Hour
+	shutdownTimeLimit       = 30 * time.Second // an engine must end within this time after its shutdown
 	predecessorRefreshDelay = 2500 * time.Millisecond
 
-	// With so many sockets the table of connections never fills up; see predecessor.
+	// With at least socketsForManyFlows sockets the table of requests never fills up, so that the predecessor process may
+	// have up to manyFlows connections. With fewer sockets it has up to fewFlows. See type predecessor.
 	socketsForManyFlows = 64
 	manyFlows           = 8
 	fewFlows            = 2
@@ -32,8 +33,8 @@
 	balancer.ConnectFailed, balancer.ConnectFailed, balancer.Reset,
 }
 
-// simulation draws what surrounds an engine, and records what the engine does to it. All of it runs in one goroutine
-// on a clock of its own.
+// simulation simulates the randomly drawn environment of an engine and records the calls that the engine makes to it. It
+// runs in one goroutine on a simulated clock.
 type simulation struct {
 	t                *testing.T
 	random           *rand.Rand
@@ -44,7 +45,7 @@
 	log              *logRecorder
 
 	now       time.Duration
-	reactions []reaction // in order of time
+	scheduled []scheduledAction // sorted by time
 	sequence  int
 
 	clients        []*client
@@ -55,32 +56,32 @@
 	nextRequest    int
 	isShuttingDown bool
 
-	isListed       bool // discovery lists servers in this seed
-	reportsBacklog bool // servers report the work that waits at them
+	hasDiscovery   bool // whether discovery sends endpoint lists with this seed
+	reportsBacklog bool // whether servers report their backlog
 }
 
-// reaction is something that the surroundings do at a time.
-type reaction struct {
+// scheduledAction is an action of the environment that is scheduled for a time.
+type scheduledAction struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-// listedServer is a server as discovery would list it now.
+// listedServer is the current state of a server, which discovery lists.
 type listedServer struct {
 	id       int
 	state    balancer.ServerState
 	started  time.Duration
 	capacity float64
 	addr     int
-	load     float64 // that it reports
+	load     float64 // reported utilization
 }
 
-// predecessor is the predecessor process, whose connections the engine takes over. The engine gives these up in the
-// order of a map, and with that its slots, whose order decides all that follows. So that this is no matter of chance,
-// the simulation takes at most one connection at a time out of the predecessor's state, and repeats the state before
-// it would be given up as old. Only at the end of a seed, where nothing depends on the order any more, all are given
-// up at once.
+// predecessor simulates the predecessor process, whose connections the engine adopts. The engine releases them in the
+// random order of a map, and the order in which their slots become free affects all that follows. To keep runs
+// reproducible, the simulation removes at most one connection at a time from the predecessor's state, and repeats the
+// state before the engine would release its connections as expired. Only at the end of a seed, when nothing depends on
+// the order any more, does the engine release all of them at once.
 type predecessor struct {
 	flows    []engine.Flow
 	snapshot balancer.Snapshot
@@ -93,25 +94,25 @@
 		t:          t,
 		random:     rand.New(rand.NewPCG(seed, 0x6d696c6c6574)),
 		transcript: newTranscript(),
-		now:        startOfClock,
+		now:        clockStart,
 	}
 	s.log = &logRecorder{transcript: s.transcript, counts: map[slog.Level]int{}}
-	s.isListed, s.reportsBacklog = !s.oneIn(12), s.oneIn(4)
+	s.hasDiscovery, s.reportsBacklog = !s.oneIn(12), s.oneIn(4)
 	s.drawServers()
 	settings := s.drawSettings()
-	policy, err := balancer.New(settings)
+	lb, err := balancer.New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.options = s.drawOptions(settings)
-	s.engine = engine.New(s.options, policy, s, s)
+	s.engine = engine.New(s.options, lb, s, s)
 	return s
 }
 
 func (s *simulation) drawServers() {
-	for i := range serversDrawn {
+	for i := range serverCount {
 		s.servers = append(s.servers, listedServer{id: i + 1, state: balancer.Removed})
-		if i < 1+s.random.IntN(serversDrawn) {
+		if i < 1+s.random.IntN(serverCount) {
 			s.servers[i].state = balancer.Ready
 		}
 		s.servers[i].started = s.drawStart()
@@ -125,7 +126,7 @@
 }
 
 func (s *simulation) drawStart() time.Duration {
-	return pick(s, 0, 0, s.now, s.now-s.between(0, 20*time.Second), s.now-time.Hour)
+	return pick(s, 0, 0, s.now, s.now-s.durationBetween(0, 20*time.Second), s.now-time.Hour)
 }
 
 func (s *simulation) drawSettings() balancer.Settings {
@@ -140,7 +141,7 @@
 			{
 				Name: "bulk", Idempotency: balancer.WithIdempotencyKey,
 				DedupScope:  pick(s, balancer.DedupScopeAll, balancer.DedupScopeZone, balancer.DedupScopeCell),
-				DedupWindow: s.between(100*time.Millisecond, 2*time.Second), Timeout: pick(s, 0, 2*time.Second),
+				DedupWindow: s.durationBetween(100*time.Millisecond, 2*time.Second), Timeout: pick(s, 0, 2*time.Second),
 			},
 			{Name: "strict", Idempotency: balancer.NonIdempotent, PriorityWeight: 2},
 		},
@@ -169,7 +170,7 @@
 		MaxSockets:                pick(s, 2, 3, 5, 10, 24, socketsForManyFlows, socketsForManyFlows, 100),
 		MaxIdleClients:            pick(s, 0, 0, 1, 3, 12),
 		RetryAfter:                pick(s, 0, 700*time.Millisecond),
-		DefaultTimeout:            s.between(100*time.Millisecond, 4*time.Second),
+		DefaultTimeout:            s.durationBetween(100*time.Millisecond, 4*time.Second),
 		AnswerGrace:               pick(s, 0, 5*time.Millisecond, 16*time.Millisecond, 100*time.Millisecond),
 		FlowRetention:             settings.FlowRetention,
 		ConnectionsOutliveGateway: s.oneIn(2),
@@ -187,21 +188,21 @@
 	}
 	o.Metrics = metrics.New(o.Classes)
 	if s.oneIn(2) {
-		s.priorityCounters = metrics.NewPriorityCounters(prioritiesDrawn)
+		s.priorityCounters = metrics.NewPriorityCounters(priorityCount)
 		o.PriorityCounters = s.priorityCounters
 	}
 	if s.oneIn(2) {
-		o.PriorityOf = func(class, tenant string) int { return (len(class) + len(tenant)) % prioritiesDrawn }
+		o.PriorityOf = func(class, tenant string) int { return (len(class) + len(tenant)) % priorityCount }
 	}
 	return o
 }
 
-// run takes an engine from its start to its end.
+// run simulates an engine from its start to its end.
 func (s *simulation) run() {
 	s.engine.Start(s.now)
 	s.step("start")
-	if s.isListed && !s.oneIn(4) {
-		s.list(balancer.ListCached)
+	if s.hasDiscovery && !s.oneIn(4) {
+		s.sendFullList(balancer.ListCached)
 	}
 	shutdownAt := stepsPerSeed - 1 - s.random.IntN(stepsPerSeed/3)
 	hasArrivalsInShutdown := s.oneIn(2)
@@ -218,51 +219,51 @@
 	}
 	s.advance(shutdownTimeLimit)
 	if !s.engine.Ended() {
-		s.t.Errorf("not ended %v after the stop", shutdownTimeLimit)
+		s.t.Errorf("the engine has not ended %v after its shutdown", shutdownTimeLimit)
 	}
-	s.advance(time.Second) // nothing may come of it
-	s.recordFigures()
+	s.advance(time.Second) // an engine that has ended does nothing
+	s.recordMetrics()
 }
 
-// letPredecessorExpire lets all connections of the predecessor process be given up at once.
+// letPredecessorExpire advances the clock until the engine has released all connections of the predecessor process.
 func (s *simulation) letPredecessorExpire() {
 	s.predecessor.flows = nil
-	s.reactions = nil
+	s.scheduled = nil
 	s.advance(max(s.options.FlowRetention, 3*time.Second) + time.Second)
 	s.requestState()
 }
 
 func (s *simulation) drawPause() time.Duration {
 	if s.oneIn(60) {
-		return s.between(time.Second, 4*time.Second)
+		return s.durationBetween(time.Second, 4*time.Second)
 	}
-	return s.between(0, pick(s, 0, 2*time.Millisecond, 40*time.Millisecond, 40*time.Millisecond, 250*time.Millisecond))
+	return s.durationBetween(0, pick(s, 0, 2*time.Millisecond, 40*time.Millisecond, 40*time.Millisecond, 250*time.Millisecond))
 }
 
-// drawEvent draws what happens next.
+// drawEvent draws the next event and returns the function that sends it.
 func (s *simulation) drawEvent() func() {
 	draws := []struct {
 		weight int
 		run    func()
 	}{
-		{24, func() { s.arrive(s.accept()) }},
-		{6, func() { s.accept() }},
-		{6, s.arriveLate},
-		{10, s.askUnary},
-		{3, s.useClient},
-		{8, func() { s.withClient(s.leave) }},
-		{2, s.reject},
-		{2, s.serverLeaving},
-		{4, s.load},
-		{5, s.answered},
-		{3, func() { s.report(balancer.ServerID(1 + s.random.IntN(serversDrawn+1))) }},
+		{24, func() { s.sendRequest(s.connectClient()) }},
+		{6, func() { s.connectClient() }},
+		{6, s.sendLateRequest},
+		{10, s.sendUnaryRequest},
+		{3, s.reportClientActive},
+		{8, func() { s.withClient(s.disconnect) }},
+		{2, s.violateProtocol},
+		{2, s.announceDrain},
+		{4, s.reportConnectionLoad},
+		{5, s.answerMessage},
+		{3, func() { s.reportLoad(balancer.ServerID(1 + s.random.IntN(serverCount+1))) }},
 		{6, s.changeServer},
-		{2, func() { s.list(pick(s, balancer.ListComplete, balancer.ListComplete, balancer.ListCached)) }},
+		{2, func() { s.sendFullList(pick(s, balancer.ListComplete, balancer.ListComplete, balancer.ListCached)) }},
 		{2, s.requestState},
-		{3, s.inherit},
+		{3, s.sendPredecessorState},
 		{3, s.changeMaintenance},
 		{1, s.changeShedLevel},
-		{4, s.stale},
+		{4, s.sendStaleEvent},
 	}
 	total := 0
 	for _, d := range draws {
@@ -277,34 +278,34 @@
 	panic("unreachable: the weights add up to the total")
 }
 
-// Time.
+// Simulated time.
 
-// after plans a reaction. Those of one moment happen in the order in which they were planned.
-func (s *simulation) after(d time.Duration, run func()) {
+// schedule schedules an action. Actions with the same time run in the order in which they were scheduled.
+func (s *simulation) schedule(d time.Duration, run func()) {
 	s.sequence++
-	r := reaction{at: s.now + d, sequence: s.sequence, run: run}
-	i, _ := slices.BinarySearchFunc(s.reactions, r, func(a, b reaction) int {
+	r := scheduledAction{at: s.now + d, sequence: s.sequence, run: run}
+	i, _ := slices.BinarySearchFunc(s.scheduled, r, func(a, b scheduledAction) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.sequence, b.sequence))
 	})
-	s.reactions = slices.Insert(s.reactions, i, r)
+	s.scheduled = slices.Insert(s.scheduled, i, r)
 }
 
-// advance lets time go by: reactions happen at their times, and timers as the engine asks for them, or now and then all
-// at once and late.
+// advance advances the clock by d. It runs scheduled actions at their times. It fires the timers of the engine at their times, or
+// occasionally all late and at once.
 func (s *simulation) advance(d time.Duration) {
 	end := s.now + d
 	isLate := s.oneIn(12)
 	for {
 		at, ok := s.engine.Next()
 		hasTimer := ok && at <= end && !isLate && !s.engine.Ended()
-		hasReaction := len(s.reactions) > 0 && s.reactions[0].at <= end
+		hasReaction := len(s.scheduled) > 0 && s.scheduled[0].at <= end
 		switch {
-		case hasTimer && (!hasReaction || at <= s.reactions[0].at):
+		case hasTimer && (!hasReaction || at <= s.scheduled[0].at):
 			s.now = max(s.now, at)
 			s.expire()
 		case hasReaction:
-			r := s.reactions[0]
-			s.reactions = s.reactions[1:]
+			r := s.scheduled[0]
+			s.scheduled = s.scheduled[1:]
 			s.now = max(s.now, r.at)
 			r.run()
 		default:
@@ -320,7 +321,7 @@
 	s.step("expire")
 }
 
-// handle gives the engine an event, now and then with a time that is a little old.
+// handle passes an event to the engine, occasionally with a time that is slightly in the past.
 func (s *simulation) handle(name string, event engine.Event) {
 	now := s.now
 	if s.oneIn(50) {
@@ -330,17 +331,17 @@
 	s.step(name)
 }
 
-// step records the calls of one step, and how the engine stands after it.
+// step records the calls of one step and the state of the engine after it.
 func (s *simulation) step(event string) {
 	next, hasNext := s.engine.Next()
-	f := s.options.Metrics
+	registry := s.options.Metrics
 	s.transcript.step(event, field{"now", s.now}, field{"next", next}, field{"has next", hasNext},
-		field{"ready", s.engine.Ready()}, field{"ended", s.engine.Ended()}, field{"outstanding", f.Outstanding.Load()},
-		field{"discovered", f.Discovered.Load()}, field{"ejected", f.Ejected.Load()})
+		field{"ready", s.engine.Ready()}, field{"ended", s.engine.Ended()}, field{"outstanding", registry.Outstanding.Load()},
+		field{"discovered", registry.Discovered.Load()}, field{"ejected", registry.Ejected.Load()})
 }
 
-// recordFigures ends a transcript.
-func (s *simulation) recordFigures() {
+// recordMetrics records the metrics and the log counts, which end a transcript.
+func (s *simulation) recordMetrics() {
 	for _, class := range []string{"interactive", "bulk", "strict"} {
 		c := s.options.Metrics.Class(class)
 		s.transcript.call("class", field{"name", class}, field{"succeeded", c.Succeeded.Load()},
@@ -348,10 +349,10 @@
 	}
 	if s.priorityCounters != nil {
 		counts := s.priorityCounters.TakeCounts()
-		asked, refused, cut := counts.Offered, counts.Rejected, counts.Shed
-		for priority := range prioritiesDrawn {
-			s.transcript.call("rank", field{"number", priority}, field{"asked", int64(asked[priority])},
-				field{"refused", int64(refused[priority])}, field{"cut", int64(cut[priority])})
+		offered, rejected, shed := counts.Offered, counts.Rejected, counts.Shed
+		for priority := range priorityCount {
+			s.transcript.call("rank", field{"number", priority}, field{"asked", int64(offered[priority])},
+				field{"refused", int64(rejected[priority])}, field{"cut", int64(shed[priority])})
 		}
 	}
 	for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
@@ -360,9 +361,9 @@
 	s.transcript.step("over")
 }
 
-// Chance.
+// Random choices.
 
-func (s *simulation) between(low, high time.Duration) time.Duration {
+func (s *simulation) durationBetween(low, high time.Duration) time.Duration {
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
--- a/internal/engine/digest_test.go
+++ b/internal/engine/digest_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// The tests in this file hold the engine to its behaviour, call by call. For each seed a simulation draws options,
-// settings and a stream of events, and everything that the engine does to its clients, attempts and prober goes into
-// a transcript with all arguments. The digests of the transcripts stand in testdata. A change that only moves or
-// renames code leaves them as they are; one that is meant to change behaviour writes them anew with
+// The tests in this file detect any change of the engine's behaviour. For each seed a simulation draws options, settings
+// and a stream of events, and records every call that the engine makes to its clients, attempts and poller in a
+// transcript, with all arguments. The digests of the transcripts are in testdata. A change that only moves or renames code
+// must leave them unchanged. A change of behaviour updates them with
 //
 //	go test ./internal/engine -run TestEventStreamDigests -update
 //
-// Log messages are no part of a transcript, but the number of records at each level is, and the figures of the regular
-// statistics are.
+// A transcript does not contain log messages, but it contains the number of log records at each level and the values of
+// the periodic statistics.
 var updateDigests = flag.Bool("update", false, "write the digests of the event streams anew")
 
 const (
@@ -54,25 +54,25 @@
 	}
 	for i := range got {
 		if got[i] != want[i] {
-			t.Errorf("seed and digest are %s, want %s", got[i], want[i])
+			t.Errorf("got seed and digest %s, want %s", got[i], want[i])
 		}
 	}
 }
 
-// TestEventStreamDigestsAreStable runs some seeds again: a transcript that depends on chance would make a poor
-// reference.
+// TestEventStreamDigestsAreStable runs some seeds twice. It guards against a transcript that depends on something other
+// than its seed, such as the order of a map, which makes the digests useless as a reference.
 func TestEventStreamDigestsAreStable(t *testing.T) {
 	for seed := uint64(0); seed < digestSeeds; seed += 12 {
 		first, second := newSimulation(t, seed), newSimulation(t, seed)
 		first.run()
 		second.run()
 		if a, b := first.transcript.digest(), second.transcript.digest(); a != b {
-			t.Errorf("seed %d gives %s and then %s", seed, a, b)
+			t.Errorf("seed %d gives digest %s in the first run and %s in the second", seed, a, b)
 		}
 	}
 }
 
-// checkCoverage fails where the seeds no longer bring some kind of event or get some kind of call.
+// checkCoverage fails if all seeds together have too few events or calls of some kind.
 func checkCoverage(t *testing.T, counts map[string]int) {
 	t.Helper()
 	for _, kind := range []string{
@@ -84,7 +84,7 @@
 	} {
 		const minCount = 100
 		if counts[kind] < minCount {
-			t.Errorf("%s: %d in all seeds, want at least %d", kind, counts[kind], minCount)
+			t.Errorf("%s: got %d in all seeds, want at least %d", kind, counts[kind], minCount)
 		}
 	}
 }
@@ -105,17 +105,17 @@
 	return strings.Split(strings.TrimSuffix(string(content), "\n"), "\n")
 }
 
-// transcript is the canonical text of what an engine did: one line for each call that it made, between lines that say
-// which event it was given and how it stood after that. Its words belong to the test, and stay as the code's names
-// change.
+// transcript is the canonical record of the calls that an engine made. Each step has a line for its event and the state of
+// the engine after it, followed by a line for each call. The names in these lines are part of the digests, so they stay
+// the same when names in the code change.
 type transcript struct {
 	hash   hash.Hash
 	line   []byte
-	calls  []call // of the present step
+	calls  []call // calls of the current step
 	counts map[string]int
 }
 
-// call is a call that the engine made: its kind and its arguments, each with its name.
+// call is a call that the engine made: its kind and the text of its named arguments.
 type call struct {
 	kind string
 	text []byte
@@ -131,18 +131,18 @@
 	return &transcript{hash: sha256.New(), counts: map[string]int{}}
 }
 
-// call adds a call that the engine makes in the present step.
+// call adds a call that the engine makes in the current step.
 func (t *transcript) call(kind string, fields ...field) {
 	t.counts["call "+kind]++
 	t.calls = append(t.calls, call{kind, appendFields(nil, fields)})
 }
 
-// step ends a step with the calls that were made in it, and how the engine stands after it.
+// step ends a step: it adds the event, the state of the engine after it and the calls of the step to the digest.
 func (t *transcript) step(event string, state ...field) {
 	t.counts["event "+event]++
 	t.line = append(append(t.line[:0], "event "...), event...)
 	t.line = append(appendFields(t.line, state), '\n')
-	t.sortForgets()
+	t.sortForgetCalls()
 	for _, c := range t.calls {
 		t.line = append(append(t.line, "call "...), c.kind...)
 		t.line = append(append(t.line, c.text...), '\n')
@@ -151,9 +151,9 @@
 	t.hash.Write(t.line)
 }
 
-// sortForgets sorts each run of calls of Forget: the engine forgets the servers that a whole list leaves out in the
-// order of a map, which is chance. It is the only order of calls that the transcript gives up.
-func (t *transcript) sortForgets() {
+// sortForgetCalls sorts each sequence of calls of Forget. The engine forgets the servers that a full list leaves out in the
+// random order of a map. All other calls keep their order in the transcript.
+func (t *transcript) sortForgetCalls() {
 	for start := 0; start < len(t.calls); start++ {
 		end := start
 		for end < len(t.calls) && t.calls[end].kind == "forget" {
@@ -176,8 +176,8 @@
 	return b
 }
 
-// appendValue writes a value by its kind alone, not by its type's name. A sum's last digits may depend on the order
-// in which it was rounded, so figures are written without them.
+// appendValue appends a value in a form that depends on its kind but not on the name of its type. The last digits of a
+// floating-point sum may depend on the order of its terms, so floating-point numbers are rounded to nine digits.
 func appendValue(b []byte, value any) []byte {
 	const digits = 9
 	switch v := value.(type) {
@@ -194,5 +194,5 @@
 	case time.Duration:
 		return strconv.AppendInt(b, int64(v), 10)
 	}
-	panic(fmt.Sprintf("a transcript has no form for %v", value))
+	panic(fmt.Sprintf("a transcript can't hold the value %v: its type is not supported", value))
 }
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -82,7 +82,7 @@
 func newHarness(t *testing.T, servers int, configure func(*Options)) *harness {
 	t.Helper()
 	h := &harness{t: t, now: time.Hour}
-	decider, err := balancer.New(balancer.Settings{
+	lb, err := balancer.New(balancer.Settings{
 		Gateways:      1,
 		MaxAttempts:   2,
 		DrainGrace:    500 * time.Millisecond,
@@ -108,7 +108,7 @@
 	if configure != nil {
 		configure(&options)
 	}
-	h.engine = New(options, decider, h, h)
+	h.engine = New(options, lb, h, h)
 	h.engine.Start(h.now)
 	list := EndpointList{Mode: balancer.ListCached}
 	for i := range servers {
@@ -132,7 +132,7 @@
 
 func (h *harness) handle(ev Event) { h.engine.Handle(h.now, ev) }
 
-// listServer sends an endpoint listServer that changes one server.
+// listServer sends an endpoint list that changes one server.
 func (h *harness) listServer(id balancer.ServerID, state balancer.ServerState, started time.Duration) {
 	h.handle(EndpointList{Mode: balancer.ListDelta, Servers: []Server{listedServer(id, state, started)}})
 }
@@ -165,7 +165,7 @@
 	h.handle(AttemptEnded{a.sent.RequestID, a.sent.Number, result})
 }
 
-// requestState returns the requestState that the engine passes to a successor process.
+// requestState returns the state that the engine passes to a successor process.
 func (h *harness) requestState() (state State) {
 	h.handle(StateRequested{Deliver: func(s State) { state = s }})
 	return state
