--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,6 +1,6 @@
-// Package eventloop runs an engine in real time: one goroutine hands it the events that were posted, and calls it when a
-// timer of the engine expires. It is all that the engine itself may not have: a queue, a timer and a clock. It decides
-// nothing.
+// Package eventloop runs an engine in real time. One goroutine passes posted events to the engine and calls it when a
+// timer of the engine expires. The package provides what the engine itself must not have: a queue, a timer and a clock. It
+// makes no decisions.
 package eventloop
 
 import (
@@ -10,41 +10,41 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// QueueCapacity is how many events may wait.
+// QueueCapacity is the maximum number of queued events.
 const QueueCapacity = 4096
 
-// Engine is what a Loop runs, as *engine.Engine does. All times are those of the loop's clock.
+// Engine is an engine that a Loop can run; *engine.Engine implements it. All times are times of the loop's clock.
 type Engine interface {
-	// Start is called once, before all else.
+	// Start is called once, before all other methods but Ready.
 	Start(now time.Duration)
-	// Handle takes an event.
+	// Handle processes an event.
 	Handle(now time.Duration, event engine.Event)
-	// Expire handles all timers that expire at now or before.
+	// Expire fires all timers that expire at now or before.
 	Expire(now time.Duration)
-	// Next is when the earliest timer expires; ok is false where none is set.
+	// Next returns the time at which the earliest timer expires. The ok result is false if no timer is set.
 	Next() (at time.Duration, ok bool)
-	// Ended reports whether there is nothing left to do. The loop ends then.
+	// Ended reports whether the engine has ended. Run returns then.
 	Ended() bool
-	// Ready reports whether requests can be served. Any goroutine may call it.
+	// Ready reports whether the engine accepts requests. Any goroutine may call it.
 	Ready() bool
 }
 
-// Loop runs one engine. Run belongs to one goroutine; all other methods may be called by any.
+// Loop runs one engine. Run is called by one goroutine; any goroutine may call the other methods.
 type Loop struct {
 	engine Engine
 	events chan engine.Event
 	ended  chan struct{} // closed when Run returns
 }
 
-// New returns a Loop of an engine that nobody else calls from now on, but for Ready.
+// New returns a Loop that runs an engine. From now on only the loop may call the engine, except for its Ready method.
 func New(e Engine) *Loop {
 	return &Loop{engine: e, events: make(chan engine.Event, QueueCapacity), ended: make(chan struct{})}
 }
 
-// Ready reports whether requests can be served.
+// Ready reports whether the engine accepts requests.
 func (l *Loop) Ready() bool { return l.engine.Ready() }
 
-// Post queues an event. It waits while the queue is full; the event is dropped once Run has returned.
+// Post queues an event. It blocks while the queue is full. Once Run has returned, it drops the event.
 func (l *Loop) Post(event engine.Event) {
 	select {
 	case l.events <- event:
@@ -52,7 +52,7 @@
 	}
 }
 
-// TryPost queues an event that may be lost: it is dropped while the queue is full.
+// TryPost queues an event, or drops it if the queue is full. It never blocks.
 func (l *Loop) TryPost(event engine.Event) {
 	select {
 	case l.events <- event:
@@ -60,8 +60,8 @@
 	}
 }
 
-// Run handles events and timers until the engine has ended; once ctx is done the engine gets a Shutdown. It is
-// called once. The clock returns Unix time, never runs backwards, and is called by this goroutine alone.
+// Run handles events and timers until the engine has ended. When ctx is done, it sends the engine a Shutdown event. Run
+// must be called once only. The clock must return Unix time and never run backwards; only the goroutine of Run calls it.
 func (l *Loop) Run(ctx context.Context, clock func() time.Duration) {
 	defer close(l.ended)
 	l.engine.Start(clock())
@@ -77,7 +77,7 @@
 			l.engine.Handle(clock(), event)
 		case <-timer.C:
 		case <-stop:
-			stop = nil // which is never ready: once is enough
+			stop = nil // a nil channel is never ready, so that the engine gets one Shutdown
 			l.engine.Handle(clock(), engine.Shutdown{})
 		}
 		l.engine.Expire(clock())
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -12,16 +12,16 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// fakeEngine writes down how it is called. Its timers expire at the given times. A shutdown sets one more, and once that
-// has expired the engine has ended.
+// fakeEngine records its calls. Its timers expire at the given times. A shutdown sets one more timer, and the engine has
+// ended once all timers have expired.
 type fakeEngine struct {
-	calls  []string
-	timers []time.Duration
-	drains bool
-	ready  atomic.Bool
+	calls      []string
+	timers     []time.Duration
+	isShutDown bool
+	ready      atomic.Bool
 }
 
-const drainTime = time.Second
+const drainDuration = time.Second
 
 func (e *fakeEngine) Start(time.Duration) { e.calls = append(e.calls, "start") }
 
@@ -29,8 +29,8 @@
 	switch event := event.(type) {
 	case engine.Shutdown:
 		e.calls = append(e.calls, "shutdown at "+now.String())
-		e.drains = true
-		e.timers = append(e.timers, now+drainTime)
+		e.isShutDown = true
+		e.timers = append(e.timers, now+drainDuration)
 	case engine.ClientActive:
 		e.calls = append(e.calls, "event at "+now.String())
 	default:
@@ -52,12 +52,13 @@
 	return e.timers[0], true
 }
 
-func (e *fakeEngine) Ended() bool { return e.drains && len(e.timers) == 0 }
+func (e *fakeEngine) Ended() bool { return e.isShutDown && len(e.timers) == 0 }
 
 func (e *fakeEngine) Ready() bool { return e.ready.Load() }
 
-// run starts a loop whose clock begins at 0, and returns it with what cancels it and what waits for its end.
-func run(e Engine) (l *Loop, cancel context.CancelFunc, wait func()) {
+// startLoop starts a loop whose clock begins at 0. It returns the loop, a function that cancels its context and a function
+// that waits for the end of Run.
+func startLoop(e Engine) (l *Loop, cancel context.CancelFunc, wait func()) {
 	l = New(e)
 	ctx, cancel := context.WithCancel(context.Background())
 	began := time.Now()
@@ -69,11 +70,11 @@
 	return l, cancel, func() { <-done }
 }
 
-// Events and timers are handled in their order, and a cancelled context shuts the engine down once.
+// Events and timers are handled in order of their times, and the engine gets one Shutdown when the context is cancelled.
 func TestRunHandlesEventsTimersAndShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{timers: []time.Duration{2 * time.Second, 5 * time.Second}}
-		l, cancel, wait := run(e)
+		l, cancel, wait := startLoop(e)
 		time.Sleep(time.Second)
 		l.Post(engine.ClientActive{})
 		time.Sleep(2 * time.Second)
@@ -88,7 +89,8 @@
 	})
 }
 
-// Post waits while the queue is full, TryPost drops, and neither waits for a loop that has ended.
+// Guards against callers that are blocked forever: Post blocks while the queue is full but not once Run has returned, and
+// TryPost drops the event if the queue is full.
 func TestFullQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{}
@@ -97,7 +99,7 @@
 		for range QueueCapacity {
 			l.Post(engine.ClientActive{})
 		}
-		l.TryPost(engine.ClientActive{}) // dropped
+		l.TryPost(engine.ClientActive{}) // dropped, as the queue is full
 		posted := make(chan struct{})
 		go func() {
 			defer close(posted)
@@ -116,12 +118,12 @@
 			l.Run(ctx, func() time.Duration { return time.Since(began) })
 		}()
 		<-posted
-		synctest.Wait() // until all events are handled
+		synctest.Wait() // wait until all events are handled
 		cancel()
 		<-done
 		const start, shutdown, drained = 1, 1, 1
 		if want := start + QueueCapacity + 1 + shutdown + drained; len(e.calls) != want {
-			t.Errorf("%d calls, want %d", len(e.calls), want)
+			t.Errorf("engine got %d calls, want %d", len(e.calls), want)
 		}
 		for range 2 * QueueCapacity {
 			l.Post(engine.ClientActive{})
@@ -129,14 +131,14 @@
 	})
 }
 
-func TestReadyIsTheEngines(t *testing.T) {
+func TestReadyReturnsReadinessOfEngine(t *testing.T) {
 	e := &fakeEngine{}
 	l := New(e)
 	if l.Ready() {
-		t.Error("ready before the engine")
+		t.Error("loop is ready before the engine, want not ready")
 	}
 	e.ready.Store(true)
 	if !l.Ready() {
-		t.Error("not ready though the engine is")
+		t.Error("loop is not ready although the engine is")
 	}
 }
