--- a/internal/timerqueue/example_test.go
+++ b/internal/timerqueue/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/milletvane/internal/timerqueue"
 )
 
-// The owner of a queue says what time it is.
+// The caller passes the current time to the queue.
 func Example() {
 	var timers timerqueue.Queue[string]
 	timers.Add(2*time.Second, "retry")
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,6 +1,7 @@
-// Package timerqueue orders timers by when they expire. It reads no clock: whoever owns a Queue says what time it is.
+// Package timerqueue implements a priority queue of timers, ordered by the time at which they expire. It reads no clock:
+// the caller passes the current time.
 //
-// A Queue belongs to one goroutine at a time; it does no locking.
+// A Queue is not safe for concurrent use.
 package timerqueue
 
 import (
@@ -8,30 +9,30 @@
 	"time"
 )
 
-// Timer is an entry of a Queue, kept by whoever may want to remove it.
+// Timer is an entry of a Queue. The caller keeps it in order to remove it.
 type Timer[T any] struct {
 	value    T
 	at       time.Duration
 	sequence uint64
-	index    int // in the heap; notQueued: not in it
+	index    int // position in the heap, or notQueued
 }
 
 const notQueued = -1
 
-// At is when the timer expires, or expired.
+// At returns the time at which the timer expires or has expired.
 func (t *Timer[T]) At() time.Duration { return t.at }
 
-// Queue holds timers in the order in which they expire: by time and, where times are equal, by order of Add. The zero
-// Queue is empty and ready for use.
+// Queue holds timers in the order in which they expire. Timers with equal times expire in the order in which they were
+// added. The zero Queue is empty and ready to use.
 type Queue[T any] struct {
 	timers   timerHeap[T]
 	sequence uint64
 }
 
-// Len is the number of timers that are queued.
+// Len returns the number of queued timers.
 func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// Add queues a value until a time, which may be past.
+// Add queues a value with a timer that expires at a time. The time may be in the past.
 func (q *Queue[T]) Add(at time.Duration, value T) *Timer[T] {
 	q.sequence++
 	t := &Timer[T]{value: value, at: at, sequence: q.sequence}
@@ -39,14 +40,14 @@
 	return t
 }
 
-// Remove takes a timer out of the queue. A nil timer, or one that expired or was removed before, is left alone.
+// Remove removes a timer from the queue. It does nothing if the timer is nil, was popped or was removed before.
 func (q *Queue[T]) Remove(t *Timer[T]) {
 	if t != nil && t.index != notQueued {
 		heap.Remove(&q.timers, t.index)
 	}
 }
 
-// Next is when the earliest timer expires; ok is false where none is queued.
+// Next returns the time at which the earliest timer expires. The ok result is false if the queue is empty.
 func (q *Queue[T]) Next() (at time.Duration, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -54,7 +55,7 @@
 	return q.timers[0].at, true
 }
 
-// PopExpired takes out the earliest timer if it expires at now or before; ok is false where none does.
+// PopExpired removes the earliest timer if it expires at now or before, and returns its value. Otherwise ok is false.
 func (q *Queue[T]) PopExpired(now time.Duration) (value T, ok bool) {
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return value, false
@@ -79,14 +80,14 @@
 	h[i].index, h[j].index = i, j
 }
 
-// Push appends a timer, for package heap.
+// Push implements heap.Interface.
 func (h *timerHeap[T]) Push(x any) {
 	t := x.(*Timer[T])
 	t.index = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop takes the last timer out, for package heap.
+// Pop implements heap.Interface.
 func (h *timerHeap[T]) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// Timers come out as they were added and not removed, in order of time and then of Add.
+// All timers that were added and not removed expire in order of their times, and with equal times in order of Add.
 func TestTimersExpireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct{ at, number int }
@@ -31,11 +31,11 @@
 			e := entry{at, number}
 			timer := q.Add(time.Duration(at), e)
 			if timer.At() != time.Duration(at) {
-				t.Fatalf("added at %d, At() = %v", at, timer.At())
+				t.Fatalf("timer added at %d has At() = %v, want the same time", at, timer.At())
 			}
 			if rapid.IntRange(0, 3).Draw(t, "remove") == 0 {
 				q.Remove(timer)
-				q.Remove(timer) // again: nothing happens
+				q.Remove(timer) // the second call does nothing
 			} else {
 				want = append(want, e)
 			}
@@ -53,22 +53,22 @@
 				want = want[1:]
 			}
 			if at, ok := q.Next(); ok && at <= time.Duration(now) {
-				t.Fatalf("Next() = %v after all that expire at %d were popped", at, now)
+				t.Fatalf("Next() = %v after all timers that expire at %d were popped, want a later time", at, now)
 			}
 		}
 		if len(want) != 0 || q.Len() != 0 {
-			t.Fatalf("%d timers are left, want %v to be popped", q.Len(), want)
+			t.Fatalf("%d timers are left in the queue and %v were not popped, want none", q.Len(), want)
 		}
 	})
 }
 
-// A timer that expired, or nil, can be removed without harm to the others.
+// Guards against a removal that damages the heap: removing an expired timer or nil leaves the other timers in the queue.
 func TestRemoveOfExpiredTimer(t *testing.T) {
 	var q Queue[string]
 	first := q.Add(1, "first")
 	q.Add(2, "second")
 	if value, ok := q.PopExpired(1); !ok || value != "first" {
-		t.Fatalf("popped %q, %t", value, ok)
+		t.Fatalf("popped %q, %t, want \"first\"", value, ok)
 	}
 	q.Remove(first)
 	q.Remove(nil)
@@ -76,6 +76,6 @@
 		t.Errorf("popped %q, %t after the removals, want \"second\"", value, ok)
 	}
 	if _, ok := q.Next(); ok {
-		t.Error("Next() finds a timer in an empty queue")
+		t.Error("Next() returns a timer of an empty queue")
 	}
 }
