--- a/internal/slotmap/example_test.go
+++ b/internal/slotmap/example_test.go
@@ -6,7 +6,7 @@
 	"example.org/milletvane/internal/slotmap"
 )
 
-// A handle that was kept past the removal of its value finds nothing, though its slot is in use again.
+// A stale handle returns no value, even if its slot is in use again.
 func Example() {
 	requests := slotmap.New[string](1)
 	first, _ := requests.Insert("first")
--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -1,20 +1,21 @@
-// Package slotmap keeps values in numbered slots and gives out handles to them. A handle holds its slot's generation
-// too, so that one kept after its value was removed is recognised as stale and never reaches the slot's next value.
+// Package slotmap implements a map that stores values in numbered slots and returns handles to them. A handle contains the
+// generation of its slot. A handle that is used after its value was removed is therefore recognised as stale, and does not
+// return the next value in the slot.
 //
-// A Map belongs to one goroutine at a time; it does no locking.
+// A Map is not safe for concurrent use.
 package slotmap
 
-// Handle refers to a value in a Map: the slot's index in the low half, its generation in the high one. The zero Handle
-// is never given out.
+// Handle refers to a value in a Map. The lower 16 bits hold the index of the slot, the upper 16 bits its generation. The
+// zero Handle never refers to a value.
 type Handle uint32
 
 const (
 	indexBits = 16
-	// MaxCapacity is the most values that a Map can hold.
+	// MaxCapacity is the maximum number of values in a Map.
 	MaxCapacity = 1 << indexBits
 
-	firstGeneration = 1  // 0 would make the first slot's first handle 0
-	compactAfter    = 64 // reused slots, before the list of free ones is moved to its front
+	firstGeneration = 1  // with generation 0, a handle to slot 0 would be the zero Handle
+	compactAfter    = 64 // entries taken from the free list before they are removed from its front
 )
 
 func newHandle(generation uint16, index int) Handle {
@@ -27,31 +28,31 @@
 
 type slot[T any] struct {
 	value      T
-	generation uint16 // of the present value, or of the next one where the slot is free
+	generation uint16 // generation of the current value, or of the next value if the slot is free
 	occupied   bool
 }
 
-// Map holds values by handle. Make one with New.
+// Map stores values by handle. New returns an empty Map.
 type Map[T any] struct {
 	capacity int
 	slots    []slot[T]
-	// Indexes of free slots in order of release, from freeHead on. The slot that was free for longest is reused first,
-	// so that handles recur as late as can be.
+	// free[freeHead:] holds the indexes of the free slots in the order of their release. The slot that has been free for
+	// longest is reused first, so that a handle recurs as late as possible.
 	free     []uint16
 	freeHead int
 }
 
-// New returns a Map for at most capacity values. A capacity below 0 is taken as 0, one above MaxCapacity as that.
+// New returns a Map that holds at most capacity values. The capacity is limited to the range from 0 to MaxCapacity.
 func New[T any](capacity int) *Map[T] {
 	return &Map[T]{capacity: min(max(capacity, 0), MaxCapacity)}
 }
 
-// Len is the number of values held.
+// Len returns the number of values in the map.
 func (m *Map[T]) Len() int { return len(m.slots) - m.freeSlots() }
 
 func (m *Map[T]) freeSlots() int { return len(m.free) - m.freeHead }
 
-// Insert adds a value and returns its handle; ok is false where the map is full.
+// Insert adds a value and returns its handle. The ok result is false if the map is full.
 func (m *Map[T]) Insert(value T) (h Handle, ok bool) {
 	index, ok := m.takeSlot()
 	if !ok {
@@ -62,7 +63,7 @@
 	return newHandle(s.generation, index), true
 }
 
-// takeSlot returns the index of a free slot, or of a new one while the capacity allows that.
+// takeSlot returns the index of a free slot, or of a new slot if none is free. The ok result is false if the map is full.
 func (m *Map[T]) takeSlot() (index int, ok bool) {
 	if m.freeSlots() > 0 {
 		index = int(m.free[m.freeHead])
@@ -80,7 +81,7 @@
 	return len(m.slots) - 1, true
 }
 
-// find returns the slot of a handle; nil where the handle is stale or was never given out.
+// find returns the slot of a handle, or nil if the handle is stale or was never returned by Insert.
 func (m *Map[T]) find(h Handle) *slot[T] {
 	index := h.index()
 	if index >= len(m.slots) {
@@ -93,7 +94,7 @@
 	return s
 }
 
-// Get returns the value of a handle; ok is false where the handle is stale.
+// Get returns the value of a handle. The ok result is false if the handle is stale or was never returned by Insert.
 func (m *Map[T]) Get(h Handle) (value T, ok bool) {
 	s := m.find(h)
 	if s == nil {
@@ -102,7 +103,7 @@
 	return s.value, true
 }
 
-// Remove takes a value out and frees its slot. A stale handle removes nothing.
+// Remove removes the value of a handle and frees its slot. It does nothing if the handle is stale.
 func (m *Map[T]) Remove(h Handle) {
 	s := m.find(h)
 	if s == nil {
@@ -117,8 +118,8 @@
 	m.free = append(m.free, uint16(h.index()))
 }
 
-// All calls yield for each value in order of slots, until it returns false. The value that yield is given may be removed
-// meanwhile.
+// All calls yield for each handle and its value in slot order, until yield returns false. The yield function may remove
+// the value that it is given.
 func (m *Map[T]) All(yield func(Handle, T) bool) {
 	for index := range m.slots {
 		s := &m.slots[index]
--- a/internal/slotmap/slotmap_test.go
+++ b/internal/slotmap/slotmap_test.go
@@ -19,80 +19,80 @@
 	os.Exit(m.Run())
 }
 
-// drawn is a Map beside a plain map that says what it should hold.
-type drawn struct {
+// mapModel compares a Map with a Go map that holds the expected values.
+type mapModel struct {
 	slots *Map[int]
 	live  map[Handle]int
 	stale []Handle
 }
 
-const drawnCapacity = 5
+const modelCapacity = 5
 
-func (d *drawn) insert(t *rapid.T, value int) {
+func (m *mapModel) insert(t *rapid.T, value int) {
 	t.Helper()
-	h, ok := d.slots.Insert(value)
-	if ok != (len(d.live) < drawnCapacity) {
-		t.Fatalf("Insert with %d of %d held: %t", len(d.live), drawnCapacity, ok)
+	h, ok := m.slots.Insert(value)
+	if ok != (len(m.live) < modelCapacity) {
+		t.Fatalf("Insert into a map with %d of %d values returned %t", len(m.live), modelCapacity, ok)
 	}
 	if !ok {
 		return
 	}
-	if _, twice := d.live[h]; twice || h == 0 {
-		t.Fatalf("Insert returned handle %d", h)
+	if _, twice := m.live[h]; twice || h == 0 {
+		t.Fatalf("Insert returned handle %d, want a new handle other than 0", h)
 	}
-	d.live[h] = value
+	m.live[h] = value
 }
 
-func (d *drawn) removeOne() {
-	for h := range d.live {
-		d.slots.Remove(h)
-		d.slots.Remove(h) // again: nothing happens
-		delete(d.live, h)
-		d.stale = append(d.stale, h)
+func (m *mapModel) removeAny() {
+	for h := range m.live {
+		m.slots.Remove(h)
+		m.slots.Remove(h) // the second call does nothing
+		delete(m.live, h)
+		m.stale = append(m.stale, h)
 		return
 	}
 }
 
-func (d *drawn) check(t *rapid.T) {
+func (m *mapModel) check(t *rapid.T) {
 	t.Helper()
-	for h, want := range d.live {
-		if got, ok := d.slots.Get(h); !ok || got != want {
+	for h, want := range m.live {
+		if got, ok := m.slots.Get(h); !ok || got != want {
 			t.Fatalf("Get(%d) = %d, %t, want %d", h, got, ok, want)
 		}
 	}
-	for _, h := range d.stale {
-		if _, ok := d.slots.Get(h); ok {
-			t.Fatalf("stale handle %d finds a value", h)
+	for _, h := range m.stale {
+		if _, ok := m.slots.Get(h); ok {
+			t.Fatalf("Get(%d) returned a value, want none for a stale handle", h)
 		}
 	}
 	seen := 0
-	d.slots.All(func(h Handle, got int) bool {
+	m.slots.All(func(h Handle, got int) bool {
 		seen++
-		if want := d.live[h]; got != want {
-			t.Fatalf("All yields %d for handle %d, want %d", got, h, want)
+		if want := m.live[h]; got != want {
+			t.Fatalf("All yielded %d for handle %d, want %d", got, h, want)
 		}
 		return true
 	})
-	if seen != len(d.live) {
-		t.Fatalf("All yields %d values, want %d", seen, len(d.live))
+	if seen != len(m.live) {
+		t.Fatalf("All yielded %d values, want %d", seen, len(m.live))
 	}
 }
 
-// A Map behaves as a plain map by handle, and a stale handle finds nothing.
+// A Map holds the same values as a Go map with the same changes, and a stale handle returns no value.
 func TestMapHoldsLiveHandles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &drawn{slots: New[int](drawnCapacity), live: map[Handle]int{}}
+		m := &mapModel{slots: New[int](modelCapacity), live: map[Handle]int{}}
 		for step := range rapid.IntRange(0, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "insert") {
-				d.insert(t, step)
+				m.insert(t, step)
 			} else {
-				d.removeOne()
+				m.removeAny()
 			}
-			if d.slots.Len() != len(d.live) {
-				t.Fatalf("Len() = %d, want %d", d.slots.Len(), len(d.live))
+			if m.slots.Len() != len(m.live) {
+				t.Fatalf("Len() = %d, want %d", m.slots.Len(), len(m.live))
 			}
 		}
-		d.check(t)
+		m.check(t)
 	})
 }
 
@@ -101,13 +101,13 @@
 	for range 1 << 17 {
 		h, ok := m.Insert(1)
 		if !ok || h == 0 {
-			t.Fatalf("Insert returned handle %d, %t", h, ok)
+			t.Fatalf("Insert returned handle %d, %t, want a handle other than 0", h, ok)
 		}
 		m.Remove(h)
 	}
 }
 
-// Slots are reused in the order in which they became free, past the moment when the list of free slots is compacted.
+// Slots are reused in the order in which they became free, even after the list of free slots was compacted.
 func TestSlotFreeForLongestIsReusedFirst(t *testing.T) {
 	const capacity = 3 * compactAfter
 	m := New[int](capacity)
@@ -115,7 +115,7 @@
 	for i := range capacity {
 		h, ok := m.Insert(i)
 		if !ok {
-			t.Fatalf("Insert %d failed", i)
+			t.Fatalf("Insert of value %d failed below the capacity", i)
 		}
 		freed = append(freed, h)
 	}
@@ -125,7 +125,7 @@
 	for i, old := range freed {
 		h, ok := m.Insert(i)
 		if !ok || h.index() != old.index() || h.generation() != old.generation()+1 {
-			t.Fatalf("Insert %d returned %d of generation %d, want %d of generation %d",
+			t.Fatalf("Insert of value %d returned slot %d of generation %d, want slot %d of generation %d",
 				i, h.index(), h.generation(), old.index(), old.generation()+1)
 		}
 	}
@@ -146,17 +146,17 @@
 			}
 		}
 		if m.Len() != c.want {
-			t.Errorf("New(%d) takes %d values, want %d", c.given, m.Len(), c.want)
+			t.Errorf("New(%d) returned a map for %d values, want %d", c.given, m.Len(), c.want)
 		}
 	}
 }
 
-// All may be ended early, and the value at hand may be removed.
+// An iteration with All can end early, and it can remove the value that it is given.
 func TestAllEndsEarly(t *testing.T) {
 	m := New[string](3)
 	for _, value := range []string{"a", "b", "c"} {
 		if _, ok := m.Insert(value); !ok {
-			t.Fatalf("Insert %s failed", value)
+			t.Fatalf("Insert of value %s failed below the capacity", value)
 		}
 	}
 	var seen []string
@@ -168,6 +168,6 @@
 		}
 	}
 	if want := []string{"a", "b"}; !slices.Equal(seen, want) || m.Len() != 1 {
-		t.Errorf("All yielded %q and %d are left, want %q and 1", seen, m.Len(), want)
+		t.Errorf("All yielded %q and %d values are left, want %q and 1", seen, m.Len(), want)
 	}
 }
