--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -51,7 +51,7 @@
 		}
 	case balancer.PollLoad:
 		if s := e.endpoints.byID[a.Server]; s != nil {
-			e.poll(a.Server, s)
+			e.pollLoad(a.Server, s)
 		}
 	case balancer.SetTimer:
 		e.setTimer(max(a.After, 0), timer{kind: balancerTimer, ref: a.Ref})
--- a/internal/engine/adopted.go
+++ b/internal/engine/adopted.go
@@ -83,7 +83,7 @@
 		}
 	}
 	e.releaseUnreported(ev.State.Flows)
-	e.updateOutstanding()
+	e.updateOutstandingGauge()
 }
 
 // canAdopt reports whether a connection of the predecessor process is to be adopted: it has an ID, it is not known here
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -40,7 +40,7 @@
 // startAttempt starts an attempt at a server. If the server is no longer listed or no time is left, the attempt ends at
 // once.
 func (e *Engine) startAttempt(r *request, server balancer.ServerID, timeouts attemptTimeouts) {
-	r.attempts++
+	r.attemptCount++
 	r.server, r.sentAt = server, e.now
 	s := e.endpoints.byID[server]
 	if s == nil {
@@ -97,7 +97,7 @@
 	case e.shutdown.stage == closing: // all other clients have been migrated already
 		e.migrate(r, balancer.Cancelled)
 	default:
-		e.notifyIfServerDrains(r)
+		e.notifyClientIfDraining(r)
 	}
 }
 
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -24,9 +24,9 @@
 	listed balancer.Server      // entry of the endpoint list
 	state  balancer.ServerState // state in the last notification of the balancer
 
-	// isSelfDraining is set if the server has announced that it is draining. It holds until the server restarts,
+	// hasAnnouncedDrain is set if the server has announced that it is draining. It holds until the server restarts,
 	// whatever the endpoint list says.
-	isSelfDraining         bool
+	hasAnnouncedDrain      bool
 	inMaintenance          bool
 	startBeforeMaintenance time.Duration // listed start time when the endpoint was added or its maintenance began
 	// assumedStart is used as the start time until one other than startBeforeMaintenance is listed. Zero means that the
@@ -38,7 +38,7 @@
 // discovery can't know or lists late.
 func (s *endpoint) effective() balancer.Server {
 	n := s.listed
-	if (s.isSelfDraining || s.inMaintenance) && n.State == balancer.Ready {
+	if (s.hasAnnouncedDrain || s.inMaintenance) && n.State == balancer.Ready {
 		n.State = balancer.Draining
 	}
 	n.Started = max(n.Started, s.assumedStart)
@@ -49,7 +49,7 @@
 // applyListed updates the endpoint from its new entry in the endpoint list.
 func (s *endpoint) applyListed(listed balancer.Server) {
 	if s.listed.Started != listed.Started {
-		s.isSelfDraining = false
+		s.hasAnnouncedDrain = false
 	}
 	if listed.Started != s.startBeforeMaintenance {
 		s.assumedStart = 0
@@ -101,7 +101,7 @@
 		e.updateEndpoint(listed, &update)
 	}
 	e.notify(update.list)
-	e.notifyDraining(update.draining)
+	e.notifyClientsOfDrain(update.draining)
 	e.updateEndpointGauges()
 	if ev.Mode == balancer.ListComplete || len(e.endpoints.byID) > 0 {
 		e.endpoints.listReceived = true
@@ -164,10 +164,10 @@
 		return
 	}
 	s := e.endpoints.byID[r.server]
-	if s == nil || s.isSelfDraining || s.state != balancer.Ready {
+	if s == nil || s.hasAnnouncedDrain || s.state != balancer.Ready {
 		return
 	}
-	s.isSelfDraining = true
+	s.hasAnnouncedDrain = true
 	e.publishEndpoint(r.server, s)
 }
 
@@ -179,12 +179,12 @@
 	s.state = effective.State
 	e.notify(balancer.EndpointList{Mode: balancer.ListDelta, Servers: []balancer.Server{effective}})
 	if before == balancer.Ready && s.state == balancer.Draining {
-		e.notifyDraining([]balancer.ServerID{id})
+		e.notifyClientsOfDrain([]balancer.ServerID{id})
 	}
 }
 
-// notifyDraining notifies the clients that are connected to servers that are draining or removed.
-func (e *Engine) notifyDraining(servers []balancer.ServerID) {
+// notifyClientsOfDrain notifies the clients that are connected to servers that are draining or removed.
+func (e *Engine) notifyClientsOfDrain(servers []balancer.ServerID) {
 	if len(servers) == 0 {
 		return
 	}
@@ -195,9 +195,9 @@
 	})
 }
 
-// notifyIfServerDrains notifies the client of a newly established connection if its server started draining or was
+// notifyClientIfDraining notifies the client of a newly established connection if its server started draining or was
 // removed before.
-func (e *Engine) notifyIfServerDrains(r *request) {
+func (e *Engine) notifyClientIfDraining(r *request) {
 	if s := e.endpoints.byID[r.server]; s == nil || s.state != balancer.Ready {
 		e.notifyClientOfDrain(r)
 	}
--- a/internal/engine/endpoint_test.go
+++ b/internal/engine/endpoint_test.go
@@ -31,7 +31,7 @@
 		h.endAttempt(h.lastAttempt, balancer.OK)
 	}
 	h.listServer(draining.Server, balancer.Ready, h.now) // the server has restarted
-	if s := h.engine.endpoints.byID[draining.Server]; s.isSelfDraining || s.state != balancer.Ready {
+	if s := h.engine.endpoints.byID[draining.Server]; s.hasAnnouncedDrain || s.state != balancer.Ready {
 		t.Error("the server is still considered draining after its restart")
 	}
 }
--- a/internal/engine/polls.go
+++ b/internal/engine/polls.go
@@ -57,10 +57,10 @@
 	if e.options.Trace {
 		e.trace("load poll due", "server", s.name)
 	}
-	e.poll(id, s)
+	e.pollLoad(id, s)
 }
 
-func (e *Engine) poll(id balancer.ServerID, s *endpoint) {
+func (e *Engine) pollLoad(id balancer.ServerID, s *endpoint) {
 	s.latency.polledAt = e.now
 	e.poller.PollLoad(id, s.addr)
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -48,7 +48,7 @@
 	deadline   time.Duration
 	phaseTimer requestTimer // ends the phase: closes an idle client, answers a request or ends a migration
 
-	attempts     int           // number of attempts started
+	attemptCount int           // number of attempts started
 	attempt      ActiveAttempt // pending or established attempt; nil if there is none
 	server       balancer.ServerID
 	sentAt       time.Duration // when the last attempt was started
@@ -60,7 +60,7 @@
 func (r *request) id() balancer.RequestID { return balancer.RequestID(r.handle) }
 
 // attemptNumber returns the number of the last attempt started. Numbers start at 0.
-func (r *request) attemptNumber() int { return r.attempts - 1 }
+func (r *request) attemptNumber() int { return r.attemptCount - 1 }
 
 func (e *Engine) onRequestReceived(ev RequestReceived) {
 	r := e.requestOf(ev.Client)
@@ -91,24 +91,24 @@
 }
 
 // admitRequest admits the request of an idle client and passes it to the balancer or to its owner.
-func (e *Engine) admitRequest(r *request, q Request) {
+func (e *Engine) admitRequest(r *request, incoming Request) {
 	e.statistics.admitted++
-	e.warnWithoutEndpoints()
-	e.requests.markAdmitted(r, q.ID)
-	e.updateOutstanding()
-	q.Timeout = e.requestTimeout(q)
-	r.phase, r.deadline = pending, e.now+q.Timeout
-	r.flow, r.load = Flow{Class: q.Class, Key: q.Key, Group: q.Group}, q.Load
-	event := e.balancerRequest(r, q)
+	e.warnIfNoEndpointList()
+	e.requests.markAdmitted(r, incoming.ID)
+	e.updateOutstandingGauge()
+	incoming.Timeout = e.requestTimeout(incoming)
+	r.phase, r.deadline = pending, e.now+incoming.Timeout
+	r.flow, r.load = Flow{Class: incoming.Class, Key: incoming.Key, Group: incoming.Group}, incoming.Load
+	event := e.balancerRequest(r, incoming)
 	r.priority = event.Priority
-	if !q.MidFlow && q.Owner == "" {
+	if !incoming.MidFlow && incoming.Owner == "" {
 		e.options.PriorityCounters.AddOffered(r.priority)
 	}
-	if q.MidFlow {
-		event.Owner, event.OwnerKnown = e.claimAdopted(q.ID)
+	if incoming.MidFlow {
+		event.Owner, event.OwnerKnown = e.claimAdopted(incoming.ID)
 	}
-	if q.Owner != "" {
-		e.resumeAtOwner(r, event, q.Owner)
+	if incoming.Owner != "" {
+		e.resumeAtOwner(r, event, incoming.Owner)
 		return
 	}
 	e.resetTimer(&r.phaseTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
@@ -117,32 +117,32 @@
 
 // requestTimeout returns the timeout of a request. A shutdown shortens it, so that the request is answered before the
 // platform ends the process.
-func (e *Engine) requestTimeout(q Request) time.Duration {
-	timeout := q.Timeout
+func (e *Engine) requestTimeout(incoming Request) time.Duration {
+	timeout := incoming.Timeout
 	if timeout <= 0 {
 		timeout = e.options.DefaultTimeout
 	}
 	if e.shutdown.stage > serving {
-		timeout = min(timeout, max(e.shutdown.answerDeadline-e.now, lateRequestTimeout))
+		timeout = min(timeout, max(e.shutdown.answerDeadline-e.now, minShutdownRequestTimeout))
 	}
 	return timeout
 }
 
 // balancerRequest returns the event that notifies the balancer of a request.
-func (e *Engine) balancerRequest(r *request, q Request) balancer.Request {
+func (e *Engine) balancerRequest(r *request, incoming Request) balancer.Request {
 	event := balancer.Request{
 		ID:           r.id(),
-		Class:        q.Class,
-		Tenant:       q.Tenant,
-		Key:          q.Key,
-		Group:        q.Group,
-		Timeout:      q.Timeout,
-		Load:         q.Load,
-		Reconnecting: q.Reconnecting,
-		MidFlow:      q.MidFlow,
+		Class:        incoming.Class,
+		Tenant:       incoming.Tenant,
+		Key:          incoming.Key,
+		Group:        incoming.Group,
+		Timeout:      incoming.Timeout,
+		Load:         incoming.Load,
+		Reconnecting: incoming.Reconnecting,
+		MidFlow:      incoming.MidFlow,
 	}
 	if e.options.PriorityOf != nil {
-		event.Priority = e.options.PriorityOf(q.Class, q.Tenant)
+		event.Priority = e.options.PriorityOf(incoming.Class, incoming.Tenant)
 	}
 	return event
 }
@@ -181,14 +181,15 @@
 	if r.attempt != nil && !r.attempt.Cancel() {
 		return // established or ended: its event has yet to be handled
 	}
-	e.options.Logger.Error("answer overdue", "attempts", r.attempts)
+	e.options.Logger.Error("answer overdue", "attempts", r.attemptCount)
 	e.statistics.failed++
 	r.counters.Aborted.Add(1)
 	r.client.Fail()
 	e.abandon(r)
 }
 
-// abandon ends a request whose client has left, and cancels its attempt.
+// abandon ends a request that needs no further answer, because its client has left or has been answered, and cancels its
+// attempt.
 func (e *Engine) abandon(r *request) {
 	e.release(r)
 	if r.phase != pending && r.phase != established {
@@ -208,7 +209,7 @@
 	e.timers.Remove(r.phaseTimer)
 	e.timers.Remove(r.attemptTimer)
 	e.requests.remove(r)
-	e.updateOutstanding()
+	e.updateOutstandingGauge()
 }
 
 func (e *Engine) onConnectionLoad(ev ConnectionLoad) {
--- a/internal/engine/requesttable.go
+++ b/internal/engine/requesttable.go
@@ -70,12 +70,12 @@
 	return ok
 }
 
-// canServe reports whether a request is valid for any server. An invalid request must not be sent, because the server
+// canServe reports whether a request is valid, so that a server can serve it. An invalid request must not be sent, because the server
 // would reject it and that would count as a failure of the server. A request that has the ID of an open connection is
 // invalid too, because a server would mistake it for that connection. Only a mid-flow request may repeat such an ID.
-func (t *requestTable) canServe(q Request) bool {
-	if len(t.classes) > 0 && !t.classes[q.Class] {
+func (t *requestTable) canServe(incoming Request) bool {
+	if len(t.classes) > 0 && !t.classes[incoming.Class] {
 		return false
 	}
-	return q.MidFlow || !t.has(q.ID)
+	return incoming.MidFlow || !t.has(incoming.ID)
 }
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// lateRequestTimeout is the minimum timeout of a request that arrives during a shutdown. Servers answer well
-	// within it, and it ends before the platform ends the process.
-	lateRequestTimeout = 150 * time.Millisecond
+	// minShutdownRequestTimeout is the timeout below which a shutdown does not shorten the timeout of a new request.
+	// Servers answer well within it, and it ends before the platform ends the process.
+	minShutdownRequestTimeout = 150 * time.Millisecond
 	// minIdleShutdown is how long after Shutdown the engine waits for new clients if none is left: the platform needs a
 	// moment to send clients to other gateways.
 	minIdleShutdown = time.Second
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -23,14 +23,14 @@
 	disconnected   int // clients with a request that disconnected
 	ended          int // connections that ended at their server, and requests that were answered
 
-	unconfiguredClass metrics.ClassCounters // of requests whose class is not configured; never reported
-	hasWarned         bool                  // about the missing endpoint list, in the current interval
+	unconfiguredClass      metrics.ClassCounters // of requests whose class is not configured; never reported
+	hasWarnedOfMissingList bool                  // in the current interval; see warnIfNoEndpointList
 }
 
 func (e *Engine) onStatisticsDue() {
 	e.setTimer(statisticsInterval, timer{kind: statisticsTimer})
 	e.logStatistics()
-	e.statistics.hasWarned = false
+	e.statistics.hasWarnedOfMissingList = false
 }
 
 func (e *Engine) logStatistics() {
@@ -43,12 +43,12 @@
 		"migrated", s.migrated, "drains_notified", s.drainsNotified, "disconnected", s.disconnected, "ended", s.ended)
 }
 
-// warnWithoutEndpoints logs a warning if no endpoint list has been received, so that requests can't be served yet.
-func (e *Engine) warnWithoutEndpoints() {
-	if e.endpoints.listReceived || e.statistics.hasWarned {
+// warnIfNoEndpointList logs a warning if no endpoint list has been received, so that requests can't be served yet.
+func (e *Engine) warnIfNoEndpointList() {
+	if e.endpoints.listReceived || e.statistics.hasWarnedOfMissingList {
 		return
 	}
-	e.statistics.hasWarned = true
+	e.statistics.hasWarnedOfMissingList = true
 	e.options.Logger.Warn("no endpoint list received, requests wait or are rejected")
 }
 
@@ -60,9 +60,9 @@
 	return &e.statistics.unconfiguredClass
 }
 
-// updateOutstanding sets the gauge of pending requests and open connections. It leaves out connections of the predecessor
-// process.
-func (e *Engine) updateOutstanding() {
+// updateOutstandingGauge sets the gauge of pending requests and open connections. It leaves out connections of the
+// predecessor process.
+func (e *Engine) updateOutstandingGauge() {
 	outstanding := e.requests.len() - e.requests.idle - len(e.adopted.byClientID)
 	e.options.Metrics.Outstanding.Store(int64(outstanding))
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -65,13 +65,13 @@
 		e.completeShutdown()
 	default:
 		if r := e.requests.get(t.request); r != nil {
-			e.fireForRequest(t.kind, r)
+			e.fireRequestTimer(t.kind, r)
 		}
 	}
 }
 
-// fireForRequest fires a timer of a request that has not ended.
-func (e *Engine) fireForRequest(kind timerKind, r *request) {
+// fireRequestTimer fires a timer of a request that has not ended.
+func (e *Engine) fireRequestTimer(kind timerKind, r *request) {
 	switch kind {
 	case idleTimer:
 		e.onIdleTimeout(r)
