--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -10,8 +10,8 @@
 // connections of those that don't must end within 3 s, which leaves half a second for the end to arrive.
 const idleTimeout = 2500 * time.Millisecond
 
-// ClientHandle links a client to its entry in the engine. A frontend stores a zero ClientHandle in each client and does
-// not use it otherwise.
+// ClientHandle links a client to its entry in the engine. A frontend stores a zero ClientHandle in each client and
+// leaves its value to the engine.
 type ClientHandle struct{ id slotmap.Handle }
 
 // Client is the frontend's side of a client connection, or of a request without a connection. The engine calls its
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -37,13 +37,13 @@
 // effective returns the entry of a server that the balancer is notified of: the listed entry, overridden by what
 // discovery can't know or lists late.
 func (s *endpoint) effective() balancer.Server {
-	n := s.listed
-	if (s.hasAnnouncedDrain || s.inMaintenance) && n.State == balancer.Ready {
-		n.State = balancer.Draining
+	server := s.listed
+	if (s.hasAnnouncedDrain || s.inMaintenance) && server.State == balancer.Ready {
+		server.State = balancer.Draining
 	}
-	n.Started = max(n.Started, s.assumedStart)
-	n.Evacuate = s.inMaintenance
-	return n
+	server.Started = max(server.Started, s.assumedStart)
+	server.Evacuate = s.inMaintenance
+	return server
 }
 
 // applyListed updates the endpoint from its new entry in the endpoint list.
@@ -123,29 +123,29 @@
 }
 
 func (e *Engine) updateEndpoint(listed Server, update *endpointUpdate) {
-	s := e.endpoints.byID[listed.ID]
+	known := e.endpoints.byID[listed.ID]
 	switch {
-	case s != nil && s.name != listed.Name:
+	case known != nil && known.name != listed.Name:
 		// The balancer can't tell two servers with one ID apart, so an ID keeps the server that was listed first.
-		e.options.Logger.Error("server id used by two servers", "server", listed.Name, "used_by", s.name)
+		e.options.Logger.Error("server id used by two servers", "server", listed.Name, "used_by", known.name)
 		return
 	case listed.State == balancer.Removed:
-		if s != nil {
+		if known != nil {
 			e.removeEndpoint(listed.ID, update)
 		}
 		update.list.Servers = append(update.list.Servers, listed.Server)
 		return
-	case s == nil:
-		s = e.endpoints.add(listed, e.maintenance.has(listed.Name))
+	case known == nil:
+		known = e.endpoints.add(listed, e.maintenance.has(listed.Name))
 	default:
-		s.addr = listed.Addr
+		known.addr = listed.Addr
 	}
-	s.applyListed(listed.Server)
-	effective := s.effective()
-	if s.state == balancer.Ready && effective.State == balancer.Draining {
+	known.applyListed(listed.Server)
+	effective := known.effective()
+	if known.state == balancer.Ready && effective.State == balancer.Draining {
 		update.draining = append(update.draining, listed.ID)
 	}
-	s.state = effective.State
+	known.state = effective.State
 	update.list.Servers = append(update.list.Servers, effective)
 }
 
--- a/internal/engine/requesttable.go
+++ b/internal/engine/requesttable.go
@@ -70,9 +70,10 @@
 	return ok
 }
 
-// canServe reports whether a request is valid, so that a server can serve it. An invalid request must not be sent, because the server
-// would reject it and that would count as a failure of the server. A request that has the ID of an open connection is
-// invalid too, because a server would mistake it for that connection. Only a mid-flow request may repeat such an ID.
+// canServe reports whether a request is valid, so that a server can serve it. An invalid request must not be sent, because
+// the server would reject it and that would count as a failure of the server. A request that has the ID of an open
+// connection is invalid too, because a server would mistake it for that connection. Only a mid-flow request may repeat
+// such an ID.
 func (t *requestTable) canServe(incoming Request) bool {
 	if len(t.classes) > 0 && !t.classes[incoming.Class] {
 		return false
