--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// NoSpaceError says that the disk has no space for a write. What was stored before is kept, and the log stays usable.
+// NoSpaceError reports that the disk has no space for a write. Data stored earlier is kept, and the log remains usable.
 type NoSpaceError struct {
 	Dir string
 	Err error
@@ -19,11 +19,11 @@
 
 // Remedy implements operr.Error.
 func (e *NoSpaceError) Remedy() string {
-	return "free space on the disk; nothing that was acknowledged is lost"
+	return "free space on the disk; no acknowledged record is lost"
 }
 
-// WriteFailedError says that a write failed in a way that leaves open what is on the disk. The log refuses all further
-// writes; opening it again recovers what is there.
+// WriteFailedError reports that a write failed and that the content of the disk is unknown since then. The log rejects all
+// further writes; opening it again recovers the data on the disk.
 type WriteFailedError struct {
 	Dir string
 	Err error
@@ -34,7 +34,7 @@
 
 // Problem implements operr.Error.
 func (e *WriteFailedError) Problem() string {
-	return "a write failed in " + e.Dir
+	return "write failed in " + e.Dir
 }
 
 // Retryable implements operr.Error.
@@ -42,14 +42,15 @@
 
 // Remedy implements operr.Error.
 func (e *WriteFailedError) Remedy() string {
-	return "check the disk, then start again: what was acknowledged is read from it"
+	return "check the disk, then restart: acknowledged records are recovered from it"
 }
 
-// CorruptionError says that a file of a log is corrupt, other than by a torn write at the log's end. The log does not open.
+// CorruptionError reports that a file of a log is corrupt in a way that a torn write at the end of the log does not
+// explain. The log does not open.
 type CorruptionError struct {
 	File          string
-	Offset        int64  // of the first byte that is wrong
-	QuarantineDir string // where the log's files were moved; empty: they could not be moved
+	Offset        int64  // byte offset in File of the part that does not decode
+	QuarantineDir string // directory that the log's files were moved to; empty if they could not be moved
 	Reason        string
 }
 
@@ -66,37 +67,39 @@
 // Remedy implements operr.Error.
 func (e *CorruptionError) Remedy() string {
 	if e.QuarantineDir == "" {
-		return "move the directory away, restore it from a backup, or start with an empty one"
+		return "move the directory away, restore it from a backup, or start with an empty directory"
 	}
-	return "its files are in " + e.QuarantineDir + "; restore them from a backup, or continue with what peers hold"
+	return "the files were moved to " + e.QuarantineDir + "; restore them from a backup, or continue with the data of the peers"
 }
 
-// ClosedError says that a log was used after Close.
+// ClosedError reports that a log was used after Close.
 type ClosedError struct{ Dir string }
 
 func (e *ClosedError) Error() string { return e.Problem() }
 
 // Problem implements operr.Error.
-func (e *ClosedError) Problem() string { return e.Dir + " is closed" }
+func (e *ClosedError) Problem() string { return "log " + e.Dir + " is closed" }
 
 // Retryable implements operr.Error.
 func (e *ClosedError) Retryable() bool { return false }
 
 // Remedy implements operr.Error.
-func (e *ClosedError) Remedy() string { return "nothing: the program is stopping" }
+func (e *ClosedError) Remedy() string { return "no action is needed: the program is shutting down" }
 
-// TooLargeError says that a record is longer than MaxRecordBytes.
+// TooLargeError reports that a record is longer than MaxRecordBytes.
 type TooLargeError struct{ Bytes, MaxBytes int }
 
 func (e *TooLargeError) Error() string { return e.Problem() }
 
 // Problem implements operr.Error.
-func (e *TooLargeError) Problem() string { return fmt.Sprintf("a record of %d bytes", e.Bytes) }
+func (e *TooLargeError) Problem() string {
+	return fmt.Sprintf("record of %d bytes is too large", e.Bytes)
+}
 
 // Retryable implements operr.Error.
 func (e *TooLargeError) Retryable() bool { return false }
 
 // Remedy implements operr.Error.
 func (e *TooLargeError) Remedy() string {
-	return fmt.Sprintf("send at most %d bytes in one record", e.MaxBytes)
+	return fmt.Sprintf("append records of at most %d bytes", e.MaxBytes)
 }
--- a/internal/wal/faultfs/faults.go
+++ b/internal/wal/faultfs/faults.go
@@ -7,60 +7,62 @@
 	"sync"
 )
 
-// sectorSize is the least that the disk writes at once.
+// sectorSize is the smallest unit that the disk writes, in bytes.
 const sectorSize = 512
 
-// SetFreeBytes limits what may still be written, in bytes; negative: there is no limit.
+// SetFreeBytes limits the number of bytes that may still be written. A negative number means no limit.
 func (f *FS) SetFreeBytes(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.freeBytes = max(bytes, noLimit)
 }
 
-// SetCapacity limits the size of all files together, in bytes; 0: there is no limit. Removed files make room.
+// SetCapacity limits the total size of all files in bytes. Zero means no limit. Removing a file frees its space.
 func (f *FS) SetCapacity(bytes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.capacity = bytes
 }
 
-// Changes returns how many calls have changed something: creations, writes, truncations, syncs, renames and removals.
+// Changes returns the number of calls that have changed something: creations of files and directories, writes, truncations,
+// syncs, renames and removals.
 func (f *FS) Changes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changes
 }
 
-// LosePowerAfter has all calls that would change something fail with ErrPowerLost after so many, until Crash.
+// LosePowerAfter lets the next calls that change something succeed, up to the given number. After them all such calls fail
+// with ErrPowerLost until Crash is called.
 func (f *FS) LosePowerAfter(changes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.powerLostAt = f.changes + changes
 }
 
-// TotalBytes returns the size of all files.
+// TotalBytes returns the total size of all files in bytes.
 func (f *FS) TotalBytes() (total int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.totalBytes()
 }
 
-// FailNextSyncs makes the next n syncs fail. What they should have made durable is lost in a crash, as kernels drop pages
-// that could not be written.
+// FailNextSyncs makes the next n syncs fail with ErrIO. The data that they should have made durable may be lost in a crash,
+// as kernels drop pages that could not be written.
 func (f *FS) FailNextSyncs(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failingSyncs = n
 }
 
-// DropSyncs makes syncs succeed without making anything durable, from now on or no longer.
+// DropSyncs sets whether syncs succeed without making anything durable.
 func (f *FS) DropSyncs(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.dropSyncs = on
 }
 
-// Stall makes writes wait until release is called.
+// Stall blocks writes until release is called. Further calls of release have no effect.
 func (f *FS) Stall() (release func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,8 +76,8 @@
 	})
 }
 
-// FlipBit changes a bit of the last file, in order of names, whose name contains a part. A negative offset counts from the
-// file's end. It reports whether there is such a byte.
+// FlipBit flips one bit of the byte at offset in the file whose name contains part; if several names do, in the last of them
+// in lexical order. A negative offset counts from the end of the file. FlipBit reports whether there is such a byte.
 func (f *FS) FlipBit(part string, offset int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,28 +105,31 @@
 	return true
 }
 
-// Crash is a loss of power: what was not synced survives in part, with sectors that were never written, or not at all.
+// Crash simulates a loss of power. Unsynced data survives in part, with some sectors that were never written, or not at all.
+// After Crash calls no longer fail with ErrPowerLost.
 func (f *FS) Crash() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.powerLostAt = 0
-	// Changes of names reach the disk in order, up to some point.
-	for _, change := range f.pending[:f.rnd.IntN(len(f.pending)+1)] {
+	// Changes of names reach the disk in order, up to a random one.
+	for _, change := range f.pendingNameChanges[:f.rnd.IntN(len(f.pendingNameChanges)+1)] {
 		change(f.durable)
 	}
-	f.pending = nil
+	f.pendingNameChanges = nil
 	torn := map[*inode]bool{}
 	for _, name := range slices.Sorted(maps.Keys(f.durable)) {
 		if n := f.durable[name]; !torn[n] {
 			torn[n] = true
-			f.tear(n)
+			f.tearFile(n)
 		}
 	}
 	f.files = maps.Clone(f.durable)
 }
 
-// tear leaves of a file what a disk may have of it after a loss of power.
-func (f *FS) tear(n *inode) {
+// tearFile reduces a file to content that a disk may hold after a loss of power: the synced part, followed by a prefix of the
+// unsynced part in which each sector is zeros with a probability of 1/4. A file that was truncated and rewritten since the
+// last sync has its synced content.
+func (f *FS) tearFile(n *inode) {
 	start := len(n.durable)
 	if len(n.data) < start || string(n.data[:start]) != string(n.durable) { // truncated and written since the last sync
 		n.data = slices.Clone(n.durable)
--- a/internal/wal/faultfs/fs.go
+++ b/internal/wal/faultfs/fs.go
@@ -1,6 +1,6 @@
-// Package faultfs is a file system in memory that loses power and fails on purpose. Tests run logs on it.
+// Package faultfs implements an in-memory file system that injects power loss and I/O faults. Tests run logs on it.
 //
-// An FS and its files may be used from any goroutine. The same seed and the same calls leave the same files.
+// An FS and its files may be used from any goroutine. The same seed and the same sequence of calls result in the same files.
 package faultfs
 
 import (
@@ -17,40 +17,41 @@
 	"example.org/milletvane/internal/wal"
 )
 
-// Errors of calls that fail on purpose.
+// Errors of injected faults.
 var (
-	ErrIO        = errors.New("input/output error") // of syncs
-	ErrPowerLost = errors.New("power was lost")
+	ErrIO        = errors.New("input/output error") // returned by syncs
+	ErrPowerLost = errors.New("power was lost")     // returned by calls after LosePowerAfter takes effect
 )
 
-// noLimit as free bytes stands for a disk without end.
+// noLimit is the number of free bytes that stands for unlimited space.
 const noLimit = -1
 
-// FS is a wal.FS. Without faults everything that was synced survives Crash, and a part of the rest that the seed decides.
+// FS is a wal.FS in memory. Unless syncs are dropped or fail, all synced data survives Crash. The seed decides how much of
+// the unsynced data survives.
 type FS struct {
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	files   map[string]*inode // as programs see them
-	durable map[string]*inode // the names that survive a crash
-	pending []nameChange      // that are not durable yet, in order
-	dirs    map[string]bool
+	mu                 sync.Mutex
+	rnd                *rand.Rand
+	files              map[string]*inode // the files as programs see them
+	durable            map[string]*inode // the files by the names that survive a crash
+	pendingNameChanges []nameChange      // name changes that are not durable yet, in order
+	dirs               map[string]bool
 
-	freeBytes    int // that may still be written; negative: without limit
-	capacity     int // of all files together; 0: without limit
-	failingSyncs int // so many syncs fail from now on
-	dropSyncs    bool
-	changes      int           // calls that changed something
-	powerLostAt  int           // no later call has any effect; 0: power is not lost
-	stalled      chan struct{} // writes wait until it is closed; nil: they don't
+	freeBytes    int           // number of bytes that may still be written; negative means no limit
+	capacity     int           // maximum total size of all files in bytes; zero means no limit
+	failingSyncs int           // number of syncs that will fail from now on
+	dropSyncs    bool          // whether syncs succeed without making anything durable
+	changes      int           // number of calls that changed something
+	powerLostAt  int           // value of changes at which power is lost; zero means power is not lost
+	stalled      chan struct{} // writes wait until it is closed; nil means that writes don't wait
 }
 
-// inode is a file's content, as programs see it and as it survives a crash.
+// inode holds the content of a file, as programs see it and as it survives a crash.
 type inode struct{ data, durable []byte }
 
-// nameChange is a creation, renaming or removal.
+// nameChange creates, renames or removes a file in a map of files by name.
 type nameChange func(files map[string]*inode)
 
-// New returns an empty file system without faults.
+// New returns an empty file system without faults. The seed decides which unsynced data survives Crash.
 func New(seed uint64) *FS {
 	return &FS{
 		rnd:       rand.New(rand.NewPCG(seed, 7)),
@@ -61,14 +62,15 @@
 	}
 }
 
-// apply makes a change of names that SyncDir makes durable.
-func (f *FS) apply(change nameChange) {
+// applyNameChange applies a change of names, which the next SyncDir makes durable. The caller holds f.mu.
+func (f *FS) applyNameChange(change nameChange) {
 	change(f.files)
-	f.pending = append(f.pending, change)
+	f.pendingNameChanges = append(f.pendingNameChanges, change)
 }
 
-// change counts a call that changes something, and fails once power is lost.
-func (f *FS) change() error {
+// countChange counts a call that changes something. Once power is lost, it returns ErrPowerLost instead. The caller holds
+// f.mu.
+func (f *FS) countChange() error {
 	if f.powerLostAt > 0 && f.changes >= f.powerLostAt {
 		return ErrPowerLost
 	}
@@ -80,7 +82,7 @@
 func (f *FS) MkdirAll(dir string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.change(); err != nil {
+	if err := f.countChange(); err != nil {
 		return err
 	}
 	f.dirs[dir] = true
@@ -118,14 +120,14 @@
 func (f *FS) Create(name string) (wal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.room() == 0 {
+	if f.freeSpace() == 0 {
 		return nil, syscall.ENOSPC
 	}
-	if err := f.change(); err != nil {
+	if err := f.countChange(); err != nil {
 		return nil, err
 	}
 	n := &inode{}
-	f.apply(func(files map[string]*inode) { files[name] = n })
+	f.applyNameChange(func(files map[string]*inode) { files[name] = n })
 	return &file{f, n}, nil
 }
 
@@ -140,11 +142,11 @@
 	return &file{f, n}, nil
 }
 
-// Rename implements wal.FS, for a file or a directory.
+// Rename implements wal.FS. It renames a file, or a directory with its files.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.change(); err != nil {
+	if err := f.countChange(); err != nil {
 		return err
 	}
 	renamed := false
@@ -156,7 +158,7 @@
 		if matches {
 			renamed = true
 			n := f.files[name]
-			f.apply(func(files map[string]*inode) { delete(files, name); files[target] = n })
+			f.applyNameChange(func(files map[string]*inode) { delete(files, name); files[target] = n })
 		}
 	}
 	if f.dirs[from] {
@@ -176,40 +178,40 @@
 	if f.files[name] == nil {
 		return fs.ErrNotExist
 	}
-	if err := f.change(); err != nil {
+	if err := f.countChange(); err != nil {
 		return err
 	}
-	f.apply(func(files map[string]*inode) { delete(files, name) })
+	f.applyNameChange(func(files map[string]*inode) { delete(files, name) })
 	return nil
 }
 
-// SyncDir implements wal.FS. It makes all pending changes of names durable, in whatever directory.
+// SyncDir implements wal.FS. It makes all pending changes of names durable, in every directory.
 func (f *FS) SyncDir(string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failsSync() {
+	if f.takeSyncFault() {
 		return ErrIO
 	}
-	if err := f.change(); err != nil || f.dropSyncs {
+	if err := f.countChange(); err != nil || f.dropSyncs {
 		return err
 	}
-	for _, change := range f.pending {
+	for _, change := range f.pendingNameChanges {
 		change(f.durable)
 	}
-	f.pending = nil
+	f.pendingNameChanges = nil
 	return nil
 }
 
-// room is how many bytes can be written; noLimit: any number.
-func (f *FS) room() int {
-	room := f.freeBytes
+// freeSpace returns the number of bytes that can still be written, or noLimit. The caller holds f.mu.
+func (f *FS) freeSpace() int {
+	free := f.freeBytes
 	if f.capacity > 0 {
 		left := max(f.capacity-f.totalBytes(), 0)
-		if room == noLimit || left < room {
-			room = left
+		if free == noLimit || left < free {
+			free = left
 		}
 	}
-	return room
+	return free
 }
 
 func (f *FS) totalBytes() (total int) {
@@ -219,8 +221,8 @@
 	return total
 }
 
-// failsSync reports whether a sync has to fail, and counts it.
-func (f *FS) failsSync() bool {
+// takeSyncFault reports whether a sync must fail, and decrements failingSyncs if so. The caller holds f.mu.
+func (f *FS) takeSyncFault() bool {
 	if f.failingSyncs > 0 {
 		f.failingSyncs--
 		return true
@@ -228,7 +230,7 @@
 	return false
 }
 
-// file is a wal.File.
+// file is a wal.File of an FS.
 type file struct {
 	fs    *FS
 	inode *inode
@@ -244,12 +246,12 @@
 	}
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.fs.change(); err != nil {
+	if err := f.fs.countChange(); err != nil {
 		return 0, err
 	}
 	n := len(b)
-	if room := f.fs.room(); room != noLimit {
-		n = min(n, room)
+	if free := f.fs.freeSpace(); free != noLimit {
+		n = min(n, free)
 	}
 	if f.fs.freeBytes >= 0 {
 		f.fs.freeBytes -= n
@@ -265,7 +267,7 @@
 func (f *file) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.fs.change(); err != nil {
+	if err := f.fs.countChange(); err != nil {
 		return err
 	}
 	if int(size) < len(f.inode.data) {
@@ -278,10 +280,10 @@
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if f.fs.failsSync() {
+	if f.fs.takeSyncFault() {
 		return ErrIO
 	}
-	if err := f.fs.change(); err != nil {
+	if err := f.fs.countChange(); err != nil {
 		return err
 	}
 	if !f.fs.dropSyncs {
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -8,32 +8,33 @@
 	"syscall"
 )
 
-// FS is the part of a file system that a log needs; tests implement it with file systems that fail. Names are paths.
+// FS is the set of file system operations that a log needs. Tests implement it with file systems that inject faults. Names
+// are paths.
 type FS interface {
 	MkdirAll(dir string) error
-	List(dir string) ([]string, error) // the names in dir, without dir itself
+	List(dir string) ([]string, error) // returns the base names of the files in dir
 	ReadFile(name string) ([]byte, error)
 	Create(name string) (File, error) // creates or truncates a file
-	Append(name string) (File, error) // opens a file to write at its end
+	Append(name string) (File, error) // opens an existing file to write at its end
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncDir(dir string) error // makes creations, renames and removals in dir durable
+	SyncDir(dir string) error // makes file creations, renames and removals in dir durable
 }
 
-// File is a file that is written at its end.
+// File is a file that is open for writing at its end.
 type File interface {
 	io.Writer
-	Truncate(size int64) error // later writes continue at the new end
+	Truncate(size int64) error // later writes start at the new end of the file
 	Sync() error
 	Close() error
 }
 
-// IsNoSpace reports whether an error says that a disk is full, or that a quota or limit on it is reached.
+// IsNoSpace reports whether an error means that the disk is full, or that a disk quota or a file size limit is reached.
 func IsNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
 }
 
-// Files are for their owner alone.
+// Files and directories are accessible to their owner only.
 const (
 	dirMode  = 0o700
 	fileMode = 0o600
@@ -83,7 +84,7 @@
 func openFile(name string, flags int) (File, error) {
 	f, err := os.OpenFile(name, flags, fileMode)
 	if err != nil {
-		return nil, err // not a File that holds a nil pointer
+		return nil, err // returning f would give a non-nil File that holds a nil pointer
 	}
 	return f, nil
 }
--- a/internal/wal/memory.go
+++ b/internal/wal/memory.go
@@ -6,15 +6,15 @@
 	"sync"
 )
 
-// MemoryLog is a Log that lasts as long as the process. The zero value is an empty log.
+// MemoryLog is a Log in memory, whose records are lost when the process ends. The zero value is an empty log.
 type MemoryLog struct {
-	mu        sync.Mutex
-	recovered RecoveredLog // what Open returns
-	last      uint64
-	closed    bool
+	mu         sync.Mutex
+	recovered  RecoveredLog // the contents that Open returns a copy of
+	lastNumber uint64
+	closed     bool
 }
 
-// Open returns what the log holds, and reopens it after Close.
+// Open returns the contents of the log, and reopens it after Close.
 func (m *MemoryLog) Open() *RecoveredLog {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -36,9 +36,9 @@
 	case len(record) > MaxRecordBytes:
 		return 0, &TooLargeError{Bytes: len(record), MaxBytes: MaxRecordBytes}
 	}
-	m.last++
-	m.recovered.Records = append(m.recovered.Records, Record{Number: m.last, Data: slices.Clone(record)})
-	return m.last, nil
+	m.lastNumber++
+	m.recovered.Records = append(m.recovered.Records, Record{Number: m.lastNumber, Data: slices.Clone(record)})
+	return m.lastNumber, nil
 }
 
 // Snapshot implements Log.
@@ -50,8 +50,8 @@
 		return &ClosedError{"memory"}
 	case upTo <= m.recovered.SnapshotNumber:
 		return nil
-	case upTo > m.last:
-		return fmt.Errorf("%w: up to record %d, the last one is %d", ErrSnapshotAhead, upTo, m.last)
+	case upTo > m.lastNumber:
+		return fmt.Errorf("%w: it covers records up to %d, but the last record is %d", ErrSnapshotAhead, upTo, m.lastNumber)
 	}
 	m.recovered.Records = slices.DeleteFunc(m.recovered.Records, func(r Record) bool { return r.Number <= upTo })
 	m.recovered.SnapshotNumber, m.recovered.Snapshot = upTo, slices.Clone(state)
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// maxQuarantineDirs bounds the quarantine directories beside a log.
+// maxQuarantineDirs limits the number of quarantine directories beside a log.
 const maxQuarantineDirs = 1000
 
-// Open opens the log in a directory, which is created where it is missing, and returns what it holds. A log with a corrupt
-// file does not open: Open moves its files to a quarantine directory and returns a CorruptionError, and the next Open
-// creates an empty log. The caller closes the log.
+// Open opens the log in a directory and returns the log and its contents. It creates the directory if it does not exist. If a
+// file of the log is corrupt, Open moves the log's files to a quarantine directory and returns a CorruptionError; the next
+// Open then creates an empty log. Other errors are a NoSpaceError or a WriteFailedError. The caller must close the log.
 func Open(fs FS, dir string, opts Options) (*FileLog, *RecoveredLog, error) {
 	l := &FileLog{fs: fs, dir: dir, opts: opts.withDefaults()}
 	l.idle.L = &l.mu
 	if err := fs.MkdirAll(dir); err != nil {
-		return nil, nil, l.writeError(err)
+		return nil, nil, l.classifyError(err)
 	}
 	recovered, err := l.load()
 	if corruption := new(CorruptionError); errors.As(err, &corruption) {
@@ -32,33 +32,34 @@
 	return l, recovered, nil
 }
 
-// load reads the directory, truncates a torn write and leaves the newest segment open.
+// load reads the log's files, truncates a torn write and opens the newest segment for appending.
 func (l *FileLog) load() (*RecoveredLog, error) {
 	names, err := l.fs.List(l.dir)
 	if err != nil {
-		return nil, l.writeError(err)
+		return nil, l.classifyError(err)
 	}
-	dir := parseDirectory(names)
-	for _, name := range dir.others {
-		if strings.HasSuffix(name, temporarySuffix) { // a snapshot that was being written
+	listing := parseDirListing(names)
+	for _, name := range listing.others {
+		if strings.HasSuffix(name, temporarySuffix) { // a snapshot whose write was interrupted
 			l.tryRemove(name)
 		}
 	}
 	r := &RecoveredLog{}
-	if n := len(dir.snapshots); n > 0 {
-		r.SnapshotNumber = dir.snapshots[n-1]
+	if n := len(listing.snapshots); n > 0 {
+		r.SnapshotNumber = listing.snapshots[n-1]
 		if r.Snapshot, err = l.readSnapshot(r.SnapshotNumber); err != nil {
 			return nil, err
 		}
 	}
-	l.snapshot, l.last = r.SnapshotNumber, r.SnapshotNumber
-	if err := l.loadSegments(r, dir.segments); err != nil {
+	l.snapshotNumber, l.lastNumber = r.SnapshotNumber, r.SnapshotNumber
+	if err := l.loadSegments(r, listing.segments); err != nil {
 		return nil, err
 	}
 	return r, l.removeCoveredAtOpen()
 }
 
-// removeCoveredAtOpen removes what the snapshot covers and a crash has left. On a full disk the next snapshot takes it up.
+// removeCoveredAtOpen removes files that the snapshot covers but that a crash has left behind. If the disk is full, the next
+// snapshot retries the removal.
 func (l *FileLog) removeCoveredAtOpen() error {
 	err := l.removeCovered()
 	if noSpace := new(NoSpaceError); errors.As(err, &noSpace) {
@@ -66,12 +67,13 @@
 		return nil
 	}
 	if err != nil && l.active.file != nil {
-		_ = l.active.file.Close() // the log does not open
+		_ = l.active.file.Close() // Open fails with err
 	}
 	return err
 }
 
-// loadSegments reads the records after the snapshot. Segments that it covers are not read: they need not be complete.
+// loadSegments reads the records after the snapshot. It skips segments that the snapshot covers, since they may be
+// incomplete. If there is no segment to append to, it creates one.
 func (l *FileLog) loadSegments(r *RecoveredLog, segments []uint64) error {
 	start := 0
 	for i, first := range segments {
@@ -87,32 +89,32 @@
 	if l.active.file != nil {
 		return nil
 	}
-	// An incomplete segment may stay: it is the newest, and the next Open takes it for torn.
-	created, err := l.createSegment(l.last + 1)
+	// An incomplete segment may be left behind: it is the newest, so the next Open treats it as a torn write.
+	created, err := l.createSegment(l.lastNumber + 1)
 	if err != nil {
-		return l.writeError(err)
+		return l.classifyError(err)
 	}
 	l.active = created
 	return nil
 }
 
-// loadSegment reads one segment. The newest may end in a torn write; it is opened for appending, unless nothing of it was
-// written.
+// loadSegment reads one segment. The newest segment may end in a torn write. It is opened for appending, unless its header
+// was not completely written.
 func (l *FileLog) loadSegment(r *RecoveredLog, first uint64, newest bool) error {
 	name := filepath.Join(l.dir, segmentName(first))
 	b, err := l.fs.ReadFile(name)
 	if err != nil {
-		return l.writeError(err)
+		return l.classifyError(err)
 	}
 	number, d := decodeSegmentHeader(b)
 	switch {
-	case d != nil && d.torn && newest: // it was being created, and no record in it was acknowledged
+	case d != nil && d.torn && newest: // its creation was interrupted, so it has no acknowledged record
 		r.TornBytes += int64(len(b))
 		return nil
 	case d != nil:
 		return &CorruptionError{File: name, Reason: d.reason}
-	case number != first || first > l.last+1:
-		reason := fmt.Sprintf("it begins with record %d, and the last one before it is %d", first, l.last)
+	case number != first || first > l.lastNumber+1:
+		reason := fmt.Sprintf("segment starts at record %d, but the last record before it is %d", first, l.lastNumber)
 		return &CorruptionError{File: name, Reason: reason}
 	}
 	end, d := l.loadFrames(r, b, first)
@@ -125,7 +127,7 @@
 	return l.openActive(r, segment{size: int64(end), first: first}, int64(len(b)))
 }
 
-// loadFrames reads the records of a segment up to its end or to a defect, and returns that offset.
+// loadFrames reads the records of a segment up to its end or to the first defect. It returns the offset where it stopped.
 func (l *FileLog) loadFrames(r *RecoveredLog, b []byte, first uint64) (end int, d *defect) {
 	end = segmentHeaderSize
 	for number := first; end < len(b); number++ {
@@ -133,27 +135,27 @@
 		if d != nil {
 			return end, d
 		}
-		if number > l.last {
+		if number > l.lastNumber {
 			r.Records = append(r.Records, Record{Number: number, Data: record})
-			l.last = number
+			l.lastNumber = number
 		}
 		end += size
 	}
 	return end, nil
 }
 
-// openActive opens the newest segment to append to it, and truncates what a torn write left beyond its size.
+// openActive opens the newest segment for appending. It truncates the bytes that a torn write left beyond s.size.
 func (l *FileLog) openActive(r *RecoveredLog, s segment, fileSize int64) error {
 	name := filepath.Join(l.dir, segmentName(s.first))
 	f, err := l.fs.Append(name)
 	if err != nil {
-		return l.writeError(err)
+		return l.classifyError(err)
 	}
 	if torn := fileSize - s.size; torn > 0 {
 		r.TornBytes += torn
 		l.opts.Logger.Warn("torn write truncated", "file", name, "offset", s.size, "bytes", torn)
 		if err := errors.Join(f.Truncate(s.size), f.Sync()); err != nil {
-			_ = f.Close() // the log does not open
+			_ = f.Close() // Open fails with err
 			return &WriteFailedError{l.dir, err}
 		}
 	}
@@ -162,8 +164,8 @@
 	return nil
 }
 
-// quarantine moves a corrupt log's files to a directory beside it, so that a new log can be created, and returns that
-// directory; empty: the files could not be moved.
+// quarantine moves the files of a corrupt log to a new directory beside it, so that an empty log can be created. It returns
+// the new directory, or an empty string if the files could not be moved.
 func (l *FileLog) quarantine() string {
 	for i := range maxQuarantineDirs {
 		dir := fmt.Sprintf("%s.damaged-%d", l.dir, i+1)
@@ -171,7 +173,7 @@
 			continue
 		}
 		if l.fs.Rename(l.dir, dir) == nil {
-			_ = l.fs.SyncDir(filepath.Dir(l.dir)) // the files can be read either way
+			_ = l.fs.SyncDir(filepath.Dir(l.dir)) // the files are readable even if the rename is not durable
 			return dir
 		}
 	}
