--- a/internal/wal/contract_test.go
+++ b/internal/wal/contract_test.go
@@ -13,53 +13,53 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-// logRig is one log with what it is stored on.
-type logRig interface {
+// logFixture is a log together with its storage.
+type logFixture interface {
 	Open() (wal.Log, *wal.RecoveredLog, error)
-	// Crash ends the log as a loss of power does. The Log that was open is not used again.
+	// Crash simulates a loss of power. The Log that was open is not used again.
 	Crash()
 }
 
-type memoryRig struct{ log wal.MemoryLog }
+type memoryFixture struct{ log wal.MemoryLog }
 
-func (r *memoryRig) Open() (wal.Log, *wal.RecoveredLog, error) { return &r.log, r.log.Open(), nil }
-func (r *memoryRig) Crash()                                    {}
+func (r *memoryFixture) Open() (wal.Log, *wal.RecoveredLog, error) { return &r.log, r.log.Open(), nil }
+func (r *memoryFixture) Crash()                                    {}
 
-type osRig struct{ dir string }
+type osFixture struct{ dir string }
 
-func (r *osRig) Open() (wal.Log, *wal.RecoveredLog, error) {
-	return asLog(wal.Open(wal.OSFS{}, r.dir, small))
+func (r *osFixture) Open() (wal.Log, *wal.RecoveredLog, error) {
+	return asLog(wal.Open(wal.OSFS{}, r.dir, smallOpts))
 }
-func (r *osRig) Crash() {}
+func (r *osFixture) Crash() {}
 
-type faultyRig struct{ *faultfs.FS }
+type faultyFixture struct{ *faultfs.FS }
 
-func (r faultyRig) Open() (wal.Log, *wal.RecoveredLog, error) {
-	return asLog(wal.Open(r.FS, "d", small))
+func (r faultyFixture) Open() (wal.Log, *wal.RecoveredLog, error) {
+	return asLog(wal.Open(r.FS, "d", smallOpts))
 }
 
 func asLog(l *wal.FileLog, r *wal.RecoveredLog, err error) (wal.Log, *wal.RecoveredLog, error) {
 	if err != nil {
-		return nil, nil, err // not a Log that holds a nil pointer
+		return nil, nil, err // returning l would give a non-nil Log that holds a nil pointer
 	}
 	return l, r, nil
 }
 
-// Every implementation of Log has to pass the same tests. newRig returns a new, empty log; seed decides its faults.
+// Runs the same tests on every implementation of Log. newFixture returns a new, empty log; seed decides its faults.
 func TestLogContract(t *testing.T) {
-	for name, newRig := range map[string]func(dir string, seed uint64) logRig{
-		"memory":     func(string, uint64) logRig { return &memoryRig{} },
-		"disk":       func(dir string, _ uint64) logRig { return &osRig{filepath.Join(dir, "d")} },
-		"power loss": func(_ string, seed uint64) logRig { return faultyRig{faultfs.New(seed)} },
+	for name, newFixture := range map[string]func(dir string, seed uint64) logFixture{
+		"memory":     func(string, uint64) logFixture { return &memoryFixture{} },
+		"disk":       func(dir string, _ uint64) logFixture { return &osFixture{filepath.Join(dir, "d")} },
+		"power loss": func(_ string, seed uint64) logFixture { return faultyFixture{faultfs.New(seed)} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Run("order", func(t *testing.T) { testOrder(t, newRig(t.TempDir(), 1)) })
-			t.Run("snapshot", func(t *testing.T) { testSnapshot(t, newRig(t.TempDir(), 2)) })
-			t.Run("concurrent appends", func(t *testing.T) { testConcurrentAppends(t, newRig(t.TempDir(), 3)) })
-			t.Run("bounds", func(t *testing.T) { testBounds(t, newRig(t.TempDir(), 4)) })
+			t.Run("order", func(t *testing.T) { testOrder(t, newFixture(t.TempDir(), 1)) })
+			t.Run("snapshot", func(t *testing.T) { testSnapshot(t, newFixture(t.TempDir(), 2)) })
+			t.Run("concurrent appends", func(t *testing.T) { testConcurrentAppends(t, newFixture(t.TempDir(), 3)) })
+			t.Run("limits", func(t *testing.T) { testLimits(t, newFixture(t.TempDir(), 4)) })
 			t.Run("crashes", func(t *testing.T) {
 				for seed := range uint64(60) {
-					if testCrashes(t, newRig(t.TempDir(), seed), seed); t.Failed() {
+					if testCrashes(t, newFixture(t.TempDir(), seed), seed); t.Failed() {
 						return
 					}
 				}
@@ -68,7 +68,7 @@
 	}
 }
 
-func mustOpen(t *testing.T, r logRig) (wal.Log, *wal.RecoveredLog) {
+func mustOpen(t *testing.T, r logFixture) (wal.Log, *wal.RecoveredLog) {
 	t.Helper()
 	l, recovered, err := r.Open()
 	if err != nil {
@@ -84,18 +84,18 @@
 	}
 }
 
-// Records come back in order, under their numbers, after a crash and after Close.
-func testOrder(t *testing.T, r logRig) {
+// Checks that records are recovered in order, with their numbers, after a crash and after Close.
+func testOrder(t *testing.T, r logFixture) {
 	t.Helper()
 	const count = 50
 	content := func(i int) []byte { return bytes.Repeat([]byte{byte(i)}, i*40) }
 	l, recovered := mustOpen(t, r)
 	if recovered.LastNumber() != 0 || len(recovered.Records) != 0 {
-		t.Fatalf("a new log holds %+v", recovered)
+		t.Fatalf("new log holds %+v, want no records", recovered)
 	}
 	for i := range count {
 		if n, err := l.Append(content(i)); err != nil || n != uint64(i+1) {
-			t.Fatalf("record %d: number %d, %v", i+1, n, err)
+			t.Fatalf("Append of record %d returned number %d, error %v", i+1, n, err)
 		}
 	}
 	for _, closed := range []bool{false, true} {
@@ -106,19 +106,19 @@
 		}
 		l, recovered = mustOpen(t, r)
 		if len(recovered.Records) != count || recovered.LastNumber() != count {
-			t.Fatalf("closed %v: %d records, the last %d", closed, len(recovered.Records), recovered.LastNumber())
+			t.Fatalf("closed %v: got %d records, last number %d", closed, len(recovered.Records), recovered.LastNumber())
 		}
 		for i, got := range recovered.Records {
 			if got.Number != uint64(i+1) || !bytes.Equal(got.Data, content(i)) {
-				t.Fatalf("closed %v: record %d is %d, %d bytes", closed, i+1, got.Number, len(got.Data))
+				t.Fatalf("closed %v: record %d has number %d and wrong data or %d bytes", closed, i+1, got.Number, len(got.Data))
 			}
 		}
 	}
 	mustClose(t, l)
 }
 
-// A snapshot replaces the records that it covers; numbers continue.
-func testSnapshot(t *testing.T, r logRig) {
+// Checks that a snapshot replaces the records that it covers, and that the numbers of later records continue.
+func testSnapshot(t *testing.T, r logFixture) {
 	t.Helper()
 	l, _ := mustOpen(t, r)
 	for i := range 10 {
@@ -129,11 +129,11 @@
 	if err := l.Snapshot(7, []byte("seven")); err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Snapshot(3, []byte("old")); err != nil { // covers less than the one that is there
+	if err := l.Snapshot(3, []byte("old")); err != nil { // covers less than the existing snapshot
 		t.Fatal(err)
 	}
 	if err := l.Snapshot(11, []byte("ahead")); !errors.Is(err, wal.ErrSnapshotAhead) {
-		t.Errorf("a snapshot of records that are not there: %v", err)
+		t.Errorf("snapshot of records that were not appended: got error %v, want ErrSnapshotAhead", err)
 	}
 	r.Crash()
 	l, recovered := mustOpen(t, r)
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	if n, err := l.Append([]byte("on")); n != 11 || err != nil {
-		t.Fatalf("continues with %d, %v", n, err)
+		t.Fatalf("Append returned number %d, error %v, want number 11", n, err)
 	}
 	r.Crash()
 	_, recovered = mustOpen(t, r)
@@ -153,23 +153,23 @@
 	}
 }
 
-// Records that many goroutines append have a number each, and all are there.
-func testConcurrentAppends(t *testing.T, r logRig) {
+// Checks that records that many goroutines append get unique numbers and are all recovered.
+func testConcurrentAppends(t *testing.T, r logFixture) {
 	t.Helper()
 	l, _ := mustOpen(t, r)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	acked := map[uint64]string{}
+	acknowledged := map[uint64]string{}
 	for g := range 8 {
 		wg.Go(func() {
 			for i := range 50 {
 				text := fmt.Sprint(g, "-", i)
 				n, err := l.Append([]byte(text))
 				mu.Lock()
-				if _, twice := acked[n]; err != nil || twice {
-					t.Errorf("%s: number %d, %v", text, n, err)
+				if _, duplicate := acknowledged[n]; err != nil || duplicate {
+					t.Errorf("Append(%s) returned number %d (duplicate: %v), error %v", text, n, duplicate, err)
 				}
-				acked[n] = text
+				acknowledged[n] = text
 				mu.Unlock()
 			}
 		})
@@ -178,53 +178,55 @@
 	r.Crash()
 	_, recovered := mustOpen(t, r)
 	if len(recovered.Records) != 400 {
-		t.Fatalf("%d records", len(recovered.Records))
+		t.Fatalf("got %d records, want 400", len(recovered.Records))
 	}
 	for _, got := range recovered.Records {
-		if acked[got.Number] != string(got.Data) {
-			t.Fatalf("record %d is %q, acknowledged as %q", got.Number, got.Data, acked[got.Number])
+		if acknowledged[got.Number] != string(got.Data) {
+			t.Fatalf("record %d: got %q, want %q", got.Number, got.Data, acknowledged[got.Number])
 		}
 	}
 }
 
-func testBounds(t *testing.T, r logRig) {
+// Checks the results for a record that is too large, for an empty record, and for a log that is closed.
+func testLimits(t *testing.T, r logFixture) {
 	t.Helper()
 	l, _ := mustOpen(t, r)
-	var large *wal.TooLargeError
-	if _, err := l.Append(make([]byte, wal.MaxRecordBytes+1)); !errors.As(err, &large) {
-		t.Errorf("a record too large: %v", err)
+	var tooLarge *wal.TooLargeError
+	if _, err := l.Append(make([]byte, wal.MaxRecordBytes+1)); !errors.As(err, &tooLarge) {
+		t.Errorf("Append of a record that is too large: got error %v, want a TooLargeError", err)
 	}
 	if n, err := l.Append(nil); n != 1 || err != nil {
-		t.Errorf("an empty record: %d, %v", n, err)
+		t.Errorf("Append of an empty record returned number %d, error %v, want number 1", n, err)
 	}
 	mustClose(t, l)
 	var closed *wal.ClosedError
 	if _, err := l.Append(nil); !errors.As(err, &closed) {
-		t.Errorf("after Close: %v", err)
+		t.Errorf("Append after Close: got error %v, want a ClosedError", err)
 	}
 	if err := l.Snapshot(1, nil); !errors.As(err, &closed) {
-		t.Errorf("a snapshot after Close: %v", err)
+		t.Errorf("Snapshot after Close: got error %v, want a ClosedError", err)
 	}
 	if err := l.Close(); err != nil {
-		t.Errorf("a second Close: %v", err)
+		t.Errorf("second Close: %v", err)
 	}
 }
 
-// Whatever happens when, everything that was acknowledged is recovered, in order, and nothing else.
-func testCrashes(t *testing.T, r logRig, seed uint64) {
+// Appends, takes snapshots and crashes in a random order. Checks that exactly the acknowledged records are recovered, in
+// order.
+func testCrashes(t *testing.T, r logFixture, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	l, _ := mustOpen(t, r)
-	var acked []string // by number, from 1
+	var acknowledged []string // the record with number n is at index n-1
 	for range 60 {
 		switch rnd.IntN(10) {
 		case 0:
 			r.Crash()
 			var recovered *wal.RecoveredLog
 			l, recovered = mustOpen(t, r)
-			checkRecovered(t, seed, recovered, acked)
+			checkRecovered(t, seed, recovered, acknowledged)
 		case 1:
-			if n := len(acked); n > 0 {
+			if n := len(acknowledged); n > 0 {
 				upTo := 1 + rnd.IntN(n)
 				if err := l.Snapshot(uint64(upTo), fmt.Append(nil, "state ", upTo)); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
@@ -233,28 +235,29 @@
 		default:
 			b := make([]byte, rnd.IntN(3000))
 			for i := range b {
-				b[i] = byte(rnd.IntN(3)) // runs of zeros among others
+				b[i] = byte(rnd.IntN(3)) // includes runs of zeros
 			}
 			n, err := l.Append(b)
-			if err != nil || int(n) != len(acked)+1 {
-				t.Fatalf("seed %d: number %d, %v", seed, n, err)
+			if err != nil || int(n) != len(acknowledged)+1 {
+				t.Fatalf("seed %d: Append returned number %d, error %v, want number %d", seed, n, err, len(acknowledged)+1)
 			}
-			acked = append(acked, string(b))
+			acknowledged = append(acknowledged, string(b))
 		}
 	}
 	mustClose(t, l)
 }
 
-func checkRecovered(t *testing.T, seed uint64, r *wal.RecoveredLog, acked []string) {
+func checkRecovered(t *testing.T, seed uint64, r *wal.RecoveredLog, acknowledged []string) {
 	t.Helper()
-	if int(r.LastNumber()) != len(acked) || int(r.SnapshotNumber)+len(r.Records) != len(acked) {
-		t.Fatalf("seed %d: holds a snapshot of %d and %d records, acknowledged were %d", seed, r.SnapshotNumber, len(r.Records), len(acked))
+	if int(r.LastNumber()) != len(acknowledged) || int(r.SnapshotNumber)+len(r.Records) != len(acknowledged) {
+		t.Fatalf("seed %d: got a snapshot up to %d and %d records, want %d records in total",
+			seed, r.SnapshotNumber, len(r.Records), len(acknowledged))
 	}
 	if r.SnapshotNumber > 0 && string(r.Snapshot) != fmt.Sprint("state ", r.SnapshotNumber) {
-		t.Fatalf("seed %d: state %q at %d", seed, r.Snapshot, r.SnapshotNumber)
+		t.Fatalf("seed %d: got state %q for the snapshot up to %d", seed, r.Snapshot, r.SnapshotNumber)
 	}
 	for _, got := range r.Records {
-		if acked[got.Number-1] != string(got.Data) {
+		if acknowledged[got.Number-1] != string(got.Data) {
 			t.Fatalf("seed %d: record %d differs", seed, got.Number)
 		}
 	}
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -78,7 +78,7 @@
 func (e *ClosedError) Error() string { return e.Problem() }
 
 // Problem implements operr.Error.
-func (e *ClosedError) Problem() string { return "log " + e.Dir + " is closed" }
+func (e *ClosedError) Problem() string { return e.Dir + " is closed" }
 
 // Retryable implements operr.Error.
 func (e *ClosedError) Retryable() bool { return false }
--- a/internal/wal/example_test.go
+++ b/internal/wal/example_test.go
@@ -7,9 +7,9 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-// A log is opened again after a restart: it returns the snapshot and the records after it.
+// After a restart, Open returns the snapshot and the records after it.
 func ExampleOpen() {
-	disk := faultfs.New(1) // in memory; wal.OSFS{} is the system's
+	disk := faultfs.New(1) // an in-memory file system; wal.OSFS{} is the operating system's
 	l, _, err := wal.Open(disk, "data", wal.Options{})
 	if err != nil {
 		fmt.Println(err)
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -10,16 +10,16 @@
 	"example.org/milletvane/internal/wal"
 )
 
-// faultyFS fails calls of a file system by their number, and keeps the names of all calls.
+// faultyFS is a file system that fails calls by their number. It records the names of all calls.
 type faultyFS struct {
 	wal.FS
 	calls []string
-	fails func(call int) error
+	fault func(call int) error // returns the error of a call, numbered from 1; nil means the call succeeds
 }
 
 func (f *faultyFS) call(name string) error {
 	f.calls = append(f.calls, name)
-	return f.fails(len(f.calls))
+	return f.fault(len(f.calls))
 }
 
 func (f *faultyFS) MkdirAll(dir string) error {
@@ -107,11 +107,11 @@
 	return f.File.Sync()
 }
 
-// formatFault is an error that a call of a file system returns.
+// formatFault describes an error that calls of a file system return.
 type formatFault struct {
-	name string
-	err  error
-	ever bool // from that call on
+	name       string
+	err        error
+	persistent bool // whether all later calls fail too
 }
 
 func formatFaults() []formatFault {
@@ -123,56 +123,57 @@
 	}
 }
 
-// A log that runs into a fault at any of its calls returns the same kinds of errors and leaves the same files as before.
-func TestEveryFailedCallEndsAsBefore(t *testing.T) {
+// Guards against changes in how a log handles failed file system calls. Each call fails in turn; the kinds of the returned
+// errors and the files that the log leaves must match testdata.
+func TestEveryFailedCallHasTheSameResultAsBefore(t *testing.T) {
 	t.Parallel()
 	opts := withSegments(64)
 	script := func(fs wal.FS) string {
 		var b strings.Builder
 		l, recovered, err := wal.Open(fs, formatDir, opts)
-		fmt.Fprintf(&b, "open %s\n", outcome(err))
+		fmt.Fprintf(&b, "open %s\n", errorKind(err))
 		if err != nil {
 			return b.String()
 		}
 		b.WriteString(recoveredText(recovered))
 		for i := range 7 {
 			n, err := l.Append([]byte(strings.Repeat("record ", i)))
-			fmt.Fprintf(&b, "append %d %s\n", n, outcome(err))
+			fmt.Fprintf(&b, "append %d %s\n", n, errorKind(err))
 			if i%3 == 2 {
-				fmt.Fprintf(&b, "snapshot %s\n", outcome(l.Snapshot(n, []byte("state"))))
+				fmt.Fprintf(&b, "snapshot %s\n", errorKind(l.Snapshot(n, []byte("state"))))
 			}
 			if i == 4 {
-				fmt.Fprintf(&b, "snapshot %s\n", outcome(l.Snapshot(n-1, []byte("older state"))))
+				fmt.Fprintf(&b, "snapshot %s\n", errorKind(l.Snapshot(n-1, []byte("older state"))))
 			}
 		}
-		fmt.Fprintf(&b, "close %s\n", outcome(l.Close()))
+		fmt.Fprintf(&b, "close %s\n", errorKind(l.Close()))
 		return b.String()
 	}
-	torn := write(t, opts, appends("the first of some records", "the second", "the third, in a new file", "the fourth"))
+	torn := writeLog(t, opts, appends("the first of some records", "the second", "the third, in a new file", "the fourth"))
 	torn[torn.newest()] = torn[torn.newest()][:len(torn[torn.newest()])-3]
 	var all strings.Builder
 	for _, base := range []struct {
 		name  string
 		files formatFiles
 	}{{"new", formatFiles{}}, {"torn", torn}} {
-		sound := &faultyFS{FS: diskOf(t, base.files), fails: func(int) error { return nil }}
-		fmt.Fprintf(&all, "%s: %s\n", base.name, shortDigest([]byte(script(sound))))
-		for _, call := range sound.calls {
+		faultless := &faultyFS{FS: diskWith(t, base.files), fault: func(int) error { return nil }}
+		fmt.Fprintf(&all, "%s: %s\n", base.name, shortDigest([]byte(script(faultless))))
+		for _, call := range faultless.calls {
 			fmt.Fprintf(&all, "  %s\n", call)
 		}
 		for _, fault := range formatFaults() {
-			for k := 1; k <= len(sound.calls); k++ {
-				fs := &faultyFS{FS: diskOf(t, base.files), fails: func(call int) error {
-					if call == k || fault.ever && call > k {
+			for k := 1; k <= len(faultless.calls); k++ {
+				fs := &faultyFS{FS: diskWith(t, base.files), fault: func(call int) error {
+					if call == k || fault.persistent && call > k {
 						return fault.err
 					}
 					return nil
 				}}
 				text := script(fs)
-				text += filesOn(t, fs.FS, formatDir).digests() + reopen(t, fs.FS, opts)
+				text += readFiles(t, fs.FS, formatDir).digests() + reopen(t, fs.FS, opts)
 				fmt.Fprintf(&all, "%s: %s at call %d %s\n", base.name, fault.name, k, shortDigest([]byte(text)))
 			}
 		}
 	}
-	compare(t, "faults.digests", all.String())
+	compareGolden(t, "faults.digests", all.String())
 }
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -15,16 +15,16 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-// The files of a log outlive the build that wrote them: the next build has to read them, and to write the same bytes, as
-// the one before may be started on them again. These tests hold both against testdata. They name values one by one, so
-// that a renamed type or field changes nothing in them, and leave the text of errors out.
+// The files of a log outlive the build that wrote them. A newer build must read them, and must write the same bytes, because
+// the older build may be started on them again. These tests compare both with testdata. They print values one by one, so
+// that renaming a type or field does not change the output, and leave out error texts.
 
-var updateFormat = flag.Bool("update-format", false, "write the files of testdata/format anew")
+var updateFormat = flag.Bool("update-format", false, "rewrite the files of testdata/format")
 
-const formatDir = "d" // of the logs in these tests
+const formatDir = "d" // directory of the logs in these tests
 
-// compare holds a text against a file of testdata, or writes the file anew where the flag says so.
-func compare(t *testing.T, name, got string) {
+// compareGolden compares a text with a file of testdata. With -update-format it rewrites the file first.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "format", name)
 	if *updateFormat {
@@ -57,31 +57,31 @@
 	}
 }
 
-// outcome names what kind of error one is, with what it says of the files.
-func outcome(err error) string {
-	var full *wal.NoSpaceError
-	var broken *wal.WriteFailedError
-	var damage *wal.CorruptionError
+// errorKind returns a text that names the type of an error and the files and numbers in its fields.
+func errorKind(err error) string {
+	var noSpace *wal.NoSpaceError
+	var writeFailed *wal.WriteFailedError
+	var corrupt *wal.CorruptionError
 	var closed *wal.ClosedError
-	var large *wal.TooLargeError
+	var tooLarge *wal.TooLargeError
 	switch {
 	case err == nil:
 		return "ok"
-	case errors.As(err, &damage):
-		return fmt.Sprintf("corrupt file %s offset %d moved to %q", filepath.Base(damage.File), damage.Offset, damage.QuarantineDir)
-	case errors.As(err, &broken):
-		return "failed dir " + broken.Dir
-	case errors.As(err, &full):
-		return "no space dir " + full.Dir
+	case errors.As(err, &corrupt):
+		return fmt.Sprintf("corrupt file %s offset %d moved to %q", filepath.Base(corrupt.File), corrupt.Offset, corrupt.QuarantineDir)
+	case errors.As(err, &writeFailed):
+		return "failed dir " + writeFailed.Dir
+	case errors.As(err, &noSpace):
+		return "no space dir " + noSpace.Dir
 	case errors.As(err, &closed):
 		return "closed dir " + closed.Dir
-	case errors.As(err, &large):
-		return fmt.Sprintf("too large %d most %d", large.Bytes, large.MaxBytes)
+	case errors.As(err, &tooLarge):
+		return fmt.Sprintf("too large %d most %d", tooLarge.Bytes, tooLarge.MaxBytes)
 	}
 	return "other"
 }
 
-// recoveredText names what an open log had in it, field by field.
+// recoveredText returns the contents of a recovered log as text, field by field.
 func recoveredText(recovered *wal.RecoveredLog) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "snapshot %d %s\n", recovered.SnapshotNumber, hex.EncodeToString(recovered.Snapshot))
@@ -96,29 +96,29 @@
 	return b.String()
 }
 
-// reopen opens a log, appends one record and closes it, and says what came of each step.
+// reopen opens a log, appends one record and closes it. It returns the result of each step as text.
 func reopen(t *testing.T, fs wal.FS, opts wal.Options) string {
 	t.Helper()
 	var b strings.Builder
 	l, recovered, err := wal.Open(fs, formatDir, opts)
-	fmt.Fprintf(&b, "open %s\n", outcome(err))
+	fmt.Fprintf(&b, "open %s\n", errorKind(err))
 	if err == nil {
-		fmt.Fprintf(&b, "%sfiles\n%s", recoveredText(recovered), filesOn(t, fs, formatDir).digests())
+		fmt.Fprintf(&b, "%sfiles\n%s", recoveredText(recovered), readFiles(t, fs, formatDir).digests())
 		n, err := l.Append([]byte("next"))
-		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, outcome(err), outcome(l.Close()))
+		fmt.Fprintf(&b, "append %d %s\nclose %s\n", n, errorKind(err), errorKind(l.Close()))
 	}
-	fmt.Fprintf(&b, "files\n%s", filesOn(t, fs, formatDir).digests())
-	var damage *wal.CorruptionError
-	if errors.As(err, &damage) && damage.QuarantineDir != "" {
-		fmt.Fprintf(&b, "moved files\n%s", filesOn(t, fs, damage.QuarantineDir).digests())
+	fmt.Fprintf(&b, "files\n%s", readFiles(t, fs, formatDir).digests())
+	var corrupt *wal.CorruptionError
+	if errors.As(err, &corrupt) && corrupt.QuarantineDir != "" {
+		fmt.Fprintf(&b, "moved files\n%s", readFiles(t, fs, corrupt.QuarantineDir).digests())
 	}
 	return b.String()
 }
 
-// formatScript is what a case does to a log.
-type formatScript func(t *testing.T, l wal.Log)
+// scriptStep is one step that a test case performs on a log.
+type scriptStep func(t *testing.T, l wal.Log)
 
-func appends(records ...string) formatScript {
+func appends(records ...string) scriptStep {
 	return func(t *testing.T, l wal.Log) {
 		t.Helper()
 		for _, r := range records {
@@ -129,7 +129,7 @@
 	}
 }
 
-func snapshotAt(upTo uint64, state string) formatScript {
+func snapshotAt(upTo uint64, state string) scriptStep {
 	return func(t *testing.T, l wal.Log) {
 		t.Helper()
 		if err := l.Snapshot(upTo, []byte(state)); err != nil {
@@ -138,8 +138,8 @@
 	}
 }
 
-// write has the files that a script leaves in a new log.
-func write(t *testing.T, opts wal.Options, script ...formatScript) formatFiles {
+// writeLog runs the steps of a script on a new log and returns the log's files.
+func writeLog(t *testing.T, opts wal.Options, script ...scriptStep) formatFiles {
 	t.Helper()
 	d := faultfs.New(1)
 	l, _, err := wal.Open(d, formatDir, opts)
@@ -152,7 +152,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return filesOn(t, d, formatDir)
+	return readFiles(t, d, formatDir)
 }
 
 func allBytes() string {
@@ -165,34 +165,36 @@
 
 const (
 	firstSegment  = "journal-0000000000000001"
-	secondSegment = "journal-0000000000000002" // of the cases with short segments
+	secondSegment = "journal-0000000000000002" // exists in the cases with short segments
 	thirdSnapshot = "state-0000000000000003"
 )
 
-// A script writes the bytes of testdata, and those are recovered as testdata says.
+// Guards against changes of the file format. Each script must write the files in testdata byte by byte, and opening the
+// files in testdata must recover the contents recorded there.
 func TestFilesKeepTheirFormat(t *testing.T) {
 	for _, c := range slices.Concat(soundCases(), tornCases(), corruptCases(t), snapshotCases(t)) {
 		t.Run(c.name, func(t *testing.T) {
 			name := strings.ReplaceAll(c.name, " ", "-")
-			written := write(t, c.opts, c.script...)
+			written := writeLog(t, c.opts, c.script...)
 			if c.change != nil {
 				c.change(written)
 			}
-			compare(t, name+".files", written.text())
+			compareGolden(t, name+".files", written.text())
 			stored, err := os.ReadFile(filepath.Join("testdata", "format", name+".files"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			d := diskOf(t, parseFormatFiles(t, string(stored)))
-			compare(t, name+".recovered", reopen(t, d, c.opts)+"again\n"+reopen(t, d, c.opts))
+			d := diskWith(t, parseFormatFiles(t, string(stored)))
+			compareGolden(t, name+".recovered", reopen(t, d, c.opts)+"again\n"+reopen(t, d, c.opts))
 		})
 	}
 }
 
-// On the system's disk the files are the same, for their owner alone.
+// Checks that a log on the operating system's file system has the same files as one in memory, and that only their owner
+// can access them.
 func TestFilesOnTheSystemsDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "d")
-	script := []formatScript{appends("the first of some records", "the second", "the third"), snapshotAt(2, "two")}
+	script := []scriptStep{appends("the first of some records", "the second", "the third"), snapshotAt(2, "two")}
 	l, _, err := wal.Open(wal.OSFS{}, dir, withSegments(64))
 	if err != nil {
 		t.Fatal(err)
@@ -203,10 +205,10 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := filesOn(t, wal.OSFS{}, dir).text(), write(t, withSegments(64), script...).text(); got != want {
-		t.Errorf("on the system's disk:\n%s\nin memory:\n%s", got, want)
+	if got, want := readFiles(t, wal.OSFS{}, dir).text(), writeLog(t, withSegments(64), script...).text(); got != want {
+		t.Errorf("files on disk:\n%s\nwant the files in memory:\n%s", got, want)
 	}
-	for _, name := range append(filesOn(t, wal.OSFS{}, dir).names(), ".") {
+	for _, name := range append(readFiles(t, wal.OSFS{}, dir).names(), ".") {
 		info, err := os.Stat(filepath.Join(dir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -216,13 +218,13 @@
 			want = 0o700
 		}
 		if got := info.Mode().Perm(); got != want {
-			t.Errorf("%s has mode %o, want %o", name, got, want)
+			t.Errorf("%s: got mode %o, want %o", name, got, want)
 		}
 	}
 }
 
-// The bounds of a record and of a segment, in bytes, are what they were.
-func TestBoundsStayAsTheyAre(t *testing.T) {
+// Guards against changes of the maximum sizes of a record and of a segment.
+func TestSizeLimitsAreUnchanged(t *testing.T) {
 	d := faultfs.New(1)
 	l, _, err := wal.Open(d, formatDir, wal.Options{})
 	if err != nil {
@@ -231,8 +233,8 @@
 	var b strings.Builder
 	for _, size := range []int{1<<20 + 1, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 1} {
 		n, err := l.Append(make([]byte, size))
-		fmt.Fprintf(&b, "append %d bytes: %d %s\n", size, n, outcome(err))
+		fmt.Fprintf(&b, "append %d bytes: %d %s\n", size, n, errorKind(err))
 	}
-	fmt.Fprintf(&b, "close %s\n%s", outcome(l.Close()), reopen(t, d, wal.Options{}))
-	compare(t, "bounds", b.String())
+	fmt.Fprintf(&b, "close %s\n%s", errorKind(l.Close()), reopen(t, d, wal.Options{}))
+	compareGolden(t, "bounds", b.String())
 }
--- a/internal/wal/formatfiles_test.go
+++ b/internal/wal/formatfiles_test.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-// formatFiles are the files of one folder.
+// formatFiles holds the contents of the files of one directory, by name.
 type formatFiles map[string][]byte
 
 func (f formatFiles) names() []string {
@@ -33,7 +33,7 @@
 	return c
 }
 
-// newest is the name of the last segment.
+// newest returns the name of the newest segment.
 func (f formatFiles) newest() string {
 	var newest string
 	for _, name := range f.names() {
@@ -44,7 +44,7 @@
 	return newest
 }
 
-// text has all bytes of all files, in hex.
+// text returns the names of all files and their contents in hex.
 func (f formatFiles) text() string {
 	var b strings.Builder
 	for _, name := range f.names() {
@@ -56,7 +56,7 @@
 	return b.String()
 }
 
-// parseFormatFiles is the other way round.
+// parseFormatFiles parses what text returned.
 func parseFormatFiles(t *testing.T, text string) formatFiles {
 	t.Helper()
 	f, name := formatFiles{}, ""
@@ -76,7 +76,7 @@
 	return f
 }
 
-// digests names all files with their lengths and a checksum each.
+// digests returns a line for each file, with its name, its length in bytes and a digest of its content.
 func (f formatFiles) digests() string {
 	var b strings.Builder
 	for _, name := range f.names() {
@@ -90,7 +90,7 @@
 	return hex.EncodeToString(d[:8])
 }
 
-func filesOn(t *testing.T, fs wal.FS, dir string) formatFiles {
+func readFiles(t *testing.T, fs wal.FS, dir string) formatFiles {
 	t.Helper()
 	f := formatFiles{}
 	names, err := fs.List(dir)
@@ -105,7 +105,7 @@
 	return f
 }
 
-func diskOf(t *testing.T, f formatFiles) *faultfs.FS {
+func diskWith(t *testing.T, f formatFiles) *faultfs.FS {
 	t.Helper()
 	d := faultfs.New(1)
 	if err := d.MkdirAll(formatDir); err != nil {
--- a/internal/wal/masks_test.go
+++ b/internal/wal/masks_test.go
@@ -11,11 +11,13 @@
 	"example.org/milletvane/internal/wal"
 )
 
-// recordMask is what each byte of a record is masked by on the disk: records of it alone would be zeros there.
+// recordMask is the value that each byte of a record is XORed with on disk. A record that consists of this byte only would be
+// all zeros there.
 const recordMask = 0x5a
 
-// zeroishRecords would have sectors of zeros on the disk, or parts of them, if they were masked by recordMask alone.
-func zeroishRecords() map[string][]byte {
+// zeroSectorRecords returns records that would have zeros in a whole sector or a part of one on the disk if they were masked
+// with recordMask alone.
+func zeroSectorRecords() map[string][]byte {
 	masked := func(n int) []byte { return bytes.Repeat([]byte{recordMask}, n) }
 	records := map[string][]byte{
 		"one byte":                masked(1),
@@ -33,43 +35,43 @@
 	return records
 }
 
-// Guards against an acknowledged record that is dropped as a torn write since one byte of it was changed: with zeros beside it
-// on the disk, it could be taken for one that was never written whole. Each byte of the last frame is changed in turn, with
-// the frame at each offset around the end of a sector.
+// Guards against dropping an acknowledged record as a torn write because one of its bytes was changed. If the record has
+// sectors of zeros on the disk, it could be mistaken for one that was not written completely. The test changes bytes of the
+// last frame in turn, with the frame at each offset around the end of a sector.
 func TestChangedByteOfTheLastRecordIsCorruption(t *testing.T) {
-	for name, record := range zeroishRecords() {
+	for name, record := range zeroSectorRecords() {
 		t.Run(name, func(t *testing.T) {
 			for shift := range 64 {
-				files := write(t, small, appends(string(make([]byte, 420+shift)), string(record)))
-				text := files[files.newest()]
-				frame := len(text) - len(record) - 28
+				files := writeLog(t, smallOpts, appends(string(make([]byte, 420+shift)), string(record)))
+				segment := files[files.newest()]
+				frameStart := len(segment) - len(record) - 28
 				step := max(len(record)/40, 1)
-				for at := frame; at < len(text); at += 1 + (at-frame)/28*(step-1) {
-					expectCorruption(t, files, at, fmt.Sprintf("shift %d, byte %d of the frame", shift, at-frame))
+				for at := frameStart; at < len(segment); at += 1 + (at-frameStart)/28*(step-1) {
+					expectCorruption(t, files, at, fmt.Sprintf("shift %d, byte %d of the frame", shift, at-frameStart))
 				}
 			}
 		})
 	}
 }
 
-// expectCorruption changes a byte of the newest segment and opens the log.
+// expectCorruption changes a byte of the newest segment and checks that opening the log returns a CorruptionError.
 func expectCorruption(t *testing.T, files formatFiles, at int, what string) {
 	t.Helper()
 	changed := files.clone()
 	changed[changed.newest()][at] ^= 0x10
-	_, recovered, err := wal.Open(diskOf(t, changed), formatDir, small)
+	_, recovered, err := wal.Open(diskWith(t, changed), formatDir, smallOpts)
 	var corruption *wal.CorruptionError
 	if !errors.As(err, &corruption) {
-		t.Errorf("%s: opened with %v, %+v", what, err, recovered != nil)
+		t.Errorf("%s: got error %v, want a CorruptionError (recovered log returned: %+v)", what, err, recovered != nil)
 	}
 }
 
-// What was written is read, whatever sectors it has.
+// Checks that records are read back as written, even if they would have sectors of zeros without a mask of their frame.
 func TestZeroishRecordsAreReadAsWritten(t *testing.T) {
-	for name, record := range zeroishRecords() {
+	for name, record := range zeroSectorRecords() {
 		t.Run(name, func(t *testing.T) {
-			files := write(t, small, appends("first", string(record), "last"))
-			_, recovered, err := wal.Open(diskOf(t, files), formatDir, small)
+			files := writeLog(t, smallOpts, appends("first", string(record), "last"))
+			_, recovered, err := wal.Open(diskWith(t, files), formatDir, smallOpts)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -80,10 +82,11 @@
 	}
 }
 
-// A frame without a mask of its own, as builds before masks wrote it, is read whatever sectors it has.
+// Checks that frames with mask 0, as builds that did not know masks wrote them, are read even if they have sectors of zeros
+// on the disk.
 func TestFramesWithoutAMaskAreRead(t *testing.T) {
 	checksum := func(b []byte) uint32 { return crc32.Checksum(b, crc32.MakeTable(crc32.Castagnoli)) }
-	for name, record := range zeroishRecords() {
+	for name, record := range zeroSectorRecords() {
 		t.Run(name, func(t *testing.T) {
 			segment := binary.LittleEndian.AppendUint64([]byte("MVjrnl01"), 1)
 			segment = binary.LittleEndian.AppendUint32(segment, checksum(segment))
@@ -97,7 +100,7 @@
 				segment = append(segment, x^recordMask)
 			}
 			files := formatFiles{"journal-0000000000000001": segment}
-			_, recovered, err := wal.Open(diskOf(t, files), formatDir, small)
+			_, recovered, err := wal.Open(diskWith(t, files), formatDir, smallOpts)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/wal/process_test.go
+++ b/internal/wal/process_test.go
@@ -16,10 +16,10 @@
 	"example.org/milletvane/internal/wal"
 )
 
-// Environment of a child process.
+// Environment variables of a child process.
 const (
-	childDirEnv   = "MILLETVANE_TEST_STORE" // directory of its log
-	childLimitEnv = "MILLETVANE_TEST_LIMIT" // the most that it may write to one file, in bytes; empty: no limit
+	childDirEnv   = "MILLETVANE_TEST_STORE" // directory of the log
+	childLimitEnv = "MILLETVANE_TEST_LIMIT" // maximum size of a file in bytes; empty means no limit
 )
 
 func TestMain(m *testing.M) {
@@ -33,10 +33,10 @@
 	os.Exit(m.Run())
 }
 
-// runChild appends records until the process is killed, and prints each once it is acknowledged. Where the disk is full it
-// prints that, makes space with a snapshot, and continues.
+// runChild appends records until the process is killed, and prints the number of each acknowledged record. If there is no
+// space left, it prints that, frees space with a snapshot, and continues.
 func runChild(dir, limit string) error {
-	opts := small
+	opts := smallOpts
 	if limit != "" {
 		if err := limitFileSize(limit); err != nil {
 			return err
@@ -48,7 +48,7 @@
 		return err
 	}
 	for _, r := range recovered.Records {
-		if string(r.Data) != content(r.Number) {
+		if string(r.Data) != recordContent(r.Number) {
 			return fmt.Errorf("record %d differs", r.Number)
 		}
 	}
@@ -72,55 +72,55 @@
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGXFSZ) // so that a write fails instead
+	signal.Ignore(syscall.SIGXFSZ) // a write beyond the limit then fails with EFBIG
 	return syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: n, Max: n})
 }
 
-// child is the state of a child process.
+// child holds the state of a child process.
 type child struct {
-	mu   sync.Mutex // numbers follow the order of appends, as the content of a record depends on its number
-	log  *wal.FileLog
-	last uint64
-	full bool // the disk was full at the last append, and a snapshot was taken since
+	mu            sync.Mutex // serializes appends, because the content of a record depends on its number
+	log           *wal.FileLog
+	last          uint64
+	snapshotTaken bool // whether there was no space at the last append, and a snapshot was taken since
 }
 
 func (c *child) append() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, err := c.log.Append([]byte(content(c.last + 1)))
-	var full *wal.NoSpaceError
+	n, err := c.log.Append([]byte(recordContent(c.last + 1)))
+	var noSpace *wal.NoSpaceError
 	switch {
-	case errors.As(err, &full) && c.full:
-		return fmt.Errorf("a snapshot of record %d made no space", c.last)
-	case errors.As(err, &full):
-		c.full = true
+	case errors.As(err, &noSpace) && c.snapshotTaken:
+		return fmt.Errorf("no space after a snapshot up to record %d", c.last)
+	case errors.As(err, &noSpace):
+		c.snapshotTaken = true
 		fmt.Println("full", c.last)
 		return c.log.Snapshot(c.last, []byte("all"))
 	case err != nil:
 		return err
 	}
-	c.full = false
+	c.snapshotTaken = false
 	c.last++
 	fmt.Println("acked", n)
 	if n%50 == 0 {
 		err = c.log.Snapshot(n-5, []byte("most"))
-		if errors.As(err, &full) {
-			return nil // the next append makes space
+		if errors.As(err, &noSpace) {
+			return nil // the next append frees space
 		}
 	}
 	return err
 }
 
-// childRuns are runs of a child process, one after another on the same log.
+// childRuns runs child processes one after another on the same log.
 type childRuns struct {
-	t          *testing.T
-	name       int
-	dir, limit string
-	acked      uint64 // the last record that was acknowledged
-	fulls      int    // how often the disk was full
+	t            *testing.T
+	index        int
+	dir, limit   string
+	acknowledged uint64 // number of the last acknowledged record
+	noSpaceCount int    // number of appends that failed for lack of space
 }
 
-// run starts the process, and kills it once it acknowledged a number of records.
+// run starts the process, and kills it once it has acknowledged the given number of records.
 func (c *childRuns) run(records int) {
 	cmd := exec.Command(os.Args[0], "-test.run=XXX")
 	cmd.Env = append(os.Environ(), childDirEnv+"="+c.dir, childLimitEnv+"="+c.limit)
@@ -137,19 +137,19 @@
 	if err := cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		c.t.Error(err)
 	}
-	for lines.Scan() { // what it printed before it ended counts too
+	for lines.Scan() { // records that it printed before it was killed are acknowledged too
 		var n uint64
 		if count, _ := fmt.Sscanf(lines.Text(), "acked %d", &n); count == 1 {
-			c.acked = n
+			c.acknowledged = n
 		}
 	}
 	var killed *exec.ExitError
 	if err := cmd.Wait(); !errors.As(err, &killed) {
-		c.t.Errorf("process %d: %v", c.name, err)
+		c.t.Errorf("process %d: got error %v, want that of a killed process", c.index, err)
 	}
 }
 
-// read checks what the process prints, up to a number of records.
+// read checks the lines that the process prints, until it has acknowledged the given number of records.
 func (c *childRuns) read(lines *bufio.Scanner, records int) {
 	for seen := 0; seen < records && lines.Scan(); {
 		var event string
@@ -159,38 +159,38 @@
 		}
 		switch event {
 		case "recovered":
-			if n < c.acked {
-				c.t.Errorf("process %d recovered %d, acknowledged were %d", c.name, n, c.acked)
+			if n < c.acknowledged {
+				c.t.Errorf("process %d: last recovered record is %d, want at least %d", c.index, n, c.acknowledged)
 			}
 		case "acked":
-			if n != c.acked+1 && seen > 0 {
-				c.t.Errorf("process %d acknowledged %d after %d", c.name, n, c.acked)
+			if n != c.acknowledged+1 && seen > 0 {
+				c.t.Errorf("process %d: acknowledged record %d after record %d", c.index, n, c.acknowledged)
 			}
-			c.acked = n
+			c.acknowledged = n
 			seen++
 		case "full":
-			c.fulls++
+			c.noSpaceCount++
 		default:
-			c.t.Errorf("process %d: %s", c.name, lines.Text())
+			c.t.Errorf("process %d: unexpected line %q", c.index, lines.Text())
 		}
 	}
 }
 
-// Processes that are killed in the middle of writes recover everything that they acknowledged, with a limit on the size of
-// their files and without.
+// Guards against losing acknowledged records when a process is killed during a write. One of the processes has a limit on the
+// size of its files, so that it also runs out of space.
 func TestKilledProcessesRecoverAcknowledgedRecords(t *testing.T) {
 	var wg sync.WaitGroup
 	for p := range 4 {
 		wg.Go(func() {
-			c := &childRuns{t: t, name: p, dir: filepath.Join(t.TempDir(), "d")}
+			c := &childRuns{t: t, index: p, dir: filepath.Join(t.TempDir(), "d")}
 			if p == 3 {
 				c.limit = "6000"
 			}
 			for round := range 6 {
 				c.run(30 + 7*p + 11*round)
 			}
-			if c.acked < 150 || p == 3 && c.fulls == 0 {
-				t.Errorf("process %d acknowledged %d records and was full %d times", p, c.acked, c.fulls)
+			if c.acknowledged < 150 || p == 3 && c.noSpaceCount == 0 {
+				t.Errorf("process %d: last acknowledged record is %d, and there was no space %d times", p, c.acknowledged, c.noSpaceCount)
 			}
 		})
 	}
