--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -8,19 +8,19 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate receives memberlist's notifications, from memberlist's goroutines. A member's metadata is its incarnation, 8
-// bytes big-endian.
-type delegate struct{ g *Gossip }
+// delegate receives the notifications of memberlist, in goroutines of memberlist. The metadata of a member is its
+// incarnation, 8 bytes big-endian.
+type delegate struct{ gossip *Gossip }
 
 // NodeMeta implements memberlist.Delegate.
 func (d delegate) NodeMeta(int) []byte {
-	return binary.BigEndian.AppendUint64(nil, d.g.Incarnation())
+	return binary.BigEndian.AppendUint64(nil, d.gossip.Incarnation())
 }
 
 // NotifyMsg implements memberlist.Delegate.
 func (d delegate) NotifyMsg(packet []byte) {
-	if to, reply := d.g.HandlePacket(bytes.Clone(packet)); reply != nil {
-		d.g.enqueue(to, reply)
+	if to, reply := d.gossip.HandlePacket(bytes.Clone(packet)); reply != nil {
+		d.gossip.enqueue(to, reply)
 	}
 }
 
@@ -43,16 +43,16 @@
 func (d delegate) NotifyLeave(n *memberlist.Node) { d.setMember(n, Dead) }
 
 func (d delegate) setMember(n *memberlist.Node, state State) {
-	if n.Name == d.g.Options().Name {
+	if n.Name == d.gossip.Options().Name {
 		return
 	}
 	m := gossipMember{Member{Name: n.Name, State: state}, *n}
 	m.node.Addr, m.node.Meta = slices.Clone(n.Addr), nil
 	if len(n.Meta) == incarnationSize {
 		m.Incarnation = binary.BigEndian.Uint64(n.Meta)
-		d.g.ObserveIncarnation(n.Name, m.Incarnation)
+		d.gossip.ObserveIncarnation(n.Name, m.Incarnation)
 	}
-	d.g.mu.Lock()
-	defer d.g.mu.Unlock()
-	d.g.members[n.Name] = m
+	d.gossip.mu.Lock()
+	defer d.gossip.mu.Unlock()
+	d.gossip.members[n.Name] = m
 }
--- a/internal/membership/endpoint.go
+++ b/internal/membership/endpoint.go
@@ -2,35 +2,35 @@
 
 import "sync"
 
-// Endpoint is the part that all transports share: it tracks the incarnations of peers, decides which packets are accepted,
-// and counts. It does no I/O and reads no clock.
+// Endpoint is the part that all transports share. It tracks the incarnations of peers, decides which packets are accepted,
+// and counts them. It does no I/O and reads no clock. Its methods may be called from any goroutine.
 type Endpoint struct {
 	opts Options
 
-	mu           sync.Mutex
-	own          uint64            // this instance's incarnation
-	incarnations map[string]uint64 // the latest seen of each peer
-	counts       map[string]*Counts
+	mu               sync.Mutex
+	ownIncarnation   uint64            // incarnation of this instance
+	peerIncarnations map[string]uint64 // latest incarnation seen of each peer
+	counts           map[string]*Counts
 }
 
-// NewEndpoint returns an Endpoint.
+// NewEndpoint returns an Endpoint with the given options.
 func NewEndpoint(opts Options) *Endpoint {
 	return &Endpoint{
-		opts:         opts.withDefaults(),
-		own:          opts.Incarnation,
-		incarnations: map[string]uint64{},
-		counts:       map[string]*Counts{},
+		opts:             opts.withDefaults(),
+		ownIncarnation:   opts.Incarnation,
+		peerIncarnations: map[string]uint64{},
+		counts:           map[string]*Counts{},
 	}
 }
 
-// Options returns the options that the endpoint was created with, and defaults for what they leave out.
+// Options returns the options that the endpoint was created with, with defaults for limits that were not set.
 func (e *Endpoint) Options() Options { return e.opts }
 
-// Incarnation is this instance's incarnation.
+// Incarnation returns the current incarnation of this instance.
 func (e *Endpoint) Incarnation() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.own
+	return e.ownIncarnation
 }
 
 // Counts implements Transport.
@@ -44,7 +44,7 @@
 	return all
 }
 
-// countsOf returns the counts of a peer, to be changed. e.mu is held.
+// countsOf returns the counts of a peer for the caller to change. It creates them if they are missing. The caller holds e.mu.
 func (e *Endpoint) countsOf(peer string) *Counts {
 	c := e.counts[peer]
 	if c == nil {
@@ -68,22 +68,23 @@
 	e.countsOf(to).Dropped++
 }
 
-// ObserveIncarnation records a peer's incarnation, from a message or from its metadata, and reports whether it is the latest.
+// ObserveIncarnation records the incarnation of a peer that a message or the peer's metadata contains. It reports whether no
+// later incarnation of the peer is known.
 func (e *Endpoint) ObserveIncarnation(peer string, incarnation uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if incarnation < e.incarnations[peer] {
+	if incarnation < e.peerIncarnations[peer] {
 		return false
 	}
-	e.incarnations[peer] = incarnation
+	e.peerIncarnations[peer] = incarnation
 	return true
 }
 
-// PeerIncarnation is the latest incarnation seen of a peer; 0: none was.
+// PeerIncarnation returns the latest incarnation seen of a peer. Zero means none was seen.
 func (e *Endpoint) PeerIncarnation(peer string) uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.incarnations[peer]
+	return e.peerIncarnations[peer]
 }
 
 // EncodeMessage returns the packet that carries a message.
@@ -91,8 +92,8 @@
 	return packet{kind: kindMessage, from: e.opts.Name, incarnation: e.Incarnation(), payload: payload}.encode()
 }
 
-// HandlePacket decodes a packet from the network and passes a message on to Options.OnMessage. Where the packet has to be
-// answered, reply is the packet to send to the peer named; otherwise it is nil.
+// HandlePacket decodes a packet from the network and passes an accepted message to Options.OnMessage. If the packet requires
+// a reply, HandlePacket returns the reply and the name of the peer to send it to; otherwise reply is nil.
 func (e *Endpoint) HandlePacket(b []byte) (to string, reply []byte) {
 	p, ok := decodePacket(b)
 	if !ok || p.from == e.opts.Name {
@@ -117,26 +118,27 @@
 	return "", nil
 }
 
-// rejectStale counts a message of an earlier incarnation and returns the answer, which names the latest one: the peer may
-// not know of it. A peer that does sent the message long ago, and ignores the answer.
+// rejectStale counts a message from an earlier incarnation of a peer. It returns a reply with the latest known incarnation, of
+// which the peer may not know. If the peer already has that incarnation, the message was an old one, and the peer ignores
+// the reply.
 func (e *Endpoint) rejectStale(peer string) (reply []byte) {
 	e.mu.Lock()
 	e.countsOf(peer).Stale++
-	latest := e.incarnations[peer]
+	latest := e.peerIncarnations[peer]
 	e.mu.Unlock()
 	return packet{kind: kindKnownIncarnation, from: e.opts.Name, incarnation: latest}.encode()
 }
 
-// adoptKnownIncarnation moves this instance beyond an incarnation of it that a peer knows.
+// adoptKnownIncarnation raises the incarnation of this instance above one that a peer knows.
 func (e *Endpoint) adoptKnownIncarnation(known uint64) {
 	if known <= e.Incarnation() || e.opts.BumpIncarnation == nil {
 		return
 	}
 	bumped, err := e.opts.BumpIncarnation(known)
 	if err != nil || bumped <= known {
-		return // its messages stay stale, and the next one is answered again
+		return // messages stay stale, and the peer's reply to the next one leads here again
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.own = max(e.own, bumped)
+	e.ownIncarnation = max(e.ownIncarnation, bumped)
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -15,25 +15,25 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// NetworkTransport is the network under a Gossip; tests wrap it with links that fail.
+// NetworkTransport is the network that a Gossip uses. Tests wrap it to inject link failures.
 type NetworkTransport = memberlist.NodeAwareTransport
 
-// GossipOptions configure a Gossip.
+// GossipOptions configures a Gossip.
 type GossipOptions struct {
 	Options
-	Bind          string                                  // host:port to listen on, for UDP and TCP
-	Join          []string                                // addresses of members, this one's among them or not
-	Key           []byte                                  // 16, 24 or 32 bytes that all members share; nil: messages are not signed
-	ProbeInterval time.Duration                           // between health checks of members; 0: a second
-	WrapTransport func(NetworkTransport) NetworkTransport // nil: the network is used as it is
-	Logger        *slog.Logger                            // nil: slog.Default
+	Bind          string                                  // host:port to listen on with UDP and TCP
+	Join          []string                                // addresses of members; may include the address of this instance
+	Key           []byte                                  // AES key of 16, 24 or 32 bytes, shared by all members; nil means no encryption
+	ProbeInterval time.Duration                           // time between health checks of members; defaults to 1 s
+	WrapTransport func(NetworkTransport) NetworkTransport // wraps the network; nil means no wrapping
+	Logger        *slog.Logger                            // defaults to slog.Default()
 }
 
 const (
 	defaultProbeInterval = time.Second
 
-	// Timing in parts or multiples of the probe interval.
-	probesPerSync       = 10 // between full exchanges of state
+	// Times as fractions or multiples of the probe interval.
+	probesPerPushPull   = 10 // probe intervals between full exchanges of state with another member
 	probesPerTCPTimeout = 2
 	gossipsPerProbe     = 5
 	timeoutsPerProbe    = 2
@@ -49,29 +49,29 @@
 	return o
 }
 
-// Gossip is the Transport over sockets. memberlist reports who is alive.
+// Gossip is the Transport over sockets. It learns from memberlist which members are alive.
 type Gossip struct {
 	*Endpoint
-	list   *memberlist.Memberlist
-	addr   string
-	ctx    context.Context // done when Close is called
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	ready  chan struct{} // closed once list is set: memberlist reports members before
-
-	mu      sync.Mutex
-	closed  bool
-	links   map[string]chan []byte // packets that wait, by peer
-	members map[string]gossipMember
+	list      *memberlist.Memberlist
+	addr      string
+	ctx       context.Context // cancelled by Close
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	listReady chan struct{} // closed once list is set; memberlist reports members before that
+
+	mu         sync.Mutex
+	closed     bool
+	sendQueues map[string]chan []byte // packets that wait to be sent, by peer
+	members    map[string]gossipMember
 }
 
-// gossipMember is a member with its address. node is a copy, as memberlist changes its own at any time.
+// gossipMember is a member with its address. node is a copy, because memberlist may change its own node at any time.
 type gossipMember struct {
 	Member
 	node memberlist.Node
 }
 
-// BindError says that an instance could not listen for its peers.
+// BindError reports that an instance could not listen for its peers.
 type BindError struct {
 	Addr string
 	Err  error
@@ -88,10 +88,10 @@
 
 // Remedy implements operr.Error.
 func (e *BindError) Remedy() string {
-	return "check which program uses the address, and that the key has 16, 24 or 32 bytes"
+	return "check whether another program uses the address, and that the key has 16, 24 or 32 bytes"
 }
 
-// Listen starts a Gossip. It keeps calling members that can't be reached until Close. Errors are BindErrors.
+// Listen starts a Gossip, which keeps trying to join unreachable members until Close. If Listen fails, it returns a BindError.
 func Listen(o GossipOptions) (*Gossip, error) {
 	o = o.withDefaults()
 	host, portText, err := net.SplitHostPort(o.Bind)
@@ -99,32 +99,34 @@
 	if err != nil || portErr != nil {
 		return nil, &BindError{o.Bind, &net.AddrError{Err: "not host:port", Addr: o.Bind}}
 	}
-	quiet := log.New(io.Discard, "", 0)
-	network, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: int(port), Logger: quiet})
+	discardLogger := log.New(io.Discard, "", 0)
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{host}, BindPort: int(port), Logger: discardLogger,
+	})
 	if err != nil {
 		return nil, &BindError{o.Bind, err}
 	}
 	g := &Gossip{
-		Endpoint: NewEndpoint(o.Options),
-		addr:     net.JoinHostPort(host, strconv.Itoa(network.GetAutoBindPort())),
-		ready:    make(chan struct{}),
-		links:    map[string]chan []byte{},
-		members:  map[string]gossipMember{},
+		Endpoint:   NewEndpoint(o.Options),
+		addr:       net.JoinHostPort(host, strconv.Itoa(netTransport.GetAutoBindPort())),
+		listReady:  make(chan struct{}),
+		sendQueues: map[string]chan []byte{},
+		members:    map[string]gossipMember{},
 	}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	config := g.memberlistConfig(o, host, network.GetAutoBindPort(), quiet)
-	config.Transport = network
+	config := g.memberlistConfig(o, host, netTransport.GetAutoBindPort(), discardLogger)
+	config.Transport = netTransport
 	if o.WrapTransport != nil {
-		config.Transport = o.WrapTransport(network)
+		config.Transport = o.WrapTransport(netTransport)
 	}
 	if g.list, err = memberlist.Create(config); err != nil {
 		g.cancel()
-		_ = network.Shutdown() // the first error is the one to report
+		_ = netTransport.Shutdown() // err is the error to report
 		g.wg.Wait()
 		return nil, &BindError{o.Bind, err}
 	}
-	close(g.ready)
-	g.wg.Go(func() { g.joinMembers(o) })
+	close(g.listReady)
+	g.wg.Go(func() { g.joinUnreachableMembers(o) })
 	return g, nil
 }
 
@@ -136,13 +138,13 @@
 	c.ProbeInterval = o.ProbeInterval
 	c.ProbeTimeout = o.ProbeInterval / timeoutsPerProbe
 	c.GossipInterval = o.ProbeInterval / gossipsPerProbe
-	c.PushPullInterval = probesPerSync * o.ProbeInterval
+	c.PushPullInterval = probesPerPushPull * o.ProbeInterval
 	c.TCPTimeout = probesPerTCPTimeout * o.ProbeInterval
-	c.DeadNodeReclaimTime = o.ProbeInterval // a dead member may come back at another address
+	c.DeadNodeReclaimTime = o.ProbeInterval // time after which a dead member may return at another address
 	return c
 }
 
-// Addr is the address that peers use.
+// Addr returns the address, as host:port, at which peers reach this instance.
 func (g *Gossip) Addr() string { return g.addr }
 
 // Members implements Transport.
@@ -158,7 +160,7 @@
 	return list
 }
 
-// Close implements Transport. It waits for all goroutines of the Gossip.
+// Close implements Transport. It waits until all goroutines of the Gossip have ended.
 func (g *Gossip) Close() error {
 	g.mu.Lock()
 	closed := g.closed
--- a/internal/membership/incarnation.go
+++ b/internal/membership/incarnation.go
@@ -12,24 +12,25 @@
 	"example.org/milletvane/internal/wal"
 )
 
-// The incarnation file is a number of 8 bytes and its checksum (CRC-32, IEEE) of 4, both big-endian.
+// The incarnation file holds the incarnation in 8 bytes and its CRC-32 checksum (IEEE) in 4 bytes, both big-endian.
 const (
 	incarnationFile     = "incarnation"
 	incarnationFileSize = incarnationSize + 4
 )
 
-// Incarnations numbers the starts of an instance. A number is durable before it is used, so that no two starts share one.
-// It is the time in milliseconds where that is later, so that an instance with an empty disk and the name of an earlier one
-// starts above that one's numbers. Its methods may be called from any goroutine.
+// Incarnations numbers the starts of an instance. A number is durable before it is used, so that no two starts have the same
+// number. A new number is at least the time in milliseconds. Therefore an instance with an empty disk that reuses the name of
+// an earlier instance gets a number above the earlier ones. The methods may be called from any goroutine.
 type Incarnations struct {
 	fs   wal.FS
-	file string // path
+	file string // path of the incarnation file
 
 	mu   sync.Mutex
-	last uint64
+	last uint64 // last number; zero means there is none
 }
 
-// IncarnationError says that an incarnation could not be read or written: the instance must not speak under its name.
+// IncarnationError reports that an incarnation could not be read or written. The instance must not send messages under its
+// name.
 type IncarnationError struct {
 	File string
 	Err  error
@@ -39,18 +40,21 @@
 func (e *IncarnationError) Unwrap() error { return e.Err }
 
 // Problem implements operr.Error.
-func (e *IncarnationError) Problem() string { return "no incarnation could be written to " + e.File }
+func (e *IncarnationError) Problem() string {
+	return "cannot read or write the incarnation file " + e.File
+}
 
 // Retryable implements operr.Error.
 func (e *IncarnationError) Retryable() bool { return wal.IsNoSpace(e.Err) }
 
 // Remedy implements operr.Error.
 func (e *IncarnationError) Remedy() string {
-	return "see that the directory can be written, then start again"
+	return "make sure that the directory is writable, then restart"
 }
 
-// OpenIncarnations reads the last incarnation from a directory, which is created where it is missing. A corrupt file counts
-// as none: peers know the incarnation then. Other errors are IncarnationErrors.
+// OpenIncarnations reads the last incarnation from the file in a directory. It creates the directory if it does not exist. A
+// corrupt file is treated as a missing one, since the peers know the last incarnation. Any other failure is returned as an
+// IncarnationError.
 func OpenIncarnations(disk wal.FS, dir string) (*Incarnations, error) {
 	i := &Incarnations{fs: disk, file: filepath.Join(dir, incarnationFile)}
 	if err := disk.MkdirAll(dir); err != nil {
@@ -66,8 +70,8 @@
 	return i, nil
 }
 
-// Next starts an incarnation: its number is above the last one, above a given one, and at least now in milliseconds. It is
-// durable when Next returns.
+// Next returns the number of a new incarnation. It is higher than the last number and than above, and at least now in
+// milliseconds. The number is durable when Next returns. If it could not be stored, Next returns an IncarnationError.
 func (i *Incarnations) Next(above uint64, now time.Duration) (uint64, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// Members that start together do not reach each other at first, and should meet within a second or two: the delay between
-// attempts to join grows from the probe interval divided by initialJoinDivisor to maxJoinProbes probe intervals.
+// Members that start at the same time can't reach each other at first, but should join within a second or two. Therefore the
+// delay between attempts to join grows from the probe interval divided by initialJoinDelayDivisor to maxJoinDelayProbes probe
+// intervals.
 const (
-	initialJoinDivisor = 8
-	maxJoinProbes      = 3
+	initialJoinDelayDivisor = 8
+	maxJoinDelayProbes      = 3
 )
 
-// joinMembers keeps calling the members that are not alive, until Close: a long partition heals in no other way.
-func (g *Gossip) joinMembers(o GossipOptions) {
-	delay, maxDelay := o.ProbeInterval/initialJoinDivisor, maxJoinProbes*o.ProbeInterval
+// joinUnreachableMembers keeps trying to join the members that are unknown or dead, until Close. Nothing else reconnects
+// members after a long network partition.
+func (g *Gossip) joinUnreachableMembers(o GossipOptions) {
+	delay, maxDelay := o.ProbeInterval/initialJoinDelayDivisor, maxJoinDelayProbes*o.ProbeInterval
 	for ; ; delay = min(2*delay, maxDelay) {
-		connected := g.connectedAddrs()
+		skipped := g.addrsNotToJoin()
 		for _, addr := range o.Join {
-			if connected[addr] || g.ctx.Err() != nil {
+			if skipped[addr] || g.ctx.Err() != nil {
 				continue
 			}
 			if _, err := g.list.Join([]string{addr}); err != nil {
@@ -30,8 +32,8 @@
 	}
 }
 
-// connectedAddrs has the addresses of members that need not be called, this one's own among them.
-func (g *Gossip) connectedAddrs() map[string]bool {
+// addrsNotToJoin returns a map that is true for the address of this instance and of each member that is not dead.
+func (g *Gossip) addrsNotToJoin() map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	addrs := map[string]bool{g.addr: true}
--- a/internal/membership/link.go
+++ b/internal/membership/link.go
@@ -11,7 +11,7 @@
 	g.enqueue(to, g.EncodeMessage(payload))
 }
 
-// enqueue queues a packet for a peer, and drops it where the queue is full.
+// enqueue queues a packet for a peer. It drops the packet if the queue is full, the peer is unknown or g is closed.
 func (g *Gossip) enqueue(to string, packet []byte) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -20,40 +20,41 @@
 		g.CountDropped(to)
 		return
 	}
-	link := g.links[to]
-	if link == nil {
-		link = make(chan []byte, g.Options().MaxQueuedMessages)
-		g.links[to] = link
-		g.wg.Go(func() { g.sendPackets(to, link) })
+	queue := g.sendQueues[to]
+	if queue == nil {
+		queue = make(chan []byte, g.Options().MaxQueuedMessages)
+		g.sendQueues[to] = queue
+		g.wg.Go(func() { g.sendPackets(to, queue) })
 	}
 	select {
-	case link <- packet:
+	case queue <- packet:
 	default:
 		g.CountDropped(to)
 	}
 }
 
-// sendPackets sends the packets of one link, at its rate, until Close. A link that stalls delays no other.
-func (g *Gossip) sendPackets(to string, link <-chan []byte) {
+// sendPackets sends the queued packets for one peer, at the rate of the link, until Close. Each peer has its own goroutine,
+// so that a stalled link does not delay another.
+func (g *Gossip) sendPackets(to string, queue <-chan []byte) {
 	select {
-	case <-g.ready:
+	case <-g.listReady:
 	case <-g.ctx.Done():
 		return
 	}
-	next := time.NewTimer(0)
-	defer next.Stop()
+	nextSend := time.NewTimer(0)
+	defer nextSend.Stop()
 	for {
 		select {
 		case <-g.ctx.Done():
 			return
-		case <-next.C:
+		case <-nextSend.C:
 		}
 		select {
 		case <-g.ctx.Done():
 			return
-		case packet := <-link:
+		case packet := <-queue:
 			g.sendPacket(to, packet)
-			next.Reset(g.Options().SendDuration(len(packet)))
+			nextSend.Reset(g.Options().SendDuration(len(packet)))
 		}
 	}
 }
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// MaxBodyBytes is the length of the longest message, so that it fits a datagram with everything around it.
+// MaxBodyBytes is the maximum length of a message's payload in bytes. A packet with such a payload, with all headers, fits in
+// one datagram.
 const MaxBodyBytes = 1100
 
 const (
@@ -10,19 +11,19 @@
 	defaultMaxQueuedMessages = 64
 )
 
-// Options configure a transport.
+// Options configures a transport.
 type Options struct {
 	Name        string
 	Incarnation uint64
-	// OnMessage is called for each message, one at a time, and must not wait. It owns the message.
+	// OnMessage is called for each accepted message, one at a time, and must not block. It may keep and change the message.
 	OnMessage func(Message)
-	// BumpIncarnation is called when a peer knows a later incarnation of this instance than its own: the disk under its
-	// name is older than what others saw. It returns the incarnation to continue with, which is durable by then. With nil
-	// the instance keeps its own.
+	// BumpIncarnation is called when a peer knows a later incarnation of this instance than the current one, that is, when
+	// the disk holds an older incarnation than the peers have seen. It returns the new incarnation, which must be higher than
+	// above and already durable. If it is nil, the instance keeps its incarnation.
 	BumpIncarnation func(above uint64) (uint64, error)
-	// BytesPerSecond limits what is sent to one peer; 0: 64 KiB.
+	// BytesPerSecond limits the rate at which packets are sent to one peer. Defaults to 64 KiB per second.
 	BytesPerSecond int
-	// MaxQueuedMessages limits the messages that wait for one peer; 0: 64.
+	// MaxQueuedMessages limits the number of messages that wait to be sent to one peer. Defaults to 64.
 	MaxQueuedMessages int
 }
 
@@ -36,7 +37,7 @@
 	return o
 }
 
-// SendDuration is the time that a packet takes at a link's rate.
+// SendDuration returns how long sending a packet takes at the rate BytesPerSecond.
 func (o Options) SendDuration(bytes int) time.Duration {
 	return time.Duration(float64(bytes) / float64(o.BytesPerSecond) * float64(time.Second))
 }
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -5,22 +5,22 @@
 	"encoding/binary"
 )
 
-// A packet is, in this order, with numbers big-endian:
+// A packet has these fields in this order. Sizes are in bytes, and numbers are big-endian:
 //
 //	version 1 | kind 1 | length of the sender's name 1 | name | incarnation 8 | payload, to the packet's end
 const (
 	packetVersion    = 1
-	packetHeaderSize = 3 // up to the name
+	packetHeaderSize = 3 // size of the fields before the name
 	incarnationSize  = 8
 	maxNameBytes     = 128
 )
 
-// packetKind says what a packet is for.
+// packetKind is the type of a packet.
 type packetKind byte
 
 const (
 	kindMessage          packetKind = 1
-	kindKnownIncarnation packetKind = 2 // the incarnation is the receiver's, as the sender knows it
+	kindKnownIncarnation packetKind = 2 // its incarnation is the latest one of the receiver that the sender knows
 )
 
 type packet struct {
@@ -38,7 +38,8 @@
 	return append(b, p.payload...)
 }
 
-// decodePacket decodes what a peer sent, which may be anything. The packet shares no memory with b.
+// decodePacket decodes a packet from the network, which may hold arbitrary bytes. ok reports whether the packet is valid. The
+// result shares no memory with b.
 func decodePacket(b []byte) (p packet, ok bool) {
 	if len(b) < packetHeaderSize || b[0] != packetVersion {
 		return p, false
--- a/internal/membership/simnet/network.go
+++ b/internal/membership/simnet/network.go
@@ -1,7 +1,8 @@
-// Package simnet is a network in memory whose time a test advances: links delay, lose, duplicate and reorder packets as a
-// seed decides, and are cut in one direction or both. The same seed and the same calls give the same run.
+// Package simnet implements an in-memory network in simulated time, which tests advance. Links delay, lose, duplicate and
+// reorder packets at random, and can be cut in one direction or both. The same seed and the same sequence of calls result in
+// the same run.
 //
-// A Network and its Nodes are for one goroutine.
+// A Network and its Nodes must be used from one goroutine.
 package simnet
 
 import (
@@ -13,7 +14,7 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// Faults are those of every link. Rates are between 0 and 1.
+// Faults configures the faults of every link. The rates are fractions of packets, between 0 and 1.
 type Faults struct {
 	MinDelay, MaxDelay      time.Duration
 	LossRate, DuplicateRate float64
@@ -25,66 +26,66 @@
 	defaultDeadAfter    = 3 * time.Second
 )
 
-// Network connects instances.
+// Network is a simulated network that connects instances.
 type Network struct {
-	Now    time.Duration
+	Now    time.Duration // simulated time since the network was created
 	Faults Faults
-	// SuspectAfter and DeadAfter are how long nothing has arrived from a member when its state changes.
+	// SuspectAfter and DeadAfter are the times without a packet from a member after which its state becomes Suspect and Dead.
 	SuspectAfter, DeadAfter time.Duration
 
-	rnd      *rand.Rand
-	nodes    map[string]*Node
-	cut      map[link]bool
-	queue    []packet // by time of arrival
-	sequence int      // of the last packet
+	rng          *rand.Rand
+	nodes        map[string]*Node
+	cutLinks     map[link]bool
+	queue        []packet // packets in flight, in order of arrival
+	lastSequence int      // sequence number of the last packet
 }
 
-// link is a direction between two instances.
+// link is one direction of the connection between two instances.
 type link struct{ from, to string }
 
 type packet struct {
 	arrival  time.Duration
-	sequence int // orders packets that arrive at one time
+	sequence int // orders packets that arrive at the same time
 	link     link
-	content  []byte // nil: a heartbeat
+	content  []byte // nil means a heartbeat
 }
 
 func (p packet) compare(other packet) int {
 	return cmp.Or(cmp.Compare(p.arrival, other.arrival), cmp.Compare(p.sequence, other.sequence))
 }
 
-// New returns a network without instances.
+// New returns a network without instances. The seed decides the delays and which packets are lost or duplicated.
 func New(seed uint64, f Faults) *Network {
 	return &Network{
 		Faults:       f,
 		SuspectAfter: defaultSuspectAfter,
 		DeadAfter:    defaultDeadAfter,
-		rnd:          rand.New(rand.NewPCG(seed, 5)),
+		rng:          rand.New(rand.NewPCG(seed, 5)),
 		nodes:        map[string]*Node{},
-		cut:          map[link]bool{},
+		cutLinks:     map[link]bool{},
 	}
 }
 
-// Listen starts an instance. An instance of the same name that runs is closed.
+// Listen starts an instance. If an instance of the same name is running, Listen closes it.
 func (n *Network) Listen(o membership.Options) *Node {
 	if old := n.nodes[o.Name]; old != nil {
 		old.closed = true
 	}
 	node := &Node{
 		Endpoint:      membership.NewEndpoint(o),
-		net:           n,
+		network:       n,
 		lastSeen:      map[string]time.Duration{},
-		linkFree:      map[string]time.Duration{},
+		linkIdleAt:    map[string]time.Duration{},
 		nextHeartbeat: n.Now,
 	}
 	n.nodes[o.Name] = node
 	return node
 }
 
-// Cut cuts the link from one instance to another, or restores it.
-func (n *Network) Cut(from, to string, cut bool) { n.cut[link{from, to}] = cut }
+// Cut cuts the link from one instance to another if cut is true, and restores it otherwise.
+func (n *Network) Cut(from, to string, cut bool) { n.cutLinks[link{from, to}] = cut }
 
-// Advance advances time, and delivers what arrives until then.
+// Advance advances the time by d, and delivers the packets that arrive before the new time.
 func (n *Network) Advance(d time.Duration) {
 	end := n.Now + d
 	for {
@@ -98,9 +99,9 @@
 	}
 }
 
-// nextEvent is the time of the next arrival or heartbeat; none: the time given.
-func (n *Network) nextEvent(none time.Duration) time.Duration {
-	next := none
+// nextEvent returns the time of the next arrival or heartbeat, but at most fallback.
+func (n *Network) nextEvent(fallback time.Duration) time.Duration {
+	next := fallback
 	for _, node := range n.nodes {
 		if !node.closed {
 			next = min(next, node.nextHeartbeat)
@@ -112,7 +113,7 @@
 	return next
 }
 
-// deliver passes on the packets that have arrived.
+// deliver passes the packets that have arrived to their instances, and sends the replies.
 func (n *Network) deliver() {
 	for len(n.queue) > 0 && n.queue[0].arrival <= n.Now {
 		p := n.queue[0]
@@ -131,7 +132,7 @@
 	}
 }
 
-// sendHeartbeats sends those that are due, to all other instances.
+// sendHeartbeats sends the heartbeats that are due, from each instance to all others.
 func (n *Network) sendHeartbeats() {
 	names := n.names()
 	for _, name := range names {
@@ -156,20 +157,20 @@
 	return names
 }
 
-// transmit puts a packet on a link, with the link's faults.
+// transmit sends a packet over a link, subject to the faults of the network.
 func (n *Network) transmit(l link, content []byte) {
-	if n.cut[l] {
+	if n.cutLinks[l] {
 		return
 	}
 	copies := 1
-	if n.rnd.Float64() < n.Faults.LossRate {
+	if n.rng.Float64() < n.Faults.LossRate {
 		copies = 0
-	} else if n.rnd.Float64() < n.Faults.DuplicateRate {
+	} else if n.rng.Float64() < n.Faults.DuplicateRate {
 		copies = 2
 	}
 	for range copies {
-		n.sequence++
-		p := packet{n.Now + n.drawDelay(), n.sequence, l, content}
+		n.lastSequence++
+		p := packet{n.Now + n.drawDelay(), n.lastSequence, l, content}
 		i, _ := slices.BinarySearchFunc(n.queue, p, packet.compare)
 		n.queue = slices.Insert(n.queue, i, p)
 	}
@@ -178,7 +179,7 @@
 func (n *Network) drawDelay() time.Duration {
 	delay := n.Faults.MinDelay
 	if spread := n.Faults.MaxDelay - n.Faults.MinDelay; spread > 0 {
-		delay += time.Duration(n.rnd.Int64N(int64(spread)))
+		delay += time.Duration(n.rng.Int64N(int64(spread)))
 	}
 	return delay
 }
--- a/internal/membership/simnet/node.go
+++ b/internal/membership/simnet/node.go
@@ -6,55 +6,58 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// Node is one instance's Transport.
+// Node is the Transport of one instance.
 type Node struct {
 	*membership.Endpoint
-	net           *Network
+	network       *Network
 	closed        bool
-	lastSeen      map[string]time.Duration // by peer
-	linkFree      map[string]time.Duration // when a link to a peer has sent everything that was queued
+	lastSeen      map[string]time.Duration // time of the last packet, by peer
+	linkIdleAt    map[string]time.Duration // time at which the link to a peer has sent all queued packets
 	nextHeartbeat time.Duration
 }
 
 // Send implements membership.Transport.
-func (d *Node) Send(to string, payload []byte) {
-	if d.closed || len(payload) > membership.MaxBodyBytes || d.net.nodes[to] == nil {
-		d.CountDropped(to)
+func (node *Node) Send(to string, payload []byte) {
+	if node.closed || len(payload) > membership.MaxBodyBytes || node.network.nodes[to] == nil {
+		node.CountDropped(to)
 		return
 	}
-	d.transmit(to, d.EncodeMessage(payload))
+	node.transmit(to, node.EncodeMessage(payload))
 }
 
-// transmit keeps to the link's bounds: a packet that would wait for longer than a full queue takes is dropped.
-func (d *Node) transmit(to string, packet []byte) {
-	o := d.Options()
+// transmit sends a packet within the limits of the link. It drops a packet whose waiting time would be longer than the
+// sending of a full queue of packets of its size.
+func (node *Node) transmit(to string, packet []byte) {
+	o := node.Options()
 	duration := o.SendDuration(len(packet))
-	d.linkFree[to] = max(d.linkFree[to], d.net.Now)
-	if wait := d.linkFree[to] - d.net.Now; wait > time.Duration(o.MaxQueuedMessages)*duration {
-		d.CountDropped(to)
+	node.linkIdleAt[to] = max(node.linkIdleAt[to], node.network.Now)
+	if wait := node.linkIdleAt[to] - node.network.Now; wait > time.Duration(o.MaxQueuedMessages)*duration {
+		node.CountDropped(to)
 		return
 	}
-	d.linkFree[to] += duration
-	d.CountSent(to)
-	d.net.transmit(link{o.Name, to}, packet)
+	node.linkIdleAt[to] += duration
+	node.CountSent(to)
+	node.network.transmit(link{o.Name, to}, packet)
 }
 
 // Members implements membership.Transport.
-func (d *Node) Members() (list []membership.Member) {
-	for _, name := range d.net.names() {
-		if name == d.Options().Name {
-			list = append(list, membership.Member{Name: name, Incarnation: d.Incarnation()})
+func (node *Node) Members() (list []membership.Member) {
+	for _, name := range node.network.names() {
+		if name == node.Options().Name {
+			list = append(list, membership.Member{Name: name, Incarnation: node.Incarnation()})
 			continue
 		}
-		if lastSeen, known := d.lastSeen[name]; known {
-			list = append(list, membership.Member{Name: name, Incarnation: d.PeerIncarnation(name), State: d.net.stateAfter(lastSeen)})
+		if lastSeen, known := node.lastSeen[name]; known {
+			list = append(list, membership.Member{
+				Name: name, Incarnation: node.PeerIncarnation(name), State: node.network.stateOf(lastSeen),
+			})
 		}
 	}
 	return list
 }
 
-// stateAfter is a member's state by when something arrived from it last.
-func (n *Network) stateAfter(lastSeen time.Duration) membership.State {
+// stateOf returns the state of a member from which the last packet arrived at lastSeen.
+func (n *Network) stateOf(lastSeen time.Duration) membership.State {
 	switch silence := n.Now - lastSeen; {
 	case silence > n.DeadAfter:
 		return membership.Dead
@@ -65,7 +68,7 @@
 }
 
 // Close implements membership.Transport.
-func (d *Node) Close() error {
-	d.closed = true
+func (node *Node) Close() error {
+	node.closed = true
 	return nil
 }
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -34,7 +34,7 @@
 
 // Problem implements operr.Error.
 func (e *WriteFailedError) Problem() string {
-	return "write failed in " + e.Dir
+	return "a write failed in " + e.Dir
 }
 
 // Retryable implements operr.Error.
@@ -69,7 +69,7 @@
 	if e.QuarantineDir == "" {
 		return "move the directory away, restore it from a backup, or start with an empty directory"
 	}
-	return "the files were moved to " + e.QuarantineDir + "; restore them from a backup, or continue with the data of the peers"
+	return "its files are in " + e.QuarantineDir + "; restore them from a backup, or continue with the data of the peers"
 }
 
 // ClosedError reports that a log was used after Close.
