--- a/internal/membership/contract_test.go
+++ b/internal/membership/contract_test.go
@@ -10,34 +10,34 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// networkRig is a network of instances.
-type networkRig interface {
-	// Start starts an instance, or a later incarnation of one.
+// networkFixture is a network, real or simulated, that tests start instances on.
+type networkFixture interface {
+	// Start starts an instance, or another incarnation of one.
 	Start(o membership.Options) membership.Transport
-	// Cut cuts the link from one instance to another, or restores it.
+	// Cut cuts the link from one instance to another if cut is true, and restores it otherwise.
 	Cut(from, to string, cut bool)
-	// Advance waits, in the network's time.
+	// Advance waits for d in real time, or advances the simulated time by d.
 	Advance(d time.Duration)
 }
 
-// inbox collects what an instance receives.
+// inbox collects the messages that an instance receives.
 type inbox struct {
-	mu  sync.Mutex
-	all []membership.Message
+	mu       sync.Mutex
+	messages []membership.Message
 }
 
-// receive is an Options.OnMessage.
+// receive stores a message. It is used as Options.OnMessage.
 func (i *inbox) receive(m membership.Message) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.all = append(i.all, m)
+	i.messages = append(i.messages, m)
 }
 
-// count is the number of messages from an incarnation of a peer; 0 stands for any.
+// count returns the number of messages from an incarnation of a peer. Zero means any incarnation.
 func (i *inbox) count(name string, incarnation uint64) (n int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, m := range i.all {
+	for _, m := range i.messages {
 		if m.From == name && (incarnation == 0 || m.Incarnation == incarnation) {
 			n++
 		}
@@ -48,7 +48,7 @@
 func (i *inbox) has(name, body string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, m := range i.all {
+	for _, m := range i.messages {
 		if m.From == name && string(m.Payload) == body {
 			return true
 		}
@@ -56,40 +56,41 @@
 	return false
 }
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// until waits until a condition holds.
-func until(t *testing.T, r networkRig, what string, holds func() bool) {
+// waitFor waits until a condition holds. It fails the test if that takes longer than waitTimeout.
+func waitFor(t *testing.T, r networkFixture, what string, holds func() bool) {
 	t.Helper()
 	const step = 20 * time.Millisecond
-	for range patience / step {
+	for range waitTimeout / step {
 		if holds() {
 			return
 		}
 		r.Advance(step)
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("after %v still waiting until %s", waitTimeout, what)
 }
 
-// testTransport checks an implementation of Transport. rig returns a network without instances.
-func testTransport(t *testing.T, rig func(t *testing.T) networkRig) {
+// testTransport checks an implementation of Transport. newFixture returns a network without instances.
+func testTransport(t *testing.T, newFixture func(t *testing.T) networkFixture) {
 	t.Helper()
-	t.Run("messages", func(t *testing.T) { testMessages(t, rig(t)) })
-	t.Run("bounds", func(t *testing.T) { testBounds(t, rig(t)) })
-	t.Run("link cut one way", func(t *testing.T) { testOneWayCut(t, rig(t)) })
-	t.Run("incarnations", func(t *testing.T) { testIncarnations(t, rig(t)) })
-	t.Run("dead and back", func(t *testing.T) { testDeadAndBack(t, rig(t)) })
+	t.Run("messages", func(t *testing.T) { testMessages(t, newFixture(t)) })
+	t.Run("limits", func(t *testing.T) { testLimits(t, newFixture(t)) })
+	t.Run("link cut one way", func(t *testing.T) { testOneWayCut(t, newFixture(t)) })
+	t.Run("incarnations", func(t *testing.T) { testIncarnations(t, newFixture(t)) })
+	t.Run("death and restart", func(t *testing.T) { testDeathAndRestart(t, newFixture(t)) })
 }
 
-// fleet starts instances a, b, c and so on, in their first incarnation, and waits until all know all.
-func fleet(t *testing.T, r networkRig, n int) (ts []membership.Transport, boxes []*inbox) {
+// startInstances starts n instances with the names a, b, c and so on, in their first incarnation. It waits until each knows
+// all others.
+func startInstances(t *testing.T, r networkFixture, n int) (ts []membership.Transport, boxes []*inbox) {
 	t.Helper()
 	for i := range n {
 		box := &inbox{}
 		boxes = append(boxes, box)
-		ts = append(ts, r.Start(membership.Options{Name: name(i), Incarnation: 1, OnMessage: box.receive}))
+		ts = append(ts, r.Start(membership.Options{Name: instanceName(i), Incarnation: 1, OnMessage: box.receive}))
 	}
-	until(t, r, "all know all", func() bool {
+	waitFor(t, r, "each instance knows all others", func() bool {
 		for _, tr := range ts {
 			if len(tr.Members()) < n {
 				return false
@@ -107,7 +108,7 @@
 	}
 }
 
-func name(i int) string { return string(rune('a' + i)) }
+func instanceName(i int) string { return string(rune('a' + i)) }
 
 func stateOf(tr membership.Transport, name string) membership.State {
 	for _, m := range tr.Members() {
@@ -118,16 +119,17 @@
 	return membership.Dead
 }
 
-func testMessages(t *testing.T, r networkRig) {
+// Checks that each instance receives messages from each other, and only with the sender's first incarnation.
+func testMessages(t *testing.T, r networkFixture) {
 	t.Helper()
-	ts, boxes := fleet(t, r, 4)
-	until(t, r, "a message of each at each", func() bool {
+	ts, boxes := startInstances(t, r, 4)
+	waitFor(t, r, "each instance has a message from each other", func() bool {
 		done := true
 		for i, from := range ts {
 			for j := range ts {
-				if i != j && !boxes[j].has(name(i), "to "+name(j)) {
+				if i != j && !boxes[j].has(instanceName(i), "to "+instanceName(j)) {
 					done = false
-					from.Send(name(j), []byte("to "+name(j)))
+					from.Send(instanceName(j), []byte("to "+instanceName(j)))
 				}
 			}
 		}
@@ -135,84 +137,86 @@
 	})
 	for i := range ts {
 		for j := range ts {
-			if i != j && boxes[j].count(name(i), 0) != boxes[j].count(name(i), 1) {
-				t.Errorf("%s has messages of %s in another incarnation than its first", name(j), name(i))
+			if i != j && boxes[j].count(instanceName(i), 0) != boxes[j].count(instanceName(i), 1) {
+				t.Errorf("%s received messages from %s with another incarnation than 1", instanceName(j), instanceName(i))
 			}
 		}
 	}
 }
 
-// Messages over a link's bounds are dropped and counted at once, and another link is not affected.
-func testBounds(t *testing.T, r networkRig) {
+// Checks that messages over the limits of a link are dropped and counted, and that another link is not affected.
+func testLimits(t *testing.T, r networkFixture) {
 	t.Helper()
-	ts, boxes := fleet(t, r, 3)
+	ts, boxes := startInstances(t, r, 3)
 	const burst = 5000
 	before := ts[0].Counts()["b"]
 	for i := range burst {
 		ts[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
 	}
 	ts[0].Send("b", make([]byte, membership.MaxBodyBytes+1))
-	until(t, r, "c receives in spite of b's queue", func() bool {
+	waitFor(t, r, "c receives a message while the queue to b is full", func() bool {
 		ts[0].Send("c", []byte("on"))
 		return boxes[2].has("a", "on")
 	})
-	until(t, r, "all of the burst is accounted for", func() bool {
+	waitFor(t, r, "all messages of the burst are counted as sent or dropped", func() bool {
 		c := ts[0].Counts()["b"]
 		return c.Sent+c.Dropped-before.Sent-before.Dropped == burst+1
 	})
 	if c := ts[0].Counts()["b"]; c.Dropped < burst/2 {
-		t.Errorf("of %d messages at once %d were dropped", burst, c.Dropped)
+		t.Errorf("of a burst of %d messages %d were dropped, want at least half of them", burst, c.Dropped)
 	}
 	ts[0].Send("nobody", []byte("x"))
 	if c := ts[0].Counts()["nobody"]; c.Dropped != 1 {
-		t.Errorf("a message to nobody is counted as %+v", c)
+		t.Errorf("message to an unknown peer: got counts %+v, want 1 dropped", c)
 	}
 }
 
-// A link that is cut in one direction carries nothing that way, everything the other way, and recovers.
-func testOneWayCut(t *testing.T, r networkRig) {
+// Checks that a link that is cut in one direction carries no message in that direction and still carries messages in the
+// other, and that it works again once it is restored.
+func testOneWayCut(t *testing.T, r networkFixture) {
 	t.Helper()
-	ts, boxes := fleet(t, r, 3)
+	ts, boxes := startInstances(t, r, 3)
 	r.Cut("a", "b", true)
 	r.Advance(100 * time.Millisecond)
-	had := boxes[1].count("a", 0)
+	receivedBefore := boxes[1].count("a", 0)
 	i := 0
-	until(t, r, "a receives from b", func() bool {
+	waitFor(t, r, "a receives from b", func() bool {
 		i++
 		ts[0].Send("b", []byte("cut"))
 		ts[1].Send("a", []byte(fmt.Sprint("b to a ", i)))
 		return boxes[0].count("b", 0) > 3
 	})
-	if n := boxes[1].count("a", 0); n != had {
-		t.Errorf("b received %d messages over a cut link", n-had)
+	if n := boxes[1].count("a", 0); n != receivedBefore {
+		t.Errorf("b received %d messages over a cut link, want 0", n-receivedBefore)
 	}
 	r.Cut("a", "b", false)
-	until(t, r, "b receives from a again", func() bool {
+	waitFor(t, r, "b receives from a again", func() bool {
 		ts[0].Send("b", []byte("healed"))
 		return boxes[1].has("a", "healed")
 	})
 }
 
-// Messages of an earlier incarnation are ignored. An instance whose disk is older than what its peers know learns of it.
-func testIncarnations(t *testing.T, r networkRig) {
+// Checks that messages from an earlier incarnation are ignored, and that an instance with a lower incarnation than its peers
+// know is told the known one and raises its own above it.
+func testIncarnations(t *testing.T, r networkFixture) {
 	t.Helper()
-	ts, boxes := fleet(t, r, 3)
+	ts, boxes := startInstances(t, r, 3)
 	mustClose(t, ts[1])
 	box := &inbox{}
 	b := r.Start(membership.Options{Name: "b", Incarnation: 9, OnMessage: box.receive})
-	until(t, r, "b's ninth incarnation is received", func() bool {
+	waitFor(t, r, "a and c receive messages from incarnation 9 of b", func() bool {
 		b.Send("a", []byte("nine"))
 		b.Send("c", []byte("nine"))
 		return boxes[0].count("b", 9) > 0 && boxes[2].count("b", 9) > 0
 	})
 	mustClose(t, b)
 	b = r.Start(membership.Options{Name: "b", Incarnation: 4, OnMessage: box.receive})
-	until(t, r, "stale messages are counted", func() bool {
+	waitFor(t, r, "a counts stale messages from b", func() bool {
 		b.Send("a", []byte("four"))
 		return ts[0].Counts()["b"].Stale > 2
 	})
 	if n := boxes[0].count("b", 4); n > 0 {
-		t.Errorf("a received %d stale messages", n)
+		t.Errorf("a received %d stale messages, want 0", n)
 	}
 	mustClose(t, b)
 	var mu sync.Mutex
@@ -223,30 +227,31 @@
 		known = append(known, above)
 		return above + 1, nil
 	}})
-	until(t, r, "b is received again", func() bool {
+	waitFor(t, r, "a receives messages from incarnation 10 of b", func() bool {
 		b.Send("a", []byte("ten"))
 		return boxes[0].count("b", 10) > 0
 	})
 	mu.Lock()
 	defer mu.Unlock()
 	if len(known) == 0 || known[0] != 9 {
-		t.Errorf("b learned of incarnations %d", known)
+		t.Errorf("b was told incarnations %d, want 9 first", known)
 	}
 }
 
-func testDeadAndBack(t *testing.T, r networkRig) {
+// Checks that an instance that is closed becomes dead for all others, and alive again after a restart.
+func testDeathAndRestart(t *testing.T, r networkFixture) {
 	t.Helper()
-	ts, boxes := fleet(t, r, 4)
+	ts, boxes := startInstances(t, r, 4)
 	mustClose(t, ts[2])
-	until(t, r, "c is dead for all", func() bool {
+	waitFor(t, r, "c is dead for all others", func() bool {
 		return stateOf(ts[0], "c") == membership.Dead && stateOf(ts[1], "c") == membership.Dead && stateOf(ts[3], "c") == membership.Dead
 	})
 	if s := stateOf(ts[0], "b"); s == membership.Dead {
-		t.Error("b is dead with c")
+		t.Error("b is dead too, although only c was closed")
 	}
 	box := &inbox{}
 	c := r.Start(membership.Options{Name: "c", Incarnation: 2, OnMessage: box.receive})
-	until(t, r, "c is back for all", func() bool {
+	waitFor(t, r, "c is alive for a and d, and exchanges messages with a", func() bool {
 		c.Send("a", []byte("back"))
 		ts[0].Send("c", []byte("welcome"))
 		return stateOf(ts[0], "c") == membership.Alive && stateOf(ts[3], "c") == membership.Alive && boxes[0].count("c", 2) > 0 && box.has("a", "welcome")
--- a/internal/membership/example_test.go
+++ b/internal/membership/example_test.go
@@ -9,7 +9,7 @@
 	"example.org/milletvane/internal/wal/faultfs"
 )
 
-// An instance has a new incarnation at each start, and sends to the members that it knows.
+// An instance gets a new incarnation at each start, and sends messages to the members that it knows.
 func ExampleTransport() {
 	incarnations, err := membership.OpenIncarnations(faultfs.New(1), "data")
 	if err != nil {
--- a/internal/membership/format_test.go
+++ b/internal/membership/format_test.go
@@ -16,13 +16,13 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// Instances of two builds talk to one another, and a build may start on the incarnation file of another. These tests hold
-// the packets and that file against testdata, byte for byte, with what is read of them field by field.
+// Instances of different builds exchange packets, and a build may start on the incarnation file of another. These tests
+// compare the packets and that file with testdata byte by byte, and the decoded values field by field.
 
-var updateFormat = flag.Bool("update-format", false, "write the files of testdata/format anew")
+var updateFormat = flag.Bool("update-format", false, "rewrite the files of testdata/format")
 
-// compare holds a text against a file of testdata, or writes the file anew where the flag says so.
-func compare(t *testing.T, name, got string) {
+// compareGolden compares a text with a file of testdata. With -update-format it rewrites the file first.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", "format", name)
 	if *updateFormat {
@@ -50,7 +50,7 @@
 	return hex.EncodeToString(d[:8])
 }
 
-func unhex(t *testing.T, text string) []byte {
+func mustDecodeHex(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -59,13 +59,14 @@
 	return b
 }
 
-// rawMessage is a message's packet, spelled out.
+// rawMessage returns the packet of a message, encoded independently of the package under test.
 func rawMessage(name string, incarnation byte, body string) []byte {
 	return slices.Concat([]byte{1, 1, byte(len(name))}, []byte(name), []byte{0, 0, 0, 0, 0, 0, 0, incarnation}, []byte(body))
 }
 
-// takes says what an endpoint makes of packets, one after another, field by field.
-func takes(own uint64, raise func(uint64) (uint64, error), packets ...[]byte) string {
+// describeHandling passes packets to a new endpoint one after another. It returns the resulting messages, replies and counts
+// as text, field by field.
+func describeHandling(own uint64, bump func(uint64) (uint64, error), packets ...[]byte) string {
 	var b strings.Builder
 	e := membership.NewEndpoint(membership.Options{
 		Name: "a", Incarnation: own,
@@ -74,7 +75,7 @@
 		},
 		BumpIncarnation: func(above uint64) (uint64, error) {
 			fmt.Fprintf(&b, "incarnation %d is known\n", above)
-			return raise(above)
+			return bump(above)
 		},
 	})
 	for _, p := range packets {
@@ -95,9 +96,10 @@
 	return b.String()
 }
 
-func oneMore(above uint64) (uint64, error) { return above + 1, nil }
+func bumpByOne(above uint64) (uint64, error) { return above + 1, nil }
 
-// Packets of every kind have the bytes of testdata, and those decode as testdata says.
+// Guards against changes of the packet format. Packets of every kind must have the bytes in testdata, and those bytes must
+// decode to the values recorded there.
 func TestPacketsKeepTheirFormat(t *testing.T) {
 	var written strings.Builder
 	for _, c := range []struct {
@@ -112,7 +114,7 @@
 	e.ObserveIncarnation("b", 0x0a0b0c0d0e0f1011)
 	_, reply := e.HandlePacket(rawMessage("b", 5, "stale"))
 	fmt.Fprintf(&written, "remembered %x\n", reply)
-	compare(t, "packets.written", written.String())
+	compareGolden(t, "packets.written", written.String())
 
 	stored, err := os.ReadFile(filepath.Join("testdata", "format", "packets.written"))
 	if err != nil {
@@ -121,13 +123,14 @@
 	var read strings.Builder
 	for line := range strings.Lines(string(stored)) {
 		kind, text, _ := strings.Cut(strings.TrimSpace(line), " ")
-		fmt.Fprintf(&read, "%s\n%s", kind, takes(1, oneMore, unhex(t, text)))
+		fmt.Fprintf(&read, "%s\n%s", kind, describeHandling(1, bumpByOne, mustDecodeHex(t, text)))
 	}
-	compare(t, "packets.read", read.String())
+	compareGolden(t, "packets.read", read.String())
 }
 
-// Packets of two versions, kinds, lengths and incarnations are taken or not as ever, with the same answers.
-func TestPacketsAreTakenAsBefore(t *testing.T) {
+// Guards against changes in which packets are accepted and how they are answered. The test passes packets with valid and
+// invalid versions, kinds, lengths and incarnations, and compares the results with testdata.
+func TestPacketsAreHandledAsBefore(t *testing.T) {
 	message := rawMessage("b", 7, "body")
 	remembered := func(incarnation byte) []byte {
 		b := slices.Concat([]byte{1, 2, 1, 'b'}, make([]byte, 8))
@@ -148,44 +151,44 @@
 	for _, c := range []struct {
 		name    string
 		own     uint64
-		raise   func(uint64) (uint64, error)
+		bump    func(uint64) (uint64, error)
 		packets [][]byte
 	}{
-		{"message", 1, oneMore, [][]byte{message}},
-		{"twice", 1, oneMore, [][]byte{message, message}},
-		{"later incarnation", 1, oneMore, [][]byte{message, rawMessage("b", 8, "x")}},
-		{"earlier incarnation", 1, oneMore, [][]byte{message, rawMessage("b", 6, "x"), message}},
-		{"two peers", 1, oneMore, [][]byte{message, rawMessage("c", 1, "x")}},
-		{"its own name", 1, oneMore, [][]byte{rawMessage("a", 9, "x")}},
-		{"nothing", 1, oneMore, [][]byte{nil, {}, {1}, {1, 1}}},
-		{"another version", 1, oneMore, [][]byte{change(0, 0), change(0, 2)}},
-		{"another kind", 1, oneMore, [][]byte{change(1, 0), change(1, 3), change(1, 255)}},
-		{"no name", 1, oneMore, [][]byte{change(2, 0)}},
-		{"name of 128", 1, oneMore, [][]byte{long(128, 1)}},
-		{"name of 129", 1, oneMore, [][]byte{long(129, 1)}},
-		{"body of 1100", 1, oneMore, [][]byte{long(4, 1100)}},
-		{"body of 1101", 1, oneMore, [][]byte{long(4, 1101)}},
-		{"remembered later", 1, oneMore, [][]byte{remembered(9), remembered(9), remembered(10), remembered(11)}},
-		{"remembered own", 9, oneMore, [][]byte{remembered(9)}},
-		{"remembered earlier", 10, oneMore, [][]byte{remembered(9)}},
+		{"message", 1, bumpByOne, [][]byte{message}},
+		{"twice", 1, bumpByOne, [][]byte{message, message}},
+		{"later incarnation", 1, bumpByOne, [][]byte{message, rawMessage("b", 8, "x")}},
+		{"earlier incarnation", 1, bumpByOne, [][]byte{message, rawMessage("b", 6, "x"), message}},
+		{"two peers", 1, bumpByOne, [][]byte{message, rawMessage("c", 1, "x")}},
+		{"its own name", 1, bumpByOne, [][]byte{rawMessage("a", 9, "x")}},
+		{"nothing", 1, bumpByOne, [][]byte{nil, {}, {1}, {1, 1}}},
+		{"another version", 1, bumpByOne, [][]byte{change(0, 0), change(0, 2)}},
+		{"another kind", 1, bumpByOne, [][]byte{change(1, 0), change(1, 3), change(1, 255)}},
+		{"no name", 1, bumpByOne, [][]byte{change(2, 0)}},
+		{"name of 128", 1, bumpByOne, [][]byte{long(128, 1)}},
+		{"name of 129", 1, bumpByOne, [][]byte{long(129, 1)}},
+		{"body of 1100", 1, bumpByOne, [][]byte{long(4, 1100)}},
+		{"body of 1101", 1, bumpByOne, [][]byte{long(4, 1101)}},
+		{"remembered later", 1, bumpByOne, [][]byte{remembered(9), remembered(9), remembered(10), remembered(11)}},
+		{"remembered own", 9, bumpByOne, [][]byte{remembered(9)}},
+		{"remembered earlier", 10, bumpByOne, [][]byte{remembered(9)}},
 		{"remembered without a disk", 1, refuse, [][]byte{remembered(9), remembered(9)}},
 		{"remembered and not raised", 1, same, [][]byte{remembered(9)}},
 	} {
-		fmt.Fprintf(&all, "%s\n%s\n", c.name, takes(c.own, c.raise, c.packets...))
+		fmt.Fprintf(&all, "%s\n%s\n", c.name, describeHandling(c.own, c.bump, c.packets...))
 	}
 	for _, base := range [][]byte{message, remembered(9), long(3, 20)} {
 		var cuts, flips strings.Builder
 		for at := range base {
-			cuts.WriteString(takes(1, oneMore, base[:at]))
+			cuts.WriteString(describeHandling(1, bumpByOne, base[:at]))
 			for bit := range 8 {
 				b := slices.Clone(base)
 				b[at] ^= 1 << bit
-				flips.WriteString(takes(1, oneMore, b, message))
+				flips.WriteString(describeHandling(1, bumpByOne, b, message))
 			}
 		}
 		fmt.Fprintf(&all, "%x: cuts %s flips %s\n", base, shortDigest(cuts.String()), shortDigest(flips.String()))
 	}
 	o := membership.NewEndpoint(membership.Options{}).Options()
 	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.MaxQueuedMessages, membership.MaxBodyBytes, o.SendDuration(1000))
-	compare(t, "packets.taken", all.String())
+	compareGolden(t, "packets.taken", all.String())
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -23,7 +23,7 @@
 	Options
 	Bind          string                                  // host:port to listen on with UDP and TCP
 	Join          []string                                // addresses of members; may include the address of this instance
-	Key           []byte                                  // AES key of 16, 24 or 32 bytes, shared by all members; nil means no encryption
+	Key           []byte                                  // AES key of 16, 24 or 32 bytes, shared by all; nil means no encryption
 	ProbeInterval time.Duration                           // time between health checks of members; defaults to 1 s
 	WrapTransport func(NetworkTransport) NetworkTransport // wraps the network; nil means no wrapping
 	Logger        *slog.Logger                            // defaults to slog.Default()
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -15,15 +15,15 @@
 	"example.org/milletvane/internal/membership/simnet"
 )
 
-type simRig struct{ *simnet.Network }
+type simFixture struct{ *simnet.Network }
 
-func (r simRig) Start(o membership.Options) membership.Transport { return r.Listen(o) }
+func (r simFixture) Start(o membership.Options) membership.Transport { return r.Listen(o) }
 
-// links are the links between instances over sockets, and which of them are cut.
+// links records the addresses of instances and which links between them are cut.
 type links struct {
 	mu    sync.Mutex
-	addrs map[string]string // by name
-	cut   map[[2]string]bool
+	addrs map[string]string  // by name of the instance
+	cut   map[[2]string]bool // by the names of the sender and the receiver
 }
 
 func (l *links) isCut(from, addr string) bool {
@@ -37,14 +37,14 @@
 	return false
 }
 
-// cuttingTransport sends nothing on links of one instance that are cut.
+// cuttingTransport is a NetworkTransport of one instance that sends nothing over links that are cut.
 type cuttingTransport struct {
 	membership.NetworkTransport
 	from  string
 	links *links
 }
 
-var errCut = errors.New("cut")
+var errCut = errors.New("link is cut")
 
 func (w cuttingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	if w.links.isCut(w.from, a.Addr) {
@@ -60,11 +60,11 @@
 	return w.NetworkTransport.DialAddressTimeout(a, d)
 }
 
-// socketRig runs instances on loopback, each at an address of its own that all its incarnations use.
-type socketRig struct {
-	t     *testing.T
-	links *links
-	cuts  bool // links can be cut
+// socketFixture runs instances on loopback. Each instance has its own address, which all its incarnations use.
+type socketFixture struct {
+	t      *testing.T
+	links  *links
+	canCut bool // whether links can be cut
 }
 
 var key = []byte("0123456789abcdef")
@@ -88,7 +88,7 @@
 	return addr
 }
 
-func (r socketRig) Start(o membership.Options) membership.Transport {
+func (r socketFixture) Start(o membership.Options) membership.Transport {
 	r.links.mu.Lock()
 	addr := r.links.addrs[o.Name]
 	if addr == "" {
@@ -104,7 +104,7 @@
 		Options: o, Bind: addr, Join: join, Key: key, ProbeInterval: 100 * time.Millisecond,
 		Logger: slog.New(slog.DiscardHandler),
 	}
-	if r.cuts {
+	if r.canCut {
 		opts.WrapTransport = func(w membership.NetworkTransport) membership.NetworkTransport {
 			return cuttingTransport{w, o.Name, r.links}
 		}
@@ -117,45 +117,46 @@
 	return g
 }
 
-func (r socketRig) Cut(from, to string, cut bool) {
+func (r socketFixture) Cut(from, to string, cut bool) {
 	r.links.mu.Lock()
 	defer r.links.mu.Unlock()
 	r.links.cut[[2]string{from, to}] = cut
 }
 
-func (r socketRig) Advance(d time.Duration) { time.Sleep(d) }
+func (r socketFixture) Advance(d time.Duration) { time.Sleep(d) }
 
+// Runs the same tests on every implementation of Transport.
 func TestTransportContract(t *testing.T) {
-	rigs := map[string]func(t *testing.T) networkRig{
-		"in order": func(*testing.T) networkRig {
-			return simRig{simnet.New(1, simnet.Faults{MinDelay: time.Millisecond})}
+	fixtures := map[string]func(t *testing.T) networkFixture{
+		"in order": func(*testing.T) networkFixture {
+			return simFixture{simnet.New(1, simnet.Faults{MinDelay: time.Millisecond})}
 		},
-		"disordered": func(*testing.T) networkRig {
-			return simRig{simnet.New(2, simnet.Faults{MaxDelay: 300 * time.Millisecond, LossRate: 0.2, DuplicateRate: 0.2})}
+		"reordered": func(*testing.T) networkFixture {
+			return simFixture{simnet.New(2, simnet.Faults{MaxDelay: 300 * time.Millisecond, LossRate: 0.2, DuplicateRate: 0.2})}
 		},
-		"sockets": func(t *testing.T) networkRig {
+		"sockets": func(t *testing.T) networkFixture {
 			t.Helper()
-			return socketRig{t, &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}, true}
+			return socketFixture{t, &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}, true}
 		},
 	}
-	for name, rig := range rigs {
+	for name, newFixture := range fixtures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			testTransport(t, rig)
+			testTransport(t, newFixture)
 		})
 	}
 }
 
-// An instance with another key, or none, receives nothing, and nothing is received from it.
+// Checks that an instance with another key, or without a key, does not become a member and receives no messages.
 func TestInstancesWithAnotherKeyAreIgnored(t *testing.T) {
-	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
+	r := socketFixture{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
 	var a, b inbox
 	ta := r.Start(membership.Options{Name: "a", Incarnation: 1, OnMessage: a.receive})
 	tb := r.Start(membership.Options{Name: "b", Incarnation: 1, OnMessage: b.receive})
-	var heard inbox
+	var outsider inbox
 	for _, k := range [][]byte{nil, []byte("fedcba9876543210")} {
 		g, err := membership.Listen(membership.GossipOptions{
-			Options: membership.Options{Name: "mallory", Incarnation: 1, OnMessage: heard.receive},
+			Options: membership.Options{Name: "mallory", Incarnation: 1, OnMessage: outsider.receive},
 			Bind:    freeAddr(t), Join: []string{r.links.addrs["a"]}, Key: k, ProbeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
@@ -164,7 +165,7 @@
 		closeAtEnd(t, g)
 	}
 	n := 0
-	until(t, r, "a and b exchange messages", func() bool {
+	waitFor(t, r, "a and b exchange messages", func() bool {
 		ta.Send("b", []byte("x"))
 		tb.Send("a", []byte("x"))
 		n++
@@ -172,14 +173,15 @@
 	})
 	for _, m := range ta.Members() {
 		if m.Name == "mallory" {
-			t.Error("an instance without the key is a member")
+			t.Error("an instance without the shared key is a member")
 		}
 	}
-	if heard.count("a", 0)+heard.count("b", 0) > 0 {
-		t.Error("an instance without the key receives messages")
+	if outsider.count("a", 0)+outsider.count("b", 0) > 0 {
+		t.Error("an instance without the shared key received messages")
 	}
 }
 
+// Checks that Listen returns a BindError for an invalid address, an address in use and a key of an invalid length.
 func TestBadAddressesAndKeysAreBindErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -192,39 +194,41 @@
 	})
 	for _, o := range []membership.GossipOptions{{Bind: "x"}, {Bind: taken.Addr().String()}, {Bind: "127.0.0.1:0", Key: []byte("short")}} {
 		o.Name = "a"
-		var bad *membership.BindError
-		if _, err := membership.Listen(o); !errors.As(err, &bad) {
-			t.Errorf("%+v: %v", o.Bind, err)
+		var bindError *membership.BindError
+		if _, err := membership.Listen(o); !errors.As(err, &bindError) {
+			t.Errorf("Listen on %+v: got error %v, want a BindError", o.Bind, err)
 		}
 	}
 }
 
-// Malformed packets are counted and do no harm.
+// Checks that arbitrary packets do not panic, that accepted messages are within the limits, and that rejected messages are
+// counted as malformed.
 func FuzzPackets(f *testing.F) {
 	e := membership.NewEndpoint(membership.Options{Name: "b", Incarnation: 7})
 	f.Add(e.EncodeMessage([]byte("body")))
 	f.Add([]byte{1, 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		got := 0
+		accepted := 0
 		a := membership.NewEndpoint(membership.Options{Name: "a", OnMessage: func(m membership.Message) {
-			got++
+			accepted++
 			if len(m.Payload) > membership.MaxBodyBytes || m.From == "" {
-				t.Errorf("took %+v", m)
+				t.Errorf("accepted %+v, which has no sender or is too long", m)
 			}
 		}})
 		a.HandlePacket(b)
-		if c := a.Counts(); got == 0 && c[""].Malformed != 1 && len(b) > 1 && b[1] == 1 {
-			t.Errorf("%x was neither taken nor counted", b)
+		if c := a.Counts(); accepted == 0 && c[""].Malformed != 1 && len(b) > 1 && b[1] == 1 {
+			t.Errorf("packet %x was neither accepted nor counted as malformed", b)
 		}
 	})
 }
 
-// An instance that starts a little before its peers knows them soon after they run, with the timing that gateways use.
+// Guards against a long delay before instances that start at nearly the same time join: with the default timing, which
+// gateways use, an instance must know a peer within 1.5 s of the peer's start.
 func TestMembersThatStartTogetherJoinSoon(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
-	start := func(name, at, other string) *membership.Gossip {
+	start := func(name, addr, join string) *membership.Gossip {
 		g, err := membership.Listen(membership.GossipOptions{
-			Options: membership.Options{Name: name, Incarnation: 1}, Bind: at, Join: []string{other},
+			Options: membership.Options{Name: name, Incarnation: 1}, Bind: addr, Join: []string{join},
 			Key: key, Logger: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
@@ -235,11 +239,11 @@
 	}
 	first := start("a", a, b)
 	time.Sleep(300 * time.Millisecond)
-	start("b", b, "127.0.0.1:1") // it joins nobody
-	from := time.Now()
+	start("b", b, "127.0.0.1:1") // can't join a by itself
+	started := time.Now()
 	for len(first.Members()) < 2 {
-		if time.Since(from) > 1500*time.Millisecond {
-			t.Fatal("not joined in 1.5 s")
+		if time.Since(started) > 1500*time.Millisecond {
+			t.Fatal("a does not know b 1.5 s after its start")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -16,41 +16,42 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// plainNode is a member that knows memberlist alone, and nothing of this package.
-type plainNode struct {
+// memberlistNode is the delegate of a member that uses memberlist directly, without this package.
+type memberlistNode struct {
 	mu     sync.Mutex
-	got    []string // packets, in hex
+	meta   []string // received packets in hex
 	nodes  map[string]string
 	packet []byte // its meta
 }
 
-func (n *plainNode) NodeMeta(int) []byte { return n.packet }
-func (n *plainNode) NotifyMsg(b []byte) {
+func (n *memberlistNode) NodeMeta(int) []byte { return n.packet }
+func (n *memberlistNode) NotifyMsg(b []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.got = append(n.got, hex.EncodeToString(b))
+	n.meta = append(n.meta, hex.EncodeToString(b))
 }
-func (n *plainNode) GetBroadcasts(int, int) [][]byte    { return nil }
-func (n *plainNode) LocalState(bool) []byte             { return nil }
-func (n *plainNode) MergeRemoteState([]byte, bool)      {}
-func (n *plainNode) NotifyLeave(*memberlist.Node)       {}
-func (n *plainNode) NotifyUpdate(node *memberlist.Node) { n.NotifyJoin(node) }
-func (n *plainNode) NotifyJoin(node *memberlist.Node) {
+func (n *memberlistNode) GetBroadcasts(int, int) [][]byte    { return nil }
+func (n *memberlistNode) LocalState(bool) []byte             { return nil }
+func (n *memberlistNode) MergeRemoteState([]byte, bool)      {}
+func (n *memberlistNode) NotifyLeave(*memberlist.Node)       {}
+func (n *memberlistNode) NotifyUpdate(node *memberlist.Node) { n.NotifyJoin(node) }
+func (n *memberlistNode) NotifyJoin(node *memberlist.Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[node.Name] = hex.EncodeToString(node.Meta)
 }
 
-func (n *plainNode) state(of string) (meta string, got []string) {
+func (n *memberlistNode) received(of string) (meta string, got []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.nodes[of], slices.Clone(n.got)
+	return n.nodes[of], slices.Clone(n.meta)
 }
 
-// Over sockets an instance is a member of memberlist's kind: with its incarnation as metadata of eight bytes, and each
-// message as one packet that is no more than its own bytes.
-func TestSocketsCarryPacketsAsTheyAre(t *testing.T) {
-	r := socketRig{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
+// Guards against changes in how a Gossip uses memberlist. A member that uses memberlist directly must see the incarnation as
+// 8 bytes of metadata and receive each message as one packet without additional bytes. The Gossip must accept the packets of
+// that member.
+func TestGossipSendsPacketsUnchanged(t *testing.T) {
+	r := socketFixture{t: t, links: &links{addrs: map[string]string{}, cut: map[[2]string]bool{}}}
 	var box inbox
 	a := r.Start(membership.Options{Name: "a", Incarnation: 0x0102030405060708, OnMessage: box.receive})
 	host, text, err := net.SplitHostPort(freeAddr(t))
@@ -61,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plain := &plainNode{nodes: map[string]string{}, packet: unhex(t, "0000 0000 0000 0007")}
+	plain := &memberlistNode{nodes: map[string]string{}, packet: mustDecodeHex(t, "0000 0000 0000 0007")}
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.BindAddr, c.BindPort, c.AdvertisePort, c.SecretKey = "b", host, port, port, key
 	c.Logger, c.Delegate, c.Events = log.New(io.Discard, "", 0), plain, plain
@@ -78,21 +79,21 @@
 	if _, err := list.Join([]string{r.links.addrs["a"]}); err != nil {
 		t.Fatal(err)
 	}
-	const want = "010101" + "61" + "0102030405060708" + "68656c6c6f" // head, name, incarnation, body
-	until(t, r, "the packet and the metadata are there", func() bool {
+	const want = "010101" + "61" + "0102030405060708" + "68656c6c6f" // header, name, incarnation, payload
+	waitFor(t, r, "the member has received the packet and the metadata of a", func() bool {
 		a.Send("b", []byte("hello"))
-		meta, got := plain.state("a")
+		meta, got := plain.received("a")
 		return meta == "0102030405060708" && slices.Contains(got, want)
 	})
-	if _, got := plain.state("a"); slices.ContainsFunc(got, func(p string) bool { return p != want }) {
-		t.Errorf("packets %q, want %q alone", got, want)
+	if _, got := plain.received("a"); slices.ContainsFunc(got, func(p string) bool { return p != want }) {
+		t.Errorf("got packets %q, want only %q", got, want)
 	}
 	for _, m := range a.Members() {
 		if m.Name == "b" && m.Incarnation != 7 {
 			t.Errorf("b has incarnation %d, want 7", m.Incarnation)
 		}
 	}
-	until(t, r, "a has what b sends", func() bool {
+	waitFor(t, r, "a has received a message from b", func() bool {
 		for _, m := range list.Members() {
 			if m.Name == "a" {
 				if err := list.SendBestEffort(m, rawMessage("b", 7, "raw")); err != nil {
--- a/internal/membership/process_test.go
+++ b/internal/membership/process_test.go
@@ -20,19 +20,19 @@
 	"example.org/milletvane/internal/wal"
 )
 
-// childEnv has the configuration of a child process.
+// childEnv is the environment variable that holds the configuration of a child process as JSON.
 const childEnv = "MILLETVANE_TEST_PEER"
 
 type childConfig struct {
 	Name, Dir string
-	Addrs     map[string]string
+	Addrs     map[string]string // by name of the instance
 }
 
-// received is what a child received from one peer.
+// received holds counts of the messages that a child received from one peer.
 type received struct {
-	Incarnation uint64 // the latest
-	Count       int    // messages
-	Stale       int    // messages of an earlier incarnation than one before
+	Incarnation uint64 // highest incarnation
+	Count       int    // number of messages
+	Stale       int    // number of messages from a lower incarnation than an earlier message
 }
 
 func TestMain(m *testing.M) {
@@ -46,7 +46,7 @@
 	os.Exit(m.Run())
 }
 
-// child is the state of a child process.
+// child holds the state of a child process.
 type child struct {
 	config childConfig
 	links  *links
@@ -56,8 +56,8 @@
 	received map[string]*received
 }
 
-// runChild sends to all members every 10 ms, and prints what it received ten times a second. Each line that it reads names
-// a peer that it sends nothing to from then on.
+// runChild sends a message to all members every 10 ms, and prints its received counts ten times per second. Each line on
+// standard input names a peer to which it sends nothing from then on.
 func runChild(text string) error {
 	c := &child{links: &links{cut: map[[2]string]bool{}}, received: map[string]*received{}}
 	if err := json.Unmarshal([]byte(text), &c.config); err != nil {
@@ -75,7 +75,7 @@
 			}
 		}
 		if i%10 == 0 {
-			if err := c.print(); err != nil {
+			if err := c.printReceived(); err != nil {
 				return err
 			}
 		}
@@ -120,7 +120,8 @@
 	r.Incarnation, r.Count = max(r.Incarnation, m.Incarnation), r.Count+1
 }
 
-// cutLinks cuts the links that standard input names, and ends the process at its end: the test is over.
+// cutLinks cuts the links to the peers that standard input names. At the end of the input the test has ended, so it exits the
+// process.
 func (c *child) cutLinks() {
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		c.links.mu.Lock()
@@ -130,13 +131,13 @@
 	os.Exit(0)
 }
 
-func (c *child) print() error {
+func (c *child) printReceived() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return json.NewEncoder(os.Stdout).Encode(c.received)
 }
 
-// process is a child with what it printed last.
+// process is a child process with the counts that it printed last.
 type process struct {
 	t   *testing.T
 	cmd *exec.Cmd
@@ -167,7 +168,7 @@
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			all := map[string]received{}
-			if json.Unmarshal(lines.Bytes(), &all) == nil { // the last line may be cut short
+			if json.Unmarshal(lines.Bytes(), &all) == nil { // the last line may be truncated
 				p.mu.Lock()
 				p.received = all
 				p.mu.Unlock()
@@ -178,7 +179,7 @@
 	return p
 }
 
-// kill ends the process, unless it has ended.
+// kill kills the process unless it has already ended, and waits for it.
 func (p *process) kill() {
 	p.t.Helper()
 	if p.cmd.ProcessState != nil {
@@ -200,29 +201,29 @@
 	}
 }
 
-// from is what the process received from a peer.
-func (p *process) from(peer string) received {
+// receivedFrom returns the counts of the messages that the process received from a peer.
+func (p *process) receivedFrom(peer string) received {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.received[peer]
 }
 
-// processes are the children of a test, by name.
+// processes holds the child processes of a test by name.
 type processes map[string]*process
 
-// awaitTraffic waits until each of some processes received more messages from each other of them.
+// awaitTraffic waits until each of the processes in among has received 20 more messages from each other one.
 func (ps processes) awaitTraffic(t *testing.T, what string, among ...string) {
 	t.Helper()
-	const more = 20
+	const moreMessages = 20
 	before := map[[2]string]int{}
 	for _, to := range among {
 		for _, from := range among {
-			before[[2]string{to, from}] = ps[to].from(from).Count
+			before[[2]string{to, from}] = ps[to].receivedFrom(from).Count
 		}
 	}
 	missing := func() bool {
 		for pair, count := range before {
-			if pair[0] != pair[1] && ps[pair[0]].from(pair[1]).Count < count+more {
+			if pair[0] != pair[1] && ps[pair[0]].receivedFrom(pair[1]).Count < count+moreMessages {
 				return true
 			}
 		}
@@ -230,13 +231,14 @@
 	}
 	for end := time.Now().Add(30 * time.Second); missing(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in time: " + what)
+			t.Fatal("after 30 s still waiting until " + what)
 		}
 	}
 }
 
-// Of five processes one is killed and started again, one is stopped for a while, and one link is cut in one direction. The
-// others receive from each other all the time, nobody receives an earlier incarnation after a later one, and all recover.
+// Checks five processes, of which one is killed and restarted, one is stopped for a while, and one link is cut in one
+// direction. Unaffected processes must keep receiving messages from each other, no process may receive an earlier
+// incarnation after a later one, and all links that are not cut must recover.
 func TestProcessesSurviveFaults(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	addrs, dirs := map[string]string{}, map[string]string{}
@@ -247,32 +249,32 @@
 	for _, n := range names {
 		ps[n] = startChild(t, childConfig{n, dirs[n], addrs})
 	}
-	ps.awaitTraffic(t, "all receive from all", names...)
-	first := ps["a"].from("b").Incarnation
+	ps.awaitTraffic(t, "all processes receive messages from all others", names...)
+	firstIncarnation := ps["a"].receivedFrom("b").Incarnation
 	ps["b"].kill()
 	ps["c"].signal(syscall.SIGSTOP)
-	ps.awaitTraffic(t, "a, d and e continue beside a dead and a stopped one", "a", "d", "e")
+	ps.awaitTraffic(t, "a, d and e receive messages while b is dead and c is stopped", "a", "d", "e")
 
 	if _, err := fmt.Fprintln(ps["d"].in, "e"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(200 * time.Millisecond)
-	cutAt, otherWay := ps["e"].from("d").Count, ps["d"].from("e").Count
-	ps.awaitTraffic(t, "a continues with one end of a cut link", "a", "d")
-	if n := ps["e"].from("d").Count; n > cutAt+2 {
-		t.Errorf("e received %d messages over a cut link", n-cutAt)
+	countAtCut, reverseCount := ps["e"].receivedFrom("d").Count, ps["d"].receivedFrom("e").Count
+	ps.awaitTraffic(t, "a and d receive messages from each other while the link from d to e is cut", "a", "d")
+	if n := ps["e"].receivedFrom("d").Count; n > countAtCut+2 {
+		t.Errorf("e received %d messages over a cut link, want at most 2", n-countAtCut)
 	}
-	if ps["d"].from("e").Count == otherWay {
-		t.Error("d receives nothing from e, whose direction is not cut")
+	if ps["d"].receivedFrom("e").Count == reverseCount {
+		t.Error("d received no messages from e, although that direction is not cut")
 	}
 
 	ps["c"].signal(syscall.SIGCONT)
 	ps["b"] = startChild(t, childConfig{"b", dirs["b"], addrs})
-	ps.awaitTraffic(t, "all but the cut link recover", "a", "b", "c", "d")
-	ps.awaitTraffic(t, "and with the link's other end", "a", "b", "c", "e")
+	ps.awaitTraffic(t, "all but e receive messages from each other", "a", "b", "c", "d")
+	ps.awaitTraffic(t, "all but d receive messages from each other", "a", "b", "c", "e")
 	for _, n := range []string{"a", "c", "d", "e"} {
-		if r := ps[n].from("b"); r.Incarnation <= first || r.Stale > 0 {
-			t.Errorf("%s received from b %+v, whose first incarnation was %d", n, r, first)
+		if r := ps[n].receivedFrom("b"); r.Incarnation <= firstIncarnation || r.Stale > 0 {
+			t.Errorf("%s received %+v from b, want no stale messages and a higher incarnation than %d", n, r, firstIncarnation)
 		}
 	}
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -11,20 +11,21 @@
 	"example.org/milletvane/internal/membership/simnet"
 )
 
-// The simulated network delivers the same packets at the same times for a seed: what soak tests found stays found.
+// Guards against changes of what a seed makes the simulated network do: the seeds of faults that soak tests found must keep
+// reproducing them. The packets and their times must match testdata.
 func TestSimulatedNetworksRunAsBefore(t *testing.T) {
 	var all strings.Builder
 	for seed := range uint64(120) {
 		fmt.Fprintf(&all, "%d %s\n", seed, shortDigest(simulate(seed)))
 	}
-	compare(t, "simulated.digests", all.String())
+	compareGolden(t, "simulated.digests", all.String())
 }
 
-// A link takes a packet that is sent at once, and as many that wait as its queue holds.
+// Checks that a link accepts one packet that is sent at once and as many waiting packets as its queue holds, and drops others.
 func TestSimulatedLinksDropWhatTheirQueueDoesNotHold(t *testing.T) {
-	net := simnet.New(1, simnet.Faults{})
-	net.Listen(membership.Options{Name: "b"})
-	a := net.Listen(membership.Options{Name: "a", MaxQueuedMessages: 2})
+	network := simnet.New(1, simnet.Faults{})
+	network.Listen(membership.Options{Name: "b"})
+	a := network.Listen(membership.Options{Name: "a", MaxQueuedMessages: 2})
 	for range 5 {
 		a.Send("b", []byte("x"))
 	}
@@ -33,17 +34,17 @@
 	}
 }
 
-// simulation is a simulated network with what happens in it, one line an event.
+// simulation is a simulated network with a log of its events, one line per event.
 type simulation struct {
-	draw  func(below int) int
+	draw  func(below int) int // returns a random number in [0, below)
 	net   *simnet.Network
 	nodes map[string]*simnet.Node
 	log   strings.Builder
 }
 
-// simulate plays some seconds of a network with faults, cuts and restarts that a seed decides.
+// simulate runs a network with faults, cuts and restarts that a seed decides, and returns the log of its events.
 func simulate(seed uint64) string {
-	draw := newDraw(seed)
+	draw := newRandom(seed)
 	s := &simulation{draw: draw, nodes: map[string]*simnet.Node{}}
 	s.net = simnet.New(seed, simnet.Faults{
 		MinDelay:      time.Duration(draw(20)) * time.Millisecond,
@@ -89,7 +90,7 @@
 	s.nodes[name] = s.net.Listen(o)
 }
 
-// step is one event at an instance.
+// step performs a random action at an instance.
 func (s *simulation) step(from, to string) {
 	switch s.draw(12) {
 	case 0:
@@ -122,8 +123,8 @@
 	}
 }
 
-// newDraw returns numbers below a bound that a seed decides, the same on every machine and build.
-func newDraw(seed uint64) func(below int) int {
+// newRandom returns a generator of random numbers in [0, below). A seed gives the same numbers on every machine and build.
+func newRandom(seed uint64) func(below int) int {
 	state := seed*0x9e3779b97f4a7c15 + 1
 	return func(below int) int {
 		state = state*6364136223846793005 + 1442695040888963407
--- a/internal/membership/traffic_test.go
+++ b/internal/membership/traffic_test.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/membership"
 )
 
-// countingTransport counts what an instance sends.
+// countingTransport counts the bytes of the packets that an instance sends.
 type countingTransport struct {
 	membership.NetworkTransport
 	bytes *atomic.Int64
@@ -24,18 +24,18 @@
 	return w.NetworkTransport.WriteToAddress(b, a)
 }
 
-// BenchmarkTraffic measures the bytes a second that one of twenty instances sends: idle, and with a message of 200 bytes to
-// each of the others five times a second.
+// BenchmarkTraffic measures the mean number of bytes per second that each of 20 instances sends: without messages, and with a
+// message of 200 bytes to each of the others five times per second.
 func BenchmarkTraffic(b *testing.B) {
-	for _, talks := range []bool{false, true} {
-		b.Run(fmt.Sprint("talks ", talks), func(b *testing.B) {
+	for _, sending := range []bool{false, true} {
+		b.Run(fmt.Sprint("sending ", sending), func(b *testing.B) {
 			var bytes atomic.Int64
 			all := startFleet(b, 20, &bytes)
 			time.Sleep(5 * time.Second)
 			before := bytes.Load()
 			const span = 5 * time.Second
 			for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-				if talks {
+				if sending {
 					sendToAll(b, all)
 				}
 			}
@@ -44,7 +44,8 @@
 	}
 }
 
-// startFleet starts instances that count what they send, and waits until the first and the last know all.
+// startFleet starts instances that count the bytes that they send. It waits until the first and the last instance know all
+// others.
 func startFleet(b *testing.B, count int, bytes *atomic.Int64) (all []*membership.Gossip) {
 	b.Helper()
 	var join []string
