--- a/internal/membership/contract_test.go
+++ b/internal/membership/contract_test.go
@@ -59,14 +59,14 @@
 const waitTimeout = 20 * time.Second
 
 // waitFor waits until a condition holds. It fails the test if that takes longer than waitTimeout.
-func waitFor(t *testing.T, r networkFixture, what string, holds func() bool) {
+func waitFor(t *testing.T, fixture networkFixture, what string, holds func() bool) {
 	t.Helper()
 	const step = 20 * time.Millisecond
 	for range waitTimeout / step {
 		if holds() {
 			return
 		}
-		r.Advance(step)
+		fixture.Advance(step)
 	}
 	t.Fatalf("after %v still waiting until %s", waitTimeout, what)
 }
@@ -83,22 +83,24 @@
 
 // startInstances starts n instances with the names a, b, c and so on, in their first incarnation. It waits until each knows
 // all others.
-func startInstances(t *testing.T, r networkFixture, n int) (ts []membership.Transport, boxes []*inbox) {
+func startInstances(t *testing.T, fixture networkFixture, n int) (transports []membership.Transport, inboxes []*inbox) {
 	t.Helper()
 	for i := range n {
 		box := &inbox{}
-		boxes = append(boxes, box)
-		ts = append(ts, r.Start(membership.Options{Name: instanceName(i), Incarnation: 1, OnMessage: box.receive}))
+		inboxes = append(inboxes, box)
+		transports = append(transports, fixture.Start(membership.Options{
+			Name: instanceName(i), Incarnation: 1, OnMessage: box.receive,
+		}))
 	}
-	waitFor(t, r, "each instance knows all others", func() bool {
-		for _, tr := range ts {
+	waitFor(t, fixture, "each instance knows all others", func() bool {
+		for _, tr := range transports {
 			if len(tr.Members()) < n {
 				return false
 			}
 		}
 		return true
 	})
-	return ts, boxes
+	return transports, inboxes
 }
 
 func mustClose(t *testing.T, tr membership.Transport) {
@@ -120,14 +122,14 @@
 }
 
 // Checks that each instance receives messages from each other, and only with the sender's first incarnation.
-func testMessages(t *testing.T, r networkFixture) {
+func testMessages(t *testing.T, fixture networkFixture) {
 	t.Helper()
-	ts, boxes := startInstances(t, r, 4)
-	waitFor(t, r, "each instance has a message from each other", func() bool {
+	transports, inboxes := startInstances(t, fixture, 4)
+	waitFor(t, fixture, "each instance has a message from each other", func() bool {
 		done := true
-		for i, from := range ts {
-			for j := range ts {
-				if i != j && !boxes[j].has(instanceName(i), "to "+instanceName(j)) {
+		for i, from := range transports {
+			for j := range transports {
+				if i != j && !inboxes[j].has(instanceName(i), "to "+instanceName(j)) {
 					done = false
 					from.Send(instanceName(j), []byte("to "+instanceName(j)))
 				}
@@ -135,9 +137,9 @@
 		}
 		return done
 	})
-	for i := range ts {
-		for j := range ts {
-			if i != j && boxes[j].count(instanceName(i), 0) != boxes[j].count(instanceName(i), 1) {
+	for i := range transports {
+		for j := range transports {
+			if i != j && inboxes[j].count(instanceName(i), 0) != inboxes[j].count(instanceName(i), 1) {
 				t.Errorf("%s received messages from %s with another incarnation than 1", instanceName(j), instanceName(i))
 			}
 		}
@@ -145,91 +147,94 @@
 }
 
 // Checks that messages over the limits of a link are dropped and counted, and that another link is not affected.
-func testLimits(t *testing.T, r networkFixture) {
+func testLimits(t *testing.T, fixture networkFixture) {
 	t.Helper()
-	ts, boxes := startInstances(t, r, 3)
+	transports, inboxes := startInstances(t, fixture, 3)
 	const burst = 5000
-	before := ts[0].Counts()["b"]
+	before := transports[0].Counts()["b"]
 	for i := range burst {
-		ts[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
+		transports[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
 	}
-	ts[0].Send("b", make([]byte, membership.MaxBodyBytes+1))
-	waitFor(t, r, "c receives a message while the queue to b is full", func() bool {
-		ts[0].Send("c", []byte("on"))
-		return boxes[2].has("a", "on")
+	transports[0].Send("b", make([]byte, membership.MaxBodyBytes+1))
+	waitFor(t, fixture, "c receives a message while the queue to b is full", func() bool {
+		transports[0].Send("c", []byte("on"))
+		return inboxes[2].has("a", "on")
 	})
-	waitFor(t, r, "all messages of the burst are counted as sent or dropped", func() bool {
-		c := ts[0].Counts()["b"]
+	waitFor(t, fixture, "all messages of the burst are counted as sent or dropped", func() bool {
+		c := transports[0].Counts()["b"]
 		return c.Sent+c.Dropped-before.Sent-before.Dropped == burst+1
 	})
-	if c := ts[0].Counts()["b"]; c.Dropped < burst/2 {
+	if c := transports[0].Counts()["b"]; c.Dropped < burst/2 {
 		t.Errorf("of a burst of %d messages %d were dropped, want at least half of them", burst, c.Dropped)
 	}
-	ts[0].Send("nobody", []byte("x"))
-	if c := ts[0].Counts()["nobody"]; c.Dropped != 1 {
+	transports[0].Send("nobody", []byte("x"))
+	if c := transports[0].Counts()["nobody"]; c.Dropped != 1 {
 		t.Errorf("message to an unknown peer: got counts %+v, want 1 dropped", c)
 	}
 }
 
 // Checks that a link that is cut in one direction carries no message in that direction and still carries messages in the
 // other, and that it works again once it is restored.
-func testOneWayCut(t *testing.T, r networkFixture) {
+func testOneWayCut(t *testing.T, fixture networkFixture) {
 	t.Helper()
-	ts, boxes := startInstances(t, r, 3)
-	r.Cut("a", "b", true)
-	r.Advance(100 * time.Millisecond)
-	receivedBefore := boxes[1].count("a", 0)
+	transports, inboxes := startInstances(t, fixture, 3)
+	fixture.Cut("a", "b", true)
+	fixture.Advance(100 * time.Millisecond)
+	receivedBefore := inboxes[1].count("a", 0)
 	i := 0
-	waitFor(t, r, "a receives from b", func() bool {
+	waitFor(t, fixture, "a receives from b", func() bool {
 		i++
-		ts[0].Send("b", []byte("cut"))
-		ts[1].Send("a", []byte(fmt.Sprint("b to a ", i)))
-		return boxes[0].count("b", 0) > 3
+		transports[0].Send("b", []byte("cut"))
+		transports[1].Send("a", []byte(fmt.Sprint("b to a ", i)))
+		return inboxes[0].count("b", 0) > 3
 	})
-	if n := boxes[1].count("a", 0); n != receivedBefore {
+	if n := inboxes[1].count("a", 0); n != receivedBefore {
 		t.Errorf("b received %d messages over a cut link, want 0", n-receivedBefore)
 	}
-	r.Cut("a", "b", false)
-	waitFor(t, r, "b receives from a again", func() bool {
-		ts[0].Send("b", []byte("healed"))
-		return boxes[1].has("a", "healed")
+	fixture.Cut("a", "b", false)
+	waitFor(t, fixture, "b receives from a again", func() bool {
+		transports[0].Send("b", []byte("healed"))
+		return inboxes[1].has("a", "healed")
 	})
 }
 
 // Checks that messages from an earlier incarnation are ignored, and that an instance with a lower incarnation than its peers
 // know is told the known one and raises its own above it.
-func testIncarnations(t *testing.T, r networkFixture) {
+func testIncarnations(t *testing.T, fixture networkFixture) {
 	t.Helper()
-	ts, boxes := startInstances(t, r, 3)
-	mustClose(t, ts[1])
+	transports, inboxes := startInstances(t, fixture, 3)
+	mustClose(t, transports[1])
 	box := &inbox{}
-	b := r.Start(membership.Options{Name: "b", Incarnation: 9, OnMessage: box.receive})
-	waitFor(t, r, "a and c receive messages from incarnation 9 of b", func() bool {
+	b := fixture.Start(membership.Options{Name: "b", Incarnation: 9, OnMessage: box.receive})
+	waitFor(t, fixture, "a and c receive messages from incarnation 9 of b", func() bool {
 		b.Send("a", []byte("nine"))
 		b.Send("c", []byte("nine"))
-		return boxes[0].count("b", 9) > 0 && boxes[2].count("b", 9) > 0
+		return inboxes[0].count("b", 9) > 0 && inboxes[2].count("b", 9) > 0
 	})
 	mustClose(t, b)
-	b = r.Start(membership.Options{Name: "b", Incarnation: 4, OnMessage: box.receive})
-	waitFor(t, r, "a counts stale messages from b", func() bool {
+	b = fixture.Start(membership.Options{Name: "b", Incarnation: 4, OnMessage: box.receive})
+	waitFor(t, fixture, "a counts stale messages from b", func() bool {
 		b.Send("a", []byte("four"))
-		return ts[0].Counts()["b"].Stale > 2
+		return transports[0].Counts()["b"].Stale > 2
 	})
-	if n := boxes[0].count("b", 4); n > 0 {
+	if n := inboxes[0].count("b", 4); n > 0 {
 		t.Errorf("a received %d stale messages, want 0", n)
 	}
 	mustClose(t, b)
 	var mu sync.Mutex
 	var known []uint64
-	b = r.Start(membership.Options{Name: "b", Incarnation: 5, OnMessage: box.receive, BumpIncarnation: func(above uint64) (uint64, error) {
-		mu.Lock()
-		defer mu.Unlock()
-		known = append(known, above)
-		return above + 1, nil
-	}})
-	waitFor(t, r, "a receives messages from incarnation 10 of b", func() bool {
+	b = fixture.Start(membership.Options{
+		Name: "b", Incarnation: 5, OnMessage: box.receive,
+		BumpIncarnation: func(above uint64) (uint64, error) {
+			mu.Lock()
+			defer mu.Unlock()
+			known = append(known, above)
+			return above + 1, nil
+		},
+	})
+	waitFor(t, fixture, "a receives messages from incarnation 10 of b", func() bool {
 		b.Send("a", []byte("ten"))
-		return boxes[0].count("b", 10) > 0
+		return inboxes[0].count("b", 10) > 0
 	})
 	mu.Lock()
 	defer mu.Unlock()
@@ -239,21 +244,23 @@
 }
 
 // Checks that an instance that is closed becomes dead for all others, and alive again after a restart.
-func testDeathAndRestart(t *testing.T, r networkFixture) {
+func testDeathAndRestart(t *testing.T, fixture networkFixture) {
 	t.Helper()
-	ts, boxes := startInstances(t, r, 4)
-	mustClose(t, ts[2])
-	waitFor(t, r, "c is dead for all others", func() bool {
-		return stateOf(ts[0], "c") == membership.Dead && stateOf(ts[1], "c") == membership.Dead && stateOf(ts[3], "c") == membership.Dead
+	transports, inboxes := startInstances(t, fixture, 4)
+	mustClose(t, transports[2])
+	waitFor(t, fixture, "c is dead for all others", func() bool {
+		return stateOf(transports[0], "c") == membership.Dead && stateOf(transports[1], "c") == membership.Dead &&
+			stateOf(transports[3], "c") == membership.Dead
 	})
-	if s := stateOf(ts[0], "b"); s == membership.Dead {
+	if s := stateOf(transports[0], "b"); s == membership.Dead {
 		t.Error("b is dead too, although only c was closed")
 	}
 	box := &inbox{}
-	c := r.Start(membership.Options{Name: "c", Incarnation: 2, OnMessage: box.receive})
-	waitFor(t, r, "c is alive for a and d, and exchanges messages with a", func() bool {
+	c := fixture.Start(membership.Options{Name: "c", Incarnation: 2, OnMessage: box.receive})
+	waitFor(t, fixture, "c is alive for a and d, and exchanges messages with a", func() bool {
 		c.Send("a", []byte("back"))
-		ts[0].Send("c", []byte("welcome"))
-		return stateOf(ts[0], "c") == membership.Alive && stateOf(ts[3], "c") == membership.Alive && boxes[0].count("c", 2) > 0 && box.has("a", "welcome")
+		transports[0].Send("c", []byte("welcome"))
+		return stateOf(transports[0], "c") == membership.Alive && stateOf(transports[3], "c") == membership.Alive &&
+			inboxes[0].count("c", 2) > 0 && box.has("a", "welcome")
 	})
 }
--- a/internal/wal/contract_test.go
+++ b/internal/wal/contract_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-func mustOpen(t *testing.T, r logFixture) (wal.Log, *wal.RecoveredLog) {
+func mustOpen(t *testing.T, fixture logFixture) (wal.Log, *wal.RecoveredLog) {
 	t.Helper()
-	l, recovered, err := r.Open()
+	l, recovered, err := fixture.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,11 +85,11 @@
 }
 
 // Checks that records are recovered in order, with their numbers, after a crash and after Close.
-func testOrder(t *testing.T, r logFixture) {
+func testOrder(t *testing.T, fixture logFixture) {
 	t.Helper()
 	const count = 50
 	content := func(i int) []byte { return bytes.Repeat([]byte{byte(i)}, i*40) }
-	l, recovered := mustOpen(t, r)
+	l, recovered := mustOpen(t, fixture)
 	if recovered.LastNumber() != 0 || len(recovered.Records) != 0 {
 		t.Fatalf("new log holds %+v, want no records", recovered)
 	}
@@ -102,9 +102,9 @@
 		if closed {
 			mustClose(t, l)
 		} else {
-			r.Crash()
+			fixture.Crash()
 		}
-		l, recovered = mustOpen(t, r)
+		l, recovered = mustOpen(t, fixture)
 		if len(recovered.Records) != count || recovered.LastNumber() != count {
 			t.Fatalf("closed %v: got %d records, last number %d", closed, len(recovered.Records), recovered.LastNumber())
 		}
@@ -118,9 +118,9 @@
 }
 
 // Checks that a snapshot replaces the records that it covers, and that the numbers of later records continue.
-func testSnapshot(t *testing.T, r logFixture) {
+func testSnapshot(t *testing.T, fixture logFixture) {
 	t.Helper()
-	l, _ := mustOpen(t, r)
+	l, _ := mustOpen(t, fixture)
 	for i := range 10 {
 		if _, err := l.Append([]byte{byte(i)}); err != nil {
 			t.Fatal(err)
@@ -135,10 +135,11 @@
 	if err := l.Snapshot(11, []byte("ahead")); !errors.Is(err, wal.ErrSnapshotAhead) {
 		t.Errorf("snapshot of records that were not appended: got error %v, want ErrSnapshotAhead", err)
 	}
-	r.Crash()
-	l, recovered := mustOpen(t, r)
-	if recovered.SnapshotNumber != 7 || string(recovered.Snapshot) != "seven" || len(recovered.Records) != 3 || recovered.Records[0].Number != 8 {
-		t.Fatalf("holds %+v", recovered)
+	fixture.Crash()
+	l, recovered := mustOpen(t, fixture)
+	if recovered.SnapshotNumber != 7 || string(recovered.Snapshot) != "seven" ||
+		len(recovered.Records) != 3 || recovered.Records[0].Number != 8 {
+		t.Fatalf("got %+v, want a snapshot up to 7 and records 8 to 10", recovered)
 	}
 	if err := l.Snapshot(10, []byte("ten")); err != nil {
 		t.Fatal(err)
@@ -146,17 +147,18 @@
 	if n, err := l.Append([]byte("on")); n != 11 || err != nil {
 		t.Fatalf("Append returned number %d, error %v, want number 11", n, err)
 	}
-	r.Crash()
-	_, recovered = mustOpen(t, r)
-	if recovered.SnapshotNumber != 10 || string(recovered.Snapshot) != "ten" || len(recovered.Records) != 1 || recovered.LastNumber() != 11 {
-		t.Fatalf("holds %+v", recovered)
+	fixture.Crash()
+	_, recovered = mustOpen(t, fixture)
+	if recovered.SnapshotNumber != 10 || string(recovered.Snapshot) != "ten" ||
+		len(recovered.Records) != 1 || recovered.LastNumber() != 11 {
+		t.Fatalf("got %+v, want a snapshot up to 10 and record 11", recovered)
 	}
 }
 
 // Checks that records that many goroutines append get unique numbers and are all recovered.
-func testConcurrentAppends(t *testing.T, r logFixture) {
+func testConcurrentAppends(t *testing.T, fixture logFixture) {
 	t.Helper()
-	l, _ := mustOpen(t, r)
+	l, _ := mustOpen(t, fixture)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	acknowledged := map[uint64]string{}
@@ -175,8 +177,8 @@
 		})
 	}
 	wg.Wait()
-	r.Crash()
-	_, recovered := mustOpen(t, r)
+	fixture.Crash()
+	_, recovered := mustOpen(t, fixture)
 	if len(recovered.Records) != 400 {
 		t.Fatalf("got %d records, want 400", len(recovered.Records))
 	}
@@ -188,9 +190,9 @@
 }
 
 // Checks the results for a record that is too large, for an empty record, and for a log that is closed.
-func testLimits(t *testing.T, r logFixture) {
+func testLimits(t *testing.T, fixture logFixture) {
 	t.Helper()
-	l, _ := mustOpen(t, r)
+	l, _ := mustOpen(t, fixture)
 	var tooLarge *wal.TooLargeError
 	if _, err := l.Append(make([]byte, wal.MaxRecordBytes+1)); !errors.As(err, &tooLarge) {
 		t.Errorf("Append of a record that is too large: got error %v, want a TooLargeError", err)
@@ -213,17 +215,17 @@
 
 // Appends, takes snapshots and crashes in a random order. Checks that exactly the acknowledged records are recovered, in
 // order.
-func testCrashes(t *testing.T, r logFixture, seed uint64) {
+func testCrashes(t *testing.T, fixture logFixture, seed uint64) {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	l, _ := mustOpen(t, r)
+	l, _ := mustOpen(t, fixture)
 	var acknowledged []string // the record with number n is at index n-1
 	for range 60 {
 		switch rnd.IntN(10) {
 		case 0:
-			r.Crash()
+			fixture.Crash()
 			var recovered *wal.RecoveredLog
-			l, recovered = mustOpen(t, r)
+			l, recovered = mustOpen(t, fixture)
 			checkRecovered(t, seed, recovered, acknowledged)
 		case 1:
 			if n := len(acknowledged); n > 0 {
