--- a/internal/nats/session/deduplicator.go
+++ b/internal/nats/session/deduplicator.go
@@ -2,55 +2,57 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Deduplicator finds the messages that a session receives twice while it is subscribed at two nodes of a cluster, as
-// clustered nodes forward messages to each other and so both deliver them. The messages of the old node are counted by
-// their hash; for each of them one identical message of the new node is a duplicate.
+// Deduplicator detects duplicate messages while a session is subscribed at two nodes of a cluster. Clustered nodes forward
+// messages to each other, so that both nodes deliver the same message. The Deduplicator counts the messages of the old node
+// by hash. Each of them makes one identical message of the new node a duplicate.
 //
-// A message that only the new node delivers is dropped in one case: if an identical one was delivered by the old node alone
-// while the subscriptions at the new node were being set up.
+// In one case a message is treated as a duplicate although only the new node delivered it: when the old node alone delivered
+// an identical message while the subscriptions at the new node were being set up.
 //
 // The zero value is inactive. A Deduplicator must not be used by several goroutines at once.
 type Deduplicator struct {
-	active  bool
-	pending map[uint64]int // by hash: messages of the old node without a duplicate so far
-	count   int            // messages in pending
+	active        bool
+	pendingByHash map[uint64]int // number of messages of the old node that have no duplicate yet, by hash
+	pendingCount  int            // sum of the numbers in pendingByHash
 }
 
-// maxPending bounds the messages in Deduplicator.pending. Duplicates of messages beyond it are not found.
-const maxPending = 1 << 16
+// maxPendingMessages is the maximum of Deduplicator.pendingCount. Messages beyond it are not counted, and their duplicates are
+// not detected.
+const maxPendingMessages = 1 << 16
 
-// Start begins counting, with nothing counted so far.
-func (d *Deduplicator) Start() { *d = Deduplicator{active: true, pending: map[uint64]int{}} }
+// Start activates the Deduplicator and discards all counts.
+func (d *Deduplicator) Start() { *d = Deduplicator{active: true, pendingByHash: map[uint64]int{}} }
 
-// Stop ends counting and forgets what was counted.
+// Stop deactivates the Deduplicator and discards all counts.
 func (d *Deduplicator) Stop() { *d = Deduplicator{} }
 
 // Active reports whether messages must be passed to RecordOld and IsDuplicate.
 func (d *Deduplicator) Active() bool { return d.active }
 
-// RecordOld counts a message that the old node delivered. raw is its whole frame, with subject, subscription and reply.
+// RecordOld counts a message that the old node delivered. raw is the complete frame of the message, including subject,
+// subscription ID and reply subject.
 func (d *Deduplicator) RecordOld(raw []byte) {
-	if d.active && d.count < maxPending {
-		d.pending[xxhash.Sum64(raw)]++
-		d.count++
+	if d.active && d.pendingCount < maxPendingMessages {
+		d.pendingByHash[xxhash.Sum64(raw)]++
+		d.pendingCount++
 	}
 }
 
-// IsDuplicate reports whether the old node delivered a message of the new node already. Each message of the old node
-// accounts for one duplicate.
+// IsDuplicate reports whether the old node has already delivered a message of the new node. raw is the complete frame, as for
+// RecordOld. Each message of the old node accounts for one duplicate.
 func (d *Deduplicator) IsDuplicate(raw []byte) bool {
 	if !d.active {
 		return false
 	}
 	hash := xxhash.Sum64(raw)
-	switch d.pending[hash] {
+	switch d.pendingByHash[hash] {
 	case 0:
 		return false
 	case 1:
-		delete(d.pending, hash)
+		delete(d.pendingByHash, hash)
 	default:
-		d.pending[hash]--
+		d.pendingByHash[hash]--
 	}
-	d.count--
+	d.pendingCount--
 	return true
 }
--- a/internal/nats/session/digest_test.go
+++ b/internal/nats/session/digest_test.go
@@ -13,10 +13,10 @@
 	"example.org/milletvane/internal/nats/session"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew")
+var update = flag.Bool("update", false, "rewrite the files in testdata")
 
-// compareDigests compares a digest of each transcript with a file in testdata, or writes the file with -update. It shows
-// the first transcript whose digest differs.
+// compareDigests compares the digest of each transcript with a file in testdata, or rewrites the file if -update is set. It
+// prints the first transcript whose digest differs.
 func compareDigests(t *testing.T, file string, transcripts []string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -36,26 +36,27 @@
 	}
 	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if len(lines) != len(want) {
-		t.Fatalf("%s: %d lines, want %d", path, len(lines), len(want))
+		t.Fatalf("%s: got %d digests, want %d", path, len(lines), len(want))
 	}
-	differ := 0
+	differingDigests := 0
 	for i := range lines {
 		if lines[i] == want[i] {
 			continue
 		}
-		if differ++; differ == 1 {
-			t.Errorf("%s:%d: got %s, want %s; the transcript is now:\n%s", path, i+1, lines[i], want[i], transcripts[i])
+		if differingDigests++; differingDigests == 1 {
+			t.Errorf("%s:%d: got %s, want %s; the transcript is:\n%s", path, i+1, lines[i], want[i], transcripts[i])
 		}
 	}
-	if differ > 0 {
-		t.Errorf("%s: %d of %d digests differ", path, differ, len(lines))
+	if differingDigests > 0 {
+		t.Errorf("%s: %d of %d digests differ", path, differingDigests, len(lines))
 	}
 }
 
-func pick[T any](rng *rand.Rand, of []T) T { return of[rng.IntN(len(of))] }
+func randomElement[T any](rng *rand.Rand, values []T) T { return values[rng.IntN(len(values))] }
 
-// spoil overwrites what a caller handed over, as a connection's buffer is overwritten by what comes next.
-func spoil(buffers ...[]byte) {
+// overwrite overwrites the arguments of an earlier call, as the next read overwrites the buffer of a connection. This shows
+// whether the callee kept a slice instead of a copy.
+func overwrite(buffers ...[]byte) {
 	for _, b := range buffers {
 		for i := range b {
 			b[i] = '!'
@@ -64,8 +65,8 @@
 }
 
 var (
-	patterns = []string{"a", "a.b", "a.*", "a.>", "*.b", ">", "orders.new", "orders.*.done", "_INBOX.x.1"}
-	subjects = []string{
+	subscriptionPatterns = []string{"a", "a.b", "a.*", "a.>", "*.b", ">", "orders.new", "orders.*.done", "_INBOX.x.1"}
+	subjects             = []string{
 		"a", "a.b", "a.c", "a.b.c", "b", "b.b", "orders.new", "orders.7.done", "orders.7",
 		"_INBOX.x.1", "_INBOX.x.2",
 	}
@@ -73,7 +74,7 @@
 	sids   = []string{"1", "2", "3", "17", "x", "longer-id"}
 )
 
-func describe(b *strings.Builder, sub *session.Subscription) {
+func writeSubscription(b *strings.Builder, sub *session.Subscription) {
 	if sub == nil {
 		b.WriteString("none\n")
 		return
@@ -82,31 +83,31 @@
 		sub.Delivered)
 }
 
-// subscriptionsTranscript plays drawn calls on the subscriptions of a session and writes down all results.
+// subscriptionsTranscript makes random calls on the Subscriptions of a session and returns a transcript of the results.
 func subscriptionsTranscript(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	var subs session.Subscriptions
 	var b strings.Builder
 	for range 20 + rng.IntN(60) {
-		sid := []byte(pick(rng, sids))
+		sid := []byte(randomElement(rng, sids))
 		switch rng.IntN(10) {
 		case 0, 1, 2:
-			subject, queue := []byte(pick(rng, patterns)), []byte(pick(rng, queues))
+			subject, queue := []byte(randomElement(rng, subscriptionPatterns)), []byte(randomElement(rng, queues))
 			fmt.Fprintf(&b, "add %q %q %q\n", subject, queue, sid)
 			subs.Add(subject, queue, sid)
-			spoil(subject, queue, sid)
+			overwrite(subject, queue, sid)
 		case 3, 4:
 			count := rng.IntN(7) - 1
 			fmt.Fprintf(&b, "end %q %d\n", sid, count)
 			subs.Unsubscribe(sid, count)
-			spoil(sid)
+			overwrite(sid)
 		case 5, 6, 7:
 			fmt.Fprintf(&b, "give %q: ", sid)
 			fmt.Fprintf(&b, "%t\n", subs.Deliver(sid))
 		case 8:
-			subject := pick(rng, subjects)
+			subject := randomElement(rng, subjects)
 			fmt.Fprintf(&b, "for %q: ", subject)
-			describe(&b, subs.Match([]byte(subject)))
+			writeSubscription(&b, subs.Match([]byte(subject)))
 		case 9:
 			fmt.Fprintf(&b, "all %q\n", subs.AppendSubscribe([]byte("before ")))
 		}
@@ -114,7 +115,7 @@
 	}
 	for _, subject := range subjects {
 		fmt.Fprintf(&b, "for %q: ", subject)
-		describe(&b, subs.Match([]byte(subject)))
+		writeSubscription(&b, subs.Match([]byte(subject)))
 	}
 	fmt.Fprintf(&b, "all %q\nends %q\n", subs.AppendSubscribe(nil), subs.AppendUnsubscribe([]byte("before ")))
 	return b.String()
@@ -128,14 +129,15 @@
 	compareDigests(t, "subscriptions.txt", transcripts)
 }
 
-// overlapTranscript plays drawn messages of two nodes and writes down which of them are duplicates.
-func overlapTranscript(seed uint64) string {
+// deduplicatorTranscript passes random messages of two nodes to a Deduplicator and returns a transcript that says which are
+// duplicates.
+func deduplicatorTranscript(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 22))
 	var dedup session.Deduplicator
 	var b strings.Builder
-	kinds := 1 + rng.IntN(12)
+	distinctMessages := 1 + rng.IntN(12)
 	for range 40 + rng.IntN(80) {
-		raw := fmt.Appendf(nil, "MSG a.%d 1 2\r\nhi\r\n", rng.IntN(kinds))
+		raw := fmt.Appendf(nil, "MSG a.%d 1 2\r\nhi\r\n", rng.IntN(distinctMessages))
 		switch n := rng.IntN(40); {
 		case n == 0:
 			b.WriteString("end\n")
@@ -146,7 +148,7 @@
 		case n < 21:
 			fmt.Fprintf(&b, "old %q\n", raw)
 			dedup.RecordOld(raw)
-			spoil(raw)
+			overwrite(raw)
 		default:
 			fmt.Fprintf(&b, "new %q: ", raw)
 			fmt.Fprintf(&b, "%t\n", dedup.IsDuplicate(raw))
@@ -156,26 +158,27 @@
 	return b.String()
 }
 
-// boundTranscript writes down which duplicates are found after the old node delivered more than is counted.
-func boundTranscript() string {
-	const bound = 1 << 16
+// pendingLimitTranscript returns a transcript of the duplicates that are detected after the old node delivered more messages
+// than the Deduplicator counts.
+func pendingLimitTranscript() string {
+	const maxPendingMessages = 1 << 16
 	message := func(i int) []byte { return fmt.Appendf(nil, "MSG a 1 6\r\n%06d\r\n", i) }
 	var dedup session.Deduplicator
 	var b strings.Builder
 	dedup.Start()
-	for i := range bound + 8 {
+	for i := range maxPendingMessages + 8 {
 		dedup.RecordOld(message(i))
 	}
-	for i := bound - 3; i < bound+8; i++ {
+	for i := maxPendingMessages - 3; i < maxPendingMessages+8; i++ {
 		fmt.Fprintf(&b, "new %d: %t\n", i, dedup.IsDuplicate(message(i)))
 	}
-	for i := range 5 { // three have room again
-		dedup.RecordOld(message(2*bound + i))
+	for i := range 5 { // only three of them are counted: three duplicates were removed above
+		dedup.RecordOld(message(2*maxPendingMessages + i))
 	}
 	for i := range 5 {
-		fmt.Fprintf(&b, "new %d: %t\n", 2*bound+i, dedup.IsDuplicate(message(2*bound+i)))
+		fmt.Fprintf(&b, "new %d: %t\n", 2*maxPendingMessages+i, dedup.IsDuplicate(message(2*maxPendingMessages+i)))
 	}
-	for range 4 { // each of the same message is one of them
+	for range 4 { // identical messages are counted one by one
 		dedup.RecordOld(message(0))
 	}
 	for range 6 {
@@ -184,10 +187,10 @@
 	return b.String()
 }
 
-func TestOverlapDigests(t *testing.T) {
+func TestDeduplicatorDigests(t *testing.T) {
 	var transcripts []string
 	for seed := range uint64(300) {
-		transcripts = append(transcripts, overlapTranscript(seed))
+		transcripts = append(transcripts, deduplicatorTranscript(seed))
 	}
-	compareDigests(t, "overlap.txt", append(transcripts, boundTranscript()))
+	compareDigests(t, "overlap.txt", append(transcripts, pendingLimitTranscript()))
 }
--- a/internal/nats/session/subscriptions.go
+++ b/internal/nats/session/subscriptions.go
@@ -1,8 +1,8 @@
-// Package session holds the state of one NATS session that does not depend on its connections: its subscriptions, and which
-// messages are duplicates while it migrates from one node to another.
+// Package session holds the state of one NATS session that does not depend on its connections: the subscriptions of the
+// client, and the message counts by which duplicates are detected while the session migrates from one node to another.
 //
-// The package does no I/O and has no clock. The session owns its Subscriptions and its Deduplicator; neither may be used by
-// several goroutines at once.
+// The package does no I/O and reads no clock. A session owns its Subscriptions and its Deduplicator. Neither of them may be
+// used by several goroutines at once.
 package session
 
 import (
@@ -12,72 +12,72 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// Subscription is a subscription of a client.
+// Subscription holds one subscription of a client.
 type Subscription struct {
 	Subject     []byte // may contain wildcards
-	Queue       []byte // queue group; empty: none
-	SID         string
-	MaxMessages int // messages after which it ends; 0: it does not end by itself
-	Delivered   int // messages delivered to the client, counted only if MaxMessages is set
+	Queue       []byte // queue group; empty means none
+	SID         string // subscription ID, which the client chose
+	MaxMessages int    // messages after which the subscription ends; 0 means no limit
+	Delivered   int    // messages delivered to the client since MaxMessages was set; 0 without MaxMessages
 }
 
-// Subscriptions are the subscriptions of a session. The zero value is empty and ready for use.
+// Subscriptions holds the subscriptions of a session. The zero value is empty and ready for use.
 type Subscriptions struct {
-	byID    map[string]*Subscription
-	ordered []*Subscription // in the order of Add
-	limited int             // those with MaxMessages
+	bySID        map[string]*Subscription
+	ordered      []*Subscription // in the order in which they were added
+	limitedCount int             // number of subscriptions with MaxMessages
 }
 
 // Len returns the number of subscriptions.
 func (s *Subscriptions) Len() int { return len(s.ordered) }
 
-// HasLimits reports whether any subscription has MaxMessages, so that Deliver must be called for each message.
-func (s *Subscriptions) HasLimits() bool { return s.limited > 0 }
+// HasLimits reports whether any subscription has MaxMessages. If so, Deliver must be called for each message.
+func (s *Subscriptions) HasLimits() bool { return s.limitedCount > 0 }
 
-// Add adds the subscription of a SUB. It replaces one with the same SID, as the client could not distinguish their
-// messages. The arguments are copied.
+// Add adds the subscription that a SUB frame requests. It replaces a subscription with the same SID, because the client could
+// not distinguish the messages of the two. Add copies its arguments.
 func (s *Subscriptions) Add(subject, queue, sid []byte) {
-	if s.byID == nil {
-		s.byID = map[string]*Subscription{}
+	if s.bySID == nil {
+		s.bySID = map[string]*Subscription{}
 	}
-	if old := s.byID[string(sid)]; old != nil {
+	if old := s.bySID[string(sid)]; old != nil {
 		s.remove(old)
 	}
 	added := &Subscription{Subject: bytes.Clone(subject), Queue: bytes.Clone(queue), SID: string(sid)}
-	s.byID[added.SID] = added
+	s.bySID[added.SID] = added
 	s.ordered = append(s.ordered, added)
 }
 
-// Unsubscribe applies an UNSUB: the subscription ends once maxMessages were delivered since it began, or at once if
-// maxMessages is not positive. Unknown SIDs are ignored.
+// Unsubscribe applies an UNSUB frame. The subscription ends after maxMessages messages, or at once if maxMessages is not
+// positive. Messages are counted from the first UNSUB with a limit on. An unknown SID is ignored.
 func (s *Subscriptions) Unsubscribe(sid []byte, maxMessages int) {
-	sub := s.byID[string(sid)]
+	sub := s.bySID[string(sid)]
 	switch {
 	case sub == nil:
 	case maxMessages <= 0 || sub.Delivered >= maxMessages && sub.MaxMessages > 0:
 		s.remove(sub)
 	default:
 		if sub.MaxMessages == 0 {
-			s.limited++
+			s.limitedCount++
 		}
 		sub.MaxMessages = maxMessages
 	}
 }
 
 func (s *Subscriptions) remove(sub *Subscription) {
-	delete(s.byID, sub.SID)
+	delete(s.bySID, sub.SID)
 	if i := slices.Index(s.ordered, sub); i >= 0 {
 		s.ordered = slices.Delete(s.ordered, i, i+1)
 	}
 	if sub.MaxMessages > 0 {
-		s.limited--
+		s.limitedCount--
 	}
 }
 
-// Deliver counts a message for a subscription, which ends with its last one. It returns false if the subscription has ended
-// already, so that the message must be dropped.
+// Deliver counts a message for a subscription and removes the subscription once its limit is reached. It returns false if
+// the subscription does not exist or has ended already. The message must then be dropped.
 func (s *Subscriptions) Deliver(sid []byte) bool {
-	sub := s.byID[string(sid)]
+	sub := s.bySID[string(sid)]
 	if sub == nil {
 		return false
 	}
@@ -90,7 +90,7 @@
 	return true
 }
 
-// Match returns the oldest subscription that matches a subject; nil: there is none.
+// Match returns the oldest subscription whose subject matches, or nil if there is none.
 func (s *Subscriptions) Match(subject []byte) *Subscription {
 	for _, sub := range s.ordered {
 		if codec.MatchesSubject(sub.Subject, subject) {
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// AppendSubscribe appends the frames that set up all subscriptions at another node, limited to the messages that remain.
+// AppendSubscribe appends the SUB frames that set up all subscriptions at another node. A subscription with MaxMessages is
+// followed by an UNSUB frame with the number of messages that remain.
 func (s *Subscriptions) AppendSubscribe(b []byte) []byte {
 	for _, sub := range s.ordered {
 		b = codec.AppendSub(b, sub.Subject, sub.Queue, []byte(sub.SID))
@@ -111,7 +112,7 @@
 	return b
 }
 
-// AppendUnsubscribe appends the frames that end all subscriptions at a node.
+// AppendUnsubscribe appends the UNSUB frames that end all subscriptions at a node.
 func (s *Subscriptions) AppendUnsubscribe(b []byte) []byte {
 	for _, sub := range s.ordered {
 		b = codec.AppendUnsub(b, []byte(sub.SID), 0)
