--- a/internal/nats/frontend/client_frames.go
+++ b/internal/nats/frontend/client_frames.go
@@ -6,18 +6,18 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// OnData implements reactor.Handler. Consecutive frames that the node is to get unchanged are forwarded together.
+// OnData implements reactor.Handler. Consecutive frames that are forwarded to the node unchanged are sent together.
 func (s *Session) OnData(c *reactor.Conn, b []byte) int {
-	limits := codec.Limits{MaxControlLine: s.frontend.settings().ControlLine, MaxPayload: s.sentMaxPayload}
+	limits := codec.Limits{MaxControlLine: s.frontend.settings().ControlLine, MaxPayload: s.advertisedMaxPayload}
 	parsed, forwarded := 0, 0 // b[forwarded:parsed] are frames to forward
-	acks := 0                 // frames to acknowledge with +OK, as a verbose client wants
-	flush := func() {
+	pendingAcks := 0          // number of frames to acknowledge with +OK; only a verbose client expects it
+	forwardParsed := func() {
 		s.forward(b[forwarded:parsed])
-		for ; acks > 0; acks-- {
+		for ; pendingAcks > 0; pendingAcks-- {
 			s.send([]byte(codec.OKFrame))
 		}
 	}
-	s.isActive, s.unansweredPings = true, 0
+	s.receivedSinceHealthCheck, s.unansweredPings = true, 0
 	for parsed < len(b) && s.phase != closed {
 		if s.awaitsNode() {
 			c.Pause()
@@ -28,40 +28,40 @@
 			err = codec.ErrUnknownOperation
 		}
 		if err != nil {
-			flush()
+			forwardParsed()
 			s.close(err.Error())
 			return len(b)
 		}
 		if size == 0 {
 			break
 		}
-		isForNode := s.isForNode(&f)
+		isForNode := s.applyFrame(&f)
 		if s.phase == closed {
 			return len(b)
 		}
 		if s.options.Verbose && isAcknowledged(f.Op) {
-			acks++
+			pendingAcks++
 		}
 		if !isForNode {
-			flush()
+			forwardParsed()
 			forwarded = parsed + size
 			s.handleFrame(&f)
 		}
 		parsed += size
 	}
-	flush()
+	forwardParsed()
 	return parsed
 }
 
-// forward sends frames to the node.
+// forward sends frames to the node. It does nothing if there are no frames or no node is connected.
 func (s *Session) forward(frames []byte) {
 	if len(frames) > 0 && s.current != nil {
-		// An error says that the node's connection has ended, which its OnEnd handles.
+		// An error says that the connection to the node has ended. NodeConn.OnEnd handles that.
 		_ = s.current.nodeConn.Conn().SendFrom(s.conn, frames)
 	}
 }
 
-// awaitsNode reports whether frames of the client must wait for a node.
+// awaitsNode reports whether frames of the client must wait until the session is established at a node.
 func (s *Session) awaitsNode() bool {
 	return s.phase == connecting || s.phase == established && (s.current == nil || s.current.flushing)
 }
@@ -70,7 +70,8 @@
 	return isAcknowledged(op) || op == codec.Ping || op == codec.Pong || op == codec.Connect
 }
 
-// isAcknowledged reports whether a verbose client gets +OK for an operation. That for CONNECT is sent on its own.
+// isAcknowledged reports whether OnData acknowledges an operation of a verbose client with +OK. handleConnect sends the +OK
+// for CONNECT.
 func isAcknowledged(op codec.Op) bool {
 	switch op {
 	case codec.Pub, codec.HPub, codec.Sub, codec.Unsub:
@@ -80,8 +81,9 @@
 	}
 }
 
-// isForNode applies a frame to the state of the session and reports whether the node is to get it unchanged.
-func (s *Session) isForNode(f *codec.Frame) bool {
+// applyFrame updates the state of the session by a frame and reports whether the frame must be forwarded to the node
+// unchanged. It may start a request or close the session.
+func (s *Session) applyFrame(f *codec.Frame) bool {
 	switch f.Op {
 	case codec.Pub, codec.HPub:
 		return s.phase == established && !s.startRequest(f)
@@ -92,7 +94,7 @@
 	}
 }
 
-// handleFrame handles a frame that the node does not get unchanged.
+// handleFrame handles a frame that is not forwarded to the node unchanged.
 func (s *Session) handleFrame(f *codec.Frame) {
 	switch f.Op {
 	case codec.Connect:
@@ -101,16 +103,16 @@
 		if s.phase == established {
 			s.current.nodeConn.PingForClient(s.sendPong)
 		} else {
-			s.send([]byte(codec.PongFrame)) // there is no node yet
+			s.send([]byte(codec.PongFrame)) // no node is connected that could answer
 		}
 	case codec.Pub, codec.HPub, codec.Sub, codec.Unsub:
 		if s.phase == awaitingConnect {
-			s.close(errAuthorizationViolation) // as the reference server does before CONNECT
+			s.close(errAuthorizationViolation) // the reference server does the same before CONNECT
 		}
 	}
 }
 
-// updateSubscriptions applies SUB and UNSUB. It reports false if the session was closed for it.
+// updateSubscriptions applies a SUB or UNSUB frame. It returns false if the frame is not allowed, after closing the session.
 func (s *Session) updateSubscriptions(f *codec.Frame) bool {
 	if backend.IsGatewaySID(f.SID) {
 		s.close(codec.ErrParse.Error())
--- a/internal/nats/frontend/frontend.go
+++ b/internal/nats/frontend/frontend.go
@@ -1,9 +1,9 @@
-// Package frontend is the NATS client protocol towards clients: sessions that stay while they migrate from one node to
-// another, and requests that are replied to once. It makes no load-balancing decision: the engine says at which node a
-// session is established and to which node a request goes.
+// Package frontend implements the server side of the NATS client protocol, towards the clients. It serves sessions, which
+// keep the client's connection while they migrate from one node to another, and requests, which receive one reply each. The
+// package makes no load-balancing decision: the engine chooses the node of each session and of each request.
 //
-// A Frontend may be used by any goroutine. Each Session is owned by the reactor loop of its client's connection; what other
-// goroutines ask of it, among them the engine, is posted to that loop.
+// A Frontend may be used by any goroutine. Each Session is owned by the reactor loop of its client's connection. Calls from
+// other goroutines, such as those of the engine, are posted to that loop.
 package frontend
 
 import (
@@ -21,21 +21,21 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// Engine is what a Frontend needs of the engine.
+// Engine accepts the events of a Frontend.
 type Engine interface {
 	Post(engine.Event)
 }
 
-// Frontend accepts NATS clients at one address.
+// Frontend accepts connections of NATS clients at one address and holds their sessions.
 type Frontend struct {
-	engine   Engine
-	backend  *backend.Backend
-	current  atomic.Pointer[operator.NATS]
-	listener *reactor.Listener
-	name     string
-	id       string
-
-	maxPayload   atomic.Int64 // the smallest of the settings' and the nodes'
+	engine          Engine
+	backend         *backend.Backend
+	currentSettings atomic.Pointer[operator.NATS]
+	listener        *reactor.Listener
+	name            string
+	id              string
+
+	maxPayload   atomic.Int64 // in bytes; the minimum of the configured limit and the limits of the nodes
 	lastID       atomic.Uint64
 	shuttingDown atomic.Bool
 
@@ -43,7 +43,8 @@
 	sessions map[*Session]struct{}
 }
 
-// Listen opens the listener and accepts connections until Close.
+// Listen opens the listener and returns a Frontend that accepts connections until Close is called. The error is that of the
+// listener.
 func Listen(name string, settings operator.NATS, e Engine, b *backend.Backend, g *reactor.Group) (*Frontend, error) {
 	f := &Frontend{
 		engine: e, backend: b, name: name,
@@ -58,22 +59,24 @@
 	return f, nil
 }
 
-func (f *Frontend) settings() *operator.NATS { return f.current.Load() }
+func (f *Frontend) settings() *operator.NATS { return f.currentSettings.Load() }
 
-// SetSettings replaces the settings, which apply to everything that happens afterwards. The listener's address stays.
+// SetSettings replaces the settings. The new settings apply to everything that happens afterwards, except that the address of
+// the listener does not change.
 func (f *Frontend) SetSettings(n *operator.NATS) {
-	f.current.Store(n)
-	f.maxPayload.Store(int64(n.MaxPayload)) // nodes lower it again as sessions are set up
+	f.currentSettings.Store(n)
+	f.maxPayload.Store(int64(n.MaxPayload)) // INFO frames of nodes lower it again when sessions are set up
 }
 
 // Addr returns the address of the listener.
 func (f *Frontend) Addr() string { return f.listener.Addr() }
 
-// Close stops accepting connections. The sessions stay.
+// Close stops accepting connections. Existing sessions continue.
 func (f *Frontend) Close() { f.listener.Close() }
 
-// Shutdown starts the graceful shutdown of all sessions: their clients receive an INFO with lame duck mode, and each session
-// is closed when its requests have been replied to. It does not wait for that.
+// Shutdown starts the graceful shutdown of all sessions and returns without waiting for it. Each client receives an INFO frame
+// that announces lame duck mode. A session is closed once its requests have ended and its node has delivered all queued
+// messages.
 func (f *Frontend) Shutdown() {
 	if f.shuttingDown.Swap(true) {
 		return
@@ -85,7 +88,7 @@
 	}
 }
 
-// SessionCount returns the number of sessions.
+// SessionCount returns the number of open sessions.
 func (f *Frontend) SessionCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +107,8 @@
 	delete(f.sessions, s)
 }
 
-// infoFrame is the INFO of the gateway. It lists no other address, as a client is to stay with its gateway.
+// infoFrame returns the INFO frame of the gateway. The frame lists no other addresses, because a client must stay with its
+// gateway.
 func (f *Frontend) infoFrame(clientID uint64) []byte {
 	return codec.AppendJSON(nil, "INFO", codec.ServerInfo{
 		ID: f.id, Name: f.name, Version: "2.10.0", Go: runtime.Version(), Host: "0.0.0.0", Port: 4222, Headers: true,
@@ -112,11 +116,12 @@
 	})
 }
 
-// lowerMaxPayload applies the maximum payload of a node, which is not known if it is not positive.
+// lowerMaxPayload lowers the maximum payload to that of a node, in bytes. It does nothing if the node's maximum is not lower,
+// or is not positive and thus unknown.
 func (f *Frontend) lowerMaxPayload(payload int) {
 	for {
-		lowest := f.maxPayload.Load()
-		if payload <= 0 || int64(payload) >= lowest || f.maxPayload.CompareAndSwap(lowest, int64(payload)) {
+		lowestPayload := f.maxPayload.Load()
+		if payload <= 0 || int64(payload) >= lowestPayload || f.maxPayload.CompareAndSwap(lowestPayload, int64(payload)) {
 			return
 		}
 	}
--- a/internal/nats/frontend/handshake.go
+++ b/internal/nats/frontend/handshake.go
@@ -9,15 +9,16 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// Kinds of operator.KeySource that a session or a request reads from the client. The others are the session's own key.
+// Kinds of operator.KeySource whose key comes from the CONNECT options or from the subject of a request. For all other kinds
+// the key is the session's own.
 const (
 	keyFromUser  = "user"
 	keyFromName  = "name"
 	keyFromToken = "token"
 )
 
-// handleConnect applies the client's first CONNECT and requests a node. A later CONNECT is ignored: the session stays with
-// its node.
+// handleConnect applies the first CONNECT of the client and requests a node. A later CONNECT is ignored, and the session stays
+// at its node.
 func (s *Session) handleConnect(body []byte) {
 	if s.phase != awaitingConnect {
 		return
@@ -42,7 +43,7 @@
 	s.requestNode(s.next, false)
 }
 
-// requestNode requests a node of the engine. reconnecting says that the session was established at another node before.
+// requestNode requests a node from the engine. reconnecting says whether the session was established at another node before.
 func (s *Session) requestNode(n *nodeSession, reconnecting bool) {
 	settings := s.frontend.settings().Session
 	s.frontend.engine.Post(engine.RequestReceived{Client: n, Request: engine.Request{
@@ -51,7 +52,7 @@
 	}})
 }
 
-// connectOption returns the option of CONNECT that a key source names; empty if it names none.
+// connectOption returns the CONNECT option that a key source names, or "" if the source names none.
 func (s *Session) connectOption(source operator.KeySource) string {
 	switch source.Kind {
 	case keyFromUser:
@@ -63,7 +64,7 @@
 	}
 }
 
-// appendConnect appends the client's CONNECT with the options that the gateway needs at a node.
+// appendConnect appends the client's CONNECT frame, with some options replaced by those that the gateway needs at a node.
 func (s *Session) appendConnect(b []byte) []byte {
 	s.connectMembers["verbose"] = json.RawMessage("false")
 	s.connectMembers["headers"] = json.RawMessage("true")
--- a/internal/nats/frontend/migration.go
+++ b/internal/nats/frontend/migration.go
@@ -7,31 +7,31 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// A session migrates to another node in these steps, of which its client notices nothing:
+// A session migrates to another node in three steps that are invisible to its client:
 //
-//  1. Another node is requested. When it has confirmed the handshake with all subscriptions, it is established; its messages
-//     are buffered.
-//  2. From then on the client is not read. The old node gets UNSUB for all subscriptions, and its PONG to a PING after them
-//     says that it has processed all that the client sent and delivered all that it had queued.
-//  3. The buffered messages follow, without those that both nodes delivered. The client is read again, and the connection to
-//     the old node is closed once no request is pending there.
+//  1. The session requests another node. The node is established when it has confirmed the handshake, which includes all
+//     subscriptions. Its messages are buffered.
+//  2. The session stops reading from the client and sends the old node UNSUB for all subscriptions, followed by a PING. The
+//     PONG confirms that the old node has processed all frames of the client and delivered all messages that it had queued.
+//  3. The session delivers the buffered messages, except those that both nodes delivered, and reads from the client again. It
+//     closes the connection to the old node once no request is pending there.
 //
 // If the connection to the old node is lost, step 2 is skipped.
 
-// minRetryDelay is the minimum delay after which a session that was given no other node requests one again.
+// minRetryDelay is the minimum delay before a session requests another node again after its request was rejected or failed.
 const minRetryDelay = 50 * time.Millisecond
 
-// drainReadDuration is for how long a client is still read after its node began to drain. A draining node may get nothing
-// new after 500 ms.
+// drainReadDuration is how long the session continues to read from the client after a migration has started. A draining node
+// must not receive anything new after 500 ms.
 const drainReadDuration = 400 * time.Millisecond
 
-// nodeDraining is called when a node is draining.
+// nodeDraining is called when a node starts to drain. It starts a migration if the node is the current one.
 func (s *Session) nodeDraining(n *nodeSession) {
 	if s.phase == closed || n.draining {
 		return
 	}
 	n.draining = true
-	if n == s.current && !s.migrating && !s.dedup.Active() { // else the end of the last migration starts this one
+	if n == s.current && !s.migrating && !s.dedup.Active() { // otherwise the end of the running migration starts this one
 		s.startMigration()
 	}
 }
@@ -43,7 +43,7 @@
 	if current != nil {
 		s.loop.After(drainReadDuration, func() {
 			if s.phase != closed && s.current == current && s.migrating {
-				s.publishEnded = true
+				s.publishDeadlinePassed = true
 				s.conn.Pause()
 			}
 		})
@@ -60,7 +60,8 @@
 	s.requestNode(s.next, true)
 }
 
-// nodeRejected is called when the engine has no node for the session.
+// nodeRejected is called when the engine rejects the request for a node or the request fails. An established session requests
+// a node again after a delay; any other session is closed.
 func (s *Session) nodeRejected(n *nodeSession, retryAfter time.Duration) {
 	n.released = true
 	if s.phase == closed || n != s.next {
@@ -71,13 +72,13 @@
 		s.close(errMaxConnections)
 		return
 	}
-	if s.current != nil && !s.current.flushing && !s.publishEnded {
+	if s.current != nil && !s.current.flushing && !s.publishDeadlinePassed {
 		s.conn.Resume()
 	}
 	s.retryTimer = s.loop.After(max(retryAfter, minRetryDelay), s.requestNextNode)
 }
 
-// nodeEstablished is called when the next node has confirmed the handshake.
+// nodeEstablished is called when the next node has confirmed the handshake, which establishes the session there.
 func (s *Session) nodeEstablished(n *nodeSession) {
 	if s.phase != established { // the first node
 		s.phase = established
@@ -85,27 +86,28 @@
 		s.switchTo(n)
 		return
 	}
-	n.nodeConn.Pause() // its messages follow those of the old node
+	n.nodeConn.Pause() // its messages must follow those of the old node
 	old := s.current
 	switch {
 	case old == nil || old.flushed:
 		s.switchTo(n)
 	case !old.flushing:
-		s.flush(old)
+		s.flushOldNode(old)
 	}
 }
 
-// flush ends the subscriptions at the old node and waits until it has delivered what it had queued.
-func (s *Session) flush(old *nodeSession) {
+// flushOldNode ends the subscriptions at the old node. nodeFlushed is called once the old node has delivered all that it has
+// queued, or after FlushTimeout.
+func (s *Session) flushOldNode(old *nodeSession) {
 	old.flushing = true
 	s.conn.Pause()
-	// An error says that the node's connection has ended, which its OnEnd handles.
+	// An error says that the connection to the node has ended. NodeConn.OnEnd handles that.
 	_ = old.nodeConn.Conn().Send(s.subscriptions.AppendUnsubscribe(nil))
 	old.nodeConn.Ping(func() { s.nodeFlushed(old) })
 	s.flushTimer = s.loop.After(s.frontend.settings().FlushTimeout, func() { s.nodeFlushed(old) })
 }
 
-// nodeFlushed is called when the old node has delivered everything, is lost, or is no longer waited for.
+// nodeFlushed is called when the old node has delivered everything, when it is lost, and after FlushTimeout.
 func (s *Session) nodeFlushed(old *nodeSession) {
 	if s.phase == closed || old.flushed || s.current != old {
 		return
@@ -121,17 +123,17 @@
 	}
 }
 
-// switchTo makes a node the current one, which completes a migration.
+// switchTo makes n the current node of the session, which completes a migration.
 func (s *Session) switchTo(n *nodeSession) {
 	old := s.current
 	s.current, s.next = n, nil
 	s.loop.Cancel(s.migrationTimer)
-	s.migrating, s.publishEnded = false, false
+	s.migrating, s.publishDeadlinePassed = false, false
 	s.deliverBuffered(n)
-	if s.dedup.Active() { // at its PONG the new node has delivered all that the old one did
+	if s.dedup.Active() { // before its PONG the new node has delivered all messages that the old one delivered
 		n.nodeConn.Ping(func() { s.stopDedup(n) })
 	}
-	for ; s.owedPongs > 0; s.owedPongs-- {
+	for ; s.missingPongs > 0; s.missingPongs-- {
 		n.nodeConn.PingForClient(s.sendPong)
 	}
 	n.nodeConn.Resume()
@@ -144,7 +146,7 @@
 	}
 }
 
-// stopDedup ends the deduplication of messages after the migration to a node.
+// stopDedup ends the deduplication after the migration to n. It starts another migration if n is draining.
 func (s *Session) stopDedup(n *nodeSession) {
 	if s.current != n || s.migrating {
 		return
@@ -155,14 +157,14 @@
 	}
 }
 
-// deliverBuffered delivers the messages that were buffered of a node.
+// deliverBuffered delivers the messages of n that were buffered during the migration.
 func (s *Session) deliverBuffered(n *nodeSession) {
 	buffered := s.buffered
 	s.buffered = nil
 	limits := s.frontend.backend.Limits()
 	for len(buffered) > 0 {
 		f, size, err := codec.Parse(buffered, limits)
-		if err != nil || size == 0 { // not possible with the same limits, as only complete frames are buffered
+		if err != nil || size == 0 { // cannot happen with the same limits, because only complete frames are buffered
 			return
 		}
 		if s.shouldDeliver(n, &f) {
@@ -172,7 +174,8 @@
 	}
 }
 
-// shouldDeliver reports whether the client is to get a message: it is no duplicate, and its subscription has not ended.
+// shouldDeliver reports whether a message must be delivered to the client: it is not a duplicate, and its subscription has not
+// ended. It counts the message for deduplication and for the limit of its subscription.
 func (s *Session) shouldDeliver(n *nodeSession, f *codec.Frame) bool {
 	if s.dedup.Active() {
 		if n != s.current || n.flushing || s.next != nil {
@@ -184,9 +187,9 @@
 	return !s.subscriptions.HasLimits() || s.subscriptions.Deliver(f.SID)
 }
 
-// retire closes the connection to the old node once no request is pending there.
+// retire makes old the previous node of the session and closes its connection once no request is pending there.
 func (s *Session) retire(old *nodeSession) {
-	if s.previous != nil { // after two migrations in a row, the requests at the first node end
+	if s.previous != nil { // after a second migration the attempts that are pending at the first node end
 		s.previous.close()
 	}
 	s.previous = old
@@ -205,7 +208,7 @@
 	switch n {
 	case s.previous:
 		s.previous = nil
-	case s.next: // established, but the old node had not delivered everything yet
+	case s.next: // it was established, but the old node has not delivered everything yet
 		s.next, s.buffered = nil, nil
 		s.requestNextNode()
 	case s.current:
@@ -214,7 +217,7 @@
 }
 
 func (s *Session) currentNodeLost(n *nodeSession) {
-	if n.flushing { // nothing more can be delivered
+	if n.flushing { // the lost node can deliver nothing more
 		s.nodeFlushed(n)
 		if s.current != n {
 			return
@@ -222,7 +225,7 @@
 	}
 	s.current = nil
 	s.dedup.Stop()
-	s.owedPongs += n.nodeConn.PendingClientPongs()
+	s.missingPongs += n.nodeConn.PendingClientPongs()
 	s.conn.Pause()
 	if s.migrating {
 		s.switchToNextIfEstablished()
--- a/internal/nats/frontend/node_session.go
+++ b/internal/nats/frontend/node_session.go
@@ -9,16 +9,16 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// nodeSession is a session at one node. The engine treats it as a client of its own, so that a session that migrates has two
-// for a while.
+// nodeSession is the part of a session that belongs to one node. The engine treats each nodeSession as a separate client, so
+// that a migrating session temporarily has two of them.
 type nodeSession struct {
 	handle   engine.ClientHandle
 	session  *Session
-	nodeConn *backend.NodeConn // of the present attempt, once its node has sent INFO; nil before
-	released bool              // the engine has no state of it any more
-	draining bool              // its node is draining
-	flushing bool              // its subscriptions were ended; it gets nothing new and delivers what it has queued
-	flushed  bool              // it has delivered everything, or is no longer waited for
+	nodeConn *backend.NodeConn // of the current attempt; nil until its node has sent INFO
+	released bool              // the engine no longer holds state for it
+	draining bool              // the node is draining
+	flushing bool              // its subscriptions were ended; the node gets nothing new and delivers what it has queued
+	flushed  bool              // the node has delivered everything, was lost, or did not finish within FlushTimeout
 }
 
 var (
@@ -40,7 +40,7 @@
 // Fail implements engine.Client.
 func (n *nodeSession) Fail() { n.Conn().Do(func() { n.session.nodeRejected(n, 0) }) }
 
-// Close implements engine.Client: the client sent no CONNECT in time, or the session did not migrate in time.
+// Close implements engine.Client. It is called if the client sent no CONNECT in time or the session did not migrate in time.
 func (n *nodeSession) Close() {
 	n.Conn().Do(func() {
 		s := n.session
@@ -54,7 +54,8 @@
 	})
 }
 
-// Migrate implements engine.Client.
+// Migrate implements engine.Client. It starts a migration, or the shutdown of the session if the Frontend is shutting
+// down, and returns the maximum duration of a migration.
 func (n *nodeSession) Migrate() time.Duration {
 	n.Conn().Do(func() {
 		if s := n.session; s.frontend.shuttingDown.Load() {
@@ -73,7 +74,7 @@
 // isEstablished reports whether the node has confirmed the handshake.
 func (n *nodeSession) isEstablished() bool { return n.nodeConn != nil && n.nodeConn.IsEstablished() }
 
-// close closes the connection to the node and releases the engine's state.
+// close closes the connection to the node and has the engine release its state.
 func (n *nodeSession) close() {
 	if n.nodeConn != nil {
 		n.nodeConn.Close()
@@ -84,12 +85,13 @@
 	}
 }
 
-// AppendHandshake implements backend.SessionClient. Messages that were buffered for an attempt that failed are dropped.
+// AppendHandshake implements backend.SessionClient. It discards the messages that were buffered during an earlier attempt,
+// which has failed.
 func (n *nodeSession) AppendHandshake(b []byte) []byte {
 	s := n.session
 	s.buffered = nil
 	if s.current != nil {
-		// A SUB that arrived from here on would reach the old node only.
+		// A SUB that is read after this point would reach only the old node.
 		s.conn.Pause()
 		if s.frontend.settings().Cluster {
 			s.dedup.Start()
@@ -98,18 +100,19 @@
 	return s.subscriptions.AppendSubscribe(s.appendConnect(b))
 }
 
-// InfoReceived implements backend.SessionClient.
+// InfoReceived implements backend.SessionClient. The client receives another INFO if the maximum payload is lower than in the
+// last one.
 func (n *nodeSession) InfoReceived(c *backend.NodeConn, info codec.ServerInfo) {
 	s := n.session
 	n.nodeConn = c
 	s.frontend.lowerMaxPayload(info.MaxPayload)
-	if lowest := int(s.frontend.maxPayload.Load()); lowest < s.sentMaxPayload && s.phase != closed {
-		s.sentMaxPayload = lowest
+	if lowest := int(s.frontend.maxPayload.Load()); lowest < s.advertisedMaxPayload && s.phase != closed {
+		s.advertisedMaxPayload = lowest
 		s.send(s.frontend.infoFrame(s.id))
 	}
 }
 
-// Established implements backend.SessionClient.
+// Established implements backend.SessionClient. It closes a connection that the session no longer needs.
 func (n *nodeSession) Established(c *backend.NodeConn) {
 	s := n.session
 	if s.phase == closed || n != s.next {
@@ -119,10 +122,12 @@
 	s.nodeEstablished(n)
 }
 
-// bufferFactor is how many times the limit of what may be queued for a client is buffered of its next node.
+// bufferFactor times MaxPending is the maximum number of bytes that are buffered from the next node of a client. MaxPending is
+// the limit on the bytes that are queued for the client.
 const bufferFactor = 16
 
-// MessageReceived implements backend.SessionClient.
+// MessageReceived implements backend.SessionClient. It buffers messages of the next node, and cancels the handshake with that
+// node if the buffer would exceed its limit.
 func (n *nodeSession) MessageReceived(c *backend.NodeConn, f *codec.Frame) bool {
 	s := n.session
 	switch {
@@ -155,14 +160,14 @@
 	}
 }
 
-// AuthorizationFailed implements backend.SessionClient. The client gets the error of the node.
+// AuthorizationFailed implements backend.SessionClient. It closes the session with the error text of the node.
 func (n *nodeSession) AuthorizationFailed(_ *backend.NodeConn, text []byte) {
 	if s := n.session; n == s.current || n == s.next {
 		s.close(string(text))
 	}
 }
 
-// Disconnected implements backend.SessionClient. The engine was notified and has released its state.
+// Disconnected implements backend.SessionClient. The backend has notified the engine, which releases its state.
 func (n *nodeSession) Disconnected(*backend.NodeConn) {
 	n.released = true
 	if s := n.session; s.phase != closed {
--- a/internal/nats/frontend/request.go
+++ b/internal/nats/frontend/request.go
@@ -11,22 +11,22 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// request is a request of a session: a message with a reply subject, published to a subject that has a request class. The
-// engine treats it as a client of its own.
+// request is a request of a session: a message that has a reply subject and whose subject belongs to a request class. The
+// engine treats each request as a separate client.
 type request struct {
-	handle     engine.ClientHandle
-	session    *Session
-	subject    []byte
-	reply      []byte
-	body       []byte
-	headerSize int
-	deadline   time.Time
+	handle       engine.ClientHandle
+	session      *Session
+	subject      []byte
+	replySubject []byte
+	body         []byte
+	headerSize   int
+	deadline     time.Time
 }
 
 var _ backend.RequestClient = (*request)(nil)
 
-// startRequest starts a request if a message is one, else it returns false. The reply must match a subscription of the
-// client itself, as the gateway could not deliver it otherwise.
+// startRequest starts a request if the message in f is one, and otherwise returns false. A message is a request only if its
+// reply subject matches a subscription of the same client, because the gateway could not deliver the reply otherwise.
 func (s *Session) startRequest(f *codec.Frame) bool {
 	if len(f.Reply) == 0 {
 		return false
@@ -50,19 +50,20 @@
 	return true
 }
 
-// newRequest copies a message, whose frame is a part of the connection's buffer.
+// newRequest returns a request for the message in f. It copies the message, because the frame is part of the connection's
+// buffer.
 func newRequest(s *Session, f *codec.Frame, timeout time.Duration) *request {
 	subjectEnd := len(f.Subject)
 	replyEnd := subjectEnd + len(f.Reply)
 	buffer := make([]byte, 0, replyEnd+len(f.Body))
 	buffer = append(append(append(buffer, f.Subject...), f.Reply...), f.Body...)
 	return &request{
-		session: s, subject: buffer[:subjectEnd:subjectEnd], reply: buffer[subjectEnd:replyEnd:replyEnd],
+		session: s, subject: buffer[:subjectEnd:subjectEnd], replySubject: buffer[subjectEnd:replyEnd:replyEnd],
 		body: buffer[replyEnd:], headerSize: f.HeaderSize, deadline: time.Now().Add(timeout),
 	}
 }
 
-// requestClass returns the class of requests to a subject; nil: there is none.
+// requestClass returns the first request class whose pattern matches a subject, or nil if there is none.
 func (s *Session) requestClass(subject []byte) *operator.RequestClass {
 	classes := s.frontend.settings().Requests
 	for i := range classes {
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// requestKey returns the affinity key of a request; without one of its own it has that of the session.
+// requestKey returns the affinity key of a request, which is the key of the session if source yields no key.
 func (s *Session) requestKey(source operator.KeySource, subject []byte) string {
 	key := ""
 	switch source.Kind {
@@ -104,14 +105,14 @@
 	r.Conn().Do(func() { r.endWithStatus(codec.StatusServerError, "Failed", 0) })
 }
 
-// Close implements engine.Client. The engine closes only clients that sent no request or did not migrate, which does not
-// happen to a request.
+// Close implements engine.Client. The engine closes only clients that sent no request in time or did not migrate in time,
+// and neither happens to a request.
 func (r *request) Close() { r.Fail() }
 
-// Migrate implements engine.Client. A request is never established, so that it never migrates.
+// Migrate implements engine.Client. A request is never established and therefore never migrates.
 func (r *request) Migrate() time.Duration { return 0 }
 
-// endWithStatus ends the request with a reply of the gateway.
+// endWithStatus ends the request with a status reply of the gateway. The status is a timeout if the deadline has passed.
 func (r *request) endWithStatus(code int, description string, retryAfter time.Duration) {
 	if !r.end() {
 		return
@@ -122,7 +123,8 @@
 	r.replyStatus(code, description, retryAfter)
 }
 
-// end removes the request from its session. It returns false if it was removed before, as when the client disconnected.
+// end removes the request from its session. It returns false if the request was removed before, for example because the
+// client disconnected.
 func (r *request) end() bool {
 	s := r.session
 	if _, ok := s.requests[r]; !ok {
@@ -132,35 +134,36 @@
 	return true
 }
 
-// replyStatus sends a reply of the gateway: headers with a status.
+// replyStatus sends a reply of the gateway that consists of headers with a status.
 func (r *request) replyStatus(code int, description string, retryAfter time.Duration) {
 	b := codec.AppendStatus(nil, code, description, retryAfter)
-	r.deliver(nil, len(b), b)
+	r.deliverReply(nil, len(b), b)
 }
 
-// controlLineCapacity is a capacity that holds most control lines.
+// controlLineCapacity is an initial capacity in bytes that is enough for most control lines.
 const controlLineCapacity = 128
 
-// deliver sends a reply to the client, if it still has a subscription for it.
-func (r *request) deliver(reply []byte, headerSize int, body []byte) {
+// deliverReply sends a reply to the client if the client still has a subscription that matches the reply subject of the
+// request. reply is the reply subject of the reply itself; empty means none.
+func (r *request) deliverReply(reply []byte, headerSize int, body []byte) {
 	s := r.session
-	sub := s.subscriptions.Match(r.reply)
+	sub := s.subscriptions.Match(r.replySubject)
 	if sub == nil || !s.subscriptions.Deliver([]byte(sub.SID)) {
 		return
 	}
-	hasEnded := sub.MaxMessages > 0 && sub.Delivered >= sub.MaxMessages
-	if hasEnded && s.current != nil { // the node has not counted this message
+	subscriptionEnded := sub.MaxMessages > 0 && sub.Delivered >= sub.MaxMessages
+	if subscriptionEnded && s.current != nil { // the node did not deliver this message and has not counted it
 		s.current.nodeConn.SendUnsubscribe([]byte(sub.SID))
 	}
 	if !s.options.Headers {
 		headerSize, body = 0, withoutHeaders(headerSize, body)
 	}
-	head := codec.AppendMsg(make([]byte, 0, controlLineCapacity), r.reply, []byte(sub.SID), reply, headerSize, len(body))
+	head := codec.AppendMsg(make([]byte, 0, controlLineCapacity), r.replySubject, []byte(sub.SID), reply, headerSize, len(body))
 	s.send(head, body, []byte("\r\n"))
 }
 
-// withoutHeaders returns what a client gets that does not support headers: the payload, or the headers in its place if there
-// is none, so that the status in a reply is not lost.
+// withoutHeaders returns the body for a client that does not support headers. This is the payload, or the headers if the
+// payload is empty, so that the status of a reply is not lost.
 func withoutHeaders(headerSize int, body []byte) []byte {
 	if payload := body[headerSize:]; len(payload) > 0 {
 		return payload
@@ -177,7 +180,7 @@
 	return n.nodeConn
 }
 
-// ConnectFrame implements backend.RequestClient: a CONNECT of the gateway with the client's credentials.
+// ConnectFrame implements backend.RequestClient. It returns a CONNECT frame of the gateway with the client's credentials.
 func (r *request) ConnectFrame() []byte {
 	s := r.session
 	if s.sharedConnectFrame == nil {
@@ -206,7 +209,7 @@
 // ReplyReceived implements backend.RequestClient.
 func (r *request) ReplyReceived(f *codec.Frame) {
 	if r.end() {
-		r.deliver(f.Reply, f.HeaderSize, f.Body)
+		r.deliverReply(f.Reply, f.HeaderSize, f.Body)
 	}
 	r.session.closePreviousIfIdle()
 }
--- a/internal/nats/frontend/request_test.go
+++ b/internal/nats/frontend/request_test.go
@@ -10,20 +10,20 @@
 )
 
 func TestRequestKey(t *testing.T) {
-	withUser := &Session{key: "of the session", options: codec.ConnectOptions{User: "alice"}}
-	withoutUser := &Session{key: "of the session"}
+	withUser := &Session{key: "session-key", options: codec.ConnectOptions{User: "alice"}}
+	withoutUser := &Session{key: "session-key"}
 	for _, c := range []struct {
 		name    string
 		session *Session
 		source  operator.KeySource
 		want    string
 	}{
-		{"no source", withUser, operator.KeySource{}, "of the session"},
-		{"session", withUser, operator.KeySource{Kind: "session"}, "of the session"},
+		{"no source", withUser, operator.KeySource{}, "session-key"},
+		{"session", withUser, operator.KeySource{Kind: "session"}, "session-key"},
 		{"user", withUser, operator.KeySource{Kind: "user"}, "alice"},
-		{"user not given", withoutUser, operator.KeySource{Kind: "user"}, "of the session"},
+		{"user not given", withoutUser, operator.KeySource{Kind: "user"}, "session-key"},
 		{"token", withUser, operator.KeySource{Kind: "token", Token: 1}, "new"},
-		{"no such token", withUser, operator.KeySource{Kind: "token", Token: 2}, "of the session"},
+		{"no such token", withUser, operator.KeySource{Kind: "token", Token: 2}, "session-key"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if diff := cmp.Diff(c.want, c.session.requestKey(c.source, []byte("orders.new"))); diff != "" {
--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -11,52 +11,52 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// phase is the progress of a session.
+// phase is the stage that a session has reached.
 type phase uint8
 
 const (
 	awaitingConnect phase = iota // the client has not sent CONNECT
-	connecting                   // until the first node is established
+	connecting                   // the session waits until it is established at its first node
 	established                  // connected to a node, or migrating
 	closed
 )
 
-// Session is a client with its connection. It is used on the connection's loop only.
+// Session holds the state of one client and its connection. It may only be used on the loop of that connection.
 type Session struct {
 	frontend *Frontend
 	loop     *backend.LoopState
 	conn     *reactor.Conn
 	id       uint64
 
-	phase              phase
-	options            codec.ConnectOptions
-	connectMembers     map[string]json.RawMessage // of the client's CONNECT
-	sharedConnectFrame []byte                     // CONNECT for requests on shared connections; nil: not built yet
-	key                string                     // affinity key
-	sentMaxPayload     int                        // in the last INFO to the client
+	phase                phase
+	options              codec.ConnectOptions
+	connectMembers       map[string]json.RawMessage // JSON members of the client's CONNECT
+	sharedConnectFrame   []byte                     // CONNECT frame for requests on shared connections; nil means not built yet
+	key                  string                     // affinity key
+	advertisedMaxPayload int                        // in bytes, as in the last INFO sent to the client
 
-	current       *nodeSession // nil: connected to no node
-	next          *nodeSession // being set up
-	previous      *nodeSession // migrated away from, until its requests have ended
+	current       *nodeSession // nil means that no node is connected
+	next          *nodeSession // node that is being set up; nil means none
+	previous      *nodeSession // node that the session migrated from, until the requests there have ended; nil means none
 	subscriptions session.Subscriptions
 	dedup         session.Deduplicator
-	buffered      []byte // messages of next, until current has delivered what it had queued
-	owedPongs     int    // PONGs for the client that a lost node did not send
-
-	migrating      bool
-	publishEnded   bool           // current has been draining for too long to get anything new
-	migrationTimer *backend.Timer // until the migration fails
-	retryTimer     *backend.Timer // until the next node is requested again
-	flushTimer     *backend.Timer // until current is no longer waited for
-	requests       map[*request]struct{}
-	shuttingDown   bool
-
-	healthTimer     *backend.Timer
-	unansweredPings int  // to the client
-	isActive        bool // the client has sent something since the last health check
+	buffered      []byte // messages of next, held until current has delivered all that it has queued
+	missingPongs  int    // number of PONGs for the client that lost nodes did not send
+
+	migrating             bool
+	publishDeadlinePassed bool           // drainReadDuration after the start of the migration; current must not receive new messages
+	migrationTimer        *backend.Timer // expires when the migration fails
+	retryTimer            *backend.Timer // expires when another node is requested again
+	flushTimer            *backend.Timer // expires when the session stops waiting for current to deliver what it has queued
+	requests              map[*request]struct{}
+	shuttingDown          bool
+
+	healthTimer              *backend.Timer
+	unansweredPings          int  // PINGs to the client without a PONG
+	receivedSinceHealthCheck bool // the client has sent data since the last health check
 }
 
-// Errors that are sent to clients besides those of the codec. Clients connect again after the first three.
+// Errors that are sent to clients, in addition to those of package codec. Clients reconnect after the first three.
 const (
 	errMaxConnections         = "maximum connections exceeded"
 	errStaleConnection        = "Stale Connection"
@@ -65,21 +65,21 @@
 	errMaxSubscriptions       = "maximum subscriptions exceeded"
 )
 
-// OnOpen implements reactor.Handler. The gateway sends INFO first.
+// OnOpen implements reactor.Handler. The protocol requires that the gateway sends INFO first.
 func (s *Session) OnOpen(c *reactor.Conn, _ error) {
 	f := s.frontend
 	s.conn, s.loop = c, f.backend.LoopState(c)
 	s.id = f.lastID.Add(1)
 	c.SetMaxPending(f.settings().MaxPending)
 	f.add(s)
-	s.sentMaxPayload = int(f.maxPayload.Load())
+	s.advertisedMaxPayload = int(f.maxPayload.Load())
 	s.send(f.infoFrame(s.id))
 	s.next = &nodeSession{session: s}
 	f.engine.Post(engine.ClientConnected{Client: s.next})
 }
 
-// OnHangup implements reactor.HangupHandler. A client that disconnects before its first node is established is not served
-// any further; later it may have sent something that is still to be read.
+// OnHangup implements reactor.HangupHandler. A session that is connecting to its first node ends when its client disconnects.
+// An established session continues, because frames that the client sent may still have to be read.
 func (s *Session) OnHangup(*reactor.Conn) {
 	if s.phase == connecting {
 		s.release()
@@ -90,7 +90,7 @@
 // OnEnd implements reactor.Handler.
 func (s *Session) OnEnd(*reactor.Conn, error) { s.release() }
 
-// release gives up everything that the session holds, once its client has disconnected or its connection is closed.
+// release releases all resources of the session after its client has disconnected or its connection was closed.
 func (s *Session) release() {
 	if s.phase == closed {
 		return
@@ -112,7 +112,7 @@
 	s.current, s.next, s.previous = nil, nil, nil
 }
 
-// close closes the session, with -ERR unless the text is empty.
+// close closes the session. It sends errorText to the client as -ERR first, unless errorText is empty.
 func (s *Session) close(errorText string) {
 	if s.phase == closed {
 		return
@@ -124,10 +124,12 @@
 	s.release()
 }
 
-// send writes to the client. An error of Conn.Send says that the connection has ended, which OnEnd handles.
+// send sends data to the client. It ignores the error of Conn.Send, which says that the connection has ended: OnEnd handles
+// that.
 func (s *Session) send(parts ...[]byte) { _ = s.conn.Send(parts...) }
 
-// sendFrom is send for frames from another connection, which is not read while too much is queued for the client.
+// sendFrom sends frames that were read from the connection source to the client. source is paused while too much data is
+// queued for the client.
 func (s *Session) sendFrom(source *reactor.Conn, frames []byte) { _ = s.conn.SendFrom(source, frames) }
 
 func (s *Session) sendPong() {
@@ -136,16 +138,17 @@
 	}
 }
 
-// maxUnansweredPings is how many PINGs a client may leave unanswered.
+// maxUnansweredPings is the number of PINGs that a client may leave unanswered.
 const maxUnansweredPings = 2
 
-// scheduleHealthCheck finds a client that vanished without closing its connection: it gets a PING at each interval in which
-// it sent nothing.
+// scheduleHealthCheck schedules the next health check, which detects a client that is gone without having closed its
+// connection. After each interval in which the client sent nothing it receives a PING. The session is closed if
+// maxUnansweredPings PINGs are unanswered.
 func (s *Session) scheduleHealthCheck() {
 	s.healthTimer = s.loop.After(s.frontend.settings().ClientPingInterval, func() {
 		switch {
-		case s.isActive:
-			s.isActive = false
+		case s.receivedSinceHealthCheck:
+			s.receivedSinceHealthCheck = false
 		case s.unansweredPings >= maxUnansweredPings:
 			s.close(errStaleConnection)
 			return
@@ -157,7 +160,7 @@
 	})
 }
 
-// shutdown starts the graceful shutdown of the session.
+// shutdown starts the graceful shutdown of the session. A session that is not established is closed at once.
 func (s *Session) shutdown() {
 	if s.phase == closed || s.shuttingDown {
 		return
@@ -172,10 +175,10 @@
 	}
 }
 
-// shutdownPollInterval is the interval at which a session that shuts down checks whether its requests have ended.
+// shutdownPollInterval is the interval at which a session in shutdown checks whether its requests have ended.
 const shutdownPollInterval = 20 * time.Millisecond
 
-// closeWhenIdle closes the session after its requests have ended and its node has delivered what it had queued.
+// closeWhenIdle closes the session once its requests have ended and its node has delivered all that it has queued.
 func (s *Session) closeWhenIdle() {
 	if s.phase == closed {
 		return
