--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -1,8 +1,8 @@
-// Package backend is the NATS client protocol towards the nodes: it sets up the connections of sessions, forwards their
-// frames, and sends requests.
+// Package backend implements the client side of the NATS client protocol, towards the nodes. It sets up the connections of
+// sessions to nodes, forwards the frames of the nodes to the sessions, and sends requests.
 //
-// A Backend may be used by any goroutine. Everything that belongs to a session or to a connection is owned by the reactor
-// loop of the client's connection: SessionClient and RequestClient are called on that loop, and the methods of NodeConn and
+// A Backend may be used by any goroutine. All state of a session or of a connection is owned by the reactor loop of the
+// client's connection. The methods of SessionClient and RequestClient are called on that loop, and those of NodeConn and
 // LoopState must be called on it.
 package backend
 
@@ -23,44 +23,44 @@
 	Post(engine.Event)
 }
 
-// Options configure a Backend. The operator settings of the same names describe them in full.
+// Options holds the options of a Backend. The operator settings of the same names describe them in full.
 type Options struct {
-	ConnectTimeout time.Duration // 0: the timeout of the attempt
-	NodePort       int           // 0: the port in the endpoint list
-	Limits         codec.Limits  // of frames of nodes
-	PingInterval   time.Duration
-	MaxSharedConns int           // on each loop
-	Name           string        // of the gateway, in the inboxes of requests
-	Forwards       *atomic.Int64 // counts attempts whose request was sent or queued for the node; nil: not counted
+	ConnectTimeout time.Duration // maximum duration of a dial; zero means that only the other timeouts apply
+	NodePort       int           // port at which nodes accept NATS clients; zero means the port in the endpoint list
+	Limits         codec.Limits  // of the frames that nodes send
+	PingInterval   time.Duration // between health checks of a connection
+	MaxSharedConns int           // maximum number of shared connections on each loop
+	Name           string        // of the gateway; part of the inbox subjects of requests
+	Forwards       *atomic.Int64 // counts attempts whose request was sent or queued for the node; nil means not counted
 }
 
-// Backend starts the attempts of sessions and requests.
+// Backend starts the attempts of sessions and of requests. It implements engine.Backend.
 type Backend struct {
-	current atomic.Pointer[Options]
-	events  Poster
-	conns   *reactor.Group
-	loops   loopStates
+	currentOptions atomic.Pointer[Options]
+	events         Poster
+	conns          *reactor.Group
+	loops          loopStates
 }
 
-// New returns a Backend. Connect must be called before Send.
+// New returns a Backend with the given options. Connect must be called before Send.
 func New(o Options) *Backend {
 	b := &Backend{}
 	b.SetOptions(o)
 	return b
 }
 
-// SetOptions replaces the options, which apply to everything that starts afterwards.
-func (b *Backend) SetOptions(o Options) { b.current.Store(&o) }
+// SetOptions replaces the options. The new options apply to everything that starts afterwards.
+func (b *Backend) SetOptions(o Options) { b.currentOptions.Store(&o) }
 
-func (b *Backend) options() *Options { return b.current.Load() }
+func (b *Backend) options() *Options { return b.currentOptions.Load() }
 
-// Connect sets the receiver of events and the loops for the connections.
+// Connect sets the receiver of events and the reactor group whose loops own the connections.
 func (b *Backend) Connect(events Poster, conns *reactor.Group) { b.events, b.conns = events, conns }
 
-// Limits returns the limits of frames of nodes.
+// Limits returns the limits of the frames that nodes send.
 func (b *Backend) Limits() codec.Limits { return b.options().Limits }
 
-// Handles reports whether an attempt belongs to this protocol.
+// Handles reports whether the client of an attempt uses this protocol.
 func (b *Backend) Handles(a engine.Attempt) bool {
 	switch a.Client.(type) {
 	case SessionClient, RequestClient:
@@ -79,23 +79,24 @@
 	return b.dial(a, a.Client.(SessionClient))
 }
 
-// connectTimeout is the shortest of the timeouts that bound a dial; 0 is none.
-func (b *Backend) connectTimeout(limit, attemptLimit time.Duration) time.Duration {
-	for _, t := range []time.Duration{b.options().ConnectTimeout, attemptLimit} {
+// connectTimeout returns the shortest of timeout, attemptConnectTimeout and the option ConnectTimeout. Zero for one of the last
+// two means no such limit.
+func (b *Backend) connectTimeout(timeout, attemptConnectTimeout time.Duration) time.Duration {
+	for _, t := range []time.Duration{b.options().ConnectTimeout, attemptConnectTimeout} {
 		if t > 0 {
-			limit = min(limit, t)
+			timeout = min(timeout, t)
 		}
 	}
-	return limit
+	return timeout
 }
 
-// isTooLate reports whether an attempt may send nothing any more that its server does not have, at an age: its server may
-// have drained for longer than the grace.
-func isTooLate(a *engine.Attempt, age time.Duration) bool {
+// isPastConnectTimeout reports whether an attempt of the given age must not send anything that its server has not received yet,
+// because the server may have been draining for longer than the drain grace.
+func isPastConnectTimeout(a *engine.Attempt, age time.Duration) bool {
 	return a.ConnectTimeout > 0 && age > a.ConnectTimeout
 }
 
-// addr is the address at which a node accepts NATS clients.
+// addr returns the address at which a node accepts NATS clients. listed is its address in the endpoint list.
 func (b *Backend) addr(listed string) string {
 	port := b.options().NodePort
 	if port == 0 {
@@ -108,7 +109,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(port))
 }
 
-// countForwarded counts an attempt whose request was sent.
+// countForwarded counts an attempt whose request was sent or queued for the node.
 func (b *Backend) countForwarded() {
 	if n := b.options().Forwards; n != nil {
 		n.Add(1)
--- a/internal/nats/backend/loop_state.go
+++ b/internal/nats/backend/loop_state.go
@@ -9,33 +9,33 @@
 	"example.org/milletvane/internal/timerqueue"
 )
 
-// LoopState is what the sessions of one reactor loop share: their timers, and the connections to nodes that requests use if
-// their session is connected to another node. It may be used on the loop only.
+// LoopState holds the state that all sessions of one reactor loop share: their timers, and the shared connections to nodes,
+// which a request uses if its session is not connected to the node of the request. It may only be used on the loop.
 type LoopState struct {
-	loop       *reactor.Loop
-	timers     timerqueue.Queue[func()]
-	wakeup     *time.Timer
-	wakeupTime time.Duration // since epoch; 0: not set
-	shared     map[sharedKey]*NodeConn
-	frame      codec.Frame // the frame being handled; a local variable would be allocated for each frame
+	loop         *reactor.Loop
+	timers       timerqueue.Queue[func()]
+	wakeupTimer  *time.Timer
+	wakeupTime   time.Duration // time since epoch for which wakeupTimer is set; 0 means not set
+	sharedConns  map[sharedConnKey]*NodeConn
+	currentFrame codec.Frame // the frame that is being handled; a local variable would be allocated for each frame
 }
 
-// Timer is a function that is to be called later.
+// Timer is a scheduled call of a function.
 type Timer = timerqueue.Timer[func()]
 
-// loopStates holds the state of each loop.
+// loopStates holds the LoopState of each loop.
 type loopStates struct {
 	mu     sync.Mutex // protects byLoop
 	byLoop map[*reactor.Loop]*LoopState
 }
 
-// LoopState returns the state of a connection's loop.
+// LoopState returns the LoopState of the loop that owns a connection. It may be called by any goroutine.
 func (b *Backend) LoopState(c *reactor.Conn) *LoopState {
 	b.loops.mu.Lock()
 	defer b.loops.mu.Unlock()
 	s := b.loops.byLoop[c.Loop()]
 	if s == nil {
-		s = &LoopState{loop: c.Loop(), shared: map[sharedKey]*NodeConn{}}
+		s = &LoopState{loop: c.Loop(), sharedConns: map[sharedConnKey]*NodeConn{}}
 		if b.loops.byLoop == nil {
 			b.loops.byLoop = map[*reactor.Loop]*LoopState{}
 		}
@@ -44,22 +44,22 @@
 	return s
 }
 
-// epoch is the origin of the times of timers.
+// epoch is the time from which the expiry times of timers are measured.
 var epoch = time.Now()
 
 func now() time.Duration { return time.Since(epoch) }
 
-// After calls f on the loop after d.
+// After schedules a call of f on the loop after the duration d.
 func (s *LoopState) After(d time.Duration, f func()) *Timer {
 	t := s.timers.Add(now()+d, f)
 	s.scheduleWakeup()
 	return t
 }
 
-// Cancel stops a timer. It does nothing if the timer is nil, has expired or was cancelled.
+// Cancel cancels a timer. It does nothing if the timer is nil, has expired or was cancelled before.
 func (s *LoopState) Cancel(t *Timer) { s.timers.Remove(t) }
 
-// scheduleWakeup has the loop call expireTimers when the first timer expires.
+// scheduleWakeup makes the loop call expireTimers when the earliest timer expires.
 func (s *LoopState) scheduleWakeup() {
 	next, ok := s.timers.Next()
 	if !ok || s.wakeupTime > 0 && s.wakeupTime <= next {
@@ -67,14 +67,14 @@
 	}
 	s.wakeupTime = next
 	delay := max(next-now(), 0)
-	if s.wakeup == nil {
-		s.wakeup = time.AfterFunc(delay, func() { s.loop.Post(s.expireTimers) })
+	if s.wakeupTimer == nil {
+		s.wakeupTimer = time.AfterFunc(delay, func() { s.loop.Post(s.expireTimers) })
 	} else {
-		s.wakeup.Reset(delay)
+		s.wakeupTimer.Reset(delay)
 	}
 }
 
-// expireTimers calls the functions of all timers that have expired.
+// expireTimers calls the functions of all expired timers.
 func (s *LoopState) expireTimers() {
 	s.wakeupTime = 0
 	for {
--- a/internal/nats/backend/node_frames.go
+++ b/internal/nats/backend/node_frames.go
@@ -10,10 +10,10 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// OnData implements reactor.Handler. Consecutive messages for the client are forwarded together, as received.
+// OnData implements reactor.Handler. Consecutive messages for the client are forwarded together and unchanged.
 func (n *NodeConn) OnData(_ *reactor.Conn, b []byte) int {
 	limits := n.backend.options().Limits
-	f := &n.loop.frame
+	f := &n.loop.currentFrame
 	parsed, forwarded := 0, 0 // b[forwarded:parsed] are messages to forward
 	for parsed < len(b) {
 		var size int
@@ -40,14 +40,14 @@
 	return parsed
 }
 
-// forward passes frames to the client, unless there are none.
+// forward passes frames to the client. It does nothing if there are no frames.
 func (n *NodeConn) forward(frames []byte) {
 	if len(frames) > 0 {
 		n.client.Forward(n, frames)
 	}
 }
 
-// isForClient reports whether a frame is a message that the client takes.
+// isForClient reports whether a frame is a message that must be forwarded to the client.
 func (n *NodeConn) isForClient(f *codec.Frame) bool {
 	isMessage := f.Op == codec.Msg || f.Op == codec.HMsg
 	return isMessage && !IsGatewaySID(f.SID) && n.client != nil && n.client.MessageReceived(n, f)
@@ -76,7 +76,8 @@
 	}
 }
 
-// handleInfo sends the handshake at the first INFO, and reports at a later one that the node is draining.
+// handleInfo handles an INFO frame. The first one is answered with the handshake. A later one in lame duck mode is reported to
+// the engine: the node is draining.
 func (n *NodeConn) handleInfo(info codec.ServerInfo) {
 	isFirst := !n.infoReceived
 	n.infoReceived = true
@@ -84,9 +85,9 @@
 		n.client.InfoReceived(n, info)
 	}
 	switch {
-	case isFirst && info.LameDuck: // it would end the session as soon as it is set up
+	case isFirst && info.LameDuck: // the node would end the session as soon as it is set up
 		n.failHandshake(balancer.Rejected)
-	case isFirst && isTooLate(&n.attempt, n.Age()):
+	case isFirst && isPastConnectTimeout(&n.attempt, n.Age()):
 		n.failHandshake(balancer.ConnectFailed)
 	case isFirst:
 		n.sendHandshake()
@@ -97,7 +98,7 @@
 	}
 }
 
-// sendHandshake sends the handshake and a PING in one write: the PONG confirms all that was sent before the PING.
+// sendHandshake sends the handshake and a PING in one write. The PONG confirms all frames that were sent before the PING.
 func (n *NodeConn) sendHandshake() {
 	if n.client == nil {
 		n.send(n.shared.connectFrame, []byte(codec.PingFrame))
@@ -108,15 +109,15 @@
 	n.addPing(pendingPing{onPong: n.established})
 }
 
-// Beginnings of the texts of -ERR, in lower case, by what they mean for the connection.
+// Prefixes of the texts of -ERR frames, in lower case, grouped by their meaning for the connection.
 var (
 	// The node keeps the connection open.
 	nonFatalErrors = []string{"permissions violation", "invalid subject", "invalid publish subject"}
-	// The credentials of the client were refused.
+	// The node refused the credentials of the client.
 	authorizationErrors = []string{
 		"authorization", "authentication", "user authentication", "account authentication",
 	}
-	// The node accepts no connection at present.
+	// The node currently accepts no connections.
 	rejectionErrors = []string{"maximum connections", "server shutdown"}
 )
 
--- a/internal/nats/backend/node_frames_test.go
+++ b/internal/nats/backend/node_frames_test.go
@@ -6,27 +6,27 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestHasAnyPrefixSortsErrorsOfNodes(t *testing.T) {
-	type class struct{ NonFatal, Authorization, Rejection bool }
+func TestErrorPrefixesClassifyNodeErrors(t *testing.T) {
+	type errorClass struct{ NonFatal, Authorization, Rejection bool }
 	for _, c := range []struct {
 		text string
-		want class
+		want errorClass
 	}{
-		{"permissions violation for publish to \"a\"", class{NonFatal: true}},
-		{"invalid subject", class{NonFatal: true}},
-		{"invalid publish subject", class{NonFatal: true}},
-		{"authorization violation", class{Authorization: true}},
-		{"authentication timeout", class{Authorization: true}},
-		{"user authentication expired", class{Authorization: true}},
-		{"account authentication expired", class{Authorization: true}},
-		{"maximum connections exceeded", class{Rejection: true}},
-		{"server shutdown", class{Rejection: true}},
-		{"stale connection", class{}},
-		{"maximum payload violation", class{}},
-		{"", class{}},
+		{"permissions violation for publish to \"a\"", errorClass{NonFatal: true}},
+		{"invalid subject", errorClass{NonFatal: true}},
+		{"invalid publish subject", errorClass{NonFatal: true}},
+		{"authorization violation", errorClass{Authorization: true}},
+		{"authentication timeout", errorClass{Authorization: true}},
+		{"user authentication expired", errorClass{Authorization: true}},
+		{"account authentication expired", errorClass{Authorization: true}},
+		{"maximum connections exceeded", errorClass{Rejection: true}},
+		{"server shutdown", errorClass{Rejection: true}},
+		{"stale connection", errorClass{}},
+		{"maximum payload violation", errorClass{}},
+		{"", errorClass{}},
 	} {
 		t.Run(c.text, func(t *testing.T) {
-			got := class{
+			got := errorClass{
 				NonFatal:      hasAnyPrefix(c.text, nonFatalErrors),
 				Authorization: hasAnyPrefix(c.text, authorizationErrors),
 				Rejection:     hasAnyPrefix(c.text, rejectionErrors),
--- a/internal/nats/backend/ping.go
+++ b/internal/nats/backend/ping.go
@@ -2,26 +2,26 @@
 
 import "example.org/milletvane/internal/nats/codec"
 
-// pendingPing is a PING without a PONG.
+// pendingPing is a PING that has no PONG yet.
 type pendingPing struct {
-	onPong    func() // nil: nothing is to be done
-	forClient bool   // a client waits for the PONG
+	onPong    func() // called when the PONG arrives; may be nil
+	forClient bool   // a client sent the PING and waits for the PONG
 }
 
-// Ping sends PING and calls onPong, unless it is nil, at its PONG: after all that the node sent before it was handled. It is
-// not called if the connection ends first.
+// Ping sends a PING and calls onPong, unless it is nil, when the PONG arrives. Everything that the node sent before the PONG
+// has been handled by then. onPong is not called if the connection ends first.
 func (n *NodeConn) Ping(onPong func()) {
 	n.send([]byte(codec.PingFrame))
 	n.addPing(pendingPing{onPong: onPong})
 }
 
-// PingForClient is Ping for a PING of a client.
+// PingForClient is like Ping for a PING that a client sent.
 func (n *NodeConn) PingForClient(onPong func()) {
 	n.send([]byte(codec.PingFrame))
 	n.addPing(pendingPing{onPong: onPong, forClient: true})
 }
 
-// PendingClientPongs is the number of PINGs of clients without a PONG.
+// PendingClientPongs returns the number of PINGs of clients that have no PONG yet.
 func (n *NodeConn) PendingClientPongs() int {
 	count := 0
 	for _, p := range n.pings {
@@ -48,7 +48,7 @@
 	if len(n.pings) == 0 {
 		n.ResponseReceived()
 	} else {
-		n.RequestRenewed() // the node responds, if late
+		n.RequestRenewed() // the node responds, even if late
 	}
 	if onPong != nil {
 		onPong()
--- a/internal/nats/backend/request.go
+++ b/internal/nats/backend/request.go
@@ -11,25 +11,28 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// RequestClient is what an attempt of a request has as its client. Apart from the methods of engine.Client, its methods are
-// called on the loop of Conn.
+// RequestClient is the client of an attempt for a request. Its methods are called on the loop of Conn, except those of
+// engine.Client.
 type RequestClient interface {
 	engine.Client
 	Conn() *reactor.Conn
-	// SessionConn returns the session's own connection if it is established at the node and may be used for new messages;
-	// nil: a shared connection is used.
+	// SessionConn returns the session's own connection if it is established at the given node and may be used for new
+	// messages. It returns nil if a shared connection must be used.
 	SessionConn(balancer.ServerID) *NodeConn
 	// ConnectFrame returns the CONNECT frame for shared connections.
 	ConnectFrame() []byte
-	// Publication returns the message to publish. It must not change while the request is open.
+	// Publication returns the message to publish, with the size of its headers in bytes. The message must not change while
+	// the request is open.
 	Publication() (subject, body []byte, headerSize int)
-	// ReplyReceived is called with the reply of the node, which is the final one.
+	// ReplyReceived is called with the reply from the node. No other reply follows.
 	ReplyReceived(*codec.Frame)
-	// AttemptCancelled is called after an attempt that was sent was cancelled.
+	// AttemptCancelled is called after a cancelled attempt has been unsubscribed. It is called only if the attempt was sent and
+	// has no reply.
 	AttemptCancelled()
 }
 
-// RequestAttempt is one attempt of a request. Its inbox is its own, so that a late reply to an earlier attempt is dropped.
+// RequestAttempt is one attempt of a request. Each attempt has its own inbox, so that a late reply to an earlier attempt is
+// dropped.
 type RequestAttempt struct {
 	backend *Backend
 	attempt engine.Attempt
@@ -40,13 +43,13 @@
 	mu    sync.Mutex
 	ended bool
 
-	// Used by the loop only; set when it is sent.
+	// Used by the loop only. They are set when the attempt is sent.
 	conn *NodeConn
 	sid  string
 }
 
-// Cancel implements engine.ActiveAttempt. After it returned true, no reply is delivered, and the node receives UNSUB before
-// a further attempt is sent.
+// Cancel implements engine.ActiveAttempt. If it returns true, no reply is delivered any more, and the node receives UNSUB
+// before a further attempt is sent. It returns false if the attempt has ended already.
 func (r *RequestAttempt) Cancel() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,10 +61,10 @@
 	return true
 }
 
-// UnansweredFor implements engine.ActiveAttempt; it is always 0, as a request has a timeout instead.
+// UnansweredFor implements engine.ActiveAttempt. It always returns 0, because a request has a timeout instead.
 func (r *RequestAttempt) UnansweredFor() time.Duration { return 0 }
 
-// markEnded ends the attempt. It returns false if it had ended already.
+// markEnded marks the attempt as ended. It returns false if the attempt had ended already.
 func (r *RequestAttempt) markEnded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,14 +79,14 @@
 	return r.ended
 }
 
-// end ends the attempt without a reply.
+// end ends the attempt without a reply and reports the result to the engine. It does nothing if the attempt has ended already.
 func (r *RequestAttempt) end(result balancer.Result) {
 	if r.markEnded() {
 		r.backend.postAttemptEnded(&r.attempt, result)
 	}
 }
 
-// start sends the request on a connection to the node, as soon as it is established.
+// start sends the request on a connection to the node, or queues it until a shared connection is established.
 func (r *RequestAttempt) start() {
 	if r.hasEnded() {
 		return
@@ -94,7 +97,7 @@
 	}
 	n := r.backend.sharedConn(r)
 	switch {
-	case n == nil: // the limit is the gateway's: the node is not at fault
+	case n == nil: // the gateway has reached its own limit, so the node is not at fault
 		r.end(balancer.NotSent)
 	case n.IsEstablished():
 		r.send(n)
@@ -103,18 +106,18 @@
 	}
 }
 
-// Capacities that hold most inboxes and control lines.
+// Initial capacities in bytes that are enough for most inboxes and control lines.
 const (
 	inboxCapacity       = 64
 	controlLineCapacity = 256
 )
 
-// send subscribes to an inbox for one message and publishes the request, in one write.
+// send subscribes to the inbox of the attempt for one message and publishes the request, in one write.
 func (r *RequestAttempt) send(n *NodeConn) {
 	if r.hasEnded() {
 		return
 	}
-	if isTooLate(&r.attempt, time.Since(r.startedAt)) { // it waited for a shared connection
+	if isPastConnectTimeout(&r.attempt, time.Since(r.startedAt)) { // it waited too long for a shared connection
 		r.end(balancer.ConnectFailed)
 		return
 	}
@@ -134,7 +137,7 @@
 	r.backend.countForwarded()
 }
 
-// inbox is the reply subject of the attempt.
+// inbox returns the reply subject of the attempt.
 func (r *RequestAttempt) inbox() []byte {
 	b := make([]byte, 0, inboxCapacity)
 	b = append(append(b, "_GW."...), r.backend.options().Name...)
@@ -142,7 +145,7 @@
 	return strconv.AppendInt(append(b, '.'), int64(r.attempt.Number), 10)
 }
 
-// unsubscribe ends the subscription of a cancelled attempt, if it was sent and has no reply.
+// unsubscribe ends the subscription of a cancelled attempt that was sent and has no reply.
 func (r *RequestAttempt) unsubscribe() {
 	if r.conn == nil || r.conn.requests[r.sid] != r {
 		return
@@ -152,7 +155,7 @@
 	r.client.AttemptCancelled()
 }
 
-// handleReply handles a message to an inbox of a request. One for an attempt that was cancelled is dropped.
+// handleReply handles a message to the inbox of a request. A message for a cancelled attempt is dropped.
 func (n *NodeConn) handleReply(f *codec.Frame) {
 	r := n.requests[string(f.SID)]
 	if r == nil {
--- a/internal/nats/frontend/node_session.go
+++ b/internal/nats/frontend/node_session.go
@@ -135,7 +135,7 @@
 		return false
 	case n == s.next:
 		if len(s.buffered)+len(f.Raw) > bufferFactor*s.frontend.settings().MaxPending {
-			c.Abandon()
+			c.CancelHandshake()
 			return false
 		}
 		s.buffered = append(s.buffered, f.Raw...)
