--- a/internal/nats/codec/append.go
+++ b/internal/nats/codec/append.go
@@ -13,8 +13,9 @@
 	OKFrame   = "+OK\r\n"
 )
 
-// AppendPub appends the control line of PUB, or of HPUB if headerSize is not 0. size is that of headers and payload. The
-// caller writes these and the end of line after them itself, so that the payload of a forwarded message is not copied.
+// AppendPub appends the control line of PUB, or of HPUB if headerSize is positive. size is the size of headers and payload
+// together. Both sizes are in bytes. The caller writes the headers, the payload and the line end after them, so that the
+// payload of a forwarded message is not copied.
 func AppendPub(b, subject, reply []byte, headerSize, size int) []byte {
 	if headerSize > 0 {
 		b = append(b, "HPUB "...)
@@ -25,7 +26,8 @@
 	return appendReplyAndSizes(b, reply, headerSize, size)
 }
 
-// AppendMsg appends the control line of MSG, or of HMSG if headerSize is not 0. As with AppendPub the body is the caller's.
+// AppendMsg appends the control line of MSG, or of HMSG if headerSize is positive. As for AppendPub, the caller writes the
+// headers, the payload and the line end.
 func AppendMsg(b, subject, sid, reply []byte, headerSize, size int) []byte {
 	if headerSize > 0 {
 		b = append(b, "HMSG "...)
@@ -37,7 +39,7 @@
 	return appendReplyAndSizes(b, reply, headerSize, size)
 }
 
-// appendReplyAndSizes appends the end of the control line of a message.
+// appendReplyAndSizes appends the reply subject, the sizes and the line end to the control line of a message.
 func appendReplyAndSizes(b, reply []byte, headerSize, size int) []byte {
 	if len(reply) > 0 {
 		b = append(append(b, reply...), ' ')
@@ -48,7 +50,7 @@
 	return append(strconv.AppendInt(b, int64(size), 10), lineEnd...)
 }
 
-// AppendSub appends SUB. An empty queue group means none.
+// AppendSub appends a SUB frame. An empty queue group means none.
 func AppendSub(b, subject, queue, sid []byte) []byte {
 	b = append(append(append(b, "SUB "...), subject...), ' ')
 	if len(queue) > 0 {
@@ -57,7 +59,8 @@
 	return append(append(b, sid...), lineEnd...)
 }
 
-// AppendUnsub appends UNSUB: after maxMessages messages, or at once if it is not positive.
+// AppendUnsub appends an UNSUB frame that ends a subscription after maxMessages messages, or at once if maxMessages is not
+// positive.
 func AppendUnsub(b, sid []byte, maxMessages int) []byte {
 	b = append(append(b, "UNSUB "...), sid...)
 	if maxMessages > 0 {
@@ -66,13 +69,13 @@
 	return append(b, lineEnd...)
 }
 
-// AppendErr appends -ERR.
+// AppendErr appends a -ERR frame with a text.
 func AppendErr(b []byte, text string) []byte {
 	return append(append(append(b, "-ERR '"...), text...), "'\r\n"...)
 }
 
-// AppendJSON appends an operation, INFO or CONNECT, with a JSON object. It panics if v cannot be marshalled, which is a
-// fault of the caller.
+// AppendJSON appends a frame that consists of an operation, INFO or CONNECT, and v as a JSON object. It panics if v cannot be
+// marshalled, because that is a programming error of the caller.
 func AppendJSON(b []byte, operation string, v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/nats/codec/codec.go
+++ b/internal/nats/codec/codec.go
@@ -1,14 +1,15 @@
-// Package codec reads and writes the frames of the NATS client protocol (docs.nats.io, "Client Protocol"): Parse reads
-// frames of both sides, the Append functions write them, and MatchesSubject compares subjects with wildcards.
+// Package codec parses and writes the frames of the NATS client protocol (docs.nats.io, "Client Protocol"). Parse parses the
+// frames of clients and servers, the Append functions write them, and MatchesSubject matches subjects against patterns with
+// wildcards.
 //
-// The package does no I/O and has no state: all functions may be called from any goroutine. Parse works on the bytes that
-// it is given, returns slices of them and does not allocate, so that a frame can be forwarded without a copy.
+// The package does no I/O and has no state, so that all functions may be called from any goroutine. Parse returns slices of its
+// input and does not allocate, so that a frame can be forwarded without a copy.
 package codec
 
-// Op is the operation of a frame.
+// Op identifies the operation of a frame.
 type Op uint8
 
-// The operations of clients and servers. None is the zero value and stands for an unknown or incomplete operation.
+// The operations of clients and servers. None is the zero value and means that the operation is unknown or incomplete.
 const (
 	None Op = iota
 	Info
@@ -25,12 +26,12 @@
 	Err
 )
 
-// ProtocolError is a violation of the protocol by a peer. Its text is what the protocol sends in -ERR for it.
+// ProtocolError is a violation of the protocol by a peer. Its text is the one that the protocol specifies for the -ERR frame.
 type ProtocolError string
 
 func (e ProtocolError) Error() string { return string(e) }
 
-// Errors of Parse, ParseConnect and ParseInfo. The connection is to be closed after each of them.
+// Errors of Parse, ParseConnect and ParseInfo. The connection must be closed after any of them.
 const (
 	ErrUnknownOperation = ProtocolError("Unknown Protocol Operation")
 	ErrParse            = ProtocolError("Parser Error")
@@ -40,26 +41,26 @@
 	ErrPubSubject       = ProtocolError("Invalid Publish Subject")
 )
 
-// Limits bound the size of a frame. A field that is not positive has its default.
+// Limits holds the limits on the size of a frame. Zero or a negative value means the default.
 type Limits struct {
-	// MaxControlLine is the maximum size of the first line in bytes, without its end. INFO and -ERR may be 16 times as
-	// long. The default is DefaultMaxControlLine.
+	// MaxControlLine is the maximum size of the control line (the first line of a frame) in bytes, without the line end.
+	// INFO and -ERR may be 16 times as long. Defaults to DefaultMaxControlLine.
 	MaxControlLine int
-	// MaxPayload is the maximum size of headers and payload in bytes. The default is DefaultMaxPayload.
+	// MaxPayload is the maximum size of headers and payload together in bytes. Defaults to DefaultMaxPayload.
 	MaxPayload int
 }
 
-// Default limits, as in the reference server.
+// Default limits in bytes, the same as those of the reference server.
 const (
 	DefaultMaxControlLine = 4096
 	DefaultMaxPayload     = 1 << 20
 )
 
-// infoLineFactor is how many times the limit of a control line INFO and -ERR may have.
+// infoLineFactor is the factor by which the control line limit is larger for INFO and -ERR.
 const infoLineFactor = 16
 
-// controlLine is the maximum size of the control line of an operation.
-func (l Limits) controlLine(op Op) int {
+// maxControlLine returns the maximum size of the control line of an operation in bytes, without the line end.
+func (l Limits) maxControlLine(op Op) int {
 	limit := l.MaxControlLine
 	if limit <= 0 {
 		limit = DefaultMaxControlLine
@@ -70,30 +71,30 @@
 	return limit
 }
 
-func (l Limits) payload() int {
+func (l Limits) maxPayload() int {
 	if l.MaxPayload > 0 {
 		return l.MaxPayload
 	}
 	return DefaultMaxPayload
 }
 
-// Frame is one frame. Its slices are parts of the buffer that was parsed.
+// Frame holds one parsed frame. Its slices point into the buffer that was parsed.
 type Frame struct {
 	Op          Op
 	Subject     []byte // of PUB, HPUB, SUB, MSG, HMSG
-	Reply       []byte // reply subject of PUB, HPUB, MSG, HMSG; empty: none
-	Queue       []byte // queue group of SUB; empty: none
+	Reply       []byte // reply subject of PUB, HPUB, MSG, HMSG; empty means none
+	Queue       []byte // queue group of SUB; empty means none
 	SID         []byte // subscription ID of SUB, UNSUB, MSG, HMSG
-	MaxMessages int    // of UNSUB: end the subscription after so many messages; 0: at once
-	HeaderSize  int    // size of the headers in Body, of HPUB and HMSG, in bytes
+	MaxMessages int    // of UNSUB: number of messages after which the subscription ends; 0 means at once
+	HeaderSize  int    // of HPUB and HMSG: size of the headers in Body, in bytes
 	Body        []byte // headers and payload of a message; JSON of INFO and CONNECT; text of -ERR
-	Raw         []byte // the frame as received, with its end
+	Raw         []byte // the complete frame as received, with its line end
 }
 
 // Payload returns the body without the headers.
 func (f *Frame) Payload() []byte { return f.Body[f.HeaderSize:] }
 
-// Header returns the headers of the body, with the version line and the empty line at the end; nil: there are none.
+// Header returns the headers of the body, including the version line and the empty line at the end, or nil if there are none.
 func (f *Frame) Header() []byte {
 	if f.HeaderSize == 0 {
 		return nil
--- a/internal/nats/codec/codec_test.go
+++ b/internal/nats/codec/codec_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// drawFrame draws a valid frame.
+// drawFrame draws a random valid frame.
 func drawFrame(t *rapid.T) []byte {
 	token := rapid.StringMatching(`[a-zA-Z0-9_$-]{1,6}`)
 	subject := rapid.Map(rapid.SliceOfN(token, 1, 4), func(s []string) []byte { return []byte(strings.Join(s, ".")) })
@@ -59,13 +59,14 @@
 	}
 }
 
-// frameText writes all fields of a frame.
+// frameText returns the values of all fields of a frame as text.
 func frameText(f *Frame) string {
 	return fmt.Sprintf("%d %q %q %q %q %d %d %q %q", f.Op, f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages,
 		f.HeaderSize, f.Body, f.Raw)
 }
 
-// A stream of frames is parsed the same, whatever the fragments are in which it arrives.
+// A stream arrives in fragments that do not end at frame boundaries. Parse must return the same frames as for an unfragmented
+// stream.
 func TestParseFragmentedStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
@@ -74,30 +75,30 @@
 			b := drawFrame(t)
 			f, n, err := Parse(b, Limits{})
 			if err != nil || n != len(b) {
-				t.Fatalf("%q: %d of %d, %v", b, n, len(b), err)
+				t.Fatalf("Parse(%q): got length %d, want %d; error %v", b, n, len(b), err)
 			}
 			want = append(want, frameText(&f))
 			stream = append(stream, b...)
 		}
 		var got []string
-		var in []byte
+		var unparsed []byte
 		for len(stream) > 0 {
 			n := min(rapid.IntRange(1, 50).Draw(t, "cut"), len(stream))
-			in, stream = append(in, stream[:n]...), stream[n:]
-			for len(in) > 0 {
-				f, n, err := Parse(in, Limits{})
+			unparsed, stream = append(unparsed, stream[:n]...), stream[n:]
+			for len(unparsed) > 0 {
+				f, n, err := Parse(unparsed, Limits{})
 				if err != nil {
-					t.Fatalf("%q: %v", in, err)
+					t.Fatalf("Parse(%q): unexpected error %v", unparsed, err)
 				}
 				if n == 0 {
 					break
 				}
 				got = append(got, frameText(&f))
-				in = in[n:]
+				unparsed = unparsed[n:]
 			}
 		}
-		if len(in) > 0 || strings.Join(got, "\n") != strings.Join(want, "\n") {
-			t.Fatalf("got %q and %q left, want %q", got, in, want)
+		if len(unparsed) > 0 || strings.Join(got, "\n") != strings.Join(want, "\n") {
+			t.Fatalf("got frames %q and %q left unparsed, want frames %q", got, unparsed, want)
 		}
 	})
 }
@@ -113,7 +114,7 @@
 	limits := Limits{MaxControlLine: 64, MaxPayload: 128}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for len(b) > 0 {
-			fr, n, err := Parse(b, limits)
+			frame, n, err := Parse(b, limits)
 			if err != nil {
 				var e ProtocolError
 				if !errors.As(err, &e) {
@@ -122,14 +123,14 @@
 				return
 			}
 			if n == 0 {
-				// The size of an incomplete frame is bounded.
+				// The limits also bound the size of an incomplete frame.
 				if limit := limits.MaxControlLine*infoLineFactor + 2 + limits.MaxPayload + 2; len(b) > limit {
-					t.Fatalf("%d bytes are an incomplete frame, limit %d", len(b), limit)
+					t.Fatalf("got an incomplete frame of %d bytes, want at most %d", len(b), limit)
 				}
 				return
 			}
-			if len(fr.Raw) != n || fr.HeaderSize > len(fr.Body) {
-				t.Fatalf("%d bytes, %+v", n, fr)
+			if len(frame.Raw) != n || frame.HeaderSize > len(frame.Body) {
+				t.Fatalf("length %d does not match the frame, or its headers exceed its body: %+v", n, frame)
 			}
 			b = b[n:]
 		}
@@ -162,7 +163,7 @@
 	} {
 		t.Run(fmt.Sprintf("%.20q of %d bytes", in, len(in)), func(t *testing.T) {
 			if _, n, err := Parse([]byte(in), Limits{}); !errors.Is(err, want) || n != 0 {
-				t.Errorf("n %d, error %v, want 0 and %v", n, err, want)
+				t.Errorf("got length %d and error %v, want 0 and %v", n, err, want)
 			}
 		})
 	}
@@ -194,17 +195,17 @@
 
 func TestToken(t *testing.T) {
 	if got := Token([]byte("a.b.c"), 1); string(got) != "b" || Token([]byte("a"), 1) != nil {
-		t.Errorf("token %q", got)
+		t.Errorf("got token %q, want \"b\" for token 1 of \"a.b.c\" and nil for token 1 of \"a\"", got)
 	}
 }
 
 func TestAppendStatus(t *testing.T) {
 	got := AppendStatus(nil, StatusTooManyRequests, "Refused", 1500*time.Microsecond)
 	if want := "NATS/1.0 429 Refused\r\nRetry-After-Ms: 2\r\n\r\n"; string(got) != want {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want status 429 with Retry-After-Ms 2", got)
 	}
 	if got := AppendStatus(nil, StatusNoResponders, "", 0); string(got) != "NATS/1.0 503\r\n\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want status 503 without a description", got)
 	}
 }
 
@@ -215,10 +216,10 @@
 			t.Fatal(n, err)
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("got %v allocations, want 0", n)
 	}
 	if !bytes.HasPrefix(b, []byte("HPUB")) {
-		t.Error("Parse changed its input")
+		t.Error("Parse modified its input")
 	}
 }
 
--- a/internal/nats/codec/describe_test.go
+++ b/internal/nats/codec/describe_test.go
@@ -11,7 +11,7 @@
 
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
-func operation(op codec.Op) string {
+func operationName(op codec.Op) string {
 	switch op {
 	case codec.None:
 		return "none"
@@ -44,17 +44,17 @@
 	}
 }
 
-// describeError writes an error with the text that a peer would receive.
+// describeError describes an error by the text that a peer would receive.
 func describeError(err error) string {
-	var fault codec.ProtocolError
-	if !errors.As(err, &fault) {
+	var protocolError codec.ProtocolError
+	if !errors.As(err, &protocolError) {
 		return "an error of another type"
 	}
-	return fmt.Sprintf("error %q", fault.Error())
+	return fmt.Sprintf("error %q", protocolError.Error())
 }
 
-// describe writes the result of Parse for the first frame, field by field.
-func describe(b []byte, limits codec.Limits) string {
+// describeFirstFrame describes the result of Parse for the first frame in b, field by field.
+func describeFirstFrame(b []byte, limits codec.Limits) string {
 	f, n, err := codec.Parse(b, limits)
 	switch {
 	case err != nil:
@@ -63,18 +63,19 @@
 		return "more"
 	}
 	return fmt.Sprintf("%d bytes %s subject=%q reply=%q queue=%q sid=%q max=%d headers=%d body=%q payload=%q header=%q no header=%t whole=%t",
-		n, operation(f.Op), f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages, f.HeaderSize, f.Body, f.Payload(), f.Header(),
-		f.Header() == nil, string(f.Raw) == string(b[:n]))
+		n, operationName(f.Op), f.Subject, f.Reply, f.Queue, f.SID, f.MaxMessages, f.HeaderSize, f.Body, f.Payload(),
+		f.Header(), f.Header() == nil, string(f.Raw) == string(b[:n]))
 }
 
-// describePrefixes writes the results of Parse for all prefixes of a frame: each with the length from which it is the result.
+// describePrefixes describes the results of Parse for all prefixes of a frame. Consecutive prefixes with the same result
+// are listed once, with the length of the shortest of them.
 func describePrefixes(frame string, limits codec.Limits) string {
 	var b strings.Builder
-	last := ""
+	previous := ""
 	for n := range len(frame) + 1 {
-		if got := describe([]byte(frame[:n]), limits); n == 0 || got != last {
+		if got := describeFirstFrame([]byte(frame[:n]), limits); n == 0 || got != previous {
 			fmt.Fprintf(&b, " %d: %s;", n, got)
-			last = got
+			previous = got
 		}
 	}
 	return strings.TrimSpace(b.String())
--- a/internal/nats/codec/format_test.go
+++ b/internal/nats/codec/format_test.go
@@ -12,10 +12,10 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-const status = "NATS/1.0 503\r\n\r\n" // 16 bytes
+const statusHeaders = "NATS/1.0 503\r\n\r\n" // size: 16 bytes
 
-// frames are valid frames of every operation.
-var frames = []string{
+// validFrames holds valid frames of every operation.
+var validFrames = []string{
 	"PING\r\n", "PING\n", "ping\r\n", "PiNg \r\n", "PING\t\r\n", "PING x\r\n", "PONG\r\n", "pong\n", "+OK\r\n",
 	"+ok\r\n", "+OK fine\r\n",
 	"-ERR 'Stale Connection'\r\n", "-err  'x' \r\n", "-ERR\r\n", "-ERR 'a \t b'\t\r\n",
@@ -23,16 +23,18 @@
 	"CONNECT {\"verbose\":false}\r\n", "connect\t{}\n", "CONNECT\r\n",
 	"PUB a 2\r\nhi\r\n", "PUB a.b.c reply.to 2\r\nhi\r\n", "pub a 0\r\n\r\n", "PUB  a\t 2 \r\nhi\r\n",
 	"PUB a 2\nhi\r\n", "PUB a 4\r\n\r\n\r\n\r\n", "PUB a 000000002\r\nhi\r\n",
-	"HPUB a 16 18\r\n" + status + "hi\r\n", "HPUB a reply.to 16 18\r\n" + status + "hi\r\n", "hpub a 0 2\r\nhi\r\n",
-	"HPUB a 16 16\r\n" + status + "\r\n", "HPUB a 0 0\r\n\r\n",
+	"HPUB a 16 18\r\n" + statusHeaders + "hi\r\n", "HPUB a reply.to 16 18\r\n" + statusHeaders + "hi\r\n",
+	"hpub a 0 2\r\nhi\r\n",
+	"HPUB a 16 16\r\n" + statusHeaders + "\r\n", "HPUB a 0 0\r\n\r\n",
 	"MSG a 1 2\r\nhi\r\n", "MSG a.b sid-7 reply.to 2\r\nhi\r\n", "msg a 1 0\r\n\r\n", "MSG a..b 1 0\r\n\r\n",
 	"MSG > 1 *.x 0\r\n\r\n",
-	"HMSG a 1 16 18\r\n" + status + "hi\r\n", "HMSG a 1 reply.to 16 18\r\n" + status + "hi\r\n", "hmsg a 1 0 0\r\n\r\n",
+	"HMSG a 1 16 18\r\n" + statusHeaders + "hi\r\n", "HMSG a 1 reply.to 16 18\r\n" + statusHeaders + "hi\r\n",
+	"hmsg a 1 0 0\r\n\r\n",
 	"SUB a 1\r\n", "SUB a.*.c workers 1\r\n", "sub > 1\r\n", "SUB a.> q x\n", "SUB\ta\t1\t\r\n", "UNSUB 1\r\n",
 	"UNSUB 1 5\r\n", "unsub x 0\n", "UNSUB 1 999999999\r\n",
 }
 
-// invalidFrames are frames that violate the protocol, and incomplete ones.
+// invalidFrames holds frames that violate the protocol, and incomplete frames.
 var invalidFrames = []string{
 	"", "\r\n", "\n", "\r", " PING\r\n", "HELLO\r\n", "HELLO", "GARBAGE", "GARBAGE!", "GARBAGE!!", "GARBAGES \r\n",
 	"PINGS\r\n", "PINGPONGPING", "P\r\n", "CONNECT{}\r\n", "OK\r\n", "ERR\r\n", "+OKAY\r\n",
@@ -52,13 +54,13 @@
 
 func TestParseIncompleteFrames(t *testing.T) {
 	var lines []string
-	for _, frame := range append(slices.Clone(frames), invalidFrames...) {
+	for _, frame := range append(slices.Clone(validFrames), invalidFrames...) {
 		lines = append(lines, fmt.Sprintf("%q: %s", frame, describePrefixes(frame, codec.Limits{})))
 	}
 	golden.CheckLines(t, "frames.txt", lines)
 }
 
-// Frames around the limits of control line and payload.
+// Checks the results of Parse for frames whose control line or payload is slightly below or above a limit.
 func TestParseLimits(t *testing.T) {
 	limits := []struct {
 		name   string
@@ -79,10 +81,10 @@
 			} {
 				for _, times := range []int{1, 16} {
 					var b strings.Builder
-					for more := -1; more <= 3; more++ {
-						text := start + strings.Repeat("a", line*times+more-len(start))
+					for extraBytes := -1; extraBytes <= 3; extraBytes++ {
+						text := start + strings.Repeat("a", line*times+extraBytes-len(start))
 						for _, end := range []string{"", "\r", "\n", "\r\n"} {
-							fmt.Fprintln(&b, describe([]byte(text+end), l.limits))
+							fmt.Fprintln(&b, describeFirstFrame([]byte(text+end), l.limits))
 						}
 					}
 					lines = append(lines, fmt.Sprintf("limits %s: %s, %d times %d bytes: %s", l.name, start, times,
@@ -96,14 +98,14 @@
 		} {
 			for _, head := range []string{"PUB a %d\r\n", "HPUB a 7 %d\r\n", "MSG a 1 %d\r\n"} {
 				text := fmt.Sprintf(head, payload)
-				lines = append(lines, fmt.Sprintf("limits %s: %q: %s", l.name, text, describe([]byte(text), l.limits)))
+				lines = append(lines, fmt.Sprintf("limits %s: %q: %s", l.name, text, describeFirstFrame([]byte(text), l.limits)))
 			}
 		}
 	}
 	golden.CheckLines(t, "limits.txt", lines)
 }
 
-// corruptions returns the frames that differ from a frame in one byte, which is removed, replaced or inserted.
+// corruptions returns the frames that result from removing, replacing or inserting one byte of a frame.
 func corruptions(frame string) (all []string) {
 	for i := range len(frame) + 1 {
 		for _, c := range "\x00 \t\r\n.*>1x\xff-" {
@@ -119,28 +121,29 @@
 	return all
 }
 
-// Every frame with each corruption of one byte, as a digest of the results of Parse.
+// Checks the results of Parse for each one-byte corruption of each valid frame, by one digest for each valid frame.
 func TestParseCorruptedFrames(t *testing.T) {
 	var lines []string
-	for _, frame := range frames {
-		all := corruptions(frame)
+	for _, frame := range validFrames {
+		corrupted := corruptions(frame)
 		var b strings.Builder
-		for _, f := range all {
-			fmt.Fprintf(&b, "%q: %s\n", f, describe([]byte(f), codec.Limits{}))
+		for _, f := range corrupted {
+			fmt.Fprintf(&b, "%q: %s\n", f, describeFirstFrame([]byte(f), codec.Limits{}))
 		}
-		lines = append(lines, fmt.Sprintf("%q, %d frames: %s", frame, len(all), digest(b.String())))
+		lines = append(lines, fmt.Sprintf("%q, %d frames: %s", frame, len(corrupted), digest(b.String())))
 	}
 	golden.CheckLines(t, "spoilt.txt", lines)
 }
 
-// Random streams of frames, some of them invalid, that arrive in fragments: one digest of the results of Parse for each.
+// Checks the results of Parse for random streams that arrive in fragments and contain some invalid frames, by one digest for
+// each stream.
 func TestParseRandomStreams(t *testing.T) {
 	var lines []string
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 24))
 		var stream strings.Builder
 		for range 1 + rng.IntN(12) {
-			frame := frames[rng.IntN(len(frames))]
+			frame := validFrames[rng.IntN(len(validFrames))]
 			if rng.IntN(15) == 0 {
 				frame = invalidFrames[rng.IntN(len(invalidFrames))]
 			}
@@ -150,28 +153,29 @@
 		if rng.IntN(4) == 0 {
 			limits = codec.Limits{MaxControlLine: 18, MaxPayload: 17}
 		}
-		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(readStream(rng, stream.String(), limits))))
+		lines = append(lines, fmt.Sprintf("%04d %s", seed, digest(describeStream(rng, stream.String(), limits))))
 	}
 	golden.CheckLines(t, "streams.txt", lines)
 }
 
-func readStream(rng *rand.Rand, stream string, limits codec.Limits) string {
+// describeStream describes the results of Parse for a stream that arrives in random fragments, up to the first error.
+func describeStream(rng *rand.Rand, stream string, limits codec.Limits) string {
 	var b strings.Builder
-	var held []byte
+	var unparsed []byte
 	for len(stream) > 0 {
 		n := min(1+rng.IntN(30), len(stream))
-		held, stream = append(held, stream[:n]...), stream[n:]
+		unparsed, stream = append(unparsed, stream[:n]...), stream[n:]
 		for {
-			text := describe(held, limits)
+			text := describeFirstFrame(unparsed, limits)
 			fmt.Fprintf(&b, "%s\n", text)
-			_, n, err := codec.Parse(held, limits)
+			_, n, err := codec.Parse(unparsed, limits)
 			if err != nil {
 				return b.String()
 			}
 			if n == 0 {
 				break
 			}
-			held = held[n:]
+			unparsed = unparsed[n:]
 		}
 	}
 	return b.String()
--- a/internal/nats/codec/handshake.go
+++ b/internal/nats/codec/handshake.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// ConnectOptions are the members of CONNECT that a gateway uses.
+// ConnectOptions holds the JSON members of CONNECT that a gateway uses.
 type ConnectOptions struct {
 	Verbose      bool   `json:"verbose"`
 	Pedantic     bool   `json:"pedantic"`
@@ -11,11 +11,11 @@
 	Name         string `json:"name"`
 	User         string `json:"user"`
 	Token        string `json:"auth_token"`
-	Echo         *bool  `json:"echo"` // nil: not given
+	Echo         *bool  `json:"echo"` // nil means that the client did not give it
 }
 
-// ParseConnect reads the JSON object of CONNECT. It returns the options that a gateway uses, and all members as they were
-// sent. The error is ErrParse.
+// ParseConnect parses the JSON object of CONNECT. It returns the options that a gateway uses, and all members unchanged as raw
+// JSON. The only error is ErrParse.
 func ParseConnect(body []byte) (o ConnectOptions, members map[string]json.RawMessage, err error) {
 	if json.Unmarshal(body, &members) != nil || members == nil || json.Unmarshal(body, &o) != nil {
 		return o, nil, ErrParse
@@ -23,7 +23,7 @@
 	return o, members, nil
 }
 
-// ServerInfo holds the members of INFO that a gateway uses or sends.
+// ServerInfo holds the JSON members of INFO that a gateway uses or sends.
 type ServerInfo struct {
 	ID           string `json:"server_id"`
 	Name         string `json:"server_name"`
@@ -40,7 +40,7 @@
 	LameDuck     bool   `json:"ldm,omitempty"` // the server is in lame duck mode: it is draining
 }
 
-// ParseInfo reads the JSON object of INFO. The error is ErrParse.
+// ParseInfo parses the JSON object of INFO. The only error is ErrParse.
 func ParseInfo(body []byte) (i ServerInfo, err error) {
 	if json.Unmarshal(body, &i) != nil {
 		return i, ErrParse
--- a/internal/nats/codec/parse.go
+++ b/internal/nats/codec/parse.go
@@ -3,21 +3,21 @@
 import "bytes"
 
 const (
-	// maxOperationName is the length of the longest operation name and the byte that ends it.
-	maxOperationName = 8
+	// maxOperationNameSize is the size in bytes of the longest operation name, CONNECT, and the delimiter after it.
+	maxOperationNameSize = 8
 	// maxFields is the maximum number of fields after the operation.
 	maxFields = 6
-	// maxDigits is the maximum number of digits of a number, as in the reference server.
+	// maxDigits is the maximum number of digits of a number, the same as in the reference server.
 	maxDigits = 9
-	// noBody stands for the size of the body of a frame that consists of a control line only.
+	// noBody is used as the body size of a frame that consists only of a control line.
 	noBody = -1
 )
 
-// lineEnd ends each control line and each body.
+// lineEnd terminates each control line and each body.
 var lineEnd = []byte("\r\n")
 
-// Parse reads the first frame of b and returns it with its length n. If the frame is not complete yet, n is 0 and err nil.
-// An error is a ProtocolError; b cannot be parsed after it even if more bytes arrive.
+// Parse parses the first frame in b and returns it with its length n in bytes. If the frame is incomplete, n is 0 and err is
+// nil. Any error is a ProtocolError and is final: b cannot be parsed even if more bytes arrive.
 func Parse(b []byte, l Limits) (f Frame, n int, err error) {
 	op := parseOperation(b)
 	line, n, err := cutControlLine(b, op, l)
@@ -37,7 +37,7 @@
 		return f, 0, err
 	}
 	if size != noBody {
-		if size > l.payload() {
+		if size > l.maxPayload() {
 			return f, 0, ErrMaxPayload
 		}
 		bodyStart, bodyEnd := n, n+size
@@ -54,9 +54,10 @@
 	return f, n, nil
 }
 
-// cutControlLine returns the first line of b without its end, and its length n with its end; n is 0 if it is incomplete.
+// cutControlLine returns the first line of b without its line end, and its length n in bytes with the line end. If the line is
+// incomplete, n is 0 and err is nil.
 func cutControlLine(b []byte, op Op, l Limits) (line []byte, n int, err error) {
-	limit := l.controlLine(op) + len(lineEnd)
+	limit := l.maxControlLine(op) + len(lineEnd)
 	i := bytes.IndexByte(b[:min(len(b), limit)], '\n')
 	switch {
 	case i >= 0:
@@ -67,18 +68,18 @@
 		return line, i + 1, nil
 	case len(b) >= limit:
 		return nil, 0, ErrMaxControlLine
-	case op == None && len(b) >= maxOperationName:
+	case op == None && len(b) >= maxOperationNameSize:
 		return nil, 0, ErrUnknownOperation
 	default:
 		return nil, 0, nil
 	}
 }
 
-// parseOperation returns the operation that b begins with; None if it is unknown or incomplete.
+// parseOperation returns the operation at the beginning of b, or None if it is unknown or incomplete.
 func parseOperation(b []byte) Op {
-	var name [maxOperationName]byte
+	var name [maxOperationNameSize]byte
 	n := 0
-	for n < len(b) && n < maxOperationName {
+	for n < len(b) && n < maxOperationNameSize {
 		c := b[n]
 		if c == ' ' || c == '\t' || c == '\r' || c == '\n' {
 			break
@@ -122,7 +123,7 @@
 	}
 }
 
-// cutField returns the first field of b, which spaces and tabs separate, and what follows it.
+// cutField returns the first field of b and the bytes that follow it. Fields are separated by spaces and tabs.
 func cutField(b []byte) (field, rest []byte) {
 	start := 0
 	for start < len(b) && (b[start] == ' ' || b[start] == '\t') {
@@ -135,7 +136,8 @@
 	return b[start:end], b[end:]
 }
 
-// parseArguments reads the control line after the operation. It returns the size of the body that follows, or noBody.
+// parseArguments parses the part of the control line after the operation. It returns the size in bytes of the body that
+// follows, or noBody.
 func (f *Frame) parseArguments(line []byte) (size int, err error) {
 	switch f.Op {
 	case Info, Connect, Err:
@@ -144,16 +146,16 @@
 	case Ping, Pong, OK:
 		return noBody, nil
 	}
-	var buffer [maxFields][]byte
+	var fieldArray [maxFields][]byte
 	count := 0
 	for field, rest := cutField(line); len(field) > 0; field, rest = cutField(rest) {
 		if count == maxFields {
 			return 0, ErrParse
 		}
-		buffer[count] = field
+		fieldArray[count] = field
 		count++
 	}
-	fields := buffer[:count]
+	fields := fieldArray[:count]
 	switch f.Op {
 	case Sub:
 		return noBody, f.parseSub(fields)
@@ -166,7 +168,7 @@
 	}
 }
 
-// parseSub reads the fields "subject [queue group] sid".
+// parseSub parses the fields "subject [queue group] sid".
 func (f *Frame) parseSub(fields [][]byte) error {
 	switch len(fields) {
 	case 2:
@@ -182,7 +184,7 @@
 	return nil
 }
 
-// parseUnsub reads the fields "sid [max messages]".
+// parseUnsub parses the fields "sid [max messages]".
 func (f *Frame) parseUnsub(fields [][]byte) (err error) {
 	switch len(fields) {
 	case 1:
@@ -196,7 +198,7 @@
 	return err
 }
 
-// parsePub reads the fields "subject [reply] sizes".
+// parsePub parses the fields "subject [reply] sizes" and returns the total size.
 func (f *Frame) parsePub(fields [][]byte) (size int, err error) {
 	n := len(fields) - f.sizeFields()
 	if n < 1 || n > 2 {
@@ -212,7 +214,7 @@
 	return f.parseSizes(fields[n:])
 }
 
-// parseMsg reads the fields "subject sid [reply] sizes".
+// parseMsg parses the fields "subject sid [reply] sizes" and returns the total size.
 func (f *Frame) parseMsg(fields [][]byte) (size int, err error) {
 	n := len(fields) - f.sizeFields()
 	if n < 2 || n > 3 {
@@ -225,7 +227,8 @@
 	return f.parseSizes(fields[n:])
 }
 
-// sizeFields is the number of size fields of a message: that of the headers, if it can have any, and the total.
+// sizeFields returns the number of size fields of a message: the header size, if the operation allows headers, and the total
+// size.
 func (f *Frame) sizeFields() int {
 	if f.Op == HPub || f.Op == HMsg {
 		return 2
@@ -233,7 +236,7 @@
 	return 1
 }
 
-// parseSizes reads the fields "[header size] total size" and returns the total size.
+// parseSizes parses the fields "[header size] total size" and returns the total size in bytes.
 func (f *Frame) parseSizes(fields [][]byte) (size int, err error) {
 	size, err = parseNumber(fields[len(fields)-1])
 	if err != nil || len(fields) == 1 {
@@ -246,7 +249,7 @@
 	return size, nil
 }
 
-// parseNumber reads a decimal number without a sign, of at most maxDigits digits.
+// parseNumber parses an unsigned decimal number of at most maxDigits digits.
 func parseNumber(b []byte) (int, error) {
 	if len(b) == 0 || len(b) > maxDigits {
 		return 0, ErrParse
--- a/internal/nats/codec/status.go
+++ b/internal/nats/codec/status.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Status codes of replies that a gateway makes itself. StatusNoResponders without more is the protocol's own; the others
-// follow the codes that clients know from JetStream.
+// Status codes of replies that a gateway generates. StatusNoResponders, sent without a description, is part of the NATS
+// protocol. The others follow the status codes that clients know from JetStream.
 const (
 	StatusNoResponders    = 503
 	StatusTimeout         = 408
@@ -14,8 +14,8 @@
 	StatusServerError     = 500
 )
 
-// AppendStatus appends message headers with a status: the version NATS/1.0, the code and, unless it is empty, a
-// description. A positive retryAfter is added as Retry-After-Ms, rounded up to whole milliseconds.
+// AppendStatus appends message headers with a status line, which consists of the version NATS/1.0, the code and, unless it is
+// empty, the description. A positive retryAfter is added as the header Retry-After-Ms, rounded up to whole milliseconds.
 func AppendStatus(b []byte, code int, description string, retryAfter time.Duration) []byte {
 	b = strconv.AppendInt(append(b, "NATS/1.0 "...), int64(code), 10)
 	if description != "" {
--- a/internal/nats/codec/subject.go
+++ b/internal/nats/codec/subject.go
@@ -3,14 +3,15 @@
 import "bytes"
 
 const (
-	tokenWildcard = "*" // matches one token
-	fullWildcard  = ">" // matches one or more tokens at the end
+	tokenWildcard = "*" // matches exactly one token
+	fullWildcard  = ">" // matches one or more tokens at the end of a subject
 )
 
 var tokenSeparator = []byte{'.'}
 
-// ValidSubject reports whether a subject has no empty token and valid wildcards: none unless allowWildcards is set, and the
-// full wildcard as the last token only. A wildcard is a token of its own; within a longer token it is an ordinary character.
+// ValidSubject reports whether a subject has no empty token and only valid wildcards. Wildcards are valid if allowWildcards is
+// set, and the full wildcard only as the last token. A wildcard is always a complete token; within a longer token its character
+// has no special meaning.
 func ValidSubject(subject []byte, allowWildcards bool) bool {
 	for {
 		token, rest, more := bytes.Cut(subject, tokenSeparator)
@@ -36,12 +37,12 @@
 // MatchesSubject reports whether a pattern, which may contain wildcards, matches a subject.
 func MatchesSubject(pattern, subject []byte) bool {
 	for {
-		p, patternRest, patternMore := bytes.Cut(pattern, tokenSeparator)
-		if string(p) == fullWildcard {
+		patternToken, patternRest, patternMore := bytes.Cut(pattern, tokenSeparator)
+		if string(patternToken) == fullWildcard {
 			return len(subject) > 0
 		}
-		s, subjectRest, subjectMore := bytes.Cut(subject, tokenSeparator)
-		if string(p) != tokenWildcard && !bytes.Equal(p, s) {
+		subjectToken, subjectRest, subjectMore := bytes.Cut(subject, tokenSeparator)
+		if string(patternToken) != tokenWildcard && !bytes.Equal(patternToken, subjectToken) {
 			return false
 		}
 		if !patternMore || !subjectMore {
@@ -51,7 +52,7 @@
 	}
 }
 
-// Token returns the n-th token of a subject, counted from 0; nil if it has fewer.
+// Token returns token n of a subject, counted from 0, or nil if the subject has no such token.
 func Token(subject []byte, n int) []byte {
 	for ; ; n-- {
 		token, rest, more := bytes.Cut(subject, tokenSeparator)
