--- a/internal/nats/frontend/migration.go
+++ b/internal/nats/frontend/migration.go
@@ -13,8 +13,8 @@
 //     subscriptions. Its messages are buffered.
 //  2. The session stops reading from the client and sends the old node UNSUB for all subscriptions, followed by a PING. The
 //     PONG confirms that the old node has processed all frames of the client and delivered all messages that it had queued.
-//  3. The session delivers the buffered messages, except those that both nodes delivered, and reads from the client again. It
-//     closes the connection to the old node once no request is pending there.
+//  3. The session delivers the buffered messages and reads from the client again. If the nodes form a cluster, it drops the
+//     messages that the old node delivered too. It closes the connection to the old node once no request is pending there.
 //
 // If the connection to the old node is lost, step 2 is skipped.
 
@@ -36,6 +36,7 @@
 	}
 }
 
+// startMigration requests another node. The session is closed if the migration is not complete after MigrationTimeout.
 func (s *Session) startMigration() {
 	s.migrating = true
 	current := s.current
@@ -51,6 +52,7 @@
 	s.requestNextNode()
 }
 
+// requestNextNode requests another node, unless a request is running or no migration is in progress.
 func (s *Session) requestNextNode() {
 	if s.phase == closed || s.next != nil || !s.migrating {
 		return
@@ -189,7 +191,7 @@
 
 // retire makes old the previous node of the session and closes its connection once no request is pending there.
 func (s *Session) retire(old *nodeSession) {
-	if s.previous != nil { // after a second migration the attempts that are pending at the first node end
+	if s.previous != nil { // a second migration ends the attempts that are pending at the first node
 		s.previous.close()
 	}
 	s.previous = old
@@ -216,6 +218,8 @@
 	}
 }
 
+// currentNodeLost handles the loss of the current node. It switches to the next node if that one is established. Otherwise the
+// running migration continues, or a new one starts.
 func (s *Session) currentNodeLost(n *nodeSession) {
 	if n.flushing { // the lost node can deliver nothing more
 		s.nodeFlushed(n)
