--- a/internal/simproto/endpoints.go
+++ b/internal/simproto/endpoints.go
@@ -19,7 +19,7 @@
 
 var errBackendMissing = errors.New("backend is missing")
 
-// buildList makes an event of an update line and of the rows that follow it.
+// buildList converts the fields of an update line, and the row lines that follow it, to an event.
 func (r *Reader) buildList(decoded *eventFields, ev *Event) error {
 	if decoded.mode == listFailedMode {
 		ev.ListFailed = true
@@ -29,7 +29,7 @@
 	if !ok {
 		return r.errorf("update: unknown mode %q", decoded.mode)
 	}
-	servers, err := r.servers(decoded.rows)
+	servers, err := r.readServers(decoded.rows)
 	if err != nil {
 		return err
 	}
@@ -37,11 +37,11 @@
 	return nil
 }
 
-// servers reads the given number of rows.
-func (r *Reader) servers(rows int) ([]balancer.Server, error) {
+// readServers reads the given number of row lines.
+func (r *Reader) readServers(rows int) ([]balancer.Server, error) {
 	var servers []balancer.Server
 	for range rows {
-		line, err := r.next()
+		line, err := r.nextLine()
 		if err != nil {
 			return nil, r.errorf("update: %d entries announced, input ends after %d", rows, len(servers))
 		}
@@ -49,7 +49,7 @@
 		if word := f.word(); string(word) != "row" {
 			return nil, r.errorf("update: expected row, found %q", word)
 		}
-		server, err := r.server(&f)
+		server, err := r.decodeServer(&f)
 		if err != nil {
 			return nil, r.errorf("row: %w", err)
 		}
@@ -58,14 +58,14 @@
 	return servers, nil
 }
 
-// server decodes the fields of a row; unknown ones are ignored.
-func (r *Reader) server(f *fields) (balancer.Server, error) {
+// decodeServer decodes the fields of a row line. It ignores unknown fields.
+func (r *Reader) decodeServer(f *fields) (balancer.Server, error) {
 	var server balancer.Server
 	hasID := false
 	for f.next() {
 		switch string(f.key) {
 		case "backend":
-			server.ID, hasID = balancer.ServerID(f.integer(int32Limit)), true
+			server.ID, hasID = balancer.ServerID(f.integer(uint32Limit)), true
 		case "rack_zone":
 			server.Zone = r.intern(f.value)
 		case "cell":
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -7,28 +7,29 @@
 	"example.org/milletvane/internal/settings"
 )
 
-// Exclusive upper bounds of numbers in events.
+// Exclusive upper bounds of integers in events.
 const (
-	int31Limit = 1 << 31 // instances, attempts, codes and counts
-	int32Limit = 1 << 32 // requests and servers
-	noLimit    = 0
+	int31Limit  = 1 << 31 // for instances, attempts, result codes, topics and counts
+	uint32Limit = 1 << 32 // for the IDs of requests and servers
+	noLimit     = 0       // admits any int64
 )
 
-// Values of topic in an update_of line.
+// Values of the topic field of an update_of line.
 const (
 	topicLoad         = 1
 	topicMessageDelay = 2
 )
 
-// listFailedMode is the mode of an update line that reports a failed list request.
+// listFailedMode is the mode of an update line that reports a failed endpoint list request.
 const listFailedMode = "Error"
 
+// attemptResults maps the outcome codes of a result line to the balancer's results.
 var attemptResults = map[int]balancer.Result{
 	100: balancer.OK, 301: balancer.Errored, 302: balancer.Rejected, 303: balancer.TimedOut,
 	304: balancer.ConnectFailed, 305: balancer.Reset, 306: balancer.Cancelled, 307: balancer.NotSent,
 }
 
-// eventFields are the decoded fields of an event line, of whatever kind.
+// eventFields holds the decoded fields of an event line of any kind. Fields that the line does not have are zero.
 type eventFields struct {
 	request  balancer.Request
 	server   balancer.ServerID
@@ -43,11 +44,12 @@
 	rows     int
 }
 
-// event decodes a line of the given kind. It returns false for kinds that the balancer has no use for.
-func (r *Reader) event(word []byte, f *fields) (Event, bool, error) {
+// decodeEvent decodes the fields of a line whose kind is word. It returns false for kinds that the balancer does not
+// handle.
+func (r *Reader) decodeEvent(word []byte, f *fields) (Event, bool, error) {
 	kind := r.intern(word)
 	if kind == "create" {
-		return r.create(f)
+		return r.decodeCreate(f)
 	}
 	ev := Event{Instance: -1}
 	var decoded eventFields
@@ -61,15 +63,15 @@
 	if f.err != nil {
 		return ev, false, r.errorf("%s: %w", kind, f.err)
 	}
-	known, err := r.build(kind, &decoded, &ev)
+	known, err := r.buildEvent(kind, &decoded, &ev)
 	if err == nil && known && ev.Instance < 0 {
 		err = r.errorf("%s: relay is missing", kind)
 	}
 	return ev, known, err
 }
 
-// create decodes the line that starts an instance. Its settings are path=value pairs.
-func (r *Reader) create(f *fields) (Event, bool, error) {
+// decodeCreate decodes the line that starts an instance. Settings are given as path=value pairs.
+func (r *Reader) decodeCreate(f *fields) (Event, bool, error) {
 	ev := Event{Instance: -1}
 	pairs := settings.Pairs{}
 	for f.next() {
@@ -85,7 +87,7 @@
 	if ev.Instance < 0 {
 		return ev, false, r.errorf("create: relay is missing")
 	}
-	policy, err := pairs.Balancer()
+	balancerSettings, err := pairs.Balancer()
 	if err != nil {
 		return ev, false, r.errorf("create: %w", err)
 	}
@@ -93,18 +95,18 @@
 	if err != nil {
 		return ev, false, r.errorf("create: %w", err)
 	}
-	ev.Start = &Start{Balancer: *policy, PollsList: pairs["discovery"] == "ask", ListRefresh: listRefresh}
+	ev.Start = &Start{Balancer: *balancerSettings, PollsList: pairs["discovery"] == "ask", ListRefresh: listRefresh}
 	return ev, true, nil
 }
 
-// decodeField decodes the current field; unknown fields are ignored.
+// decodeField decodes the current field into decoded. It ignores unknown fields.
 func (r *Reader) decodeField(f *fields, decoded *eventFields) {
 	if r.decodeRequestField(f, &decoded.request) {
 		return
 	}
 	switch string(f.key) {
 	case "backend":
-		decoded.server = balancer.ServerID(f.integer(int32Limit))
+		decoded.server = balancer.ServerID(f.integer(uint32Limit))
 	case "seq_no":
 		decoded.attempt = int(f.integer(int31Limit))
 	case "elapsed_ns":
@@ -126,11 +128,11 @@
 	}
 }
 
-// decodeRequestField decodes the current field if it describes a request, and reports whether it does.
+// decodeRequestField decodes the current field into request, and reports whether the field describes a request.
 func (r *Reader) decodeRequestField(f *fields, request *balancer.Request) bool {
 	switch string(f.key) {
 	case "ticket":
-		request.ID = balancer.RequestID(f.integer(int32Limit))
+		request.ID = balancer.RequestID(f.integer(uint32Limit))
 	case "priority":
 		request.Class = r.intern(f.value)
 	case "customer":
@@ -153,8 +155,9 @@
 	return true
 }
 
-// build makes an event of a kind from its fields. It returns false for kinds that the balancer has no use for.
-func (r *Reader) build(kind string, decoded *eventFields, ev *Event) (known bool, err error) {
+// buildEvent sets in ev the event of a kind with the decoded fields. It returns false for kinds and topics that the
+// balancer does not handle, and an error for unknown kinds.
+func (r *Reader) buildEvent(kind string, decoded *eventFields, ev *Event) (known bool, err error) {
 	id := decoded.request.ID
 	switch kind {
 	case "destroy":
@@ -185,7 +188,7 @@
 		ev.Balancer = balancer.ClientDisconnected{ID: id}
 	case "timer":
 		ev.Balancer = balancer.TimerFired{Ref: decoded.timerRef}
-	case "checked", "message": // answers to actions that the balancer never takes
+	case "checked", "message": // replies to actions that the balancer never takes
 		return false, nil
 	default:
 		return false, r.errorf("unknown event %q", kind)
@@ -193,7 +196,8 @@
 	return true, nil
 }
 
-// buildConnectionUpdate makes an event of what is measured of a connection. It returns false for unknown topics.
+// buildConnectionUpdate sets in ev the event for a measured property of a connection: its load or its message delay. It
+// returns false for unknown topics.
 func buildConnectionUpdate(decoded *eventFields, ev *Event) (known bool) {
 	switch decoded.topic {
 	case topicLoad:
--- a/internal/simproto/format_test.go
+++ b/internal/simproto/format_test.go
@@ -20,7 +20,7 @@
 
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
-// fieldWriter writes the fields of an event that are not zero.
+// fieldWriter formats the non-zero fields of an event.
 type fieldWriter struct{ strings.Builder }
 
 func (w *fieldWriter) add(name string, v any) {
@@ -93,7 +93,7 @@
 	}
 }
 
-func result(r balancer.Result) string {
+func attemptResult(r balancer.Result) string {
 	switch r {
 	case balancer.OK:
 		return "100"
@@ -116,7 +116,7 @@
 	}
 }
 
-func effect(e balancer.Idempotency) string {
+func idempotency(e balancer.Idempotency) string {
 	switch e {
 	case balancer.Idempotent:
 		return "idempotent"
@@ -129,7 +129,7 @@
 	}
 }
 
-func scope(s balancer.DedupScope) string {
+func dedupScope(s balancer.DedupScope) string {
 	switch s {
 	case balancer.DedupScopeAll:
 		return "all"
@@ -161,8 +161,8 @@
 	for _, c := range s.Classes {
 		w.WriteString(" [class")
 		w.add("name", c.Name)
-		w.add("effect", effect(c.Idempotency))
-		w.add("scope", scope(c.DedupScope))
+		w.add("effect", idempotency(c.Idempotency))
+		w.add("scope", dedupScope(c.DedupScope))
 		w.duration("window", c.DedupWindow)
 		w.add("worth", c.PriorityWeight)
 		w.duration("aim", c.SetupLatencyObjective)
@@ -178,7 +178,7 @@
 	}
 }
 
-func (w *fieldWriter) list(s refresh.Settings) {
+func (w *fieldWriter) listRefresh(s refresh.Settings) {
 	w.WriteString(" [list")
 	w.add("pushed", s.LocalAgent)
 	w.add("gateways", s.Gateways)
@@ -188,7 +188,7 @@
 	w.WriteString("]")
 }
 
-// describeEvent is an event field by field, without fields that are zero.
+// describeEvent formats an event with its non-zero fields.
 func describeEvent(ev simproto.Event) string {
 	var w fieldWriter
 	fmt.Fprintf(&w.Builder, "%d:", ev.Instance)
@@ -196,7 +196,7 @@
 		w.WriteString(" start")
 		w.add("asks", ev.Start.PollsList)
 		w.settings(ev.Start.Balancer)
-		w.list(ev.Start.ListRefresh)
+		w.listRefresh(ev.Start.ListRefresh)
 	}
 	if ev.Stop {
 		w.WriteString(" stop")
@@ -205,12 +205,12 @@
 		w.WriteString(" no list")
 	}
 	if ev.Balancer != nil && !w.requestEvent(ev.Balancer) && !w.attemptEvent(ev.Balancer) {
-		w.WriteString(" an event that the wire does not have")
+		w.WriteString(" an event that the protocol does not have")
 	}
 	return w.String()
 }
 
-// requestEvent writes what comes from clients, from discovery and from the clock; false: it is another event.
+// requestEvent formats an event that comes from clients, from discovery or from a timer. It returns false for other events.
 func (w *fieldWriter) requestEvent(ev balancer.Event) bool {
 	switch e := ev.(type) {
 	case balancer.EndpointList:
@@ -235,7 +235,7 @@
 	return true
 }
 
-// attemptEvent writes what becomes of an attempt and of its connection; false: it is another event.
+// attemptEvent formats an event of an attempt or of its connection. It returns false for other events.
 func (w *fieldWriter) attemptEvent(ev balancer.Event) bool {
 	switch e := ev.(type) {
 	case balancer.AttemptEstablished:
@@ -258,7 +258,7 @@
 		w.add("id", int64(e.ID))
 		w.add("attempt", e.Attempt)
 		w.add("server", int64(e.Server))
-		w.add("result", result(e.Result))
+		w.add("result", attemptResult(e.Result))
 		w.duration("elapsed", e.Elapsed)
 		w.add("settled", e.Answered)
 	default:
@@ -267,17 +267,18 @@
 	return true
 }
 
-// describeInput reads batches until the input ends or has a fault. Of a fault only the line is written down.
+// describeInput formats the batches of an input until it ends or violates the protocol. Of an error only the line number is
+// included.
 func describeInput(in io.Reader) (lines []string) {
 	r := simproto.NewReader(in)
 	var batch simproto.Batch
 	for {
 		if err := r.Read(&batch); err != nil {
-			at, _, _ := strings.Cut(err.Error(), ":")
+			location, _, _ := strings.Cut(err.Error(), ":")
 			if errors.Is(err, io.EOF) {
-				at = "end"
+				location = "end"
 			}
-			return append(lines, at)
+			return append(lines, location)
 		}
 		lines = append(lines, fmt.Sprintf("at %d, %d events", batch.Now.Nanoseconds(), len(batch.Events)))
 		for _, ev := range batch.Events {
@@ -286,16 +287,19 @@
 	}
 }
 
+// describeText returns the description of an input on one line.
 func describeText(text string) string {
 	return strings.Join(describeInput(strings.NewReader(text)), "; ")
 }
 
-func batchOf(lines ...string) string {
+// batchText returns a batch with the given lines.
+func batchText(lines ...string) string {
 	return "mark t_ns=5\n" + strings.Join(lines, "\n") + "\nover_to_you\n"
 }
 
-// eventLines are lines of every event with every field, and with values at the bounds.
-func eventLines() (lines []string) {
+// eventCases returns lines of every kind of event with every field, with missing and malformed fields, and with values at
+// and near the bounds.
+func eventCases() (lines []string) {
 	const all = " ticket=7 backend=5 priority=p customer=c partition_key=k group=g grace_ns=3000000 weight_hint_ns=2500 returned=1 stray=true" +
 		" seq_no=2 elapsed_ns=9000000 outcome=305 settled=true value=120.5 topic=2 ref=77 mode=Complete rows_in=0 rev=5 stats=a:1,b:2 unknown=x"
 	kinds := []string{
@@ -346,15 +350,18 @@
 	return lines
 }
 
-func TestEventsRead(t *testing.T) {
+// Guards against changes in how single event lines are decoded, or in which of them are rejected.
+func TestDecodedEvents(t *testing.T) {
 	var lines []string
-	for _, line := range eventLines() {
-		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchOf(line))))
+	for _, line := range eventCases() {
+		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchText(line))))
 	}
 	golden.CheckLines(t, "events.txt", lines)
 }
 
-func TestRowsRead(t *testing.T) {
+// Guards against changes in how the rows of an endpoint list are decoded, with the announced number of rows and with one
+// more than follow.
+func TestDecodedRows(t *testing.T) {
 	var lines []string
 	for _, rows := range [][]string{
 		{
@@ -393,7 +400,7 @@
 	} {
 		for _, count := range []int{len(rows), len(rows) + 1} {
 			for _, mode := range []string{"Partial", "Persisted"} {
-				text := batchOf(append([]string{fmt.Sprintf("update relay=1 mode=%s rev=41 rows_in=%d", mode, count)},
+				text := batchText(append([]string{fmt.Sprintf("update relay=1 mode=%s rev=41 rows_in=%d", mode, count)},
 					rows...)...)
 				lines = append(lines, fmt.Sprintf("%q: %s", text, describeText(text)))
 			}
@@ -402,7 +409,7 @@
 	golden.CheckLines(t, "rows.txt", lines)
 }
 
-// settingPaths are the settings that are read, and some that are not.
+// settingPaths lists the settings that a create line may have, and some that the program ignores.
 var settingPaths = []string{
 	"init_seed", "replicas_of_me", "over_share_worth", "caps.max_attempts", "family_info.park_ns",
 	"rules.stop_sending_within_ns", "rules.cold_ns", "rules.tip_multiple", "rules.fall_ns",
@@ -414,10 +421,10 @@
 	"unknown.path",
 }
 
-func TestSettingsRead(t *testing.T) {
+func TestDecodedSettings(t *testing.T) {
 	lines := []string{}
 	add := func(line string) {
-		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchOf(line))))
+		lines = append(lines, fmt.Sprintf("%q: %s", line, describeText(batchText(line))))
 	}
 	values := []string{
 		"", "null", "0", "1", "3", "-1", "1.5", "0.25", "1e18", "2e18", "x", "nan", "true", "false",
@@ -428,7 +435,7 @@
 	for _, path := range settingPaths {
 		for _, v := range values {
 			if strings.HasSuffix(path, ".count") && v == "10000" {
-				continue // long lines that say nothing
+				continue // makes long lines that test nothing more
 			}
 			add(base + " " + path + "=" + v)
 		}
@@ -449,21 +456,23 @@
 	golden.CheckLines(t, "settings.txt", lines)
 }
 
-// mixedInput has every event and several batches.
+// mixedInput returns several batches that together have every kind of event.
 func mixedInput() string {
-	return "\n" + batchOf("create relay=2 init_seed=9 replicas_of_me=3 discovery=ask classes.count=1 classes.0.name=a classes.0.effect=idempotent rules.cold_ns=8",
+	return "\n" + batchText("create relay=2 init_seed=9 replicas_of_me=3 discovery=ask classes.count=1 classes.0.name=a classes.0.effect=idempotent rules.cold_ns=8",
 		"update relay=2 mode=Persisted rev=1 rows_in=2",
 		"row backend=5 rack_zone=a cell=2 mode=IN capacity_hint=1.5 up_since_ns=61", "row backend=6 mode=LAME") +
 		"\n\r\nmark t_ns=6 more=1\r\nnew_request relay=2 ticket=1 customer=c weight_hint_ns=2500 grace_ns=3000000 group=g priority=a partition_key=k stray=1 returned=0\r\n" +
 		"carried relay=2 ticket=2 backend=5 priority=a\r\nover_to_you\r\n" +
-		batchOf("opened relay=2 ticket=1 seq_no=1 backend=5 elapsed_ns=9",
+		batchText("opened relay=2 ticket=1 seq_no=1 backend=5 elapsed_ns=9",
 			"update_of relay=2 ticket=1 value=0.5 topic=1", "update_of relay=2 ticket=1 backend=5 value=1.5 topic=2",
 			"result relay=2 ticket=1 seq_no=1 backend=5 outcome=100 elapsed_ns=10 settled=1",
 			"checked relay=2 ticket=1", "message relay=2", "expired relay=2 ticket=2", "timer relay=2 ref=77") +
-		batchOf("update relay=2 mode=Error", "update relay=2 mode=Partial rows_in=0", "destroy relay=2")
+		batchText("update relay=2 mode=Error", "update relay=2 mode=Partial rows_in=0", "destroy relay=2")
 }
 
-func TestBatchesRead(t *testing.T) {
+// Guards against changes in where batches begin and end: blank lines, line breaks, repeated marks and an early end of the
+// input.
+func TestDecodedBatches(t *testing.T) {
 	var lines []string
 	for _, text := range []string{
 		mixedInput(), "", "\n", "\n\n\r\n", "mark\nover_to_you\n", "mark t_ns=5\nover_to_you",
@@ -483,13 +492,14 @@
 	golden.CheckLines(t, "batches.txt", lines)
 }
 
-// What is read does not depend on the pieces that the input comes in.
-func TestInputInPieces(t *testing.T) {
+// Guards against decoded events that depend on how the input is split into reads, also for lines around and beyond the size
+// of the read buffer.
+func TestInputInChunks(t *testing.T) {
 	inputs := map[string]string{"mixed": mixedInput(), "cut off": strings.TrimSuffix(mixedInput(), "over_to_you\n")}
 	for _, length := range []int{1<<16 - 1, 1 << 16, 1<<16 + 1, 1<<17 + 5} {
 		line := "new_request relay=1 ticket=1 partition_key="
 		line += strings.Repeat("k", length-len(line)-1)
-		inputs[fmt.Sprint("line of ", length)] = batchOf(line, "timer relay=1 ref=4",
+		inputs[fmt.Sprint("line of ", length)] = batchText(line, "timer relay=1 ref=4",
 			"timer relay=1 ref=5 filler="+strings.Repeat("k", length))
 	}
 	for name, text := range inputs {
@@ -498,25 +508,26 @@
 			for _, event := range []string{"request", "timer"} {
 				if strings.Count(want, " "+event+" ") != strings.Count(text, "\n"+event)+strings.Count(text,
 					"new_"+event) {
-					t.Fatalf("not each %s is read: %.500s", event, want)
+					t.Fatalf("got fewer or more events of kind %s than the input has: %.500s", event, want)
 				}
 			}
-			for pieces, in := range map[string]io.Reader{
-				"single bytes":            iotest.OneByteReader(strings.NewReader(text)),
-				"halves":                  iotest.HalfReader(strings.NewReader(text)),
-				"an end with the last":    iotest.DataErrReader(strings.NewReader(text)),
-				"single bytes to the end": iotest.DataErrReader(iotest.OneByteReader(strings.NewReader(text))),
+			for chunking, in := range map[string]io.Reader{
+				"single bytes":                    iotest.OneByteReader(strings.NewReader(text)),
+				"halves":                          iotest.HalfReader(strings.NewReader(text)),
+				"EOF with the last data":          iotest.DataErrReader(strings.NewReader(text)),
+				"single bytes, EOF with the last": iotest.DataErrReader(iotest.OneByteReader(strings.NewReader(text))),
 			} {
 				if got := strings.Join(describeInput(in), "\n"); got != want {
-					t.Errorf("%s: got %.500s, want %.500s", pieces, got, want)
+					t.Errorf("%s: got %.500s, want %.500s", chunking, got, want)
 				}
 			}
 		})
 	}
 }
 
-// The mixed input's batches with one byte other than it should be, and cut off, at every place: a digest for each line.
-func TestSpoiltInput(t *testing.T) {
+// Guards against changes in how corrupted input is read. Each batch of the mixed input is read with a byte replaced, with a
+// byte removed and with its end cut off, at every position. The file holds a digest for each line of the input.
+func TestCorruptedInput(t *testing.T) {
 	var lines []string
 	for _, text := range strings.SplitAfter(mixedInput(), "over_to_you\n") {
 		start := 0
@@ -536,14 +547,14 @@
 	golden.CheckLines(t, "spoilt.txt", lines)
 }
 
-// Drawn batches, as a digest of each.
-func TestDrawnInput(t *testing.T) {
-	var events, faults []string
-	for _, line := range eventLines() {
-		if strings.HasSuffix(describeText(batchOf(line)), "; end") {
-			events = append(events, line)
+// Guards against changes in how random batches are read. The file holds a digest for each seed.
+func TestRandomBatches(t *testing.T) {
+	var valid, invalid []string
+	for _, line := range eventCases() {
+		if strings.HasSuffix(describeText(batchText(line)), "; end") {
+			valid = append(valid, line)
 		} else {
-			faults = append(faults, line)
+			invalid = append(invalid, line)
 		}
 	}
 	var lines []string
@@ -553,10 +564,10 @@
 		for range 1 + rng.IntN(6) {
 			fmt.Fprintf(&b, "mark t_ns=%d\n", rng.Int64N(1<<40))
 			for range rng.IntN(6) {
-				line := events[rng.IntN(len(events))]
+				line := valid[rng.IntN(len(valid))]
 				switch rng.IntN(30) {
 				case 0:
-					line = faults[rng.IntN(len(faults))]
+					line = invalid[rng.IntN(len(invalid))]
 				case 1, 2, 3, 4, 5, 6:
 					line = fmt.Sprintf("create relay=%d classes.count=2 tenants.count=2 %s=%d", rng.IntN(5),
 						settingPaths[rng.IntN(len(settingPaths))], rng.IntN(3))
@@ -570,7 +581,8 @@
 	golden.CheckLines(t, "drawn.txt", lines)
 }
 
-func TestActionsWritten(t *testing.T) {
+// Guards against changes in how actions are encoded.
+func TestEncodedActions(t *testing.T) {
 	var lines []string
 	add := func(name string, b []byte) { lines = append(lines, fmt.Sprintf("%s: %q", name, b)) }
 	for _, instance := range []int{0, 4, 1<<31 - 1} {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	readBufferSize = 1 << 16
-	maxNames       = 1 << 14 // names that are interned; further ones are allocated each time
+	readBufferSize   = 1 << 16 // bytes
+	maxInternedNames = 1 << 14 // names beyond this number are allocated at each use
 )
 
-// InputError is a line that the protocol does not allow. The input cannot be read any further.
+// InputError reports a line that violates the protocol. Reading cannot continue after it.
 type InputError struct {
-	Line int // from 1; blank lines count
-	Err  error
+	Line int   // line number, from 1; blank lines count
+	Err  error // what is wrong with the line
 }
 
-// Error names the line and says what is wrong with it.
+// Error returns the line number and the violation.
 func (e *InputError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns Err.
 func (e *InputError) Unwrap() error { return e.Err }
 
-// Reader reads batches. It must not be used by several goroutines at once.
+// Reader reads batches of events. It must not be used by several goroutines at once.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	long  []byte            // a line longer than the buffer of in
-	names map[string]string // interned names of event kinds, classes, tenants, zones and groups
+	in       *bufio.Reader
+	line     int               // number of the current line, from 1
+	longLine []byte            // buffer for a line that does not fit into the buffer of in
+	names    map[string]string // interned names of event kinds, list modes, classes, tenants, zones and groups
 }
 
-// NewReader returns a Reader of r. It buffers, and may read more from r than the batches it returns.
+// NewReader returns a Reader that reads from r. It buffers its input and may read more from r than the batches that it
+// returns.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, readBufferSize), names: map[string]string{}}
 }
 
-// Read reads the next batch into b, whose Events are reused. It returns io.EOF if the input ends between batches, an
-// *InputError for a line that the protocol does not allow, and errors of the underlying reader as they are.
+// Read reads the next batch into b and reuses the memory of b.Events. It returns io.EOF if the input ends between batches,
+// an *InputError for a line that violates the protocol, and errors of the underlying reader unchanged.
 func (r *Reader) Read(b *Batch) error {
 	b.Events = b.Events[:0]
 	if err := r.readMark(b); err != nil {
 		return err
 	}
 	for {
-		line, err := r.nextNonBlank()
+		line, err := r.nextNonBlankLine()
 		if errors.Is(err, io.EOF) {
 			return r.errorf("input ends inside a batch")
 		}
@@ -58,7 +59,7 @@
 		if string(kind) == "over_to_you" {
 			return nil
 		}
-		ev, known, err := r.event(kind, &f)
+		ev, known, err := r.decodeEvent(kind, &f)
 		if err != nil {
 			return err
 		}
@@ -68,9 +69,9 @@
 	}
 }
 
-// readMark reads the line that begins a batch. A line without a time leaves that of the batch before.
+// readMark reads the mark line that begins a batch. If the line has no time, b.Now keeps its value.
 func (r *Reader) readMark(b *Batch) error {
-	line, err := r.nextNonBlank()
+	line, err := r.nextNonBlankLine()
 	if err != nil {
 		return err
 	}
@@ -89,25 +90,25 @@
 	return nil
 }
 
-func (r *Reader) nextNonBlank() ([]byte, error) {
+func (r *Reader) nextNonBlankLine() ([]byte, error) {
 	for {
-		line, err := r.next()
+		line, err := r.nextLine()
 		if err != nil || len(line) > 0 {
 			return line, err
 		}
 	}
 }
 
-// next returns the next line without its end, valid until the following call.
-func (r *Reader) next() ([]byte, error) {
+// nextLine returns the next line without its line break. The line is valid until the next call.
+func (r *Reader) nextLine() ([]byte, error) {
 	b, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], b...)
+		r.longLine = append(r.longLine[:0], b...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			b, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, b...)
+			r.longLine = append(r.longLine, b...)
 		}
-		b = r.long
+		b = r.longLine
 	}
 	if err != nil && (len(b) == 0 || !errors.Is(err, io.EOF)) {
 		return nil, err
@@ -116,13 +117,14 @@
 	return bytes.TrimRight(b, "\r\n"), nil
 }
 
-// intern returns b as a string that is shared by all equal ones, up to maxNames different ones.
+// intern returns b as a string. It stores up to maxInternedNames different strings and returns the stored one for equal
+// bytes, which saves an allocation.
 func (r *Reader) intern(b []byte) string {
 	if s, ok := r.names[string(b)]; ok {
 		return s
 	}
 	s := string(b)
-	if len(r.names) < maxNames {
+	if len(r.names) < maxInternedNames {
 		r.names[s] = s
 	}
 	return s
--- a/internal/simproto/reader_test.go
+++ b/internal/simproto/reader_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// readEvents reads the lines as the events of one batch.
+// readEvents returns the events of a batch with the given lines.
 func readEvents(t *testing.T, lines ...string) []Event {
 	t.Helper()
 	var b Batch
@@ -120,7 +120,7 @@
 		Tenants: []balancer.Tenant{{Name: "t", ConnectionQuota: 7.5}, {Name: "u"}},
 	}
 	if len(got) != 1 || got[0].Start == nil {
-		t.Fatalf("events %+v, want one start", got)
+		t.Fatalf("got events %+v, want one event that starts an instance", got)
 	}
 	start := got[0].Start
 	if diff := cmp.Diff(want, start.Balancer); diff != "" {
@@ -128,7 +128,8 @@
 	}
 	list := start.ListRefresh
 	if !start.PollsList || list.LocalAgent || list.Gateways != 3 || list.MaxPollInterval != 4*ms {
-		t.Errorf("polls the list: %t, with settings %+v", start.PollsList, list)
+		t.Errorf("got PollsList %t and list settings %+v, want true, no local agent, 3 gateways, poll interval 4ms",
+			start.PollsList, list)
 	}
 }
 
@@ -183,27 +184,27 @@
 			err := NewReader(strings.NewReader(test.text)).Read(&Batch{})
 			var inputError *InputError
 			if !errors.As(err, &inputError) {
-				t.Fatalf("error %v, want an *InputError", err)
+				t.Fatalf("got error %v, want an *InputError", err)
 			}
 			want := fmt.Sprintf("line %d: %s", test.line, test.want)
 			if inputError.Line != test.line || err.Error() != want {
-				t.Errorf("error of line %d: %v\nwant %s", inputError.Line, err, want)
+				t.Errorf("got error of line %d: %v\nwant %s", inputError.Line, err, want)
 			}
 		})
 	}
 }
 
-func TestReadErrorIsReturnedAsItIs(t *testing.T) {
-	broken := errors.New("broken pipe")
+func TestUnderlyingReadErrorIsReturnedUnchanged(t *testing.T) {
+	readError := errors.New("broken pipe")
 	for name, text := range map[string]string{
 		"between batches": "", "inside a batch": "mark t_ns=1\n", "inside a line": "mark t_ns=1\ntimer relay=1",
 	} {
 		t.Run(name, func(t *testing.T) {
-			in := io.MultiReader(strings.NewReader(text), iotest.ErrReader(broken))
+			in := io.MultiReader(strings.NewReader(text), iotest.ErrReader(readError))
 			err := NewReader(in).Read(&Batch{})
 			var inputError *InputError
-			if !errors.Is(err, broken) || errors.As(err, &inputError) {
-				t.Errorf("error %v, want %v", err, broken)
+			if !errors.Is(err, readError) || errors.As(err, &inputError) {
+				t.Errorf("got error %v, want %v, which is not an *InputError", err, readError)
 			}
 		})
 	}
@@ -215,13 +216,13 @@
 		"\nover_to_you\n\nmark t_ns=6\nover_to_you\n"))
 	var b Batch
 	if err := r.Read(&b); err != nil || b.Events[0].Balancer.(balancer.Request).Key != key {
-		t.Fatalf("a long line: %v", err)
+		t.Fatalf("batch with a long line: got error %v or another key", err)
 	}
 	if err := r.Read(&b); err != nil || b.Now != 6 || len(b.Events) != 0 {
-		t.Fatalf("an empty batch: %v, %+v", err, b)
+		t.Fatalf("empty batch: got error %v, batch %+v, want time 6 and no events", err, b)
 	}
 	if err := r.Read(&b); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("at the end of the input: got error %v, want EOF", err)
 	}
 }
 
@@ -237,7 +238,7 @@
 		for {
 			if err := r.Read(&b); err != nil {
 				if err.Error() == "" {
-					t.Error("an error without a message")
+					t.Error("got an error with an empty message")
 				}
 				return
 			}
@@ -249,7 +250,7 @@
 					}
 				}
 				if set != 1 {
-					t.Errorf("%d of an event's fields are set, want one: %+v", set, ev)
+					t.Errorf("got an event with %d of its alternative fields set, want 1: %+v", set, ev)
 				}
 			}
 		}
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,7 +1,7 @@
-// Package simproto is the codec of the simulator's line protocol: it decodes batches of events and encodes the actions
-// that answer them. It maps the protocol's names to those of the balancer and decides nothing.
+// Package simproto implements the simulator's line protocol: it decodes batches of events and encodes the actions that the
+// balancer takes in reply. It maps the protocol's names to those of the balancer and makes no decisions.
 //
-// A Reader holds the state of its input and belongs to one goroutine. The Append functions hold no state.
+// A Reader must not be used by several goroutines at once. The Append functions are stateless.
 package simproto
 
 import (
@@ -11,25 +11,25 @@
 	"example.org/milletvane/internal/discovery/refresh"
 )
 
-// Event is one event of a batch, for one instance of the balancer. Exactly one of Start, Stop, ListFailed and Balancer is
-// set.
+// Event is one event of a batch. It is addressed to one instance of the balancer. Exactly one of Start, Stop, ListFailed
+// and Balancer is set.
 type Event struct {
-	Instance   int // from 0, as numbered by the simulator
-	Start      *Start
-	Stop       bool
-	ListFailed bool // an endpoint list request failed, or the watch broke
-	Balancer   balancer.Event
+	Instance   int            // the simulator's number of the instance, from 0
+	Start      *Start         // starts the instance
+	Stop       bool           // ends the instance
+	ListFailed bool           // an endpoint list request failed, or the watch ended with an error
+	Balancer   balancer.Event // is passed to the instance's balancer
 }
 
 // Start holds the settings of a new instance.
 type Start struct {
 	Balancer    balancer.Settings
-	PollsList   bool // the endpoint list is requested; false: changes arrive without a request
+	PollsList   bool // whether the instance must request the endpoint list; if false, changes arrive without a request
 	ListRefresh refresh.Settings
 }
 
-// Batch is all events of one point in time.
+// Batch holds all events of one point in simulated time.
 type Batch struct {
-	Now    time.Duration // since the simulator's epoch
+	Now    time.Duration // time since the simulator's epoch
 	Events []Event
 }
