--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -7,18 +7,19 @@
 	"example.org/milletvane/balancer"
 )
 
-// balancerLoadPerCore is a core of reference in the balancer's unit of load.
+// balancerLoadPerCore is the load of one reference core in the balancer's unit of load.
 const balancerLoadPerCore = 1e6
 
-// client wants one connection for some time, and requests another when it loses it.
+// client wants one connection for some time. It requests another one after a rejection, a failure or the loss of the
+// connection.
 type client struct {
 	key          string
-	load         float64
-	leavesAt     time.Duration
-	reconnecting bool
+	load         float64       // load of the connection, in reference cores
+	leavesAt     time.Duration // time after which the client wants no connection
+	reconnecting bool          // whether an earlier request or connection of the client has ended
 }
 
-// scheduleArrival lets the next client arrive, and each one the client after it.
+// scheduleArrival schedules the arrival of the next client. Each arrival schedules the following one.
 func (f *Fleet) scheduleArrival() {
 	gap := time.Duration(f.random.ExpFloat64() / f.settings.ArrivalRate * float64(time.Second))
 	f.scheduler.After(gap, func() {
@@ -54,7 +55,7 @@
 	})
 }
 
-// reconnect requests a new connection for a client after a delay, which is at least the ReconnectDelay.
+// reconnect requests a new connection for a client after a delay of at least ReconnectDelay.
 func (f *Fleet) reconnect(c *client, delay time.Duration) {
 	c.reconnecting = true
 	f.scheduler.After(max(delay, f.settings.ReconnectDelay), func() { f.connect(c) })
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -16,8 +16,8 @@
 
 func digest(text string) string { return fmt.Sprintf("%.16x", sha256.Sum256([]byte(text))) }
 
-// numbers returns the words of a text that have a digit.
-func numbers(text string) string {
+// wordsWithDigits returns the words of a text that contain a digit, so that the wording does not affect digests.
+func wordsWithDigits(text string) string {
 	var found []string
 	for word := range strings.FieldsSeq(text) {
 		if strings.ContainsAny(word, "0123456789") {
@@ -27,18 +27,18 @@
 	return strings.Join(found, " ")
 }
 
-func describeTally(r *simulation.Stats) string {
+func formatStats(stats *simulation.Stats) string {
 	var b strings.Builder
-	fmt.Fprint(&b, r.Requests, " ", r.Established, " ", r.Rejected, " ", r.Failed, " ",
-		r.Attempts, " ", r.Disconnected, " ", r.Migrated, " ",
-		r.WantedSeconds, " ", r.ServedSeconds, " ", r.ServedRatio())
-	for _, violation := range r.Violations {
-		b.WriteString("; " + numbers(violation))
+	fmt.Fprint(&b, stats.Requests, " ", stats.Established, " ", stats.Rejected, " ", stats.Failed, " ",
+		stats.Attempts, " ", stats.Disconnected, " ", stats.Migrated, " ",
+		stats.WantedSeconds, " ", stats.ServedSeconds, " ", stats.ServedRatio())
+	for _, violation := range stats.Violations {
+		b.WriteString("; " + wordsWithDigits(violation))
 	}
 	return b.String()
 }
 
-func digestSite() simulation.Settings {
+func digestSettings() simulation.Settings {
 	s := simulation.Settings{
 		Balancer: balancer.Settings{
 			Gateways: 3, MaxAttempts: 5, DrainGrace: 500 * time.Millisecond, WarmupDuration: 20 * time.Second,
@@ -61,7 +61,7 @@
 	return s
 }
 
-// scenario is a change of the site, and what happens after the first half minute.
+// scenario holds a change of the site's settings and the faults that occur after the first 30 seconds.
 type scenario struct {
 	name   string
 	change func(*simulation.Settings)
@@ -99,12 +99,13 @@
 	{"one gateway", func(s *simulation.Settings) { s.Balancer.Gateways, s.Balancer.MaxAttempts = 0, 0 }, deploy},
 }
 
-// Whole runs: the final figures, and a digest of those after every second.
+// Guards against changes in the results of whole runs. The file holds the final stats of each run and a digest of the
+// stats after each second.
 func TestRunDigests(t *testing.T) {
 	var lines []string
 	for _, c := range scenarios {
 		for seed := range uint64(12) {
-			s := digestSite()
+			s := digestSettings()
 			c.change(&s)
 			f, err := simulation.NewFleet(seed, s)
 			if err != nil {
@@ -112,19 +113,19 @@
 			}
 			f.Run(30 * time.Second)
 			c.faults(f)
-			var course strings.Builder
+			var samples strings.Builder
 			for range 60 {
-				fmt.Fprintln(&course, describeTally(f.Run(time.Second)))
+				fmt.Fprintln(&samples, formatStats(f.Run(time.Second)))
 			}
-			last := describeTally(f.Run(0))
-			lines = append(lines, fmt.Sprintf("%s %d: %s: %s", c.name, seed, last, digest(course.String())))
+			last := formatStats(f.Run(0))
+			lines = append(lines, fmt.Sprintf("%s %d: %s: %s", c.name, seed, last, digest(samples.String())))
 		}
 	}
 	golden.CheckLines(t, "runs.txt", lines)
 }
 
-// drawKind draws a node's kind with values at and near the bounds.
-func drawKind(r *rand.Rand) simulation.NodeSettings {
+// randomNodeSettings returns random settings with values at and near the bounds.
+func randomNodeSettings(r *rand.Rand) simulation.NodeSettings {
 	return simulation.NodeSettings{
 		Cores: float64(1 + r.IntN(4)), Speed: 0.5 + float64(r.IntN(4))/4, ColdCapacityRatio: float64(r.IntN(5)) / 4,
 		WarmupDuration: time.Duration(r.IntN(5)) * time.Second, MaxConnections: r.IntN(6),
@@ -134,12 +135,13 @@
 	}
 }
 
-// Drawn calls of one node, with its state after each.
+// Guards against changes in how a node responds to random calls. The file holds its final state and a digest of its state
+// after each call.
 func TestNodeDigests(t *testing.T) {
 	var lines []string
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 5))
-		n, err := simulation.NewNode("s", drawKind(r))
+		n, err := simulation.NewNode("s", randomNodeSettings(r))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,25 +170,26 @@
 	golden.CheckLines(t, "nodes.txt", lines)
 }
 
-// Drawn events in simulated time, some cancelled, some that add others: their order, and the first of each stream.
+// Guards against changes in the order of events and in the streams of random numbers. Some events are cancelled, and some
+// schedule others. The file holds the first number of a stream and a digest of the events.
 func TestSchedulerDigests(t *testing.T) {
 	var lines []string
 	for seed := range uint64(100) {
 		s := simulation.NewScheduler(seed)
 		r := s.Stream("times")
 		var b strings.Builder
-		var pending []*simulation.Event
+		var scheduled []*simulation.Event
 		var add func(depth int)
 		add = func(depth int) {
 			name := r.IntN(1000)
-			pending = append(pending, s.At(time.Duration(r.IntN(20)-2), func() {
+			scheduled = append(scheduled, s.At(time.Duration(r.IntN(20)-2), func() {
 				fmt.Fprintln(&b, name, depth, s.Now(), s.Pending())
 				if depth < 4 {
 					add(depth + 1)
 					s.After(time.Duration(r.IntN(5)-2), func() { fmt.Fprintln(&b, "after", name, s.Now()) })
 				}
 				if r.IntN(3) == 0 {
-					s.Cancel(pending[r.IntN(len(pending))])
+					s.Cancel(scheduled[r.IntN(len(scheduled))])
 				}
 			}))
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/balancer"
 )
 
-// Drain lets a node accept no new connections, and restarts it, cold, after a delay. Nodes count from 0.
+// Drain makes a node reject new connections, and restarts it cold after a delay. Nodes are numbered from 0.
 func (f *Fleet) Drain(node int, restartDelay time.Duration) {
 	s := f.servers[node]
 	s.draining, s.stateSince = true, f.scheduler.Now()
@@ -21,20 +21,21 @@
 	})
 }
 
-// Deploy drains and restarts all nodes, one each interval.
+// Deploy drains and restarts all nodes, one per interval.
 func (f *Fleet) Deploy(interval, restartDelay time.Duration) {
 	for i := range f.servers {
 		f.scheduler.After(time.Duration(i)*interval, func() { f.Drain(i, restartDelay) })
 	}
 }
 
-// AddNoisyNeighbour takes a part of a node's capacity, from 0 to 1, for a duration. Nodes count from 0.
+// AddNoisyNeighbour reduces a node's capacity for duration d. The ratio is the fraction of the capacity that is taken, from
+// 0 to 1. Nodes are numbered from 0.
 func (f *Fleet) AddNoisyNeighbour(node int, ratio float64, d time.Duration) {
 	f.servers[node].SetNeighbourRatio(ratio)
 	f.scheduler.After(d, func() { f.servers[node].SetNeighbourRatio(0) })
 }
 
-// publishEndpoint gives every gateway the present state of a server after the DiscoveryDelay.
+// publishEndpoint passes the present state of a server to every gateway after DiscoveryDelay.
 func (f *Fleet) publishEndpoint(s *server) {
 	endpoint := s.endpoint()
 	f.scheduler.After(f.settings.DiscoveryDelay, func() {
@@ -44,13 +45,13 @@
 	})
 }
 
-// disconnectAll resets all connections of a server.
+// disconnectAll resets all connections of a server. Their clients reconnect.
 func (f *Fleet) disconnectAll(s *server) {
 	lost := make([]*request, 0, len(s.established))
 	for r := range s.established {
 		lost = append(lost, r)
 	}
-	slices.SortFunc(lost, func(a, b *request) int { // the order of a map would make runs differ
+	slices.SortFunc(lost, func(a, b *request) int { // the random order of a map would make runs with one seed differ
 		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.client.key, b.client.key))
 	})
 	for _, r := range lost {
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	startTime     = time.Hour // of the balancers' clock, so that nothing depends on times near 0
-	maxViolations = 20        // that are reported
+	startTime     = time.Hour // simulated time at the start of a fleet, so that no result depends on times near 0
+	maxViolations = 20        // violations that are reported; further ones are dropped
 )
 
-// Fleet is a site in simulation. It checks that each request has one answer in time and one attempt at once, that attempts
-// are limited, that draining nodes get no requests, and that cold nodes are not overloaded.
+// Fleet simulates a site. It checks that each request has one answer in time and one attempt at once, that the number of
+// attempts is limited, that draining nodes get no requests after the drain grace, and that cold nodes are not overloaded.
 type Fleet struct {
 	Stats
 	scheduler     *Scheduler
 	settings      Settings
 	gateways      []*gateway
-	servers       []*server
-	random        *rand.Rand
-	lifetimes     distuv.Exponential // seconds
-	loads         distuv.Exponential
-	activeClients int // that want a connection now
+	servers       []*server          // by node, from 0; the server ID is one more
+	random        *rand.Rand         // draws arrivals, keys and gateways
+	lifetimes     distuv.Exponential // of clients, in seconds
+	loads         distuv.Exponential // of connections, in reference cores
+	activeClients int                // clients that want a connection now
 }
 
-// server is a node with its entry in the endpoint list and its connections.
+// server holds a node with its state in the endpoint list and its connections.
 type server struct {
 	*Node
 	id          balancer.ServerID
 	draining    bool
-	stateSince  time.Duration // of the latest drain or restart
-	established map[*request]bool
+	stateSince  time.Duration     // time of the latest drain or restart
+	established map[*request]bool // the open connections
 }
 
+// endpoint returns the server's entry in the endpoint list.
 func (s *server) endpoint() balancer.Server {
 	endpoint := balancer.Server{ID: s.id, Capacity: 1}
 	if s.draining {
@@ -49,7 +50,8 @@
 	return endpoint
 }
 
-// NewFleet returns a fleet whose nodes are warm and without connections. Errors are those of NewNode and balancer.New.
+// NewFleet returns a fleet whose nodes are warm and without connections. It returns the errors of NewNode and
+// balancer.New.
 func NewFleet(seed uint64, s Settings) (*Fleet, error) {
 	f := &Fleet{scheduler: NewScheduler(seed), settings: s}
 	f.scheduler.Run(startTime)
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// addGateways adds the gateways and gives each the complete endpoint list.
+// addGateways adds the gateways and passes the complete endpoint list to each.
 func (f *Fleet) addGateways() error {
 	list := balancer.EndpointList{Mode: balancer.ListComplete}
 	for _, s := range f.servers {
@@ -103,13 +105,15 @@
 	return nil
 }
 
-// Run continues the simulation for a duration and returns what happened so far. The result changes with the next call.
+// Run continues the simulation for a duration and returns the totals since its start. Later calls change the returned
+// Stats.
 func (f *Fleet) Run(d time.Duration) *Stats {
 	f.scheduler.Run(f.scheduler.Now() + d)
 	return &f.Stats
 }
 
-// addViolation reports a broken rule with its time since the start.
+// addViolation records a broken rule, with the time since the start of the simulation, unless maxViolations are recorded
+// already.
 func (f *Fleet) addViolation(format string, args ...any) {
 	if len(f.Violations) < maxViolations {
 		at := f.scheduler.Now() - startTime
@@ -117,7 +121,7 @@
 	}
 }
 
-// scheduleSample adds up, each second, what was wanted and served in it.
+// scheduleSample adds, once per second, to WantedSeconds and ServedSeconds.
 func (f *Fleet) scheduleSample() {
 	f.scheduler.After(time.Second, func() {
 		now := f.scheduler.Now()
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -31,8 +31,8 @@
 	return s
 }
 
-// runFleet runs a fleet for two minutes, applies faults if there are any, and runs it for two more. It fails the test if
-// rules are broken.
+// runFleet runs a fleet for two minutes, applies the faults unless they are nil, and runs the fleet for two more minutes. It
+// fails the test if the fleet reports violations.
 func runFleet(t *testing.T, seed uint64, s Settings, faults func(*Fleet)) *Stats {
 	t.Helper()
 	f, err := NewFleet(seed, s)
@@ -52,22 +52,24 @@
 
 func deployAll(f *Fleet) { f.Deploy(2*time.Second, 3*time.Second) }
 
-// Without faults nearly all that is wanted is served, and a run with the same seed gives the same figures.
+// Guards against lost service without faults, and against runs with the same seed that give different results.
 func TestFleetWithoutFaults(t *testing.T) {
 	first := runFleet(t, 1, sampleSettings(12, 3), nil)
 	if first.ServedRatio() < 0.97 || first.Established < 2500 || first.Disconnected > 0 {
-		t.Errorf("served %.3f: %+v", first.ServedRatio(), *first)
+		t.Errorf("got served ratio %.3f and stats %+v, want at least 0.97, 2500 established and none disconnected",
+			first.ServedRatio(), *first)
 	}
 	if diff := cmp.Diff(first, runFleet(t, 1, sampleSettings(12, 3), nil)); diff != "" {
-		t.Errorf("another run with the same seed (-first +second):\n%s", diff)
+		t.Errorf("stats of two runs with the same seed differ (-first +second):\n%s", diff)
 	}
 	other := runFleet(t, 2, sampleSettings(12, 3), nil)
 	if other.Requests == first.Requests && other.ServedSeconds == first.ServedSeconds {
-		t.Error("another seed gives the same run")
+		t.Error("runs with different seeds have the same stats")
 	}
 }
 
-// A rolling deploy breaks no rule, overloads no cold node, and reduces the service.
+// Guards against balancers that break rules or overload cold nodes in a rolling deploy, and against a simulated deploy that
+// does not reduce the service.
 func TestDeployReducesService(t *testing.T) {
 	for seed := uint64(1); seed <= 4; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -75,14 +77,14 @@
 			deploy := runFleet(t, seed, sampleSettings(12, 3), deployAll)
 			served := deploy.ServedRatio()
 			if deploy.Disconnected == 0 || served >= quiet.ServedRatio() || served < 0.5 {
-				t.Errorf("served %.3f without faults, %.3f in a deploy with %d disconnected",
+				t.Errorf("served without faults %.3f; got in a deploy %.3f, %d disconnected, want 0.5 to less, at least 1",
 					quiet.ServedRatio(), served, deploy.Disconnected)
 			}
 		})
 	}
 }
 
-// The checks find what breaks a rule.
+// Guards against checks of a fleet that miss broken rules.
 func TestViolationsAreFound(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -90,7 +92,7 @@
 		faults func(*Fleet)
 	}{
 		{
-			"balancers that do not know of warm-up crash cold nodes",
+			"balancers without warm-up crash cold nodes",
 			func(s *Settings) {
 				s.Balancer.WarmupDuration = 0
 				for i := range s.Nodes {
@@ -100,7 +102,7 @@
 			deployAll,
 		},
 		{
-			"balancers that do not know of a drain send to the node",
+			"balancers unaware of a drain send to the node",
 			func(*Settings) {},
 			func(f *Fleet) {
 				for _, g := range f.gateways {
@@ -119,14 +121,14 @@
 			f.Run(time.Minute)
 			test.faults(f)
 			if stats := f.Run(time.Minute); len(stats.Violations) == 0 {
-				t.Error("no violation found")
+				t.Error("got no violation, want at least one")
 			}
 		})
 	}
 }
 
-// A request may be sent to a draining node until the DrainGrace has passed.
-func TestDrainGraceDecidesWhatIsAViolation(t *testing.T) {
+// Guards against a wrong bound: a request may be sent to a draining node until DrainGrace has passed, and not later.
+func TestSendAfterDrainGraceIsAViolation(t *testing.T) {
 	grace := sampleSettings(1, 1).Balancer.DrainGrace
 	for _, test := range []struct {
 		name  string
@@ -157,7 +159,7 @@
 	}
 }
 
-// BenchmarkFleet is one second of a fleet with 30 connections a node.
+// BenchmarkFleet measures one simulated second of a fleet with 30 connections per node.
 func BenchmarkFleet(b *testing.B) {
 	f, err := NewFleet(1, sampleSettings(100, 10))
 	if err != nil {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -7,16 +7,16 @@
 	"example.org/milletvane/balancer"
 )
 
-// gateway carries out the actions of one balancer.
+// gateway performs the actions of one balancer and checks them against the rules.
 type gateway struct {
 	fleet         *Fleet
 	balancer      *balancer.Balancer
-	requests      map[balancer.RequestID]*request // unanswered ones and connections
+	requests      map[balancer.RequestID]*request // unanswered requests and established connections
 	lastID        balancer.RequestID
-	drainingSince map[balancer.ServerID]time.Duration // since the gateway learned of it
+	drainingSince map[balancer.ServerID]time.Duration // time at which the gateway learned that the server is draining
 }
 
-// updateEndpoint gives the balancer a server's new state.
+// updateEndpoint passes a server's new state to the balancer.
 func (g *gateway) updateEndpoint(endpoint balancer.Server) {
 	if endpoint.State != balancer.Draining {
 		delete(g.drainingSince, endpoint.ID)
@@ -26,8 +26,9 @@
 	g.handle(balancer.EndpointList{Mode: balancer.ListDelta, Servers: []balancer.Server{endpoint}})
 }
 
+// handle passes an event to the balancer and performs the actions that it returns.
 func (g *gateway) handle(ev balancer.Event) {
-	// The balancer reuses its actions at the next call, which may be made while these are carried out.
+	// The balancer reuses the slice of actions at its next call, which may happen while these actions are performed.
 	for _, action := range slices.Clone(g.balancer.Handle(g.fleet.scheduler.Now(), ev)) {
 		g.perform(action)
 	}
@@ -39,12 +40,12 @@
 	case balancer.Send:
 		g.send(a)
 	case balancer.Reject:
-		if r := g.answer(a.ID); r != nil {
+		if r := g.answerRequest(a.ID); r != nil {
 			f.Rejected++
 			f.reconnect(r.client, a.RetryAfter)
 		}
 	case balancer.Fail:
-		if r := g.answer(a.ID); r != nil {
+		if r := g.answerRequest(a.ID); r != nil {
 			f.Failed++
 			f.reconnect(r.client, 0)
 		}
@@ -59,8 +60,9 @@
 	}
 }
 
-// answer takes the final answer to a request, and returns nil if there must be none.
-func (g *gateway) answer(id balancer.RequestID) *request {
+// answerRequest records the final answer to a request and returns the request. If the request must not be answered, it
+// reports a violation and returns nil.
+func (g *gateway) answerRequest(id balancer.RequestID) *request {
 	r := g.requests[id]
 	if r == nil || r.answered || r.server != nil {
 		g.fleet.addViolation("request %d is answered twice, or while an attempt is in flight", id)
@@ -71,7 +73,7 @@
 	return r
 }
 
-// send starts an attempt, and checks that the balancer may make it.
+// send starts an attempt and reports violations of the rules for attempts.
 func (g *gateway) send(a balancer.Send) {
 	f := g.fleet
 	r := g.requests[a.ID]
--- a/internal/simulation/node_test.go
+++ b/internal/simulation/node_test.go
@@ -28,7 +28,7 @@
 	checkNear := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("%s: %v, want %v", name, got, want)
+			t.Errorf("%s: got %v, want %v", name, got, want)
 		}
 	}
 	checkNear("warm", n.Capacity(0), 3)
@@ -41,19 +41,20 @@
 	checkNear("warm again", n.Capacity(2*time.Minute), 3)
 	for range 40 {
 		if result := n.Connect(2*time.Minute, 0.1); result != Accepted {
-			t.Fatalf("connect: result %v, want %v", result, Accepted)
+			t.Fatalf("connect: got result %v, want %v", result, Accepted)
 		}
 	}
 	checkNear("full", n.Capacity(2*time.Minute), 2.7)
 	checkNear("utilization", n.Utilization(2*time.Minute), 4/2.7)
 	if result := n.Connect(2*time.Minute, 0.1); result != Rejected || n.Connections() != 40 {
-		t.Errorf("connect to a full node: result %v, %d connections, want %v and 40", result, n.Connections(), Rejected)
+		t.Errorf("connect to a full node: got result %v, %d connections, want %v and 40", result, n.Connections(), Rejected)
 	}
 }
 
-// A cold node crashes at more than a multiple of the load that fills it over its warm-up; a warm one does not.
-func TestColdNodeCrashesOfOverload(t *testing.T) {
-	limit := 4*2*1.5/20 + 0.1 // in one second
+// Guards against a wrong cold overload limit: a cold node crashes above the limit and not below it, and a warm node never
+// crashes. The limit is a multiple of the load that would fill the node evenly over its warm-up.
+func TestColdNodeCrashesOnOverload(t *testing.T) {
+	limit := 4*2*1.5/20 + 0.1 // load offered within one second, in reference cores
 	for _, test := range []struct {
 		name   string
 		load   float64
@@ -69,10 +70,10 @@
 				n.Connect(100*time.Millisecond, test.load/10)
 			}
 			if n.Up() != test.wantUp {
-				t.Errorf("load of %.3f in a second: up is %t", test.load, n.Up())
+				t.Errorf("load of %.3f in a second: got unexpected Up %t", test.load, n.Up())
 			}
 			if !test.wantUp && (n.Connections() != 0 || n.Connect(time.Minute, 0.01) != Unreachable) {
-				t.Error("a crashed node has connections or can be reached")
+				t.Error("a crashed node has connections or is reachable")
 			}
 		})
 	}
@@ -87,7 +88,8 @@
 	})
 }
 
-// The load that a cold node counts is that of the last ColdOverloadDuration, compared with a sum made anew each time.
+// Guards against errors in the running total of recent load: a cold node counts the load of the last ColdOverloadDuration.
+// The test compares the total with a sum over all offers.
 func TestColdOverloadWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := sampleNode
@@ -96,7 +98,7 @@
 		n.Restart(0)
 		var all []offeredLoad
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 80).Draw(rt, "sendings") {
+		for range rapid.IntRange(1, 80).Draw(rt, "offers") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(rt, "ms")) * time.Millisecond
 			load := float64(rapid.IntRange(0, 16).Draw(rt, "load")) / 16
 			n.Connect(now, load)
@@ -107,8 +109,8 @@
 					want += offered.load
 				}
 			}
-			if now < s.WarmupDuration && n.recentLoad != want {
-				rt.Fatalf("at %v the recent load is %v, want %v", now, n.recentLoad, want)
+			if now < s.WarmupDuration && n.recentOfferedLoad != want {
+				rt.Fatalf("at %v: got recent load %v, want %v", now, n.recentOfferedLoad, want)
 			}
 		}
 	})
@@ -124,7 +126,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := NewNode("x", s); !errors.Is(err, ErrNodeSettings) {
-				t.Errorf("%+v: error %v, want %v", s, err, ErrNodeSettings)
+				t.Errorf("%+v: got error %v, want %v", s, err, ErrNodeSettings)
 			}
 		})
 	}
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -8,20 +8,21 @@
 
 // request is a client's request for a connection and, once established, the connection.
 type request struct {
-	gateway     *gateway
-	client      *client
-	id          balancer.RequestID
-	deadline    time.Duration
-	attempts    int
-	server      *server // of the attempt in flight or of the connection; nil: there is none
-	sentAt      time.Duration
-	established bool
-	answered    bool
-	timeout     *Event // of the attempt in flight
-	disconnect  *Event // when the client leaves
+	gateway         *gateway
+	client          *client
+	id              balancer.RequestID
+	deadline        time.Duration
+	attempts        int
+	server          *server       // server of the attempt in flight or of the connection; nil without either
+	sentAt          time.Duration // time at which the latest attempt was sent
+	established     bool
+	answered        bool   // whether the request has its final answer
+	timeoutEvent    *Event // ends the attempt in flight
+	disconnectEvent *Event // ends the connection when the client leaves
 }
 
-// startAttempt sends the request to a server. The deadline limits the attempt, and so does the timeout unless it is 0.
+// startAttempt sends the request to a server. The attempt ends at the request's deadline or after the timeout, whichever
+// is earlier. Zero means no timeout.
 func (r *request) startAttempt(s *server, timeout time.Duration) {
 	f := r.gateway.fleet
 	r.server, r.sentAt = s, f.scheduler.Now()
@@ -30,16 +31,16 @@
 		limit = min(limit, timeout)
 	}
 	attempt := r.attempts
-	r.timeout = f.scheduler.After(limit, func() { r.endAttempt(balancer.TimedOut) })
+	r.timeoutEvent = f.scheduler.After(limit, func() { r.endAttempt(balancer.TimedOut) })
 	f.scheduler.After(f.settings.NetworkDelay, func() { r.arrive(attempt) })
 }
 
-// inFlight reports whether an attempt still waits for its server's answer.
+// inFlight reports whether the given attempt still waits for the answer of server s.
 func (r *request) inFlight(s *server, attempt int) bool {
 	return s != nil && r.server == s && r.attempts == attempt && !r.established
 }
 
-// arrive brings an attempt to its server, and starts the server's answer on its way back.
+// arrive delivers an attempt to its server, and schedules the receipt of the server's answer.
 func (r *request) arrive(attempt int) {
 	f, s := r.gateway.fleet, r.server
 	if !r.inFlight(s, attempt) {
@@ -50,18 +51,18 @@
 		result = s.Connect(f.scheduler.Now(), r.client.load)
 	}
 	if result == Crashed {
-		f.addViolation("node %d crashes of cold overload %v after its start", s.id, f.scheduler.Now()-s.stateSince)
+		f.addViolation("node %d crashed from cold overload %v after its start", s.id, f.scheduler.Now()-s.stateSince)
 		f.disconnectAll(s)
 	}
 	stateSince := s.stateSince
 	f.scheduler.After(f.settings.NetworkDelay, func() {
-		// A connection is lost if its server has restarted or crashed since.
+		// A connection is lost if its server has drained, restarted or crashed since it accepted the connection.
 		accepted := result == Accepted && s.stateSince == stateSince && s.Up()
 		r.receiveAnswer(s, attempt, result, accepted)
 	})
 }
 
-// receiveAnswer ends or establishes an attempt. If it has been given up, an accepted connection is closed.
+// receiveAnswer ends or establishes an attempt. If the attempt is no longer in flight, it closes an accepted connection.
 func (r *request) receiveAnswer(s *server, attempt int, result ConnectResult, accepted bool) {
 	switch {
 	case !r.inFlight(s, attempt):
@@ -77,26 +78,27 @@
 	}
 }
 
+// establish marks the attempt in flight as established, and schedules the end of the connection.
 func (r *request) establish() {
 	f := r.gateway.fleet
-	f.scheduler.Cancel(r.timeout)
+	f.scheduler.Cancel(r.timeoutEvent)
 	r.established, r.answered = true, true
 	r.server.established[r] = true
 	f.Established++
-	r.disconnect = f.scheduler.At(r.client.leavesAt, func() { r.endAttempt(balancer.OK) })
+	r.disconnectEvent = f.scheduler.At(r.client.leavesAt, func() { r.endAttempt(balancer.OK) })
 	r.gateway.handle(balancer.AttemptEstablished{
 		ID: r.id, Attempt: r.attempts - 1, Server: r.server.id, Elapsed: f.scheduler.Now() - r.sentAt,
 	})
 }
 
-// endAttempt ends the attempt in flight, or the connection that it established.
+// endAttempt ends the attempt in flight or the established connection with a result. It does nothing without either.
 func (r *request) endAttempt(result balancer.Result) {
 	f, s := r.gateway.fleet, r.server
 	if s == nil {
 		return
 	}
-	f.scheduler.Cancel(r.timeout)
-	f.scheduler.Cancel(r.disconnect)
+	f.scheduler.Cancel(r.timeoutEvent)
+	f.scheduler.Cancel(r.disconnectEvent)
 	wasEstablished := r.established
 	if wasEstablished {
 		if s.established[r] {
--- a/internal/simulation/scheduler.go
+++ b/internal/simulation/scheduler.go
@@ -1,8 +1,8 @@
-// Package simulation is a discrete-event simulation of a fleet: gateways, each with a real balancer, between clients and
-// nodes. It does no I/O and reads no clock: the same seed and the same calls give the same results, to the last digit.
+// Package simulation implements a discrete-event simulation of a fleet: gateways, each with a real balancer, between
+// clients and nodes. It does no I/O and reads no clock. The same seed and the same calls give exactly the same results.
 //
-// A Scheduler holds simulated time, a Node models one server, and a Fleet plays a whole site and checks that its balancers
-// keep the rules. Each of them belongs to one goroutine; runs in parallel need values of their own.
+// A Scheduler holds simulated time, a Node models one server, and a Fleet simulates a whole site and checks that its
+// balancers keep the rules. None of them is safe for concurrent use; parallel runs need separate values.
 package simulation
 
 import (
@@ -14,18 +14,18 @@
 	"example.org/milletvane/internal/timerqueue"
 )
 
-// Scheduler is simulated time: events in their order, and named streams of random numbers. It is not safe for concurrent
-// use.
+// Scheduler holds the simulated time and its pending events, and provides named streams of random numbers. It is not safe
+// for concurrent use.
 type Scheduler struct {
 	seed   uint64
 	now    time.Duration
 	events timerqueue.Queue[func()]
 }
 
-// Event is a pending call of a Scheduler.
+// Event is a function call that is scheduled for a point in simulated time.
 type Event = timerqueue.Timer[func()]
 
-// NewScheduler returns a Scheduler at time 0.
+// NewScheduler returns a Scheduler at time 0. The seed determines its streams of random numbers.
 func NewScheduler(seed uint64) *Scheduler { return &Scheduler{seed: seed} }
 
 // Now returns the simulated time, which never decreases.
@@ -34,16 +34,18 @@
 // Pending returns the number of pending events.
 func (s *Scheduler) Pending() int { return s.events.Len() }
 
-// At calls f at a time, after events that were scheduled for the same time before. A time in the past means now.
+// At schedules a call of f at the given time. Events of the same time run in the order in which they were scheduled. A time
+// in the past means now.
 func (s *Scheduler) At(at time.Duration, f func()) *Event { return s.events.Add(max(at, s.now), f) }
 
-// After calls f after a delay. A negative delay means now.
+// After schedules a call of f after a delay. A negative delay means now.
 func (s *Scheduler) After(delay time.Duration, f func()) *Event { return s.At(s.now+max(delay, 0), f) }
 
-// Cancel removes a pending event. It ignores nil and events that have happened.
+// Cancel removes a pending event. It ignores nil and events that have run.
 func (s *Scheduler) Cancel(e *Event) { s.events.Remove(e) }
 
-// Run calls the events up to a time, those at that time included, and returns how many there were.
+// Run advances the time to until and calls the events up to then, those at that time included. It returns the number of
+// events.
 func (s *Scheduler) Run(until time.Duration) (events int) {
 	for {
 		at, ok := s.events.Next()
@@ -58,8 +60,8 @@
 	}
 }
 
-// Stream returns the random numbers of one actor, from their beginning. They depend on the seed and the name alone, so
-// that one more draw of an actor changes nothing for another.
+// Stream returns a new generator at the beginning of the named stream of random numbers. The stream depends only on the
+// seed and the name, so that additional draws from one stream do not change another.
 func (s *Scheduler) Stream(name string) *rand.Rand {
 	hash := xxhash.NewWithSeed(s.seed)
 	_, _ = hash.WriteString(name) // never fails
--- a/internal/simulation/scheduler_test.go
+++ b/internal/simulation/scheduler_test.go
@@ -12,20 +12,21 @@
 	"pgregory.net/rapid"
 )
 
-// Events happen by time, and in the order of their calls where times are equal, whatever is cancelled in between.
-func TestEventsHappenInOrder(t *testing.T) {
+// Guards against events that run out of order: they run by time and, at equal times, in the order in which they were
+// scheduled. Cancelled events do not run and do not affect the order.
+func TestEventsRunInOrder(t *testing.T) {
 	type planned struct {
-		at     time.Duration
-		number int
+		at    time.Duration
+		order int
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		s := NewScheduler(1)
 		var want, got []planned
-		for number, at := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 60).Draw(rt, "times") {
-			p := planned{time.Duration(at), number}
+		for order, at := range rapid.SliceOfN(rapid.IntRange(0, 9), 0, 60).Draw(rt, "times") {
+			p := planned{time.Duration(at), order}
 			event := s.At(p.at, func() {
 				if s.Now() != p.at {
-					rt.Fatalf("due at %d, now is %d", p.at, s.Now())
+					rt.Fatalf("event scheduled for %d ran at %d", p.at, s.Now())
 				}
 				got = append(got, p)
 			})
@@ -37,22 +38,22 @@
 		}
 		slices.SortStableFunc(want, func(a, b planned) int { return int(a.at - b.at) })
 		if n := s.Run(4) + s.Run(9); n != len(want) || !slices.Equal(got, want) || s.Pending() > 0 {
-			rt.Fatalf("%d events: %v, want %v; %d pending", n, got, want, s.Pending())
+			rt.Fatalf("got %d events: %v, want %v; got %d pending, want 0", n, got, want, s.Pending())
 		}
 	})
 }
 
-func TestEventInThePastHappensNow(t *testing.T) {
+func TestEventInThePastRunsNow(t *testing.T) {
 	s := NewScheduler(1)
 	s.Run(time.Second)
-	var at time.Duration
-	s.At(0, func() { at = s.Now() })
-	if s.Run(time.Second); at != time.Second {
-		t.Errorf("happened at %v, want %v", at, time.Second)
+	var ranAt time.Duration
+	s.At(0, func() { ranAt = s.Now() })
+	if s.Run(time.Second); ranAt != time.Second {
+		t.Errorf("got an event run at %v, want %v", ranAt, time.Second)
 	}
 }
 
-// One more draw from a stream changes nothing in another.
+// Guards against streams that share state: draws from one stream must not change another.
 func TestStreamsAreIndependent(t *testing.T) {
 	first := NewScheduler(7).Stream("node 1").Uint64()
 	s := NewScheduler(7)
@@ -63,11 +64,12 @@
 		t.Error("draws from another stream changed this one")
 	}
 	if NewScheduler(8).Stream("node 1").Uint64() == first || s.Stream("node 11").Uint64() == first {
-		t.Error("another seed or name gives the same stream")
+		t.Error("streams with different seeds or names are equal")
 	}
 }
 
-// meanQueueLength simulates one server with exponential arrivals and service times at a load.
+// meanQueueLength simulates an M/M/1 queue at a load and returns its mean length. The load is the ratio of the arrival rate
+// to the service rate.
 func meanQueueLength(seed uint64, load float64, duration time.Duration) float64 {
 	s := NewScheduler(seed)
 	gaps := distuv.Exponential{Rate: load, Src: s.Stream("arrivals")}
@@ -96,22 +98,23 @@
 	return area / duration.Seconds()
 }
 
-// The mean length of an M/M/1 queue is known, and a run with the same seed gives the same one.
+// Guards against errors in simulated time and random numbers. The mean length of an M/M/1 queue is known from theory, and a
+// run with the same seed must give the same length.
 func TestMeanQueueLengthAgreesWithTheory(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8} {
 		t.Run(fmt.Sprint("load ", load), func(t *testing.T) {
 			got, want := meanQueueLength(3, load, 200_000*time.Second), load/(1-load)
 			if math.Abs(got-want) > 0.06*want {
-				t.Errorf("mean length %.3f, in theory %.3f", got, want)
+				t.Errorf("got mean length %.3f, want %.3f within 6%%", got, want)
 			}
 			if again := meanQueueLength(3, load, 200_000*time.Second); again != got {
-				t.Errorf("mean length of the same run again %v, first %v", again, got)
+				t.Errorf("second run with the same seed: got mean length %v, want %v", again, got)
 			}
 		})
 	}
 }
 
-// BenchmarkEvents is the cost of one event with a number of pending ones.
+// BenchmarkEvents measures the cost of one event by the number of pending events.
 func BenchmarkEvents(b *testing.B) {
 	for _, pending := range []int{1_000, 1_000_000} {
 		b.Run(strconv.Itoa(pending), func(b *testing.B) {
