--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -77,7 +77,7 @@
 			deploy := runFleet(t, seed, sampleSettings(12, 3), deployAll)
 			served := deploy.ServedRatio()
 			if deploy.Disconnected == 0 || served >= quiet.ServedRatio() || served < 0.5 {
-				t.Errorf("served without faults %.3f; got in a deploy %.3f, %d disconnected, want 0.5 to less, at least 1",
+				t.Errorf("got served ratio %.3f, in a deploy %.3f with %d disconnected, want disconnects and a lower ratio, min. 0.5",
 					quiet.ServedRatio(), served, deploy.Disconnected)
 			}
 		})
