--- a/internal/archtest/architecture_test.go
+++ b/internal/archtest/architecture_test.go
@@ -15,6 +15,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// The minimums guard against a reader of the page that finds nothing in it, which would let every check pass.
 const (
 	minDiagramPackages = 30
 	minPageReferences  = 60
@@ -29,12 +30,13 @@
 	goFile       = regexp.MustCompile(`^[\w/]+\.go$`)
 )
 
-// diagram is the picture of the packages on the architecture page.
+// diagram holds the diagram of the packages on the architecture page.
 type diagram struct {
-	layers map[string]int      // of each package; layer 0 stands at the top
-	arrows map[string][]string // from each package, sorted
+	layers map[string]int      // layer of each package; layer 0 is at the top
+	arrows map[string][]string // sorted targets of the arrows from each package
 }
 
+// architecturePage returns the text of the architecture page.
 func architecturePage(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", "architecture.md"))
@@ -44,14 +46,15 @@
 	return string(text)
 }
 
+// readDiagram parses the diagram of the architecture page.
 func readDiagram(t *testing.T) diagram {
 	t.Helper()
 	block := diagramBlock.FindStringSubmatch(architecturePage(t))
 	if block == nil {
-		t.Fatal("the page has no diagram")
+		t.Fatal("the architecture page has no diagram")
 	}
 	d := diagram{layers: map[string]int{}, arrows: map[string][]string{}}
-	packages := map[string]string{} // by the identifiers of their nodes
+	packages := map[string]string{} // package paths by the identifiers of their nodes
 	layer := -1
 	for line := range strings.Lines(block[1]) {
 		line = strings.TrimRight(line, "\n")
@@ -63,7 +66,7 @@
 		} else if arrow := diagramArrow.FindStringSubmatch(line); arrow != nil {
 			from, to := packages[arrow[1]], packages[arrow[2]]
 			if from == "" || to == "" {
-				t.Fatalf("arrow %q has an end that is no node", line)
+				t.Fatalf("arrow %q has an end that is not a node of the diagram", line)
 			}
 			d.arrows[from] = append(d.arrows[from], to)
 		}
@@ -74,8 +77,9 @@
 	return d
 }
 
-// The diagram has all packages, and an arrow for each import that does not follow from others.
-func TestDiagramShowsTheImports(t *testing.T) {
+// Guards against a diagram that lacks a package or whose arrows differ from the imports. Imports that follow from other
+// imports need no arrow.
+func TestDiagramMatchesImports(t *testing.T) {
 	imports := packageImports(t)
 	d := readDiagram(t)
 	if len(d.layers) < minDiagramPackages {
@@ -95,6 +99,7 @@
 	}
 }
 
+// Guards against a diagram with an arrow to the same layer or to a higher one.
 func TestDiagramArrowsPointDownwards(t *testing.T) {
 	d := readDiagram(t)
 	for from, list := range d.arrows {
@@ -106,29 +111,31 @@
 	}
 }
 
-// essentialImports returns the imports of a package that none of its other imports leads to.
+// essentialImports returns the imports of a package that none of its other imports reaches, directly or indirectly.
 func essentialImports(imports map[string][]string, from string) []string {
 	var essential []string
 	for _, to := range imports[from] {
-		leadsThere := func(other string) bool { return other != to && reaches(imports, other, to) }
-		if !slices.ContainsFunc(imports[from], leadsThere) {
+		reachesTarget := func(other string) bool { return other != to && importsTransitively(imports, other, to) }
+		if !slices.ContainsFunc(imports[from], reachesTarget) {
 			essential = append(essential, to)
 		}
 	}
 	return essential
 }
 
-func reaches(imports map[string][]string, from, to string) bool {
+// importsTransitively reports whether one package imports another, directly or indirectly.
+func importsTransitively(imports map[string][]string, from, to string) bool {
 	for _, next := range imports[from] {
-		if next == to || reaches(imports, next, to) {
+		if next == to || importsTransitively(imports, next, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// Each row of a table that names a Go file names declarations of that file in the next column.
-func TestPageNamesDeclarationsThatExist(t *testing.T) {
+// Guards against a page that names declarations which do not exist. A table row that names a Go file must name declarations
+// of that file in the next column.
+func TestPageNamesExistingDeclarations(t *testing.T) {
 	references := 0
 	for line := range strings.Lines(architecturePage(t)) {
 		if !strings.HasPrefix(line, "|") {
@@ -136,7 +143,7 @@
 		}
 		cells := strings.Split(strings.Trim(strings.TrimSpace(line), "|"), "|")
 		for i, cell := range cells {
-			path := firstSpan(cell)
+			path := firstCodeSpan(cell)
 			if !goFile.MatchString(path) {
 				continue
 			}
@@ -152,17 +159,18 @@
 	}
 }
 
-func firstSpan(cell string) string {
+// firstCodeSpan returns the text of the first code span of a table cell, or "" if it has none.
+func firstCodeSpan(cell string) string {
 	if span := codeSpan.FindStringSubmatch(cell); span != nil {
 		return span[1]
 	}
 	return ""
 }
 
-// checkDeclarations reports names of a cell that a file does not declare, and returns how many it names.
+// checkDeclarations reports the names in a table cell that a file does not declare, and returns the number of names.
 func checkDeclarations(t *testing.T, path, cell string) int {
 	t.Helper()
-	declared, err := declarations(filepath.Join(repositoryRoot, filepath.FromSlash(path)))
+	declared, err := declaredNames(filepath.Join(repositoryRoot, filepath.FromSlash(path)))
 	if err != nil {
 		t.Error(err)
 		return 0
@@ -179,9 +187,9 @@
 	return len(spans)
 }
 
-// declarations lists what a file declares: functions, types, variables and constants by name, and methods, fields and
-// methods of interfaces as Type.Name.
-func declarations(path string) (map[string]bool, error) {
+// declaredNames returns the set of names that a file declares: functions, types, variables and constants by name; methods,
+// fields and interface methods as Type.Name.
+func declaredNames(path string) (map[string]bool, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	if err != nil {
 		return nil, fmt.Errorf("parse a file that the page names: %w", err)
@@ -193,13 +201,14 @@
 			names[receiverPrefix(declaration)+declaration.Name.Name] = true
 		case *ast.GenDecl:
 			for _, spec := range declaration.Specs {
-				addSpec(names, spec)
+				addSpecNames(names, spec)
 			}
 		}
 	}
 	return names, nil
 }
 
+// receiverPrefix returns the name of a method's receiver type with a dot, or "" for a function.
 func receiverPrefix(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
@@ -217,7 +226,8 @@
 	return ""
 }
 
-func addSpec(names map[string]bool, spec ast.Spec) {
+// addSpecNames adds the names that a specification declares, with the members of its type.
+func addSpecNames(names map[string]bool, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range spec.Names {
@@ -225,14 +235,14 @@
 		}
 	case *ast.TypeSpec:
 		names[spec.Name.Name] = true
-		for _, member := range members(spec.Type) {
+		for _, member := range memberNames(spec.Type) {
 			names[spec.Name.Name+"."+member] = true
 		}
 	}
 }
 
-// members lists the fields of a struct or the methods of an interface.
-func members(expression ast.Expr) []string {
+// memberNames returns the names of the fields of a struct type or of the methods of an interface type.
+func memberNames(expression ast.Expr) []string {
 	var list *ast.FieldList
 	switch expression := expression.(type) {
 	case *ast.StructType:
--- a/internal/archtest/customers_test.go
+++ b/internal/archtest/customers_test.go
@@ -8,24 +8,26 @@
 	"testing"
 )
 
+// The minimums guard against a search that finds no names, which would let the check pass.
 const (
 	minSiteFiles     = 2
 	minCustomerNames = 15
 )
 
 var (
-	// nameLine matches the lines of a site file that hold its own names: its own, and those of classes, tenants, kinds of
-	// servers and zones.
-	nameLine    = regexp.MustCompile(`(?m)^(?:name|zones) = (.+)$`)
-	quotedWord  = regexp.MustCompile(`"([^"]+)"`)
-	platformOwn = []string{"neighbour", "pauses", "deploy"} // kinds of faults, which all sites share
+	// nameLine matches the lines of a site file that hold the customer's names: those of the site, and of its classes,
+	// tenants, kinds of servers and zones.
+	nameLine      = regexp.MustCompile(`(?m)^(?:name|zones) = (.+)$`)
+	quotedWord    = regexp.MustCompile(`"([^"]+)"`)
+	platformNames = []string{"neighbour", "pauses", "deploy"} // kinds of faults, which all sites share
 )
 
-// Names of one customer are known from its settings alone. The site files are our own examples.
-func TestProgramNamesNoCustomer(t *testing.T) {
+// Guards against sources that contain the names of a customer, which belong only in the customer's settings. The names are
+// those of the example site files in the repository.
+func TestSourcesContainNoCustomerNames(t *testing.T) {
 	names := customerNames(t)
 	if len(names) < minCustomerNames {
-		t.Fatalf("found the names %v only, want at least %d", names, minCustomerNames)
+		t.Fatalf("found only the names %v, want at least %d", names, minCustomerNames)
 	}
 	for _, file := range moduleSources(t) {
 		text, err := os.ReadFile(filepath.Join(repositoryRoot, filepath.FromSlash(file.path)))
@@ -34,12 +36,13 @@
 		}
 		for name := range names {
 			if strings.Contains(string(text), `"`+name+`"`) {
-				t.Errorf("%s names %q", file.path, name)
+				t.Errorf("%s contains the customer's name %q", file.path, name)
 			}
 		}
 	}
 }
 
+// customerNames returns the set of names in the site files, without those that all sites share.
 func customerNames(t *testing.T) map[string]bool {
 	t.Helper()
 	sites, err := filepath.Glob(filepath.Join(repositoryRoot, "deploy", "sites", "*.toml"))
@@ -61,7 +64,7 @@
 			}
 		}
 	}
-	for _, name := range platformOwn {
+	for _, name := range platformNames {
 		delete(names, name)
 	}
 	return names
--- a/internal/archtest/decisions_test.go
+++ b/internal/archtest/decisions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// decisionPackages are the packages that decide without I/O or clock, with what they may import of this module.
+// decisionPackages maps the packages that must not use I/O or a clock to the packages of this module that they may import.
 var decisionPackages = map[string][]string{
 	"balancer":                   nil,
 	"internal/slotmap":           nil,
@@ -25,17 +25,19 @@
 	"internal/planapply":         {"config/operator", "internal/engine", "placement", "balancer"},
 }
 
-// forbiddenImports are packages that reach outside the program, or whose goroutines would.
+// forbiddenImports lists packages that reach outside the process, that support goroutines which would, or whose random
+// numbers are not reproducible.
 var forbiddenImports = []string{
 	"net", "net/http", "os", "os/exec", "os/signal", "syscall", "io/fs", "io/ioutil", "golang.org/x/sys/unix",
 	"runtime", "context", "sync", "math/rand", "crypto/rand",
 }
 
-// clockFunctions are what package time has beyond durations.
+// clockFunctions lists the functions of package time that read the clock or wait.
 var clockFunctions = []string{
 	"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick",
 }
 
+// Guards against decision packages that do I/O, start goroutines, read the clock or import packages that are not allowed.
 func TestDecisionPackagesHaveNoIOAndNoClock(t *testing.T) {
 	for packagePath, allowed := range decisionPackages {
 		t.Run(packagePath, func(t *testing.T) {
@@ -47,17 +49,19 @@
 	}
 }
 
+// checkImports reports the imports of a file that are forbidden or belong to this module and are not allowed.
 func checkImports(t *testing.T, file sourceFile, allowed []string) {
 	t.Helper()
 	for _, spec := range file.syntax.Imports {
 		path := importPath(t, spec)
 		own, isOwn := strings.CutPrefix(path, modulePrefix)
 		if slices.Contains(forbiddenImports, path) || isOwn && !slices.Contains(allowed, own) {
-			t.Errorf("%s imports %s", file.positions.Position(spec.Pos()), path)
+			t.Errorf("%s imports %s, which a decision package must not import", file.positions.Position(spec.Pos()), path)
 		}
 	}
 }
 
+// checkGoroutinesAndClock reports the statements of a file that start a goroutine and the uses of clockFunctions.
 func checkGoroutinesAndClock(t *testing.T, file sourceFile) {
 	t.Helper()
 	ast.Inspect(file.syntax, func(node ast.Node) bool {
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// layer returns the layer of a package. A package of a layer above 0 imports only packages of lower layers.
+// layer returns the layer of a package. A package of a layer above 0 must import only packages of lower layers.
 func layer(packagePath string) int {
 	switch {
 	case strings.HasPrefix(packagePath, "cmd/"):
@@ -33,6 +33,7 @@
 	return 0
 }
 
+// Guards against imports of packages of the same layer or of a higher one.
 func TestImportsPointToLowerLayers(t *testing.T) {
 	for from, imported := range packageImports(t) {
 		for _, to := range imported {
@@ -43,18 +44,19 @@
 	}
 }
 
+// Guards against imports between the packages of different client protocols.
 func TestProtocolsAreIndependentOfEachOther(t *testing.T) {
 	for from, imported := range packageImports(t) {
 		for _, to := range imported {
-			one, other := protocol(from), protocol(to)
-			if one != "" && other != "" && one != other {
-				t.Errorf("%s imports %s, which is another protocol", from, to)
+			fromProtocol, toProtocol := protocol(from), protocol(to)
+			if fromProtocol != "" && toProtocol != "" && fromProtocol != toProtocol {
+				t.Errorf("%s imports %s, which belongs to another protocol", from, to)
 			}
 		}
 	}
 }
 
-// protocol returns the directory of the client protocol that a package belongs to, or "".
+// protocol returns the directory of the client protocol that a package belongs to, or "" if it belongs to none.
 func protocol(packagePath string) string {
 	directory := path.Dir(packagePath)
 	if directory == "internal/lineproto" || directory == "internal/nats" {
--- a/internal/archtest/operators_test.go
+++ b/internal/archtest/operators_test.go
@@ -17,10 +17,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// minOperatorReferences guards against a reader of the operators' pages that finds nothing in them.
+// minOperatorReferences guards against a parser of the operators' pages that finds no names in them.
 const minOperatorReferences = 100
 
-// What operators' pages name, in code spans and in indented code.
+// The patterns match the names that operators' pages use in code spans and indented code.
 var (
 	quotedMessage  = regexp.MustCompile(`\bmsg="([^"]+)"`)
 	plainMessage   = regexp.MustCompile(`\bmsg=(\w+)`)
@@ -34,22 +34,22 @@
 	testCall       = regexp.MustCompile(`go test (?:-\S+ )*-run '([^']+)'(?: -\S+)* (\./\S+)`)
 )
 
-// operatorNames are the names in the program that operators' pages may use, by kind.
+// operatorNames holds the names in the program that operators' pages may use, by kind.
 type operatorNames struct {
-	messages     map[string]bool // of log lines
+	messages     map[string]bool // log messages
 	figures      map[string]bool
-	environment  map[string]bool
-	commands     map[string]bool // and sub-commands
-	flags        map[string]bool
-	operatorKeys map[string]bool // of operator files
-	settings     map[string]bool // of the platform's configuration
-	tests        map[string][]string
+	environment  map[string]bool     // environment variables
+	commands     map[string]bool     // commands and subcommands
+	flags        map[string]bool     // without the leading hyphens
+	operatorKeys map[string]bool     // keys of operator files
+	settings     map[string]bool     // keys of the platform's configuration
+	tests        map[string][]string // names of tests by directory
 }
 
-// reference is a name that a page uses, with its kind.
+// reference holds a name that a page uses, with its kind.
 type reference struct{ kind, name string }
 
-// operatorReferences reads what a page names.
+// operatorReferences returns the names that a page uses.
 func operatorReferences(page string) (references []reference) {
 	add := func(kind string, found [][]string) {
 		for _, f := range found {
@@ -80,7 +80,7 @@
 	return references
 }
 
-// pageCode returns the code spans and the indented lines of a page, without comments of the shell.
+// pageCode returns the code spans and the indented lines of a page, without shell comments.
 func pageCode(page string) (code []string) {
 	for line := range strings.Lines(page) {
 		if indented, ok := strings.CutPrefix(line, "    "); ok {
@@ -95,7 +95,7 @@
 	return code
 }
 
-// unknownNames returns what a page names and the program does not have.
+// unknownNames returns the names that a page uses and the program does not have.
 func (n operatorNames) unknownNames(page string) (unknown []reference) {
 	for _, r := range operatorReferences(page) {
 		if !n.has(r) {
@@ -105,6 +105,7 @@
 	return unknown
 }
 
+// has reports whether the program has a name. The name of a test is a pattern that must match a test of the directory.
 func (n operatorNames) has(r reference) bool {
 	byKind := map[string]map[string]bool{
 		"log message": n.messages, "figure": n.figures, "environment variable": n.environment, "command": n.commands,
@@ -126,17 +127,17 @@
 	t.Helper()
 	n := operatorNames{
 		messages: map[string]bool{}, figures: map[string]bool{}, environment: map[string]bool{}, commands: map[string]bool{},
-		flags: map[string]bool{}, operatorKeys: map[string]bool{}, settings: map[string]bool{}, tests: testNames(t),
+		flags: map[string]bool{}, operatorKeys: map[string]bool{}, settings: map[string]bool{}, tests: operatorTestNames(t),
 	}
 	for _, source := range moduleSources(t) {
 		ast.Inspect(source.syntax, func(node ast.Node) bool {
 			switch node := node.(type) {
 			case *ast.CallExpr:
-				n.addCall(node)
+				n.addCallNames(node)
 			case *ast.CompositeLit:
-				n.addCommandLine(node)
+				n.addCommandNames(node)
 			case *ast.BasicLit:
-				n.addLiteral(source.packagePath, node)
+				n.addLiteralNames(source.packagePath, node)
 			}
 			return true
 		})
@@ -144,8 +145,8 @@
 	return n
 }
 
-// addCall takes the constant message of a log call, and the name of a figure.
-func (n operatorNames) addCall(call *ast.CallExpr) {
+// addCallNames adds the constant message of a log call or the name of a figure.
+func (n operatorNames) addCallNames(call *ast.CallExpr) {
 	name := ""
 	switch function := call.Fun.(type) {
 	case *ast.SelectorExpr:
@@ -155,14 +156,14 @@
 	}
 	switch {
 	case slices.Contains([]string{"Debug", "Info", "Warn", "Error", "log", "logShedding"}, name) && len(call.Args) > 0:
-		n.messages[literal(call.Args[0])] = true
+		n.messages[stringValue(call.Args[0])] = true
 	case name == "appendMetric" && len(call.Args) > 1:
-		n.figures[literal(call.Args[1])] = true
+		n.figures[stringValue(call.Args[1])] = true
 	}
 }
 
-// addCommandLine takes the names of commands and flags of the command-line library.
-func (n operatorNames) addCommandLine(composite *ast.CompositeLit) {
+// addCommandNames adds the name in a literal that declares a command or a flag for the command-line library.
+func (n operatorNames) addCommandNames(composite *ast.CompositeLit) {
 	typeName := ""
 	switch t := composite.Type.(type) {
 	case *ast.SelectorExpr:
@@ -180,16 +181,17 @@
 		}
 		switch {
 		case typeName == "Command":
-			n.commands[literal(pair.Value)] = true
+			n.commands[stringValue(pair.Value)] = true
 		case strings.HasSuffix(typeName, "Flag"):
-			n.flags[literal(pair.Value)] = true
+			n.flags[stringValue(pair.Value)] = true
 		}
 	}
 }
 
-// addLiteral takes what is known by its package or form alone: messages that are assigned, keys and environment variables.
-func (n operatorNames) addLiteral(packagePath string, l *ast.BasicLit) {
-	text := literal(l)
+// addLiteralNames adds names that are recognized by their form or their package: environment variables, keys, settings and
+// log messages that are assigned to a variable.
+func (n operatorNames) addLiteralNames(packagePath string, l *ast.BasicLit) {
+	text := stringValue(l)
 	switch {
 	case environmentKey.MatchString(text):
 		n.environment[text] = true
@@ -197,7 +199,7 @@
 		n.operatorKeys[text] = true
 	}
 	if packagePath == "balancer" && strings.HasPrefix(text, "load shedding ") {
-		n.messages[text] = true // chosen by the state
+		n.messages[text] = true // the log call gets one of several messages from a variable
 	}
 	if packagePath == "config" || packagePath == "internal/settings" {
 		for _, tag := range regexp.MustCompile(`json:"(\w+)`).FindAllStringSubmatch(text, -1) {
@@ -208,8 +210,8 @@
 	}
 }
 
-// literal returns the value of a string constant; "" for any other expression.
-func literal(e ast.Expr) string {
+// stringValue returns the value of a string literal, or "" for any other expression.
+func stringValue(e ast.Expr) string {
 	l, ok := e.(*ast.BasicLit)
 	if !ok || l.Kind != token.STRING {
 		return ""
@@ -221,8 +223,8 @@
 	return text
 }
 
-// testNames lists the tests of the directories that operators' pages name.
-func testNames(t *testing.T) map[string][]string {
+// operatorTestNames returns the names of tests by directory, for the directories whose tests operators' pages name.
+func operatorTestNames(t *testing.T) map[string][]string {
 	t.Helper()
 	names := map[string][]string{}
 	for _, directory := range []string{"gateway"} {
@@ -231,14 +233,14 @@
 			t.Fatal(err)
 		}
 		for _, file := range files {
-			names[directory] = append(names[directory], testsOfFile(t, file)...)
+			names[directory] = append(names[directory], testNamesInFile(t, file)...)
 		}
 	}
 	return names
 }
 
-// Guards against on-call pages that tell to look for what the program does not have: log messages, figures, settings, commands,
-// flags and tests.
+// Guards against on-call pages that name log messages, figures, settings, commands, flags or tests which the program does
+// not have.
 func TestOperatorsPagesNameWhatExists(t *testing.T) {
 	names := readOperatorNames(t)
 	pages, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", "operators", "*.md"))
@@ -253,21 +255,22 @@
 		}
 		checked += len(operatorReferences(string(text)))
 		for _, r := range names.unknownNames(string(text)) {
-			t.Errorf("%s names %q, which is no %s", filepath.Base(page), r.name, r.kind)
+			t.Errorf("%s names %q, which is not a known %s", filepath.Base(page), r.name, r.kind)
 		}
 	}
 	if checked < minOperatorReferences {
-		t.Errorf("the pages name %d things, want at least %d", checked, minOperatorReferences)
+		t.Errorf("the operators' pages use %d names, want at least %d", checked, minOperatorReferences)
 	}
 }
 
-// Guards against design pages and incidents that name tests which do not exist. A name that ends in an ellipsis begins one.
+// Guards against design pages and incident reports that name tests which do not exist. A name with an ellipsis after it is
+// the beginning of a test's name.
 func TestPagesNameExistingTests(t *testing.T) {
 	var pages []string
 	for _, pattern := range []string{"design/crossings.md", "design/known-faults.md", "incidents/*.md"} {
 		found, err := filepath.Glob(filepath.Join(repositoryRoot, "docs", filepath.FromSlash(pattern)))
 		if err != nil || len(found) == 0 {
-			t.Fatalf("no page %s: %v", pattern, err)
+			t.Fatalf("found no page that matches %s: error %v", pattern, err)
 		}
 		pages = append(pages, found...)
 	}
@@ -283,13 +286,13 @@
 				exists = slices.ContainsFunc(all, func(name string) bool { return strings.HasPrefix(name, match[1]) })
 			}
 			if !exists {
-				t.Errorf("%s names %s, which is no test", filepath.Base(page), match[1])
+				t.Errorf("%s names %s, which is not a test", filepath.Base(page), match[1])
 			}
 		}
 	}
 }
 
-// allTestNames lists the tests of the module.
+// allTestNames returns the names of all tests of the module.
 func allTestNames(t *testing.T) (names []string) {
 	t.Helper()
 	err := filepath.WalkDir(repositoryRoot, func(name string, entry fs.DirEntry, err error) error {
@@ -297,10 +300,10 @@
 			return err
 		}
 		if entry.IsDir() {
-			return skipForeignDirectory(name, entry.Name())
+			return skipExcludedDirectory(name, entry.Name())
 		}
 		if strings.HasSuffix(name, "_test.go") {
-			names = append(names, testsOfFile(t, name)...)
+			names = append(names, testNamesInFile(t, name)...)
 		}
 		return nil
 	})
@@ -310,7 +313,8 @@
 	return names
 }
 
-func testsOfFile(t *testing.T, file string) (names []string) {
+// testNamesInFile returns the names of the tests in a Go file.
+func testNamesInFile(t *testing.T, file string) (names []string) {
 	t.Helper()
 	syntax, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 	if err != nil {
@@ -324,7 +328,7 @@
 	return names
 }
 
-// Each kind of name is found on a page, and missed where the program does not have it.
+// Guards against a check of operators' pages that misses a kind of name: an unknown name of each kind must be reported.
 func TestOperatorsPageCheckSeesEachKind(t *testing.T) {
 	names := readOperatorNames(t)
 	for _, c := range []struct{ page, kind, name string }{
--- a/internal/archtest/source_test.go
+++ b/internal/archtest/source_test.go
@@ -1,5 +1,5 @@
-// Package archtest holds the tests of the architecture: which packages may import which, what decision code must not
-// do, and that docs/architecture.md shows the code as it is. It has no code outside its tests.
+// Package archtest tests the architecture: which packages may import which, that decision packages do no I/O and read no
+// clock, and that docs/architecture.md and other pages in docs match the code. It has no code outside its tests.
 package archtest
 
 import (
@@ -16,20 +16,20 @@
 
 const modulePrefix = "example.org/milletvane/"
 
-// minSourceFiles guards against a walk that finds nothing and so proves nothing.
+// minSourceFiles guards against a walk that finds no files, which would let every check pass.
 const minSourceFiles = 50
 
 var repositoryRoot = filepath.Join("..", "..")
 
-// sourceFile is a parsed Go file of the module that is no test.
+// sourceFile holds a parsed Go file of the module that is not a test file.
 type sourceFile struct {
-	path        string // slash-separated, from the root of the repository
-	packagePath string // of its directory
+	path        string // slash-separated, relative to the root of the repository
+	packagePath string // path of the file's directory, in the same form
 	positions   *token.FileSet
 	syntax      *ast.File
 }
 
-// moduleImports lists the packages of this module that a file imports.
+// moduleImports returns the packages of this module that a file imports, without modulePrefix.
 func (f sourceFile) moduleImports(t *testing.T) []string {
 	t.Helper()
 	var paths []string
@@ -42,6 +42,7 @@
 	return paths
 }
 
+// importPath returns the path of an import without its quotes.
 func importPath(t *testing.T, spec *ast.ImportSpec) string {
 	t.Helper()
 	path, err := strconv.Unquote(spec.Path.Value)
@@ -51,7 +52,7 @@
 	return path
 }
 
-// moduleSources parses all Go files of the module that are no tests.
+// moduleSources parses all Go files of the module except test files.
 func moduleSources(t *testing.T) []sourceFile {
 	t.Helper()
 	var sources []sourceFile
@@ -60,7 +61,7 @@
 			return err
 		}
 		if entry.IsDir() {
-			return skipForeignDirectory(name, entry.Name())
+			return skipExcludedDirectory(name, entry.Name())
 		}
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			return nil
@@ -89,8 +90,9 @@
 	return sources
 }
 
-// skipForeignDirectory leaves out what is not the module's own code: hidden directories and the tools' module.
-func skipForeignDirectory(path, name string) error {
+// skipExcludedDirectory returns fs.SkipDir for directories without code of this module: hidden directories and the
+// directory of the tools module.
+func skipExcludedDirectory(path, name string) error {
 	isHidden := strings.HasPrefix(name, ".") && name != "." && name != ".."
 	if isHidden || path == filepath.Join(repositoryRoot, "tools") {
 		return fs.SkipDir
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// packageImports maps each package of the module to the packages of the module that it imports, sorted.
+// packageImports maps each package of the module to the sorted packages of the module that it imports.
 func packageImports(t *testing.T) map[string][]string {
 	t.Helper()
 	imports := map[string][]string{}
@@ -112,7 +114,7 @@
 	return imports
 }
 
-// packageSources returns the files of one package that are no tests.
+// packageSources returns the files of one package except test files.
 func packageSources(t *testing.T, packagePath string) []sourceFile {
 	t.Helper()
 	var files []sourceFile
