--- a/internal/simproto/endpoints.go
+++ b/internal/simproto/endpoints.go
@@ -8,6 +8,7 @@
 	"example.org/milletvane/balancer"
 )
 
+// The protocol's values of the mode field of update lines and of row lines, with those of the balancer.
 var (
 	listModes = map[string]balancer.ListMode{
 		"Partial": balancer.ListDelta, "Complete": balancer.ListComplete, "Persisted": balancer.ListCached,
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -77,7 +77,7 @@
 			deploy := runFleet(t, seed, sampleSettings(12, 3), deployAll)
 			served := deploy.ServedRatio()
 			if deploy.Disconnected == 0 || served >= quiet.ServedRatio() || served < 0.5 {
-				t.Errorf("got served ratio %.3f, in a deploy %.3f with %d disconnected, want disconnects and a lower ratio, min. 0.5",
+				t.Errorf("got served ratio %.3f, in a deploy %.3f, %d disconnected, want a lower ratio of at least 0.5, some disconnected",
 					quiet.ServedRatio(), served, deploy.Disconnected)
 			}
 		})
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// perform carries out one action of the balancer.
 func (g *gateway) perform(action balancer.Action) {
 	f := g.fleet
 	switch a := action.(type) {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -12,9 +12,10 @@
 // minCapacity keeps the utilization of a node without capacity finite. It is in reference cores.
 const minCapacity = 1e-9
 
-// NodeSettings describes a node. The cold overload limit models servers that crash if too much load is sent to them while
-// they warm up. At an even rate the node would be filled over WarmupDuration. The limit is ColdOverloadFactor times the
-// load that this rate gives within ColdOverloadDuration, plus ColdOverloadAllowance.
+// NodeSettings describes a node. The cold overload limit models servers that crash if they get too many connections while
+// they warm up: a cold node crashes if the load sent to it within any ColdOverloadDuration exceeds the limit. The limit is
+// ColdOverloadFactor times the load that a node gets in that time if it is filled evenly over WarmupDuration, plus
+// ColdOverloadAllowance.
 type NodeSettings struct {
 	Cores             float64       // number of cores, above 0
 	Speed             float64       // speed of a core relative to a reference core, above 0
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -56,7 +56,7 @@
 	}
 	stateSince := s.stateSince
 	f.scheduler.After(f.settings.NetworkDelay, func() {
-		// A connection is lost if its server has drained, restarted or crashed since it accepted the connection.
+		// A connection is lost if its server started to drain, restarted or crashed after it accepted the connection.
 		accepted := result == Accepted && s.stateSince == stateSince && s.Up()
 		r.receiveAnswer(s, attempt, result, accepted)
 	})
