--- a/internal/fakeserver/address.go
+++ b/internal/fakeserver/address.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReserveAddress returns a loopback address whose port the kernel gives to nobody else until release is called. Only a
-// listener that sets SO_REUSEADDR, as net.Listen does, can use it. A program can thus be started, and restarted, on a
-// port that is certain to be free; a port that was merely free a moment ago may have been taken in the meantime.
+// ReserveAddress returns a loopback address whose port the kernel does not assign to any other socket until release is
+// called. Only a listener that sets SO_REUSEADDR, as net.Listen does, can bind it. A test can therefore start and
+// restart a program on this port; a port that was only found free might be taken before the program binds it.
 func ReserveAddress() (addr string, release func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", port), release, nil
 }
 
-// bindLoopback binds a socket to a port chosen by the kernel. The socket must never listen, as it would then receive
-// the connections that are meant for the port's user.
+// bindLoopback binds a socket to a loopback port chosen by the kernel and returns the port. The socket must never
+// listen, because it would then receive connections that are meant for the program under test.
 func bindLoopback(fd int) (port int, err error) {
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return 0, fmt.Errorf("set SO_REUSEADDR: %w", err)
--- a/internal/fakeserver/address_test.go
+++ b/internal/fakeserver/address_test.go
@@ -19,7 +19,7 @@
 	if err := bindExclusively(t, addr); !errors.Is(err, unix.EADDRINUSE) {
 		t.Errorf("binding the reserved port without SO_REUSEADDR: got error %v, want %v", err, unix.EADDRINUSE)
 	}
-	for range 2 { // a program, and the one that replaces it
+	for range 2 { // the program and the one that replaces it
 		acceptOneConnection(t, addr)
 	}
 	release()
@@ -30,7 +30,7 @@
 	closeOrFail(t, l)
 }
 
-// bindExclusively binds a port as the kernel does when it chooses one: without sharing it.
+// bindExclusively binds the port of addr without SO_REUSEADDR, as the kernel requires of a port that it chooses.
 func bindExclusively(t *testing.T, addr string) error {
 	t.Helper()
 	_, text, err := net.SplitHostPort(addr)
--- a/internal/fakeserver/catalog.go
+++ b/internal/fakeserver/catalog.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Endpoint is an entry of a Catalog.
+// Endpoint is an entry in the endpoint list of a Catalog.
 type Endpoint struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -34,8 +34,8 @@
 	catalogReadHeaderTimeout = 5 * time.Second
 )
 
-// Catalog is a fake discovery service: it serves a versioned list of endpoints over HTTP, either complete or only what
-// changed after a version. A watch is a call for changes that waits until there are some.
+// Catalog is a fake discovery service. It serves a versioned endpoint list over HTTP, either the complete list or the
+// endpoints that changed after a given version. A watch is a request for changes that blocks until there are some.
 type Catalog struct {
 	listener net.Listener
 	server   *http.Server
@@ -44,19 +44,19 @@
 	mu             sync.Mutex
 	version        int64
 	endpoints      []Endpoint
-	changedAt      []int64       // the version of each endpoint's last change
-	changed        chan struct{} // closed at the next change
+	changedAt      []int64       // by index in endpoints: the version of the last change
+	changed        chan struct{} // closed at the next change of the list
 	lastWatchStart time.Time
-	watchedVersion int64         // that the caller of the latest watch holds
-	stalled        chan struct{} // closed when the watches that are open now stall
+	watchedVersion int64         // the version that the caller of the latest watch holds
+	stalled        chan struct{} // closed when the currently open watches stall
 }
 
-// NewCatalog starts a service on a loopback port chosen by the kernel.
+// NewCatalog starts a Catalog on a loopback port chosen by the kernel, with list version 1.
 func NewCatalog(endpoints ...Endpoint) (*Catalog, error) {
 	return NewCatalogAt(anyLoopbackPort, 1, endpoints...)
 }
 
-// NewCatalogAt starts a service at an address, with a list that has the given version.
+// NewCatalogAt starts a Catalog on the given address with the given list version.
 func NewCatalogAt(addr string, version int64, endpoints ...Endpoint) (*Catalog, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -80,13 +80,13 @@
 // Addr returns the address on which the service listens.
 func (c *Catalog) Addr() string { return c.listener.Addr().String() }
 
-// Close ends the service and all watches. It does not wait for their handlers.
+// Close stops the service and ends all watches. It does not wait for the handlers of the watches.
 func (c *Catalog) Close() {
 	_ = c.server.Close()
 	c.wg.Wait()
 }
 
-// SetEndpoint adds an endpoint or replaces the one with its ID; open watches are answered at once.
+// SetEndpoint adds an endpoint or replaces the one with the same ID. Open watches are answered immediately.
 func (c *Catalog) SetEndpoint(endpoint Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +103,8 @@
 	c.changed = make(chan struct{})
 }
 
-// StallWatches makes all open watches stall: they send nothing more and do not end, while later calls are served. It
-// returns when the last watch was started.
+// StallWatches makes all open watches stall: they send nothing more and stay open, while later requests are served. It
+// returns the start time of the latest watch.
 func (c *Catalog) StallWatches() (lastWatchStart time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,24 +113,24 @@
 	return c.lastWatchStart
 }
 
-// IsListKnown reports whether the latest watch is by a caller that holds the present list.
+// IsListKnown reports whether the caller of the latest watch holds the current list version.
 func (c *Catalog) IsListKnown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watchedVersion == c.version
 }
 
-// memberList is the answer to a call.
+// memberList is the body of a response.
 type memberList struct {
 	Version int64      `json:"version"`
 	Full    bool       `json:"full"`
 	Servers []Endpoint `json:"servers"`
 }
 
-// watch tells an open call of later events.
+// watch holds the channels that notify an open request of later events.
 type watch struct{ changed, stalled <-chan struct{} }
 
-// members returns the complete list, or what changed after a version, together with a watch for what happens next.
+// members returns the complete list, or the endpoints that changed after a version, and a watch for later events.
 func (c *Catalog) members(after int64, full bool) (memberList, watch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +149,7 @@
 	full := err != nil
 	list, events := c.members(after, full)
 	if !full && len(list.Servers) == 0 {
-		waitMS, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64) // without a valid time it does not wait
+		waitMS, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64) // zero if invalid: no wait
 		timeout := min(time.Duration(waitMS)*time.Millisecond, maxWatchDuration)
 		if !c.awaitChange(r, events, after, timeout) {
 			return
@@ -157,11 +157,11 @@
 		list, _ = c.members(after, false)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(list) // fails only when the caller is gone
+	_ = json.NewEncoder(w).Encode(list) // fails only if the caller has disconnected
 }
 
-// awaitChange blocks until the list changes or the timeout passes, for a caller that holds the list of a version. It
-// reports whether the call is to be answered.
+// awaitChange blocks until the list changes, the timeout expires or the caller disconnects. held is the list version that
+// the caller has. It reports whether the request must be answered.
 func (c *Catalog) awaitChange(r *http.Request, w watch, held int64, timeout time.Duration) bool {
 	c.mu.Lock()
 	c.lastWatchStart = time.Now()
--- a/internal/fakeserver/deliverylog.go
+++ b/internal/fakeserver/deliverylog.go
@@ -9,16 +9,16 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// Tolerances of a log that is fed by several nodes, each through its own goroutines.
+// Tolerances of the log, which receives events from the goroutines of several nodes.
 const (
-	attemptOverlapTolerance = 50 * time.Millisecond  // attempts are concurrent if they overlap by more
-	drainGracePeriod        = 500 * time.Millisecond // after a drain began, new work at the node is late
+	attemptOverlapTolerance = 50 * time.Millisecond  // attempts that overlap by more count as concurrent
+	drainGracePeriod        = 500 * time.Millisecond // work that reaches a node later after its drain began counts as late
 )
 
 const streamSubjectPrefix = "stream."
 
-// DeliveryLog records the requests and numbered stream messages that the nodes of a cluster see. The cluster's lock
-// guards it, and the cluster's methods evaluate it. A nil log records nothing.
+// DeliveryLog records the requests and numbered stream messages that reach the nodes of a cluster. The cluster's lock
+// guards it, and methods of NATSCluster evaluate it. A nil log records nothing.
 type DeliveryLog struct {
 	attempts     map[string][]*attempt // by the request's ID, which is the first word of its payload
 	openAttempts map[*natsConn]map[string]*attempt
@@ -27,10 +27,10 @@
 	failedNodes  map[*NATSNode]bool
 }
 
-// attempt is the time during which a node worked on a request.
+// attempt is the period during which a node handled a request.
 type attempt struct {
 	start time.Time
-	end   time.Time // zero while it lasts
+	end   time.Time // zero while the attempt is open
 }
 
 func (a *attempt) overlaps(b *attempt) bool {
@@ -41,10 +41,10 @@
 	return first.end.IsZero() || first.end.Sub(second.start) > attemptOverlapTolerance
 }
 
-// stream is what nodes know of one session's numbered messages.
+// stream holds what is recorded about the numbered messages of one session.
 type stream struct {
 	lastSubscribed *NATSNode
-	deliverers     map[int][]*NATSNode // by message number: the nodes that had to deliver it
+	deliverers     map[int][]*NATSNode // by message number: the nodes that had to deliver the message
 }
 
 // NewDeliveryLog returns an empty log.
@@ -63,7 +63,8 @@
 	}
 }
 
-// attemptStarted records a request. The attempt ends with the subscription of its inbox, by an answer or by UNSUB.
+// attemptStarted records a request. The attempt ends when the subscription to its reply subject ends, by an answer or by
+// UNSUB.
 func (l *DeliveryLog) attemptStarted(c *natsConn, f *codec.Frame) {
 	if l == nil {
 		return
@@ -129,13 +130,14 @@
 	}
 	s := l.stream(session)
 	if len(deliverers) == 0 && s.lastSubscribed != nil {
-		deliverers = []*NATSNode{s.lastSubscribed} // the session lost its subscription there
+		deliverers = []*NATSNode{s.lastSubscribed} // the node at which the session lost its subscription
 	}
 	s.deliverers[number] = deliverers
 }
 
-// AttemptStats summarizes the recorded requests: the largest number of attempts for one request, the number of pairs of
-// attempts for one request that overlapped, and the requests and subscriptions that came late to a draining node.
+// AttemptStats summarizes the recorded requests: the largest number of attempts of one request, the number of pairs of
+// overlapping attempts of the same request, and the number of requests and subscriptions that reached a draining node
+// after its drain grace.
 func (c *NATSCluster) AttemptStats() (maxAttempts, overlapping, late int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,8 +154,8 @@
 	return maxAttempts, overlapping, c.log.lateCount
 }
 
-// LossExcused reports whether a numbered message of a session's stream may be missing because every node that had to
-// deliver it has failed.
+// LossExcused reports whether a numbered message of a session's stream may be missing, because every node that had to
+// deliver the message has failed.
 func (c *NATSCluster) LossExcused(session, number int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,7 +171,7 @@
 	return true
 }
 
-// StreamLength returns how many numbered messages were published to a session's stream.
+// StreamLength returns the number of numbered messages that were published to a session's stream.
 func (c *NATSCluster) StreamLength(session int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakeserver/lineserver.go
+++ b/internal/fakeserver/lineserver.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// maxLineBytes bounds a line; a client that sends a longer one is disconnected.
+// maxLineBytes is the longest accepted line; a client that sends a longer one is disconnected.
 const maxLineBytes = 4 << 10
 
-// LineServer is a fake server of the line protocol: it answers OPEN with UP and echoes each line of an established
-// connection. OPEN beyond its capacity is rejected with BUSY.
+// LineServer is a fake server of the line protocol. It answers OPEN with UP and echoes each line of an established
+// connection. It rejects OPEN with BUSY while its capacity is exhausted.
 type LineServer struct {
 	listener net.Listener
 	wg       sync.WaitGroup
 
 	mu           sync.Mutex
 	conns        map[net.Conn]struct{}
-	capacity     int // established connections; 0: unlimited
+	capacity     int // maximum of established connections; 0 means unlimited
 	established  int
-	openedAt     []time.Time // of each connection that was established, in order
+	openedAt     []time.Time // the time at which each connection was established, ascending
 	openedByName map[string]int
 }
 
 // NewLineServer starts a server on a loopback port chosen by the kernel.
 func NewLineServer() (*LineServer, error) { return NewLineServerAt(anyLoopbackPort) }
 
-// NewLineServerAt starts a server at an address.
+// NewLineServerAt starts a server on the given address.
 func NewLineServerAt(addr string) (*LineServer, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -45,7 +45,7 @@
 // Addr returns the address on which the server listens.
 func (s *LineServer) Addr() string { return s.listener.Addr().String() }
 
-// Opened returns how many connections were ever established.
+// Opened returns the number of connections that were established since the start.
 func (s *LineServer) Opened() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,21 +67,21 @@
 	return maxOpened
 }
 
-// OpenedByName returns how often connections were established under each request name that clients gave.
+// OpenedByName returns the number of established connections by the request name that the client sent in OPEN.
 func (s *LineServer) OpenedByName() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.openedByName)
 }
 
-// SetCapacity bounds the established connections; 0 means unlimited. Those that are established already stay.
+// SetCapacity limits the number of established connections; 0 means unlimited. Established connections stay.
 func (s *LineServer) SetCapacity(connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capacity = connections
 }
 
-// Close ends the server with all its connections and waits for its goroutines.
+// Close stops the server, closes all its connections and waits for its goroutines.
 func (s *LineServer) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// serve answers lines until the connection ends, and reports whether it was established.
+// serve answers lines until the connection ends, and reports whether the connection was established.
 func (s *LineServer) serve(conn net.Conn) (established bool) {
 	r := bufio.NewReaderSize(conn, maxLineBytes)
 	w := bufio.NewWriter(conn)
@@ -141,7 +141,7 @@
 	}
 }
 
-// answer handles a line of a connection that is not established. It reports whether the connection now is.
+// answer handles a line of a connection that is not established yet. It reports whether the line established it.
 func (s *LineServer) answer(w io.Writer, line string) (established bool, err error) {
 	switch {
 	case strings.HasPrefix(line, "OPEN "):
@@ -162,7 +162,7 @@
 	return false, err
 }
 
-// admit establishes a connection if the server has capacity for it. Connections are numbered from 1.
+// admit counts a connection as established if the server has capacity for it, and returns its number, counted from 1.
 func (s *LineServer) admit(line string) (number int, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakeserver/natscluster.go
+++ b/internal/fakeserver/natscluster.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// Properties that every fake NATS server announces.
+// Properties that every fake NATS server announces in INFO.
 const (
 	natsVersion    = "2.10.0"
 	natsMaxPayload = 1 << 20 // bytes
@@ -23,17 +23,17 @@
 	})
 }
 
-// NATSCluster is a set of fake NATS servers that forward messages to each other without delay, or are isolated.
+// NATSCluster is a set of fake NATS servers. They forward messages to each other without delay, or are isolated.
 type NATSCluster struct {
 	isolated bool
 	log      *DeliveryLog
 
-	mu    sync.Mutex // guards the state of all nodes and connections, so that messages have one order
+	mu    sync.Mutex // guards the state of all nodes and connections, so that messages have a total order
 	nodes []*NATSNode
 }
 
-// NewNATSCluster returns a cluster without nodes. The log may be nil; AttemptStats, LossExcused and StreamLength must
-// then not be called. The nodes of an isolated cluster share no messages.
+// NewNATSCluster returns a cluster without nodes. If log is nil, AttemptStats, LossExcused and StreamLength must not be
+// called. The nodes of an isolated cluster do not forward messages to each other.
 func NewNATSCluster(log *DeliveryLog, isolated bool) *NATSCluster {
 	return &NATSCluster{log: log, isolated: isolated}
 }
@@ -52,8 +52,8 @@
 	return n, nil
 }
 
-// PublishStream publishes a numbered message of a session's stream: once in the cluster, or once at every node if these
-// are isolated.
+// PublishStream publishes a numbered message of a session's stream: once in the cluster, or once at every running node if
+// the nodes are isolated.
 func (c *NATSCluster) PublishStream(session, number int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// subscribedNodes returns the running nodes at which a subject is subscribed to. The lock is held.
+// subscribedNodes returns the running nodes that have a subscription to a subject. The caller holds the lock.
 func (c *NATSCluster) subscribedNodes(subject []byte) (nodes []*NATSNode) {
 	for _, n := range c.nodes {
 		if !n.dead && n.hasSubscription(subject) {
@@ -80,14 +80,14 @@
 	return nodes
 }
 
-// message is a message on its way to its subscribers.
+// message is a published message to be delivered to its subscribers.
 type message struct {
 	subject, reply []byte
 	body           []byte // headers, then payload
-	headerBytes    int    // of the body; 0: without headers
+	headerBytes    int    // length of the headers in body; 0 means no headers
 }
 
-// frame encodes the message for a subscription.
+// frame encodes the message as a frame for the subscription with the given SID.
 func (m message) frame(sid string) []byte {
 	b := make([]byte, 0, 64+len(m.subject)+len(m.reply)+len(m.body))
 	b = codec.AppendMsg(b, m.subject, []byte(sid), m.reply, m.headerBytes, len(m.body))
@@ -95,8 +95,8 @@
 	return append(b, "\r\n"...)
 }
 
-// deliver queues a message published at a node for all its subscribers, one of each queue group, and returns their
-// number. The sender may be nil. The lock is held.
+// deliver queues a message published at a node for all subscribers, and for one subscriber of each queue group. It
+// returns the number of recipients. The sender may be nil. The caller holds the lock.
 func (c *NATSCluster) deliver(at *NATSNode, sender *natsConn, m message) (count int) {
 	servedGroups := map[string]bool{}
 	for _, n := range c.nodes {
@@ -115,7 +115,7 @@
 // natsSubscription is a subscription of a connection.
 type natsSubscription struct {
 	subject, queueGroup []byte
-	maxMessages         int // after which it ends; 0: unlimited
+	maxMessages         int // the subscription ends after this many messages; 0 means unlimited
 	delivered           int
 }
 
@@ -123,7 +123,8 @@
 	return s.maxMessages > 0 && s.delivered >= s.maxMessages
 }
 
-// accepts reports whether a message is to be delivered to the subscription, and marks its queue group as served.
+// accepts reports whether a message with this subject must be delivered to the subscription, and marks the queue group of
+// the subscription as served.
 func (s *natsSubscription) accepts(subject []byte, servedGroups map[string]bool) bool {
 	if !codec.MatchesSubject(s.subject, subject) || servedGroups[string(s.queueGroup)] {
 		return false
--- a/internal/fakeserver/natsconn.go
+++ b/internal/fakeserver/natsconn.go
@@ -11,18 +11,18 @@
 const (
 	natsReadBytes         = 64 << 10
 	serviceSubjectPrefix  = "svc."
-	unauthorizedUser      = "nobody" // its CONNECT is rejected
+	unauthorizedUser      = "nobody" // CONNECT with this user name is rejected
 	authorizationErrorMsg = "Authorization Violation"
 )
 
-// natsConn is a connection of a client or a gateway to a node. Its state is guarded by the cluster's lock, which the
-// caller of its methods holds, but for writeLoop and readLoop.
+// natsConn is a connection of a client or a gateway to a node. The cluster's lock guards its state. Callers of its methods
+// hold the lock, except for writeLoop and readLoop and the methods that only these two call.
 type natsConn struct {
 	node   *NATSNode
 	socket net.Conn
 
-	greeted       bool // INFO was sent to it
-	connected     bool // it has sent CONNECT
+	infoSent      bool // INFO was sent to the peer
+	connected     bool // the peer has sent CONNECT
 	noResponders  bool
 	echo          bool
 	subscriptions map[string]*natsSubscription // by SID
@@ -30,11 +30,11 @@
 	ignoredPings  int
 
 	queueChanged sync.Cond
-	queue        []outgoing
+	queue        []queuedWrite
 }
 
-// outgoing is what is queued to be written. written, which may be nil, is called without the lock once it has been.
-type outgoing struct {
+// queuedWrite is queued data. The callback written, which may be nil, is called without the lock after data was written.
+type queuedWrite struct {
 	data    []byte
 	written func()
 }
@@ -45,27 +45,27 @@
 	return c
 }
 
-// push queues data, unless the connection is closed or its node hangs.
+// push queues data, unless the connection is closed or its node is hung.
 func (c *natsConn) push(data []byte, written func()) {
 	if c.closed || c.node.hung {
 		return
 	}
-	c.queue = append(c.queue, outgoing{data: data, written: written})
+	c.queue = append(c.queue, queuedWrite{data: data, written: written})
 	c.queueChanged.Signal()
 }
 
-// greet sends the first INFO, unless that was done or the node holds it back.
-func (c *natsConn) greet() {
-	if !c.greeted && !c.node.holdsInfo {
-		c.greeted = true
+// sendFirstInfo sends the first INFO, unless it was sent before or the node withholds it.
+func (c *natsConn) sendFirstInfo() {
+	if !c.infoSent && !c.node.withholdsInfo {
+		c.infoSent = true
 		c.push(c.node.info(), nil)
 	}
 }
 
-// disconnect closes the socket; the read loop then cleans up. It needs no lock.
+// disconnect closes the socket; readLoop then cleans up. The caller need not hold the lock.
 func (c *natsConn) disconnect() { _ = c.socket.Close() }
 
-// reset closes the connection so that the peer sees it reset.
+// reset closes the connection with a TCP reset.
 func (c *natsConn) reset() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -86,7 +86,7 @@
 	}
 }
 
-// deliver queues a message for each matching subscription and returns their number.
+// deliver queues a message for each matching subscription and returns the number of these subscriptions.
 func (c *natsConn) deliver(m message, servedGroups map[string]bool) (count int) {
 	for sid, subscription := range c.subscriptions {
 		if !subscription.accepts(m.subject, servedGroups) {
@@ -103,7 +103,7 @@
 	return count
 }
 
-// writeLoop writes what is queued, everything that is there at once.
+// writeLoop writes queued data until the connection ends, each time all that is queued with one call.
 func (c *natsConn) writeLoop() {
 	for {
 		items, ok := c.awaitQueue()
@@ -125,8 +125,9 @@
 	}
 }
 
-// awaitQueue takes all that is queued, and waits for it. It returns false once the connection is closed.
-func (c *natsConn) awaitQueue() (items []outgoing, ok bool) {
+// awaitQueue waits until data is queued and the node is not hung, and takes all queued data. It returns false once the
+// connection is closed.
+func (c *natsConn) awaitQueue() (items []queuedWrite, ok bool) {
 	c.node.cluster.mu.Lock()
 	defer c.node.cluster.mu.Unlock()
 	for !c.closed && (len(c.queue) == 0 || c.node.hung) {
@@ -162,7 +163,7 @@
 	}
 }
 
-// handleFrames handles the complete frames in a buffer and returns what is left of it. The lock is taken for each.
+// handleFrames handles the complete frames in a buffer and returns the remaining bytes. It takes the lock for each frame.
 func (c *natsConn) handleFrames(buf []byte) (rest []byte, err error) {
 	for len(buf) > 0 {
 		f, n, err := codec.Parse(buf, codec.Limits{})
@@ -180,7 +181,7 @@
 	return buf, nil
 }
 
-// handle handles one frame. A node that hangs only records it.
+// handle handles one frame. A hung node only records it.
 func (c *natsConn) handle(f *codec.Frame) {
 	switch f.Op {
 	case codec.Sub:
@@ -250,7 +251,8 @@
 	c.echo = options.Echo == nil || *options.Echo
 }
 
-// publish delivers a message. A request that reaches nobody is answered so, if the client understands that.
+// publish delivers a message. If a request has no recipients and the client supports it, publish sends the status
+// "no responders".
 func (c *natsConn) publish(f *codec.Frame) {
 	cluster := c.node.cluster
 	m := message{subject: f.Subject, reply: f.Reply, body: f.Body, headerBytes: f.HeaderSize}
@@ -261,7 +263,7 @@
 	cluster.deliver(c.node, nil, message{subject: f.Reply, body: status, headerBytes: len(status)})
 }
 
-// isServiceRequest reports whether the node itself answers a message.
+// isServiceRequest reports whether a message is a request that the node answers itself.
 func isServiceRequest(f *codec.Frame) bool {
 	return bytes.HasPrefix(f.Subject, []byte(serviceSubjectPrefix)) && len(f.Reply) > 0
 }
--- a/internal/fakeserver/natsecho.go
+++ b/internal/fakeserver/natsecho.go
@@ -12,11 +12,11 @@
 	echoReadBytes   = 128 << 10
 	echoWriteBytes  = 64 << 10
 	echoMaxPayload  = 64 << 10
-	gatewayInboxTag = '!' // begins the SIDs of a gateway's subscriptions for single requests
+	gatewayInboxTag = '!' // first byte of the SIDs that a gateway uses for subscriptions to single requests
 )
 
-// NATSEcho is a minimal NATS server for benchmarks: a connection receives what it publishes on its latest subscription,
-// and a request is answered with its payload.
+// NATSEcho is a minimal NATS server for benchmarks. It returns each message that a connection publishes to the latest
+// subscription of that connection, and answers a request with the request's payload.
 type NATSEcho struct {
 	listener net.Listener
 	wg       sync.WaitGroup
@@ -38,7 +38,7 @@
 // Addr returns the address on which the server listens.
 func (s *NATSEcho) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the server with all its connections and waits for its goroutines.
+// Close stops the server, closes all its connections and waits for its goroutines.
 func (s *NATSEcho) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// serveEcho handles frames until the connection ends or sends something that is not understood.
+// serveEcho handles frames until the connection ends or sends a malformed or too long frame.
 func serveEcho(conn net.Conn) {
 	e := echoConn{w: bufio.NewWriterSize(conn, echoWriteBytes)}
 	if _, err := e.w.Write(appendServerInfo(nil, "echo", false)); err != nil || e.w.Flush() != nil {
@@ -91,15 +91,15 @@
 	}
 }
 
-// echoConn is the protocol state of one connection. Its slices are reused, so that a message costs no allocation.
+// echoConn is the protocol state of one connection. It reuses its slices to avoid an allocation per message.
 type echoConn struct {
-	w        *bufio.Writer
-	sid      []byte
-	inboxSID []byte // of a gateway's request, whose message follows its subscription
-	head     []byte
+	w          *bufio.Writer
+	sid        []byte // of the latest subscription
+	inboxSID   []byte // of the latest subscription by a gateway for a single request, which the request follows
+	headerLine []byte // buffer for the header line of a frame
 }
 
-// handleFrames handles the complete frames in a buffer and returns what is left of it.
+// handleFrames handles the complete frames in a buffer and returns the remaining bytes.
 func (e *echoConn) handleFrames(buf []byte) (rest []byte, err error) {
 	for len(buf) > 0 {
 		f, n, err := codec.Parse(buf, codec.Limits{MaxPayload: echoMaxPayload})
@@ -141,8 +141,8 @@
 			sid = e.inboxSID
 		}
 	}
-	e.head = codec.AppendMsg(e.head[:0], subject, sid, nil, f.HeaderSize, len(f.Body))
-	if _, err := e.w.Write(e.head); err != nil {
+	e.headerLine = codec.AppendMsg(e.headerLine[:0], subject, sid, nil, f.HeaderSize, len(f.Body))
+	if _, err := e.w.Write(e.headerLine); err != nil {
 		return err
 	}
 	if _, err := e.w.Write(f.Body); err != nil {
--- a/internal/fakeserver/natsnode.go
+++ b/internal/fakeserver/natsnode.go
@@ -9,12 +9,12 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// RequestHandler answers a request with a body, which is sent after a delay. A nil answer loses the request. It is
-// called with the cluster's lock held and must not block.
+// RequestHandler returns the body of the answer to a request and the delay after which it is sent. If the body is nil, the
+// request is never answered. The handler is called with the cluster's lock held and must not block.
 type RequestHandler func(payload []byte) (answer []byte, delay time.Duration)
 
-// NATSNode is a fake server of the NATS client protocol. It answers requests on subjects below "svc" itself, by an echo
-// unless SetHandler says otherwise.
+// NATSNode is a fake server of the NATS client protocol. It answers requests on subjects below "svc" itself: with the
+// request's body, unless a handler was set by SetHandler.
 type NATSNode struct {
 	Name     string
 	cluster  *NATSCluster
@@ -22,18 +22,18 @@
 	wg       sync.WaitGroup
 
 	// Guarded by the cluster's lock.
-	conns        map[*natsConn]struct{}
-	draining     bool
-	drainStarted time.Time
-	unannounced  bool // its INFO does not say that it drains
-	hung         bool
-	dead         bool
-	ignoresPings bool
-	holdsInfo    bool           // it accepts connections and sends them no INFO
-	handler      RequestHandler // nil: echo at once
-}
-
-// SetHandler sets how requests are answered.
+	conns            map[*natsConn]struct{}
+	draining         bool
+	drainStarted     time.Time
+	drainUnannounced bool // INFO does not announce the drain
+	hung             bool
+	dead             bool
+	ignoresPings     bool
+	withholdsInfo    bool           // new connections are accepted and receive no INFO
+	handler          RequestHandler // nil means an immediate echo
+}
+
+// SetHandler sets the handler that answers requests.
 func (n *NATSNode) SetHandler(handler RequestHandler) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -55,7 +55,7 @@
 	return count
 }
 
-// SubscriptionCount returns the number of subscriptions at the node.
+// SubscriptionCount returns the number of subscriptions of all connections to the node.
 func (n *NATSNode) SubscriptionCount() (count int) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -72,8 +72,8 @@
 	return n.cluster.deliver(n, nil, message{subject: []byte(subject), body: body})
 }
 
-// Drain puts the node into lame duck mode, in which it goes on serving what it has. With announce, its clients are
-// notified by INFO.
+// Drain puts the node into lame duck mode, in which it still serves its connections. If announce is set, it sends its
+// connections an INFO that says so.
 func (n *NATSNode) Drain(announce bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -87,15 +87,16 @@
 	}
 }
 
-// DrainUnannounced has the node counted as draining, which only the endpoint list says: it is not in lame duck mode.
+// DrainUnannounced marks the node as draining for the delivery log only. The node is not in lame duck mode, so that
+// clients know of the drain from the endpoint list alone.
 func (n *NATSNode) DrainUnannounced() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	n.draining, n.unannounced = true, true
+	n.draining, n.drainUnannounced = true, true
 	n.drainStarted = time.Now()
 }
 
-// Hang makes the node stop answering while its connections stay. It still records what it receives.
+// Hang makes the node stop answering while its connections stay open. The node still records what it receives.
 func (n *NATSNode) Hang() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -103,43 +104,43 @@
 	n.cluster.log.nodeFailed(n)
 }
 
-// IgnorePings makes the node answer no PING, so that no connection setup is confirmed.
+// IgnorePings makes the node answer no PING, so that no connection setup is confirmed by a PONG.
 func (n *NATSNode) IgnorePings() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	n.ignoresPings = true
 }
 
-// HoldInfo makes the node accept connections without sending them INFO, until SendInfo.
+// HoldInfo makes the node accept connections without sending INFO, until SendInfo is called.
 func (n *NATSNode) HoldInfo() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	n.holdsInfo = true
+	n.withholdsInfo = true
 }
 
-// SendInfo sends INFO to the connections that have had none, and to all that follow.
+// SendInfo sends INFO to the connections that have not received it, and to all later connections.
 func (n *NATSNode) SendInfo() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	n.holdsInfo = false
+	n.withholdsInfo = false
 	for c := range n.conns {
-		c.greet()
+		c.sendFirstInfo()
 	}
 }
 
-// AwaitingInfoCount returns the number of connections that have had no INFO.
+// AwaitingInfoCount returns the number of connections that have not received INFO.
 func (n *NATSNode) AwaitingInfoCount() (count int) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	for c := range n.conns {
-		if !c.greeted {
+		if !c.infoSent {
 			count++
 		}
 	}
 	return count
 }
 
-// AnswerPings makes the node answer the PINGs that it has ignored, and all that follow.
+// AnswerPings makes the node answer the PINGs that it has ignored, and all later PINGs.
 func (n *NATSNode) AnswerPings() {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -150,8 +151,8 @@
 	}
 }
 
-// Kill ends the node as a crash would: all connections are reset and new ones are refused. It does not wait for the
-// node's goroutines, as Close does.
+// Kill ends the node like a crash: all connections are reset and new connections are refused. Unlike Close, it does not
+// wait for the node's goroutines.
 func (n *NATSNode) Kill() {
 	_ = n.listener.Close()
 	n.cluster.mu.Lock()
@@ -163,7 +164,7 @@
 	}
 }
 
-// Close ends the node and waits for its goroutines.
+// Close stops the node, closes its connections and waits for its goroutines.
 func (n *NATSNode) Close() {
 	_ = n.listener.Close()
 	n.cluster.mu.Lock()
@@ -174,8 +175,8 @@
 	n.wg.Wait()
 }
 
-// CutMidMessage ends one connection in the middle of a message's payload. It reports whether there was one with a
-// subscription that can receive such a message.
+// CutMidMessage closes one connection in the middle of a message's payload. It reports whether it found a connection with
+// a subscription to a subject without wildcards, which such a message needs.
 func (n *NATSNode) CutMidMessage() bool {
 	const announcedBytes, partialBody = 100, "half of it"
 	n.cluster.mu.Lock()
@@ -193,7 +194,9 @@
 	return false
 }
 
-func (n *NATSNode) info() []byte { return appendServerInfo(nil, n.Name, n.draining && !n.unannounced) }
+func (n *NATSNode) info() []byte {
+	return appendServerInfo(nil, n.Name, n.draining && !n.drainUnannounced)
+}
 
 func (n *NATSNode) hasSubscription(subject []byte) bool {
 	for c := range n.conns {
@@ -216,7 +219,7 @@
 	}
 }
 
-// serve starts the goroutines of a connection, unless the node was killed in the meantime.
+// serve starts the goroutines of a connection, unless the node was killed.
 func (n *NATSNode) serve(socket net.Conn) {
 	c := newNATSConn(n, socket)
 	n.cluster.mu.Lock()
@@ -226,12 +229,12 @@
 		return
 	}
 	n.conns[c] = struct{}{}
-	c.greet()
+	c.sendFirstInfo()
 	n.wg.Go(c.writeLoop)
 	n.wg.Go(c.readLoop)
 }
 
-// handleRequest answers a request, at once or after the delay that the handler wants. The cluster's lock is held.
+// handleRequest answers a request, immediately or after the delay that the handler returns. The caller holds the lock.
 func (n *NATSNode) handleRequest(f *codec.Frame) {
 	body, delay := bytes.Clone(f.Body), time.Duration(0)
 	if n.handler != nil {
