--- a/internal/experiment/stopclient.go
+++ b/internal/experiment/stopclient.go
@@ -12,69 +12,70 @@
 )
 
 const (
-	stopLineInterval = 40 * time.Millisecond // between the lines of a client
-	stopReadMargin   = 400 * time.Millisecond
+	stopLineInterval = 40 * time.Millisecond  // between the lines that a client sends
+	stopReadMargin   = 400 * time.Millisecond // for which a client goes on reading after the kill
 )
 
-// stopClientKind is how a client sends its opening line.
+// stopClientKind says how a client sends its OPEN line.
 type stopClientKind int
 
 const (
-	clientWhole  stopClientKind = iota
-	clientHalved                // in two parts, some milliseconds apart
-	clientLeaves                // it closes its connection right after its line, or a moment later
-	clientKinds
+	clientSendsAtOnce  stopClientKind = iota
+	clientSendsInParts                // in two parts, with a pause of some milliseconds between them
+	clientDisconnects                 // at once; the client closes its connection immediately or shortly afterwards
+	clientKindCount
 )
 
-// stopClient is a client with one request.
+// stopClient is a client that sends one request.
 type stopClient struct {
 	run     *stopRun
 	request string
 	conn    net.Conn
 
-	mu          sync.Mutex
-	established bool
-	moved       bool // it was asked to leave
-	ended       bool
-	unanswered  []time.Time // lines without an echo
-	heldBack    bool        // a line was, which was recorded
+	mu                sync.Mutex
+	established       bool
+	moved             bool // the client has received MOVE
+	ended             bool
+	pendingEchoes     []time.Time // send times of the lines that were not echoed yet
+	echoDelayRecorded bool        // an overdue echo was recorded as a violation
 }
 
-// ask connects and sends a request, and follows it to its end. again marks a client that was moved.
-func (r *stopRun) ask(kind stopClientKind, pause time.Duration, again bool) {
+// runClient connects a client, sends a request and handles it until it ends. again says that the client reconnects after
+// MOVE.
+func (r *stopRun) runClient(kind stopClientKind, pause time.Duration, again bool) {
 	c := &stopClient{run: r, request: r.nextRequest()}
 	conn, err := net.Dial("tcp", r.listen)
 	if err != nil {
-		if r.isFrontOpen() {
-			r.recorder.violate(requestUnanswered, "%s can't connect: %v", c.request, err)
+		if r.routesNewClients() {
+			r.recorder.recordViolation(requestUnanswered, "request %s: connect: %v", c.request, err)
 		}
 		return
 	}
 	c.conn = conn
-	defer c.leave()
+	defer c.disconnect()
 	suffix := ""
 	if again {
 		suffix = ",again=1"
 	}
 	line := fmt.Sprintf("OPEN %s %s c=lines,d=%d%s\r\n", c.request, c.request, stopDeadline.Milliseconds(), suffix)
-	if !c.sendOpening(kind, line, pause) {
+	if !c.sendOpenLine(kind, line, pause) {
 		return
 	}
-	r.count(func(report *stopReport) { report.Requests++ })
-	if kind == clientLeaves {
+	r.updateReport(func(report *stopReport) { report.Requests++ })
+	if kind == clientDisconnects {
 		time.Sleep(pause)
-		if r.scenario.plant == plantLateAttempt {
-			r.plantAttempt(r.servers[stopServers-1], c.request, plantLeaveDelay)
+		if r.scenario.plantedFault == plantLateAttempt {
+			r.sendPlantedAttempt(r.servers[stopServers-1], c.request, plantDisconnectDelay)
 		}
 		return
 	}
-	c.follow()
+	c.handleAnswer()
 }
 
-// sendOpening sends the opening line, and reports whether all of it was taken.
-func (c *stopClient) sendOpening(kind stopClientKind, line string, pause time.Duration) bool {
+// sendOpenLine sends the OPEN line, and reports whether all of it was written.
+func (c *stopClient) sendOpenLine(kind stopClientKind, line string, pause time.Duration) bool {
 	parts := []string{line}
-	if kind == clientHalved {
+	if kind == clientSendsInParts {
 		parts = []string{line[:len(line)/2], line[len(line)/2:]}
 	}
 	for i, part := range parts {
@@ -82,45 +83,46 @@
 			time.Sleep(pause)
 		}
 		if _, err := io.WriteString(c.conn, part); err != nil {
-			return false // ended before the line's last byte
+			return false // the connection ended before the last byte of the line
 		}
 	}
 	return true
 }
 
-// follow reads the answer and goes on by it.
-func (c *stopClient) follow() {
+// handleAnswer reads the answer to OPEN. It uses an established connection, and expects nothing after BUSY or ERR.
+func (c *stopClient) handleAnswer() {
 	r := c.run
-	_ = c.conn.SetReadDeadline(r.endAt().Add(stopReadMargin)) // an error shows at the next read
+	_ = c.conn.SetReadDeadline(r.killTime().Add(stopReadMargin)) // the next read reports an error
 	lines := bufio.NewReader(c.conn)
 	answer, err := lines.ReadString('\n')
 	switch {
 	case err != nil:
-		r.recorder.violate(requestUnanswered, "%s got %q, then %v", c.request, answer, err)
+		r.recorder.recordViolation(requestUnanswered, "request %s received %q, then %v", c.request, answer, err)
 	case strings.HasPrefix(answer, "UP "):
-		r.count(func(report *stopReport) { report.Served++ })
-		c.use(lines)
+		r.updateReport(func(report *stopReport) { report.Served++ })
+		c.useConnection(lines)
 	case strings.HasPrefix(answer, "BUSY"):
-		r.count(func(report *stopReport) { report.Rejected++ })
-		c.expectNoMore(lines)
+		r.updateReport(func(report *stopReport) { report.Rejected++ })
+		c.expectNoSecondAnswer(lines)
 	case strings.HasPrefix(answer, "ERR"):
-		r.count(func(report *stopReport) { report.Failed++ })
-		c.expectNoMore(lines)
+		r.updateReport(func(report *stopReport) { report.Failed++ })
+		c.expectNoSecondAnswer(lines)
 	default:
-		r.recorder.violate(requestUnanswered, "%s got %q, which is no answer", c.request, answer)
+		r.recorder.recordViolation(requestUnanswered, "request %s received %q, which is not a valid answer", c.request, answer)
 	}
 }
 
-// expectNoMore reads to the end of a connection whose request has its answer.
-func (c *stopClient) expectNoMore(lines *bufio.Reader) {
-	if rest, _ := lines.ReadString('\n'); rest != "" { // the end may be in any order
-		c.run.recorder.violate(answeredTwice, "%s got %q behind its answer", c.request, rest)
+// expectNoSecondAnswer reads from a connection whose request was answered, and records a violation if anything follows.
+func (c *stopClient) expectNoSecondAnswer(lines *bufio.Reader) {
+	if rest, _ := lines.ReadString('\n'); rest != "" { // the connection may end with or without an error
+		c.run.recorder.recordViolation(answeredTwice, "request %s received %q after its answer", c.request, rest)
 	}
 }
 
-// use sends lines on an established connection and reads what returns, until the connection or the run ends.
-func (c *stopClient) use(lines *bufio.Reader) {
-	c.run.addUser(c)
+// useConnection sends lines on an established connection and reads the echoes, until the connection or the run ends. A
+// client that received MOVE then reconnects.
+func (c *stopClient) useConnection(lines *bufio.Reader) {
+	c.run.addEstablishedClient(c)
 	c.mu.Lock()
 	c.established = true
 	c.mu.Unlock()
@@ -135,9 +137,9 @@
 	close(done)
 	sender.Wait()
 	if moved {
-		c.run.count(func(report *stopReport) { report.Moved++ })
-		c.leave()
-		c.run.comeAgain()
+		c.run.updateReport(func(report *stopReport) { report.Moved++ })
+		c.disconnect()
+		c.run.reconnectClient()
 	}
 }
 
@@ -152,88 +154,90 @@
 		}
 		c.mu.Lock()
 		if !c.moved {
-			c.unanswered = append(c.unanswered, time.Now())
+			c.pendingEchoes = append(c.pendingEchoes, time.Now())
 		}
 		c.mu.Unlock()
 		if _, err := fmt.Fprintf(c.conn, "L%d\r\n", i); err != nil {
 			return
 		}
-		c.checkHeldBack()
+		c.checkEchoDelay()
 	}
 }
 
-// checkHeldBack looks whether a line is without its echo for too long, though the server returns each at once.
-func (c *stopClient) checkHeldBack() {
+// checkEchoDelay records a violation if the echo of a line is overdue, although the server echoes each line immediately.
+func (c *stopClient) checkEchoDelay() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.moved || c.ended || c.heldBack || len(c.unanswered) == 0 || !c.run.serverIsSteady(c.request) {
+	if c.moved || c.ended || c.echoDelayRecorded || len(c.pendingEchoes) == 0 || !c.run.isLastServerServing(c.request) {
 		return
 	}
-	if waited := time.Since(c.unanswered[0]); waited > stopLineLimit+stopSlack {
-		c.heldBack = true
-		c.run.recorder.violate(lineHeldBack, "a line of %s is without its echo for %v", c.request, waited)
+	if waited := time.Since(c.pendingEchoes[0]); waited > stopEchoLimit+stopTolerance {
+		c.echoDelayRecorded = true
+		c.run.recorder.recordViolation(echoDelayed, "request %s: a line has not been echoed for %v", c.request, waited)
 	}
 }
 
-// readLines reads until the connection ends.
+// readLines reads lines until the connection ends, and handles each.
 func (c *stopClient) readLines(lines *bufio.Reader) {
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
-			c.connectionEnded(line, err)
+			c.checkConnectionEnd(line, err)
 			return
 		}
 		switch {
 		case line == "MOVE\r\n":
-			if c.run.scenario.plant != plantLostMove {
+			if c.run.scenario.plantedFault != plantLostMove {
 				c.setMoved()
 			}
 		case strings.HasPrefix(line, "L"):
-			c.echoed()
+			c.echoReceived()
 		default:
-			c.run.recorder.violate(answeredTwice, "%s got %q on its connection", c.request, line)
+			c.run.recorder.recordViolation(answeredTwice, "request %s received %q on its established connection", c.request, line)
 		}
 	}
 }
 
 func (c *stopClient) setMoved() {
-	c.run.recorder.note("%s is moved", c.request)
+	c.run.recorder.traceEvent("request %s received MOVE", c.request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.moved = true
-	c.unanswered = nil
+	c.pendingEchoes = nil
 }
 
-func (c *stopClient) echoed() {
+func (c *stopClient) echoReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.unanswered) > 0 {
-		c.unanswered = c.unanswered[1:]
+	if len(c.pendingEchoes) > 0 {
+		c.pendingEchoes = c.pendingEchoes[1:]
 	}
 }
 
-// connectionEnded looks whether an end without MOVE is one that the gateway owed it for.
-func (c *stopClient) connectionEnded(rest string, err error) {
+// checkConnectionEnd records a violation if the connection ended without a MOVE that the gateway had to send first.
+func (c *stopClient) checkConnectionEnd(rest string, err error) {
 	c.mu.Lock()
 	moved := c.moved
 	c.mu.Unlock()
 	var timeout net.Error
-	if moved || errors.As(err, &timeout) && timeout.Timeout() || c.run.mayCut() || !c.run.serverIsSteady(c.request) {
+	if moved || errors.As(err, &timeout) && timeout.Timeout() || c.run.mayCloseWithoutMove() ||
+		!c.run.isLastServerServing(c.request) {
 		return
 	}
-	c.run.recorder.violate(cutWithoutMove, "%s got %q, then %v", c.request, rest, err)
+	c.run.recorder.recordViolation(closedWithoutMove, "request %s received %q, then %v", c.request, rest, err)
 }
 
-// isHeld reports whether the connection stands, and was not asked to end, as the kernel knows it.
-func (c *stopClient) isHeld() bool {
+// isOpen reports whether the connection is established and open and has not received MOVE. It asks the kernel for an end
+// or for data that the client has not read yet.
+func (c *stopClient) isOpen() bool {
 	c.mu.Lock()
 	stands := c.established && !c.moved && !c.ended
 	c.mu.Unlock()
-	return stands && !hasEnded(c.conn) && !hasUnread(c.conn)
+	return stands && !connHasEnded(c.conn) && !connHasUnread(c.conn)
 }
 
-// leave closes the connection.
-func (c *stopClient) leave() {
-	_ = c.conn.Close() // it may be closed
-	c.run.attempts.clientLeft(c.request)
+// disconnect closes the connection.
+func (c *stopClient) disconnect() {
+	_ = c.conn.Close() // fails if it is closed already
+	c.run.attempts.clientDisconnected(c.request)
 }
--- a/internal/experiment/stopplant.go
+++ b/internal/experiment/stopplant.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// stopPlant is a fault that a run has on purpose, to show that it is seen.
-type stopPlant string
+// plantedStopFault is a fault that a run contains deliberately, to show that the checks detect it.
+type plantedStopFault string
 
 // Planted faults.
 const (
-	plantNone             stopPlant = ""
-	plantFreeze           stopPlant = "freeze"            // the process stands still after the signal
-	plantCrash            stopPlant = "crash"             // it is killed before the platform does that
-	plantDescriptors      stopPlant = "descriptors"       // it has as many descriptors at its start as it may
-	plantDuplicateAttempt stopPlant = "duplicate-attempt" // a request is sent a second time while the first is out
-	plantLateAttempt      stopPlant = "late-attempt"      // a request is sent after its client has left
-	plantLateDrain        stopPlant = "late-drain"        // a request is sent to a server long after its drain
-	plantLostMove         stopPlant = "lost-move"         // clients do not get MOVE
-	plantSecondAnswer     stopPlant = "second-answer"     // clients get a second answer
+	plantNone             plantedStopFault = ""
+	plantFreeze           plantedStopFault = "freeze"            // the process is suspended after SIGTERM
+	plantCrash            plantedStopFault = "crash"             // the process is killed before the platform would kill it
+	plantDescriptors      plantedStopFault = "descriptors"       // the process inherits as many descriptors as its limit
+	plantDuplicateAttempt plantedStopFault = "duplicate-attempt" // a request is sent again while its first attempt is open
+	plantLateAttempt      plantedStopFault = "late-attempt"      // a request is sent after its client has disconnected
+	plantLateDrain        plantedStopFault = "late-drain"        // a request is sent to a server long after its drain began
+	plantLostMove         plantedStopFault = "lost-move"         // clients ignore MOVE as if they had not received it
+	plantSecondAnswer     plantedStopFault = "second-answer"     // clients receive a second answer
 )
 
-// stopPlants are the planted faults, each with a kind of violation that it has to be seen as.
-var stopPlants = []struct {
-	plant stopPlant
+// plantedStopFaults lists the planted faults, each with a kind of violation as which it must be detected.
+var plantedStopFaults = []struct {
+	plant plantedStopFault
 	kind  violationKind
 }{
 	{plantFreeze, requestUnanswered},
 	{plantCrash, uncleanExit},
-	{plantDescriptors, descriptorsOver},
+	{plantDescriptors, tooManyDescriptors},
 	{plantDuplicateAttempt, overlappingAttempts},
-	{plantLateAttempt, sentAfterLeaving},
+	{plantLateAttempt, sentAfterDisconnect},
 	{plantLateDrain, sentToDraining},
-	{plantLostMove, cutWithoutMove},
+	{plantLostMove, closedWithoutMove},
 	{plantSecondAnswer, answeredTwice},
 }
 
-func stopPlantNames() (names []string) {
-	for _, p := range stopPlants {
+func plantedStopFaultNames() (names []string) {
+	for _, p := range plantedStopFaults {
 		names = append(names, string(p.plant))
 	}
 	return names
 }
 
 const (
-	plantSignalDelay   = 40 * time.Millisecond  // of a frozen or crashed process, from SIGTERM
-	plantLeaveDelay    = 300 * time.Millisecond // of a late attempt, from its client's end
-	plantDrainDelay    = 700 * time.Millisecond // of a late request to a draining server
-	plantedHoldingTime = 200 * time.Millisecond // for which a planted attempt stays
+	plantSignalDelay       = 40 * time.Millisecond  // from SIGTERM until the process is suspended or killed
+	plantDisconnectDelay   = 300 * time.Millisecond // from the client's disconnect to the late attempt
+	plantDrainDelay        = 700 * time.Millisecond // from the gateway's knowledge of the drain to the late request
+	plantedAttemptDuration = 200 * time.Millisecond // for which a planted attempt stays open
 )
 
-// adaptToPlant has a drawn scenario be one in which the planted fault can be seen.
-func (s *stopScenario) adaptToPlant() {
-	switch s.plant {
+// adaptToPlantedFault changes a drawn scenario so that the planted fault can be detected in it.
+func (s *stopScenario) adaptToPlantedFault() {
+	switch s.plantedFault {
 	case plantLostMove:
 		s.mode = "proxy"
 	case plantLateDrain:
-		s.discovery = discoveryWell
+		s.discovery = discoveryNormal
 		s.behaviours[0], s.changesAt[0] = serverDrains, -200*time.Millisecond
 	case plantFreeze, plantCrash:
 		s.hotRestart, s.pauses = false, nil
@@ -65,9 +65,10 @@
 	}
 }
 
-// plantSignals has the process stand still or end after the signal.
-func (r *stopRun) plantSignals() {
-	switch r.scenario.plant {
+// schedulePlantedSignal schedules the signal that suspends or kills the process after SIGTERM, if that is the planted
+// fault.
+func (r *stopRun) schedulePlantedSignal() {
+	switch r.scenario.plantedFault {
 	case plantFreeze:
 		r.after(plantSignalDelay, func() { r.process.signal(syscall.SIGSTOP) })
 	case plantCrash:
@@ -75,14 +76,14 @@
 	}
 }
 
-// plantAttempt sends a request's opening line to a server, as a gateway must not.
-func (r *stopRun) plantAttempt(server *stopServer, request string, delay time.Duration) {
+// sendPlantedAttempt sends a request's OPEN line to a server after a delay, as a correct gateway must not do.
+func (r *stopRun) sendPlantedAttempt(server *stopServer, request string, delay time.Duration) {
 	r.tasks.Go(func() {
 		time.Sleep(delay)
 		until := make(chan struct{})
-		time.AfterFunc(plantedHoldingTime, func() { close(until) })
-		if err := server.sendAsAGateway(request, until); err != nil {
-			r.recorder.note("planted attempt: %v", err)
+		time.AfterFunc(plantedAttemptDuration, func() { close(until) })
+		if err := server.sendAsGateway(request, until); err != nil {
+			r.recorder.traceEvent("planted attempt failed: %v", err)
 		}
 	})
 }
--- a/internal/experiment/stopprocess.go
+++ b/internal/experiment/stopprocess.go
@@ -17,28 +17,28 @@
 
 const descriptorSampleInterval = 2 * time.Millisecond
 
-// stopProcess is a process of the program under test.
+// stopProcess is a running process of the program under test.
 type stopProcess struct {
-	name     string
-	cmd      *exec.Cmd
-	recorder *stopRecorder
-	admin    string        // address of the operators' calls
-	exited   chan struct{} // closed when it has ended
-	err      error         // valid then
-	logs     sync.WaitGroup
+	name      string
+	cmd       *exec.Cmd
+	recorder  *stopRecorder
+	adminAddr string        // address of the admin interface
+	exited    chan struct{} // closed when the process has exited
+	err       error         // of cmd.Wait; valid after exited is closed
+	logReader sync.WaitGroup
 }
 
-// stopProcessConfig is what a process is started with.
+// stopProcessConfig holds the parameters with which a process is started.
 type stopProcessConfig struct {
-	program, configFile, tempDir, admin string
-	listener                            *os.File // inherited; nil: it listens itself
-	extraFiles                          int      // further descriptors that it inherits
+	program, configFile, tempDir, adminAddr string
+	listener                                *os.File // inherited listening socket; nil means that the process opens its own
+	extraFiles                              int      // number of further descriptors that the process inherits
 }
 
 func startStopProcess(name string, c stopProcessConfig, recorder *stopRecorder) (*stopProcess, error) {
-	p := &stopProcess{name: name, recorder: recorder, admin: c.admin, exited: make(chan struct{})}
+	p := &stopProcess{name: name, recorder: recorder, adminAddr: c.adminAddr, exited: make(chan struct{})}
 	p.cmd = exec.Command(c.program)
-	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+c.configFile, "TMPDIR="+c.tempDir, "PROXY_ADMIN_ADDR="+c.admin)
+	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+c.configFile, "TMPDIR="+c.tempDir, "PROXY_ADMIN_ADDR="+c.adminAddr)
 	if c.listener != nil {
 		p.cmd.ExtraFiles = append(p.cmd.ExtraFiles, c.listener)
 		p.cmd.Env = append(p.cmd.Env, "PROXY_PASSED_SOCKET=3")
@@ -51,39 +51,40 @@
 	for range c.extraFiles {
 		p.cmd.ExtraFiles = append(p.cmd.ExtraFiles, null)
 	}
-	errs, err := p.cmd.StderrPipe()
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	p.logs.Go(func() { p.readLog(errs) })
+	p.logReader.Go(func() { p.readLog(stderr) })
 	go func() {
 		defer close(p.exited)
-		p.logs.Wait()
+		p.logReader.Wait()
 		p.err = p.cmd.Wait()
 	}()
 	return p, nil
 }
 
-// closeFileQuietly closes a file that was only read.
+// closeFileQuietly closes a file that was only read, so that an error has no consequence.
 func closeFileQuietly(f *os.File) { _ = f.Close() }
 
-// readLog notes what the process logs. A crash of its runtime is a violation whatever the exit code.
-func (p *stopProcess) readLog(errs io.Reader) {
-	for lines := bufio.NewScanner(errs); lines.Scan(); {
+// readLog copies the log of the process to the trace. A panic, a fatal error of the Go runtime or a data race is a
+// violation, whatever the exit code.
+func (p *stopProcess) readLog(stderr io.Reader) {
+	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		line := lines.Text()
-		p.recorder.note("%s: %s", p.name, line)
+		p.recorder.traceEvent("%s: %s", p.name, line)
 		if strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") || strings.Contains(line, "DATA RACE") {
-			p.recorder.violate(uncleanExit, "%s: %s", p.name, line)
+			p.recorder.recordViolation(uncleanExit, "%s: %s", p.name, line)
 		}
 	}
 }
 
 func (p *stopProcess) signal(s syscall.Signal) {
-	p.recorder.note("%s gets %v", p.name, s)
-	_ = p.cmd.Process.Signal(s) // it may have ended
+	p.recorder.traceEvent("signal to %s: %v", p.name, s)
+	_ = p.cmd.Process.Signal(s) // fails if the process has exited
 }
 
 func (p *stopProcess) hasExited() bool {
@@ -95,25 +96,25 @@
 	}
 }
 
-// kill ends the process as the platform does, if it still runs, and waits for it.
+// kill kills the process as the platform does, if it still runs, and waits until it has exited.
 func (p *stopProcess) kill() {
 	if p.hasExited() {
 		return
 	}
-	p.recorder.note("%s is killed", p.name)
+	p.recorder.traceEvent("%s is killed", p.name)
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// checkExit looks whether a process that has ended by itself did so in order.
+// checkExit records a violation if the process has exited with an error.
 func (p *stopProcess) checkExit() {
 	if p.hasExited() && p.err != nil {
-		p.recorder.violate(uncleanExit, "%s ended with %v", p.name, p.err)
+		p.recorder.recordViolation(uncleanExit, "%s exited with %v", p.name, p.err)
 	}
 }
 
-// descriptors is how many descriptors the process has; 0 once it has ended.
-func (p *stopProcess) descriptors() int {
+// descriptorCount returns the number of open descriptorCount of the process, or 0 once it has exited.
+func (p *stopProcess) descriptorCount() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -121,27 +122,28 @@
 	return len(entries)
 }
 
-// awaitReady waits until the process says that it can serve, and reports whether that was in time.
+// awaitReady waits until the process reports that it is ready. It returns false, and records a violation, if that takes
+// longer than limit or the process exits.
 func (p *stopProcess) awaitReady(ctx context.Context, limit time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for !p.isReady(ctx) {
 		select {
 		case <-ctx.Done():
-			p.recorder.violate(notReadyInTime, "%s is not ready after %v", p.name, limit)
+			p.recorder.recordViolation(notReadyInTime, "%s was not ready within %v", p.name, limit)
 			return false
 		case <-p.exited:
-			p.recorder.violate(uncleanExit, "%s ended before it was ready: %v", p.name, p.err)
+			p.recorder.recordViolation(uncleanExit, "%s exited before it was ready: %v", p.name, p.err)
 			return false
 		case <-time.After(readyPollInterval):
 		}
 	}
-	p.recorder.note("%s is ready", p.name)
+	p.recorder.traceEvent("%s is ready", p.name)
 	return true
 }
 
 func (p *stopProcess) isReady(ctx context.Context) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.admin+"/-/ready", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.adminAddr+"/-/ready", nil)
 	if err != nil {
 		return false
 	}
@@ -154,11 +156,11 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// listenerFile returns a listening socket's file, for processes that inherit it.
+// listenerFile returns the file of a TCP listener's socket, for processes that inherit it.
 func listenerFile(l net.Listener) (*os.File, error) {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("%T has no file", l)
+		return nil, fmt.Errorf("listener of type %T is not a TCP listener", l)
 	}
 	return tcp.File()
 }
--- a/internal/experiment/stoprecorder.go
+++ b/internal/experiment/stoprecorder.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// violationKind names what may not happen around a stop.
+// violationKind names an event that must not happen around a planned stop.
 type violationKind string
 
 // Kinds of violations.
 const (
 	requestUnanswered   violationKind = "request unanswered"
 	answeredTwice       violationKind = "answered twice"
-	sentAfterLeaving    violationKind = "sent after its client left"
+	sentAfterDisconnect violationKind = "sent after its client left"
 	overlappingAttempts violationKind = "two attempts at once"
 	sentToDraining      violationKind = "sent to a draining server past the grace"
-	cutWithoutMove      violationKind = "connection cut without MOVE"
-	heldAtKill          violationKind = "connection held at the kill"
-	lineHeldBack        violationKind = "line held back"
-	descriptorsOver     violationKind = "descriptors over the limit"
+	closedWithoutMove   violationKind = "connection cut without MOVE"
+	openAtKill          violationKind = "connection held at the kill"
+	echoDelayed         violationKind = "line held back"
+	tooManyDescriptors  violationKind = "descriptors over the limit"
 	uncleanExit         violationKind = "unclean exit"
 	notReadyInTime      violationKind = "not ready in time"
 )
@@ -30,12 +30,12 @@
 }
 
 const (
-	maxTraceLines    = 20_000
-	maxPerKind       = 8 // violations that are kept
-	latenessInterval = 5 * time.Millisecond
+	maxTraceLines        = 20_000
+	maxViolationsPerKind = 8 // number of violations of each kind that are kept
+	latenessInterval     = 5 * time.Millisecond
 )
 
-// stopRecorder keeps the trace and the violations of one run. Its methods may be called from several goroutines.
+// stopRecorder records the trace and the violations of one run. Its methods may be called from several goroutines.
 type stopRecorder struct {
 	startedAt time.Time
 
@@ -50,7 +50,7 @@
 	return &stopRecorder{startedAt: time.Now(), counts: map[violationKind]int{}}
 }
 
-func (r *stopRecorder) note(format string, args ...any) {
+func (r *stopRecorder) traceEvent(format string, args ...any) {
 	line := fmt.Sprintf("%8.3f ", time.Since(r.startedAt).Seconds()) + fmt.Sprintf(format, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,18 +59,18 @@
 	}
 }
 
-func (r *stopRecorder) violate(kind violationKind, format string, args ...any) {
+func (r *stopRecorder) recordViolation(kind violationKind, format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
-	r.note("VIOLATION %s: %s", kind, detail)
+	r.traceEvent("VIOLATION %s: %s", kind, detail)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.counts[kind]++; r.counts[kind] <= maxPerKind {
+	if r.counts[kind]++; r.counts[kind] <= maxViolationsPerKind {
 		r.violations = append(r.violations, violation{Kind: kind, Detail: detail})
 	}
 }
 
-// watchLateness measures how late this process's own timers are, until done is closed.
-func (r *stopRecorder) watchLateness(done <-chan struct{}) {
+// measureLateness measures by how much the timers of this process are late, until done is closed.
+func (r *stopRecorder) measureLateness(done <-chan struct{}) {
 	ticker := time.NewTicker(latenessInterval)
 	defer ticker.Stop()
 	last := time.Now()
@@ -88,12 +88,12 @@
 	}
 }
 
-// finish adds what was recorded to a report.
+// finish adds the lateness and the violations to a report, and returns the trace.
 func (r *stopRecorder) finish(report *stopReport) (trace []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	report.LatenessMS = r.lateness.Milliseconds()
-	report.Void = r.lateness > stopSlack
+	report.Void = r.lateness > stopTolerance
 	report.Violations = append(report.Violations, r.violations...)
 	return r.trace
 }
--- a/internal/experiment/stoprun.go
+++ b/internal/experiment/stoprun.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	stopRequestInterval = 12 * time.Millisecond // between new clients
-	stopCrowdInterval   = 200 * time.Microsecond
+	stopRequestInterval = 12 * time.Millisecond  // between new clients
+	stopCrowdInterval   = 200 * time.Microsecond // between clients of the crowd
 	stopPollInterval    = 2 * time.Millisecond
 )
 
 // stopRun is the run of one scenario.
 type stopRun struct {
-	scenario *stopScenario
-	program  string
-	dir      string
-	recorder *stopRecorder
-	attempts *stopAttempts
-	servers  []*stopServer
-	catalog  *fakeserver.Catalog
-	listen   string
-	release  func() // of the address
-	socket   *os.File
-	process  *stopProcess
-	follower *stopProcess // of a hot restart
-	tasks    sync.WaitGroup
-	clients  sync.WaitGroup
-	done     chan struct{} // closed at the end of the run
-
-	mu       sync.Mutex
-	report   stopReport
-	requests int
-	users    []*stopClient
-	termAt   time.Time // of the first SIGTERM; zero before it
-	killedAt time.Time
+	scenario  *stopScenario
+	program   string
+	dir       string
+	recorder  *stopRecorder
+	attempts  *stopAttempts
+	servers   []*stopServer
+	catalog   *fakeserver.Catalog
+	listen    string
+	release   func()   // releases the listen address
+	socket    *os.File // the listening socket that both processes of a hot restart inherit; nil in other runs
+	process   *stopProcess
+	successor *stopProcess // successor process of a hot restart; nil in other runs
+	tasks     sync.WaitGroup
+	clients   sync.WaitGroup
+	done      chan struct{} // closed at the end of the run
+
+	mu                 sync.Mutex
+	report             stopReport
+	requests           int
+	establishedClients []*stopClient // clients whose connection was established
+	termAt             time.Time     // planned time of the first SIGTERM; zero before it is planned
+	killedAt           time.Time     // zero before the kill
 }
 
-// runStop runs a scenario. Its error says that it could not be run.
+// runStop runs a scenario. It returns an error if the scenario could not be run; violations are in the report.
 func runStop(ctx context.Context, program string, s *stopScenario) (report stopReport, trace []string, err error) {
 	r := &stopRun{
 		scenario: s, program: program, recorder: newStopRecorder(), done: make(chan struct{}), report: s.report(),
@@ -59,14 +59,14 @@
 	if err := r.start(ctx); err != nil {
 		return r.report, nil, err
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	trace = r.recorder.finish(&r.report)
 	return r.report, trace, nil
 }
 
-// start starts the servers, discovery and the process, and waits until it serves.
+// start starts the servers, the discovery service and the process, and waits until the process is ready.
 func (r *stopRun) start(ctx context.Context) (err error) {
 	if r.dir, err = os.MkdirTemp("", "stop-soak-"); err != nil {
 		return err
@@ -79,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		server.answersTwice = r.scenario.plant == plantSecondAnswer
+		server.answersTwice = r.scenario.plantedFault == plantSecondAnswer
 		r.servers = append(r.servers, server)
 		r.catalog.SetEndpoint(inServiceEndpoint(i, server.addr()))
 	}
@@ -89,15 +89,16 @@
 	if r.process, err = r.startProcess("first"); err != nil {
 		return err
 	}
-	r.tasks.Go(func() { r.recorder.watchLateness(r.done) })
+	r.tasks.Go(func() { r.recorder.measureLateness(r.done) })
 	r.tasks.Go(r.sampleDescriptors)
 	if !r.process.awaitReady(ctx, stopReadyLimit) {
-		return errors.New("the process does not serve")
+		return errors.New("the process did not become ready")
 	}
 	return nil
 }
 
-// reserve opens the platform's socket for a hot restart, and else reserves an address.
+// reserve opens the listening socket that the platform passes to the processes of a hot restart. In other runs it only
+// reserves an address.
 func (r *stopRun) reserve() (err error) {
 	if !r.scenario.hotRestart {
 		r.listen, r.release, err = fakeserver.ReserveAddress()
@@ -128,24 +129,24 @@
 		return nil, err
 	}
 	r.after(0, func() { <-r.done; release() })
-	c := stopProcessConfig{program: r.program, configFile: configFile, tempDir: r.dir, admin: admin, listener: r.socket}
-	if r.scenario.plant == plantDescriptors {
+	c := stopProcessConfig{program: r.program, configFile: configFile, tempDir: r.dir, adminAddr: admin, listener: r.socket}
+	if r.scenario.plantedFault == plantDescriptors {
 		c.extraFiles = r.scenario.limit()
 	}
 	return startStopProcess(name, c, r.recorder)
 }
 
-// play has clients come and go on while the process is stopped.
-func (r *stopRun) play(ctx context.Context) {
-	for range stopUsers {
-		r.clients.Go(func() { r.ask(clientWhole, 0, false) })
+// execute runs the clients and the events of the scenario, up to the kill of the process.
+func (r *stopRun) execute(ctx context.Context) {
+	for range stopInitialClients {
+		r.clients.Go(func() { r.runClient(clientSendsAtOnce, 0, false) })
 	}
 	time.Sleep(stopWarmup)
-	if r.scenario.hotRestart && !r.startFollower(ctx) {
+	if r.scenario.hotRestart && !r.startSuccessor(ctx) {
 		return
 	}
-	r.begin()
-	r.playSignals()
+	r.scheduleEvents()
+	r.sendSignals()
 	r.sleepUntil(stopKillDelay)
 	r.kill()
 	close(r.done)
@@ -153,20 +154,20 @@
 	r.attempts.wait()
 }
 
-func (r *stopRun) startFollower(ctx context.Context) bool {
-	follower, err := r.startProcess("follower")
+func (r *stopRun) startSuccessor(ctx context.Context) bool {
+	successor, err := r.startProcess("follower")
 	if err != nil {
-		r.recorder.violate(notReadyInTime, "the follower does not start: %v", err)
+		r.recorder.recordViolation(notReadyInTime, "the successor does not start: %v", err)
 		return false
 	}
 	r.mu.Lock()
-	r.follower = follower
+	r.successor = successor
 	r.mu.Unlock()
-	return follower.awaitReady(ctx, stopFollowLimit)
+	return successor.awaitReady(ctx, stopSuccessorReadyLimit)
 }
 
-// begin starts what happens around the stop. SIGTERM comes stopWarmup later.
-func (r *stopRun) begin() {
+// scheduleEvents schedules the events around the stop and starts the clients. The first SIGTERM is stopWarmup later.
+func (r *stopRun) scheduleEvents() {
 	r.mu.Lock()
 	r.termAt = time.Now().Add(stopWarmup)
 	r.mu.Unlock()
@@ -175,28 +176,28 @@
 			r.after(r.scenario.changesAt[i], func() { r.changeServer(i, behaviour) })
 		}
 	}
-	r.after(r.scenario.troubleAt, r.troubleDiscovery)
-	r.clients.Go(r.sendRequests)
+	r.after(r.scenario.discoveryFaultAt, r.disturbDiscovery)
+	r.clients.Go(r.startClients)
 	if r.scenario.crowd {
-		r.clients.Go(r.sendCrowd)
+		r.clients.Go(r.connectCrowd)
 	}
 	for _, p := range r.scenario.pauses {
 		r.after(p.at, func() { r.pause(p.length) })
 	}
-	r.plantSignals()
-	if r.scenario.plant == plantDuplicateAttempt {
+	r.schedulePlantedSignal()
+	if r.scenario.plantedFault == plantDuplicateAttempt {
 		r.after(0, r.duplicateAttempt)
 	}
 }
 
-func (r *stopRun) playSignals() {
+func (r *stopRun) sendSignals() {
 	for _, s := range r.scenario.signals {
 		r.sleepUntil(s.at)
 		r.process.signal(s.signal)
 	}
 }
 
-// pause keeps the process off the processor. It goes on at the end of the run at the latest.
+// pause suspends the process for a duration, but not beyond the end of the run.
 func (r *stopRun) pause(length time.Duration) {
 	r.process.signal(syscall.SIGSTOP)
 	defer r.process.signal(syscall.SIGCONT)
@@ -206,14 +207,15 @@
 	}
 }
 
-// changeServer has a server take up a behaviour. That it drains is known to the gateway once its watch has the list.
-func (r *stopRun) changeServer(i int, b stopBehaviour) {
+// changeServer changes the behaviour of a server. The gateway counts as knowing of a drain once it watches the list with a
+// version that contains the drain.
+func (r *stopRun) changeServer(i int, b serverBehaviour) {
 	if b == serverDrains {
 		endpoint := inServiceEndpoint(i, r.servers[i].addr())
 		endpoint.State = fakeserver.StateTerminating
 		r.catalog.SetEndpoint(endpoint)
 	}
-	r.servers[i].change(b)
+	r.servers[i].setBehaviour(b)
 	if b != serverDrains {
 		return
 	}
@@ -224,14 +226,14 @@
 		case <-time.After(stopPollInterval):
 		}
 	}
-	r.servers[i].told()
-	if r.scenario.plant == plantLateDrain {
-		r.plantAttempt(r.servers[i], r.nextRequest(), plantDrainDelay)
+	r.servers[i].drainKnown()
+	if r.scenario.plantedFault == plantLateDrain {
+		r.sendPlantedAttempt(r.servers[i], r.nextRequest(), plantDrainDelay)
 	}
 }
 
-func (r *stopRun) troubleDiscovery() {
-	r.recorder.note("discovery: %s", r.scenario.discovery)
+func (r *stopRun) disturbDiscovery() {
+	r.recorder.traceEvent("discovery: %s", r.scenario.discovery)
 	switch r.scenario.discovery {
 	case discoveryDown:
 		r.catalog.Close()
@@ -245,75 +247,78 @@
 	}
 }
 
-// sendRequests has new clients come until the front sends no more: to a process that is stopped alone that is some time after
-// SIGTERM, and with a follower the end of the run.
-func (r *stopRun) sendRequests() {
-	for i := 0; r.isFrontOpen(); i++ {
-		kind := stopClientKind(r.scenario.rng.IntN(int(clientKinds)))
+// startClients starts new clients as long as the platform routes them to the processes: until some time after SIGTERM if
+// there is one process, and until stopDeadline before the kill if there is a successor.
+func (r *stopRun) startClients() {
+	for i := 0; r.routesNewClients(); i++ {
+		kind := stopClientKind(r.scenario.rng.IntN(int(clientKindCount)))
 		pause := drawMilliseconds(r.scenario.rng, 0, 60)
-		r.clients.Go(func() { r.ask(kind, pause, false) })
+		r.clients.Go(func() { r.runClient(kind, pause, false) })
 		time.Sleep(stopRequestInterval)
 	}
 }
 
-// sendCrowd has clients connect that never finish a line.
-func (r *stopRun) sendCrowd() {
+// connectCrowd connects clients that never send a complete line, and keeps them connected until the end of the run.
+func (r *stopRun) connectCrowd() {
 	var crowd []net.Conn
 	defer func() {
 		for _, conn := range crowd {
 			_ = conn.Close()
 		}
 	}()
-	for i := 0; i < stopCrowdClients && r.isFrontOpen(); i++ {
+	for i := 0; i < stopCrowdClients && r.routesNewClients(); i++ {
 		conn, err := net.Dial("tcp", r.listen)
 		if err != nil {
 			return
 		}
 		crowd = append(crowd, conn)
 		if i%2 == 0 {
-			_, _ = conn.Write([]byte("OPEN 1 ")) // it may be closed
+			_, _ = conn.Write([]byte("OPEN 1 ")) // fails if the connection is closed
 		}
 		time.Sleep(stopCrowdInterval)
 	}
 	<-r.done
 }
 
-// comeAgain has a client return that was moved, if the front still sends it to a process.
-func (r *stopRun) comeAgain() {
-	if r.isFrontOpen() {
-		r.clients.Go(func() { r.ask(clientWhole, 0, true) })
+// reconnectClient starts the reconnect of a client that received MOVE, if the platform still routes new clients to the
+// processes.
+func (r *stopRun) reconnectClient() {
+	if r.routesNewClients() {
+		r.clients.Go(func() { r.runClient(clientSendsAtOnce, 0, true) })
 	}
 }
 
-// duplicateAttempt sends the request of a client that is served to another server.
+// duplicateAttempt sends the request of a client with an established connection to another server.
 func (r *stopRun) duplicateAttempt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.users) > 0 {
-		r.plantAttempt(r.servers[stopServers-1], r.users[0].request, 0)
+	if len(r.establishedClients) > 0 {
+		r.sendPlantedAttempt(r.servers[stopServers-1], r.establishedClients[0].request, 0)
 	}
 }
 
-// kill ends the process as the platform does, and looks at what it still held.
+// kill kills the process as the platform does. It records a violation for each connection that is still open in proxy
+// mode, if no successor runs.
 func (r *stopRun) kill() {
 	r.process.checkExit()
 	r.mu.Lock()
 	r.killedAt = time.Now()
-	users := r.users
+	clients := r.establishedClients
 	r.mu.Unlock()
-	if r.scenario.mode == "proxy" && !r.process.hasExited() && r.follower == nil {
-		for _, c := range users {
-			if c.isHeld() {
-				r.recorder.violate(heldAtKill, "%s is held", c.request)
+	if r.scenario.mode == "proxy" && !r.process.hasExited() && r.successor == nil {
+		for _, c := range clients {
+			if c.isOpen() {
+				r.recorder.recordViolation(openAtKill, "the connection of request %s is still open", c.request)
 			}
 		}
 	}
 	r.process.kill()
 }
 
-// sampleDescriptors counts the descriptors of all processes together until the end of the run.
+// sampleDescriptors counts the open descriptors of both processes until the end of the run, and records a violation once
+// their sum exceeds the limit.
 func (r *stopRun) sampleDescriptors() {
-	over := false
+	limitExceeded := false
 	for {
 		select {
 		case <-r.done:
@@ -321,28 +326,28 @@
 		case <-time.After(descriptorSampleInterval):
 		}
 		r.mu.Lock()
-		follower := r.follower
+		successor := r.successor
 		r.mu.Unlock()
-		count := r.process.descriptors()
-		if follower != nil {
-			count += follower.descriptors()
+		count := r.process.descriptorCount()
+		if successor != nil {
+			count += successor.descriptorCount()
 		}
-		r.count(func(report *stopReport) { report.Descriptors = max(report.Descriptors, count) })
-		if count > r.scenario.limit() && !over {
-			over = true
-			r.recorder.violate(descriptorsOver, "%d descriptors, the limit is %d", count, r.scenario.limit())
+		r.updateReport(func(report *stopReport) { report.Descriptors = max(report.Descriptors, count) })
+		if count > r.scenario.limit() && !limitExceeded {
+			limitExceeded = true
+			r.recorder.recordViolation(tooManyDescriptors, "%d open descriptors exceed the limit of %d", count, r.scenario.limit())
 		}
 	}
 }
 
-// close ends whatever is left of the run.
+// close ends the processes, clients, servers and files of the run, and waits for its goroutines.
 func (r *stopRun) close() (err error) {
 	select {
 	case <-r.done:
 	default:
 		close(r.done)
 	}
-	for _, p := range []*stopProcess{r.process, r.follower} {
+	for _, p := range []*stopProcess{r.process, r.successor} {
 		if p != nil {
 			p.kill()
 		}
@@ -367,7 +372,8 @@
 	return errors.Join(err, os.RemoveAll(r.dir))
 }
 
-// after calls f at a time that counts from SIGTERM, unless the run ends before; before SIGTERM is set, at once.
+// after calls f in a goroutine at a time relative to SIGTERM, unless the run ends before that. If the time of SIGTERM is not
+// set yet, it calls f immediately.
 func (r *stopRun) after(d time.Duration, f func()) {
 	r.mu.Lock()
 	termAt := r.termAt
@@ -391,21 +397,21 @@
 	time.Sleep(time.Until(termAt.Add(d)))
 }
 
-// isFrontOpen reports whether the platform sends clients to the processes.
-func (r *stopRun) isFrontOpen() bool {
+// routesNewClients reports whether the platform routes new clients to the processes.
+func (r *stopRun) routesNewClients() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.termAt.IsZero():
 		return true
-	case r.follower != nil:
+	case r.successor != nil:
 		return time.Now().Before(r.termAt.Add(stopKillDelay - stopDeadline))
 	}
-	return time.Now().Before(r.termAt.Add(r.scenario.frontDelay))
+	return time.Now().Before(r.termAt.Add(r.scenario.newClientsDuration))
 }
 
-// endAt is when the platform kills the process.
-func (r *stopRun) endAt() time.Time {
+// killTime returns the time at which the platform kills the process, or an upper bound while SIGTERM is not planned.
+func (r *stopRun) killTime() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.termAt.IsZero() {
@@ -414,9 +420,8 @@
 	return r.termAt.Add(stopKillDelay)
 }
 
-// mayCut reports whether an end without MOVE is allowed: once the process was killed, and where packets pass through and
-// the stop has begun.
-func (r *stopRun) mayCut() bool {
+// mayCloseWithoutMove reports whether a connection may end without MOVE: after the kill, and in pass mode after SIGTERM.
+func (r *stopRun) mayCloseWithoutMove() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	isStopping := !r.termAt.IsZero() && time.Now().After(r.termAt)
@@ -430,32 +435,32 @@
 	return fmt.Sprintf("%x%05x", r.scenario.seed, r.requests)
 }
 
-func (r *stopRun) addUser(c *stopClient) {
+func (r *stopRun) addEstablishedClient(c *stopClient) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.users = append(r.users, c)
+	r.establishedClients = append(r.establishedClients, c)
 }
 
-func (r *stopRun) count(add func(*stopReport)) {
+func (r *stopRun) updateReport(add func(*stopReport)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	add(&r.report)
 }
 
-// serverIsSteady reports whether the server of a request's last attempt answers and does not drain.
-func (r *stopRun) serverIsSteady(request string) bool {
-	server := r.attempts.serverOf(request)
-	return server >= 0 && r.servers[server].isSteady()
+// isLastServerServing reports whether the server of a request's latest attempt neither hangs nor drains.
+func (r *stopRun) isLastServerServing(request string) bool {
+	server := r.attempts.lastServer(request)
+	return server >= 0 && r.servers[server].isServing()
 }
 
-// hasUnread reports whether bytes have arrived on a connection that were not read.
-func hasUnread(conn net.Conn) bool {
+// connHasUnread reports whether the kernel holds received bytes of a connection that were not read.
+func connHasUnread(conn net.Conn) bool {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
 	unread := 0
-	_ = raw.Control(func(fd uintptr) { // an error: it is closed
+	_ = raw.Control(func(fd uintptr) { // fails if the connection is closed
 		unread, _ = unix.IoctlGetInt(int(fd), unix.SIOCINQ)
 	})
 	return unread > 0
--- a/internal/experiment/stopserver.go
+++ b/internal/experiment/stopserver.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// stopServer is a server of the line protocol that changes its behaviour at some moment.
+// stopServer is a server of the line protocol whose behaviour can be changed.
 type stopServer struct {
 	number   int
 	listener net.Listener
@@ -19,19 +19,19 @@
 	attempts *stopAttempts
 	tasks    sync.WaitGroup
 
-	answersTwice bool // a planted fault
+	answersTwice bool // planted fault: the server sends a second answer
 
-	mu        sync.Mutex
-	behaviour stopBehaviour
-	conns     map[net.Conn]*stopServerConn
-	toldAt    time.Time // when the gateway was told that it drains; zero: it was not
-	halves    int       // answers that were sent in parts
+	mu           sync.Mutex
+	behaviour    serverBehaviour
+	conns        map[net.Conn]*stopServerConn
+	drainKnownAt time.Time // time since which the gateway knows of the drain; zero means that it does not
+	openLines    int       // number of OPEN lines answered so far; its parity decides which split answers are completed
 }
 
 // stopServerConn is a connection to the server.
 type stopServerConn struct {
-	established bool
-	endedHere   bool // by the server
+	established    bool
+	closedByServer bool // the server has closed its side
 }
 
 func newStopServer(number int, recorder *stopRecorder, attempts *stopAttempts) (*stopServer, error) {
@@ -59,9 +59,9 @@
 	s.tasks.Wait()
 }
 
-// change takes up a behaviour. A server that drains asks those that it serves to leave.
-func (s *stopServer) change(b stopBehaviour) {
-	s.recorder.note("server %d %s", s.number, b)
+// setBehaviour changes the behaviour. A server that starts to drain sends MOVE on its established connections.
+func (s *stopServer) setBehaviour(b serverBehaviour) {
+	s.recorder.traceEvent("server %d %s", s.number, b)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behaviour = b
@@ -70,19 +70,19 @@
 	}
 	for conn, c := range s.conns {
 		if c.established {
-			c.endedHere = true
-			_, _ = io.WriteString(conn, "MOVE\r\n") // it may have ended
+			c.closedByServer = true
+			_, _ = io.WriteString(conn, "MOVE\r\n") // fails if the connection has ended
 			_ = conn.(*net.TCPConn).CloseWrite()
 		}
 	}
 }
 
-// told is called when the gateway has the list that says that the server drains.
-func (s *stopServer) told() {
-	s.recorder.note("server %d drains, and the gateway knows it", s.number)
+// drainKnown records that the gateway holds the endpoint list in which the server drains.
+func (s *stopServer) drainKnown() {
+	s.recorder.traceEvent("the gateway knows that server %d drains", s.number)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.toldAt = time.Now()
+	s.drainKnownAt = time.Now()
 }
 
 func (s *stopServer) accept() {
@@ -116,9 +116,9 @@
 		return
 	}
 	request := words[1]
-	s.checkDrain(request)
-	attempt := s.attempts.begin(request, s.number, conn)
-	defer s.attempts.answer(attempt)
+	s.checkDrainGrace(request)
+	attempt := s.attempts.attemptStarted(request, s.number, conn)
+	defer s.attempts.attemptEnded(attempt)
 	if s.answerOpen(conn, attempt) {
 		s.mu.Lock()
 		c.established = true
@@ -127,37 +127,38 @@
 	}
 }
 
-// checkDrain looks whether a request comes after the grace of a drain.
-func (s *stopServer) checkDrain(request string) {
+// checkDrainGrace records a violation if a request arrives after the drain grace.
+func (s *stopServer) checkDrainGrace(request string) {
 	s.mu.Lock()
-	toldAt := s.toldAt
+	drainKnownAt := s.drainKnownAt
 	s.mu.Unlock()
-	if late := time.Since(toldAt); !toldAt.IsZero() && late > stopDrainGrace+stopSlack {
-		s.recorder.violate(sentToDraining, "server %d got %s %v after the gateway knew that it drains", s.number, request, late)
+	if late := time.Since(drainKnownAt); !drainKnownAt.IsZero() && late > stopDrainGrace+stopTolerance {
+		s.recorder.recordViolation(sentToDraining, "server %d received request %s %v after the gateway knew of its drain",
+			s.number, request, late)
 	}
 }
 
-// answerOpen answers an opening line by the behaviour, and reports whether the connection is established.
+// answerOpen answers an OPEN line according to the behaviour, and reports whether the connection is established.
 func (s *stopServer) answerOpen(conn net.Conn, attempt *serverAttempt) bool {
 	s.mu.Lock()
 	behaviour := s.behaviour
-	s.halves++
-	completes := s.halves%2 == 0
+	s.openLines++
+	completes := s.openLines%2 == 0
 	s.mu.Unlock()
 	switch behaviour {
 	case serverHangs:
-		_, _ = io.Copy(io.Discard, conn) // until the gateway gives up
+		_, _ = io.Copy(io.Discard, conn) // until the gateway closes the connection
 		return false
 	case serverResets:
-		s.attempts.answer(attempt)
+		s.attempts.attemptEnded(attempt)
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case serverRejects, serverDrains:
-		s.attempts.answer(attempt)
-		_, _ = io.WriteString(conn, "BUSY\r\n") // the gateway may have gone
+		s.attempts.attemptEnded(attempt)
+		_, _ = io.WriteString(conn, "BUSY\r\n") // fails if the gateway has closed the connection
 		return false
-	case serverHalves:
-		return s.answerInHalves(conn, completes)
+	case serverSplitsAnswers:
+		return s.answerInParts(conn, completes)
 	}
 	answer := fmt.Sprintf("UP r%d\r\n", s.number)
 	if s.answersTwice {
@@ -167,8 +168,8 @@
 	return err == nil
 }
 
-// answerInHalves sends half a line, and the rest a moment later or never.
-func (s *stopServer) answerInHalves(conn net.Conn, completes bool) bool {
+// answerInParts sends the first part of an answer, and the rest after a quarter of the deadline or never.
+func (s *stopServer) answerInParts(conn net.Conn, completes bool) bool {
 	if _, err := io.WriteString(conn, "UP "); err != nil {
 		return false
 	}
@@ -181,7 +182,7 @@
 	return err == nil
 }
 
-// echo returns each line. A server that hangs reads them and returns nothing.
+// echo echoes each line until the connection ends. While the server hangs, it reads lines and does not echo them.
 func (s *stopServer) echo(conn net.Conn, lines *bufio.Reader) {
 	for {
 		line, err := lines.ReadString('\n')
@@ -200,15 +201,16 @@
 	}
 }
 
-// isSteady reports whether the server has answered everything so far.
-func (s *stopServer) isSteady() bool {
+// isServing reports whether the server keeps its connections and echoes each line: it neither hangs nor drains.
+func (s *stopServer) isServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.behaviour != serverHangs && s.behaviour != serverDrains
 }
 
-// sendAsAGateway sends an opening line to the server as a faulty gateway would.
-func (s *stopServer) sendAsAGateway(request string, until <-chan struct{}) error {
+// sendAsGateway sends an OPEN line to the server, as a faulty gateway would, and closes the connection when until is
+// closed.
+func (s *stopServer) sendAsGateway(request string, until <-chan struct{}) error {
 	conn, err := net.Dial("tcp", s.addr())
 	if err != nil {
 		return err
--- a/internal/experiment/stopsoak.go
+++ b/internal/experiment/stopsoak.go
@@ -14,10 +14,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// maxStopSeeds bounds the runs of one call.
+// maxStopSeeds is the largest number of runs of one command.
 const maxStopSeeds = 1000
 
-// stopReport is what the run of one seed came to, as a line of JSON.
+// stopReport is the result of the run of one seed, printed as one line of JSON.
 type stopReport struct {
 	Seed        uint64      `json:"seed"`
 	Mode        string      `json:"mode"`
@@ -34,24 +34,25 @@
 	Moved       int         `json:"moved"`
 	Descriptors int         `json:"highest_descriptors"`
 	Limit       int         `json:"descriptor_limit"`
-	LatenessMS  int64       `json:"lateness_ms"` // of this process at most: what it sees may be as late
-	Void        bool        `json:"void"`        // it was late by more than the platform's slack, so that nothing is shown
+	LatenessMS  int64       `json:"lateness_ms"` // largest timer delay of this process; its observations may be as late
+	Void        bool        `json:"void"`        // the timers were late by more than the tolerance: the run shows nothing
 	Violations  []violation `json:"violations"`
 }
 
-// stopSoakCommand runs planned stops of real processes while their clients go on, one run for each seed.
+// stopSoakCommand returns the command that stops real processes of the program as planned while clients use them, in one
+// run for each seed.
 func stopSoakCommand() *cli.Command {
 	return &cli.Command{
-		Name: "stop-soak", Usage: "processes are stopped and restarted while their clients go on",
+		Name: "stop-soak", Usage: "stop and restart processes of the program while clients use them, and check for violations",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "runs"},
+			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "number of runs, one for each seed"},
 			&cli.Uint64Flag{Name: "from", Value: 1, Usage: "the first seed"},
-			&cli.IntFlag{Name: "parallel", Value: 2, Usage: "runs side by side"},
-			&cli.StringFlag{Name: "program", Usage: "`PATH` of the program; milletvane beside this one otherwise"},
+			&cli.IntFlag{Name: "parallel", Value: 2, Usage: "number of concurrent runs"},
+			&cli.StringFlag{Name: "program", Usage: "`PATH` of the program; defaults to milletvane beside this program"},
 			&cli.StringFlag{Name: "trace", Usage: "`DIR` for a trace of each seed with a violation"},
-			&cli.StringFlag{Name: "plant", Usage: "a fault that has to be seen: " + strings.Join(stopPlantNames(), ", ")},
-			&cli.StringFlag{Name: "hot-restart", Value: string(hotRestartDrawn), Usage: "drawn, none or all: runs with a second process"},
-			&cli.BoolFlag{Name: "json", Usage: "one line of JSON a seed"},
+			&cli.StringFlag{Name: "plant", Usage: "a fault that must be detected: " + strings.Join(plantedStopFaultNames(), ", ")},
+			&cli.StringFlag{Name: "hot-restart", Value: string(hotRestartDrawn), Usage: "runs with a successor: drawn, none or all"},
+			&cli.BoolFlag{Name: "json", Usage: "print one line of JSON for each seed"},
 		},
 		Action: runStopSoak,
 	}
@@ -62,16 +63,16 @@
 	if err != nil {
 		return err
 	}
-	plant := stopPlant(c.String("plant"))
-	if plant != plantNone && !slices.Contains(stopPlantNames(), string(plant)) {
-		return fmt.Errorf("plant: %q is none of: %s", plant, strings.Join(stopPlantNames(), ", "))
+	plantedFault := plantedStopFault(c.String("plant"))
+	if plantedFault != plantNone && !slices.Contains(plantedStopFaultNames(), string(plantedFault)) {
+		return fmt.Errorf("plant: unknown fault %q, want one of: %s", plantedFault, strings.Join(plantedStopFaultNames(), ", "))
 	}
 	hotRestarts := hotRestartChoice(c.String("hot-restart"))
 	if !slices.Contains([]hotRestartChoice{hotRestartDrawn, hotRestartNone, hotRestartAll}, hotRestarts) {
-		return fmt.Errorf("hot-restart: %q is none of drawn, none and all", hotRestarts)
+		return fmt.Errorf("hot-restart: unknown value %q, want drawn, none or all", hotRestarts)
 	}
 	if c.Int("seeds") < 1 || c.Int("seeds") > maxStopSeeds {
-		return fmt.Errorf("seeds: %d is not within 1 and %d", c.Int("seeds"), maxStopSeeds)
+		return fmt.Errorf("seeds: got %d, want 1 to %d", c.Int("seeds"), maxStopSeeds)
 	}
 	soak := &stopSoak{out: c.Root().Writer, traceDir: c.String("trace"), asJSON: c.Bool("json")}
 	slots := make(chan struct{}, max(c.Int("parallel"), 1))
@@ -83,7 +84,7 @@
 		}
 		runs.Go(func() {
 			defer func() { <-slots }()
-			scenario := drawStopScenario(c.Uint64("from")+i, plant, hotRestarts)
+			scenario := drawStopScenario(c.Uint64("from")+i, plantedFault, hotRestarts)
 			report, trace, err := runStop(ctx, program, scenario)
 			soak.add(report, trace, err)
 		})
@@ -95,7 +96,7 @@
 // stopSoak collects the reports of all seeds. Its methods may be called from several goroutines.
 type stopSoak struct {
 	out      io.Writer
-	traceDir string // empty: no traces
+	traceDir string // empty means that no traces are written
 	asJSON   bool
 
 	mu      sync.Mutex
@@ -141,7 +142,7 @@
 	return os.WriteFile(name, []byte(strings.Join(trace, "\n")+"\n"), 0o644)
 }
 
-// summary prints the counts, and returns an error where a seed had a violation or could not be run.
+// summary prints the counts. It returns an error if a seed had a violation or could not be run.
 func (s *stopSoak) summary() error {
 	slices.Sort(s.failing)
 	if !s.asJSON {
@@ -149,7 +150,7 @@
 		s.errs = append(s.errs, err)
 	}
 	if len(s.failing) > 0 {
-		s.errs = append(s.errs, fmt.Errorf("violations with the seeds %v", s.failing))
+		s.errs = append(s.errs, fmt.Errorf("violations in the runs of seeds %v", s.failing))
 	}
 	return errors.Join(s.errs...)
 }
--- a/internal/experiment/stopsoak_test.go
+++ b/internal/experiment/stopsoak_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// runStopSeeds runs the soak and returns its reports.
+// runStopSeeds runs stop-soak with the given seeds and returns the reports.
 func runStopSeeds(t *testing.T, program string, from, seeds int, args ...string) (reports []stopReport) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -25,18 +25,19 @@
 		reports = append(reports, r)
 	}
 	if len(reports) != seeds {
-		t.Fatalf("%d reports of %d: %s", len(reports), seeds, errs.String())
+		t.Fatalf("got %d reports, want %d: %s", len(reports), seeds, errs.String())
 	}
 	return reports
 }
 
-// expectNoViolations checks reports; a run in which this process itself was late shows nothing.
+// expectNoViolations checks that no valid run has a violation. A run in which the timers of this process were late is
+// void.
 func expectNoViolations(t *testing.T, reports []stopReport) {
 	t.Helper()
 	valid, served, moved := 0, 0, 0
 	for _, r := range reports {
 		if r.Void {
-			t.Logf("seed %d is void: this process was late by %d ms", r.Seed, r.LatenessMS)
+			t.Logf("seed %d is void: the timers of this process were late by %d ms", r.Seed, r.LatenessMS)
 			continue
 		}
 		valid, served, moved = valid+1, served+r.Served, moved+r.Moved
@@ -46,42 +47,42 @@
 	}
 	t.Logf("%d of %d runs are valid, %d requests served, %d clients moved", valid, len(reports), served, moved)
 	if valid > 0 && (served == 0 || moved == 0) {
-		t.Error("the runs show nothing")
+		t.Errorf("got %d served requests and %d moved clients, want some of each", served, moved)
 	}
 }
 
-// Guards against whatever a planned stop may not do to clients that go on meanwhile: see violationKind.
+// A planned stop must cause none of the violations of violationKind for clients that use the process meanwhile.
 func TestStopSoak(t *testing.T) {
 	expectNoViolations(t, runStopSeeds(t, buildProgram(t), 1, 16, "--hot-restart", "none"))
 }
 
-// The same beside a process that follows on the same socket, both of which count as one.
+// The same with a successor process on the same socket. The descriptors of both processes together stay within the limit.
 func TestStopSoakWithHotRestarts(t *testing.T) {
 	expectNoViolations(t, runStopSeeds(t, buildProgram(t), 1, 8, "--hot-restart", "all"))
 }
 
-// Each planted fault is seen within twenty seeds; otherwise the tests above would prove nothing.
+// Each planted fault is detected within 20 seeds. Otherwise the tests above could pass although the checks detect nothing.
 func TestStopSoakSeesPlantedFaults(t *testing.T) {
 	program := buildProgram(t)
 	const seeds, batch = 20, 2
-	for _, p := range stopPlants {
+	for _, p := range plantedStopFaults {
 		t.Run(string(p.plant), func(t *testing.T) {
 			for from := 1; from <= seeds; from += batch {
 				for _, r := range runStopSeeds(t, program, from, batch, "--plant", string(p.plant)) {
 					for _, v := range r.Violations {
 						if v.Kind == p.kind {
-							t.Logf("seen with seed %d: %s", r.Seed, v.Detail)
+							t.Logf("detected with seed %d: %s", r.Seed, v.Detail)
 							return
 						}
 					}
 				}
 			}
-			t.Errorf("not seen as %q within %d seeds", p.kind, seeds)
+			t.Errorf("got no violation of kind %q within %d seeds", p.kind, seeds)
 		})
 	}
 }
 
-// A scenario is drawn from its seed alone, and the choice of hot restarts and plants leaves the rest as it is.
+// A scenario depends on its seed alone, and the choice of hot restarts does not change its other conditions.
 func TestStopScenarioIsDrawnFromItsSeed(t *testing.T) {
 	text := func(s *stopScenario) string {
 		r := s.report()
@@ -97,7 +98,7 @@
 		drawn := text(drawStopScenario(seed, plantNone, hotRestartDrawn))
 		for _, choice := range []hotRestartChoice{hotRestartNone, hotRestartAll} {
 			if other := text(drawStopScenario(seed, plantNone, choice)); other != drawn {
-				t.Errorf("seed %d: %s, then %s", seed, drawn, other)
+				t.Errorf("seed %d: hot restarts %q: got %s, want %s", seed, choice, other, drawn)
 			}
 		}
 		for _, part := range []string{"proxy", "pass", `"crowd":true`, "HUP", "hangs", "drains", "resets", "halves", "down", "silent", "changes"} {
@@ -106,7 +107,7 @@
 	}
 	for part, isSeen := range seen {
 		if !isSeen {
-			t.Errorf("no seed draws %s", part)
+			t.Errorf("no seed draws %s, want at least one", part)
 		}
 	}
 }
