--- a/internal/experiment/benchmark.go
+++ b/internal/experiment/benchmark.go
@@ -10,13 +10,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// benchCase is one combination of what a benchmark varies.
+// benchCase is one combination of the parameters of a benchmark.
 type benchCase struct {
-	way                      string // empty if the benchmark has only one
-	cores, sessions, payload int
+	way                      string // how messages are sent; empty if the benchmark has only one way
+	cores, sessions, payload int    // payload is in bytes
 }
 
-// benchCases returns all combinations of a command's flags, in the order in which they are measured.
+// benchCases returns all combinations of the values of a command's flags, in the order of measurement.
 func benchCases(c *cli.Command, ways []string) (cases []benchCase) {
 	for _, cores := range c.IntSlice("cores") {
 		for _, way := range ways {
@@ -32,16 +32,16 @@
 
 func benchFlags(duration time.Duration, sessions, payloads []int, payloadUsage string) []cli.Flag {
 	return []cli.Flag{
-		&cli.BoolFlag{Name: "json", Usage: "rows of JSON instead of a table"},
-		&cli.DurationFlag{Name: "span", Value: duration, Usage: "time of each measurement"},
-		&cli.IntSliceFlag{Name: "cores", Value: []int{1, 2}, Usage: "cores of the gateway and the proxy"},
-		&cli.IntSliceFlag{Name: "sessions", Value: sessions, Usage: "clients at once"},
+		&cli.BoolFlag{Name: "json", Usage: "print one line of JSON for each case instead of a table"},
+		&cli.DurationFlag{Name: "span", Value: duration, Usage: "duration of each measurement"},
+		&cli.IntSliceFlag{Name: "cores", Value: []int{1, 2}, Usage: "number of cores of the gateway and the proxy"},
+		&cli.IntSliceFlag{Name: "sessions", Value: sessions, Usage: "number of concurrent clients"},
 		&cli.IntSliceFlag{Name: "payload", Value: payloads, Usage: payloadUsage},
 	}
 }
 
-// benchResult is a row of a benchmark: the same load put directly on a fake server, through a plain proxy and through a
-// gateway.
+// benchResult is the result of one case of a benchmark: rates per second and 99th percentiles of latency in microseconds,
+// for the same load directly on a fake server, through a plain proxy and through a gateway.
 type benchResult struct {
 	Payload      int   `json:"payload"`
 	Sessions     int   `json:"sessions"`
@@ -59,22 +59,22 @@
 }
 
 var benchHeadings = []any{
-	"payload", "sessions", "cores", "direct/s", "plain/s", "gateway/s", "of plain",
+	"payload", "sessions", "cores", "direct/s", "plain/s", "gateway/s", "gateway to plain",
 	"direct p99 µs", "plain p99 µs", "gateway p99 µs",
 }
 
 func (r benchResult) cells() table.Row {
-	ofPlain := float64(r.Gateway) / float64(max(r.Plain, 1))
+	gatewayToPlain := float64(r.Gateway) / float64(max(r.Plain, 1))
 	return table.Row{
-		r.Payload, r.Sessions, r.Cores, r.Direct, r.Plain, r.Gateway, fmt.Sprintf("%.2f", ofPlain),
+		r.Payload, r.Sessions, r.Cores, r.Direct, r.Plain, r.Gateway, fmt.Sprintf("%.2f", gatewayToPlain),
 		r.DirectP99us, r.PlainP99us, r.GatewayP99us,
 	}
 }
 
-// benchRow is a result as a row of the table, or as JSON.
+// benchRow is a result that can be printed as a row of a table or as JSON.
 type benchRow interface{ cells() table.Row }
 
-// runBenchmark measures cases one after another and writes their results.
+// runBenchmark measures the cases one after the other and prints their results.
 func runBenchmark(c *cli.Command, headings []any, cases []benchCase, measure func(benchCase) (benchRow, error)) error {
 	out, asJSON := c.Root().Writer, c.Bool("json")
 	results := newTable(out, headings...)
@@ -100,16 +100,17 @@
 	return nil
 }
 
-// pinLoadGenerator makes sure that the load and the server share no core with what is measured.
+// pinLoadGenerator pins this process, which runs the clients and the server, to the cores that the measured process does
+// not use. It returns an error if no core would be left.
 func pinLoadGenerator(measuredCores int) error {
 	all := runtime.NumCPU()
 	if measuredCores < 1 || measuredCores >= all {
-		return fmt.Errorf("cores: %d of %d would leave none for the load", measuredCores, all)
+		return fmt.Errorf("cores: got %d of %d, want at least 1 and at least one left for the load", measuredCores, all)
 	}
 	return pinToCPUs(cpuRange(measuredCores, all)...)
 }
 
-// measure puts the same load directly on a server, on a plain proxy and on a gateway, one after another.
+// measure puts the same load on a server directly, through a plain proxy and through a gateway, one after the other.
 func (r *benchResult) measure(c *cli.Command, server, gatewayCommand string, load func(addr string) (loadResult, error)) error {
 	direct, err := load(server)
 	if err != nil {
--- a/internal/experiment/child.go
+++ b/internal/experiment/child.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// pinToCPUs restricts the program's threads, and those that they start, to the given processors. Each thread is pinned,
-// as those that the runtime has started already would otherwise run anywhere.
+// pinToCPUs restricts all threads of this process, and the threads that they start later, to the given processors. It pins
+// each thread, because pinning only the current one would not affect the other threads that the runtime has started.
 func pinToCPUs(cpus ...int) error {
 	var set unix.CPUSet
 	for _, cpu := range cpus {
@@ -43,13 +43,13 @@
 	return cpus
 }
 
-// child is another process of this program, confined to its cores, that runs a proxy or a gateway.
+// child is another process of this program that runs a proxy or a gateway, pinned to some cores.
 type child struct {
 	cmd  *exec.Cmd
 	addr string
 }
 
-// startChild starts a sub-command in a process and waits for the address that it prints.
+// startChild starts a sub-command in a new process and waits until it prints its address.
 func startChild(errs io.Writer, subcommand string, args ...string) (*child, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -68,14 +68,14 @@
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		started.stop()
-		return nil, fmt.Errorf("%s did not start: %w", subcommand, err)
+		return nil, fmt.Errorf("start %s: read its address: %w", subcommand, err)
 	}
 	started.addr = strings.TrimSpace(line)
 	return started, nil
 }
 
-// stop kills the process and waits for its end.
+// stop kills the process and waits until it has exited.
 func (c *child) stop() {
 	_ = c.cmd.Process.Kill()
-	_ = c.cmd.Wait() // always an error, as it was killed
+	_ = c.cmd.Wait() // always an error, because the process was killed
 }
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -19,27 +19,27 @@
 const (
 	demoRequestTimeout  = 5 * time.Second
 	demoRequestPause    = 20 * time.Millisecond
-	demoRefreshInterval = 500 * time.Millisecond // on a terminal
-	demoPrintedTables   = 6                      // elsewhere
+	demoRefreshInterval = 500 * time.Millisecond // of the table, if the output is a terminal
+	demoPrintedTables   = 6                      // number of tables, if the output is not a terminal
 	noNode              = -1
 )
 
-var errDemoFault = errors.New("something went wrong, see above")
+var errDemoFault = errors.New("the summary above shows lost sessions or requests, or faulty attempts")
 
-// demoCommand shows the program's main job: sessions migrate off a node that drains.
+// demoCommand returns the command that shows the program's main function: sessions migrate off a draining node.
 func demoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "demo", Usage: "one gateway between fake nodes and clients, while one node drains",
+		Name: "demo", Usage: "run a gateway between fake nodes and clients while one node drains",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "span", Value: 12 * time.Second, Usage: "how long it lasts"},
-			&cli.IntFlag{Name: "sessions", Value: 40, Usage: "NATS clients"},
-			&cli.StringFlag{Name: "admin", Usage: "`ADDRESS` where operators call, such as 127.0.0.1:12000"},
-			&cli.IntFlag{Name: "nodes", Value: 4, Usage: "fake nodes"},
+			&cli.DurationFlag{Name: "span", Value: 12 * time.Second, Usage: "duration of the demo"},
+			&cli.IntFlag{Name: "sessions", Value: 40, Usage: "number of NATS clients"},
+			&cli.StringFlag{Name: "admin", Usage: "`ADDRESS` of the admin interface, such as 127.0.0.1:12000"},
+			&cli.IntFlag{Name: "nodes", Value: 4, Usage: "number of fake nodes"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			nodes, sessions := c.Int("nodes"), c.Int("sessions")
 			if nodes < 2 || sessions < 1 {
-				return errors.New("at least two nodes and one session are wanted")
+				return errors.New("at least two nodes and one session are required")
 			}
 			return runDemo(ctx, c, nodes, sessions)
 		},
@@ -62,12 +62,12 @@
 	defer cancel()
 	d := &demo{
 		out: c.Root().Writer, fleet: fleet, duration: c.Duration("span"),
-		drained: noNode, sessionsBefore: make([]int, nodes),
+		drainingNode: noNode, sessionsBefore: make([]int, nodes),
 	}
 	err = d.connect(ctx, gateway.addr, sessions)
 	if err == nil {
-		d.began = time.Now()
-		d.show(ctx)
+		d.startedAt = time.Now()
+		d.showProgress(ctx)
 	}
 	cancel()
 	d.wg.Wait()
@@ -80,25 +80,25 @@
 	return d.summarize()
 }
 
-// demo is a run of the demo.
+// demo holds the state of a run of the demo.
 type demo struct {
-	out      io.Writer
-	fleet    *natsFleet
-	began    time.Time
-	duration time.Duration
-	conns    []*nats.Conn
-	wg       sync.WaitGroup // of the clients
-	counters demoCounters
-
-	drained        int   // index of the node that drains, or noNode
-	sessionsBefore []int // of each node, before the drain
+	out       io.Writer
+	fleet     *natsFleet
+	startedAt time.Time
+	duration  time.Duration
+	conns     []*nats.Conn
+	wg        sync.WaitGroup // of the clients
+	counters  demoCounters
+
+	drainingNode   int   // index of the node that drains, or noNode
+	sessionsBefore []int // by node: number of sessions before the drain
 	migrated       int
 }
 
-// demoCounters are updated by the clients.
+// demoCounters are counters that the clients update.
 type demoCounters struct {
 	asked, answered, rejected, failed atomic.Int64 // requests
-	cuts, messages                    atomic.Int64
+	disconnects, messages             atomic.Int64
 }
 
 // connect starts the clients, which send requests until ctx is done.
@@ -107,7 +107,7 @@
 		conn, err := nats.Connect("nats://"+addr, nats.Timeout(5*time.Second),
 			nats.DisconnectErrHandler(func(*nats.Conn, error) {
 				if ctx.Err() == nil {
-					d.counters.cuts.Add(1)
+					d.counters.disconnects.Add(1)
 				}
 			}))
 		if err != nil {
@@ -146,8 +146,9 @@
 	}
 }
 
-// show prints the nodes' state now and then, and drains a node after a third of the time, until ctx is done.
-func (d *demo) show(ctx context.Context) {
+// showProgress prints the state of the nodes at regular intervals until ctx is done, and drains a node after a third of the
+// duration.
+func (d *demo) showProgress(ctx context.Context) {
 	onTerminal := isTerminal(d.out)
 	interval := d.duration / demoPrintedTables
 	if onTerminal {
@@ -179,20 +180,20 @@
 }
 
 func (d *demo) countMigrated() {
-	if d.drained != noNode {
-		d.migrated = max(d.migrated, d.sessionsBefore[d.drained]-d.fleet.nodes[d.drained].ConnectionCount())
+	if d.drainingNode != noNode {
+		d.migrated = max(d.migrated, d.sessionsBefore[d.drainingNode]-d.fleet.nodes[d.drainingNode].ConnectionCount())
 	}
 }
 
 func (d *demo) drainBusiest() {
 	for i, node := range d.fleet.nodes {
 		d.sessionsBefore[i] = node.ConnectionCount()
-		if d.drained == noNode || d.sessionsBefore[i] > d.sessionsBefore[d.drained] {
-			d.drained = i
+		if d.drainingNode == noNode || d.sessionsBefore[i] > d.sessionsBefore[d.drainingNode] {
+			d.drainingNode = i
 		}
 	}
-	d.fleet.drain(d.drained)
-	d.printf("%s drains: it holds %d sessions\n", d.fleet.nodes[d.drained].Name, d.sessionsBefore[d.drained])
+	d.fleet.drain(d.drainingNode)
+	d.printf("%s drains: it has %d sessions\n", d.fleet.nodes[d.drainingNode].Name, d.sessionsBefore[d.drainingNode])
 }
 
 func (d *demo) printNodes(clearScreen bool) {
@@ -202,13 +203,13 @@
 	nodes := newTable(d.out, "node", "state", "sessions", "subscriptions")
 	for i, node := range d.fleet.nodes {
 		state := fakeserver.StateInService
-		if i == d.drained {
+		if i == d.drainingNode {
 			state = fakeserver.StateTerminating
 		}
 		nodes.AppendRow([]any{node.Name, state, node.ConnectionCount(), node.SubscriptionCount()})
 	}
 	nodes.AppendFooter([]any{
-		fmt.Sprintf("%.0f s", time.Since(d.began).Seconds()),
+		fmt.Sprintf("%.0f s", time.Since(d.startedAt).Seconds()),
 		fmt.Sprintf("asked %d", d.counters.asked.Load()),
 		fmt.Sprintf("answered %d", d.counters.answered.Load()),
 		fmt.Sprintf("moves %d", d.migrated),
@@ -216,21 +217,22 @@
 	nodes.Render()
 }
 
-// summarize prints what the run came to, and returns an error if anything was lost.
+// summarize prints the result. It returns errDemoFault if a session was disconnected, a request was not answered, or
+// attempts overlapped or were late.
 func (d *demo) summarize() error {
 	maxAttempts, overlapping, late := d.fleet.cluster.AttemptStats()
-	cuts, failed := d.counters.cuts.Load(), d.counters.failed.Load()
-	d.printf("\n%d sessions, %d cut off; %d moved off the node that drained\n", len(d.conns), cuts, d.migrated)
-	d.printf("%d requests: %d answered, %d refused or failed at once, %d without answer; "+
-		"%d attempts at most, %d at once, %d late\n",
+	disconnects, failed := d.counters.disconnects.Load(), d.counters.failed.Load()
+	d.printf("\n%d sessions, %d cut off; %d migrated off the draining node\n", len(d.conns), disconnects, d.migrated)
+	d.printf("%d requests: %d answered, %d rejected or failed, %d without an answer; "+
+		"at most %d attempts, %d overlapping, %d late\n",
 		d.counters.asked.Load(), d.counters.answered.Load(), d.counters.rejected.Load(), failed,
 		maxAttempts, overlapping, late)
 	d.printf("%d messages delivered\n", d.counters.messages.Load())
-	if cuts > 0 || failed > 0 || overlapping > 0 || late > 0 {
+	if disconnects > 0 || failed > 0 || overlapping > 0 || late > 0 {
 		return errDemoFault
 	}
 	return nil
 }
 
-// printf prints for a person who watches; if that fails, the run goes on.
+// printf prints to the user and ignores errors, so that the run continues.
 func (d *demo) printf(format string, args ...any) { _, _ = fmt.Fprintf(d.out, format, args...) }
--- a/internal/experiment/drainresult.go
+++ b/internal/experiment/drainresult.go
@@ -7,9 +7,9 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-const maxAttemptsAllowed = 5 // as natsSettings say
+const drainMaxAttempts = 5 // max_attempts of natsSettings
 
-// drainResult sums up what clients and nodes recorded.
+// drainResult is the result of nats-drain, from what the clients and the nodes recorded.
 type drainResult struct {
 	Seed        uint64 `json:"seed"`
 	Nodes       int    `json:"nodes"`
@@ -24,27 +24,27 @@
 	Overlapping int    `json:"attempts_overlapping"`
 	Late        int    `json:"sends_late"`
 	Sent        int    `json:"messages_sent"`
-	LostExcused int    `json:"messages_lost"` // that a killed or hung node had not delivered
+	LostExcused int    `json:"messages_lost"` // that a killed or hung node had to deliver
 	LostOther   int    `json:"messages_lost_other"`
 	Doubled     int    `json:"messages_doubled"`
 	Misordered  int    `json:"messages_misordered"`
 	Cut         int    `json:"sessions_cut"`
-	Reconnected int    `json:"sessions_reconnected"` // of those that were made to
+	Reconnected int    `json:"sessions_reconnected"` // of the sessions that were made to reconnect
 	Seconds     int    `json:"seconds"`
 }
 
-// faults returns an error for each figure that is not as it must be.
+// faults returns an error for each figure that is outside its allowed range.
 func (r *drainResult) faults() error {
 	var errs []error
 	check := func(ok bool, field string, n int) {
 		if !ok {
-			errs = append(errs, fmt.Errorf("%s is %d", field, n))
+			errs = append(errs, fmt.Errorf("unexpected result: %s is %d", field, n))
 		}
 	}
 	check(r.Once == r.Asked, "answered_once", r.Once)
 	check(r.Twice == 0, "answered_twice", r.Twice)
 	check(r.Unanswered == 0, "unanswered", r.Unanswered)
-	check(r.MaxAttempts <= maxAttemptsAllowed, "attempts_most", r.MaxAttempts)
+	check(r.MaxAttempts <= drainMaxAttempts, "attempts_most", r.MaxAttempts)
 	check(r.Overlapping == 0, "attempts_overlapping", r.Overlapping)
 	check(r.Late == 0, "sends_late", r.Late)
 	check(r.LostOther == 0, "messages_lost_other", r.LostOther)
@@ -54,7 +54,7 @@
 	return errors.Join(errs...)
 }
 
-// addAnswers counts the answers to a session's requests.
+// addAnswers counts the answers to the first requests of a session; requests is their number.
 func (r *drainResult) addAnswers(s *drainSession, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 		}
 	}
 	r.ByGateway += s.gatewayAnswers
-	if s.cut.Load() {
+	if s.unexpectedDisconnect.Load() {
 		r.Cut++
 	}
 }
--- a/internal/experiment/drainsession.go
+++ b/internal/experiment/drainsession.go
@@ -12,20 +12,20 @@
 	"github.com/nats-io/nats.go"
 )
 
-const drainWindow = 8 // requests that a session has in flight at once
+const drainWindow = 8 // maximum of requests that a session has in flight
 
-// drainSession is a client that records the answers and numbered messages that it receives.
+// drainSession is a client that sends requests and records the answers and numbered messages that it receives.
 type drainSession struct {
-	index             int
-	conn              *nats.Conn
-	inFlight          chan struct{} // a place for each request in flight
-	expectsDisconnect atomic.Bool
-	cut               atomic.Bool // disconnected unexpectedly
+	index                int
+	conn                 *nats.Conn
+	inFlight             chan struct{} // semaphore that holds an element for each request in flight
+	expectsDisconnect    atomic.Bool
+	unexpectedDisconnect atomic.Bool // set when the session is disconnected unexpectedly
 
 	mu               sync.Mutex
-	answers          []int // of each request
-	gatewayAnswers   int   // requests that the gateway answered itself
-	receivedMessages []int // numbers, in the order of their arrival
+	answers          []int // by request number: how many answers were received
+	gatewayAnswers   int   // number of requests that the gateway answered itself
+	receivedMessages []int // numbers of the messages in the order of their arrival
 }
 
 func connectDrainSession(addr string, index, maxRequests int) (*drainSession, error) {
@@ -36,7 +36,7 @@
 		nats.ReconnectWait(50*time.Millisecond), nats.MaxReconnects(100),
 		nats.DisconnectErrHandler(func(*nats.Conn, error) {
 			if !s.expectsDisconnect.Load() {
-				s.cut.Store(true)
+				s.unexpectedDisconnect.Store(true)
 			}
 		}))
 	if err != nil {
@@ -60,7 +60,7 @@
 }
 
 func (s *drainSession) receiveMessage(m *nats.Msg) {
-	number, _ := strconv.Atoi(string(m.Data)) // the fleet publishes numbers only
+	number, _ := strconv.Atoi(string(m.Data)) // the fleet publishes only numbers
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.receivedMessages = append(s.receivedMessages, number)
@@ -83,10 +83,12 @@
 	<-s.inFlight
 }
 
-// isGatewayAnswer reports whether the gateway answered a request itself: it was rejected, failed or timed out.
+// isGatewayAnswer reports whether the gateway itself answered a request, because it rejected the request or the request
+// failed or timed out.
 func isGatewayAnswer(m *nats.Msg) bool { return m.Header.Get("Status") != "" }
 
-// sendRequests sends requests, numbered from first, spread over a time. What stays unanswered is counted later.
+// sendRequests sends count requests, numbered from first and evenly spread over a duration. Requests without an answer are
+// counted later.
 func (s *drainSession) sendRequests(ctx context.Context, first, count int, duration time.Duration) {
 	pause := time.NewTicker(max(duration/time.Duration(max(count, 1)), time.Microsecond))
 	defer pause.Stop()
@@ -110,5 +112,6 @@
 	}
 	subject := fmt.Sprintf("svc.%s.%d", class, number%97)
 	inbox := fmt.Sprintf("answers.%d.%d", s.index, number)
-	_ = s.conn.PublishRequest(subject, inbox, fmt.Appendf(nil, "r%d-%d", s.index, number)) // counted as unanswered
+	// A request that can't be published is counted as unanswered.
+	_ = s.conn.PublishRequest(subject, inbox, fmt.Appendf(nil, "r%d-%d", s.index, number))
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,9 +1,8 @@
-// Package experiment implements the program "experiment": benchmarks, fault-injection runs and a demo. Each of its
-// sub-commands starts fake servers, gateways and clients on loopback, puts load on them and reports what it measured.
+// Package experiment implements the program "experiment": benchmarks, fault-injection runs and a demo. Each sub-command
+// starts fake servers, gateways and clients on loopback, puts load on them and reports its measurements.
 //
-// A sub-command owns all that it starts and ends it before it returns. Run may be called from several goroutines, but
-// for the benchmarks: these pin all threads of the process to some of its processors. The balancer does not import this
-// package.
+// A sub-command stops everything that it started before it returns. Run may be called from several goroutines, except for
+// the benchmarks, which pin all threads of the process to some processors. The balancer does not import this package.
 package experiment
 
 import (
@@ -19,11 +18,11 @@
 
 const programName = "experiment"
 
-// Run executes a command line, whose first element is the program's name, and returns the program's exit code: 0, or 1
-// if the experiment could not be run or found a fault. Errors are printed to errs.
+// Run executes a command line, whose first element is the program's name, and returns the exit code of the program: 0, or
+// 1 if the experiment could not be run or found a fault. It prints errors to errs.
 func Run(ctx context.Context, args []string, out, errs io.Writer) int {
 	root := &cli.Command{
-		Name: programName, Usage: "experiments with a gateway between fake servers and clients, on loopback",
+		Name: programName, Usage: "run experiments with gateways between fake servers and clients on loopback",
 		Writer: out, ErrWriter: errs,
 		Commands: []*cli.Command{
 			demoCommand(),
@@ -33,7 +32,7 @@
 			plainProxyCommand(), lineGatewayCommand(), natsGatewayCommand(),
 			silentWatchCommand(), fleetFaultsCommand(), stopSoakCommand(),
 		},
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // Run itself chooses the exit code
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // Run determines the exit code
 	}
 	if err := root.Run(ctx, args); err != nil {
 		_, _ = fmt.Fprintf(errs, "%s: %v\n", programName, err)
@@ -51,7 +50,7 @@
 
 func writeJSON(out io.Writer, v any) error { return json.NewEncoder(out).Encode(v) }
 
-// writeResult writes a result as one line of JSON with the flag "json", and indented otherwise.
+// writeResult prints a result as JSON: on one line if the flag "json" is set, and indented otherwise.
 func writeResult(c *cli.Command, v any) error {
 	out := c.Root().Writer
 	if c.Bool("json") {
@@ -65,7 +64,7 @@
 	return err
 }
 
-// newLogger returns the logger of a gateway in an experiment, which discards everything unless it is enabled.
+// newLogger returns a logger for a gateway. It discards everything unless enabled is set.
 func newLogger(errs io.Writer, enabled bool) *slog.Logger {
 	if enabled {
 		return slog.New(slog.NewTextHandler(errs, nil))
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -24,10 +24,10 @@
 	return code, o.String(), e.String()
 }
 
-// smallDrain is nats-drain on a small scale.
+// smallDrain is a command line of nats-drain with a small load.
 var smallDrain = []string{"nats-drain", "--json", "--sessions", "20", "--requests", "2000", "--messages", "100", "--span", "4s"}
 
-// A drain, a kill and a hang under load lose no request or message that is not excused.
+// No request or message is lost when nodes drain, crash and hang under load, except messages of the failed nodes.
 func TestNATSDrainAccountsForAll(t *testing.T) {
 	t.Parallel()
 	code, out, errs := run(append(smallDrain, "--seed", "5")...)
@@ -36,11 +36,11 @@
 		t.Fatalf("%v: %s%s", err, out, errs)
 	}
 	if code != 0 || r.Asked != 2020 || r.Once != r.Asked || r.Sent != 2000 || r.faults() != nil {
-		t.Errorf("exit %d, %s%s", code, out, errs)
+		t.Errorf("got exit code %d and result %+v, want 0, 2020 requests answered once and 2000 messages: %s%s", code, r, out, errs)
 	}
 }
 
-// The result shows faults; otherwise the test above would prove nothing.
+// The result shows planted faults. Otherwise the test above could pass although the checks detect nothing.
 func TestNATSDrainDetectsPlantedFaults(t *testing.T) {
 	fields := map[string]string{
 		"double": "messages_doubled", "lose": "messages_lost_other",
@@ -51,7 +51,7 @@
 			t.Parallel()
 			code, out, errs := run(append(smallDrain, "--seed", "6", "--plant", fault)...)
 			if code != 1 || !strings.Contains(errs, want) {
-				t.Errorf("exit %d, %s%s", code, out, errs)
+				t.Errorf("got exit code %d, want 1 and an error about %s: %s%s", code, want, out, errs)
 			}
 		})
 	}
@@ -61,12 +61,12 @@
 	t.Parallel()
 	code, out, errs := run("demo", "--span", "3s", "--sessions", "10")
 	if code != 0 || !strings.Contains(out, "10 sessions, 0 cut off") {
-		t.Errorf("exit %d, %s%s", code, out, errs)
+		t.Errorf("got exit code %d, want 0 and 10 sessions of which none was cut off: %s%s", code, out, errs)
 	}
 }
 
-// Gateways follow a plan through a restart and the loss of a zone. Few connections leave much to chance, hence the allowed
-// deviation; the keys are the same in each run.
+// Gateways follow a plan while a gateway restarts and a zone is lost. The small number of connections makes their
+// distribution uneven, hence the allowed deviation of 0.12. The keys are the same in each run.
 func TestPlanRun(t *testing.T) {
 	t.Parallel()
 	code, out, errs := run("plan-run", "--json", "--each", "8", "--most-off", "0.12")
@@ -75,7 +75,7 @@
 		t.Fatalf("%v: %s%s", err, out, errs)
 	}
 	if code != 0 || r.Restarted != 1 || 2*r.CrossingsWith > r.CrossingsWithout {
-		t.Errorf("exit %d, %s%s", code, out, errs)
+		t.Errorf("got exit code %d, want 0, one restart and at most half the crossings with the plan: %s%s", code, out, errs)
 	}
 }
 
@@ -92,7 +92,7 @@
 		t.Fatal(errs)
 	}
 	if text, err := os.ReadFile(svg); err != nil || !strings.Contains(string(text), "2 to b") {
-		t.Errorf("%v, no flow in %d bytes", err, len(text))
+		t.Errorf("got error %v and a picture of %d bytes, want one with the label \"2 to b\"", err, len(text))
 	}
 	f, err := os.Open(png)
 	if err != nil {
--- a/internal/experiment/faultproxy.go
+++ b/internal/experiment/faultproxy.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// streamFault is what a faultProxy does to one message of a stream.
+// streamFault is the fault that a faultProxy applies to one message of a stream.
 type streamFault string
 
 const (
@@ -17,7 +17,7 @@
 	faultLose   streamFault = "lose"
 )
 
-// copies returns how often a message is forwarded.
+// copies returns the number of times that a message is forwarded.
 func (f streamFault) copies() int {
 	switch f {
 	case faultDouble:
@@ -29,14 +29,14 @@
 	}
 }
 
-// faultProxy forwards everything between clients and a gateway unchanged, but for one fault that can be planted among
-// the messages to clients.
+// faultProxy is a proxy between clients and a gateway. It forwards everything unchanged, except that a fault can be planted
+// in the next stream message to a client.
 type faultProxy struct {
 	listener   net.Listener
 	serverAddr string
 	wg         sync.WaitGroup
 	mu         sync.Mutex
-	fault      streamFault // of the next stream message
+	fault      streamFault // applied to the next stream message
 	conns      []net.Conn
 }
 
@@ -52,8 +52,8 @@
 
 func (p *faultProxy) addr() string { return p.listener.Addr().String() }
 
-// plant makes the next stream message doubled or lost.
-func (p *faultProxy) plant(fault streamFault) {
+// setFault sets the fault that is applied to the next stream message.
+func (p *faultProxy) setFault(fault streamFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = fault
@@ -96,7 +96,7 @@
 	}
 }
 
-// forwardFrames forwards what a gateway sends, frame by frame, until either connection ends.
+// forwardFrames forwards the frames that the gateway sends, until either connection ends.
 func (p *faultProxy) forwardFrames(client, server net.Conn) {
 	defer closeQuietly(server)
 	defer closeQuietly(client)
@@ -118,7 +118,7 @@
 	}
 }
 
-// apply returns the complete frames of a buffer, with the planted fault, and what is left of it.
+// apply returns the complete frames of a buffer with the planted fault applied, and the remaining bytes.
 func (p *faultProxy) apply(in []byte) (out, rest []byte, err error) {
 	for len(in) > 0 {
 		f, n, err := codec.Parse(in, codec.Limits{})
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	fleetWarmupDuration = 6 * time.Second // of servers
-	fleetFirstVersion   = 7               // of the endpoint list
-	warmOpenings        = 20.0            // that a warm server bears in a second
-	coldShare           = 0.2             // of that, when it starts
-	coldOverloadFactor  = 4               // by which a cold server is pushed over
+	fleetWarmupDuration   = 6 * time.Second // for which a restarted server counts as cold
+	fleetFirstVersion     = 7               // of the endpoint list
+	warmOpeningsPerSecond = 20.0            // connections that a warm server can open per second
+	coldCapacityRatio     = 0.2             // fraction of warmOpeningsPerSecond that a server can open when it starts
+	coldOverloadFactor    = 4               // multiple of its cold capacity at which a cold server fails
 )
 
-// fleetOptions say what a fleet is like.
+// fleetOptions holds the options of startFleet.
 type fleetOptions struct {
-	clustered    bool   // instances are members of a cluster
-	tiers        string // of the operator files; empty: none
-	isolateFirst bool   // no peer hears the first instance
+	clustered    bool   // the instances are members of a cluster
+	tiers        string // the tiers in the operator files; empty means none
+	isolateFirst bool   // the first instance has another cluster key, so that no peer accepts its messages
 }
 
-// fleet is instances of the program under test, each a process, with fake servers and discovery.
+// fleet is a set of instances of the program under test, each a process, with fake servers and a fake discovery service.
 type fleet struct {
 	fleetScenario
 	fleetOptions
 	root        string // directory of all files
 	processes   []*fleetProcess
 	catalogAddr string
-	retired     int      // index of the server that leaves the list for good
-	releases    []func() // of reserved addresses
+	retired     int      // index of the server that retireServer removes
+	releases    []func() // release the reserved addresses
 
-	mu         sync.Mutex
-	catalog    *fakeserver.Catalog // nil: down
-	version    int64
-	endpoints  []fakeserver.Endpoint
-	lineServer []*fakeserver.LineServer
-	startedAt  []time.Time // zero for a server that never restarted
-	overloaded []bool      // pushed over, and down for good
+	mu          sync.Mutex
+	catalog     *fakeserver.Catalog // nil while discovery is down
+	version     int64
+	endpoints   []fakeserver.Endpoint
+	lineServers []*fakeserver.LineServer
+	startedAt   []time.Time // by server: the time of its restart, or zero
+	overloaded  []bool      // by server: it failed under overload and stays down
 }
 
-// startFleet starts discovery, servers and processes, and waits until all processes serve. The caller closes it.
+// startFleet starts discovery, servers and processes, and waits until all processes are ready. The caller closes the fleet.
 func startFleet(ctx context.Context, scenario fleetScenario, options fleetOptions) (*fleet, error) {
 	root, err := os.MkdirTemp("", "fleet-faults")
 	if err != nil {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return err
 		}
-		f.lineServer = append(f.lineServer, server)
+		f.lineServers = append(f.lineServers, server)
 		f.endpoints = append(f.endpoints, inServiceEndpoint(i, server.Addr()))
 	}
 	if f.catalog, err = fakeserver.NewCatalogAt("127.0.0.1:0", f.version, f.endpoints...); err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// prepareProcesses writes the files of all instances.
+// prepareProcesses reserves the addresses and writes the files of all instances.
 func (f *fleet) prepareProcesses() (err error) {
 	if err := writeClusterKeys(f.root); err != nil {
 		return err
@@ -146,7 +146,7 @@
 	return p, err
 }
 
-// reserveAddress reserves an address for the fleet's time.
+// reserveAddress reserves an address until the fleet is closed.
 func (f *fleet) reserveAddress() (string, error) {
 	addr, release, err := fakeserver.ReserveAddress()
 	if err == nil {
@@ -155,7 +155,8 @@
 	return addr, err
 }
 
-// retireServer takes a server out of the list for good. It goes on listening: what comes to it went by an old list.
+// retireServer removes a server from the endpoint list permanently. The server still listens, so that requests that follow
+// an old list are counted there.
 func (f *fleet) retireServer() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +165,7 @@
 	f.version++
 }
 
-// losePower ends processes, servers and discovery at once.
+// losePower kills all processes and stops discovery and all servers.
 func (f *fleet) losePower() {
 	for _, p := range f.processes {
 		p.kill()
@@ -173,12 +174,12 @@
 	defer f.mu.Unlock()
 	f.catalog.Close()
 	f.catalog = nil
-	for _, server := range f.lineServer {
+	for _, server := range f.lineServers {
 		server.Close()
 	}
 }
 
-// restartServer starts a server again, cold.
+// restartServer restarts a server, which is then cold.
 func (f *fleet) restartServer(index int) error {
 	server, err := fakeserver.NewLineServerAt(f.endpoints[index].Addr)
 	if err != nil {
@@ -186,12 +187,13 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lineServer[index], f.startedAt[index] = server, time.Now()
+	f.lineServers[index], f.startedAt[index] = server, time.Now()
 	f.endpoints[index].StartedMS = time.Now().UnixMilli()
 	return nil
 }
 
-// restartCatalog starts discovery again: it lists the servers that are not retired, with their starts.
+// restartCatalog restarts discovery with a later version of the list: the servers that are not retired, with their start
+// times.
 func (f *fleet) restartCatalog() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,11 +206,11 @@
 	return nil
 }
 
-// openedAtRetired counts the run's requests that came to the retired server.
-func (f *fleet) openedAtRetired() (count int) {
+// requestsAtRetiredServer returns the number of requests of this run that the retired server has received.
+func (f *fleet) requestsAtRetiredServer() (count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name, opened := range f.lineServer[f.retired].OpenedByName() {
+	for name, opened := range f.lineServers[f.retired].OpenedByName() {
 		if strings.HasPrefix(name, fmt.Sprintf("%x-", f.seed)) {
 			count += opened
 		}
@@ -216,12 +218,12 @@
 	return count
 }
 
-// requestsOpenedTwice counts the requests that more than one server accepted.
-func (f *fleet) requestsOpenedTwice() (count int) {
+// requestsAcceptedTwice returns the number of requests that servers accepted more than once.
+func (f *fleet) requestsAcceptedTwice() (count int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	opened := map[string]int{}
-	for _, server := range f.lineServer {
+	for _, server := range f.lineServers {
 		for name, n := range server.OpenedByName() {
 			opened[name] += n
 		}
@@ -234,36 +236,38 @@
 	return count
 }
 
-// endOverloadedServers has each cold server that gets too many connections fall and stay down, until ctx is done. It
-// returns their number.
-func (f *fleet) endOverloadedServers(ctx context.Context) (count int) {
+// closeOverloadedServers closes each cold server that opens too many connections in a second, until ctx is done. It returns
+// the number of these servers, which stay down.
+func (f *fleet) closeOverloadedServers(ctx context.Context) (count int) {
 	for ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
-		fallen := f.markOverloaded()
-		count += len(fallen)
-		for _, server := range fallen {
+		overloaded := f.markOverloaded()
+		count += len(overloaded)
+		for _, server := range overloaded {
 			server.Close()
 		}
 	}
 	return count
 }
 
-func (f *fleet) markOverloaded() (fallen []*fakeserver.LineServer) {
+// markOverloaded marks the cold servers that have become overloaded since the last call, and returns them.
+func (f *fleet) markOverloaded() (newlyOverloaded []*fakeserver.LineServer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i, server := range f.lineServer {
+	for i, server := range f.lineServers {
 		cold := !f.startedAt[i].IsZero() && time.Since(f.startedAt[i]) < fleetWarmupDuration
 		if cold && !f.overloaded[i] && server.MaxOpenedWithin(time.Second) > maxColdOpenings() {
 			f.overloaded[i] = true
-			fallen = append(fallen, server)
+			newlyOverloaded = append(newlyOverloaded, server)
 		}
 	}
-	return fallen
+	return newlyOverloaded
 }
 
-// maxColdOpenings is how many openings in a second a cold server bears when it starts, with the platform's slack.
+// maxColdOpenings returns the number of connections that a cold server can open per second when it starts, with the
+// tolerance that the platform allows.
 func maxColdOpenings() int {
-	n := coldOverloadFactor * coldShare * warmOpenings
+	n := coldOverloadFactor * coldCapacityRatio * warmOpeningsPerSecond
 	return int(n + 3*math.Sqrt(n) + 3)
 }
 
@@ -280,7 +284,7 @@
 	if f.catalog != nil {
 		f.catalog.Close()
 	}
-	for _, server := range f.lineServer {
+	for _, server := range f.lineServers {
 		server.Close()
 	}
 	return os.RemoveAll(f.root)
--- a/internal/experiment/fleetconfig.go
+++ b/internal/experiment/fleetconfig.go
@@ -9,7 +9,7 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// Files with cluster keys. An instance that has the isolated key is heard by no other.
+// Names of the files with cluster keys. No other instance accepts messages of an instance that has the isolated key.
 const (
 	sharedKeyFile   = "key"
 	isolatedKeyFile = "other"
@@ -27,7 +27,7 @@
 
 func instanceName(index int) string { return fmt.Sprintf("g%d", index) }
 
-// writeConfig writes an instance's configuration and returns the environment variable that names it.
+// writeConfig writes the configuration file of an instance and returns the environment variable that names the file.
 func (f *fleet) writeConfig(p *fleetProcess) (env string, err error) {
 	settings := strings.NewReplacer(
 		`"cold_ns":11000000000`, fmt.Sprintf(`"cold_ns":%d`, fleetWarmupDuration),
@@ -36,13 +36,13 @@
 		 {"name":"mid","effect":"idempotent","give_up_ns":5000000000,"slo_ns":1000000000},`,
 	).Replace(lineSettings)
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"known":%s,"settings":%s}`,
-		p.name, p.listen, f.catalogAddr, knownList(f.version, f.endpoints), settings)
+		p.name, p.listen, f.catalogAddr, endpointListJSON(f.version, f.endpoints), settings)
 	file := filepath.Join(f.root, p.name+".json")
 	return "PROXY_CONFIG=" + file, os.WriteFile(file, []byte(text), 0o600)
 }
 
-// knownList is the endpoint list in the platform's configuration.
-func knownList(version int64, endpoints []fakeserver.Endpoint) string {
+// endpointListJSON returns the endpoint list as JSON, as it stands in the configuration.
+func endpointListJSON(version int64, endpoints []fakeserver.Endpoint) string {
 	entries := make([]string, len(endpoints))
 	for i, e := range endpoints {
 		entries[i] = fmt.Sprintf(`{"id":%q,"addr":%q,"state":%q,"weight":1}`, e.ID, e.Addr, e.State)
@@ -50,8 +50,8 @@
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(entries, ","))
 }
 
-// writeClusterFile writes an instance's operator file, by which it joins the cluster, and returns the environment
-// variable that names it.
+// writeClusterFile writes the operator file with which an instance joins the cluster, and returns the environment variable
+// that names the file.
 func (f *fleet) writeClusterFile(p *fleetProcess, index int, peerAddrs []string) (env string, err error) {
 	key := sharedKeyFile
 	if f.isolateFirst && index == 0 {
--- a/internal/experiment/fleetfaults.go
+++ b/internal/experiment/fleetfaults.go
@@ -16,40 +16,40 @@
 	scenarioTiers = "tiers"
 )
 
-// plantTrustStaleList isolates an instance with an old disk, which then has to trust the old endpoint list.
+// plantTrustStaleList isolates the instance with an old disk from its peers, so that it follows the old endpoint list.
 const plantTrustStaleList = "trust-stale-list"
 
 const minInstances, maxInstances = 3, 20
 
-// fleetScenario is what a run of fleet-faults is given.
+// fleetScenario holds the parameters of a run of fleet-faults.
 type fleetScenario struct {
-	program   string // path of the executable
-	seed      uint64
-	instances int
-	plant     string // empty: none
+	program      string // path of the executable
+	seed         uint64
+	instances    int
+	plantedFault string // planted fault; empty means none
 }
 
-// servers is how many fake servers the fleet uses.
+// servers returns the number of fake servers of the fleet.
 func (s fleetScenario) servers() int { return s.instances + 3 }
 
-// faultFinder is a result that knows what in it must not be.
-type faultFinder interface{ faults() error }
+// checkedResult is a result that can check itself.
+type checkedResult interface{ faults() error }
 
 func fleetFaultsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "fleet-faults", Usage: "many processes of the program, through faults",
+		Name: "fleet-faults", Usage: "run many processes of the program through a fault scenario and check the results",
 		Flags: []cli.Flag{
 			&cli.StringFlag{
 				Name: "play", Value: scenarioPower,
 				Usage: "power: all processes, nodes and discovery lose power at once; " +
-					"tiers: three times the load that the nodes bear",
+					"tiers: the load is three times the capacity of the nodes",
 			},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.IntFlag{Name: "instances", Value: 5, Usage: "3 to 20 processes"},
-			&cli.StringFlag{Name: "program", Usage: "`PATH` of the program; milletvane beside this one otherwise"},
+			&cli.IntFlag{Name: "instances", Value: 5, Usage: "number of processes, 3 to 20"},
+			&cli.StringFlag{Name: "program", Usage: "`PATH` of the program; defaults to milletvane beside this program"},
 			&cli.StringFlag{
 				Name:  "plant",
-				Usage: "trust-stale-list: have the instance with an old disk go by it alone; the play must fail",
+				Usage: "trust-stale-list: the instance with an old disk can't ask its peers; the power scenario must fail",
 			},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -65,29 +65,29 @@
 	}
 }
 
-func runFleetFaults(ctx context.Context, c *cli.Command) (faultFinder, error) {
+func runFleetFaults(ctx context.Context, c *cli.Command) (checkedResult, error) {
 	program, err := programPath(c.String("program"))
 	if err != nil {
 		return nil, err
 	}
-	s := fleetScenario{program: program, seed: c.Uint64("seed"), instances: c.Int("instances"), plant: c.String("plant")}
+	s := fleetScenario{program: program, seed: c.Uint64("seed"), instances: c.Int("instances"), plantedFault: c.String("plant")}
 	if s.instances < minInstances || s.instances > maxInstances {
-		return nil, errors.New("3 to 20 instances are wanted")
+		return nil, errors.New("instances: the number must be 3 to 20")
 	}
 	switch name := c.String("play"); name {
 	case scenarioPower:
-		if s.plant != "" && s.plant != plantTrustStaleList {
-			return nil, fmt.Errorf("plant: %q is none of: %s", s.plant, plantTrustStaleList)
+		if s.plantedFault != "" && s.plantedFault != plantTrustStaleList {
+			return nil, fmt.Errorf("plant: unknown fault %q, want %s", s.plantedFault, plantTrustStaleList)
 		}
 		return runPowerScenario(ctx, s)
 	case scenarioTiers:
 		return runTiersScenario(ctx, s)
 	default:
-		return nil, fmt.Errorf("play: %q is none of: %s, %s", name, scenarioPower, scenarioTiers)
+		return nil, fmt.Errorf("play: unknown scenario %q, want %s or %s", name, scenarioPower, scenarioTiers)
 	}
 }
 
-// programPath returns the path of the program under test, by default milletvane beside this program.
+// programPath returns the path of the program under test. It defaults to milletvane in the directory of this program.
 func programPath(given string) (string, error) {
 	if given != "" {
 		return given, nil
--- a/internal/experiment/fleetfaults_test.go
+++ b/internal/experiment/fleetfaults_test.go
@@ -22,8 +22,8 @@
 	return program
 }
 
-// Power is lost with real processes: nothing that must not happen does, while the plain fleet goes by an old list; and an
-// instance that is left with an old disk alone is found out.
+// After a power loss of real processes, the clustered fleet has no fault, while the fleet without a cluster sends requests
+// by an old endpoint list. An instance with an old disk that is isolated from its peers is detected.
 func TestPowerScenario(t *testing.T) {
 	program := buildProgram(t)
 	runScenario := func(t *testing.T, seed, plant string) (found bool) {
@@ -36,15 +36,16 @@
 			return false
 		}
 		if r.Recovered.Served == 0 || r.Plain.Served == 0 || r.Plain.StaleActedOn == 0 || len(r.Order) == 0 {
-			t.Errorf("the run shows nothing: %+v", r)
+			t.Errorf("got %+v, want served requests of both fleets, stale requests without a cluster and events", r)
 		}
 		found = strings.Contains(errs.String(), "peers knew to be old")
 		if found != (code != 0) {
-			t.Errorf("plant %q: exit %d, %s", plant, code, errs.String())
+			t.Errorf("plant %q: got exit code %d, want 0 or an error about the old list: %s", plant, code, errs.String())
 		}
 		return found
 	}
-	// One instance that has just started sends cold nodes a request or two in the time that it is wrong, so one seed may show none.
+	// The isolated instance sends only one or two requests by its old list, because it has just started and servers are cold.
+	// A single seed may therefore show none.
 	var wg sync.WaitGroup
 	var found atomic.Int32
 	for _, seed := range []string{"2", "3", "9"} {
@@ -56,16 +57,16 @@
 	}
 	wg.Go(func() {
 		if runScenario(t, "4", "") {
-			t.Error("found without a plant")
+			t.Error("got an error about the old list without a planted fault, want none")
 		}
 	})
 	wg.Wait()
 	if found.Load() == 0 {
-		t.Error("the planted instance was not found out")
+		t.Error("got no error about the old list with the planted fault, want one from at least one seed")
 	}
 }
 
-// Under overload a fleet with tiers serves the highest, where one without serves all alike.
+// Under overload, a fleet with tiers serves mainly the highest priority, while a fleet without tiers serves all alike.
 func TestTiersScenario(t *testing.T) {
 	program := buildProgram(t)
 	var out, errs bytes.Buffer
@@ -76,6 +77,6 @@
 	}
 	if r.Shed.Unanswered > 0 || r.Shed.ServedRatio[0] < r.Plain.ServedRatio[0]+0.2 ||
 		r.Shed.ServedRatio[2] > 0.1 || r.Shed.InvertedSeconds > r.Plain.InvertedSeconds/2 {
-		t.Errorf("with tiers %+v, without %+v", r.Shed, r.Plain)
+		t.Errorf("got %+v with tiers and %+v without, want more of the highest and less of the lowest priority", r.Shed, r.Plain)
 	}
 }
--- a/internal/experiment/fleetprocess.go
+++ b/internal/experiment/fleetprocess.go
@@ -12,7 +12,7 @@
 
 const processReadyTimeout = 20 * time.Second
 
-// fleetProcess is an instance of the program under test. Methods may be called from several goroutines.
+// fleetProcess is an instance of the program under test. Its methods may be called from several goroutines.
 type fleetProcess struct {
 	name, listen, dir string
 	program           string
@@ -31,7 +31,7 @@
 	return p.cmd.Start()
 }
 
-// awaitReady waits until the process serves.
+// awaitReady waits until the process is ready, at most processReadyTimeout.
 func (p *fleetProcess) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, processReadyTimeout)
 	defer cancel()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// pause stops the process until resume is called.
+// pause suspends the process until resume is called.
 func (p *fleetProcess) pause() error { return p.signal(syscall.SIGSTOP) }
 
 func (p *fleetProcess) resume() error { return p.signal(syscall.SIGCONT) }
@@ -55,13 +55,13 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// kill ends the process as a loss of power does, and waits for its end.
+// kill kills the process, as a power loss would end it, and waits until it has exited.
 func (p *fleetProcess) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.started() {
 		_ = p.cmd.Process.Kill()
-		_ = p.cmd.Wait() // always an error, as it was killed
+		_ = p.cmd.Wait() // always an error, because the process was killed
 	}
 }
 
--- a/internal/experiment/fleetrequest.go
+++ b/internal/experiment/fleetrequest.go
@@ -11,23 +11,23 @@
 
 const (
 	fleetRequestTimeout = 2 * time.Second
-	fleetHoldDuration   = 200 * time.Millisecond // for which an established connection stays
+	fleetHoldDuration   = 200 * time.Millisecond // for which an established connection stays open
 )
 
-// requestOutcome is what became of a request.
+// requestOutcome records the outcome of a request.
 type requestOutcome struct {
 	sentAt        time.Duration // from the start of the load
 	priority      int           // 0 is the highest
-	accepted      bool          // a gateway had all of the request
+	accepted      bool          // a gateway received the whole request and did not lose power before its answer
 	served        bool
 	answeredTwice bool
-	answer        string // empty: none
+	answer        string // empty if there was no answer
 }
 
 func (o *requestOutcome) rejected() bool { return strings.HasPrefix(o.answer, "BUSY") }
 
-// send opens a connection through a gateway, holds it for a while once it is established, and watches for a second
-// answer meanwhile.
+// send sends a request to a gateway. If the connection is established, it keeps it open for fleetHoldDuration and watches
+// for a second answer.
 func (o *requestOutcome) send(gatewayAddr, class, name string) {
 	conn, err := net.DialTimeout("tcp", gatewayAddr, time.Second)
 	if err != nil {
@@ -44,7 +44,7 @@
 	o.accepted = true
 	r := bufio.NewReader(conn)
 	if o.answer, err = r.ReadString('\n'); err != nil {
-		// A gateway that lost power resets what it accepted; one that runs and does not answer has lost it.
+		// Connections to a gateway that loses power are reset. If a running gateway does not answer, it has lost the request.
 		var netErr net.Error
 		o.accepted = errors.As(err, &netErr) && netErr.Timeout()
 		return
@@ -53,6 +53,6 @@
 	if conn.SetDeadline(time.Now().Add(fleetHoldDuration)) != nil {
 		return
 	}
-	second, _ := r.ReadString('\n') // ends with the deadline, as a rule
+	second, _ := r.ReadString('\n') // usually fails at the deadline
 	o.answeredTwice = strings.HasPrefix(second, "UP ") || strings.HasPrefix(second, "BUSY")
 }
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -16,7 +16,7 @@
 
 const readyPollInterval = 10 * time.Millisecond
 
-// lineSettings are the platform's settings of experiments with the line protocol.
+// lineSettings holds the platform settings of experiments with the line protocol.
 const lineSettings = `{"caps":{"max_attempts":5,"connect_timeout_ns":1000000000,"retry_after":true,"max_retry_after_ns":2000000000},
  "discovery":"ask","family_info":{"mode":"proxy"},
  "rules":{"start_capacity":0.2,"cold_ns":11000000000,"tip_multiple":4,"fall_ns":1000000000,"stop_sending_within_ns":500000000},
@@ -24,7 +24,8 @@
 
 func noEnvironment(string) string { return "" }
 
-// lineConfig returns the configuration of a gateway that listens at an address and uses a discovery service.
+// lineConfig returns the configuration of a gateway for the line protocol with the given listen address, address of the
+// discovery service and number of cores.
 func lineConfig(listen, discovery string, cores int) (*config.Config, error) {
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"limits":{"cores":%d,"memory_mb":512,"sockets":8192},"settings":%s}`,
 		programName, listen, discovery, cores, lineSettings)
@@ -33,14 +34,14 @@
 
 // localGateway is a gateway that runs in this process.
 type localGateway struct {
-	addr   string // where clients connect
+	addr   string // to which clients connect
 	cancel context.CancelFunc
-	done   chan struct{} // closed when it has ended
-	err    error         // valid once it has ended
+	done   chan struct{} // closed when the gateway has ended
+	err    error         // of the gateway; valid after done is closed
 }
 
-// startGateway runs a gateway until ctx is done or it is closed, and waits until it serves. Readiness is determined at
-// the address of its line protocol.
+// startGateway runs a gateway until ctx is done or the gateway is closed. It returns when the gateway is ready, which it
+// checks at lineAddr, the address of the line protocol.
 func startGateway(ctx context.Context, conf *config.Config, lineAddr string, options ...gateway.Option) (*localGateway, error) {
 	g, err := gateway.New(*conf, options...)
 	if err != nil {
@@ -53,7 +54,7 @@
 		local.err = g.Run(ctx)
 	}()
 	if err := awaitReady(ctx, lineAddr); err != nil {
-		_ = local.close() // the first error is the one that counts
+		_ = local.close() // the first error is returned
 		return nil, fmt.Errorf("gateway at %s is not ready: %w", lineAddr, err)
 	}
 	return local, nil
@@ -69,7 +70,7 @@
 	return g.wait()
 }
 
-// awaitReady waits until a gateway answers PING with PONG: it has an endpoint list and can serve.
+// awaitReady waits until a gateway answers PING with PONG, which means that it has an endpoint list.
 func awaitReady(ctx context.Context, addr string) error {
 	for !answersPing(addr) {
 		select {
@@ -97,12 +98,12 @@
 	return err == nil && line == "PONG\r\n"
 }
 
-// closeQuietly closes a connection whose data has been received already, so that an error has no consequence.
+// closeQuietly closes a connection whose data was already received, so that an error has no consequence.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
 
-// startConfined pins a program that a benchmark starts to its cores, and starts a catalog of the one server that it is
-// to use.
-func startConfined(c *cli.Command) (*fakeserver.Catalog, error) {
+// pinAndStartCatalog pins this process, which a benchmark has started, to the number of cores of the flag "cores". It starts a
+// discovery service that lists the server of the flag "to".
+func pinAndStartCatalog(c *cli.Command) (*fakeserver.Catalog, error) {
 	if err := pinToCPUs(cpuRange(0, c.Int("cores"))...); err != nil {
 		return nil, err
 	}
@@ -116,21 +117,22 @@
 	return fakeserver.Endpoint{ID: endpointID(index), Addr: addr, State: fakeserver.StateInService, Weight: 1}
 }
 
-func confinedFlags() []cli.Flag {
+func pinnedChildFlags() []cli.Flag {
 	return []cli.Flag{&cli.IntFlag{Name: "cores", Value: 1}, &cli.StringFlag{Name: "to", Required: true}}
 }
 
-// lineGatewayCommand runs a gateway, confined to its cores, in front of one server of the line protocol.
+// lineGatewayCommand returns the command that runs a gateway in front of one server of the line protocol, pinned to some
+// cores.
 func lineGatewayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "line-gateway", Hidden: true, Usage: "a gateway, which benchmarks start",
-		Flags:  confinedFlags(),
+		Name: "line-gateway", Hidden: true, Usage: "run a gateway for the line protocol; started by benchmarks",
+		Flags:  pinnedChildFlags(),
 		Action: runLineGateway,
 	}
 }
 
 func runLineGateway(ctx context.Context, c *cli.Command) error {
-	catalog, err := startConfined(c)
+	catalog, err := pinAndStartCatalog(c)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/linebench.go
+++ b/internal/experiment/linebench.go
@@ -15,8 +15,8 @@
 
 func lineBenchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "relay-bench", Usage: "measure lines a second through the gateway, a plain proxy and directly to a server",
-		Flags: benchFlags(3*time.Second, []int{1, 50}, []int{128}, "bytes of a line, its end included"),
+		Name: "relay-bench", Usage: "measure lines per second through a gateway, through a plain proxy and directly to a server",
+		Flags: benchFlags(3*time.Second, []int{1, 50}, []int{128}, "length of a line in bytes, including its end"),
 		Action: func(_ context.Context, c *cli.Command) error {
 			return runBenchmark(c, benchHeadings, benchCases(c, []string{""}), func(bench benchCase) (benchRow, error) {
 				return measureLines(c, bench)
@@ -38,7 +38,7 @@
 	return result, err
 }
 
-// lineLoad has each session send a line and wait until it comes back, again and again.
+// lineLoad runs sessions that repeatedly send a line and wait for its echo, and returns the measured rate and latency.
 func lineLoad(addr string, sessions, payload int, duration time.Duration) (loadResult, error) {
 	line := []byte(strings.Repeat("x", max(payload-2, 0)) + "\r\n")
 	return runLoad(sessions, duration, func(index int) (loadSession, error) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// lineSession is an established connection that waits for the echo of each line.
+// lineSession is an established connection that waits for the echo of each line before it sends the next.
 type lineSession struct {
 	conn     net.Conn
 	reader   *bufio.Reader
@@ -74,10 +74,10 @@
 	}
 	answer, err := s.reader.ReadString('\n')
 	if err != nil {
-		return fmt.Errorf("read the answer to OPEN, got %q: %w", answer, err)
+		return fmt.Errorf("read the answer to OPEN: got %q: %w", answer, err)
 	}
 	if !strings.HasPrefix(answer, "UP") {
-		return fmt.Errorf("OPEN was answered with %q", answer)
+		return fmt.Errorf("got answer %q to OPEN, want UP", answer)
 	}
 	return nil
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -7,20 +7,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// loadResult is what a load measured.
+// loadResult is the result of a load.
 type loadResult struct {
-	perSecond int64 // messages that came back
-	p99us     int64 // 99th percentile of their times, in microseconds
+	perSecond int64 // messages that returned per second
+	p99us     int64 // 99th percentile of their latency in microseconds
 }
 
 // loadSession is a client that puts load on a server.
 type loadSession interface {
-	// run sends and receives messages for the time of the measurement, and records the time of each.
+	// run sends and receives messages for the duration of the measurement, and records the latency of each.
 	run(latencies *latencyHistogram) error
 	close()
 }
 
-// latencyHistogram records times of 1 µs to a minute.
+// latencyHistogram records latencies from 1 µs to one minute.
 type latencyHistogram struct{ *hdrhistogram.Histogram }
 
 func newLatencyHistogram() *latencyHistogram {
@@ -28,10 +28,10 @@
 	return &latencyHistogram{hdrhistogram.New(minMicroseconds, maxMicroseconds, significantFigures)}
 }
 
-// record adds a time. One over the maximum is not counted.
+// record adds a latency. A latency above the maximum is not counted.
 func (h *latencyHistogram) record(d time.Duration) { _ = h.RecordValue(max(d.Microseconds(), 1)) }
 
-// runLoad sets sessions up, runs all at once when each is ready, and returns their result with the first error.
+// runLoad connects all sessions, then runs them concurrently, and returns their common result and the first error.
 func runLoad(sessions int, duration time.Duration, connect func(index int) (loadSession, error)) (loadResult, error) {
 	var mu sync.Mutex
 	var firstErr error
--- a/internal/experiment/natsbench.go
+++ b/internal/experiment/natsbench.go
@@ -16,20 +16,20 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// Ways to send messages.
+// Values of the flag "way": how a session sends messages.
 const (
-	wayOne     = "one"     // each message waits for the one before
-	wayPipe    = "pipe"    // pipelineWindow messages are in flight
+	wayOne     = "one"     // one message at a time: the next follows when it has returned
+	wayPipe    = "pipe"    // pipelineWindow messages in flight
 	wayRequest = "request" // one request at a time, which the gateway tracks
 )
 
 const (
 	pipelineWindow = 32
-	benchSubject   = "bench" // what each session subscribes to
+	benchSubject   = "bench" // the subject to which each session subscribes
 	trackedSubject = "svc.safe.7"
 )
 
-// natsBenchResult is a row of nats-bench.
+// natsBenchResult is the result of one case of nats-bench.
 type natsBenchResult struct {
 	benchResult
 	Way string `json:"way"`
@@ -38,11 +38,11 @@
 func (r natsBenchResult) cells() table.Row { return append(table.Row{r.Way}, r.benchResult.cells()...) }
 
 func natsBenchCommand() *cli.Command {
-	flags := benchFlags(time.Second, []int{1, 50, 500}, []int{16, 128, 4096}, "bytes of a message")
+	flags := benchFlags(time.Second, []int{1, 50, 500}, []int{16, 128, 4096}, "payload of a message in bytes")
 	flags = append(flags,
-		&cli.StringSliceFlag{Name: "way", Value: []string{wayOne, wayPipe, wayRequest}, Usage: "one, pipe or request"})
+		&cli.StringSliceFlag{Name: "way", Value: []string{wayOne, wayPipe, wayRequest}, Usage: "how to send: one, pipe or request"})
 	return &cli.Command{
-		Name: "nats-bench", Usage: "measure NATS messages a second through the gateway, a plain proxy and directly to a node",
+		Name: "nats-bench", Usage: "measure NATS messages per second through a gateway, through a plain proxy and directly to a node",
 		Flags: flags,
 		Action: func(_ context.Context, c *cli.Command) error {
 			headings := append([]any{"way"}, benchHeadings...)
@@ -66,7 +66,7 @@
 	return result, err
 }
 
-// natsLoad has each session publish and wait for what comes back.
+// natsLoad runs sessions that publish messages and receive them back, and returns the measured rate and latency.
 func natsLoad(addr string, bench benchCase, duration time.Duration) (loadResult, error) {
 	window := 1
 	if bench.way == wayPipe {
@@ -93,7 +93,7 @@
 	return append(append(frame, strings.Repeat("x", payload)...), "\r\n"...)
 }
 
-// natsSession is a connection that keeps a window of messages in flight.
+// natsSession is a client connection that keeps a window of messages in flight.
 type natsSession struct {
 	conn     net.Conn
 	reader   *bufio.Reader
@@ -117,7 +117,7 @@
 	if err := s.send(s.window); err != nil {
 		return err
 	}
-	batch := max(s.window/2, 1) // half a window at once, as clients that buffer do
+	batch := max(s.window/2, 1) // sends half a window at once, like clients that buffer their writes
 	end := time.Now().Add(s.duration)
 	for i := 0; ; i = (i + 1) % s.window {
 		if err := s.receive(); err != nil {
@@ -149,13 +149,13 @@
 		return err
 	}
 	if !bytes.HasPrefix(line, []byte("MSG ")) {
-		return fmt.Errorf("expected a message, got %q", line)
+		return fmt.Errorf("got %q, want MSG", line)
 	}
 	_, err = s.reader.Discard(s.payload + len("\r\n"))
 	return err
 }
 
-// dialNATS connects a session that subscribes to benchSubject.
+// dialNATS connects to a server and subscribes to benchSubject. The reader holds what was read from the connection so far.
 func dialNATS(addr string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -181,7 +181,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return fmt.Errorf("read the answer to CONNECT, got %q: %w", line, err)
+			return fmt.Errorf("read the answer to CONNECT: got %q: %w", line, err)
 		}
 		if strings.HasPrefix(line, "-ERR") {
 			return fmt.Errorf("CONNECT was answered with %q", line)
--- a/internal/experiment/natsdrain.go
+++ b/internal/experiment/natsdrain.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	minDrainNodes = 4               // three of them fail
-	drainSettle   = 4 * time.Second // the longest deadline, and a migration off the node that hangs
+	minDrainNodes = 4               // three nodes fail, one must stay healthy
+	drainSettle   = 4 * time.Second // covers the longest deadline and a migration off the hung node
 )
 
-// Faults that are not the gateway's and that the results must show.
+// Planted faults that the experiment causes itself; the result must show them.
 const (
 	plantLate    = "late"
 	plantOverlap = "overlap"
@@ -28,21 +28,21 @@
 
 func natsDrainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "nats-drain", Usage: "drain, kill and hang NATS nodes under load, and account for every request and message",
+		Name: "nats-drain", Usage: "drain, kill and hang NATS nodes under load, and check every request and message",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the load and the order of events"},
-			&cli.BoolFlag{Name: "json", Usage: "the result as one JSON object"},
-			&cli.IntFlag{Name: "nodes", Value: 6, Usage: "fake nodes, at least 4"},
-			&cli.IntFlag{Name: "sessions", Value: 200, Usage: "clients, each a nats.go connection"},
-			&cli.IntFlag{Name: "requests", Value: 50_000, Usage: "requests in all"},
-			&cli.IntFlag{Name: "messages", Value: 200, Usage: "numbered messages a session"},
-			&cli.DurationFlag{Name: "span", Value: 15 * time.Second, Usage: "time over which the load is spread"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the load and of the order of events"},
+			&cli.BoolFlag{Name: "json", Usage: "print the result as one line of JSON"},
+			&cli.IntFlag{Name: "nodes", Value: 6, Usage: "number of fake nodes, at least 4"},
+			&cli.IntFlag{Name: "sessions", Value: 200, Usage: "number of clients, each a nats.go connection"},
+			&cli.IntFlag{Name: "requests", Value: 50_000, Usage: "total number of requests"},
+			&cli.IntFlag{Name: "messages", Value: 200, Usage: "number of numbered messages for each session"},
+			&cli.DurationFlag{Name: "span", Value: 15 * time.Second, Usage: "duration over which the load is spread"},
 			&cli.StringFlag{Name: "plant", Usage: "plant a fault that the result must show: double, lose, late or overlap"},
 			&cli.BoolFlag{Name: "log", Usage: "show the gateway's log"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Int("nodes") < minDrainNodes {
-				return errors.New("nodes: three of them fail, so at least 4 are wanted")
+				return errors.New("nodes: at least 4 are required, because three of them fail")
 			}
 			result, err := runDrain(ctx, c)
 			if err != nil {
@@ -56,20 +56,22 @@
 	}
 }
 
-// drainRun is a run of nats-drain.
+// drainRun holds the state of a run of nats-drain.
 type drainRun struct {
-	fleet      *natsFleet
-	proxy      *faultProxy
-	sessions   []*drainSession
-	failing    []int // indices of nodes, in the order in which they fail; the last ones stay healthy
-	duration   time.Duration
-	perSession int // requests of the main load
-	messages   int // of each session's stream
-	result     *drainResult
+	fleet    *natsFleet
+	proxy    *faultProxy
+	sessions []*drainSession
+	// failingNodes holds the node indices in random order: the first node drains, the second crashes, the third hangs and
+	// the others stay healthy.
+	failingNodes       []int
+	duration           time.Duration
+	requestsPerSession int // number of requests of each session in the main load
+	messagesPerSession int // number of messages of each session's stream
+	result             *drainResult
 }
 
 func runDrain(ctx context.Context, c *cli.Command) (*drainResult, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	result := &drainResult{Seed: c.Uint64("seed"), Nodes: c.Int("nodes"), Sessions: c.Int("sessions")}
 	fleet, err := startNATSFleet(result.Nodes)
 	if err != nil {
@@ -92,26 +94,26 @@
 	}
 	defer proxy.close()
 	run := &drainRun{
-		fleet: fleet, proxy: proxy, duration: c.Duration("span"), messages: c.Int("messages"),
-		failing:    rand.New(rand.NewPCG(result.Seed, 1)).Perm(result.Nodes),
-		perSession: c.Int("requests") / result.Sessions, result: result,
+		fleet: fleet, proxy: proxy, duration: c.Duration("span"), messagesPerSession: c.Int("messages"),
+		failingNodes:       rand.New(rand.NewPCG(result.Seed, 1)).Perm(result.Nodes),
+		requestsPerSession: c.Int("requests") / result.Sessions, result: result,
 	}
 	defer run.disconnect()
 	if err := run.connect(); err != nil {
 		return nil, err
 	}
-	run.play(ctx, c.String("plant"))
-	result.Seconds = int(time.Since(began).Seconds())
+	run.execute(ctx, c.String("plant"))
+	result.Seconds = int(time.Since(startedAt).Seconds())
 	return result, nil
 }
 
-// play puts load on the gateway while nodes fail, then makes some sessions reconnect, and counts.
-func (d *drainRun) play(ctx context.Context, fault string) {
+// execute puts load on the gateway while nodes fail, then makes some sessions reconnect, and fills in the result.
+func (d *drainRun) execute(ctx context.Context, fault string) {
 	stop := d.scheduleFaults(fault)
 	defer stop()
 	d.mainLoad(ctx)
 	time.Sleep(drainSettle)
-	d.result.Asked = len(d.sessions) * d.perSession
+	d.result.Asked = len(d.sessions) * d.requestsPerSession
 	for _, s := range d.sessions {
 		d.result.addStream(s, d.fleet.cluster)
 	}
@@ -127,7 +129,7 @@
 }
 
 func (d *drainRun) connect() error {
-	maxRequests := d.perSession + d.perSession/10 + 1
+	maxRequests := d.requestsPerSession + d.requestsPerSession/10 + 1
 	for i := range d.result.Sessions {
 		s, err := connectDrainSession(d.proxy.addr(), i, maxRequests)
 		if err != nil {
@@ -144,15 +146,16 @@
 	}
 }
 
-// scheduleFaults makes one node drain, one crash and one hang during the main load, and plants a fault.
+// scheduleFaults schedules one node to drain, one to crash and one to hang during the main load, and the planted fault if
+// there is one. stop cancels what has not happened yet.
 func (d *drainRun) scheduleFaults(plantedFault string) (stop func()) {
 	timers := []*time.Timer{
-		time.AfterFunc(d.duration/5, func() { d.fleet.drain(d.failing[0]) }),
-		time.AfterFunc(d.duration*2/5, d.fleet.nodes[d.failing[1]].Kill),
-		time.AfterFunc(d.duration*3/5, d.fleet.nodes[d.failing[2]].Hang),
+		time.AfterFunc(d.duration/5, func() { d.fleet.drain(d.failingNodes[0]) }),
+		time.AfterFunc(d.duration*2/5, d.fleet.nodes[d.failingNodes[1]].Kill),
+		time.AfterFunc(d.duration*3/5, d.fleet.nodes[d.failingNodes[2]].Hang),
 	}
 	if plantedFault != "" {
-		// After all failures: a message lost at a node that fails later would be excused.
+		// The fault follows all node failures, because a message lost at a node that fails later would be excused.
 		delay := d.duration * 9 / 10
 		if plantedFault == plantLate || plantedFault == plantOverlap {
 			delay = d.duration / 3
@@ -166,20 +169,21 @@
 	}
 }
 
-// plant causes a fault that is not the gateway's, to show that the result detects it.
+// plant causes a fault that the gateway is not responsible for, to show that the result detects it.
 func (d *drainRun) plant(fault string) {
 	switch fault {
 	case plantLate:
-		time.AfterFunc(time.Second, func() { d.sendPlanted(d.failing[0], "planted-late") })
+		time.AfterFunc(time.Second, func() { d.sendPlanted(d.failingNodes[0], "planted-late") })
 	case plantOverlap:
-		d.sendPlanted(d.failing[3], "planted-twice")
-		d.sendPlanted(d.failing[len(d.failing)-1], "planted-twice")
+		d.sendPlanted(d.failingNodes[3], "planted-twice")
+		d.sendPlanted(d.failingNodes[len(d.failingNodes)-1], "planted-twice")
 	default:
-		d.proxy.plant(streamFault(fault))
+		d.proxy.setFault(streamFault(fault))
 	}
 }
 
-// sendPlanted sends a request to a node, past the gateway. If it fails the result shows no fault, which is the failure.
+// sendPlanted sends a request directly to a node. It ignores errors: without the request, the result lacks the planted
+// fault, and the missing fault is the failure.
 func (d *drainRun) sendPlanted(node int, requestID string) {
 	conn, err := nats.Connect("nats://" + d.fleet.nodes[node].Addr())
 	if err != nil {
@@ -194,33 +198,33 @@
 	}
 }
 
-// mainLoad has all sessions send requests and receive numbered messages.
+// mainLoad makes all sessions send requests and publishes numbered messages to them.
 func (d *drainRun) mainLoad(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, s := range d.sessions {
-		wg.Go(func() { s.sendRequests(ctx, 0, d.perSession, d.duration) })
+		wg.Go(func() { s.sendRequests(ctx, 0, d.requestsPerSession, d.duration) })
 		wg.Go(func() {
-			for number := range d.messages {
+			for number := range d.messagesPerSession {
 				d.fleet.cluster.PublishStream(s.index, number)
-				time.Sleep(d.duration / time.Duration(d.messages))
+				time.Sleep(d.duration / time.Duration(d.messagesPerSession))
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// reconnects reports whether a session is one of those, a tenth, that are made to reconnect.
+// reconnects reports whether a session is made to reconnect, which is one session in ten.
 func (s *drainSession) reconnects() bool { return s.index%10 == 0 }
 
-// requestsOf returns how many requests a session sends in all.
+// requestsOf returns the total number of requests that a session sends.
 func (d *drainRun) requestsOf(s *drainSession) int {
 	if s.reconnects() {
-		return d.perSession + d.perSession/10
+		return d.requestsPerSession + d.requestsPerSession/10
 	}
-	return d.perSession
+	return d.requestsPerSession
 }
 
-// reconnectSome makes a tenth of the sessions reconnect and waits until they have.
+// reconnectSome makes a tenth of the sessions reconnect, and waits at most drainSettle until they have.
 func (d *drainRun) reconnectSome() {
 	forced := 0
 	for _, s := range d.sessions {
@@ -244,29 +248,29 @@
 	}
 }
 
-// loadReconnected has the sessions that reconnected send further requests.
+// loadReconnected makes the sessions that reconnected send further requests.
 func (d *drainRun) loadReconnected(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, s := range d.sessions {
 		if s.reconnects() {
-			d.result.Asked += d.perSession / 10
-			wg.Go(func() { s.sendRequests(ctx, d.perSession, d.perSession/10, time.Second) })
+			d.result.Asked += d.requestsPerSession / 10
+			wg.Go(func() { s.sendRequests(ctx, d.requestsPerSession, d.requestsPerSession/10, time.Second) })
 		}
 	}
 	wg.Wait()
 }
 
-// drainClients starts nats.go's own drain in half of the sessions: what is in flight ends first.
+// drainClients starts the drain of nats.go in half of the sessions, which completes the requests in flight first.
 func (d *drainRun) drainClients() {
 	for _, s := range d.sessions {
 		s.expectsDisconnect.Store(true)
 		if s.index%2 == 0 {
-			_ = s.conn.Drain() // fails only for a session that was cut off, which is counted
+			_ = s.conn.Drain() // fails only for a session that was disconnected, which is counted
 		}
 	}
 }
 
-// delayedEcho answers requests after a short time that comes from the seed.
+// delayedEcho returns a handler that answers requests with their payload, after random delays drawn from the seed.
 func delayedEcho(seed, node uint64) fakeserver.RequestHandler {
 	const meanDelay, plantedDelay = 2 * time.Millisecond, 300 * time.Millisecond
 	var mu sync.Mutex
--- a/internal/experiment/natsfleet.go
+++ b/internal/experiment/natsfleet.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// natsSettings are the platform's settings of experiments with NATS, and natsOperator is their operator file.
+// natsSettings holds the platform settings of experiments with NATS. natsOperator is the format of their operator file.
 const natsSettings = `{"caps":{"max_attempts":5,"connect_timeout_ns":1000000000,"retry_after":true,"max_retry_after_ns":500000000},
  "rules":{"stop_sending_within_ns":500000000},"discovery":"ask","family_info":{"mode":"proxy"},
  "classes":[{"name":"session","effect":"idempotent","group":"all","give_up_ns":3000000000,"slo_ns":1000000000},
@@ -25,15 +25,15 @@
   (request (subject "svc.safe.>") (class "safe") (deadline "3s") (key (token 2)))
   (request (subject "svc.unsafe.>") (class "unsafe") (deadline "3s") (key (token 2))))`
 
-// natsGatewayOptions say how a NATS gateway is run.
+// natsGatewayOptions holds the options of startNATSGateway.
 type natsGatewayOptions struct {
 	catalogAddr string
-	adminAddr   string // empty: no operators' address
+	adminAddr   string // empty means no admin interface
 	cores       int
 	logger      *slog.Logger
 }
 
-// startNATSGateway starts a gateway that speaks NATS and waits until it serves.
+// startNATSGateway starts a gateway for the NATS protocol and waits until it is ready.
 func startNATSGateway(ctx context.Context, o natsGatewayOptions) (*localGateway, error) {
 	lineAddr, releaseLine, err := fakeserver.ReserveAddress()
 	if err != nil {
@@ -64,17 +64,17 @@
 	return g, nil
 }
 
-// natsGatewayCommand runs a gateway that speaks NATS, confined to its cores, in front of one node.
+// natsGatewayCommand returns the command that runs a NATS gateway in front of one node, pinned to some cores.
 func natsGatewayCommand() *cli.Command {
 	return &cli.Command{
-		Name: "nats-gateway", Hidden: true, Usage: "a gateway that speaks NATS, which benchmarks start",
-		Flags:  confinedFlags(),
+		Name: "nats-gateway", Hidden: true, Usage: "run a NATS gateway; started by benchmarks",
+		Flags:  pinnedChildFlags(),
 		Action: runNATSGateway,
 	}
 }
 
 func runNATSGateway(ctx context.Context, c *cli.Command) error {
-	catalog, err := startConfined(c)
+	catalog, err := pinAndStartCatalog(c)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	return g.wait()
 }
 
-// natsFleet is a cluster of fake NATS nodes with their catalog.
+// natsFleet is a cluster of fake NATS nodes with a fake discovery service.
 type natsFleet struct {
 	cluster *fakeserver.NATSCluster
 	nodes   []*fakeserver.NATSNode
@@ -126,7 +126,7 @@
 	}
 }
 
-// drain puts a node into lame duck mode, which its clients and the catalog learn.
+// drain puts a node into lame duck mode, and announces that to its clients and in the endpoint list.
 func (f *natsFleet) drain(index int) {
 	f.nodes[index].Drain(true)
 	f.catalog.SetEndpoint(f.endpoint(index, fakeserver.StateTerminating))
--- a/internal/experiment/natsidle.go
+++ b/internal/experiment/natsidle.go
@@ -14,9 +14,9 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-const idleDuration = 3 * time.Second // while pings go on
+const idleDuration = 3 * time.Second // in which the gateway still sends pings
 
-// idleResult is the memory, in bytes, that idle sessions cost a gateway.
+// idleResult holds the resident memory of a gateway, in bytes, before and after idle sessions connected.
 type idleResult struct {
 	Sessions   int   `json:"sessions"`
 	Before     int64 `json:"rss_before"`
@@ -26,10 +26,10 @@
 
 func natsIdleCommand() *cli.Command {
 	return &cli.Command{
-		Name: "nats-idle", Usage: "measure what an idle NATS session costs the gateway in memory",
+		Name: "nats-idle", Usage: "measure the memory that an idle NATS session takes in the gateway",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "json", Usage: "a row of JSON"},
-			&cli.IntFlag{Name: "sessions", Value: 2000, Usage: "clients, each with one subscription"},
+			&cli.BoolFlag{Name: "json", Usage: "print the result as one line of JSON"},
+			&cli.IntFlag{Name: "sessions", Value: 2000, Usage: "number of clients, each with one subscription"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			result, err := measureIdle(c)
@@ -82,7 +82,7 @@
 	return result, nil
 }
 
-// residentSetSize returns a process's resident memory in bytes.
+// residentSetSize returns the resident memory of a process in bytes.
 func residentSetSize(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/experiment/plainproxy.go
+++ b/internal/experiment/plainproxy.go
@@ -11,11 +11,12 @@
 
 const proxyBufferBytes = 32 << 10
 
-// plainProxyCommand is the baseline of benchmarks: a read and write loop for each direction, and nothing else.
+// plainProxyCommand returns the command that runs the baseline of benchmarks: a proxy that only copies bytes, with a read
+// and write loop for each direction.
 func plainProxyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plain-proxy", Hidden: true, Usage: "a plain proxy, which benchmarks start",
-		Flags:  confinedFlags(),
+		Name: "plain-proxy", Hidden: true, Usage: "run a plain proxy; started by benchmarks",
+		Flags:  pinnedChildFlags(),
 		Action: runPlainProxy,
 	}
 }
@@ -38,11 +39,11 @@
 		if err != nil {
 			return err
 		}
-		go proxyPlainly(client, c.String("to")) // until the process is killed
+		go proxyConnection(client, c.String("to")) // until the process is killed
 	}
 }
 
-func proxyPlainly(client net.Conn, serverAddr string) {
+func proxyConnection(client net.Conn, serverAddr string) {
 	server, err := net.Dial("tcp", serverAddr)
 	if err != nil {
 		closeQuietly(client)
@@ -52,8 +53,8 @@
 	copyConn(client, server)
 }
 
-// copyConn copies from one connection to the other until either ends, and closes both. It reads and writes itself, as
-// io.Copy would have the kernel splice.
+// copyConn copies data from one connection to the other until either ends, and closes both. It does not use io.Copy, which
+// would let the kernel splice the connections.
 func copyConn(to, from net.Conn) {
 	defer closeQuietly(from)
 	defer closeQuietly(to)
--- a/internal/experiment/plancurve.go
+++ b/internal/experiment/plancurve.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/placement"
 )
 
-// curveSizes are the sizes of the problems that plan-curve solves.
+// curveSizes lists the sizes of the problems that plan-curve solves.
 var curveSizes = []struct{ nodes, zones int }{
 	{50, 3},
 	{200, 8},
@@ -24,11 +24,11 @@
 	{10000, 70},
 }
 
-// planCurveCommand measures the solver over sizes and draws its times.
+// planCurveCommand returns the command that measures the time of the solver by problem size and can draw the times.
 func planCurveCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plan-curve", Usage: "measure the time to a proven best plan over sizes",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "picture `FILE`, .svg or .png"}},
+		Name: "plan-curve", Usage: "measure the time that the solver takes to prove a plan optimal, by problem size",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "out", Usage: "picture `FILE`, .svg or .png; none is drawn without it"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			points, err := measureSolver(c)
 			if err != nil || c.String("out") == "" {
@@ -42,12 +42,12 @@
 func measureSolver(c *cli.Command) (points plotter.XYs, err error) {
 	results := newTable(c.Root().Writer, "nodes", "zones", "seconds", "proven", "networks solved")
 	for _, size := range curveSizes {
-		began := time.Now()
+		startedAt := time.Now()
 		plan, err := placement.Solve(placement.RandomProblem(size.nodes, size.zones, 1), placement.Options{})
 		if err != nil {
 			return nil, err
 		}
-		seconds := time.Since(began).Seconds()
+		seconds := time.Since(startedAt).Seconds()
 		points = append(points, plotter.XY{X: float64(size.nodes), Y: seconds})
 		results.AppendRow([]any{size.nodes, size.zones, fmt.Sprintf("%.3f", seconds), plan.Proven, plan.Steps})
 	}
@@ -57,7 +57,7 @@
 
 func drawSolverTimes(points plotter.XYs, file string) error {
 	p := plot.New()
-	p.Title.Text = "time to a proven best plan"
+	p.Title.Text = "time to prove a plan optimal"
 	p.X.Label.Text, p.Y.Label.Text = "nodes, in 3 to 70 zones", "seconds"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
--- a/internal/experiment/plandraw.go
+++ b/internal/experiment/plandraw.go
@@ -23,8 +23,8 @@
 	zoneColor = color.RGBA{B: 140, G: 90, A: 255}
 )
 
-// planDrawCommand draws a plan. It is part of this program, not of the one with the other plan commands, as the plotting
-// library loads its fonts at every start, which a balancer with 64 MB cannot afford.
+// planDrawCommand returns the command that draws a plan. The other plan commands belong to the balancer's program. This one
+// doesn't, because the plotting library loads its fonts at every start, and a balancer may have only 64 MB of memory.
 func planDrawCommand() *cli.Command {
 	return &cli.Command{
 		Name: "plan-draw", Usage: "draw the flows between zones of a plan",
@@ -59,15 +59,15 @@
 	return nil
 }
 
-// zonePair is a direction between two zones.
+// zonePair is an ordered pair of different zones.
 type zonePair struct{ from, to string }
 
-// zoneFlows are the sums of a plan's flows.
+// zoneFlows holds the sums of a plan's flows by zone and by pair of zones.
 type zoneFlows struct {
 	zones   []string // sorted
 	between map[zonePair]int64
-	own     map[string]int64 // load that a zone carries itself
-	maxLoad int64            // of any sum, at least 1
+	own     map[string]int64 // by zone: load that the zone carries itself
+	maxLoad int64            // the largest of these sums, at least 1
 }
 
 func sumFlows(plan *operator.Plan) zoneFlows {
@@ -90,14 +90,14 @@
 
 func (f zoneFlows) relative(load int64) float64 { return float64(load) / float64(f.maxLoad) }
 
-// drawFlows puts zones on a circle, as large as their own load, and flows as curves between them.
+// drawFlows draws the zones as dots on a circle, sized by their own load, and the flows as curves between them.
 func drawFlows(plan *operator.Plan) (*plot.Plot, error) {
 	flows := sumFlows(plan)
 	if len(flows.zones) == 0 {
 		return nil, errors.New("the plan has no flows")
 	}
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("plan %d: load within and between zones, %d not carried", plan.Version, plan.Goals.Uncarried)
+	p.Title.Text = fmt.Sprintf("plan %d: load within and between zones, %d units not carried", plan.Version, plan.Goals.Uncarried)
 	p.HideAxes()
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = -1.5, 1.5, -1.5, 1.5
 	positions := circlePositions(flows.zones)
@@ -126,8 +126,8 @@
 	return positions
 }
 
-// addFlow draws a curve that bends to the right, so that both directions can be told apart. The label is nearer to the
-// end of the curve.
+// addFlow draws a flow as a curve that bends to the right, which separates the two directions between a pair of zones. The
+// label is nearer to the end of the curve.
 func addFlow(p *plot.Plot, from, to plotter.XY, width vg.Length, label string) error {
 	control := plotter.XY{X: (from.X+to.X)/2 + (to.Y-from.Y)*0.12, Y: (from.Y+to.Y)/2 - (to.X-from.X)*0.12}
 	var curve plotter.XYs
@@ -165,7 +165,7 @@
 		at := positions[zone]
 		dots.XYs = append(dots.XYs, at)
 		labelAt := plotter.XY{X: at.X - 0.2, Y: at.Y + math.Copysign(0.25, at.Y)}
-		if err := addLabel(p, labelAt, fmt.Sprintf("%s: %d of its own", zone, flows.own[zone])); err != nil {
+		if err := addLabel(p, labelAt, fmt.Sprintf("%s: %d of its own load", zone, flows.own[zone])); err != nil {
 			return err
 		}
 	}
--- a/internal/experiment/planresult.go
+++ b/internal/experiment/planresult.go
@@ -8,10 +8,10 @@
 	"example.org/milletvane/placement"
 )
 
-// arrivals are connections by the zone that they come from, then by the ID of the node that they came to.
-type arrivals map[string]map[string]int64
+// connectionCounts counts connections by the zone that they come from and then by the ID of the node that accepted them.
+type connectionCounts map[string]map[string]int64
 
-func (a arrivals) total() (sum int64) {
+func (a connectionCounts) total() (sum int64) {
 	for _, byNode := range a {
 		for _, n := range byNode {
 			sum += n
@@ -20,15 +20,15 @@
 	return sum
 }
 
-func (a arrivals) atNode(id string) (sum int64) {
+func (a connectionCounts) atNode(id string) (sum int64) {
 	for _, byNode := range a {
 		sum += byNode[id]
 	}
 	return sum
 }
 
-// crossingCost sums the cost of all connections that left their zone.
-func (a arrivals) crossingCost(problem *placement.Problem) (sum int64) {
+// crossingCost returns the total cost of the connections that left their zone.
+func (a connectionCounts) crossingCost(problem *placement.Problem) (sum int64) {
 	for from, byNode := range a {
 		for _, node := range problem.Nodes {
 			sum += byNode[node.ID] * costBetween(problem, from, node.Zone)
@@ -49,8 +49,8 @@
 	return problem.DefaultCost
 }
 
-// maxDeviation returns by how much the node that is furthest from its planned load deviates, relative to that load.
-func (a arrivals) maxDeviation(plannedLoad map[string]int64, connectionsPerUnit int) (deviation float64) {
+// maxDeviation returns the largest deviation of a node's load from its planned load, as a fraction of the planned load.
+func (a connectionCounts) maxDeviation(plannedLoad map[string]int64, connectionsPerUnit int) (deviation float64) {
 	for id, load := range plannedLoad {
 		if load > 0 {
 			planned := float64(load * int64(connectionsPerUnit))
@@ -60,36 +60,36 @@
 	return deviation
 }
 
-// planResult compares where connections went with where the plan wanted them.
+// planResult is the result of plan-run. It compares the distribution of connections with the plan.
 type planResult struct {
 	Opened             int     `json:"opened"`
 	Failed             int     `json:"failed"`
 	CrossingsWithout   int64   `json:"crossings_without_plan"`
 	CrossingsWith      int64   `json:"crossings_with_plan"`
-	CrossingsPlanned   int64   `json:"crossings_planned"` // the plan's own figure, for as many connections
-	MaxDeviation       float64 `json:"worst_deviation"`   // of a node's load, relative to the plan's
+	CrossingsPlanned   int64   `json:"crossings_planned"` // the crossing cost of the plan for the same number of connections
+	MaxDeviation       float64 `json:"worst_deviation"`   // of a node's load, as a fraction of its planned load
 	DeviationAfterLoss float64 `json:"worst_deviation_after_loss"`
 	SentToLostZone     int64   `json:"sent_to_lost_zone"`
 	Restarted          int     `json:"gateways_restarted"`
-	ColdOpenings       int     `json:"cold_most_in_a_second"` // at a node of the zone that comes back
+	ColdOpenings       int     `json:"cold_most_in_a_second"` // at the most loaded node of the restored zone
 	ColdLimit          int     `json:"cold_limit"`            // overload factor times the cold share of its warm openings
 }
 
-// faults returns an error for each figure that is not as it must be.
+// faults returns an error for each figure that is outside its allowed range.
 func (r *planResult) faults(maxDeviation float64) error {
 	var errs []error
 	if r.MaxDeviation > maxDeviation || r.DeviationAfterLoss > maxDeviation {
-		errs = append(errs, fmt.Errorf("a node is off its plan by %.3f, after the loss by %.3f; %.2f is allowed",
+		errs = append(errs, fmt.Errorf("a node's load deviates from the plan by %.3f, after the loss by %.3f; at most %.2f is allowed",
 			r.MaxDeviation, r.DeviationAfterLoss, maxDeviation))
 	}
 	if r.Failed > 0 || r.SentToLostZone > 0 {
-		errs = append(errs, fmt.Errorf("%d not served, %d sent to the lost zone", r.Failed, r.SentToLostZone))
+		errs = append(errs, fmt.Errorf("%d connections were not served, %d were sent to the lost zone", r.Failed, r.SentToLostZone))
 	}
 	if r.ColdOpenings > r.ColdLimit {
-		errs = append(errs, fmt.Errorf("a cold node had %d openings in a second and bears %d", r.ColdOpenings, r.ColdLimit))
+		errs = append(errs, fmt.Errorf("a cold node accepted %d connections in a second, the limit is %d", r.ColdOpenings, r.ColdLimit))
 	}
 	if r.CrossingsWith >= r.CrossingsWithout {
-		errs = append(errs, fmt.Errorf("crossings are %d with the plan and %d without", r.CrossingsWith, r.CrossingsWithout))
+		errs = append(errs, fmt.Errorf("the crossing cost is %d with the plan and %d without it", r.CrossingsWith, r.CrossingsWithout))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/experiment/planrun.go
+++ b/internal/experiment/planrun.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	disturbanceDelay = 500 * time.Millisecond // from the start of a phase's load
-	restartedZone    = "west"                 // whose gateway is replaced
-	lostZone         = "east"
+	planFaultDelay = 500 * time.Millisecond // from the start of a phase's load
+	restartedZone  = "west"                 // the zone whose gateway is restarted
+	lostZone       = "east"
 )
 
 func planRunCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plan-run", Usage: "compare gateways that go by a plan with ones that do not, lose a zone and restart a gateway",
+		Name: "plan-run", Usage: "compare gateways with and without a plan, lose a zone and restart a gateway",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "json", Usage: "the result as one JSON object"},
-			&cli.IntFlag{Name: "each", Value: 60, Usage: "connections for each unit of load; few make chance show"},
-			&cli.FloatFlag{Name: "most-off", Value: 0.05, Usage: "part by which a node's load may be off its plan"},
+			&cli.BoolFlag{Name: "json", Usage: "print the result as one line of JSON"},
+			&cli.IntFlag{Name: "each", Value: 60, Usage: "connections for each unit of load; few increase the random deviation"},
+			&cli.FloatFlag{Name: "most-off", Value: 0.05, Usage: "allowed deviation of a node's load, as a fraction of its planned load"},
 			&cli.BoolFlag{Name: "log", Usage: "show the gateways' logs"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -40,22 +40,22 @@
 	}
 }
 
-// planRun is a run of plan-run.
+// planRun holds the state of a run of plan-run.
 type planRun struct {
-	site               *planSite
+	testbed            *planTestbed
 	connectionsPerUnit int
 	logger             *slog.Logger
 	result             *planResult
 }
 
 func runPlan(ctx context.Context, connectionsPerUnit int, logger *slog.Logger) (*planResult, error) {
-	site, err := newPlanSite()
+	testbed, err := newPlanTestbed()
 	if err != nil {
 		return nil, err
 	}
-	defer site.close()
-	r := &planRun{site: site, connectionsPerUnit: connectionsPerUnit, logger: logger, result: &planResult{}}
-	r.result.CrossingsPlanned = site.plan.Goals.Crossings * int64(connectionsPerUnit)
+	defer testbed.close()
+	r := &planRun{testbed: testbed, connectionsPerUnit: connectionsPerUnit, logger: logger, result: &planResult{}}
+	r.result.CrossingsPlanned = testbed.plan.Goals.Crossings * int64(connectionsPerUnit)
 	for _, step := range []func(context.Context) error{r.compare, r.loseZone, r.restoreZone} {
 		if err := step(ctx); err != nil {
 			return nil, err
@@ -64,25 +64,25 @@
 	return r.result, nil
 }
 
-// compare puts load on gateways without a plan and on ones with it, one of which is restarted meanwhile.
+// compare puts the same load on gateways without a plan and then on gateways with the plan, one of which is restarted.
 func (r *planRun) compare(ctx context.Context) error {
-	came, err := r.runPhase(ctx, planPhase{name: "without"})
+	counts, err := r.runPhase(ctx, planPhase{name: "without"})
 	if err != nil {
 		return err
 	}
-	r.result.CrossingsWithout = came.crossingCost(r.site.problem)
-	came, err = r.runPhase(ctx, planPhase{name: "with", plan: r.site.plan, disturb: r.restartGateway})
+	r.result.CrossingsWithout = counts.crossingCost(r.testbed.problem)
+	counts, err = r.runPhase(ctx, planPhase{name: "with", plan: r.testbed.plan, injectFault: r.restartGateway})
 	if err != nil {
 		return err
 	}
-	r.result.CrossingsWith = came.crossingCost(r.site.problem)
-	r.result.MaxDeviation = came.maxDeviation(r.site.plan.Load, r.connectionsPerUnit)
+	r.result.CrossingsWith = counts.crossingCost(r.testbed.problem)
+	r.result.MaxDeviation = counts.maxDeviation(r.testbed.plan.Load, r.connectionsPerUnit)
 	return nil
 }
 
-// restartGateway starts a gateway of a zone anew while clients come.
+// restartGateway replaces the gateway of restartedZone while clients connect.
 func (r *planRun) restartGateway(ctx context.Context, gateways *zoneGateways) error {
-	replacement, err := r.startZoneGateway(ctx, restartedZone, r.site.plan)
+	replacement, err := r.startZoneGateway(ctx, restartedZone, r.testbed.plan)
 	if err != nil {
 		return err
 	}
@@ -91,53 +91,53 @@
 	return nil
 }
 
-// loseZone loses a zone while clients come, and then measures how the rest carries the load.
+// loseZone makes a zone fail while clients connect, and then measures how the other zones carry the load.
 func (r *planRun) loseZone(ctx context.Context) error {
 	contingency, err := r.contingency()
 	if err != nil {
 		return err
 	}
 	_, err = r.runPhase(ctx, planPhase{
-		name: "losing", plan: r.site.plan,
-		disturb: func(context.Context, *zoneGateways) error {
-			r.site.loseZone(lostZone)
+		name: "losing", plan: r.testbed.plan,
+		injectFault: func(context.Context, *zoneGateways) error {
+			r.testbed.loseZone(lostZone)
 			return nil
 		},
 	})
 	if err != nil {
 		return err
 	}
-	came, err := r.runPhase(ctx, planPhase{name: "after", plan: r.site.plan})
+	counts, err := r.runPhase(ctx, planPhase{name: "after", plan: r.testbed.plan})
 	if err != nil {
 		return err
 	}
-	r.result.DeviationAfterLoss = came.maxDeviation(contingency.Load, r.connectionsPerUnit)
-	for _, node := range r.site.nodesOf(lostZone) {
-		r.result.SentToLostZone += came.atNode(node.ID)
+	r.result.DeviationAfterLoss = counts.maxDeviation(contingency.Load, r.connectionsPerUnit)
+	for _, node := range r.testbed.nodesOf(lostZone) {
+		r.result.SentToLostZone += counts.atNode(node.ID)
 	}
 	return nil
 }
 
 func (r *planRun) contingency() (operator.PlanContingency, error) {
 	var found operator.PlanContingency
-	for _, c := range r.site.plan.Contingencies {
+	for _, c := range r.testbed.plan.Contingencies {
 		if c.Name == "zone "+lostZone {
 			found = c
 		}
 	}
 	if len(found.Flows) == 0 {
-		return found, fmt.Errorf("the plan has no flows for the loss of %s: %d units short", lostZone, found.Short)
+		return found, fmt.Errorf("the plan has no flows for the loss of zone %s: %d units short", lostZone, found.Short)
 	}
 	return found, nil
 }
 
-// restoreZone has the lost zone come back cold while clients come, and measures how much its nodes get at once. A node
-// that starts can do a fifth of what it did when warm, and bears four times that over a second.
+// restoreZone restarts the lost zone while clients connect, and measures how many connections its cold nodes accept in a
+// second. The capacity of a node that starts is a fifth of its warm capacity, and it can take four times that for a second.
 func (r *planRun) restoreZone(ctx context.Context) error {
 	warm := r.maxOpenings()
 	_, err := r.runPhase(ctx, planPhase{
-		name: "back", plan: r.site.plan,
-		disturb: func(context.Context, *zoneGateways) error { return r.site.restoreZone(lostZone) },
+		name: "back", plan: r.testbed.plan,
+		injectFault: func(context.Context, *zoneGateways) error { return r.testbed.restoreZone(lostZone) },
 	})
 	if err != nil {
 		return err
@@ -153,26 +153,26 @@
 	return nil
 }
 
-// maxOpenings returns the most connections that came to each node of the lost zone in a second.
+// maxOpenings returns, by node ID, the largest number of connections that each node of the lost zone accepted in a second.
 func (r *planRun) maxOpenings() map[string]int {
-	openings, servers := map[string]int{}, r.site.currentServers()
-	for _, node := range r.site.nodesOf(lostZone) {
+	openings, servers := map[string]int{}, r.testbed.currentServers()
+	for _, node := range r.testbed.nodesOf(lostZone) {
 		openings[node.ID] = servers[node.ID].MaxOpenedWithin(time.Second)
 	}
 	return openings
 }
 
-// planPhase is load on one gateway a zone.
+// planPhase is a period of load on one gateway for each zone.
 type planPhase struct {
-	name    string
-	plan    *operator.Plan                             // nil: gateways without a plan
-	disturb func(context.Context, *zoneGateways) error // called while clients come; may be nil
+	name        string
+	plan        *operator.Plan                             // nil means gateways without a plan
+	injectFault func(context.Context, *zoneGateways) error // called while clients connect; may be nil
 }
 
-func (r *planRun) runPhase(ctx context.Context, phase planPhase) (came arrivals, err error) {
+func (r *planRun) runPhase(ctx context.Context, phase planPhase) (counts connectionCounts, err error) {
 	gateways := &zoneGateways{byZone: map[string]*localGateway{}}
 	defer gateways.close()
-	for _, zone := range r.site.problem.Zones {
+	for _, zone := range r.testbed.problem.Zones {
 		g, err := r.startZoneGateway(ctx, zone, phase.plan)
 		if err != nil {
 			return nil, err
@@ -180,18 +180,18 @@
 		gateways.byZone[zone] = g
 	}
 	var wg sync.WaitGroup
-	var disturbErr error
-	if phase.disturb != nil {
+	var faultErr error
+	if phase.injectFault != nil {
 		wg.Go(func() {
-			time.Sleep(disturbanceDelay)
-			disturbErr = phase.disturb(ctx, gateways)
+			time.Sleep(planFaultDelay)
+			faultErr = phase.injectFault(ctx, gateways)
 		})
 	}
-	came, failed := r.site.load(r.connectionsPerUnit, gateways.addr, phase.name)
+	counts, failed := r.testbed.openConnections(r.connectionsPerUnit, gateways.addr, phase.name)
 	wg.Wait()
 	r.result.Failed += failed
-	r.result.Opened += int(came.total())
-	return came, disturbErr
+	r.result.Opened += int(counts.total())
+	return counts, faultErr
 }
 
 func (r *planRun) startZoneGateway(ctx context.Context, zone string, plan *operator.Plan) (*localGateway, error) {
@@ -200,11 +200,11 @@
 		return nil, err
 	}
 	defer release()
-	conf, err := lineConfig(listen, r.site.catalog.Addr(), 1)
+	conf, err := lineConfig(listen, r.testbed.catalog.Addr(), 1)
 	if err != nil {
 		return nil, err
 	}
-	conf.Balancer.Gateways = len(r.site.problem.Zones)
+	conf.Balancer.Gateways = len(r.testbed.problem.Zones)
 	var settings *operator.Settings
 	if plan != nil {
 		settings = &operator.Settings{Plan: &operator.PlanSettings{Zone: zone, Plan: plan}}
@@ -212,7 +212,7 @@
 	return startGateway(ctx, conf, listen, gateway.WithLogger(r.logger), gateway.WithOperator(settings))
 }
 
-// zoneGateways are the gateways that clients use. Methods may be called from several goroutines.
+// zoneGateways holds the gateway that the clients of each zone use. Its methods may be called from several goroutines.
 type zoneGateways struct {
 	mu     sync.Mutex
 	byZone map[string]*localGateway
@@ -224,12 +224,12 @@
 	return z.byZone[zone].addr
 }
 
-// replace closes a zone's gateway and lets clients use another.
+// replace closes the gateway of a zone and then makes clients use its replacement.
 func (z *zoneGateways) replace(zone string, replacement *localGateway) {
 	z.mu.Lock()
 	old := z.byZone[zone]
 	z.mu.Unlock()
-	_ = old.close() // its failures show as connections that were not served
+	_ = old.close() // a failure shows as connections that were not served
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.byZone[zone] = replacement
--- a/internal/experiment/plansite.go
+++ b/internal/experiment/plansite.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	siteClients     = 32 // that open connections at once
-	siteMaxAttempts = 20 // of a client for one connection
-	siteRetryPause  = 50 * time.Millisecond
+	testbedClients     = 32 // clients that open connections concurrently
+	testbedMaxAttempts = 20 // attempts of a client to open one connection
+	testbedRetryPause  = 50 * time.Millisecond
 )
 
-// planSite is three uneven zones with their servers: the first brings more load than its own nodes can carry.
-type planSite struct {
+// planTestbed is a set of three zones with fake servers. The demand of the first zone exceeds the capacity of its nodes.
+type planTestbed struct {
 	problem *placement.Problem
 	plan    *operator.Plan
 	catalog *fakeserver.Catalog
 
 	mu      sync.Mutex
-	servers map[string]*fakeserver.LineServer // by ID; replaced while clients come
+	servers map[string]*fakeserver.LineServer // by node ID; replaced while clients connect
 }
 
-func newPlanSite() (site *planSite, err error) {
-	s := &planSite{servers: map[string]*fakeserver.LineServer{}, problem: siteProblem()}
+func newPlanTestbed() (testbed *planTestbed, err error) {
+	s := &planTestbed{servers: map[string]*fakeserver.LineServer{}, problem: testbedProblem()}
 	defer func() {
 		if err != nil {
 			s.close()
@@ -45,9 +45,9 @@
 			return nil, err
 		}
 		s.servers[node.ID] = server
-		endpoints = append(endpoints, siteEndpoint(node, server.Addr()))
+		endpoints = append(endpoints, testbedEndpoint(node, server.Addr()))
 	}
-	if s.plan, err = solveSite(s.problem); err != nil {
+	if s.plan, err = solveTestbed(s.problem); err != nil {
 		return nil, err
 	}
 	if s.catalog, err = fakeserver.NewCatalog(endpoints...); err != nil {
@@ -56,7 +56,7 @@
 	return s, nil
 }
 
-func siteProblem() *placement.Problem {
+func testbedProblem() *placement.Problem {
 	problem := &placement.Problem{
 		Zones: []string{"west", "north", "east"},
 		Demands: []placement.Demand{
@@ -86,8 +86,8 @@
 	return problem
 }
 
-// solveSite returns the best plan, with one for each loss of a zone or node.
-func solveSite(problem *placement.Problem) (*operator.Plan, error) {
+// solveTestbed returns the best plan, with a contingency plan for each loss of a zone or node.
+func solveTestbed(problem *placement.Problem) (*operator.Plan, error) {
 	best, err := placement.Solve(problem, placement.Options{})
 	if err != nil {
 		return nil, err
@@ -107,13 +107,13 @@
 	return plan, nil
 }
 
-func siteEndpoint(node placement.Node, addr string) fakeserver.Endpoint {
+func testbedEndpoint(node placement.Node, addr string) fakeserver.Endpoint {
 	return fakeserver.Endpoint{
 		ID: node.ID, Addr: addr, Zone: node.Zone, Kind: node.Model, State: fakeserver.StateInService, Weight: 1,
 	}
 }
 
-func (s *planSite) close() {
+func (s *planTestbed) close() {
 	if s.catalog != nil {
 		s.catalog.Close()
 	}
@@ -122,23 +122,23 @@
 	}
 }
 
-func (s *planSite) currentServers() map[string]*fakeserver.LineServer {
+func (s *planTestbed) currentServers() map[string]*fakeserver.LineServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.servers)
 }
 
-func (s *planSite) nodesOf(zone string) []placement.Node {
+func (s *planTestbed) nodesOf(zone string) []placement.Node {
 	return slices.DeleteFunc(slices.Clone(s.problem.Nodes), func(n placement.Node) bool { return n.Zone != zone })
 }
 
-// loseZone ends a zone's servers, which discovery learns later.
-func (s *planSite) loseZone(zone string) {
+// loseZone closes the servers of a zone. The endpoint list changes later, after disturbanceDelay.
+func (s *planTestbed) loseZone(zone string) {
 	servers := s.currentServers()
 	for _, node := range s.nodesOf(zone) {
 		servers[node.ID].Close()
 	}
-	time.Sleep(disturbanceDelay)
+	time.Sleep(planFaultDelay)
 	for _, node := range s.nodesOf(zone) {
 		s.catalog.SetEndpoint(fakeserver.Endpoint{
 			ID: node.ID, Addr: servers[node.ID].Addr(), Zone: node.Zone, State: fakeserver.StateTerminated,
@@ -146,8 +146,8 @@
 	}
 }
 
-// restoreZone starts a zone's servers anew, cold.
-func (s *planSite) restoreZone(zone string) error {
+// restoreZone starts new servers for a zone, which are cold.
+func (s *planTestbed) restoreZone(zone string) error {
 	for _, node := range s.nodesOf(zone) {
 		server, err := fakeserver.NewLineServer()
 		if err != nil {
@@ -156,37 +156,38 @@
 		s.mu.Lock()
 		s.servers[node.ID] = server
 		s.mu.Unlock()
-		endpoint := siteEndpoint(node, server.Addr())
+		endpoint := testbedEndpoint(node, server.Addr())
 		endpoint.StartedMS = time.Now().UnixMilli()
 		s.catalog.SetEndpoint(endpoint)
 	}
 	return nil
 }
 
-// load opens connections and ends them at once: from each zone in turn in proportion to its demand, each with its own
-// key. It returns where they came to, and how many were not served.
-func (s *planSite) load(connectionsPerUnit int, gatewayAddr func(zone string) string, phase string) (came arrivals, failed int) {
-	came = arrivals{}
+// openConnections opens connections and closes them immediately, for one zone after the other in proportion to its demand,
+// each with its own key. It returns the connections by node, and how many were not served.
+func (s *planTestbed) openConnections(connectionsPerUnit int, gatewayAddr func(zone string) string,
+	phase string) (counts connectionCounts, failed int) {
+	counts = connectionCounts{}
 	for _, demand := range s.problem.Demands {
 		servers, before := s.currentServers(), map[string]int64{}
 		for id, server := range servers {
 			before[id] = server.Opened()
 		}
 		failed += openFromZone(demand, connectionsPerUnit, gatewayAddr, phase)
-		came[demand.Zone] = map[string]int64{}
+		counts[demand.Zone] = map[string]int64{}
 		for id, server := range servers {
-			came[demand.Zone][id] = server.Opened() - before[id]
+			counts[demand.Zone][id] = server.Opened() - before[id]
 		}
 	}
-	return came, failed
+	return counts, failed
 }
 
 func openFromZone(demand placement.Demand, connectionsPerUnit int, gatewayAddr func(zone string) string, phase string) (failed int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for client := range siteClients {
+	for client := range testbedClients {
 		wg.Go(func() {
-			for number := client; number < int(demand.Load)*connectionsPerUnit; number += siteClients {
+			for number := client; number < int(demand.Load)*connectionsPerUnit; number += testbedClients {
 				key := fmt.Sprintf("%s-%s-%d", phase, demand.Zone, number)
 				if openWithRetries(gatewayAddr(demand.Zone), key) == nil {
 					continue
@@ -201,13 +202,14 @@
 	return failed
 }
 
-// openWithRetries opens a connection under a key, as clients do: they retry a few times when rejected or cut off.
+// openWithRetries opens a connection with a key. Like clients, it retries a limited number of times after a rejection or a
+// disconnect.
 func openWithRetries(addr, key string) (err error) {
-	for attempt := range siteMaxAttempts {
+	for attempt := range testbedMaxAttempts {
 		if err = openOnce(addr, key, attempt); err == nil {
 			return nil
 		}
-		time.Sleep(siteRetryPause)
+		time.Sleep(testbedRetryPause)
 	}
 	return err
 }
@@ -230,7 +232,7 @@
 		time.Sleep(time.Duration(retryAfterMS) * time.Millisecond)
 	}
 	if err == nil && !strings.HasPrefix(line, "UP") {
-		err = fmt.Errorf("answered %q", line)
+		err = fmt.Errorf("got answer %q, want UP", line)
 	}
 	return err
 }
--- a/internal/experiment/powerscenario.go
+++ b/internal/experiment/powerscenario.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	powerRequestRate     = 150                    // a second
-	powerPeerStartup     = 700 * time.Millisecond // from a peer's start until it has reported what it holds
-	powerListStoreDelay  = 600 * time.Millisecond // until instances have stored a list
-	powerAfterCatalogRun = 4 * time.Second        // that the load lasts after discovery is back and servers are warm
+	powerRequestRate      = 150                    // requests per second
+	powerPeerStartup      = 700 * time.Millisecond // from the start of a peer until it has reported its endpoint list
+	powerListStoreDelay   = 600 * time.Millisecond // within which instances store an endpoint list
+	powerLoadAfterCatalog = 4 * time.Second        // duration of the load after discovery is back and servers are warm
 )
 
-// runPowerScenario runs a loss of power for a clustered fleet and for one that is not, by the same script.
+// runPowerScenario runs a power loss with the same script for a clustered fleet and for a fleet without a cluster.
 func runPowerScenario(ctx context.Context, s fleetScenario) (*powerReport, error) {
 	script := drawPowerScript(s.seed, s.servers(), s.instances)
 	report := &powerReport{Scenario: scenarioPower, Seed: s.seed, Instances: s.instances, Order: script.description}
 	var err error
-	report.Recovered, err = runPower(ctx, s, fleetOptions{clustered: true, isolateFirst: s.plant == plantTrustStaleList}, script)
+	report.Recovered, err = runPower(ctx, s,
+		fleetOptions{clustered: true, isolateFirst: s.plantedFault == plantTrustStaleList}, script)
 	if err != nil {
 		return nil, err
 	}
@@ -48,15 +49,15 @@
 	f.retireServer()
 	time.Sleep(powerListStoreDelay)
 	f.losePower()
-	// One instance comes back with the disk that it had before the last change.
+	// One instance restarts with the disk contents from before the last change of the endpoint list.
 	if err := errors.Join(os.RemoveAll(disk), os.CopyFS(disk, os.DirFS(oldDisk))); err != nil {
 		return result, err
 	}
-	err = f.recoverPower(ctx, &result, script)
+	err = f.restorePower(ctx, &result, script)
 	return result, err
 }
 
-// schedule runs actions at times after its start, and collects their errors.
+// schedule runs actions at given times after its start, and collects their errors.
 type schedule struct {
 	start time.Time
 	wg    sync.WaitGroup
@@ -64,7 +65,7 @@
 	errs  []error
 }
 
-// at runs an action in a goroutine unless the context ends before its time.
+// at runs an action in a goroutine after a delay from the start, unless the context ends before.
 func (s *schedule) at(ctx context.Context, delay time.Duration, action func() error) {
 	s.wg.Go(func() {
 		select {
@@ -78,9 +79,9 @@
 	})
 }
 
-// recoverPower brings power back by a script while requests come, and counts.
-func (f *fleet) recoverPower(ctx context.Context, result *powerResult, script powerScript) error {
-	ctx, cancel := context.WithTimeout(ctx, script.catalogStart+fleetWarmupDuration+powerAfterCatalogRun)
+// restorePower starts servers, processes and discovery at the times of the script under load, and fills in the result.
+func (f *fleet) restorePower(ctx context.Context, result *powerResult, script powerScript) error {
+	ctx, cancel := context.WithTimeout(ctx, script.catalogStart+fleetWarmupDuration+powerLoadAfterCatalog)
 	defer cancel()
 	s := &schedule{start: time.Now()}
 	for i, delay := range script.serverStarts {
@@ -91,18 +92,18 @@
 	}
 	s.at(ctx, script.catalogStart, f.restartCatalog)
 	if script.secondLoss > 0 {
-		s.at(ctx, script.secondLoss, f.processes[script.secondLossOf].restart)
+		s.at(ctx, script.secondLoss, f.processes[script.secondLossProcess].restart)
 	}
 	s.at(ctx, slices.Min(script.processStarts[1:])+powerPeerStartup, func() error {
-		result.StaleAlone = f.openedAtRetired()
+		result.StaleAlone = f.requestsAtRetiredServer()
 		return nil
 	})
-	s.wg.Go(func() { result.OverloadedServer = f.endOverloadedServers(ctx) })
+	s.wg.Go(func() { result.OverloadedServers = f.closeOverloadedServers(ctx) })
 	outcomes := f.sendRequests(ctx, s.start)
 	s.wg.Wait()
 	result.add(outcomes)
-	result.StaleActedOn = f.openedAtRetired() - result.StaleAlone
-	result.Overlapping = f.requestsOpenedTwice()
+	result.StaleActedOn = f.requestsAtRetiredServer() - result.StaleAlone
+	result.Overlapping = f.requestsAcceptedTwice()
 	return errors.Join(s.errs...)
 }
 
--- a/internal/experiment/powerscript.go
+++ b/internal/experiment/powerscript.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// powerScript is what chance decides of a loss of power; times are from the return of power.
+// powerScript holds the conditions of a power loss that are drawn from the seed. Times are relative to the return of power.
 type powerScript struct {
-	serverStarts  []time.Duration
-	processStarts []time.Duration
-	catalogStart  time.Duration
-	secondLoss    time.Duration // one process loses power again then; 0: none
-	secondLossOf  int
-	description   []string
+	serverStarts      []time.Duration
+	processStarts     []time.Duration
+	catalogStart      time.Duration
+	secondLoss        time.Duration // time at which one process loses power again; 0 means never
+	secondLossProcess int           // index of that process
+	description       []string      // of all events
 }
 
 func (s *powerScript) describe(format string, args ...any) {
 	s.description = append(s.description, fmt.Sprintf(format, args...))
 }
 
-// drawPowerScript draws a script; the same seed and sizes give the same.
+// drawPowerScript draws a script. The same arguments give the same script.
 func drawPowerScript(seed uint64, servers, processes int) (s powerScript) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	between := func(from, to time.Duration) time.Duration { return from + time.Duration(rng.Int64N(int64(to-from))) }
@@ -42,8 +42,8 @@
 	s.describe("discovery at %v", s.catalogStart.Round(time.Millisecond))
 	if rng.IntN(3) == 0 {
 		s.secondLoss = between(1500*time.Millisecond, 2500*time.Millisecond)
-		s.secondLossOf = 1 + rng.IntN(processes-1)
-		s.describe("gateway %d loses power again at %v", s.secondLossOf, s.secondLoss.Round(time.Millisecond))
+		s.secondLossProcess = 1 + rng.IntN(processes-1)
+		s.describe("gateway %d loses power again at %v", s.secondLossProcess, s.secondLoss.Round(time.Millisecond))
 	}
 	return s
 }
--- a/internal/experiment/silentwatch.go
+++ b/internal/experiment/silentwatch.go
@@ -18,44 +18,45 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// silentWatchResult is what one run with a stalled watch came to.
+// silentWatchResult is the result of a run with a stalled watch.
 type silentWatchResult struct {
 	Mode       string `json:"mode"`
 	Seed       uint64 `json:"seed"`
 	Requests   int64  `json:"requests"`
-	KnownMS    int64  `json:"known_after_ms"`  // from the change to the last request at the draining server
-	NotifiedMS int64  `json:"counts_after_ms"` // from the change until the gateway counts as notified of it
-	Late       int64  `json:"sends_late"`      // requests at that server after the grace period
+	KnownMS    int64  `json:"known_after_ms"`  // from the change of the list to the last request at the draining server
+	NotifiedMS int64  `json:"counts_after_ms"` // from the change until the gateway must know of it
+	Late       int64  `json:"sends_late"`      // requests at the draining server after the drain grace
 }
 
 const (
 	silentServers       = 3
-	silentMinDelay      = 300 * time.Millisecond // a watch has been open for at least so long when it stalls
-	silentChangeDelay   = 500 * time.Millisecond // from then to the drain
-	silentSlack         = 50 * time.Millisecond  // the platform's, on every limit
-	silentDetectionTime = 6 * time.Second        // a gateway that hears nothing for so long has to ask anew
+	silentMinDelay      = 300 * time.Millisecond // shortest time from the gateway's readiness until its watch stalls
+	silentChangeDelay   = 500 * time.Millisecond // from the stall until the drain begins
+	silentTolerance     = 50 * time.Millisecond  // the platform's tolerance on every limit
+	silentDetectionTime = 6 * time.Second        // after which a gateway must replace a watch that receives nothing
 	silentRequestPause  = 20 * time.Millisecond
 )
 
-// silentMode is the figures of a way in which endpoint lists come.
-type silentMode struct {
-	maxWait     time.Duration // of a call
-	gracePeriod time.Duration // for drains
+// discoveryModeLimits holds the limits of a discovery mode.
+type discoveryModeLimits struct {
+	maxWatchDuration time.Duration // longest duration of a watch
+	drainGrace       time.Duration // drain grace
 }
 
-var silentModes = map[string]silentMode{
-	"ask":  {maxWait: 10 * time.Second, gracePeriod: 500 * time.Millisecond},
-	"push": {maxWait: 2 * time.Second, gracePeriod: 250 * time.Millisecond},
+var discoveryModes = map[string]discoveryModeLimits{
+	"ask":  {maxWatchDuration: 10 * time.Second, drainGrace: 500 * time.Millisecond},
+	"push": {maxWatchDuration: 2 * time.Second, drainGrace: 250 * time.Millisecond},
 }
 
-// silentWatchCommand stalls the watch of the endpoint list while a server begins to drain, with many seeds at once.
+// silentWatchCommand returns the command that stalls the watch of the endpoint list and then makes a server drain, with
+// many seeds concurrently.
 func silentWatchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "silent-watch", Usage: "a list's watch falls silent, and a server drains meanwhile",
+		Name: "silent-watch", Usage: "stall the watch of the endpoint list while a server drains, and count late requests",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "mode", Value: "ask", Usage: "ask: of discovery; push: of an agent"},
+			&cli.StringFlag{Name: "mode", Value: "ask", Usage: "discovery mode: ask (the discovery service) or push (an agent)"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed"},
-			&cli.IntFlag{Name: "seeds", Value: 20, Usage: "run side by side"},
+			&cli.IntFlag{Name: "seeds", Value: 20, Usage: "number of seeds, which run concurrently"},
 		},
 		Action: runSilentWatches,
 	}
@@ -63,8 +64,8 @@
 
 func runSilentWatches(ctx context.Context, c *cli.Command) error {
 	mode := c.String("mode")
-	if _, ok := silentModes[mode]; !ok {
-		return fmt.Errorf("mode: %q is neither ask nor push", mode)
+	if _, ok := discoveryModes[mode]; !ok {
+		return fmt.Errorf("mode: unknown discovery mode %q, want ask or push", mode)
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -73,7 +74,7 @@
 		wg.Go(func() {
 			result, err := runSilentWatch(ctx, mode, c.Uint64("seed")+i)
 			if err == nil && result.Late > 0 {
-				err = fmt.Errorf("seed %d: %d requests were sent to a drained server after the grace", result.Seed, result.Late)
+				err = fmt.Errorf("seed %d: %d requests reached the draining server after the drain grace", result.Seed, result.Late)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -84,9 +85,9 @@
 	return errors.Join(errs...)
 }
 
-// silentRun is one run: a gateway in front of a few servers.
+// silentRun holds the state of a run: a gateway in front of a few servers.
 type silentRun struct {
-	mode    silentMode
+	mode    discoveryModeLimits
 	rng     *rand.Rand
 	catalog *fakeserver.Catalog
 	servers []*fakeserver.LineServer
@@ -96,7 +97,7 @@
 
 func runSilentWatch(ctx context.Context, mode string, seed uint64) (result silentWatchResult, err error) {
 	r := &silentRun{
-		mode: silentModes[mode], rng: rand.New(rand.NewPCG(seed, 1)),
+		mode: discoveryModes[mode], rng: rand.New(rand.NewPCG(seed, 1)),
 		result: silentWatchResult{Mode: mode, Seed: seed},
 	}
 	defer func() { err = errors.Join(err, r.close()) }()
@@ -127,7 +128,7 @@
 	defer release()
 	settings := strings.NewReplacer(
 		`"ask"`, fmt.Sprintf("%q", r.result.Mode),
-		`within_ns":500000000`, fmt.Sprintf(`within_ns":%d`, r.mode.gracePeriod),
+		`within_ns":500000000`, fmt.Sprintf(`within_ns":%d`, r.mode.drainGrace),
 	).Replace(lineSettings)
 	text := fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"%x","settings":%s}`,
 		listen, r.catalog.Addr(), r.result.Seed, settings)
@@ -152,8 +153,8 @@
 	return err
 }
 
-// stallAndDrain stalls the watch and then has the first server drain. It returns when that was, and by when the gateway
-// has to know of it.
+// stallAndDrain stalls the watch and then makes the first server drain. It returns the time of the drain and the time by
+// which the gateway must know of it.
 func (r *silentRun) stallAndDrain() (changedAt, notifiedBy time.Time) {
 	time.Sleep(silentMinDelay + time.Duration(r.rng.Int64N(int64(time.Second))))
 	watchStart, stalledAt := r.catalog.StallWatches(), time.Now()
@@ -163,14 +164,14 @@
 	r.catalog.SetEndpoint(drained)
 	changedAt = time.Now()
 	notifiedBy = stalledAt.Add(silentDetectionTime)
-	if watchEnd := watchStart.Add(r.mode.maxWait + 2*time.Second); watchEnd.After(notifiedBy) {
+	if watchEnd := watchStart.Add(r.mode.maxWatchDuration + 2*time.Second); watchEnd.After(notifiedBy) {
 		notifiedBy = watchEnd
 	}
 	return changedAt, notifiedBy
 }
 
-// sendRequests opens connections until some time after the gateway has to know of the drain, and records those that
-// came to the draining server.
+// sendRequests opens connections until some time after the gateway must know of the drain, and records those that reach
+// the draining server.
 func (r *silentRun) sendRequests(changedAt, notifiedBy time.Time) error {
 	const afterNotification = 2 * time.Second
 	end := notifiedBy.Add(afterNotification)
@@ -183,7 +184,7 @@
 		if n := r.servers[0].Opened(); n > opened {
 			opened = n
 			r.result.KnownMS = time.Since(changedAt).Milliseconds()
-			if time.Since(notifiedBy) > r.mode.gracePeriod+silentSlack {
+			if time.Since(notifiedBy) > r.mode.drainGrace+silentTolerance {
 				r.result.Late++
 			}
 		}
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// openLine opens a connection through a gateway, and ends it once it is established or rejected.
+// openLine opens a connection through a gateway, and closes it once it is established or rejected.
 func openLine(gatewayAddr, name string) error {
 	conn, err := net.Dial("tcp", gatewayAddr)
 	if err != nil {
@@ -207,7 +208,7 @@
 	}
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && !strings.HasPrefix(line, "UP ") && !strings.HasPrefix(line, "BUSY") {
-		err = fmt.Errorf("%s: answered %q", name, line)
+		err = fmt.Errorf("request %s: got answer %q, want UP or BUSY", name, line)
 	}
 	return err
 }
--- a/internal/experiment/stopsoak.go
+++ b/internal/experiment/stopsoak.go
@@ -45,7 +45,7 @@
 	return &cli.Command{
 		Name: "stop-soak", Usage: "stop and restart processes of the program while clients use them, and check for violations",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "number of runs, one for each seed"},
+			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "runs"},
 			&cli.Uint64Flag{Name: "from", Value: 1, Usage: "the first seed"},
 			&cli.IntFlag{Name: "parallel", Value: 2, Usage: "number of concurrent runs"},
 			&cli.StringFlag{Name: "program", Usage: "`PATH` of the program; defaults to milletvane beside this program"},
--- a/internal/experiment/tiersresult.go
+++ b/internal/experiment/tiersresult.go
@@ -9,18 +9,18 @@
 
 const tierCount = 3
 
-// tiersResult is what an overload came to, for a fleet that sheds load by priority or one that does not. Arrays are in
-// the order of priority, the highest first.
+// tiersResult is the result of an overload for one fleet, which sheds load by priority or does not. Arrays are indexed by
+// priority, the highest first.
 type tiersResult struct {
 	Tiers           bool               `json:"tiers"`
-	ServedRatio     [tierCount]float64 `json:"served_part"` // after the first seconds
-	InvertedSeconds float64            `json:"inverted_seconds"`
-	ServedBySecond  []string           `json:"served_by_second"` // ratio of each priority
+	ServedRatio     [tierCount]float64 `json:"served_part"`      // 0 to 1, after tiersSettleTime
+	InvertedSeconds float64            `json:"inverted_seconds"` // see inversionInterval
+	ServedBySecond  []string           `json:"served_by_second"` // the served ratios of all priorities
 	Unanswered      int                `json:"unanswered"`
 	Requests        int                `json:"requests"`
 }
 
-// tiersReport is the outcome of the scenario.
+// tiersReport is the result of the scenario for both fleets.
 type tiersReport struct {
 	Scenario  string      `json:"play"`
 	Seed      uint64      `json:"seed"`
@@ -30,7 +30,7 @@
 	Plain     tiersResult `json:"plain"` // the same fleet without tiers, in the same run
 }
 
-// faults returns an error for each figure of the fleet with tiers that is not as it must be.
+// faults returns an error for each figure of the fleet with tiers that is outside its allowed range.
 func (r *tiersReport) faults() error {
 	const minHighestServed = 0.9
 	var errs []error
@@ -39,12 +39,13 @@
 	}
 	highest, lowest := r.Shed.ServedRatio[0], r.Shed.ServedRatio[tierCount-1]
 	if highest < minHighestServed || highest < lowest {
-		errs = append(errs, fmt.Errorf("seed %d: the highest tier was served %.2f, the lowest %.2f", r.Seed, highest, lowest))
+		errs = append(errs, fmt.Errorf("seed %d: served ratio of the highest tier is %.2f, of the lowest tier %.2f",
+			r.Seed, highest, lowest))
 	}
 	return errors.Join(errs...)
 }
 
-// tierRatios are the requests of a period, by priority.
+// tierRatios holds the served ratios of a period by priority.
 type tierRatios [tierCount]servedRatio
 
 func (t *tierRatios) add(o requestOutcome) {
@@ -66,7 +67,7 @@
 	return strings.Join(ratios, " ")
 }
 
-// add counts requests, but for those of the first seconds.
+// add counts the outcomes of the requests that a gateway accepted after tiersSettleTime.
 func (r *tiersResult) add(outcomes []requestOutcome) {
 	var total tierRatios
 	seconds := make([]tierRatios, int((tiersSettleTime+tiersMeasuredTime)/time.Second))
--- a/internal/experiment/tiersscenario.go
+++ b/internal/experiment/tiersscenario.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	tiersSettleTime   = 2 * time.Second        // from the start of the overload, which does not count
-	tiersMeasuredTime = 14 * time.Second       // that does
-	inversionInterval = 200 * time.Millisecond // rejecting the highest and serving the lowest priority in it is an inversion
-	tiersCapacity     = 6                      // connections of each server
-	tiersOverload     = 3                      // load, relative to what the servers bear
-	tiersTick         = 10 * time.Millisecond
-	tiersPauseTime    = 1500 * time.Millisecond // of one instance, which is killed
-	tiersKillDelay    = 2 * time.Second         // so long after it
+	tiersSettleTime   = 2 * time.Second         // period at the start of the overload that is not measured
+	tiersMeasuredTime = 14 * time.Second        // measured period after it
+	inversionInterval = 200 * time.Millisecond  // rejecting the highest and serving the lowest priority in it is an inversion
+	tiersCapacity     = 6                       // connections of each server
+	tiersOverload     = 3                       // load relative to the capacity of the servers
+	tiersLoadInterval = 10 * time.Millisecond   // interval at which requests are started
+	tiersPauseTime    = 1500 * time.Millisecond // for which one instance is suspended
+	tiersKillDelay    = 2 * time.Second         // from its resumption until it is killed
 )
 
 var (
 	tierClasses = [tierCount]string{"high", "mid", "lines"}
-	tierShares  = [tierCount]float64{0.15, 0.35, 0.5} // of requests
+	tierShares  = [tierCount]float64{0.15, 0.35, 0.5} // fraction of all requests
 )
 
-// instanceFault is the pause and restart of an instance, in the middle of an overload.
+// instanceFault is the suspension and restart of an instance during the overload.
 type instanceFault struct {
 	instance int
-	at       time.Duration
+	at       time.Duration // from the start of the overload
 }
 
-// runTiersScenario runs an overload for a fleet with tiers and for one without.
+// runTiersScenario runs the same overload for a fleet with tiers and for a fleet without tiers.
 func runTiersScenario(ctx context.Context, s fleetScenario) (*tiersReport, error) {
 	rng := rand.New(rand.NewPCG(s.seed, 6))
 	fault := instanceFault{instance: rng.IntN(s.instances)}
 	fault.at = 4*time.Second + time.Duration(rng.Int64N(int64(2*time.Second)))
 	report := &tiersReport{Scenario: scenarioTiers, Seed: s.seed, Instances: s.instances}
-	report.Order = []string{fmt.Sprintf("gateway %d is stopped at %v for 1.5s, and killed and started anew 2s later",
+	report.Order = []string{fmt.Sprintf("gateway %d is suspended at %v for 1.5s, and killed and restarted 2s later",
 		fault.instance, fault.at.Round(time.Millisecond))}
 	var err error
 	if report.Shed, err = runTiers(ctx, s, `(tier "high") (tier "mid")`, fault); err != nil {
@@ -54,7 +54,7 @@
 		return result, err
 	}
 	defer func() { err = errors.Join(err, f.close()) }()
-	for _, server := range f.lineServer {
+	for _, server := range f.lineServers {
 		server.SetCapacity(tiersCapacity)
 	}
 	ctx, cancel := context.WithTimeout(ctx, tiersSettleTime+tiersMeasuredTime)
@@ -62,7 +62,7 @@
 	var wg sync.WaitGroup
 	var faultErr error
 	wg.Go(func() { faultErr = f.pauseAndRestart(fault) })
-	outcomes := f.overload(ctx)
+	outcomes := f.sendOverload(ctx)
 	wg.Wait()
 	result.add(outcomes)
 	return result, faultErr
@@ -82,12 +82,12 @@
 	return p.restart()
 }
 
-// overload sends requests of all classes to random instances until ctx is done, and waits for their outcomes.
-func (f *fleet) overload(ctx context.Context) (outcomes []requestOutcome) {
-	perTick := tiersOverload * float64(f.servers()*tiersCapacity) / fleetHoldDuration.Seconds() * tiersTick.Seconds()
+// sendOverload sends requests of all classes to random instances until ctx is done, and waits for their outcomes.
+func (f *fleet) sendOverload(ctx context.Context) (outcomes []requestOutcome) {
+	perTick := tiersOverload * float64(f.servers()*tiersCapacity) / fleetHoldDuration.Seconds() * tiersLoadInterval.Seconds()
 	rng := rand.New(rand.NewPCG(f.seed, 8))
 	start := time.Now()
-	ticker := time.NewTicker(tiersTick)
+	ticker := time.NewTicker(tiersLoadInterval)
 	defer ticker.Stop()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -115,8 +115,8 @@
 }
 
 func drawPriority(rng *rand.Rand) (priority int) {
-	for dice := rng.Float64(); priority < tierCount-1 && dice >= tierShares[priority]; priority++ {
-		dice -= tierShares[priority]
+	for remaining := rng.Float64(); priority < tierCount-1 && remaining >= tierShares[priority]; priority++ {
+		remaining -= tierShares[priority]
 	}
 	return priority
 }
