--- a/internal/experiment/plansite.go
+++ b/internal/experiment/plansite.go
@@ -165,8 +165,9 @@
 
 // openConnections opens connections and closes them immediately, for one zone after the other in proportion to its demand,
 // each with its own key. It returns the connections by node, and how many were not served.
-func (s *planTestbed) openConnections(connectionsPerUnit int, gatewayAddr func(zone string) string,
-	phase string) (counts connectionCounts, failed int) {
+func (s *planTestbed) openConnections(
+	connectionsPerUnit int, gatewayAddr func(zone string) string, phase string,
+) (counts connectionCounts, failed int) {
 	counts = connectionCounts{}
 	for _, demand := range s.problem.Demands {
 		servers, before := s.currentServers(), map[string]int64{}
--- a/internal/experiment/stopscenario.go
+++ b/internal/experiment/stopscenario.go
@@ -110,8 +110,9 @@
 		crowd:              rng.IntN(3) == 0,
 		hotRestart:         rng.IntN(4) == 0,
 		newClientsDuration: drawMilliseconds(rng, 200, 400),
-		discovery: []discoveryFault{discoveryNormal, discoveryNormal, discoveryDown,
-			discoverySilent, discoveryChanges}[rng.IntN(5)],
+		discovery: []discoveryFault{
+			discoveryNormal, discoveryNormal, discoveryDown, discoverySilent, discoveryChanges,
+		}[rng.IntN(5)],
 		discoveryFaultAt: drawMilliseconds(rng, -300, 100),
 	}
 	if hotRestarts != hotRestartDrawn {
