--- a/internal/lineproto/backend/serverconn.go
+++ b/internal/lineproto/backend/serverconn.go
@@ -51,7 +51,7 @@
 // countForwarded counts the attempt once the kernel has accepted the last byte of its opening line. It is called at each
 // event of the attempt until it has counted the attempt.
 func (s *ServerConn) countForwarded() {
-	if !s.forwarded && s.Conn().Buffered() == 0 {
+	if !s.forwarded && s.Conn().PendingBytes() == 0 {
 		s.forwarded = true
 		s.backend.options.Forwarded.Add(1)
 	}
@@ -96,13 +96,13 @@
 	case upstream.Pending:
 		s.countForwarded()
 		// If the last byte of the opening line was not written, the request never ran. Otherwise it may have run.
-		if c.Buffered() > 0 {
+		if c.PendingBytes() > 0 {
 			s.fail(balancer.ConnectFailed)
 		} else {
 			s.fail(balancer.Reset)
 		}
 	case upstream.Established:
-		s.handleServerEnd(s.result(), reactor.WasReset(err))
+		s.handleServerEnd(s.result(), reactor.IsFailure(err))
 	}
 }
 
--- a/internal/lineproto/backend/serverconn_test.go
+++ b/internal/lineproto/backend/serverconn_test.go
@@ -75,7 +75,7 @@
 // callOnOpen calls OnOpen on the connection's loop and waits for it to return.
 func (c connectedAttempt) callOnOpen() {
 	done := make(chan struct{})
-	c.conn.Conn().Do(func() {
+	c.conn.Conn().Post(func() {
 		c.conn.OnOpen(c.conn.Conn(), nil)
 		close(done)
 	})
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -73,7 +73,7 @@
 	if !c.markEnded() {
 		return
 	}
-	c.endServer(reactor.WasReset(err))
+	c.endServer(reactor.IsFailure(err))
 	c.listener.engine.Post(engine.ClientDisconnected{Client: c})
 }
 
@@ -141,7 +141,7 @@
 	case phaseOpening, phaseWaiting:
 		c.Reject(0)
 	case phaseRelaying:
-		c.conn.Do(c.closeRelaying) // runs after the call that an earlier Migrate has posted
+		c.conn.Post(c.closeRelaying) // runs after the call that an earlier Migrate has posted
 	}
 }
 
@@ -152,9 +152,9 @@
 	c.endServer(false)
 }
 
-// RejectWaiting rejects a client that has no server yet. It is for clients that the engine will not answer since it has
+// rejectWaiting rejects a client that has no server yet. It is for clients that the engine will not answer since it has
 // ended.
-func (c *Conn) RejectWaiting() {
+func (c *Conn) rejectWaiting() {
 	if c.currentPhase() < phaseRelaying {
 		c.Reject(0)
 	}
--- a/internal/lineproto/frontend/listener.go
+++ b/internal/lineproto/frontend/listener.go
@@ -68,9 +68,9 @@
 	} else {
 		l.listener.Drain()
 	}
-	l.group.Each(func(h reactor.Handler) {
+	l.group.ForEachHandler(func(h reactor.Handler) {
 		if c, ok := h.(*Conn); ok {
-			c.RejectWaiting()
+			c.rejectWaiting()
 		}
 	})
 }
--- a/internal/lineproto/frontend/relay.go
+++ b/internal/lineproto/frontend/relay.go
@@ -69,7 +69,7 @@
 // Migrate implements engine.Client. The connection's loop sends MOVE, since sending it includes posting to the engine,
 // which may block: the loop may wait for that, the engine's goroutine may not.
 func (c *Conn) Migrate() time.Duration {
-	c.conn.Do(c.sendMoveAtLineEnd)
+	c.conn.Post(c.sendMoveAtLineEnd)
 	return 0
 }
 
--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -73,7 +73,7 @@
 func (b *Backend) Send(a engine.Attempt) engine.ActiveAttempt {
 	if client, ok := a.Client.(RequestClient); ok {
 		r := &RequestAttempt{backend: b, attempt: a, client: client, startedAt: time.Now()}
-		client.Conn().Do(r.start)
+		client.Conn().Post(r.start)
 		return r
 	}
 	return b.dial(a, a.Client.(SessionClient))
--- a/internal/nats/backend/node_conn.go
+++ b/internal/nats/backend/node_conn.go
@@ -154,7 +154,7 @@
 	switch {
 	case n.IsEstablished():
 		n.disconnect()
-	case !n.infoReceived || c.Buffered() > 0: // the handshake was not sent, or not completely
+	case !n.infoReceived || c.PendingBytes() > 0: // the handshake was not sent, or not completely
 		n.failHandshake(balancer.ConnectFailed)
 	default:
 		n.failHandshake(balancer.Reset)
--- a/internal/nats/backend/ping.go
+++ b/internal/nats/backend/ping.go
@@ -48,7 +48,7 @@
 	if len(n.pings) == 0 {
 		n.ResponseReceived()
 	} else {
-		n.RequestRenewed() // the node responds, even if late
+		n.RestartResponseTimer() // the node responds, even if late
 	}
 	if onPong != nil {
 		onPong()
--- a/internal/nats/backend/request.go
+++ b/internal/nats/backend/request.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	r.ended = true
-	r.client.Conn().Do(r.unsubscribe)
+	r.client.Conn().Post(r.unsubscribe)
 	return true
 }
 
--- a/internal/nats/frontend/frontend.go
+++ b/internal/nats/frontend/frontend.go
@@ -84,7 +84,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for s := range f.sessions {
-		s.conn.Do(s.shutdown)
+		s.conn.Post(s.shutdown)
 	}
 }
 
--- a/internal/nats/frontend/node_session.go
+++ b/internal/nats/frontend/node_session.go
@@ -34,15 +34,15 @@
 
 // Reject implements engine.Client.
 func (n *nodeSession) Reject(retryAfter time.Duration) {
-	n.Conn().Do(func() { n.session.nodeRejected(n, retryAfter) })
+	n.Conn().Post(func() { n.session.nodeRejected(n, retryAfter) })
 }
 
 // Fail implements engine.Client.
-func (n *nodeSession) Fail() { n.Conn().Do(func() { n.session.nodeRejected(n, 0) }) }
+func (n *nodeSession) Fail() { n.Conn().Post(func() { n.session.nodeRejected(n, 0) }) }
 
 // Close implements engine.Client. It is called if the client sent no CONNECT in time or the session did not migrate in time.
 func (n *nodeSession) Close() {
-	n.Conn().Do(func() {
+	n.Conn().Post(func() {
 		s := n.session
 		n.released = true
 		if n == s.current || n == s.next && s.phase != established {
@@ -57,7 +57,7 @@
 // Migrate implements engine.Client. It starts a migration, or the shutdown of the session if the Frontend is shutting
 // down, and returns the maximum duration of a migration.
 func (n *nodeSession) Migrate() time.Duration {
-	n.Conn().Do(func() {
+	n.Conn().Post(func() {
 		if s := n.session; s.frontend.shuttingDown.Load() {
 			s.shutdown()
 		} else {
@@ -69,7 +69,7 @@
 }
 
 // ServerDraining implements engine.DrainObserver.
-func (n *nodeSession) ServerDraining() { n.Conn().Do(func() { n.session.nodeDraining(n) }) }
+func (n *nodeSession) ServerDraining() { n.Conn().Post(func() { n.session.nodeDraining(n) }) }
 
 // isEstablished reports whether the node has confirmed the handshake.
 func (n *nodeSession) isEstablished() bool { return n.nodeConn != nil && n.nodeConn.IsEstablished() }
--- a/internal/nats/frontend/request.go
+++ b/internal/nats/frontend/request.go
@@ -97,12 +97,12 @@
 
 // Reject implements engine.Client.
 func (r *request) Reject(retryAfter time.Duration) {
-	r.Conn().Do(func() { r.endWithStatus(codec.StatusTooManyRequests, "Refused", retryAfter) })
+	r.Conn().Post(func() { r.endWithStatus(codec.StatusTooManyRequests, "Refused", retryAfter) })
 }
 
 // Fail implements engine.Client.
 func (r *request) Fail() {
-	r.Conn().Do(func() { r.endWithStatus(codec.StatusServerError, "Failed", 0) })
+	r.Conn().Post(func() { r.endWithStatus(codec.StatusServerError, "Failed", 0) })
 }
 
 // Close implements engine.Client. The engine closes only clients that sent no request in time or did not migrate in time,
--- a/internal/reactor/close_test.go
+++ b/internal/reactor/close_test.go
@@ -132,7 +132,7 @@
 	addr, conns := pausedListener(t, g, nil)
 	client := dial(t, addr)
 	conn := await(t, conns)
-	conn.Do(func() {
+	conn.Post(func() {
 		noError(t, conn.Send([]byte("MOVE\r\n")))
 		conn.Close()
 	})
@@ -181,7 +181,7 @@
 	old.fd = next.fd // as if the kernel had reused the number, as it does with the lowest free one
 	done := make(chan bool)
 	// As the loop does with an event that it took from the kernel before the Abort.
-	next.Do(func() { old.handleEvents(unix.EPOLLRDHUP); close(done) })
+	next.Post(func() { old.handleEvents(unix.EPOLLRDHUP); close(done) })
 	await(t, done)
 	writeString(t, client, "data")
 	if got := await(t, received); got != "data" {
--- a/internal/reactor/conn.go
+++ b/internal/reactor/conn.go
@@ -155,9 +155,9 @@
 // Loop returns the connection's loop.
 func (c *Conn) Loop() *Loop { return c.loop }
 
-// Do makes the connection's loop call f soon. The call is dropped if the group is closed. Do is for callers that must not
+// Post makes the connection's loop call f soon. The call is dropped if the group is closed. Post is for callers that must not
 // block or that hold locks that f needs.
-func (c *Conn) Do(f func()) { c.loop.Post(f) }
+func (c *Conn) Post(f func()) { c.loop.Post(f) }
 
 // Closed reports whether Close or Abort was called, or whether the connection has ended by the peer or by an error.
 func (c *Conn) Closed() bool {
--- a/internal/reactor/dial_test.go
+++ b/internal/reactor/dial_test.go
@@ -83,7 +83,7 @@
 	}
 	t.Cleanup(func() { _ = l.Close() })
 	c := g.Dial(l.Addr().String(), testTimeout, &handlerFuncs{}, nil)
-	c.Do(func() { noError(t, c.Send([]byte("early"))) }) // after the call of connect, before the dial has finished
+	c.Post(func() { noError(t, c.Send([]byte("early"))) }) // after the call of connect, before the dial has finished
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/reactor/group.go
+++ b/internal/reactor/group.go
@@ -57,9 +57,9 @@
 // pickLoop returns the loop for the next connection, round robin.
 func (g *Group) pickLoop() *Loop { return g.loops[int(g.next.Add(1))%len(g.loops)] }
 
-// Each makes every loop call f soon with the handlers of the loop's connections. For an accepted connection, OnOpen has
+// ForEachHandler makes every loop call f soon with the handlers of the loop's connections. For an accepted connection, OnOpen has
 // been called before.
-func (g *Group) Each(f func(Handler)) {
+func (g *Group) ForEachHandler(f func(Handler)) {
 	for _, l := range g.loops {
 		l.Post(func() {
 			for _, s := range l.targets() {
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -47,6 +47,6 @@
 	errNoDescriptor = errors.New("reactor: descriptor budget is used up")
 )
 
-// WasReset reports whether an error passed to OnEnd means that the connection failed, as opposed to an orderly end by the
+// IsFailure reports whether an error passed to OnEnd means that the connection failed, as opposed to an orderly end by the
 // peer.
-func WasReset(err error) bool { return err != nil }
+func IsFailure(err error) bool { return err != nil }
--- a/internal/reactor/reactor_test.go
+++ b/internal/reactor/reactor_test.go
@@ -130,7 +130,7 @@
 
 func (r *relay) OnData(c *Conn, b []byte) int {
 	_ = r.server.SendFrom(c, b) // an error is ignored: the test compares what arrives
-	if n := int64(r.server.Buffered()); n > r.maxPending.Load() {
+	if n := int64(r.server.PendingBytes()); n > r.maxPending.Load() {
 		r.maxPending.Store(n)
 	}
 	return len(b)
@@ -280,7 +280,7 @@
 	await(t, conns)
 	noError(t, client.SetLinger(0))
 	noError(t, client.Close())
-	if err := await(t, ends); !WasReset(err) {
+	if err := await(t, ends); !IsFailure(err) {
 		t.Errorf("OnEnd got %v, want a reset", err)
 	}
 }
--- a/internal/reactor/write.go
+++ b/internal/reactor/write.go
@@ -208,9 +208,9 @@
 	c.maxPending = limit
 }
 
-// Buffered returns the number of bytes pending for the peer in this process. Bytes that the kernel has accepted are not
+// PendingBytes returns the number of bytes pending for the peer in this process. Bytes that the kernel has accepted are not
 // counted.
-func (c *Conn) Buffered() int {
+func (c *Conn) PendingBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -105,8 +105,8 @@
 // RequestSent records that a request is sent now. It has no effect while an older request has no response.
 func (a *Attempt) RequestSent() { a.sentAt.CompareAndSwap(0, a.now()) }
 
-// RequestRenewed records that the oldest request without a response counts as sent now.
-func (a *Attempt) RequestRenewed() { a.sentAt.Store(a.now()) }
+// RestartResponseTimer records that the oldest request without a response counts as sent now.
+func (a *Attempt) RestartResponseTimer() { a.sentAt.Store(a.now()) }
 
 // ResponseReceived records that every request has its response. It returns how long the oldest one had none, at least 1 ns,
 // or zero if there was no request.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -93,7 +93,7 @@
 	attempt.RequestSent()
 	time.Sleep(5 * time.Millisecond)
 	before := attempt.UnansweredFor()
-	attempt.RequestRenewed()
+	attempt.RestartResponseTimer()
 	if sent := time.Duration(attempt.sentAt.Load()); sent < before {
 		t.Errorf("the request counts as sent %v after the start, want %v or more", sent, before)
 	}
