--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -133,13 +133,13 @@
 
 func (g *Gateway) natsOptions(settings *operator.NATS) natsbackend.Options {
 	return natsbackend.Options{
-		ConnectTimeout: g.config.Gateway.ConnectTimeout,
-		NodePort:       settings.NodePort,
-		PingInterval:   settings.PingInterval,
-		MaxSharedConns: settings.MaxShared,
-		Name:           g.config.Name,
-		Forwards:       &g.registry.Forwards,
-		Limits:         codec.Limits{MaxPayload: max(settings.MaxPayload, minServerPayload)},
+		ConnectTimeout:    g.config.Gateway.ConnectTimeout,
+		NodePort:          settings.NodePort,
+		PingInterval:      settings.PingInterval,
+		MaxSharedConns:    settings.MaxShared,
+		Name:              g.config.Name,
+		ForwardedAttempts: &g.registry.Forwards,
+		Limits:            codec.Limits{MaxPayload: max(settings.MaxPayload, minServerPayload)},
 	}
 }
 
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -91,7 +91,7 @@
 	h.calls = nil
 	h.handle(AttemptEstablished{RequestID: stale.sent.RequestID})
 	h.endAttempt(stale, balancer.Reset)
-	h.handle(ConnectionLoad{RequestID: stale.sent.RequestID, Load: 9})
+	h.handle(ConnectionLoadChanged{RequestID: stale.sent.RequestID, Load: 9})
 	h.handle(MessageAnswered{RequestID: stale.sent.RequestID, Delay: time.Minute})
 	h.handle(ServerDraining{RequestID: stale.sent.RequestID})
 	h.handle(ClientDisconnected{first})
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -143,7 +143,7 @@
 		return nil
 	}
 	e.requests.each(func(r *request) {
-		if r.phase == idle && r != except && (longest == nil || r.phaseTimer.At() < longest.phaseTimer.At()) {
+		if r.phase == idle && r != except && (longest == nil || r.phaseTimer.ExpiresAt() < longest.phaseTimer.ExpiresAt()) {
 			longest = r
 		}
 	})
--- a/internal/engine/digest_clients_test.go
+++ b/internal/engine/digest_clients_test.go
@@ -175,7 +175,7 @@
 
 func (s *simulation) reportConnectionLoad() {
 	s.withEstablished(func(a *attempt) {
-		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: float64(s.random.IntN(5000))})
+		s.handle("load", engine.ConnectionLoadChanged{RequestID: a.sent.RequestID, Load: float64(s.random.IntN(5000))})
 	})
 }
 
@@ -204,7 +204,7 @@
 		a.ended = true
 		s.handle("ended", engine.AttemptEnded{RequestID: a.sent.RequestID, Number: number, Result: balancer.Reset})
 	case 2:
-		s.handle("load", engine.ConnectionLoad{RequestID: a.sent.RequestID, Load: 7})
+		s.handle("load", engine.ConnectionLoadChanged{RequestID: a.sent.RequestID, Load: 7})
 	case 3:
 		s.handle("answered", engine.MessageAnswered{RequestID: a.sent.RequestID, Delay: time.Second})
 	}
--- a/internal/engine/digest_fakes_test.go
+++ b/internal/engine/digest_fakes_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Forget implements engine.LoadPoller.
-func (s *simulation) Forget(server balancer.ServerID) {
+// StopPolling implements engine.LoadPoller.
+func (s *simulation) StopPolling(server balancer.ServerID) {
 	s.transcript.call("forget", field{"server", int(server)})
 }
 
--- a/internal/engine/digest_test.go
+++ b/internal/engine/digest_test.go
@@ -142,7 +142,7 @@
 	t.counts["event "+event]++
 	t.line = append(append(t.line[:0], "event "...), event...)
 	t.line = append(appendFields(t.line, state), '\n')
-	t.sortForgetCalls()
+	t.sortStopPollingCalls()
 	for _, c := range t.calls {
 		t.line = append(append(t.line, "call "...), c.kind...)
 		t.line = append(append(t.line, c.text...), '\n')
@@ -151,9 +151,9 @@
 	t.hash.Write(t.line)
 }
 
-// sortForgetCalls sorts each sequence of calls of Forget. The engine forgets the servers that a full list leaves out in the
-// random order of a map. All other calls keep their order in the transcript.
-func (t *transcript) sortForgetCalls() {
+// sortStopPollingCalls sorts each sequence of calls of StopPolling. The engine removes the servers that a full list leaves
+// out in the random order of a map. All other calls keep their order in the transcript.
+func (t *transcript) sortStopPollingCalls() {
 	for start := 0; start < len(t.calls); start++ {
 		end := start
 		for end < len(t.calls) && t.calls[end].kind == "forget" {
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -150,7 +150,7 @@
 }
 
 func (e *Engine) removeEndpoint(id balancer.ServerID, update *endpointUpdate) {
-	e.poller.Forget(id)
+	e.poller.StopPolling(id)
 	e.endpoints.remove(id)
 	update.draining = append(update.draining, id)
 }
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -51,8 +51,8 @@
 		Number    int
 		Result    balancer.Result
 	}
-	// ConnectionLoad reports the current load of an established connection, in microseconds of work per second.
-	ConnectionLoad struct {
+	// ConnectionLoadChanged reports the current load of an established connection, in microseconds of work per second.
+	ConnectionLoadChanged struct {
 		RequestID slotmap.Handle
 		Load      float64
 	}
@@ -109,24 +109,24 @@
 	Shutdown struct{}
 )
 
-func (ClientConnected) event()      {}
-func (ClientActive) event()         {}
-func (ClientDisconnected) event()   {}
-func (ProtocolViolated) event()     {}
-func (RequestReceived) event()      {}
-func (UnaryRequestReceived) event() {}
-func (AttemptEstablished) event()   {}
-func (AttemptEnded) event()         {}
-func (ConnectionLoad) event()       {}
-func (MessageAnswered) event()      {}
-func (ServerDraining) event()       {}
-func (EndpointList) event()         {}
-func (LoadReported) event()         {}
-func (MaintenanceChanged) event()   {}
-func (FleetShedLevel) event()       {}
-func (StateRequested) event()       {}
-func (PredecessorState) event()     {}
-func (Shutdown) event()             {}
+func (ClientConnected) event()       {}
+func (ClientActive) event()          {}
+func (ClientDisconnected) event()    {}
+func (ProtocolViolated) event()      {}
+func (RequestReceived) event()       {}
+func (UnaryRequestReceived) event()  {}
+func (AttemptEstablished) event()    {}
+func (AttemptEnded) event()          {}
+func (ConnectionLoadChanged) event() {}
+func (MessageAnswered) event()       {}
+func (ServerDraining) event()        {}
+func (EndpointList) event()          {}
+func (LoadReported) event()          {}
+func (MaintenanceChanged) event()    {}
+func (FleetShedLevel) event()        {}
+func (StateRequested) event()        {}
+func (PredecessorState) event()      {}
+func (Shutdown) event()              {}
 
 // Handle processes one event at a time on the engine's clock. A time before that of an earlier call counts as the latter.
 func (e *Engine) Handle(now time.Duration, ev Event) {
@@ -148,8 +148,8 @@
 		e.onAttemptEstablished(ev)
 	case AttemptEnded:
 		e.onAttemptEnded(ev)
-	case ConnectionLoad:
-		e.onConnectionLoad(ev)
+	case ConnectionLoadChanged:
+		e.onConnectionLoadChanged(ev)
 	case MessageAnswered:
 		e.onMessageAnswered(ev)
 	case ServerDraining:
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -75,8 +75,8 @@
 // PollLoad implements LoadPoller.
 func (h *harness) PollLoad(_ balancer.ServerID, addr string) { h.record("poll %s", addr) }
 
-// Forget implements LoadPoller.
-func (h *harness) Forget(server balancer.ServerID) { h.record("forget %d", server) }
+// StopPolling implements LoadPoller.
+func (h *harness) StopPolling(server balancer.ServerID) { h.record("forget %d", server) }
 
 // newHarness starts an engine with a number of listed servers. The configure function, which may be nil, changes its options.
 func newHarness(t *testing.T, servers int, configure func(*Options)) *harness {
--- a/internal/engine/polls.go
+++ b/internal/engine/polls.go
@@ -30,8 +30,8 @@
 type LoadPoller interface {
 	// PollLoad polls a server at an address. LoadReported reports the answer, if there is one.
 	PollLoad(server balancer.ServerID, addr string)
-	// Forget reports that a server is no longer polled.
-	Forget(server balancer.ServerID)
+	// StopPolling ends the polls of a server.
+	StopPolling(server balancer.ServerID)
 }
 
 func (e *Engine) onLoadReported(ev LoadReported) {
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -212,7 +212,7 @@
 	e.updateOutstandingGauge()
 }
 
-func (e *Engine) onConnectionLoad(ev ConnectionLoad) {
+func (e *Engine) onConnectionLoadChanged(ev ConnectionLoadChanged) {
 	r := e.requests.get(ev.RequestID)
 	if r == nil {
 		return
--- a/internal/engine/shutdown.go
+++ b/internal/engine/shutdown.go
@@ -68,7 +68,7 @@
 	}
 	r.deadline = e.shutdown.answerDeadline
 	e.resetTimer(&r.phaseTimer, r.deadline+e.options.AnswerGrace, answerTimer, r)
-	if r.attemptTimer != nil && r.attemptTimer.At() > r.deadline {
+	if r.attemptTimer != nil && r.attemptTimer.ExpiresAt() > r.deadline {
 		e.resetTimer(&r.attemptTimer, r.deadline, attemptTimer, r)
 	}
 }
--- a/internal/lineproto/backend/backend.go
+++ b/internal/lineproto/backend/backend.go
@@ -53,7 +53,7 @@
 // Options holds the settings of a Backend.
 type Options struct {
 	ConnectTimeout time.Duration // zero means that only the attempt's own timeouts limit the dial
-	ReportsLoad    bool          // post ConnectionLoad for each LOAD line
+	ReportsLoad    bool          // post ConnectionLoadChanged for each LOAD line
 	MeasuresDelay  bool          // post MessageAnswered for answers to the client's lines
 	Forwarded      *atomic.Int64 // counts attempts whose opening line was written completely; may be nil
 }
--- a/internal/lineproto/backend/loadpoll.go
+++ b/internal/lineproto/backend/loadpoll.go
@@ -32,7 +32,7 @@
 func (b *Backend) PollLoad(id balancer.ServerID, addr string) {
 	p := b.pollers[id]
 	if p != nil && p.addr != addr {
-		b.Forget(id)
+		b.StopPolling(id)
 		p = nil
 	}
 	if p == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Forget implements engine.LoadPoller: it ends the polls of a server.
-func (b *Backend) Forget(id balancer.ServerID) {
+// StopPolling implements engine.LoadPoller: it ends the polls of a server.
+func (b *Backend) StopPolling(id balancer.ServerID) {
 	if p := b.pollers[id]; p != nil {
 		close(p.requests)
 		delete(b.pollers, id)
--- a/internal/lineproto/backend/loadpoll_test.go
+++ b/internal/lineproto/backend/loadpoll_test.go
@@ -36,7 +36,7 @@
 	events := make(eventQueue, queued)
 	b := New(Options{})
 	b.Connect(events, nil)
-	t.Cleanup(func() { b.Forget(1) })
+	t.Cleanup(func() { b.StopPolling(1) })
 	return b, events
 }
 
@@ -170,7 +170,7 @@
 		t.Errorf("%d connections were open at once, want %d at most", highest, maxPollConns)
 	}
 	for id := range balancer.ServerID(servers) {
-		b.Forget(id + 1)
+		b.StopPolling(id + 1)
 	}
 	for end := time.Now().Add(testTimeout); counter.openCount() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/lineproto/backend/serverconn.go
+++ b/internal/lineproto/backend/serverconn.go
@@ -199,7 +199,7 @@
 	switch reply.Kind {
 	case codec.ReplyLoad:
 		if s.backend.options.ReportsLoad {
-			s.backend.events.TryPost(engine.ConnectionLoad{RequestID: s.attempt.RequestID, Load: reply.Load})
+			s.backend.events.TryPost(engine.ConnectionLoadChanged{RequestID: s.attempt.RequestID, Load: reply.Load})
 		}
 	case codec.ReplyOther:
 		if delay := s.ResponseReceived(); delay > 0 {
--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -18,26 +18,26 @@
 	"example.org/milletvane/internal/reactor"
 )
 
-// Poster accepts events for the engine.
-type Poster interface {
+// EventSink accepts events for the engine.
+type EventSink interface {
 	Post(engine.Event)
 }
 
 // Options holds the options of a Backend. The operator settings of the same names describe them in full.
 type Options struct {
-	ConnectTimeout time.Duration // maximum duration of a dial; zero means that only the other timeouts apply
-	NodePort       int           // port at which nodes accept NATS clients; zero means the port in the endpoint list
-	Limits         codec.Limits  // of the frames that nodes send
-	PingInterval   time.Duration // between health checks of a connection
-	MaxSharedConns int           // maximum number of shared connections on each loop
-	Name           string        // of the gateway; part of the inbox subjects of requests
-	Forwards       *atomic.Int64 // counts attempts whose request was sent or queued for the node; nil means not counted
+	ConnectTimeout    time.Duration // maximum duration of a dial; zero means that only the other timeouts apply
+	NodePort          int           // port at which nodes accept NATS clients; zero means the port in the endpoint list
+	Limits            codec.Limits  // of the frames that nodes send
+	PingInterval      time.Duration // between health checks of a connection
+	MaxSharedConns    int           // maximum number of shared connections on each loop
+	Name              string        // of the gateway; part of the inbox subjects of requests
+	ForwardedAttempts *atomic.Int64 // counts attempts whose request was sent or queued for the node; nil means not counted
 }
 
 // Backend starts the attempts of sessions and of requests. It implements engine.Backend.
 type Backend struct {
 	currentOptions atomic.Pointer[Options]
-	events         Poster
+	events         EventSink
 	conns          *reactor.Group
 	loops          loopStates
 }
@@ -55,7 +55,7 @@
 func (b *Backend) options() *Options { return b.currentOptions.Load() }
 
 // Connect sets the receiver of events and the reactor group whose loops own the connections.
-func (b *Backend) Connect(events Poster, conns *reactor.Group) { b.events, b.conns = events, conns }
+func (b *Backend) Connect(events EventSink, conns *reactor.Group) { b.events, b.conns = events, conns }
 
 // Limits returns the limits of the frames that nodes send.
 func (b *Backend) Limits() codec.Limits { return b.options().Limits }
@@ -111,7 +111,7 @@
 
 // countForwarded counts an attempt whose request was sent or queued for the node.
 func (b *Backend) countForwarded() {
-	if n := b.options().Forwards; n != nil {
+	if n := b.options().ForwardedAttempts; n != nil {
 		n.Add(1)
 	}
 }
--- a/internal/nats/backend/node_frames.go
+++ b/internal/nats/backend/node_frames.go
@@ -71,7 +71,7 @@
 			return
 		}
 		n.handleInfo(info)
-	case codec.Err:
+	case codec.OpErr:
 		n.handleErr(f)
 	}
 }
--- a/internal/nats/codec/codec.go
+++ b/internal/nats/codec/codec.go
@@ -22,8 +22,8 @@
 	Unsub
 	Msg
 	HMsg
-	OK
-	Err
+	OpOK
+	OpErr
 )
 
 // ProtocolError is a violation of the protocol by a peer. Its text is the one that the protocol specifies for the -ERR frame.
@@ -65,7 +65,7 @@
 	if limit <= 0 {
 		limit = DefaultMaxControlLine
 	}
-	if op == Info || op == Err {
+	if op == Info || op == OpErr {
 		limit *= infoLineFactor
 	}
 	return limit
--- a/internal/nats/codec/describe_test.go
+++ b/internal/nats/codec/describe_test.go
@@ -35,9 +35,9 @@
 		return "MSG"
 	case codec.HMsg:
 		return "HMSG"
-	case codec.OK:
+	case codec.OpOK:
 		return "+OK"
-	case codec.Err:
+	case codec.OpErr:
 		return "-ERR"
 	default:
 		return "unknown operation"
--- a/internal/nats/codec/parse.go
+++ b/internal/nats/codec/parse.go
@@ -115,9 +115,9 @@
 	case "CONNECT":
 		return Connect
 	case "+OK":
-		return OK
+		return OpOK
 	case "-ERR":
-		return Err
+		return OpErr
 	default:
 		return None
 	}
@@ -140,10 +140,10 @@
 // follows, or noBody.
 func (f *Frame) parseArguments(line []byte) (size int, err error) {
 	switch f.Op {
-	case Info, Connect, Err:
+	case Info, Connect, OpErr:
 		f.Body = bytes.TrimSpace(line)
 		return noBody, nil
-	case Ping, Pong, OK:
+	case Ping, Pong, OpOK:
 		return noBody, nil
 	}
 	var fieldArray [maxFields][]byte
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -19,8 +19,8 @@
 
 const notQueued = -1
 
-// At returns the time at which the timer expires or has expired.
-func (t *Timer[T]) At() time.Duration { return t.at }
+// ExpiresAt returns the time at which the timer expires or has expired.
+func (t *Timer[T]) ExpiresAt() time.Duration { return t.at }
 
 // Queue holds timers in the order in which they expire. Timers with equal times expire in the order in which they were
 // added. The zero Queue is empty and ready to use.
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -30,8 +30,8 @@
 		for number, at := range rapid.SliceOfN(rapid.IntRange(0, lastAt), 0, 60).Draw(t, "times") {
 			e := entry{at, number}
 			timer := q.Add(time.Duration(at), e)
-			if timer.At() != time.Duration(at) {
-				t.Fatalf("timer added at %d has At() = %v, want the same time", at, timer.At())
+			if timer.ExpiresAt() != time.Duration(at) {
+				t.Fatalf("timer added at %d has ExpiresAt() = %v, want the same time", at, timer.ExpiresAt())
 			}
 			if rapid.IntRange(0, 3).Draw(t, "remove") == 0 {
 				q.Remove(timer)
