--- a/config/address.go
+++ b/config/address.go
@@ -17,19 +17,19 @@
 // admin address may be missing. An error is a *KeyError.
 func (c *Config) readAddresses(f *configFile, getenv func(string) string) error {
 	c.Name = cmp.Or(getenv(EnvName), f.Name, defaultName)
-	c.Listen = cmp.Or(getenv(EnvListen), f.Listen)
-	c.Discovery = cmp.Or(f.Discovery, getenv(EnvDiscovery))
-	c.Admin = cmp.Or(getenv(EnvAdmin), f.Admin)
-	if err := checkAddress("listen ("+EnvListen+")", c.Listen); err != nil {
+	c.ListenAddr = cmp.Or(getenv(EnvListen), f.Listen)
+	c.DiscoveryAddr = cmp.Or(f.Discovery, getenv(EnvDiscovery))
+	c.AdminAddr = cmp.Or(getenv(EnvAdmin), f.Admin)
+	if err := checkAddress("listen ("+EnvListen+")", c.ListenAddr); err != nil {
 		return err
 	}
-	if err := checkAddress("discovery ("+EnvDiscovery+")", c.Discovery); err != nil {
+	if err := checkAddress("discovery ("+EnvDiscovery+")", c.DiscoveryAddr); err != nil {
 		return err
 	}
-	if c.Admin == "" {
+	if c.AdminAddr == "" {
 		return nil
 	}
-	return checkAddress("admin_addr ("+EnvAdmin+")", c.Admin)
+	return checkAddress("admin_addr ("+EnvAdmin+")", c.AdminAddr)
 }
 
 // checkAddress returns a *KeyError for the key unless address is host:port with a numeric port.
@@ -59,7 +59,7 @@
 	}
 	if dir := getenv(EnvTempDir); dir != "" {
 		// Several gateways on one machine may share the temporary directory, so each has a subdirectory of its own.
-		c.StateDir = filepath.Join(dir, "milletvane-"+fileNamePart(c.Name)+"-"+fileNamePart(c.Listen))
+		c.StateDir = filepath.Join(dir, "milletvane-"+fileNamePart(c.Name)+"-"+fileNamePart(c.ListenAddr))
 	}
 	return nil
 }
--- a/config/config.go
+++ b/config/config.go
@@ -27,9 +27,9 @@
 // Config is a configuration whose values have been checked.
 type Config struct {
 	Name            string
-	Listen          string // host:port that clients connect to
-	Discovery       string // host:port of the discovery service
-	Admin           string // host:port for operators' requests; empty means that there is no such listener
+	ListenAddr      string // host:port that clients connect to
+	DiscoveryAddr   string // host:port of the discovery service
+	AdminAddr       string // host:port for operators' requests; empty means that there is no such listener
 	InheritedSocket int    // the descriptor of a listening socket that the platform passes on; 0 means none
 	StateDir        string // for state that the next process reads; empty means none
 	Limits          Limits
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -40,7 +40,7 @@
 func TestParse(t *testing.T) {
 	const seed = 0x8c1f30d27a5be964
 	want := &Config{
-		Name: "n3", Listen: "127.0.0.4:5000", Discovery: "127.0.2.1:8500",
+		Name: "n3", ListenAddr: "127.0.0.4:5000", DiscoveryAddr: "127.0.2.1:8500",
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1136},
 		CachedList: &discovery.EndpointList{Version: 41, Complete: true, Endpoints: []discovery.Endpoint{
 			{ID: "s-5be2a07c", Addr: "127.1.0.18:5000", State: "in_service"},
@@ -88,17 +88,17 @@
 	env := map[string]string{EnvName: "n9", EnvListen: "127.0.0.9:1", EnvDiscovery: "127.0.0.9:2"}
 
 	c := mustParse(t, sampleJSON, environment(env))
-	if c.Name != "n9" || c.Listen != "127.0.0.9:1" || c.Discovery != "127.0.2.1:8500" {
+	if c.Name != "n9" || c.ListenAddr != "127.0.0.9:1" || c.DiscoveryAddr != "127.0.2.1:8500" {
 		t.Errorf("with a file: %+v", c) // the discovery address comes from the file, which a reload reads again
 	}
 	c = mustParse(t, "", environment(env))
-	if c.Limits.Sockets != DefaultSockets || c.Discovery != "127.0.0.9:2" || c.Admin != "" || c.InheritedSocket != 0 ||
+	if c.Limits.Sockets != DefaultSockets || c.DiscoveryAddr != "127.0.0.9:2" || c.AdminAddr != "" || c.InheritedSocket != 0 ||
 		c.StateDir != "" {
 		t.Errorf("without a file: %+v", c)
 	}
 	env[EnvAdmin], env[EnvInheritedSocket], env[EnvTempDir] = "127.0.0.9:3", "3", "/tmp/x"
 	c = mustParse(t, strings.Replace(sampleJSON, `"seed"`, `"admin_addr":"127.0.0.4:1","seed"`, 1), environment(env))
-	if c.Admin != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateDir != "/tmp/x/milletvane-n9-127_0_0_9_1" {
+	if c.AdminAddr != "127.0.0.9:3" || c.InheritedSocket != 3 || c.StateDir != "/tmp/x/milletvane-n9-127_0_0_9_1" {
 		t.Errorf("with all variables: %+v", c)
 	}
 }
--- a/config/format_test.go
+++ b/config/format_test.go
@@ -13,8 +13,8 @@
 
 // appendConfig prints all fields of a configuration.
 func appendConfig(b *bytes.Buffer, c *Config) {
-	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.Listen, c.Discovery, c.Admin,
-		c.InheritedSocket, c.StateDir)
+	fmt.Fprintf(b, "name=%q listen=%q discovery=%q admin=%q passed=%d state=%q\n", c.Name, c.ListenAddr, c.DiscoveryAddr,
+		c.AdminAddr, c.InheritedSocket, c.StateDir)
 	limits := c.Limits
 	fmt.Fprintf(b, "limits cores=%g memory_mb=%d sockets=%d admin=%d clients=%d idle=%d connections=%d\n",
 		limits.Cores, limits.MemoryMB, limits.Sockets, limits.AdminSockets, limits.ClientSockets(),
--- a/config/limits.go
+++ b/config/limits.go
@@ -9,14 +9,14 @@
 
 const (
 	minMemoryMB      = 16
-	reservedSockets  = 48 // for the listener, discovery, epoll and logs, and for TransientSockets
+	reservedSockets  = 48 // for the listener, discovery, epoll and logs, and for MaxTransientSockets
 	adminSockets     = 20 // for the admin listener, its connections and the files that its requests write
 	minClientSockets = 16 // for connections to clients and servers
 )
 
-// TransientSockets is how many of the descriptors that are reserved for the gateway itself may be in use by connections that
+// MaxTransientSockets is how many of the descriptors that are reserved for the gateway itself may be in use by connections that
 // are accepted and not admitted yet, by load polls, and by connections that are closing.
-const TransientSockets = 28
+const MaxTransientSockets = 28
 
 // Limits holds the resources that the gateway may use.
 type Limits struct {
@@ -37,7 +37,7 @@
 // the one to its server.
 func (l Limits) MaxConnections() int { return l.ClientSockets() / 2 }
 
-// readLimits reads the limits. Their reserve for operators depends on c.Admin, so readAddresses runs first. An error is a
+// readLimits reads the limits. Their reserve for operators depends on c.AdminAddr, so readAddresses runs first. An error is a
 // *KeyError.
 func (c *Config) readLimits(f *configFile) error {
 	limits := Limits{
@@ -45,7 +45,7 @@
 		MemoryMB: valueOr(f.Limits.MemoryMB, DefaultMemoryMB),
 		Sockets:  valueOr(f.Limits.Sockets, DefaultSockets),
 	}
-	if c.Admin != "" {
+	if c.AdminAddr != "" {
 		limits.AdminSockets = adminSockets
 	}
 	if limits.Cores <= 0 {
--- a/config/operator/format_test.go
+++ b/config/operator/format_test.go
@@ -33,9 +33,9 @@
 	fmt.Fprintf(b,
 		"nats listen=%q node_port=%d cluster=%t max_payload=%d control_line=%d max_subscriptions=%d max_requests=%d"+
 			" max_pending=%d\n",
-		n.Listen, n.NodePort, n.Cluster, n.MaxPayload, n.ControlLine, n.MaxSubscriptions, n.MaxRequests, n.MaxPending)
+		n.Listen, n.NodePort, n.NodesForward, n.MaxPayload, n.ControlLine, n.MaxSubscriptions, n.MaxRequests, n.MaxPending)
 	fmt.Fprintf(b, "nats ping_every=%s ping_clients=%s move_within=%s flush_within=%s max_shared=%d\n",
-		n.PingInterval, n.ClientPingInterval, n.MigrationTimeout, n.FlushTimeout, n.MaxShared)
+		n.PingInterval, n.ClientPingInterval, n.MigrationTimeout, n.FlushTimeout, n.MaxSharedConns)
 	fmt.Fprintf(b, "session class=%q key=%s/%d group=%s/%d wait=%s\n", n.Session.Class, n.Session.Key.Kind,
 		n.Session.Key.Token,
 		n.Session.Group.Kind, n.Session.Group.Token, n.Session.Timeout)
@@ -62,7 +62,7 @@
 	for _, batch := range p.Batches {
 		fmt.Fprintf(b, "batch %q %d\n", batch.Model, batch.Size)
 	}
-	for _, g := range p.Order {
+	for _, g := range p.GoalOrder {
 		fmt.Fprintf(b, "goal %s\n", string(g))
 	}
 	for _, c := range p.Constraints {
--- a/config/operator/nats.go
+++ b/config/operator/nats.go
@@ -13,7 +13,7 @@
 type NATS struct {
 	Listen             string        // IP:port that clients connect to
 	NodePort           int           // on which nodes speak NATS; zero means the port of their listed address
-	Cluster            bool          // whether the nodes forward messages to each other
+	NodesForward       bool          // whether the nodes forward messages to each other
 	MaxPayload         int           // bytes
 	ControlLine        int           // bytes
 	MaxSubscriptions   int           // per session
@@ -23,7 +23,7 @@
 	ClientPingInterval time.Duration // between pings to a client; one that answers neither of two is closed
 	MigrationTimeout   time.Duration // until a session has another node; else it is closed
 	FlushTimeout       time.Duration // for the former node to send what it has queued
-	MaxShared          int           // connections to nodes for requests that go to another node than their session's
+	MaxSharedConns     int           // connections to nodes for requests that go to another node than their session's
 	Session            Session
 	Requests           []RequestClass
 }
@@ -69,7 +69,7 @@
 	n := &NATS{
 		Listen:             s.text("listen"),
 		NodePort:           s.integer("node-port", 0, 1, 65535),
-		Cluster:            s.boolean("cluster"),
+		NodesForward:       s.boolean("cluster"),
 		MaxPayload:         s.integer("max-payload", 1<<20, 1, 64<<20),
 		ControlLine:        s.integer("control-line", 4096, 512, 1<<20),
 		MaxSubscriptions:   s.integer("max-subscriptions", 1000, 1, 1_000_000),
@@ -79,7 +79,7 @@
 		ClientPingInterval: s.duration("ping-clients", 30*time.Second, 50*time.Millisecond, time.Hour),
 		MigrationTimeout:   s.duration("move-within", 5*time.Second, 100*time.Millisecond, time.Minute),
 		FlushTimeout:       s.duration("flush-within", 2*time.Second, 10*time.Millisecond, time.Minute),
-		MaxShared:          s.integer("max-shared", 64, 0, 10_000),
+		MaxSharedConns:     s.integer("max-shared", 64, 0, 10_000),
 	}
 	if n.Listen == "" {
 		s.fail(s.line, "listen", "is missing")
--- a/config/operator/operator_test.go
+++ b/config/operator/operator_test.go
@@ -27,8 +27,8 @@
 		t.Fatal(err)
 	}
 	want := &Settings{NATS: &NATS{
-		Listen: "127.0.0.1:4222", Cluster: true,
-		MaxPayload: 1 << 20, ControlLine: 4096, MaxSubscriptions: 1000, MaxRequests: 1024, MaxPending: 64 << 10, MaxShared: 64,
+		Listen: "127.0.0.1:4222", NodesForward: true,
+		MaxPayload: 1 << 20, ControlLine: 4096, MaxSubscriptions: 1000, MaxRequests: 1024, MaxPending: 64 << 10, MaxSharedConns: 64,
 		PingInterval: time.Second, ClientPingInterval: 30 * time.Second,
 		MigrationTimeout: 3 * time.Second, FlushTimeout: 2 * time.Second,
 		Session: Session{Class: "sesion", Key: KeySource{Kind: "user"}, Timeout: time.Second},
--- a/config/operator/placement.go
+++ b/config/operator/placement.go
@@ -16,7 +16,7 @@
 	DefaultCost int64 // per unit of load, of a crossing between zones that Crossings does not name
 	Constraints []placement.Constraint
 	Batches     []placement.Batch
-	Order       []placement.Goal // the goals, most important first; nil means the default order
+	GoalOrder   []placement.Goal // the goals, most important first; nil means the default order
 }
 
 // readPlacement reads the section placement.
@@ -44,7 +44,7 @@
 			Model: e.text("a kind of node"), Size: int(e.number("its size", 1, placement.MaxNodes)),
 		})
 	})
-	s.entries("goals", func(e *entry) { p.Order = readGoals(e) })
+	s.entries("goals", func(e *entry) { p.GoalOrder = readGoals(e) })
 	p.DefaultCost = int64(s.integer("crossing-default", 1, 0, placement.MaxCost))
 	p.Constraints = readConstraints(s)
 	return p
--- a/config/operator/plan.go
+++ b/config/operator/plan.go
@@ -30,11 +30,11 @@
 
 // PlanContingency is the plan for one loss of nodes.
 type PlanContingency struct {
-	Name  string
-	Lost  []string         // the lost nodes
-	Short int64            // units of load that are not carried after the loss
-	Load  map[string]int64 // by node, of nodes whose load differs from the plan's
-	Flows []placement.Flow // all flows after the loss; empty if there is no plan for it
+	Name      string
+	Lost      []string         // the lost nodes
+	Shortfall int64            // units of load that are not carried after the loss
+	Load      map[string]int64 // by node, of nodes whose load differs from the plan's
+	Flows     []placement.Flow // all flows after the loss; empty if there is no plan for it
 }
 
 // Marshal returns the text of the plan file. Its last form is a checksum of everything before it.
@@ -76,7 +76,7 @@
 	for _, node := range c.Lost {
 		w.printf(" %s", quote(node))
 	}
-	w.printf(") (short %d)\n", c.Short)
+	w.printf(") (short %d)\n", c.Shortfall)
 	w.loads("  ", c.Load)
 	w.flows("  ", c.Flows)
 	w.printf(" )\n")
--- a/config/operator/plan_format_test.go
+++ b/config/operator/plan_format_test.go
@@ -37,7 +37,7 @@
 	loads("", p.Load)
 	flows("", p.Flows)
 	for _, c := range p.Contingencies {
-		fmt.Fprintf(b, "contingency %q lost=%q short=%d\n", c.Name, c.Lost, c.Short)
+		fmt.Fprintf(b, "contingency %q lost=%q short=%d\n", c.Name, c.Lost, c.Shortfall)
 		loads("  ", c.Load)
 		flows("  ", c.Flows)
 	}
@@ -52,10 +52,10 @@
 		Flows: []placement.Flow{{Class: "x", From: "z", To: "y", Load: 3}, {Class: "w", From: "y", To: "z", Load: 4}},
 		Contingencies: []PlanContingency{
 			{
-				Name: "node b", Lost: []string{"b"}, Short: 2, Load: map[string]int64{"c": 7, "b": 0},
+				Name: "node b", Lost: []string{"b"}, Shortfall: 2, Load: map[string]int64{"c": 7, "b": 0},
 				Flows: []placement.Flow{{Class: "x", From: "z", To: "z", Load: 1}},
 			},
-			{Name: "zone z", Lost: []string{"a", "b"}, Short: 3, Load: map[string]int64{}},
+			{Name: "zone z", Lost: []string{"a", "b"}, Shortfall: 3, Load: map[string]int64{}},
 			{Name: "nothing", Load: map[string]int64{}},
 		},
 	}
--- a/config/operator/plan_test.go
+++ b/config/operator/plan_test.go
@@ -17,10 +17,10 @@
 		Flows: []placement.Flow{{Class: "x", From: "z", To: "y", Load: 3}},
 		Contingencies: []PlanContingency{
 			{
-				Name: "node b", Lost: []string{"b"}, Short: 2, Load: map[string]int64{"b": 0},
+				Name: "node b", Lost: []string{"b"}, Shortfall: 2, Load: map[string]int64{"b": 0},
 				Flows: []placement.Flow{{Class: "x", From: "z", To: "z", Load: 1}},
 			},
-			{Name: "zone z", Lost: []string{"a", "b"}, Short: 3, Load: map[string]int64{}},
+			{Name: "zone z", Lost: []string{"a", "b"}, Shortfall: 3, Load: map[string]int64{}},
 		},
 	}
 }
--- a/config/operator/planparse.go
+++ b/config/operator/planparse.go
@@ -122,7 +122,7 @@
 	sub := openSection(e.section.errs, "contingency", e.form.line, e.values, "node", "flow")
 	e.values = nil
 	sub.entries("lost", func(e *entry) { c.Lost = e.texts("a node") })
-	sub.entries("short", func(e *entry) { c.Short = e.number("units of load", 0, maxGoalValue) })
+	sub.entries("short", func(e *entry) { c.Shortfall = e.number("units of load", 0, maxGoalValue) })
 	c.Load = readLoads(sub)
 	c.Flows = readFlows(sub)
 	sub.close()
--- a/config/settings.go
+++ b/config/settings.go
@@ -76,8 +76,8 @@
 		unchanged bool
 	}{
 		{"name", c.Name == updated.Name},
-		{"listen", c.Listen == updated.Listen},
-		{"admin_addr", c.Admin == updated.Admin},
+		{"listen", c.ListenAddr == updated.ListenAddr},
+		{"admin_addr", c.AdminAddr == updated.AdminAddr},
 		{"limits", c.Limits == updated.Limits},
 		{"settings", c.hasSameSettings(updated)},
 	} {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -98,7 +98,7 @@
 		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
 	})
 	g.loadPredecessor()
-	g.watcher = discovery.New(c.Discovery, c.ListRefresh, g.clock, g.logger)
+	g.watcher = discovery.New(c.DiscoveryAddr, c.ListRefresh, g.clock, g.logger)
 	classes := classNames(c.Balancer.Classes)
 	g.registry = metrics.New(classes)
 	g.lineBackend = backend.New(g.lineOptions())
@@ -136,7 +136,7 @@
 		ConnectTimeout:    g.config.Gateway.ConnectTimeout,
 		NodePort:          settings.NodePort,
 		PingInterval:      settings.PingInterval,
-		MaxSharedConns:    settings.MaxShared,
+		MaxSharedConns:    settings.MaxSharedConns,
 		Name:              g.config.Name,
 		ForwardedAttempts: &g.registry.Forwards,
 		Limits:            codec.Limits{MaxPayload: max(settings.MaxPayload, minServerPayload)},
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -28,8 +28,8 @@
 	if !reflect.DeepEqual(op.Cluster, g.clusterSettings) {
 		needsRestart = append(needsRestart, "cluster")
 	}
-	g.logger.Info("config reloaded", "discovery", c.Discovery, "needs_restart", needsRestart)
-	g.watcher.SetAddr(c.Discovery)
+	g.logger.Info("config reloaded", "discovery", c.DiscoveryAddr, "needs_restart", needsRestart)
+	g.watcher.SetAddr(c.DiscoveryAddr)
 	return nil
 }
 
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -58,7 +58,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	defer conns.Close()
-	conns.SetDescriptorBudget(g.config.Limits.ClientSockets() + config.TransientSockets)
+	conns.SetDescriptorBudget(g.config.Limits.ClientSockets() + config.MaxTransientSockets)
 	g.lineBackend.Connect(g.engine, conns)
 	if err := g.prepareInheritedSocket(); err != nil {
 		return err
@@ -84,7 +84,7 @@
 	g.restoreState(tasks)
 	listener, err := g.listenClients(conns)
 	if err != nil {
-		return fmt.Errorf("listen %s: %w", g.config.Listen, err)
+		return fmt.Errorf("listen %s: %w", g.config.ListenAddr, err)
 	}
 	g.serve(ctx, tasks, listener)
 	tasks.stop()
@@ -123,7 +123,7 @@
 	}
 	g.serving.Store(true)
 	defer context.AfterFunc(ctx, func() { g.serving.Store(false) })()
-	g.logger.Info("serving", "name", g.config.Name, "listen", listener.Addr(), "discovery", g.config.Discovery,
+	g.logger.Info("serving", "name", g.config.Name, "listen", listener.Addr(), "discovery", g.config.DiscoveryAddr,
 		"pass", g.config.Gateway.ConnectionsOutliveGateway, "connections", g.config.Limits.MaxConnections())
 	g.engine.Run(ctx, g.clock)
 	listener.Shutdown()
@@ -131,16 +131,16 @@
 
 func (g *Gateway) listenClients(conns *reactor.Group) (*frontend.Listener, error) {
 	if g.config.InheritedSocket > 0 {
-		return frontend.ListenFD(g.config.InheritedSocket, g.config.Listen, g.engine, conns)
+		return frontend.ListenFD(g.config.InheritedSocket, g.config.ListenAddr, g.engine, conns)
 	}
-	return frontend.Listen(g.config.Listen, g.engine, conns)
+	return frontend.Listen(g.config.ListenAddr, g.engine, conns)
 }
 
 func (g *Gateway) prepareInheritedSocket() error {
 	if g.config.InheritedSocket == 0 {
 		return nil
 	}
-	if err := hotrestart.PrepareListener(g.config.InheritedSocket, g.config.Listen); err != nil {
+	if err := hotrestart.PrepareListener(g.config.InheritedSocket, g.config.ListenAddr); err != nil {
 		return fmt.Errorf("%s: %w", config.EnvInheritedSocket, err)
 	}
 	return nil
@@ -148,17 +148,17 @@
 
 // listenAdmin starts the operators' HTTP server, if it is configured, and returns the function that stops it.
 func (g *Gateway) listenAdmin(conns *reactor.Group) (stop func(), err error) {
-	if g.config.Admin == "" {
+	if g.config.AdminAddr == "" {
 		return func() {}, nil
 	}
-	server, err := admin.Listen(g.config.Admin, admin.Options{
+	server, err := admin.Listen(g.config.AdminAddr, admin.Options{
 		Ready:          g.Ready,
 		AppendMetrics:  func(b []byte) []byte { return g.appendMetrics(b, conns) },
 		SetMaintenance: g.maintenance.Set,
 		Logger:         g.logger,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("admin_addr: listen %s: %w", g.config.Admin, err)
+		return nil, fmt.Errorf("admin_addr: listen %s: %w", g.config.AdminAddr, err)
 	}
 	return func() { server.Close() }, nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -112,7 +112,7 @@
 		}
 	}
 	_, err = fmt.Fprintf(p.out, "name=%s listen=%s discovery=%s admin_addr=%s passed_socket=%d classes=%d gateways=%d "+
-		"connections=%d drain=%v\n", c.Name, c.Listen, c.Discovery, c.Admin, c.InheritedSocket, len(c.Balancer.Classes),
+		"connections=%d drain=%v\n", c.Name, c.ListenAddr, c.DiscoveryAddr, c.AdminAddr, c.InheritedSocket, len(c.Balancer.Classes),
 		c.Balancer.Gateways, c.Limits.MaxConnections(), c.DrainTimeout)
 	return err
 }
--- a/internal/cli/planinput.go
+++ b/internal/cli/planinput.go
@@ -46,7 +46,7 @@
 	in.Problem = &placement.Problem{
 		Demands: operatorSettings.Placement.Demands, Crossings: operatorSettings.Placement.Crossings,
 		DefaultCost: operatorSettings.Placement.DefaultCost,
-		Constraints: operatorSettings.Placement.Constraints, Order: operatorSettings.Placement.Order,
+		Constraints: operatorSettings.Placement.Constraints, Order: operatorSettings.Placement.GoalOrder,
 	}
 	for _, d := range in.Problem.Demands {
 		in.addZone(d.Zone)
@@ -102,7 +102,7 @@
 // settings, so the names and the order of the fields of placement.Constraint must not change.
 func hashSettings(s *operator.Placement) uint64 {
 	hash := xxhash.New()
-	_, _ = fmt.Fprintf(hash, "%v %v %v %v %v %v", s.Order, s.Capacity, s.Demands, s.Crossings, s.DefaultCost, s.Batches)
+	_, _ = fmt.Fprintf(hash, "%v %v %v %v %v %v", s.GoalOrder, s.Capacity, s.Demands, s.Crossings, s.DefaultCost, s.Batches)
 	for _, constraint := range s.Constraints {
 		constraint.Line = 0 // comments and blank lines must not change the hash
 		_, _ = fmt.Fprintf(hash, "%+v", constraint)
--- a/internal/cli/plansolve.go
+++ b/internal/cli/plansolve.go
@@ -73,7 +73,7 @@
 // best plan.
 func planContingency(loss *placement.Contingency, best *placement.Plan) operator.PlanContingency {
 	contingency := operator.PlanContingency{
-		Name: loss.Name, Lost: loss.Lost, Short: loss.Shortfall, Load: map[string]int64{},
+		Name: loss.Name, Lost: loss.Lost, Shortfall: loss.Shortfall, Load: map[string]int64{},
 	}
 	if loss.Plan == nil {
 		return contingency
@@ -101,8 +101,8 @@
 	}
 	var shortfalls strings.Builder
 	for i := range plan.Contingencies {
-		if c := &plan.Contingencies[i]; c.Short > 0 {
-			fmt.Fprintf(&shortfalls, "after the loss of %s %d units are not carried\n", c.Name, c.Short)
+		if c := &plan.Contingencies[i]; c.Shortfall > 0 {
+			fmt.Fprintf(&shortfalls, "after the loss of %s %d units are not carried\n", c.Name, c.Shortfall)
 		}
 	}
 	_, err := fmt.Fprintf(w, "version %d, %s: %d not carried, crossings %d, fullest node %d/%d, %d moved; "+
--- a/internal/experiment/planrun.go
+++ b/internal/experiment/planrun.go
@@ -126,7 +126,7 @@
 		}
 	}
 	if len(found.Flows) == 0 {
-		return found, fmt.Errorf("the plan has no flows for the loss of %s: %d units short", lostZone, found.Short)
+		return found, fmt.Errorf("the plan has no flows for the loss of %s: %d units short", lostZone, found.Shortfall)
 	}
 	return found, nil
 }
--- a/internal/experiment/plansite.go
+++ b/internal/experiment/plansite.go
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	for _, loss := range losses {
-		contingency := operator.PlanContingency{Name: loss.Name, Lost: loss.Lost, Short: loss.Shortfall}
+		contingency := operator.PlanContingency{Name: loss.Name, Lost: loss.Lost, Shortfall: loss.Shortfall}
 		if loss.Plan != nil {
 			contingency.Load, contingency.Flows = loss.Plan.Load, loss.Plan.Flows
 		}
--- a/internal/nats/frontend/node_session.go
+++ b/internal/nats/frontend/node_session.go
@@ -93,7 +93,7 @@
 	if s.current != nil {
 		// A SUB that is read after this point would reach only the old node.
 		s.conn.Pause()
-		if s.frontend.settings().Cluster {
+		if s.frontend.settings().NodesForward {
 			s.dedup.Start()
 		}
 	}
--- a/internal/planapply/applier_test.go
+++ b/internal/planapply/applier_test.go
@@ -59,7 +59,7 @@
 					{Class: "x", From: "b", To: "b", Load: 20},
 				},
 			},
-			{Name: "zone b", Lost: []string{"n3"}, Short: 110},
+			{Name: "zone b", Lost: []string{"n3"}, Shortfall: 110},
 		},
 	}
 }
