--- a/gateway/confine.go
+++ b/gateway/confine.go
@@ -8,10 +8,10 @@
 	"example.org/milletvane/config"
 )
 
-// Confine adapts the Go runtime of the process to the limits. The soft memory limit is three quarters of MemoryMB, so the
+// ApplyLimits adapts the Go runtime of the process to the limits. The soft memory limit is three quarters of MemoryMB, so the
 // garbage collector runs more often as memory runs short. GOMAXPROCS is twice the number of event loops, because an event
 // loop that waits in a system call still holds a processor of the runtime; other goroutines use the remaining ones.
-func Confine(l config.Limits) {
+func ApplyLimits(l config.Limits) {
 	runtime.GOMAXPROCS(2 * eventLoopCount(l))
 	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * 3 / 4)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,7 +94,7 @@
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g.maintenance = maintenance.New(c.StateDir, g.logger)
-	g.maintenance.OnChange(func(id string, out bool, done func()) {
+	g.maintenance.SetApplyFunc(func(id string, out bool, done func()) {
 		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
 	})
 	g.loadPredecessor()
--- a/gateway/hotrestart.go
+++ b/gateway/hotrestart.go
@@ -50,7 +50,7 @@
 // Once shutdown is closed and a successor serves, it closes listener, so that the successor accepts the connections in the
 // shared accept queue.
 func (g *Gateway) runHotRestart(ctx context.Context, shutdown <-chan struct{}, listener *frontend.Listener) {
-	defer g.stateDir.Remove()
+	defer g.stateDir.RemoveSnapshot()
 	ticker := time.NewTicker(stateDirPollInterval)
 	defer ticker.Stop()
 	var writtenAt time.Time
--- a/gateway/weights.go
+++ b/gateway/weights.go
@@ -64,7 +64,7 @@
 	if w.stopped {
 		return
 	}
-	w.postLocked(w.applier.Tick(w.clock()))
+	w.postLocked(w.applier.Refresh(w.clock()))
 }
 
 // stop ends the refreshes. Endpoint lists are still posted afterwards.
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	gateway.Confine(conf.Limits)
+	gateway.ApplyLimits(conf.Limits)
 	g, err := gateway.New(*conf, gateway.WithLogger(p.logger), gateway.WithOperator(operatorSettings))
 	if err != nil {
 		return err
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -137,7 +137,7 @@
 
 // listen is the default of Options.Connect.
 func (o Options) listen(p membership.Options) (membership.Transport, error) {
-	gossip, err := membership.Listen(membership.GossipOptions{
+	gossip, err := membership.ListenGossip(membership.GossipOptions{
 		Options: p, Bind: o.Listen, Join: slices.Collect(maps.Values(o.Peers)), Key: o.Key, Logger: o.Logger,
 	})
 	if err != nil {
--- a/internal/cluster/exchange_test.go
+++ b/internal/cluster/exchange_test.go
@@ -212,7 +212,7 @@
 // runLongLists gives an instance an entry that is too long for a message, a list that is too long to be sent, and a list of
 // many parts.
 func (x *exchange) runLongLists(a *Cluster) {
-	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", membership.MaxBodyBytes)}
+	long := engine.Server{Name: "s-long", Addr: strings.Repeat("1", membership.MaxPayloadBytes)}
 	a.UpdateEndpoints(engine.EndpointList{Mode: balancer.ListDelta, Version: 10, Servers: []engine.Server{long}})
 	x.receive("b", stateRequest)
 	x.recordSent()
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -53,7 +53,7 @@
 // splitState returns the encoded messages that carry a state with an endpoint list, each of which fits into a datagram.
 func splitState(state statePart, endpoints []discovery.Endpoint) [][]byte {
 	header := encode(message{Kind: kindStatePart, statePart: state})
-	groups := groupBySize(endpoints, membership.MaxBodyBytes-len(header)-partReserve)
+	groups := groupBySize(endpoints, membership.MaxPayloadBytes-len(header)-partReserve)
 	if len(groups) == 0 || len(groups) > maxParts {
 		groups = [][]discovery.Endpoint{nil}
 	}
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -14,8 +14,8 @@
 // decodePart decodes a message and fails the test if it does not fit into a datagram.
 func decodePart(t *testing.T, body []byte) statePart {
 	t.Helper()
-	if len(body) > membership.MaxBodyBytes {
-		t.Fatalf("got a part of %d bytes, want at most %d", len(body), membership.MaxBodyBytes)
+	if len(body) > membership.MaxPayloadBytes {
+		t.Fatalf("got a part of %d bytes, want at most %d", len(body), membership.MaxPayloadBytes)
 	}
 	var m message
 	if err := json.Unmarshal(body, &m); err != nil {
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -90,7 +90,7 @@
 		FS:             s.disks[name],
 		Clock:          func() time.Duration { return soakEpoch + s.network.Now },
 		Logger:         slog.New(slog.DiscardHandler),
-		Connect:        func(o membership.Options) (membership.Transport, error) { return s.network.Listen(o), nil },
+		Connect:        func(o membership.Options) (membership.Transport, error) { return s.network.Start(o), nil },
 	})
 	if err != nil {
 		return err
--- a/internal/cluster/storage.go
+++ b/internal/cluster/storage.go
@@ -99,7 +99,7 @@
 		return true
 	}
 	operr.Log(c.opts.Logger, err)
-	operrError := operr.Of(err)
+	operrError := operr.Find(err)
 	return operrError != nil && operrError.Retryable()
 }
 
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -54,7 +54,7 @@
 			if !c.is(err) {
 				t.Errorf("got error %v of type %T, want the error of the case %q", err, err, name)
 			}
-			operrError := operr.Of(fmt.Errorf("wrapped: %w", err))
+			operrError := operr.Find(fmt.Errorf("wrapped: %w", err))
 			if operrError == nil || operrError.Remedy() == "" || !strings.Contains(err.Error(), operrError.Problem()) {
 				t.Errorf("got operator error %v for %v, want one with a remedy and a problem that is part of it", operrError, err)
 			}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -157,7 +157,7 @@
 // logFailure logs a failed poll and, once per outage, that the list has become stale.
 func (w *Watcher) logFailure(next refresh.Poll, err error) {
 	fields := []any{"addr", w.polledAddr, "err", err, "retry_in", next.Delay}
-	if operrError := operr.Of(err); operrError != nil {
+	if operrError := operr.Find(err); operrError != nil {
 		fields = append(fields, "remedy", operrError.Remedy())
 	}
 	w.logger.Warn("endpoint list poll failed", fields...)
--- a/internal/engine/digest_simulation_test.go
+++ b/internal/engine/digest_simulation_test.go
@@ -337,7 +337,7 @@
 	registry := s.options.Metrics
 	s.transcript.step(event, field{"now", s.now}, field{"next", next}, field{"has next", hasNext},
 		field{"ready", s.engine.Ready()}, field{"ended", s.engine.Ended()}, field{"outstanding", registry.Outstanding.Load()},
-		field{"discovered", registry.Discovered.Load()}, field{"ejected", registry.Ejected.Load()})
+		field{"discovered", registry.DiscoveredServers.Load()}, field{"ejected", registry.EjectedServers.Load()})
 }
 
 // recordMetrics records the metrics and the log counts, which end a transcript.
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -76,7 +76,7 @@
 			avoided++
 		}
 	}
-	e.options.Metrics.Discovered.Store(int64(len(e.endpoints.byID)))
-	e.options.Metrics.Ejected.Store(int64(avoided))
-	e.options.Metrics.Unreachable.Store(int64(e.balancer.UnreachableServers()))
+	e.options.Metrics.DiscoveredServers.Store(int64(len(e.endpoints.byID)))
+	e.options.Metrics.EjectedServers.Store(int64(avoided))
+	e.options.Metrics.UnreachableServers.Store(int64(e.balancer.UnreachableServers()))
 }
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	gateway.Confine(conf.Limits)
+	gateway.ApplyLimits(conf.Limits)
 	g, err := startGateway(ctx, conf, listen, gateway.WithLogger(newLogger(nil, false)))
 	if err != nil {
 		return err
--- a/internal/experiment/natsfleet.go
+++ b/internal/experiment/natsfleet.go
@@ -80,7 +80,7 @@
 	}
 	defer catalog.Close()
 	cores := c.Int("cores")
-	gateway.Confine(config.Limits{Cores: float64(cores), MemoryMB: 512})
+	gateway.ApplyLimits(config.Limits{Cores: float64(cores), MemoryMB: 512})
 	g, err := startNATSGateway(ctx, natsGatewayOptions{
 		catalogAddr: catalog.Addr(), cores: cores, logger: newLogger(nil, false),
 	})
--- a/internal/hotrestart/statedir.go
+++ b/internal/hotrestart/statedir.go
@@ -89,8 +89,8 @@
 	return renameio.WriteFile(d.path(fileName(d.self)), file, fileMode, renameio.WithTempDir(d.dir))
 }
 
-// Remove removes this process's snapshot.
-func (d *StateDir) Remove() {
+// RemoveSnapshot removes this process's snapshot.
+func (d *StateDir) RemoveSnapshot() {
 	if d.dir != "" {
 		d.remove(fileName(d.self))
 	}
--- a/internal/hotrestart/statedir_test.go
+++ b/internal/hotrestart/statedir_test.go
@@ -134,7 +134,7 @@
 	if !first.HasSuccessor() || third.HasSuccessor() {
 		t.Error("want a successor of the first process and none of the third")
 	}
-	third.Remove()
+	third.RemoveSnapshot()
 	if first.HasSuccessor() {
 		t.Error("a process that has removed its snapshot counts as the successor")
 	}
@@ -153,7 +153,7 @@
 			if _, ok := d.ReadPredecessor(time.Now()); ok || d.HasSuccessor() {
 				t.Error("found a snapshot")
 			}
-			d.Remove()
+			d.RemoveSnapshot()
 		})
 	}
 }
--- a/internal/maintenance/format_test.go
+++ b/internal/maintenance/format_test.go
@@ -182,7 +182,7 @@
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	neverApplied := New("", discardLogger)
-	neverApplied.OnChange(func(string, bool, func()) {})
+	neverApplied.SetApplyFunc(func(string, bool, func()) {})
 	neverApplied.AddKnown([]string{"s-1"})
 	for _, c := range []struct {
 		err  error
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -30,7 +30,7 @@
 type ApplyFunc func(id string, inMaintenance bool, done func())
 
 // Store holds the servers that are in maintenance mode at one gateway. Its methods may be called from any goroutine, except
-// OnChange, which must be called before all others.
+// SetApplyFunc, which must be called before all others.
 type Store struct {
 	dir    directory
 	logger *slog.Logger
@@ -50,8 +50,8 @@
 	return &Store{dir: directory(dir), logger: logger, persisted: map[string]bool{}}
 }
 
-// OnChange sets the function that passes changes to the engine. It must be called before all other methods.
-func (s *Store) OnChange(apply ApplyFunc) { s.apply = apply }
+// SetApplyFunc sets the function that passes changes to the engine. It must be called before all other methods.
+func (s *Store) SetApplyFunc(apply ApplyFunc) { s.apply = apply }
 
 // AddKnown adds ids that discovery has listed. If there are too many, the oldest ids are forgotten.
 func (s *Store) AddKnown(ids []string) {
--- a/internal/maintenance/store_test.go
+++ b/internal/maintenance/store_test.go
@@ -23,7 +23,7 @@
 
 func newTestStore(dir string) *testStore {
 	p := &testStore{Store: New(dir, discardLogger), inMaintenance: map[string]bool{}}
-	p.OnChange(func(id string, inMaintenance bool, done func()) {
+	p.SetApplyFunc(func(id string, inMaintenance bool, done func()) {
 		p.inMaintenance[id] = inMaintenance
 		if done != nil {
 			done()
@@ -159,7 +159,7 @@
 // Set must fail with ErrNotApplied if the engine has not applied the change before the context is done.
 func TestSetFailsBeforeTheEngineApplies(t *testing.T) {
 	s := New("", discardLogger)
-	s.OnChange(func(string, bool, func()) {})
+	s.SetApplyFunc(func(string, bool, func()) {})
 	s.AddKnown([]string{"s-1"})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
@@ -176,11 +176,11 @@
 	a.set(t, "s-1", true)
 	s := New(dir, discardLogger)
 	ctx, cancel := context.WithCancel(t.Context())
-	s.OnChange(func(id string, inMaintenance bool, _ func()) {
+	s.SetApplyFunc(func(id string, inMaintenance bool, _ func()) {
 		if id != "s-1" || !inMaintenance {
 			t.Errorf("got the change of %q to %t, want s-1 to true", id, inMaintenance)
 		}
 		cancel()
 	})
-	s.Run(ctx) // returns once OnChange's function has been called
+	s.Run(ctx) // returns once the function that SetApplyFunc set has been called
 }
--- a/internal/membership/contract_test.go
+++ b/internal/membership/contract_test.go
@@ -155,7 +155,7 @@
 	for i := range burst {
 		transports[0].Send("b", bytes.Repeat([]byte{byte(i)}, 1000))
 	}
-	transports[0].Send("b", make([]byte, membership.MaxBodyBytes+1))
+	transports[0].Send("b", make([]byte, membership.MaxPayloadBytes+1))
 	waitFor(t, fixture, "c receives a message while the queue to b is full", func() bool {
 		transports[0].Send("c", []byte("on"))
 		return inboxes[2].has("a", "on")
--- a/internal/membership/example_test.go
+++ b/internal/membership/example_test.go
@@ -22,10 +22,10 @@
 		return
 	}
 	network := simnet.New(1, simnet.Faults{MinDelay: time.Millisecond})
-	network.Listen(membership.Options{Name: "b", Incarnation: 1, OnMessage: func(m membership.Message) {
+	network.Start(membership.Options{Name: "b", Incarnation: 1, OnMessage: func(m membership.Message) {
 		fmt.Printf("from %s, incarnation %d: %s\n", m.From, m.Incarnation, m.Payload)
 	}})
-	var a membership.Transport = network.Listen(membership.Options{Name: "a", Incarnation: incarnation})
+	var a membership.Transport = network.Start(membership.Options{Name: "a", Incarnation: incarnation})
 	a.Send("b", []byte("hello"))
 	network.Advance(time.Second)
 	for _, m := range a.Members() {
--- a/internal/membership/format_test.go
+++ b/internal/membership/format_test.go
@@ -189,6 +189,6 @@
 		fmt.Fprintf(&all, "%x: cuts %s flips %s\n", base, shortDigest(cuts.String()), shortDigest(flips.String()))
 	}
 	o := membership.NewEndpoint(membership.Options{}).Options()
-	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.MaxQueuedMessages, membership.MaxBodyBytes, o.SendDuration(1000))
+	fmt.Fprintf(&all, "bounds: %d bytes a second, %d messages, a body of %d, 1000 bytes in %d\n", o.BytesPerSecond, o.MaxQueuedMessages, membership.MaxPayloadBytes, o.SendDuration(1000))
 	compareGolden(t, "packets.taken", all.String())
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -91,8 +91,9 @@
 	return "check whether another program uses the address, and that the key has 16, 24 or 32 bytes"
 }
 
-// Listen starts a Gossip, which keeps trying to join unreachable members until Close. If Listen fails, it returns a BindError.
-func Listen(o GossipOptions) (*Gossip, error) {
+// ListenGossip starts a Gossip, which keeps trying to join unreachable members until Close. If ListenGossip fails, it returns
+// a BindError.
+func ListenGossip(o GossipOptions) (*Gossip, error) {
 	o = o.withDefaults()
 	host, portText, err := net.SplitHostPort(o.Bind)
 	port, portErr := strconv.ParseUint(portText, 10, 16)
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -17,7 +17,7 @@
 
 type simFixture struct{ *simnet.Network }
 
-func (r simFixture) Start(o membership.Options) membership.Transport { return r.Listen(o) }
+func (r simFixture) Start(o membership.Options) membership.Transport { return r.Network.Start(o) }
 
 // links records the addresses of instances and which links between them are cut.
 type links struct {
@@ -109,7 +109,7 @@
 			return cuttingTransport{w, o.Name, r.links}
 		}
 	}
-	g, err := membership.Listen(opts)
+	g, err := membership.ListenGossip(opts)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	tb := r.Start(membership.Options{Name: "b", Incarnation: 1, OnMessage: b.receive})
 	var outsider inbox
 	for _, k := range [][]byte{nil, []byte("fedcba9876543210")} {
-		g, err := membership.Listen(membership.GossipOptions{
+		g, err := membership.ListenGossip(membership.GossipOptions{
 			Options: membership.Options{Name: "mallory", Incarnation: 1, OnMessage: outsider.receive},
 			Bind:    freeAddr(t), Join: []string{r.links.addrs["a"]}, Key: k, ProbeInterval: 50 * time.Millisecond, Logger: slog.New(slog.DiscardHandler),
 		})
@@ -195,7 +195,7 @@
 	for _, o := range []membership.GossipOptions{{Bind: "x"}, {Bind: taken.Addr().String()}, {Bind: "127.0.0.1:0", Key: []byte("short")}} {
 		o.Name = "a"
 		var bindError *membership.BindError
-		if _, err := membership.Listen(o); !errors.As(err, &bindError) {
+		if _, err := membership.ListenGossip(o); !errors.As(err, &bindError) {
 			t.Errorf("Listen on %+v: got error %v, want a BindError", o.Bind, err)
 		}
 	}
@@ -211,7 +211,7 @@
 		accepted := 0
 		a := membership.NewEndpoint(membership.Options{Name: "a", OnMessage: func(m membership.Message) {
 			accepted++
-			if len(m.Payload) > membership.MaxBodyBytes || m.From == "" {
+			if len(m.Payload) > membership.MaxPayloadBytes || m.From == "" {
 				t.Errorf("accepted %+v, which has no sender or is too long", m)
 			}
 		}})
@@ -227,7 +227,7 @@
 func TestMembersThatStartTogetherJoinSoon(t *testing.T) {
 	a, b := freeAddr(t), freeAddr(t)
 	start := func(name, addr, join string) *membership.Gossip {
-		g, err := membership.Listen(membership.GossipOptions{
+		g, err := membership.ListenGossip(membership.GossipOptions{
 			Options: membership.Options{Name: name, Incarnation: 1}, Bind: addr, Join: []string{join},
 			Key: key, Logger: slog.New(slog.DiscardHandler),
 		})
--- a/internal/membership/link.go
+++ b/internal/membership/link.go
@@ -4,7 +4,7 @@
 
 // Send implements Transport.
 func (g *Gossip) Send(to string, payload []byte) {
-	if len(payload) > MaxBodyBytes {
+	if len(payload) > MaxPayloadBytes {
 		g.CountDropped(to)
 		return
 	}
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// MaxBodyBytes is the maximum length of a message's payload in bytes. A packet with such a payload, with all headers, fits in
+// MaxPayloadBytes is the maximum length of a message's payload in bytes. A packet with such a payload, with all headers, fits in
 // one datagram.
-const MaxBodyBytes = 1100
+const MaxPayloadBytes = 1100
 
 const (
 	defaultBytesPerSecond    = 64 << 10
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -50,7 +50,7 @@
 	}
 	nameSize := int(b[2])
 	payloadStart := packetHeaderSize + nameSize + incarnationSize
-	if nameSize == 0 || nameSize > maxNameBytes || len(b) < payloadStart || len(b) > payloadStart+MaxBodyBytes {
+	if nameSize == 0 || nameSize > maxNameBytes || len(b) < payloadStart || len(b) > payloadStart+MaxPayloadBytes {
 		return p, false
 	}
 	p.from = string(b[packetHeaderSize : packetHeaderSize+nameSize])
--- a/internal/membership/process_test.go
+++ b/internal/membership/process_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	c.gossip, err = membership.Listen(membership.GossipOptions{
+	c.gossip, err = membership.ListenGossip(membership.GossipOptions{
 		Options:       membership.Options{Name: c.config.Name, Incarnation: incarnation, OnMessage: c.receive},
 		Bind:          c.config.Addrs[c.config.Name],
 		Join:          slices.Collect(maps.Values(c.config.Addrs)),
--- a/internal/membership/simnet/network.go
+++ b/internal/membership/simnet/network.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Listen starts an instance. If an instance of the same name is running, Listen closes it.
-func (n *Network) Listen(o membership.Options) *Node {
+// Start starts an instance. If an instance of the same name is running, Start closes it.
+func (n *Network) Start(o membership.Options) *Node {
 	if old := n.nodes[o.Name]; old != nil {
 		old.closed = true
 	}
--- a/internal/membership/simnet/node.go
+++ b/internal/membership/simnet/node.go
@@ -18,7 +18,7 @@
 
 // Send implements membership.Transport.
 func (node *Node) Send(to string, payload []byte) {
-	if node.closed || len(payload) > membership.MaxBodyBytes || node.network.nodes[to] == nil {
+	if node.closed || len(payload) > membership.MaxPayloadBytes || node.network.nodes[to] == nil {
 		node.CountDropped(to)
 		return
 	}
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -24,8 +24,8 @@
 // Checks that a link accepts one packet that is sent at once and as many waiting packets as its queue holds, and drops others.
 func TestSimulatedLinksDropWhatTheirQueueDoesNotHold(t *testing.T) {
 	network := simnet.New(1, simnet.Faults{})
-	network.Listen(membership.Options{Name: "b"})
-	a := network.Listen(membership.Options{Name: "a", MaxQueuedMessages: 2})
+	network.Start(membership.Options{Name: "b"})
+	a := network.Start(membership.Options{Name: "a", MaxQueuedMessages: 2})
 	for range 5 {
 		a.Send("b", []byte("x"))
 	}
@@ -87,7 +87,7 @@
 			return above + 2, nil
 		}
 	}
-	s.nodes[name] = s.net.Listen(o)
+	s.nodes[name] = s.net.Start(o)
 }
 
 // step performs a random action at an instance.
--- a/internal/membership/traffic_test.go
+++ b/internal/membership/traffic_test.go
@@ -50,7 +50,7 @@
 	b.Helper()
 	var join []string
 	for i := range count {
-		g, err := membership.Listen(membership.GossipOptions{
+		g, err := membership.ListenGossip(membership.GossipOptions{
 			Options:       membership.Options{Name: fmt.Sprint("n", i), Incarnation: 1},
 			Bind:          "127.0.0.1:0",
 			Join:          join,
--- a/internal/metrics/format_test.go
+++ b/internal/metrics/format_test.go
@@ -34,9 +34,9 @@
 		}
 		r.Forwards.Add(1 << 40)
 		r.Outstanding.Store(-5)
-		r.Discovered.Store(6)
-		r.Ejected.Store(7)
-		r.Unreachable.Store(8)
+		r.DiscoveredServers.Store(6)
+		r.EjectedServers.Store(7)
+		r.UnreachableServers.Store(8)
 		r.Descriptors.Store(9)
 		r.ConnectionDescriptors.Store(10)
 		r.ClosingDescriptors.Store(11)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,11 +23,11 @@
 	classes []classMetrics // in the order of the settings
 	byName  map[string]*ClassCounters
 
-	Forwards    atomic.Int64 // attempts completely written to servers since the start
-	Outstanding atomic.Int64 // admitted requests and established connections that have not ended
-	Discovered  atomic.Int64 // servers in the endpoint list
-	Ejected     atomic.Int64 // of the discovered ones, servers in maintenance mode or ejected as outliers
-	Unreachable atomic.Int64 // of the discovered ones, ready servers without an entry in the lookup table
+	Forwards           atomic.Int64 // attempts completely written to servers since the start
+	Outstanding        atomic.Int64 // admitted requests and established connections that have not ended
+	DiscoveredServers  atomic.Int64 // servers in the endpoint list
+	EjectedServers     atomic.Int64 // of the discovered ones, servers in maintenance mode or ejected as outliers
+	UnreachableServers atomic.Int64 // of the discovered ones, ready servers without an entry in the lookup table
 
 	Descriptors           atomic.Int64 // open descriptors of the process
 	ConnectionDescriptors atomic.Int64 // of these, descriptors of connections to clients and servers, including load polls
--- a/internal/metrics/statsd.go
+++ b/internal/metrics/statsd.go
@@ -21,9 +21,9 @@
 	}
 	b = appendMetric(b, "forwards", "", r.Forwards.Load(), statsdCounter)
 	b = appendMetric(b, "outstanding", "", r.Outstanding.Load(), statsdGauge)
-	b = appendMetric(b, "discovered", "", r.Discovered.Load(), statsdGauge)
-	b = appendMetric(b, "ejected", "", r.Ejected.Load(), statsdGauge)
-	b = appendMetric(b, "unreachable", "", r.Unreachable.Load(), statsdGauge)
+	b = appendMetric(b, "discovered", "", r.DiscoveredServers.Load(), statsdGauge)
+	b = appendMetric(b, "ejected", "", r.EjectedServers.Load(), statsdGauge)
+	b = appendMetric(b, "unreachable", "", r.UnreachableServers.Load(), statsdGauge)
 	b = appendMetric(b, "descriptors", "", r.Descriptors.Load(), statsdGauge)
 	b = appendMetric(b, "connection_descriptors", "", r.ConnectionDescriptors.Load(), statsdGauge)
 	b = appendMetric(b, "closing_descriptors", "", r.ClosingDescriptors.Load(), statsdGauge)
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -17,8 +17,8 @@
 	Remedy() string  // what an operator can do
 }
 
-// Of returns the first Error in the chain of err, or nil if there is none.
-func Of(err error) Error {
+// Find returns the first Error in the chain of err, or nil if there is none.
+func Find(err error) Error {
 	var e Error
 	if errors.As(err, &e) {
 		return e
@@ -29,7 +29,7 @@
 // Log logs an error. If there is an Error in its chain, Log logs the parts of that and its cause; otherwise it logs err
 // itself.
 func Log(l *slog.Logger, err error) {
-	e := Of(err)
+	e := Find(err)
 	if e == nil {
 		l.Error("fault", "err", err)
 		return
--- a/internal/operr/operr_test.go
+++ b/internal/operr/operr_test.go
@@ -47,7 +47,7 @@
 				t.Errorf("text %q, problem %q, remedy %q: want the problem in the text, and a remedy", e.Error(), e.Problem(), e.Remedy())
 			}
 			wrapped := fmt.Errorf("at start: %w", errors.Join(io.EOF, e))
-			if got := operr.Of(wrapped); got != e {
+			if got := operr.Find(wrapped); got != e {
 				t.Errorf("Of the wrapped error: got %v, want the error itself", got)
 			}
 			line := logText(wrapped)
@@ -125,7 +125,7 @@
 	if line := logText(io.EOF); !strings.Contains(line, "EOF") {
 		t.Errorf("got the log line %s, want the error's text", line)
 	}
-	if e := operr.Of(io.EOF); e != nil {
+	if e := operr.Find(io.EOF); e != nil {
 		t.Errorf("Of an error without an Error in its chain: got %v, want nil", e)
 	}
 }
--- a/internal/planapply/applier.go
+++ b/internal/planapply/applier.go
@@ -19,9 +19,9 @@
 // Applier applies a plan to endpoint lists. The zero value has no plan and leaves all weights as listed. It is not safe for
 // concurrent use.
 //
-// SetPlan, Apply and Tick return the list to pass to the engine, and a description of the source of its weights for the log.
-// The description is empty if there is no plan, or if the plan and the source are unchanged. If nothing has changed, the list
-// of SetPlan and Tick is a delta without servers.
+// SetPlan, Apply and Refresh return the list to pass to the engine, and a description of the source of its weights for the
+// log. The description is empty if there is no plan, or if the plan and the source are unchanged. If nothing has changed, the
+// list of SetPlan and Refresh is a delta without servers.
 type Applier struct {
 	// WarmupDuration is the time after its start during which a node counts as lost. A plan gives a node its full load at
 	// once, and if all nodes that the plan allows for the gateways of a zone were cold, no other node could take the clients
@@ -47,12 +47,12 @@
 	return a.updateWeights(balancer.ListDelta, nil)
 }
 
-// NextWarmup returns the time at which the next cold node becomes warm, when the caller must call Tick. ok is false if no node
-// is cold.
+// NextWarmup returns the time at which the next cold node becomes warm, when the caller must call Refresh. ok is false if no
+// node is cold.
 func (a *Applier) NextWarmup() (at time.Duration, ok bool) { return a.nextWarmup, a.nextWarmup > 0 }
 
-// Tick returns the changes to the weights that result from the passage of time alone, as a delta.
-func (a *Applier) Tick(now time.Duration) (engine.EndpointList, string) {
+// Refresh returns the changes to the weights that result from the passage of time alone, as a delta.
+func (a *Applier) Refresh(now time.Duration) (engine.EndpointList, string) {
 	a.now = now
 	return a.updateWeights(balancer.ListDelta, nil)
 }
--- a/internal/planapply/applier_test.go
+++ b/internal/planapply/applier_test.go
@@ -211,12 +211,12 @@
 		t.Fatalf("got next warmup at %v, %t; want %v, true", at, ok, want)
 	}
 
-	list, source = applier.Tick(time.Hour + 5*time.Second)
+	list, source = applier.Refresh(time.Hour + 5*time.Second)
 	if len(list.Servers) != 0 || source != "" {
 		t.Errorf("before the warmup ends: got source %q, %d servers; want no change", source, len(list.Servers))
 	}
 
-	list, source = applier.Tick(time.Hour + 6*time.Second)
+	list, source = applier.Refresh(time.Hour + 6*time.Second)
 	weights.receive(list)
 	if source != "plan 4" || weights["n1"] != 40 {
 		t.Errorf("once warm: got source %q, weights %v; want those of the plan", source, weights)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestRenewedRequestCountsFromNow(t *testing.T) {
+func TestRestartedResponseTimerCountsFromNow(t *testing.T) {
 	attempt := startedAttempt(t)
 	attempt.RequestSent()
 	time.Sleep(5 * time.Millisecond)
--- a/placement/candidate.go
+++ b/placement/candidate.go
@@ -144,7 +144,7 @@
 				}
 			}
 			if load := c.uncarried[c.index.demandPosition(class, from)]; load > 0 {
-				p.Missed = append(p.Missed, Demand{zones[from], name, load})
+				p.Unplaced = append(p.Unplaced, Demand{zones[from], name, load})
 			}
 		}
 	}
--- a/placement/conflict.go
+++ b/placement/conflict.go
@@ -83,7 +83,7 @@
 		return ""
 	}
 	missed := map[string]int64{}
-	for _, d := range plan.Missed {
+	for _, d := range plan.Unplaced {
 		if class := conflict[i].Class; class == "" || class == d.Class {
 			missed[d.Zone] += d.Load
 		}
--- a/placement/digest_test.go
+++ b/placement/digest_test.go
@@ -230,7 +230,7 @@
 	for _, f := range p.Flows {
 		fmt.Fprintf(b, "flow %s %s %s %d\n", f.Class, f.From, f.To, f.Load)
 	}
-	for _, d := range p.Missed {
+	for _, d := range p.Unplaced {
 		fmt.Fprintf(b, "missed %s %s %d\n", d.Class, d.Zone, d.Load)
 	}
 }
--- a/placement/solve.go
+++ b/placement/solve.go
@@ -25,12 +25,12 @@
 // Plan is a placement: the load that each node carries.
 type Plan struct {
 	Goals
-	Load   map[string]int64 // by node ID, in units of load; zero for a node without load
-	Flows  []Flow           // flows above zero, ordered by class, zone of origin and destination zone
-	Missed []Demand         // load that no node carries
-	Proven bool             // reports whether the search proved that no plan is better
-	Bound  Goals            // goals of the first relaxation; no plan can have better ones
-	Steps  int              // number of minimum-cost flows that were computed
+	Load     map[string]int64 // by node ID, in units of load; zero for a node without load
+	Flows    []Flow           // flows above zero, ordered by class, zone of origin and destination zone
+	Unplaced []Demand         // load that no node carries
+	Proven   bool             // reports whether the search proved that no plan is better
+	Bound    Goals            // goals of the first relaxation; no plan can have better ones
+	Steps    int              // number of minimum-cost flows that were computed
 }
 
 // InfeasibleError reports that no plan meets all constraints.
