--- a/internal/experiment/plandraw.go
+++ b/internal/experiment/plandraw.go
@@ -23,8 +23,8 @@
 	zoneColor = color.RGBA{B: 140, G: 90, A: 255}
 )
 
-// planDrawCommand returns the command that draws a plan. The other plan commands belong to the balancer's program. This one
-// doesn't, because the plotting library loads its fonts at every start, and a balancer may have only 64 MB of memory.
+// planDrawCommand returns the command that draws a plan. The other plan commands are part of the balancer's program. This one
+// is not, because the plotting library loads its fonts at every start, and a balancer may have only 64 MB of memory.
 func planDrawCommand() *cli.Command {
 	return &cli.Command{
 		Name: "plan-draw", Usage: "draw the flows between zones of a plan",
--- a/internal/experiment/planresult.go
+++ b/internal/experiment/planresult.go
@@ -8,7 +8,7 @@
 	"example.org/milletvane/placement"
 )
 
-// connectionCounts counts connections by the zone that they come from and then by the ID of the node that accepted them.
+// connectionCounts holds numbers of connections by the zone of origin and then by the ID of the node that accepted them.
 type connectionCounts map[string]map[string]int64
 
 func (a connectionCounts) total() (sum int64) {
--- a/internal/experiment/plansite.go
+++ b/internal/experiment/plansite.go
@@ -132,7 +132,7 @@
 	return slices.DeleteFunc(slices.Clone(s.problem.Nodes), func(n placement.Node) bool { return n.Zone != zone })
 }
 
-// loseZone closes the servers of a zone. The endpoint list changes later, after disturbanceDelay.
+// loseZone closes the servers of a zone. The endpoint list changes later, after planFaultDelay.
 func (s *planTestbed) loseZone(zone string) {
 	servers := s.currentServers()
 	for _, node := range s.nodesOf(zone) {
--- a/internal/experiment/stopattempts.go
+++ b/internal/experiment/stopattempts.go
@@ -81,7 +81,7 @@
 	return !answered && !connHasEnded(attempt.conn)
 }
 
-// attemptEnded records that a server is about to send the attemptEnded that ends the attempt, or to close its connection.
+// attemptEnded records that a server is about to send the answer that ends the attempt, or to close its connection.
 func (a *stopAttempts) attemptEnded(attempt *serverAttempt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/experiment/stopprocess.go
+++ b/internal/experiment/stopprocess.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// descriptorCount returns the number of open descriptorCount of the process, or 0 once it has exited.
+// descriptorCount returns the number of open descriptors of the process, or 0 once it has exited.
 func (p *stopProcess) descriptorCount() int {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
--- a/internal/experiment/stopscenario.go
+++ b/internal/experiment/stopscenario.go
@@ -86,7 +86,7 @@
 	rng                *rand.Rand // for values that are drawn during the run; used by one goroutine
 }
 
-// drawMilliseconds draws a duration of from to to milliseconds, both included.
+// drawMilliseconds draws a whole number of milliseconds between from and to, both included.
 func drawMilliseconds(rng *rand.Rand, from, to int) time.Duration {
 	return time.Duration(from+rng.IntN(to-from+1)) * time.Millisecond
 }
--- a/internal/experiment/stopsoak_test.go
+++ b/internal/experiment/stopsoak_test.go
@@ -62,7 +62,7 @@
 }
 
 // Each planted fault is detected within 20 seeds. Otherwise the tests above could pass although the checks detect nothing.
-func TestStopSoakSeesPlantedFaults(t *testing.T) {
+func TestStopSoakDetectsPlantedFaults(t *testing.T) {
 	program := buildProgram(t)
 	const seeds, batch = 20, 2
 	for _, p := range plantedStopFaults {
