--- a/internal/experiment/benchmark.go
+++ b/internal/experiment/benchmark.go
@@ -12,17 +12,18 @@
 
 // benchCase is one combination of the parameters of a benchmark.
 type benchCase struct {
-	way                      string // how messages are sent; empty if the benchmark has only one way
+	sendMode                 string // how a session sends messages; empty if the benchmark has only one mode
 	cores, sessions, payload int    // payload is in bytes
 }
 
-// benchCases returns all combinations of the values of a command's flags, in the order of measurement.
-func benchCases(c *cli.Command, ways []string) (cases []benchCase) {
+// benchCases returns all combinations of the given send modes and the values of a command's flags, in the order of
+// measurement.
+func benchCases(c *cli.Command, sendModes []string) (cases []benchCase) {
 	for _, cores := range c.IntSlice("cores") {
-		for _, way := range ways {
+		for _, way := range sendModes {
 			for _, sessions := range c.IntSlice("sessions") {
 				for _, payload := range c.IntSlice("payload") {
-					cases = append(cases, benchCase{way: way, cores: cores, sessions: sessions, payload: payload})
+					cases = append(cases, benchCase{sendMode: way, cores: cores, sessions: sessions, payload: payload})
 				}
 			}
 		}
@@ -30,6 +31,7 @@
 	return cases
 }
 
+// benchFlags returns the flags that all benchmarks have.
 func benchFlags(duration time.Duration, sessions, payloads []int, payloadUsage string) []cli.Flag {
 	return []cli.Flag{
 		&cli.BoolFlag{Name: "json", Usage: "print one line of JSON for each case instead of a table"},
@@ -40,18 +42,18 @@
 	}
 }
 
-// benchResult is the result of one case of a benchmark: rates per second and 99th percentiles of latency in microseconds,
-// for the same load directly on a fake server, through a plain proxy and through a gateway.
+// benchResult holds the measurements of one case of a benchmark: messages per second, and the 99th percentile of latency in
+// microseconds. The clients generate the same load directly on a fake server, through a plain proxy and through a gateway.
 type benchResult struct {
-	Payload      int   `json:"payload"`
-	Sessions     int   `json:"sessions"`
-	Cores        int   `json:"cores"`
-	Direct       int64 `json:"direct_per_s"`
-	Plain        int64 `json:"plain_per_s"`
-	Gateway      int64 `json:"gateway_per_s"`
-	DirectP99us  int64 `json:"direct_p99_us"`
-	PlainP99us   int64 `json:"plain_p99_us"`
-	GatewayP99us int64 `json:"gateway_p99_us"`
+	Payload          int   `json:"payload"`
+	Sessions         int   `json:"sessions"`
+	Cores            int   `json:"cores"`
+	DirectPerSecond  int64 `json:"direct_per_s"`
+	PlainPerSecond   int64 `json:"plain_per_s"`
+	GatewayPerSecond int64 `json:"gateway_per_s"`
+	DirectP99us      int64 `json:"direct_p99_us"`
+	PlainP99us       int64 `json:"plain_p99_us"`
+	GatewayP99us     int64 `json:"gateway_p99_us"`
 }
 
 func newBenchResult(bench benchCase) benchResult {
@@ -64,9 +66,9 @@
 }
 
 func (r benchResult) cells() table.Row {
-	gatewayToPlain := float64(r.Gateway) / float64(max(r.Plain, 1))
+	gatewayToPlain := float64(r.GatewayPerSecond) / float64(max(r.PlainPerSecond, 1))
 	return table.Row{
-		r.Payload, r.Sessions, r.Cores, r.Direct, r.Plain, r.Gateway, fmt.Sprintf("%.2f", gatewayToPlain),
+		r.Payload, r.Sessions, r.Cores, r.DirectPerSecond, r.PlainPerSecond, r.GatewayPerSecond, fmt.Sprintf("%.2f", gatewayToPlain),
 		r.DirectP99us, r.PlainP99us, r.GatewayP99us,
 	}
 }
@@ -74,7 +76,8 @@
 // benchRow is a result that can be printed as a row of a table or as JSON.
 type benchRow interface{ cells() table.Row }
 
-// runBenchmark measures the cases one after the other and prints their results.
+// runBenchmark measures the cases one after the other. It prints each result as a line of JSON if the flag "json" is set, and
+// otherwise all results as a table at the end.
 func runBenchmark(c *cli.Command, headings []any, cases []benchCase, measure func(benchCase) (benchRow, error)) error {
 	out, asJSON := c.Root().Writer, c.Bool("json")
 	results := newTable(out, headings...)
@@ -101,7 +104,7 @@
 }
 
 // pinLoadGenerator pins this process, which runs the clients and the server, to the cores that the measured process does
-// not use. It returns an error if no core would be left.
+// not use. It returns an error if measuredCores is less than 1 or leaves no core.
 func pinLoadGenerator(measuredCores int) error {
 	all := runtime.NumCPU()
 	if measuredCores < 1 || measuredCores >= all {
@@ -110,7 +113,8 @@
 	return pinToCPUs(cpuRange(measuredCores, all)...)
 }
 
-// measure puts the same load on a server directly, through a plain proxy and through a gateway, one after the other.
+// measure generates the same load on a server directly, through a plain proxy and through a gateway, one after the other, and
+// records the results. gatewayCommand is the sub-command that runs the gateway.
 func (r *benchResult) measure(c *cli.Command, server, gatewayCommand string, load func(addr string) (loadResult, error)) error {
 	direct, err := load(server)
 	if err != nil {
@@ -124,12 +128,13 @@
 	if err != nil {
 		return err
 	}
-	r.Direct, r.DirectP99us = direct.perSecond, direct.p99us
-	r.Plain, r.PlainP99us = plain.perSecond, plain.p99us
-	r.Gateway, r.GatewayP99us = gateway.perSecond, gateway.p99us
+	r.DirectPerSecond, r.DirectP99us = direct.perSecond, direct.p99us
+	r.PlainPerSecond, r.PlainP99us = plain.perSecond, plain.p99us
+	r.GatewayPerSecond, r.GatewayP99us = gateway.perSecond, gateway.p99us
 	return nil
 }
 
+// loadThroughChild generates load on a server through a proxy or gateway, which a sub-command runs in a new process.
 func loadThroughChild(c *cli.Command, subcommand string, cores int, server string, load func(addr string) (loadResult, error)) (loadResult, error) {
 	proxy, err := startChild(c.Root().ErrWriter, subcommand, "--cores", strconv.Itoa(cores), "--to", server)
 	if err != nil {
--- a/internal/experiment/child.go
+++ b/internal/experiment/child.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// pinToCPUs restricts all threads of this process, and the threads that they start later, to the given processors. It pins
-// each thread, because pinning only the current one would not affect the other threads that the runtime has started.
+// pinToCPUs restricts all threads of this process, and the threads that they start later, to the given processors. It sets
+// the affinity of each thread separately, because the system call affects one thread and the runtime has started several.
 func pinToCPUs(cpus ...int) error {
 	var set unix.CPUSet
 	for _, cpu := range cpus {
@@ -43,14 +43,15 @@
 	return cpus
 }
 
-// child is another process of this program that runs a proxy or a gateway, pinned to some cores.
-type child struct {
+// childProcess is another process of this program. It runs a proxy or a gateway, pinned to some cores.
+type childProcess struct {
 	cmd  *exec.Cmd
-	addr string
+	addr string // on which the proxy or gateway accepts clients
 }
 
-// startChild starts a sub-command in a new process and waits until it prints its address.
-func startChild(errs io.Writer, subcommand string, args ...string) (*child, error) {
+// startChild starts a sub-command in a new process and waits until that process prints its address. The process writes its
+// errors to errs.
+func startChild(errs io.Writer, subcommand string, args ...string) (*childProcess, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	started := &child{cmd: cmd}
+	started := &childProcess{cmd: cmd}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		started.stop()
@@ -75,7 +76,7 @@
 }
 
 // stop kills the process and waits until it has exited.
-func (c *child) stop() {
+func (c *childProcess) stop() {
 	_ = c.cmd.Process.Kill()
 	_ = c.cmd.Wait() // always an error, because the process was killed
 }
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -18,15 +18,15 @@
 
 const (
 	demoRequestTimeout  = 5 * time.Second
-	demoRequestPause    = 20 * time.Millisecond
-	demoRefreshInterval = 500 * time.Millisecond // of the table, if the output is a terminal
-	demoPrintedTables   = 6                      // number of tables, if the output is not a terminal
-	noNode              = -1
+	demoRequestPause    = 20 * time.Millisecond  // between the requests of a client
+	demoRefreshInterval = 500 * time.Millisecond // between tables, if the output is a terminal
+	demoPrintedTables   = 6                      // number of tables in a run, if the output is not a terminal
+	noNode              = -1                     // index that stands for no node
 )
 
-var errDemoFault = errors.New("the summary above shows lost sessions or requests, or faulty attempts")
+var errDemoFault = errors.New("the summary above shows disconnected sessions, unanswered requests, or overlapping or late attempts")
 
-// demoCommand returns the command that shows the program's main function: sessions migrate off a draining node.
+// demoCommand returns the command that shows what a gateway is for: sessions migrate off a draining node.
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name: "demo", Usage: "run a gateway between fake nodes and clients while one node drains",
@@ -46,6 +46,7 @@
 	}
 }
 
+// runDemo starts the nodes, the gateway and the clients, runs for the duration of the flag "span", and prints a summary.
 func runDemo(ctx context.Context, c *cli.Command, nodes, sessions int) error {
 	fleet, err := startNATSFleet(nodes)
 	if err != nil {
@@ -92,16 +93,17 @@
 
 	drainingNode   int   // index of the node that drains, or noNode
 	sessionsBefore []int // by node: number of sessions before the drain
-	migrated       int
+	migrated       int   // largest number of sessions that were seen to have left the draining node
 }
 
-// demoCounters are counters that the clients update.
+// demoCounters holds the counters that the clients update.
 type demoCounters struct {
-	asked, answered, rejected, failed atomic.Int64 // requests
-	disconnects, messages             atomic.Int64
+	requests, answered, rejected, failed atomic.Int64 // requests, in all and by outcome
+	disconnects, messages                atomic.Int64
 }
 
-// connect starts the clients, which send requests until ctx is done.
+// connect connects the clients and subscribes each to its own stream. Each client then sends requests, and has messages
+// published to its stream, until ctx is done.
 func (d *demo) connect(ctx context.Context, addr string, sessions int) error {
 	for i := range sessions {
 		conn, err := nats.Connect("nats://"+addr, nats.Timeout(5*time.Second),
@@ -132,8 +134,9 @@
 	return nil
 }
 
+// request sends one request and counts its outcome. An answer from the gateway itself is a rejection.
 func (d *demo) request(conn *nats.Conn, session, number int) {
-	d.counters.asked.Add(1)
+	d.counters.requests.Add(1)
 	payload := fmt.Appendf(nil, "r%d-%d", session, number)
 	answer, err := conn.Request(fmt.Sprintf("svc.safe.%d", number%97), payload, demoRequestTimeout)
 	switch {
@@ -146,8 +149,8 @@
 	}
 }
 
-// showProgress prints the state of the nodes at regular intervals until ctx is done, and drains a node after a third of the
-// duration.
+// showProgress prints the state of the nodes at regular intervals until ctx is done. After a third of the duration, it drains
+// the node with the most sessions.
 func (d *demo) showProgress(ctx context.Context) {
 	onTerminal := isTerminal(d.out)
 	interval := d.duration / demoPrintedTables
@@ -179,12 +182,14 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
+// countMigrated updates the number of sessions that have left the draining node.
 func (d *demo) countMigrated() {
 	if d.drainingNode != noNode {
 		d.migrated = max(d.migrated, d.sessionsBefore[d.drainingNode]-d.fleet.nodes[d.drainingNode].ConnectionCount())
 	}
 }
 
+// drainBusiest records the number of sessions of each node and drains the node with the most.
 func (d *demo) drainBusiest() {
 	for i, node := range d.fleet.nodes {
 		d.sessionsBefore[i] = node.ConnectionCount()
@@ -196,6 +201,7 @@
 	d.printf("%s drains: it has %d sessions\n", d.fleet.nodes[d.drainingNode].Name, d.sessionsBefore[d.drainingNode])
 }
 
+// printNodes prints a table of the nodes and the request counters.
 func (d *demo) printNodes(clearScreen bool) {
 	if clearScreen {
 		d.printf("\x1b[H\x1b[2J")
@@ -210,22 +216,22 @@
 	}
 	nodes.AppendFooter([]any{
 		fmt.Sprintf("%.0f s", time.Since(d.startedAt).Seconds()),
-		fmt.Sprintf("asked %d", d.counters.asked.Load()),
+		fmt.Sprintf("requests %d", d.counters.requests.Load()),
 		fmt.Sprintf("answered %d", d.counters.answered.Load()),
-		fmt.Sprintf("moves %d", d.migrated),
+		fmt.Sprintf("migrated %d", d.migrated),
 	})
 	nodes.Render()
 }
 
-// summarize prints the result. It returns errDemoFault if a session was disconnected, a request was not answered, or
-// attempts overlapped or were late.
+// summarize prints the totals of the run. It returns errDemoFault if a session was disconnected, a request failed without an
+// answer, or attempts of a request overlapped or reached a draining node after its drain grace.
 func (d *demo) summarize() error {
 	maxAttempts, overlapping, late := d.fleet.cluster.AttemptStats()
 	disconnects, failed := d.counters.disconnects.Load(), d.counters.failed.Load()
 	d.printf("\n%d sessions, %d cut off; %d migrated off the draining node\n", len(d.conns), disconnects, d.migrated)
 	d.printf("%d requests: %d answered, %d rejected or failed, %d without an answer; "+
 		"at most %d attempts, %d overlapping, %d late\n",
-		d.counters.asked.Load(), d.counters.answered.Load(), d.counters.rejected.Load(), failed,
+		d.counters.requests.Load(), d.counters.answered.Load(), d.counters.rejected.Load(), failed,
 		maxAttempts, overlapping, late)
 	d.printf("%d messages delivered\n", d.counters.messages.Load())
 	if disconnects > 0 || failed > 0 || overlapping > 0 || late > 0 {
@@ -234,5 +240,5 @@
 	return nil
 }
 
-// printf prints to the user and ignores errors, so that the run continues.
+// printf prints to the output of the program. It ignores errors, so that the run continues without an output.
 func (d *demo) printf(format string, args ...any) { _, _ = fmt.Fprintf(d.out, format, args...) }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,8 +1,9 @@
-// Package experiment implements the program "experiment": benchmarks, fault-injection runs and a demo. Each sub-command
-// starts fake servers, gateways and clients on loopback, puts load on them and reports its measurements.
+// Package experiment implements the program "experiment": benchmarks, fault-injection runs and a demo. Most sub-commands start
+// fake servers, gateways and clients on loopback, generate load on them and report their measurements.
 //
 // A sub-command stops everything that it started before it returns. Run may be called from several goroutines, except for
-// the benchmarks, which pin all threads of the process to some processors. The balancer does not import this package.
+// the benchmarks and the commands that they start, which pin all threads of the process to some processors. The balancer does
+// not import this package.
 package experiment
 
 import (
@@ -41,6 +42,7 @@
 	return 0
 }
 
+// newTable returns a table that prints itself to out when it is rendered.
 func newTable(out io.Writer, headings ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
@@ -48,6 +50,7 @@
 	return t
 }
 
+// writeJSON prints a value as one line of JSON.
 func writeJSON(out io.Writer, v any) error { return json.NewEncoder(out).Encode(v) }
 
 // writeResult prints a result as JSON: on one line if the flag "json" is set, and indented otherwise.
@@ -64,7 +67,7 @@
 	return err
 }
 
-// newLogger returns a logger for a gateway. It discards everything unless enabled is set.
+// newLogger returns a logger for a gateway. It writes to errs if enabled is set, and discards everything otherwise.
 func newLogger(errs io.Writer, enabled bool) *slog.Logger {
 	if enabled {
 		return slog.New(slog.NewTextHandler(errs, nil))
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -18,16 +18,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// run executes a command line, without the program's name, and returns its exit code and output.
 func run(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = Run(context.Background(), append([]string{programName}, args...), &o, &e)
 	return code, o.String(), e.String()
 }
 
-// smallDrain is a command line of nats-drain with a small load.
+// smallDrain holds the arguments for a run of nats-drain with a small load.
 var smallDrain = []string{"nats-drain", "--json", "--sessions", "20", "--requests", "2000", "--messages", "100", "--span", "4s"}
 
-// No request or message is lost when nodes drain, crash and hang under load, except messages of the failed nodes.
+// When nodes drain, crash and hang under load, each request is answered once, and no message is lost except those of the
+// failed nodes.
 func TestNATSDrainAccountsForAll(t *testing.T) {
 	t.Parallel()
 	code, out, errs := run(append(smallDrain, "--seed", "5")...)
@@ -40,7 +42,8 @@
 	}
 }
 
-// The result shows planted faults. Otherwise the test above could pass although the checks detect nothing.
+// The checks of nats-drain detect each planted fault. Without this test, TestNATSDrainAccountsForAll could pass although the
+// checks detect nothing.
 func TestNATSDrainDetectsPlantedFaults(t *testing.T) {
 	fields := map[string]string{
 		"double": "messages_doubled", "lose": "messages_lost_other",
@@ -57,6 +60,7 @@
 	}
 }
 
+// The demo completes without a disconnected session while a node drains.
 func TestDemo(t *testing.T) {
 	t.Parallel()
 	code, out, errs := run("demo", "--span", "3s", "--sessions", "10")
@@ -65,8 +69,8 @@
 	}
 }
 
-// Gateways follow a plan while a gateway restarts and a zone is lost. The small number of connections makes their
-// distribution uneven, hence the allowed deviation of 0.12. The keys are the same in each run.
+// Gateways follow a plan while a gateway restarts and a zone is lost. The deviation limit is 0.12, because the distribution of
+// so few connections is uneven. The keys of the connections are the same in each run.
 func TestPlanRun(t *testing.T) {
 	t.Parallel()
 	code, out, errs := run("plan-run", "--json", "--each", "8", "--most-off", "0.12")
@@ -74,11 +78,12 @@
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatalf("%v: %s%s", err, out, errs)
 	}
-	if code != 0 || r.Restarted != 1 || 2*r.CrossingsWith > r.CrossingsWithout {
+	if code != 0 || r.GatewaysRestarted != 1 || 2*r.CrossingCostWith > r.CrossingCostWithout {
 		t.Errorf("got exit code %d, want 0, one restart and at most half the crossings with the plan: %s%s", code, out, errs)
 	}
 }
 
+// plan-draw writes SVG and PNG pictures, and labels a flow between zones with its load and destination.
 func TestPlanDraw(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/experiment/gateway.go
+++ b/internal/experiment/gateway.go
@@ -14,7 +14,7 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-const readyPollInterval = 10 * time.Millisecond
+const readyPollInterval = 10 * time.Millisecond // between checks whether a gateway is ready
 
 // lineSettings holds the platform settings of experiments with the line protocol.
 const lineSettings = `{"caps":{"max_attempts":5,"connect_timeout_ns":1000000000,"retry_after":true,"max_retry_after_ns":2000000000},
@@ -22,6 +22,7 @@
  "rules":{"start_capacity":0.2,"cold_ns":11000000000,"tip_multiple":4,"fall_ns":1000000000,"stop_sending_within_ns":500000000},
  "classes":[{"name":"lines","effect":"idempotent","group":"all","give_up_ns":5000000000,"slo_ns":1000000000}]}`
 
+// noEnvironment stands in for os.Getenv and returns no values, so that the environment does not affect configurations.
 func noEnvironment(string) string { return "" }
 
 // lineConfig returns the configuration of a gateway for the line protocol with the given listen address, address of the
@@ -34,7 +35,7 @@
 
 // localGateway is a gateway that runs in this process.
 type localGateway struct {
-	addr   string // to which clients connect
+	addr   string // of the listener for clients
 	cancel context.CancelFunc
 	done   chan struct{} // closed when the gateway has ended
 	err    error         // of the gateway; valid after done is closed
@@ -60,17 +61,20 @@
 	return local, nil
 }
 
+// wait waits until the gateway has ended, and returns its error.
 func (g *localGateway) wait() error {
 	<-g.done
 	return g.err
 }
 
+// close stops the gateway, waits until it has ended, and returns its error.
 func (g *localGateway) close() error {
 	g.cancel()
 	return g.wait()
 }
 
-// awaitReady waits until a gateway answers PING with PONG, which means that it has an endpoint list.
+// awaitReady waits until a gateway answers PING with PONG, which it does once it has an endpoint list. It returns the error of
+// ctx if ctx is done first.
 func awaitReady(ctx context.Context, addr string) error {
 	for !answersPing(addr) {
 		select {
@@ -98,7 +102,7 @@
 	return err == nil && line == "PONG\r\n"
 }
 
-// closeQuietly closes a connection whose data was already received, so that an error has no consequence.
+// closeQuietly closes a connection and ignores the error, which has no consequence because the caller needs no more data.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
 
 // pinAndStartCatalog pins this process, which a benchmark has started, to the number of cores of the flag "cores". It starts a
@@ -110,13 +114,15 @@
 	return fakeserver.NewCatalog(inServiceEndpoint(0, c.String("to")))
 }
 
-// endpointID returns the ID of a fake server.
+// endpointID returns the ID of the fake server with the given index.
 func endpointID(index int) string { return fmt.Sprintf("s-%08x", index+1) }
 
+// inServiceEndpoint returns the endpoint of a fake server with weight 1.
 func inServiceEndpoint(index int, addr string) fakeserver.Endpoint {
 	return fakeserver.Endpoint{ID: endpointID(index), Addr: addr, State: fakeserver.StateInService, Weight: 1}
 }
 
+// pinnedChildFlags returns the flags of the sub-commands that benchmarks start in a process of their own.
 func pinnedChildFlags() []cli.Flag {
 	return []cli.Flag{&cli.IntFlag{Name: "cores", Value: 1}, &cli.StringFlag{Name: "to", Required: true}}
 }
@@ -131,6 +137,7 @@
 	}
 }
 
+// runLineGateway prints the address of the gateway, and returns when the gateway has ended.
 func runLineGateway(ctx context.Context, c *cli.Command) error {
 	catalog, err := pinAndStartCatalog(c)
 	if err != nil {
--- a/internal/experiment/linebench.go
+++ b/internal/experiment/linebench.go
@@ -13,6 +13,7 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
+// lineBenchCommand returns the command that benchmarks the line protocol.
 func lineBenchCommand() *cli.Command {
 	return &cli.Command{
 		Name: "relay-bench", Usage: "measure lines per second through a gateway, through a plain proxy and directly to a server",
@@ -25,6 +26,7 @@
 	}
 }
 
+// measureLines measures one case with a fake server that echoes lines.
 func measureLines(c *cli.Command, bench benchCase) (benchResult, error) {
 	result := newBenchResult(bench)
 	server, err := fakeserver.NewLineServer()
@@ -54,6 +56,7 @@
 	duration time.Duration
 }
 
+// openLineSession connects to addr and opens a connection of the line protocol.
 func openLineSession(addr string, index int, line []byte, duration time.Duration) (*lineSession, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -67,6 +70,7 @@
 	return s, nil
 }
 
+// open sends OPEN with a request name that no other session uses, and returns an error unless the answer is UP.
 func (s *lineSession) open(index int) error {
 	_, err := fmt.Fprintf(s.conn, "OPEN %x key%d c=lines,d=5000\r\n", time.Now().UnixNano()+int64(index), index)
 	if err != nil {
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -7,20 +7,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// loadResult is the result of a load.
+// loadResult holds the rate and latency that clients measured.
 type loadResult struct {
-	perSecond int64 // messages that returned per second
+	perSecond int64 // messages per second that returned to their client
 	p99us     int64 // 99th percentile of their latency in microseconds
 }
 
-// loadSession is a client that puts load on a server.
+// loadSession is a client connection that generates load on a server.
 type loadSession interface {
-	// run sends and receives messages for the duration of the measurement, and records the latency of each.
+	// run sends and receives messages until the end of the measurement, and records the latency of each message.
 	run(latencies *latencyHistogram) error
 	close()
 }
 
-// latencyHistogram records latencies from 1 µs to one minute.
+// latencyHistogram counts latencies from 1 µs to one minute, with three significant digits.
 type latencyHistogram struct{ *hdrhistogram.Histogram }
 
 func newLatencyHistogram() *latencyHistogram {
@@ -28,10 +28,11 @@
 	return &latencyHistogram{hdrhistogram.New(minMicroseconds, maxMicroseconds, significantFigures)}
 }
 
-// record adds a latency. A latency above the maximum is not counted.
+// record adds a latency. It counts a latency below 1 µs as 1 µs, and ignores one above the maximum.
 func (h *latencyHistogram) record(d time.Duration) { _ = h.RecordValue(max(d.Microseconds(), 1)) }
 
-// runLoad connects all sessions, then runs them concurrently, and returns their common result and the first error.
+// runLoad connects all sessions and then runs them concurrently, each for the given duration. It returns the result of all
+// sessions together and the first error.
 func runLoad(sessions int, duration time.Duration, connect func(index int) (loadSession, error)) (loadResult, error) {
 	var mu sync.Mutex
 	var firstErr error
--- a/internal/experiment/natsbench.go
+++ b/internal/experiment/natsbench.go
@@ -16,31 +16,36 @@
 	"example.org/milletvane/internal/nats/codec"
 )
 
-// Values of the flag "way": how a session sends messages.
+// Values of the flag "way", which selects how a session sends messages.
 const (
-	wayOne     = "one"     // one message at a time: the next follows when it has returned
-	wayPipe    = "pipe"    // pipelineWindow messages in flight
-	wayRequest = "request" // one request at a time, which the gateway tracks
+	sendSequential = "one"     // one message at a time: the next one is sent when the previous one has returned
+	sendPipelined  = "pipe"    // up to pipelineWindow messages in flight
+	sendTracked    = "request" // one request at a time, which the gateway tracks
 )
 
 const (
-	pipelineWindow = 32
-	benchSubject   = "bench" // the subject to which each session subscribes
-	trackedSubject = "svc.safe.7"
+	pipelineWindow = 32           // messages
+	benchSubject   = "bench"      // the subject to which each session subscribes
+	trackedSubject = "svc.safe.7" // matches a request rule in the settings of the gateway
 )
 
-// natsBenchResult is the result of one case of nats-bench.
+// natsBenchResult holds the measurements of one case of nats-bench.
 type natsBenchResult struct {
 	benchResult
-	Way string `json:"way"`
+	SendMode string `json:"way"`
 }
 
-func (r natsBenchResult) cells() table.Row { return append(table.Row{r.Way}, r.benchResult.cells()...) }
+func (r natsBenchResult) cells() table.Row {
+	return append(table.Row{r.SendMode}, r.benchResult.cells()...)
+}
 
+// natsBenchCommand returns the command that benchmarks the NATS protocol.
 func natsBenchCommand() *cli.Command {
 	flags := benchFlags(time.Second, []int{1, 50, 500}, []int{16, 128, 4096}, "payload of a message in bytes")
 	flags = append(flags,
-		&cli.StringSliceFlag{Name: "way", Value: []string{wayOne, wayPipe, wayRequest}, Usage: "how to send: one, pipe or request"})
+		&cli.StringSliceFlag{
+			Name: "way", Value: []string{sendSequential, sendPipelined, sendTracked}, Usage: "how to send: one, pipe or request",
+		})
 	return &cli.Command{
 		Name: "nats-bench", Usage: "measure NATS messages per second through a gateway, through a plain proxy and directly to a node",
 		Flags: flags,
@@ -53,8 +58,9 @@
 	}
 }
 
+// measureNATS measures one case with a fake NATS server that returns messages to their sender.
 func measureNATS(c *cli.Command, bench benchCase) (natsBenchResult, error) {
-	result := natsBenchResult{benchResult: newBenchResult(bench), Way: bench.way}
+	result := natsBenchResult{benchResult: newBenchResult(bench), SendMode: bench.sendMode}
 	server, err := fakeserver.NewNATSEcho()
 	if err != nil {
 		return result, err
@@ -69,10 +75,10 @@
 // natsLoad runs sessions that publish messages and receive them back, and returns the measured rate and latency.
 func natsLoad(addr string, bench benchCase, duration time.Duration) (loadResult, error) {
 	window := 1
-	if bench.way == wayPipe {
+	if bench.sendMode == sendPipelined {
 		window = pipelineWindow
 	}
-	frame := benchFrame(bench.way, bench.payload)
+	frame := benchFrame(bench.sendMode, bench.payload)
 	return runLoad(bench.sessions, duration, func(int) (loadSession, error) {
 		conn, reader, err := dialNATS(addr)
 		if err != nil {
@@ -84,9 +90,10 @@
 	})
 }
 
-func benchFrame(way string, payload int) []byte {
+// benchFrame returns the PUB frame of one message, including its payload.
+func benchFrame(sendMode string, payload int) []byte {
 	subject, reply := benchSubject, ""
-	if way == wayRequest {
+	if sendMode == sendTracked {
 		subject, reply = trackedSubject, benchSubject
 	}
 	frame := codec.AppendPub(nil, []byte(subject), []byte(reply), 0, payload)
@@ -97,9 +104,9 @@
 type natsSession struct {
 	conn     net.Conn
 	reader   *bufio.Reader
-	frame    []byte
-	payload  int
-	window   int
+	frame    []byte // sent for each message
+	payload  int    // bytes
+	window   int    // messages
 	duration time.Duration
 }
 
@@ -117,7 +124,7 @@
 	if err := s.send(s.window); err != nil {
 		return err
 	}
-	batch := max(s.window/2, 1) // sends half a window at once, like clients that buffer their writes
+	batch := max(s.window/2, 1) // half a window is sent at once, as by clients that buffer their writes
 	end := time.Now().Add(s.duration)
 	for i := 0; ; i = (i + 1) % s.window {
 		if err := s.receive(); err != nil {
@@ -143,6 +150,7 @@
 	return err
 }
 
+// receive reads one message and discards its payload.
 func (s *natsSession) receive() error {
 	line, err := s.reader.ReadSlice('\n')
 	if err != nil {
@@ -155,7 +163,7 @@
 	return err
 }
 
-// dialNATS connects to a server and subscribes to benchSubject. The reader holds what was read from the connection so far.
+// dialNATS connects to a server and subscribes to benchSubject. The returned reader may have buffered data of the connection.
 func dialNATS(addr string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -169,6 +177,7 @@
 	return conn, reader, nil
 }
 
+// setUpNATS sends CONNECT, SUB and PING, and waits for the PONG. It returns an error if the server answers with -ERR.
 func setUpNATS(conn net.Conn, reader *bufio.Reader) error {
 	const setupTimeout = 10 * time.Second
 	if err := conn.SetDeadline(time.Now().Add(setupTimeout)); err != nil {
--- a/internal/experiment/natsidle.go
+++ b/internal/experiment/natsidle.go
@@ -14,16 +14,17 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-const idleDuration = 3 * time.Second // in which the gateway still sends pings
+const idleDuration = 3 * time.Second // from the last connect to the second measurement; the gateway still sends pings
 
 // idleResult holds the resident memory of a gateway, in bytes, before and after idle sessions connected.
 type idleResult struct {
-	Sessions   int   `json:"sessions"`
-	Before     int64 `json:"rss_before"`
-	After      int64 `json:"rss_after"`
-	PerSession int64 `json:"bytes_a_session"`
+	Sessions        int   `json:"sessions"`
+	RSSBefore       int64 `json:"rss_before"`
+	RSSAfter        int64 `json:"rss_after"`
+	BytesPerSession int64 `json:"bytes_a_session"`
 }
 
+// natsIdleCommand returns the command that measures the memory of idle NATS sessions.
 func natsIdleCommand() *cli.Command {
 	return &cli.Command{
 		Name: "nats-idle", Usage: "measure the memory that an idle NATS session takes in the gateway",
@@ -39,12 +40,13 @@
 			if c.Bool("json") {
 				return writeJSON(c.Root().Writer, result)
 			}
-			_, err = fmt.Fprintf(c.Root().Writer, "%d idle sessions: %d bytes each\n", result.Sessions, result.PerSession)
+			_, err = fmt.Fprintf(c.Root().Writer, "%d idle sessions: %d bytes each\n", result.Sessions, result.BytesPerSession)
 			return err
 		},
 	}
 }
 
+// measureIdle measures the memory of a gateway in another process, before and after idle sessions connect to it.
 func measureIdle(c *cli.Command) (result idleResult, err error) {
 	server, err := fakeserver.NewNATSEcho()
 	if err != nil {
@@ -58,7 +60,7 @@
 	defer gateway.stop()
 	result.Sessions = c.Int("sessions")
 	pid := gateway.cmd.Process.Pid
-	if result.Before, err = residentSetSize(pid); err != nil {
+	if result.RSSBefore, err = residentSetSize(pid); err != nil {
 		return result, err
 	}
 	var conns []net.Conn
@@ -75,10 +77,10 @@
 		conns = append(conns, conn)
 	}
 	time.Sleep(idleDuration)
-	if result.After, err = residentSetSize(pid); err != nil {
+	if result.RSSAfter, err = residentSetSize(pid); err != nil {
 		return result, err
 	}
-	result.PerSession = (result.After - result.Before) / int64(result.Sessions)
+	result.BytesPerSession = (result.RSSAfter - result.RSSBefore) / int64(result.Sessions)
 	return result, nil
 }
 
--- a/internal/experiment/plainproxy.go
+++ b/internal/experiment/plainproxy.go
@@ -9,10 +9,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-const proxyBufferBytes = 32 << 10
+const proxyBufferBytes = 32 << 10 // for each direction of a connection
 
-// plainProxyCommand returns the command that runs the baseline of benchmarks: a proxy that only copies bytes, with a read
-// and write loop for each direction.
+// plainProxyCommand returns the command that runs the baseline of the benchmarks: a proxy that only copies bytes, with a loop
+// of reads and writes for each direction.
 func plainProxyCommand() *cli.Command {
 	return &cli.Command{
 		Name: "plain-proxy", Hidden: true, Usage: "run a plain proxy; started by benchmarks",
@@ -21,6 +21,7 @@
 	}
 }
 
+// runPlainProxy prints the address of the proxy and then proxies connections until the process is killed.
 func runPlainProxy(_ context.Context, c *cli.Command) error {
 	cores := c.Int("cores")
 	if err := pinToCPUs(cpuRange(0, cores)...); err != nil {
@@ -43,6 +44,7 @@
 	}
 }
 
+// proxyConnection connects a client to the server, and returns when the server's data ends or the connection fails.
 func proxyConnection(client net.Conn, serverAddr string) {
 	server, err := net.Dial("tcp", serverAddr)
 	if err != nil {
@@ -53,8 +55,8 @@
 	copyConn(client, server)
 }
 
-// copyConn copies data from one connection to the other until either ends, and closes both. It does not use io.Copy, which
-// would let the kernel splice the connections.
+// copyConn copies data from one connection to the other until either ends, and closes both. It does not use io.Copy, because
+// io.Copy would let the kernel splice the connections.
 func copyConn(to, from net.Conn) {
 	defer closeQuietly(from)
 	defer closeQuietly(to)
--- a/internal/experiment/plancurve.go
+++ b/internal/experiment/plancurve.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/placement"
 )
 
-// curveSizes lists the sizes of the problems that plan-curve solves.
+// curveSizes lists the sizes of the placement problems that plan-curve solves.
 var curveSizes = []struct{ nodes, zones int }{
 	{50, 3},
 	{200, 8},
@@ -24,7 +24,7 @@
 	{10000, 70},
 }
 
-// planCurveCommand returns the command that measures the time of the solver by problem size and can draw the times.
+// planCurveCommand returns the command that measures how the solver's time grows with the problem size. It can draw the times.
 func planCurveCommand() *cli.Command {
 	return &cli.Command{
 		Name: "plan-curve", Usage: "measure the time that the solver takes to prove a plan optimal, by problem size",
@@ -39,6 +39,7 @@
 	}
 }
 
+// measureSolver solves a random problem of each size and prints a table. It returns the seconds by number of nodes.
 func measureSolver(c *cli.Command) (points plotter.XYs, err error) {
 	results := newTable(c.Root().Writer, "nodes", "zones", "seconds", "proven", "networks solved")
 	for _, size := range curveSizes {
@@ -55,6 +56,7 @@
 	return points, nil
 }
 
+// drawSolverTimes saves a plot of the times, with logarithmic axes.
 func drawSolverTimes(points plotter.XYs, file string) error {
 	p := plot.New()
 	p.Title.Text = "time to prove a plan optimal"
--- a/internal/experiment/plandraw.go
+++ b/internal/experiment/plandraw.go
@@ -23,8 +23,9 @@
 	zoneColor = color.RGBA{B: 140, G: 90, A: 255}
 )
 
-// planDrawCommand returns the command that draws a plan. The other plan commands belong to the balancer's program. This one
-// doesn't, because the plotting library loads its fonts at every start, and a balancer may have only 64 MB of memory.
+// planDrawCommand returns the command that draws a plan. The balancer's program has other commands for plans. This command
+// is not among them, because the plotting library loads its fonts at every start, and a balancer may have only 64 MB of
+// memory.
 func planDrawCommand() *cli.Command {
 	return &cli.Command{
 		Name: "plan-draw", Usage: "draw the flows between zones of a plan",
@@ -38,6 +39,7 @@
 	}
 }
 
+// drawPlanFile draws the plan in a file and saves the picture under each given name, whose suffix selects the format.
 func drawPlanFile(planFile string, pictures []string) error {
 	text, err := os.ReadFile(planFile)
 	if err != nil {
@@ -62,12 +64,12 @@
 // zonePair is an ordered pair of different zones.
 type zonePair struct{ from, to string }
 
-// zoneFlows holds the sums of a plan's flows by zone and by pair of zones.
+// zoneFlows holds the load of a plan's flows, summed over all classes, by zone and by pair of zones.
 type zoneFlows struct {
-	zones   []string // sorted
-	between map[zonePair]int64
-	own     map[string]int64 // by zone: load that the zone carries itself
-	maxLoad int64            // the largest of these sums, at least 1
+	zones   []string           // sorted
+	between map[zonePair]int64 // load from one zone to another
+	own     map[string]int64   // by zone: load that the zone carries itself
+	maxLoad int64              // the largest of these sums, at least 1
 }
 
 func sumFlows(plan *operator.Plan) zoneFlows {
@@ -88,9 +90,12 @@
 	return f
 }
 
+// relative returns a load as a fraction of the largest load, from 0 to 1.
 func (f zoneFlows) relative(load int64) float64 { return float64(load) / float64(f.maxLoad) }
 
-// drawFlows draws the zones as dots on a circle, sized by their own load, and the flows as curves between them.
+// drawFlows draws the zones as dots on a circle and the flows as curves between them. The area of a dot grows with the load
+// that its zone carries itself, and the width of a curve with the load of the flow. It returns an error if the plan has no
+// flows.
 func drawFlows(plan *operator.Plan) (*plot.Plot, error) {
 	flows := sumFlows(plan)
 	if len(flows.zones) == 0 {
@@ -117,6 +122,7 @@
 	return p, addZones(p, flows, positions)
 }
 
+// circlePositions places the zones on the unit circle at equal distances, counterclockwise from the top.
 func circlePositions(zones []string) map[string]plotter.XY {
 	positions := map[string]plotter.XY{}
 	for i, zone := range zones {
@@ -126,8 +132,8 @@
 	return positions
 }
 
-// addFlow draws a flow as a curve that bends to the right, which separates the two directions between a pair of zones. The
-// label is nearer to the end of the curve.
+// addFlow draws a flow as a quadratic Bézier curve that bends to the right, so that the curves of the two directions between
+// a pair of zones don't overlap. It puts the label nearer to the end of the curve than to its start.
 func addFlow(p *plot.Plot, from, to plotter.XY, width vg.Length, label string) error {
 	control := plotter.XY{X: (from.X+to.X)/2 + (to.Y-from.Y)*0.12, Y: (from.Y+to.Y)/2 - (to.X-from.X)*0.12}
 	var curve plotter.XYs
@@ -156,6 +162,7 @@
 	return nil
 }
 
+// addZones draws the dots and labels of the zones. Each label is above or below its dot, on the side away from the center.
 func addZones(p *plot.Plot, flows zoneFlows, positions map[string]plotter.XY) error {
 	dots, err := plotter.NewScatter(plotter.XYs{})
 	if err != nil {
--- a/internal/experiment/planresult.go
+++ b/internal/experiment/planresult.go
@@ -11,8 +11,9 @@
 // connectionCounts counts connections by the zone that they come from and then by the ID of the node that accepted them.
 type connectionCounts map[string]map[string]int64
 
-func (a connectionCounts) total() (sum int64) {
-	for _, byNode := range a {
+// total returns the number of all connections.
+func (c connectionCounts) total() (sum int64) {
+	for _, byNode := range c {
 		for _, n := range byNode {
 			sum += n
 		}
@@ -20,24 +21,26 @@
 	return sum
 }
 
-func (a connectionCounts) atNode(id string) (sum int64) {
-	for _, byNode := range a {
+// atNode returns the number of connections that a node accepted from all zones.
+func (c connectionCounts) atNode(id string) (sum int64) {
+	for _, byNode := range c {
 		sum += byNode[id]
 	}
 	return sum
 }
 
-// crossingCost returns the total cost of the connections that left their zone.
-func (a connectionCounts) crossingCost(problem *placement.Problem) (sum int64) {
-	for from, byNode := range a {
+// crossingCost returns the total cost of the connections that were accepted in another zone than their own.
+func (c connectionCounts) crossingCost(problem *placement.Problem) (sum int64) {
+	for from, byNode := range c {
 		for _, node := range problem.Nodes {
-			sum += byNode[node.ID] * costBetween(problem, from, node.Zone)
+			sum += byNode[node.ID] * crossingCostBetween(problem, from, node.Zone)
 		}
 	}
 	return sum
 }
 
-func costBetween(problem *placement.Problem, from, to string) int64 {
+// crossingCostBetween returns the cost of one connection from one zone to another, which is 0 within a zone.
+func crossingCostBetween(problem *placement.Problem, from, to string) int64 {
 	if from == to {
 		return 0
 	}
@@ -50,32 +53,33 @@
 }
 
 // maxDeviation returns the largest deviation of a node's load from its planned load, as a fraction of the planned load.
-func (a connectionCounts) maxDeviation(plannedLoad map[string]int64, connectionsPerUnit int) (deviation float64) {
+func (c connectionCounts) maxDeviation(plannedLoad map[string]int64, connectionsPerUnit int) (deviation float64) {
 	for id, load := range plannedLoad {
 		if load > 0 {
 			planned := float64(load * int64(connectionsPerUnit))
-			deviation = max(deviation, math.Abs(float64(a.atNode(id))/planned-1))
+			deviation = max(deviation, math.Abs(float64(c.atNode(id))/planned-1))
 		}
 	}
 	return deviation
 }
 
-// planResult is the result of plan-run. It compares the distribution of connections with the plan.
+// planResult holds the measurements of plan-run.
 type planResult struct {
-	Opened             int     `json:"opened"`
-	Failed             int     `json:"failed"`
-	CrossingsWithout   int64   `json:"crossings_without_plan"`
-	CrossingsWith      int64   `json:"crossings_with_plan"`
-	CrossingsPlanned   int64   `json:"crossings_planned"` // the crossing cost of the plan for the same number of connections
-	MaxDeviation       float64 `json:"worst_deviation"`   // of a node's load, as a fraction of its planned load
-	DeviationAfterLoss float64 `json:"worst_deviation_after_loss"`
-	SentToLostZone     int64   `json:"sent_to_lost_zone"`
-	Restarted          int     `json:"gateways_restarted"`
-	ColdOpenings       int     `json:"cold_most_in_a_second"` // at the most loaded node of the restored zone
-	ColdLimit          int     `json:"cold_limit"`            // overload factor times the cold share of its warm openings
+	Opened              int     `json:"opened"` // connections that servers accepted
+	Failed              int     `json:"failed"` // connections that could not be established
+	CrossingCostWithout int64   `json:"crossings_without_plan"`
+	CrossingCostWith    int64   `json:"crossings_with_plan"`
+	CrossingCostPlanned int64   `json:"crossings_planned"` // cost that the plan predicts for as many connections
+	MaxDeviation        float64 `json:"worst_deviation"`   // of a node's load, as a fraction of its planned load
+	DeviationAfterLoss  float64 `json:"worst_deviation_after_loss"`
+	SentToLostZone      int64   `json:"sent_to_lost_zone"` // connections after the loss
+	GatewaysRestarted   int     `json:"gateways_restarted"`
+	ColdConnectionRate  int     `json:"cold_most_in_a_second"` // connections per second at the node that came closest to its limit
+	ColdRateLimit       int     `json:"cold_limit"`            // the rate above which that node is overloaded
 }
 
-// faults returns an error for each figure that is outside its allowed range.
+// faults returns a joined error with one entry for each check that failed, or nil. maxDeviation is the allowed deviation of a
+// node's load, as a fraction of its planned load.
 func (r *planResult) faults(maxDeviation float64) error {
 	var errs []error
 	if r.MaxDeviation > maxDeviation || r.DeviationAfterLoss > maxDeviation {
@@ -85,11 +89,13 @@
 	if r.Failed > 0 || r.SentToLostZone > 0 {
 		errs = append(errs, fmt.Errorf("%d connections were not served, %d were sent to the lost zone", r.Failed, r.SentToLostZone))
 	}
-	if r.ColdOpenings > r.ColdLimit {
-		errs = append(errs, fmt.Errorf("a cold node accepted %d connections in a second, the limit is %d", r.ColdOpenings, r.ColdLimit))
+	if r.ColdConnectionRate > r.ColdRateLimit {
+		errs = append(errs, fmt.Errorf("a cold node accepted %d connections in a second, the limit is %d",
+			r.ColdConnectionRate, r.ColdRateLimit))
 	}
-	if r.CrossingsWith >= r.CrossingsWithout {
-		errs = append(errs, fmt.Errorf("the crossing cost is %d with the plan and %d without it", r.CrossingsWith, r.CrossingsWithout))
+	if r.CrossingCostWith >= r.CrossingCostWithout {
+		errs = append(errs, fmt.Errorf("the crossing cost is %d with the plan and %d without it",
+			r.CrossingCostWith, r.CrossingCostWithout))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/experiment/planrun.go
+++ b/internal/experiment/planrun.go
@@ -16,11 +16,12 @@
 )
 
 const (
-	planFaultDelay = 500 * time.Millisecond // from the start of a phase's load
+	planFaultDelay = 500 * time.Millisecond // from the start of load to a fault, and from a zone's loss to its listing
 	restartedZone  = "west"                 // the zone whose gateway is restarted
-	lostZone       = "east"
+	lostZone       = "east"                 // the zone whose servers are closed and later restarted
 )
 
+// planRunCommand returns the command that compares the distribution of connections with a plan.
 func planRunCommand() *cli.Command {
 	return &cli.Command{
 		Name: "plan-run", Usage: "compare gateways with and without a plan, lose a zone and restart a gateway",
@@ -48,6 +49,7 @@
 	result             *planResult
 }
 
+// runPlan runs all phases and returns their measurements.
 func runPlan(ctx context.Context, connectionsPerUnit int, logger *slog.Logger) (*planResult, error) {
 	testbed, err := newPlanTestbed()
 	if err != nil {
@@ -55,7 +57,7 @@
 	}
 	defer testbed.close()
 	r := &planRun{testbed: testbed, connectionsPerUnit: connectionsPerUnit, logger: logger, result: &planResult{}}
-	r.result.CrossingsPlanned = testbed.plan.Goals.Crossings * int64(connectionsPerUnit)
+	r.result.CrossingCostPlanned = testbed.plan.Goals.Crossings * int64(connectionsPerUnit)
 	for _, step := range []func(context.Context) error{r.compare, r.loseZone, r.restoreZone} {
 		if err := step(ctx); err != nil {
 			return nil, err
@@ -64,34 +66,36 @@
 	return r.result, nil
 }
 
-// compare puts the same load on gateways without a plan and then on gateways with the plan, one of which is restarted.
+// compare opens the same connections through gateways without a plan and then through gateways with the plan. One of the
+// latter gateways is restarted meanwhile.
 func (r *planRun) compare(ctx context.Context) error {
 	counts, err := r.runPhase(ctx, planPhase{name: "without"})
 	if err != nil {
 		return err
 	}
-	r.result.CrossingsWithout = counts.crossingCost(r.testbed.problem)
+	r.result.CrossingCostWithout = counts.crossingCost(r.testbed.problem)
 	counts, err = r.runPhase(ctx, planPhase{name: "with", plan: r.testbed.plan, injectFault: r.restartGateway})
 	if err != nil {
 		return err
 	}
-	r.result.CrossingsWith = counts.crossingCost(r.testbed.problem)
+	r.result.CrossingCostWith = counts.crossingCost(r.testbed.problem)
 	r.result.MaxDeviation = counts.maxDeviation(r.testbed.plan.Load, r.connectionsPerUnit)
 	return nil
 }
 
-// restartGateway replaces the gateway of restartedZone while clients connect.
+// restartGateway starts a replacement for the gateway of restartedZone and closes the old one while clients connect.
 func (r *planRun) restartGateway(ctx context.Context, gateways *zoneGateways) error {
 	replacement, err := r.startZoneGateway(ctx, restartedZone, r.testbed.plan)
 	if err != nil {
 		return err
 	}
 	gateways.replace(restartedZone, replacement)
-	r.result.Restarted++
+	r.result.GatewaysRestarted++
 	return nil
 }
 
-// loseZone makes a zone fail while clients connect, and then measures how the other zones carry the load.
+// loseZone makes lostZone fail while clients connect. It then opens the same connections again, and compares the load of the
+// remaining nodes with the contingency plan.
 func (r *planRun) loseZone(ctx context.Context) error {
 	contingency, err := r.contingency()
 	if err != nil {
@@ -118,6 +122,7 @@
 	return nil
 }
 
+// contingency returns the plan for the loss of lostZone. It returns an error if that plan has no flows.
 func (r *planRun) contingency() (operator.PlanContingency, error) {
 	var found operator.PlanContingency
 	for _, c := range r.testbed.plan.Contingencies {
@@ -131,10 +136,11 @@
 	return found, nil
 }
 
-// restoreZone restarts the lost zone while clients connect, and measures how many connections its cold nodes accept in a
-// second. The capacity of a node that starts is a fifth of its warm capacity, and it can take four times that for a second.
+// restoreZone restarts the servers of lostZone while clients connect. It records the peak connection rate of the cold node
+// that came closest to its limit. A node starts with a fifth of its warm capacity, and is overloaded if it receives more than
+// four times that for a second. Its limit is therefore four fifths of the peak rate that the node had before it was lost.
 func (r *planRun) restoreZone(ctx context.Context) error {
-	warm := r.maxOpenings()
+	warmRates := r.peakConnectionRates()
 	_, err := r.runPhase(ctx, planPhase{
 		name: "back", plan: r.testbed.plan,
 		injectFault: func(context.Context, *zoneGateways) error { return r.testbed.restoreZone(lostZone) },
@@ -143,32 +149,35 @@
 		return err
 	}
 	maxLoad := 0.0
-	for id, openings := range r.maxOpenings() {
-		limit := warm[id] * 4 / 5
-		if load := float64(openings) / float64(max(limit, 1)); load >= maxLoad {
+	for id, rate := range r.peakConnectionRates() {
+		limit := warmRates[id] * 4 / 5
+		if load := float64(rate) / float64(max(limit, 1)); load >= maxLoad {
 			maxLoad = load
-			r.result.ColdOpenings, r.result.ColdLimit = openings, limit
+			r.result.ColdConnectionRate, r.result.ColdRateLimit = rate, limit
 		}
 	}
 	return nil
 }
 
-// maxOpenings returns, by node ID, the largest number of connections that each node of the lost zone accepted in a second.
-func (r *planRun) maxOpenings() map[string]int {
-	openings, servers := map[string]int{}, r.testbed.currentServers()
+// peakConnectionRates returns, by node ID, the largest number of connections that each node of lostZone accepted in any
+// second.
+func (r *planRun) peakConnectionRates() map[string]int {
+	rates, servers := map[string]int{}, r.testbed.currentServers()
 	for _, node := range r.testbed.nodesOf(lostZone) {
-		openings[node.ID] = servers[node.ID].MaxOpenedWithin(time.Second)
+		rates[node.ID] = servers[node.ID].MaxOpenedWithin(time.Second)
 	}
-	return openings
+	return rates
 }
 
-// planPhase is a period of load on one gateway for each zone.
+// planPhase describes a period in which clients open connections through one gateway in each zone.
 type planPhase struct {
-	name        string
+	name        string                                     // part of the keys of its connections
 	plan        *operator.Plan                             // nil means gateways without a plan
 	injectFault func(context.Context, *zoneGateways) error // called while clients connect; may be nil
 }
 
+// runPhase starts the gateways, opens the connections of a phase through them and stops the gateways. It adds to the counts
+// of opened and failed connections in the result.
 func (r *planRun) runPhase(ctx context.Context, phase planPhase) (counts connectionCounts, err error) {
 	gateways := &zoneGateways{byZone: map[string]*localGateway{}}
 	defer gateways.close()
@@ -212,7 +221,8 @@
 	return startGateway(ctx, conf, listen, gateway.WithLogger(r.logger), gateway.WithOperator(settings))
 }
 
-// zoneGateways holds the gateway that the clients of each zone use. Its methods may be called from several goroutines.
+// zoneGateways holds the gateway of each zone, to which the clients of that zone connect. Its methods may be called from
+// several goroutines.
 type zoneGateways struct {
 	mu     sync.Mutex
 	byZone map[string]*localGateway
@@ -224,7 +234,8 @@
 	return z.byZone[zone].addr
 }
 
-// replace closes the gateway of a zone and then makes clients use its replacement.
+// replace closes the gateway of a zone and then directs clients to its replacement. Until then, clients still use the address
+// of the closed gateway.
 func (z *zoneGateways) replace(zone string, replacement *localGateway) {
 	z.mu.Lock()
 	old := z.byZone[zone]
--- a/internal/experiment/plansite.go
+++ b/internal/experiment/plansite.go
@@ -16,12 +16,14 @@
 )
 
 const (
-	testbedClients     = 32 // clients that open connections concurrently
-	testbedMaxAttempts = 20 // attempts of a client to open one connection
-	testbedRetryPause  = 50 * time.Millisecond
+	testbedClients     = 32                    // number of clients that open connections concurrently
+	testbedMaxAttempts = 20                    // attempts that a client makes to open one connection
+	testbedRetryPause  = 50 * time.Millisecond // after each failed attempt, in addition to a retry delay from the gateway
 )
 
-// planTestbed is a set of three zones with fake servers. The demand of the first zone exceeds the capacity of its nodes.
+// planTestbed holds a placement problem with three zones, its solved plan, a fake server for each node, and a fake discovery
+// service that lists these servers. The demand of the first zone exceeds the capacity of its nodes, so that a plan must
+// send part of it to other zones.
 type planTestbed struct {
 	problem *placement.Problem
 	plan    *operator.Plan
@@ -31,31 +33,33 @@
 	servers map[string]*fakeserver.LineServer // by node ID; replaced while clients connect
 }
 
+// newPlanTestbed solves the problem, and starts the servers and the discovery service.
 func newPlanTestbed() (testbed *planTestbed, err error) {
-	s := &planTestbed{servers: map[string]*fakeserver.LineServer{}, problem: testbedProblem()}
+	t := &planTestbed{servers: map[string]*fakeserver.LineServer{}, problem: testbedProblem()}
 	defer func() {
 		if err != nil {
-			s.close()
+			t.close()
 		}
 	}()
 	var endpoints []fakeserver.Endpoint
-	for _, node := range s.problem.Nodes {
+	for _, node := range t.problem.Nodes {
 		server, err := fakeserver.NewLineServer()
 		if err != nil {
 			return nil, err
 		}
-		s.servers[node.ID] = server
+		t.servers[node.ID] = server
 		endpoints = append(endpoints, testbedEndpoint(node, server.Addr()))
 	}
-	if s.plan, err = solveTestbed(s.problem); err != nil {
+	if t.plan, err = solveTestbed(t.problem); err != nil {
 		return nil, err
 	}
-	if s.catalog, err = fakeserver.NewCatalog(endpoints...); err != nil {
+	if t.catalog, err = fakeserver.NewCatalog(endpoints...); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return t, nil
 }
 
+// testbedProblem returns a problem with three nodes in each zone, whose nodes may be filled to nine tenths of their capacity.
 func testbedProblem() *placement.Problem {
 	problem := &placement.Problem{
 		Zones: []string{"west", "north", "east"},
@@ -86,7 +90,7 @@
 	return problem
 }
 
-// solveTestbed returns the best plan, with a contingency plan for each loss of a zone or node.
+// solveTestbed returns the best plan that the solver finds, with a contingency plan for the loss of each zone and each node.
 func solveTestbed(problem *placement.Problem) (*operator.Plan, error) {
 	best, err := placement.Solve(problem, placement.Options{})
 	if err != nil {
@@ -113,63 +117,66 @@
 	}
 }
 
-func (s *planTestbed) close() {
-	if s.catalog != nil {
-		s.catalog.Close()
+func (t *planTestbed) close() {
+	if t.catalog != nil {
+		t.catalog.Close()
 	}
-	for _, server := range s.currentServers() {
+	for _, server := range t.currentServers() {
 		server.Close()
 	}
 }
 
-func (s *planTestbed) currentServers() map[string]*fakeserver.LineServer {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return maps.Clone(s.servers)
+// currentServers returns a copy of the servers by node ID.
+func (t *planTestbed) currentServers() map[string]*fakeserver.LineServer {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return maps.Clone(t.servers)
 }
 
-func (s *planTestbed) nodesOf(zone string) []placement.Node {
-	return slices.DeleteFunc(slices.Clone(s.problem.Nodes), func(n placement.Node) bool { return n.Zone != zone })
+// nodesOf returns the nodes in a zone.
+func (t *planTestbed) nodesOf(zone string) []placement.Node {
+	return slices.DeleteFunc(slices.Clone(t.problem.Nodes), func(n placement.Node) bool { return n.Zone != zone })
 }
 
-// loseZone closes the servers of a zone. The endpoint list changes later, after disturbanceDelay.
-func (s *planTestbed) loseZone(zone string) {
-	servers := s.currentServers()
-	for _, node := range s.nodesOf(zone) {
+// loseZone closes the servers of a zone. After planFaultDelay, it sets the state of their endpoints to terminated.
+func (t *planTestbed) loseZone(zone string) {
+	servers := t.currentServers()
+	for _, node := range t.nodesOf(zone) {
 		servers[node.ID].Close()
 	}
 	time.Sleep(planFaultDelay)
-	for _, node := range s.nodesOf(zone) {
-		s.catalog.SetEndpoint(fakeserver.Endpoint{
+	for _, node := range t.nodesOf(zone) {
+		t.catalog.SetEndpoint(fakeserver.Endpoint{
 			ID: node.ID, Addr: servers[node.ID].Addr(), Zone: node.Zone, State: fakeserver.StateTerminated,
 		})
 	}
 }
 
-// restoreZone starts new servers for a zone, which are cold.
-func (s *planTestbed) restoreZone(zone string) error {
-	for _, node := range s.nodesOf(zone) {
+// restoreZone starts a new server for each node of a zone. The start time in its endpoint makes it warm up.
+func (t *planTestbed) restoreZone(zone string) error {
+	for _, node := range t.nodesOf(zone) {
 		server, err := fakeserver.NewLineServer()
 		if err != nil {
 			return err
 		}
-		s.mu.Lock()
-		s.servers[node.ID] = server
-		s.mu.Unlock()
+		t.mu.Lock()
+		t.servers[node.ID] = server
+		t.mu.Unlock()
 		endpoint := testbedEndpoint(node, server.Addr())
 		endpoint.StartedMS = time.Now().UnixMilli()
-		s.catalog.SetEndpoint(endpoint)
+		t.catalog.SetEndpoint(endpoint)
 	}
 	return nil
 }
 
-// openConnections opens connections and closes them immediately, for one zone after the other in proportion to its demand,
-// each with its own key. It returns the connections by node, and how many were not served.
-func (s *planTestbed) openConnections(connectionsPerUnit int, gatewayAddr func(zone string) string,
+// openConnections opens connections and closes each one as soon as it is established. It does so for one zone after the
+// other: connectionsPerUnit connections for each unit of the zone's demand, each with its own key. It returns the number of
+// connections by zone and node, and the number of connections that could not be established.
+func (t *planTestbed) openConnections(connectionsPerUnit int, gatewayAddr func(zone string) string,
 	phase string) (counts connectionCounts, failed int) {
 	counts = connectionCounts{}
-	for _, demand := range s.problem.Demands {
-		servers, before := s.currentServers(), map[string]int64{}
+	for _, demand := range t.problem.Demands {
+		servers, before := t.currentServers(), map[string]int64{}
 		for id, server := range servers {
 			before[id] = server.Opened()
 		}
@@ -182,6 +189,7 @@
 	return counts, failed
 }
 
+// openFromZone opens the connections of one zone from concurrent clients. It returns how many could not be established.
 func openFromZone(demand placement.Demand, connectionsPerUnit int, gatewayAddr func(zone string) string, phase string) (failed int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -202,8 +210,8 @@
 	return failed
 }
 
-// openWithRetries opens a connection with a key. Like clients, it retries a limited number of times after a rejection or a
-// disconnect.
+// openWithRetries opens a connection with a key. After a rejection or a disconnect it retries, up to testbedMaxAttempts
+// attempts in all, as clients do. It returns the error of the last attempt if all fail.
 func openWithRetries(addr, key string) (err error) {
 	for attempt := range testbedMaxAttempts {
 		if err = openOnce(addr, key, attempt); err == nil {
@@ -214,6 +222,8 @@
 	return err
 }
 
+// openOnce makes one attempt to open a connection, and closes the connection. If the gateway rejects the request, openOnce
+// first waits for the retry delay that the gateway asks for.
 func openOnce(addr, key string, attempt int) error {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/experiment/silentwatch.go
+++ b/internal/experiment/silentwatch.go
@@ -18,29 +18,29 @@
 	"example.org/milletvane/internal/fakeserver"
 )
 
-// silentWatchResult is the result of a run with a stalled watch.
+// silentWatchResult holds the measurements of one run of silent-watch.
 type silentWatchResult struct {
-	Mode       string `json:"mode"`
-	Seed       uint64 `json:"seed"`
-	Requests   int64  `json:"requests"`
-	KnownMS    int64  `json:"known_after_ms"`  // from the change of the list to the last request at the draining server
-	NotifiedMS int64  `json:"counts_after_ms"` // from the change until the gateway must know of it
-	Late       int64  `json:"sends_late"`      // requests at the draining server after the drain grace
+	Mode             string `json:"mode"`
+	Seed             uint64 `json:"seed"`
+	Requests         int64  `json:"requests"`
+	LastRequestMS    int64  `json:"known_after_ms"`  // from the list change to the last request at the draining server
+	NoticeDeadlineMS int64  `json:"counts_after_ms"` // from the list change to the time by which the gateway must know of it
+	LateRequests     int64  `json:"sends_late"`      // requests that reached the draining server after the drain grace
 }
 
 const (
-	silentServers       = 3
-	silentMinDelay      = 300 * time.Millisecond // shortest time from the gateway's readiness until its watch stalls
-	silentChangeDelay   = 500 * time.Millisecond // from the stall until the drain begins
-	silentTolerance     = 50 * time.Millisecond  // the platform's tolerance on every limit
-	silentDetectionTime = 6 * time.Second        // after which a gateway must replace a watch that receives nothing
-	silentRequestPause  = 20 * time.Millisecond
+	silentWatchServers      = 3
+	minStallDelay           = 300 * time.Millisecond // shortest time from the gateway's readiness to the stall of its watch
+	stallToDrainDelay       = 500 * time.Millisecond // from the stall to the start of the drain
+	timingTolerance         = 50 * time.Millisecond  // that the platform allows on every time limit
+	stallDetectionTime      = 6 * time.Second        // within which a gateway must replace a watch that receives nothing
+	silentWatchRequestPause = 20 * time.Millisecond
 )
 
-// discoveryModeLimits holds the limits of a discovery mode.
+// discoveryModeLimits holds the time limits of a discovery mode.
 type discoveryModeLimits struct {
-	maxWatchDuration time.Duration // longest duration of a watch
-	drainGrace       time.Duration // drain grace
+	maxWatchDuration time.Duration // longest duration of one watch
+	drainGrace       time.Duration // time after which a draining server must receive no more requests
 }
 
 var discoveryModes = map[string]discoveryModeLimits{
@@ -48,8 +48,8 @@
 	"push": {maxWatchDuration: 2 * time.Second, drainGrace: 250 * time.Millisecond},
 }
 
-// silentWatchCommand returns the command that stalls the watch of the endpoint list and then makes a server drain, with
-// many seeds concurrently.
+// silentWatchCommand returns the command that stalls a gateway's watch of the endpoint list and then drains a server. It makes
+// one run for each seed, all concurrently.
 func silentWatchCommand() *cli.Command {
 	return &cli.Command{
 		Name: "silent-watch", Usage: "stall the watch of the endpoint list while a server drains, and count late requests",
@@ -62,6 +62,7 @@
 	}
 }
 
+// runSilentWatches prints the result of each run. It returns the errors of all runs, including those for late requests.
 func runSilentWatches(ctx context.Context, c *cli.Command) error {
 	mode := c.String("mode")
 	if _, ok := discoveryModes[mode]; !ok {
@@ -73,8 +74,8 @@
 	for i := range uint64(c.Int("seeds")) {
 		wg.Go(func() {
 			result, err := runSilentWatch(ctx, mode, c.Uint64("seed")+i)
-			if err == nil && result.Late > 0 {
-				err = fmt.Errorf("seed %d: %d requests reached the draining server after the drain grace", result.Seed, result.Late)
+			if err == nil && result.LateRequests > 0 {
+				err = fmt.Errorf("seed %d: %d requests reached the draining server after the drain grace", result.Seed, result.LateRequests)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -85,8 +86,8 @@
 	return errors.Join(errs...)
 }
 
-// silentRun holds the state of a run: a gateway in front of a few servers.
-type silentRun struct {
+// silentWatchRun holds the state of one run: a gateway in front of a few servers.
+type silentWatchRun struct {
 	mode    discoveryModeLimits
 	rng     *rand.Rand
 	catalog *fakeserver.Catalog
@@ -96,7 +97,7 @@
 }
 
 func runSilentWatch(ctx context.Context, mode string, seed uint64) (result silentWatchResult, err error) {
-	r := &silentRun{
+	r := &silentWatchRun{
 		mode: discoveryModes[mode], rng: rand.New(rand.NewPCG(seed, 1)),
 		result: silentWatchResult{Mode: mode, Seed: seed},
 	}
@@ -104,16 +105,16 @@
 	if err := r.start(ctx); err != nil {
 		return r.result, err
 	}
-	changedAt, notifiedBy := r.stallAndDrain()
-	r.result.NotifiedMS = notifiedBy.Sub(changedAt).Milliseconds()
-	return r.result, r.sendRequests(changedAt, notifiedBy)
+	changedAt, noticeDeadline := r.stallAndDrain()
+	r.result.NoticeDeadlineMS = noticeDeadline.Sub(changedAt).Milliseconds()
+	return r.result, r.sendRequests(changedAt, noticeDeadline)
 }
 
-func (r *silentRun) start(ctx context.Context) (err error) {
+func (r *silentWatchRun) start(ctx context.Context) (err error) {
 	if r.catalog, err = fakeserver.NewCatalog(); err != nil {
 		return err
 	}
-	for i := range silentServers {
+	for i := range silentWatchServers {
 		server, err := fakeserver.NewLineServer()
 		if err != nil {
 			return err
@@ -140,7 +141,7 @@
 	return err
 }
 
-func (r *silentRun) close() (err error) {
+func (r *silentWatchRun) close() (err error) {
 	if r.gateway != nil {
 		err = r.gateway.close()
 	}
@@ -153,47 +154,48 @@
 	return err
 }
 
-// stallAndDrain stalls the watch and then makes the first server drain. It returns the time of the drain and the time by
-// which the gateway must know of it.
-func (r *silentRun) stallAndDrain() (changedAt, notifiedBy time.Time) {
-	time.Sleep(silentMinDelay + time.Duration(r.rng.Int64N(int64(time.Second))))
+// stallAndDrain stalls the watch and then drains the first server. It returns the time at which the drain began and the time by
+// which the gateway must know of it: the end of the stalled watch plus 2 s, or the end of stallDetectionTime if that is later.
+func (r *silentWatchRun) stallAndDrain() (changedAt, noticeDeadline time.Time) {
+	time.Sleep(minStallDelay + time.Duration(r.rng.Int64N(int64(time.Second))))
 	watchStart, stalledAt := r.catalog.StallWatches(), time.Now()
-	time.Sleep(silentChangeDelay)
+	time.Sleep(stallToDrainDelay)
 	drained := inServiceEndpoint(0, r.servers[0].Addr())
 	drained.State = fakeserver.StateTerminating
 	r.catalog.SetEndpoint(drained)
 	changedAt = time.Now()
-	notifiedBy = stalledAt.Add(silentDetectionTime)
-	if watchEnd := watchStart.Add(r.mode.maxWatchDuration + 2*time.Second); watchEnd.After(notifiedBy) {
-		notifiedBy = watchEnd
+	noticeDeadline = stalledAt.Add(stallDetectionTime)
+	if watchEnd := watchStart.Add(r.mode.maxWatchDuration + 2*time.Second); watchEnd.After(noticeDeadline) {
+		noticeDeadline = watchEnd
 	}
-	return changedAt, notifiedBy
+	return changedAt, noticeDeadline
 }
 
-// sendRequests opens connections until some time after the gateway must know of the drain, and records those that reach
-// the draining server.
-func (r *silentRun) sendRequests(changedAt, notifiedBy time.Time) error {
-	const afterNotification = 2 * time.Second
-	end := notifiedBy.Add(afterNotification)
-	var opened int64
+// sendRequests opens connections until 2 s after noticeDeadline, the time by which the gateway must know of the drain. It
+// records those that reach the draining server.
+func (r *silentWatchRun) sendRequests(changedAt, noticeDeadline time.Time) error {
+	const afterDeadline = 2 * time.Second
+	end := noticeDeadline.Add(afterDeadline)
+	var openedBefore int64
 	for i := 0; time.Now().Before(end); i++ {
 		if err := openLine(r.gateway.addr, fmt.Sprintf("%x-%d", r.result.Seed, i)); err != nil {
 			return err
 		}
 		r.result.Requests++
-		if n := r.servers[0].Opened(); n > opened {
-			opened = n
-			r.result.KnownMS = time.Since(changedAt).Milliseconds()
-			if time.Since(notifiedBy) > r.mode.drainGrace+silentTolerance {
-				r.result.Late++
+		if n := r.servers[0].Opened(); n > openedBefore {
+			openedBefore = n
+			r.result.LastRequestMS = time.Since(changedAt).Milliseconds()
+			if time.Since(noticeDeadline) > r.mode.drainGrace+timingTolerance {
+				r.result.LateRequests++
 			}
 		}
-		time.Sleep(silentRequestPause)
+		time.Sleep(silentWatchRequestPause)
 	}
 	return nil
 }
 
-// openLine opens a connection through a gateway, and closes it once it is established or rejected.
+// openLine opens a connection through a gateway, and closes it once it is established or rejected. It returns an error for any
+// other answer.
 func openLine(gatewayAddr, name string) error {
 	conn, err := net.Dial("tcp", gatewayAddr)
 	if err != nil {
