--- a/internal/experiment/plancurve.go
+++ b/internal/experiment/plancurve.go
@@ -41,7 +41,7 @@
 
 // measureSolver solves a random problem of each size and prints a table. It returns the seconds by number of nodes.
 func measureSolver(c *cli.Command) (points plotter.XYs, err error) {
-	results := newTable(c.Root().Writer, "nodes", "zones", "seconds", "proven", "networks solved")
+	results := newTable(c.Root().Writer, "nodes", "zones", "seconds", "proven", "minimum-cost flows")
 	for _, size := range curveSizes {
 		startedAt := time.Now()
 		plan, err := placement.Solve(placement.RandomProblem(size.nodes, size.zones, 1), placement.Options{})
--- a/internal/experiment/plansite.go
+++ b/internal/experiment/plansite.go
@@ -173,7 +173,8 @@
 // other: connectionsPerUnit connections for each unit of the zone's demand, each with its own key. It returns the number of
 // connections by zone and node, and the number of connections that could not be established.
 func (t *planTestbed) openConnections(connectionsPerUnit int, gatewayAddr func(zone string) string,
-	phase string) (counts connectionCounts, failed int) {
+	phase string,
+) (counts connectionCounts, failed int) {
 	counts = connectionCounts{}
 	for _, demand := range t.problem.Demands {
 		servers, before := t.currentServers(), map[string]int64{}
