--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -13,7 +13,7 @@
 	"example.org/milletvane/internal/simproto"
 )
 
-// gcPercent makes garbage collection rare. That costs little memory, as the live heap is a few megabytes at most.
+// gcPercent makes garbage collection rare. That costs little memory, because the live heap is a few megabytes at most.
 const gcPercent = 800
 
 func main() {
--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -23,7 +23,7 @@
 
 // These tests run processes of two builds together: as peers, on one disk, and on one socket that is passed on.
 // scripts/mixed-versions.sh sets the builds; without it both are the current one. The tests check only what clients and
-// operators see, as names and log lines may differ between builds.
+// operators see, because names and log lines may differ between builds.
 
 const (
 	oldBuildEnv = "MILLETVANE_TEST_OLD" // path of a program
@@ -340,7 +340,8 @@
 	}
 }
 
-// A member without an endpoint list, a stored state or discovery serves by the list that it gets from its peer of another build.
+// A member without an endpoint list, a stored state or discovery serves by the list that it gets from its peer, a process of
+// another build.
 func testPeers(t *testing.T, holder, requester build) {
 	t.Helper()
 	f := newFixture(t)
--- a/config/config.go
+++ b/config/config.go
@@ -54,8 +54,9 @@
 }
 
 // Load reads the configuration from the environment and from the file that EnvFile names, if it names one. Values in the
-// environment take precedence over those in the file, except for the discovery address: the file may be given another one
-// while the program runs, and the environment can't change then. An error names the faulty key. A reload calls Load again.
+// environment take precedence over those in the file. Only the discovery address of the file takes precedence over that in the
+// environment, because the file can be changed while the program runs and the environment can't. An error names the faulty
+// key. A reload calls Load again.
 func Load(getenv func(string) string) (*Config, error) {
 	var text []byte
 	if path := getenv(EnvFile); path != "" {
--- a/config/operator/constraint.go
+++ b/config/operator/constraint.go
@@ -11,7 +11,7 @@
 
 // readConstraints reads all constraints. Their names must differ.
 func readConstraints(s *section) (constraints []placement.Constraint) {
-	lines := map[string]int{} // of the constraints so far, by name
+	lines := map[string]int{} // the line of each constraint so far, by name
 	s.entries("constraint", func(e *entry) {
 		c := placement.Constraint{Name: e.text("its name"), Line: e.form.line}
 		if first, twice := lines[c.Name]; twice {
--- a/config/operator/expr.go
+++ b/config/operator/expr.go
@@ -14,10 +14,12 @@
 
 // Bounds of a file. They limit the memory that a file takes, and the recursion into nested lists.
 const (
-	maxFileBytes   = 64 << 20
-	maxDepth       = 20
-	maxAtomBytes   = 64 // of an atom other than a string: the library's time for a number grows without bound with its length
-	maxQuotedBytes = 20 // of an atom that an error text quotes
+	maxFileBytes = 64 << 20
+	maxDepth     = 20
+	// maxAtomBytes limits each atom that is not a string. Without a limit, the time that the library takes to read a number
+	// would grow without bound with the number's length.
+	maxAtomBytes   = 64
+	maxQuotedBytes = 20 // how much of an atom an error text quotes
 )
 
 // expr is one S-expression, a list or an atom, with the line it starts on.
@@ -96,7 +98,8 @@
 	newlines  int
 }
 
-// line returns the line of an offset, from 1. An offset below an earlier one gets the line of that one.
+// line returns the line of an offset, counted from 1. If the offset is below that of an earlier call, line returns the line of
+// the highest offset so far.
 func (r *exprReader) line(offset int) int {
 	if offset > r.countedTo {
 		r.newlines += bytes.Count(r.text[r.countedTo:offset], []byte{'\n'})
@@ -135,7 +138,7 @@
 	return i
 }
 
-// read parses the raw value that starts at or after offset and lies depth lists deep.
+// read parses the raw value that starts at or after offset and is nested in depth lists.
 func (r *exprReader) read(offset int, raw edn.RawMessage, depth int) (expr, error) {
 	if depth > maxDepth {
 		return expr{}, errors.New("is nested too deeply")
--- a/config/operator/nats.go
+++ b/config/operator/nats.go
@@ -18,12 +18,12 @@
 	ControlLine        int           // bytes
 	MaxSubscriptions   int           // per session
 	MaxRequests        int           // in flight at once, per session
-	MaxPending         int           // bytes queued for one peer above which their source is no longer read
+	MaxPending         int           // bytes queued for one peer; above this limit, the connection that sends them is paused
 	PingInterval       time.Duration // between pings to a node
-	ClientPingInterval time.Duration // between pings to a client; one that answers neither of two is closed
-	MigrationTimeout   time.Duration // until a session has another node; else it is closed
-	FlushTimeout       time.Duration // for the former node to send what it has queued
-	MaxShared          int           // connections to nodes for requests that go to another node than their session's
+	ClientPingInterval time.Duration // between pings to a client, which is disconnected if it answers neither of two pings
+	MigrationTimeout   time.Duration // a session that takes longer to get another node is closed
+	FlushTimeout       time.Duration // how long a session waits for its former node to send what that node has queued
+	MaxShared          int           // per event loop: connections for requests that go to another node than their session's
 	Session            Session
 	Requests           []RequestClass
 }
@@ -61,10 +61,10 @@
 	sourceSession = "session"
 	sourceToken   = "token"
 
-	maxSubjectTokens = 64 // the index of a token is below it
+	maxSubjectTokens = 64 // the index of a token must be below this number
 )
 
-// readNATS reads the section nats. Its classes must be among those given, unless none are.
+// readNATS reads the section nats. Its classes must be among those given, unless none are given.
 func readNATS(s *section, classes []string) *NATS {
 	n := &NATS{
 		Listen:             s.text("listen"),
--- a/config/operator/placement.go
+++ b/config/operator/placement.go
@@ -10,10 +10,10 @@
 
 // Placement holds the input for the computation of plans, apart from the list of nodes.
 type Placement struct {
-	Capacity    map[string]int64 // of a node, in units of load, by the kind that the endpoint list gives it
+	Capacity    map[string]int64 // capacity of a node in units of load, by the node's kind in the endpoint list
 	Demands     []placement.Demand
 	Crossings   []placement.Crossing
-	DefaultCost int64 // per unit of load, of a crossing between zones that Crossings does not name
+	DefaultCost int64 // cost per unit of load of a crossing between two zones that Crossings does not name
 	Constraints []placement.Constraint
 	Batches     []placement.Batch
 	Order       []placement.Goal // the goals, most important first; nil means the default order
--- a/config/operator/plan.go
+++ b/config/operator/plan.go
@@ -15,15 +15,15 @@
 // PlanFormat is the version of the plan file format that this program writes, and the newest that it reads.
 const PlanFormat = 1
 
-// Plan is the content of a plan file: the load that each node shall carry, now and after losses, and the input from which that
-// was computed.
+// Plan is the content of a plan file: the load that each node shall carry, now and after losses, and the hashes of the
+// input from which the plan was computed.
 type Plan struct {
 	Version       int64
-	ListHash      uint64 // of the list of nodes that the plan is for
-	SettingsHash  uint64 // of the placement settings
+	ListHash      uint64 // hash of the list of nodes that the plan is for
+	SettingsHash  uint64 // hash of the placement settings that the plan is for
 	Proven        bool   // whether it is proven that no better plan exists
 	Goals         placement.Goals
-	Load          map[string]int64 // by node, in units of load
+	Load          map[string]int64 // load of each node, in units of load
 	Flows         []placement.Flow
 	Contingencies []PlanContingency
 }
@@ -33,8 +33,8 @@
 	Name  string
 	Lost  []string         // the lost nodes
 	Short int64            // units of load that are not carried after the loss
-	Load  map[string]int64 // by node, of nodes whose load differs from the plan's
-	Flows []placement.Flow // all flows after the loss; empty if there is no plan for it
+	Load  map[string]int64 // load after the loss of each node whose load then differs from Plan.Load
+	Flows []placement.Flow // all flows after the loss; empty if there is no plan for the loss
 }
 
 // Marshal returns the text of the plan file. Its last form is a checksum of everything before it.
--- a/config/operator/planparse.go
+++ b/config/operator/planparse.go
@@ -82,14 +82,15 @@
 	return p
 }
 
-// hash reads a hash in hexadecimal digits. A text that is not a hash gives a value that matches no list and no settings, as 0
-// does.
+// hash reads a hash of 64 bits, which is written in hexadecimal digits. It returns 0 if the key is absent or its text is not a
+// hexadecimal number, and the largest uint64 if the number is too large. No list and no settings are expected to have either
+// value as their hash.
 func (s *section) hash(key string) (hash uint64) {
 	s.entries(key, func(e *entry) { hash, _ = strconv.ParseUint(e.text("a hash"), 16, 64) })
 	return hash
 }
 
-// readGoalValues reads what the plan reaches for each goal.
+// readGoalValues reads the value that the plan reaches for each goal.
 func readGoalValues(s *section) (g placement.Goals) {
 	figure := func(e *entry) int64 { return e.number("a figure", 0, maxGoalValue) }
 	s.entries("uncarried", func(e *entry) { g.Uncarried = figure(e) })
--- a/config/operator/section.go
+++ b/config/operator/section.go
@@ -17,7 +17,7 @@
 	keys       []string          // the keys as they are ordered in the file
 }
 
-// openSection sorts the items of a list by key. Only the repeatable keys may occur more than once.
+// openSection groups the items of a list by key. Only the repeatable keys may occur more than once.
 func openSection(errs *errorList, path string, line int, items []expr, repeatable ...string) *section {
 	s := &section{errs: errs, path: path, line: line, formsByKey: map[string][]expr{}, knownKeys: map[string]bool{}}
 	for _, item := range items {
@@ -79,7 +79,8 @@
 	return nil, 0
 }
 
-// value returns the only value of a key and true, or false if the key is not given or has another number of values.
+// value returns the only value of a key and true. It returns false if the key is not given, and adds an error and returns false
+// if the key does not have exactly one value.
 func (s *section) value(key string) (expr, bool) {
 	values, line := s.values(key)
 	if line == 0 {
@@ -105,7 +106,8 @@
 	return text
 }
 
-// integer returns the integer of a key, from minValue to maxValue.
+// integer returns the integer of a key. It returns defaultValue if the key is not given. It adds an error and returns
+// defaultValue if the value is not an integer from minValue to maxValue.
 func (s *section) integer(key string, defaultValue, minValue, maxValue int) int {
 	v, ok := s.value(key)
 	if !ok {
@@ -136,7 +138,8 @@
 	return b
 }
 
-// duration returns the duration of a key, from minValue to maxValue.
+// duration returns the duration of a key. It returns defaultValue if the key is not given. It adds an error and returns
+// defaultValue if the value is not a duration from minValue to maxValue.
 func (s *section) duration(key string, defaultValue, minValue, maxValue time.Duration) time.Duration {
 	v, ok := s.value(key)
 	if !ok {
--- a/config/settings.go
+++ b/config/settings.go
@@ -23,7 +23,8 @@
 	return nil
 }
 
-// readSettings reads the platform's settings, and the seed, which takes precedence over the seed among the settings.
+// readSettings reads the platform's settings. If the file has a seed of its own, outside the settings, that seed replaces the
+// one in the settings.
 func (c *Config) readSettings(f *configFile) error {
 	pairs := settings.Pairs{}
 	if isGiven(f.Settings) {
--- a/internal/lineproto/backend/backend.go
+++ b/internal/lineproto/backend/backend.go
@@ -21,9 +21,10 @@
 	engine.Client
 	// Conn returns the client's connection.
 	Conn() *reactor.Conn
-	// Forward appends the pieces of the opening line, with the given timeout, to parts.
+	// Forward returns parts with the pieces of the client's opening line appended, and sends nothing. In the pieces, the
+	// given timeout replaces the one that the client stated.
 	Forward(parts [][]byte, timeout time.Duration) [][]byte
-	// Established sends the server's first line to the client and makes the client's lines go to the server from then on.
+	// Established sends the server's first line to the client and passes the client's lines to the server from then on.
 	// It returns false if the client has disconnected.
 	Established(firstLine []byte, server *ServerConn) bool
 	// Relay sends bytes from the server to the client. The server's connection is paused while too many bytes are pending
--- a/internal/lineproto/backend/loadpoll.go
+++ b/internal/lineproto/backend/loadpoll.go
@@ -14,7 +14,7 @@
 // date.
 const pollTimeout = 500 * time.Millisecond
 
-// errNoReport means that the server answered a load poll with something else than a load report.
+// errNoReport means that the server answered a load poll with something other than a load report.
 var errNoReport = errors.New("answer to STATS is not a load report")
 
 // loadPoller polls one server. The engine's goroutine closes requests to end the poller's goroutine, run, and doesn't wait
--- a/internal/lineproto/backend/pollconns.go
+++ b/internal/lineproto/backend/pollconns.go
@@ -57,8 +57,8 @@
 	return p
 }
 
-// get returns the poller's idle connection or dials a new one. The caller owns it until it calls put or closeConn. isReused
-// is true for a connection that was used before, which its server may have closed.
+// get returns the poller's idle connection or dials a new one. The caller owns the connection until it calls put or
+// closeConn. isReused is true for a connection that was used before, which its server may have closed.
 func (p *pollConns) get(poller *loadPoller) (conn *pollConn, isReused bool, err error) {
 	if conn := p.takeIdle(poller); conn != nil {
 		return conn, true, nil
@@ -89,8 +89,8 @@
 	return removed.conn
 }
 
-// reserve waits until a connection may be opened, and counts it. It may close an idle connection instead, whose descriptor
-// stays counted.
+// reserve waits until a connection may be opened, and counts it. If maxPollConns are open, it closes an idle
+// connection instead, and the new connection takes over the place of that one in the counts.
 func (p *pollConns) reserve() {
 	p.mu.Lock()
 	for p.openCount >= maxPollConns && p.idle.Len() == 0 {
@@ -120,7 +120,7 @@
 
 // closeConn closes a connection that get has returned.
 func (p *pollConns) closeConn(conn *pollConn) {
-	_ = conn.Close() // the error is ignored, as nothing on the connection is needed any more
+	_ = conn.Close() // the error is ignored, because nothing on the connection is needed any more
 	p.release()
 }
 
--- a/internal/lineproto/backend/serverconn.go
+++ b/internal/lineproto/backend/serverconn.go
@@ -14,8 +14,8 @@
 const maxOpenParts = 3
 
 // ServerConn is an attempt and, once it is established, the server's side of a client's connection. Its response time runs
-// from a line of the client to the next line of the server. The connection's loop calls OnOpen, OnData and OnEnd. The loop
-// of the client's connection, which is the same one, calls Forward. Any goroutine may call End.
+// from a line of the client to the next line of the server that is not a command. The connection's loop calls OnOpen, OnData,
+// OnEnd and Forward; the loop of the client's connection is the same one. Any goroutine may call End.
 type ServerConn struct {
 	upstream.Attempt
 	backend *Backend
@@ -57,7 +57,8 @@
 	}
 }
 
-// fail ends an attempt that is not established, and posts its result. It has no effect on any other attempt.
+// fail ends an attempt that is not established, and posts its result. It has no effect if the attempt is established or has
+// ended.
 func (s *ServerConn) fail(result balancer.Result) {
 	if s.Cancel() {
 		s.postEnded(result)
@@ -167,8 +168,8 @@
 	return len(b)
 }
 
-// establish marks the attempt as established and connects the client to the server. The engine takes no part in the lines
-// that follow.
+// establish marks the attempt as established and connects the client to the server. The lines that
+// follow do not pass through the engine.
 func (s *ServerConn) establish(firstLine []byte) {
 	if !s.Transition(upstream.Pending, upstream.Established) {
 		return
--- a/internal/lineproto/codec/request.go
+++ b/internal/lineproto/codec/request.go
@@ -69,8 +69,8 @@
 	return open, nil
 }
 
-// openBody returns a line without its line end, which has to be CRLF. It returns false if the line has another end or
-// contains control characters.
+// openBody returns an opening line without its line end, and true if the line is valid. It returns false if the line does not
+// end with CRLF, or contains another control character.
 func openBody(line []byte) ([]byte, bool) {
 	body, ok := bytes.CutSuffix(line, crlf)
 	if !ok {
@@ -85,6 +85,7 @@
 }
 
 // parseHead parses the command, the request's ID and its key, and returns the list of fields, which may be empty.
+// ok is false if the command is not OPEN, the ID or the key is missing, or the list contains a space.
 func (o *Open) parseHead(body []byte) (fields []byte, ok bool) {
 	command, rest, _ := bytes.Cut(body, space)
 	if string(command) != "OPEN" {
@@ -100,7 +101,8 @@
 	return fields, true
 }
 
-// parseFields parses the list of fields, which starts at offset in the line. It ignores unknown fields.
+// parseFields parses the list of fields, which starts at offset in the line. It ignores unknown fields, and
+// returns false if a field is malformed.
 func (o *Open) parseFields(fields []byte, offset int) bool {
 	for len(fields) > 0 {
 		pair, name, value, rest, ok := cutField(fields)
@@ -142,8 +144,8 @@
 
 func isSet(value []byte) bool { return string(value) == "1" }
 
-// setTimeout parses the timeout in milliseconds. A second timeout is malformed, since Forward replaces only one, and so is
-// a timeout of zero: such a client would not wait at all.
+// setTimeout parses the timeout in milliseconds. It returns false if the timeout is malformed. A second timeout is malformed,
+// because Forward replaces only one. A timeout of zero is malformed too, because such a client would not wait at all.
 func (o *Open) setTimeout(value []byte, offset int) bool {
 	milliseconds, ok := parseNumber(value)
 	if !ok || milliseconds == 0 || o.timeoutEnd > 0 {
@@ -154,9 +156,9 @@
 	return true
 }
 
-// Forward appends the pieces of the line that a server receives to parts, for a vectored write, and returns the result. The
-// pieces are the line's own bytes except for the timeout, which is replaced by the given one in whole milliseconds, 1 at
-// least. A line without a timeout stays as it is.
+// Forward returns parts with the pieces of the opening line for the server appended, and sends nothing. A vectored write of the
+// pieces sends the line. The pieces hold the line's own bytes, except that the given timeout replaces the client's. The
+// timeout is written in whole milliseconds and is at least 1 ms. A line without a timeout stays as it is.
 func (o *Open) Forward(parts [][]byte, timeout time.Duration) [][]byte {
 	if o.timeoutEnd == 0 {
 		return append(parts, o.Line)
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -133,9 +133,10 @@
 	c.listener.engine.Post(engine.ProtocolViolated{Client: c})
 }
 
-// Close implements engine.Client. While the connection waits for an opening line or a server, an opening line may be in
-// flight, to this process or to the engine. BUSY answers that line; a client that has sent no request ignores BUSY. An
-// established client is disconnected without MOVE, which was to follow an incomplete line whose rest has not arrived.
+// Close implements engine.Client. While no server has accepted a request of the client, an opening line may be on its way to
+// this process or to the engine. Close sends BUSY, which answers that line; a client that has sent no request ignores BUSY.
+// An established client is disconnected without MOVE: an earlier Migrate could not send MOVE, because the last relayed line
+// is incomplete and its rest has not arrived.
 func (c *Conn) Close() {
 	switch c.currentPhase() {
 	case phaseOpening, phaseWaiting:
@@ -152,8 +153,8 @@
 	c.endServer(false)
 }
 
-// rejectWaiting rejects a client that has no server yet. It is for clients that the engine will not answer since it has
-// ended.
+// rejectWaiting rejects a client that has no server yet. It is for clients that the engine can no longer
+// answer because it has ended.
 func (c *Conn) rejectWaiting() {
 	if c.currentPhase() < phaseRelaying {
 		c.Reject(0)
--- a/internal/lineproto/frontend/listener.go
+++ b/internal/lineproto/frontend/listener.go
@@ -58,9 +58,9 @@
 // Close stops accepting. Accepted connections stay open.
 func (l *Listener) Close() { l.listener.Close() }
 
-// Shutdown closes the listener and rejects all clients that the engine will not answer since it has ended: those that it
-// does not know, those that wait for a server, and those in the kernel's accept queue unless another process accepts from
-// it too.
+// Shutdown must be called after the engine has ended. It closes the listener and rejects all clients that the engine can no
+// longer answer: those that the engine does not know, those that wait for a server, and those in the kernel's accept queue.
+// If another process accepts from the same queue, the clients in the queue are left to that process.
 func (l *Listener) Shutdown() {
 	l.stopped.Store(true)
 	if l.shared {
--- a/internal/lineproto/frontend/relay.go
+++ b/internal/lineproto/frontend/relay.go
@@ -13,7 +13,7 @@
 // Conn implements backend.Client.
 func (c *Conn) Conn() *reactor.Conn { return c.conn }
 
-// Forward implements backend.Client.
+// Forward implements backend.Client: it returns parts with the pieces of the opening line appended, and sends nothing.
 func (c *Conn) Forward(parts [][]byte, timeout time.Duration) [][]byte {
 	return c.open.Forward(parts, timeout)
 }
@@ -66,8 +66,8 @@
 	}
 }
 
-// Migrate implements engine.Client. The connection's loop sends MOVE, since sending it includes posting to the engine,
-// which may block: the loop may wait for that, the engine's goroutine may not.
+// Migrate implements engine.Client. It lets the connection's loop send MOVE, because an event is posted to the engine with it.
+// Posting may block until the engine takes the event. The loop may wait for that, but the engine's goroutine may not.
 func (c *Conn) Migrate() time.Duration {
 	c.conn.Post(c.sendMoveAtLineEnd)
 	return 0
--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -79,8 +79,8 @@
 	return b.dial(a, a.Client.(SessionClient))
 }
 
-// connectTimeout returns the shortest of timeout, attemptConnectTimeout and the option ConnectTimeout. Zero for one of the last
-// two means no such limit.
+// connectTimeout returns the shortest of timeout, attemptConnectTimeout and the option ConnectTimeout. If attemptConnectTimeout
+// or the option is zero, it is not a limit.
 func (b *Backend) connectTimeout(timeout, attemptConnectTimeout time.Duration) time.Duration {
 	for _, t := range []time.Duration{b.options().ConnectTimeout, attemptConnectTimeout} {
 		if t > 0 {
@@ -90,8 +90,8 @@
 	return timeout
 }
 
-// isPastConnectTimeout reports whether an attempt of the given age must not send anything that its server has not received yet,
-// because the server may have been draining for longer than the drain grace.
+// isPastConnectTimeout reports whether an attempt of the given age is older than its connect timeout. If so, it must not send
+// anything new to its server, because the server may have been draining for longer than the drain grace.
 func isPastConnectTimeout(a *engine.Attempt, age time.Duration) bool {
 	return a.ConnectTimeout > 0 && age > a.ConnectTimeout
 }
--- a/internal/nats/backend/node_conn.go
+++ b/internal/nats/backend/node_conn.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// CancelHandshake ends a connection that is not established for a reason that is no fault of the node. It does nothing if the
+// CancelHandshake ends a connection that is not established, without reporting a fault of the node. It does nothing if the
 // connection is established or has ended.
 func (n *NodeConn) CancelHandshake() { n.failHandshake(balancer.Cancelled) }
 
--- a/internal/nats/frontend/migration.go
+++ b/internal/nats/frontend/migration.go
@@ -9,20 +9,21 @@
 
 // A session migrates to another node in three steps that are invisible to its client:
 //
-//  1. The session requests another node. The node is established when it has confirmed the handshake, which includes all
-//     subscriptions. Its messages are buffered.
-//  2. The session stops reading from the client and sends the old node UNSUB for all subscriptions, followed by a PING. The
-//     PONG confirms that the old node has processed all frames of the client and delivered all messages that it had queued.
-//  3. The session delivers the buffered messages and reads from the client again. If the nodes form a cluster, it drops the
-//     messages that the old node delivered too. It closes the connection to the old node once no request is pending there.
+//  1. The session requests another node, and stops reading from the client before it sends the handshake, which includes all
+//     subscriptions. The new node is established when it has confirmed the handshake. The new node's messages are buffered.
+//  2. The session sends the old node UNSUB for all subscriptions, followed by a PING. The PONG confirms that the old node has
+//     processed all frames of the client and delivered all messages that it had queued.
+//  3. The session delivers the buffered messages and reads from the client again. If the nodes form a cluster, it drops those
+//     messages of the new node that the old node has already delivered. It closes the connection to the old node once no
+//     request is pending there.
 //
 // If the connection to the old node is lost, step 2 is skipped.
 
 // minRetryDelay is the minimum delay before a session requests another node again after its request was rejected or failed.
 const minRetryDelay = 50 * time.Millisecond
 
-// drainReadDuration is how long the session continues to read from the client after a migration has started. A draining node
-// must not receive anything new after 500 ms.
+// drainReadDuration is how long the session continues to read from the client after a migration has started. A node
+// must not receive anything new later than 500 ms after it has begun to drain.
 const drainReadDuration = 400 * time.Millisecond
 
 // nodeDraining is called when a node starts to drain. It starts a migration if the node is the current one.
@@ -132,7 +133,7 @@
 	s.loop.Cancel(s.migrationTimer)
 	s.migrating, s.publishDeadlinePassed = false, false
 	s.deliverBuffered(n)
-	if s.dedup.Active() { // before its PONG the new node has delivered all messages that the old one delivered
+	if s.dedup.Active() { // when n sends PONG, it has sent its copies of all messages that the old node delivered
 		n.nodeConn.Ping(func() { s.stopDedup(n) })
 	}
 	for ; s.missingPongs > 0; s.missingPongs-- {
@@ -148,7 +149,8 @@
 	}
 }
 
-// stopDedup ends the deduplication after the migration to n. It starts another migration if n is draining.
+// stopDedup ends the deduplication after the migration to n, and starts another migration if n is draining. It does nothing if
+// n is no longer the current node or another migration is in progress.
 func (s *Session) stopDedup(n *nodeSession) {
 	if s.current != n || s.migrating {
 		return
@@ -210,7 +212,7 @@
 	switch n {
 	case s.previous:
 		s.previous = nil
-	case s.next: // it was established, but the old node has not delivered everything yet
+	case s.next: // n was established, but the old node has not delivered everything yet
 		s.next, s.buffered = nil, nil
 		s.requestNextNode()
 	case s.current:
@@ -218,7 +220,7 @@
 	}
 }
 
-// currentNodeLost handles the loss of the current node. It switches to the next node if that one is established. Otherwise the
+// currentNodeLost handles the loss of the current node. If the next node is established, it switches to that node. Otherwise the
 // running migration continues, or a new one starts.
 func (s *Session) currentNodeLost(n *nodeSession) {
 	if n.flushing { // the lost node can deliver nothing more
--- a/internal/nats/frontend/node_session.go
+++ b/internal/nats/frontend/node_session.go
@@ -74,7 +74,7 @@
 // isEstablished reports whether the node has confirmed the handshake.
 func (n *nodeSession) isEstablished() bool { return n.nodeConn != nil && n.nodeConn.IsEstablished() }
 
-// close closes the connection to the node and has the engine release its state.
+// close closes the connection to the node and tells the engine to release its state for the nodeSession.
 func (n *nodeSession) close() {
 	if n.nodeConn != nil {
 		n.nodeConn.Close()
--- a/internal/nats/frontend/request.go
+++ b/internal/nats/frontend/request.go
@@ -152,7 +152,7 @@
 		return
 	}
 	subscriptionEnded := sub.MaxMessages > 0 && sub.Delivered >= sub.MaxMessages
-	if subscriptionEnded && s.current != nil { // the node did not deliver this message and has not counted it
+	if subscriptionEnded && s.current != nil { // the node has not counted this reply, because the gateway delivers it
 		s.current.nodeConn.SendUnsubscribe([]byte(sub.SID))
 	}
 	if !s.options.Headers {
--- a/internal/nats/frontend/session.go
+++ b/internal/nats/frontend/session.go
@@ -41,13 +41,13 @@
 	subscriptions session.Subscriptions
 	dedup         session.Deduplicator
 	buffered      []byte // messages of next, held until current has delivered all that it has queued
-	missingPongs  int    // number of PONGs for the client that lost nodes did not send
+	missingPongs  int    // number of the client's PINGs that lost nodes did not answer
 
 	migrating             bool
-	publishDeadlinePassed bool           // drainReadDuration after the start of the migration; current must not receive new messages
-	migrationTimer        *backend.Timer // expires when the migration fails
-	retryTimer            *backend.Timer // expires when another node is requested again
-	flushTimer            *backend.Timer // expires when the session stops waiting for current to deliver what it has queued
+	publishDeadlinePassed bool           // drainReadDuration has passed since the migration began; current must get nothing new
+	migrationTimer        *backend.Timer // closes the session if the migration takes too long
+	retryTimer            *backend.Timer // requests another node again after a rejection or failure
+	flushTimer            *backend.Timer // limits the wait for current to deliver what it has queued
 	requests              map[*request]struct{}
 	shuttingDown          bool
 
--- a/internal/nats/session/deduplicator.go
+++ b/internal/nats/session/deduplicator.go
@@ -12,7 +12,7 @@
 // The zero value is inactive. A Deduplicator must not be used by several goroutines at once.
 type Deduplicator struct {
 	active        bool
-	pendingByHash map[uint64]int // number of messages of the old node that have no duplicate yet, by hash
+	pendingByHash map[uint64]int // number of the old node's messages without a duplicate so far, by hash of the frame
 	pendingCount  int            // sum of the numbers in pendingByHash
 }
 
@@ -29,8 +29,9 @@
 // Active reports whether messages must be passed to RecordOld and IsDuplicate.
 func (d *Deduplicator) Active() bool { return d.active }
 
-// RecordOld counts a message that the old node delivered. raw is the complete frame of the message, including subject,
-// subscription ID and reply subject.
+// RecordOld counts a message that the old node delivered, so that one identical message of the new node is a duplicate. raw is
+// the message's complete MSG or HMSG frame as received, including the subject, the subscription ID and the reply subject.
+// RecordOld does nothing if the Deduplicator is inactive or maxPendingMessages are counted.
 func (d *Deduplicator) RecordOld(raw []byte) {
 	if d.active && d.pendingCount < maxPendingMessages {
 		d.pendingByHash[xxhash.Sum64(raw)]++
@@ -38,8 +39,8 @@
 	}
 }
 
-// IsDuplicate reports whether the old node has already delivered a message of the new node. raw is the complete frame, as for
-// RecordOld. Each message of the old node accounts for one duplicate.
+// IsDuplicate reports whether a message of the new node is identical to one that the old node has delivered. raw is the
+// message's complete frame, as for RecordOld. Each message of the old node makes only one message of the new node a duplicate.
 func (d *Deduplicator) IsDuplicate(raw []byte) bool {
 	if !d.active {
 		return false
--- a/internal/nats/session/subscriptions.go
+++ b/internal/nats/session/subscriptions.go
@@ -49,7 +49,8 @@
 }
 
 // Unsubscribe applies an UNSUB frame. The subscription ends after maxMessages messages, or at once if maxMessages is not
-// positive. Messages are counted from the first UNSUB with a limit on. An unknown SID is ignored.
+// positive. The count of messages begins at the first UNSUB that sets a limit. A later UNSUB changes the limit and
+// keeps the count; if the count has reached the new limit, the subscription ends at once. An unknown SID is ignored.
 func (s *Subscriptions) Unsubscribe(sid []byte, maxMessages int) {
 	sub := s.bySID[string(sid)]
 	switch {
--- a/internal/reactor/close.go
+++ b/internal/reactor/close.go
@@ -13,7 +13,7 @@
 	lingerBytes   = 256 << 10
 )
 
-// Close closes the connection in order: all bytes passed to Send are written, then this side is shut down. Bytes that the
+// Close closes the connection gracefully: all bytes passed to Send are written, then this side is shut down. Bytes that the
 // peer has sent, or still sends, are discarded for lingerTimeout or until the peer ends its side. Closing a descriptor with
 // unread bytes would reset the connection, and the peer would lose what it has not read yet.
 func (c *Conn) Close() {
--- a/internal/reactor/conn.go
+++ b/internal/reactor/conn.go
@@ -28,7 +28,7 @@
 	out           []byte // bytes to write, starting at outWritten
 	outWritten    int    // number of bytes of out that were written
 	stallTimer    *time.Timer
-	maxPending    int         // pending bytes above which sources are paused, if more than highWater
+	maxPending    int         // pending bytes above which sources are paused; highWater if that is larger
 	sendQueue     int         // bytes in the kernel's send queue when the stall check last ran
 	pausedSources []*Conn     // connections paused until fewer bytes are pending here
 	timeoutTimer  *time.Timer // limits the dial, later the lingering
--- a/internal/reactor/descriptors.go
+++ b/internal/reactor/descriptors.go
@@ -33,9 +33,9 @@
 }
 
 // SetDescriptorBudget sets how many descriptors the group's connections may hold, including those of ReserveDescriptor.
-// Zero means no limit. At the limit, a connection that this side is closing is evicted for each new one, the one that has
-// lingered longest first. If there is none, no connection is accepted. A dial is never refused: the caller makes sure that
-// there is room for it.
+// Zero means no limit. At the limit, each new connection evicts one that this side is closing, beginning with the one that
+// has lingered longest. If this side is closing no connection, no connection is accepted. A dial is never refused: the
+// caller makes sure that there is room for it.
 func (g *Group) SetDescriptorBudget(n int) {
 	g.descriptors.mu.Lock()
 	defer g.descriptors.mu.Unlock()
@@ -62,8 +62,8 @@
 	return d.held, closing
 }
 
-// reserve counts a descriptor. Before that it evicts as many connections as the descriptor would exceed the budget by, as
-// far as there are evictable ones. The caller must not hold the lock of a connection.
+// reserve counts a descriptor. If the budget is used up, reserve first evicts connections until the descriptor fits
+// in the budget or no connection can be evicted. The caller must not hold the lock of a connection.
 func (d *descriptors) reserve() {
 	for c := d.tryReserve(); c != nil; c = d.tryReserve() {
 		c.evict()
--- a/internal/reactor/group.go
+++ b/internal/reactor/group.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// isQuiescent reports whether no connection is being closed. It checks each loop after the calls that were posted to it
-// before.
+// isQuiescent reports whether no connection is being closed. It checks the connections of a loop after the loop has run the
+// calls that were posted to it earlier. It returns false if a loop takes longer than lingerTimeout for these calls.
 func (g *Group) isQuiescent() bool {
 	for _, l := range g.loops {
 		done := make(chan struct{})
--- a/internal/reactor/loop.go
+++ b/internal/reactor/loop.go
@@ -185,7 +185,7 @@
 // handleEvents implements eventTarget for the eventfd: it runs the posted calls.
 func (l *Loop) handleEvents(uint32) {
 	var counter [8]byte
-	_, _ = unix.Read(l.wakeFD, counter[:]) // resets the counter; an error needs no handling, as nothing else reads it
+	_, _ = unix.Read(l.wakeFD, counter[:]) // resets the counter; an error needs no handling, because nothing else reads it
 	for _, f := range l.takeCalls() {
 		f()
 	}
--- a/internal/reactor/reactor.go
+++ b/internal/reactor/reactor.go
@@ -8,10 +8,10 @@
 // for loops: a handler must not call them.
 //
 // A loop waits in a system call, which occupies one of the Go runtime's processors until the runtime's monitor takes it
-// back, up to 10 ms later. The program therefore needs one more processor for each loop. Waiting for the loop's epoll
-// descriptor in the runtime's poller would need none, but not every platform reports readiness of an epoll descriptor that
-// is nested in another epoll set: on one that supports only sockets, pipes and eventfds there, the loop never saw an event
-// of a client.
+// back, up to 10 ms later. The program therefore needs one more processor for each loop. No additional processor would
+// be needed if the runtime's poller waited for the loop's epoll descriptor. But not every platform reports readiness of an
+// epoll descriptor that is nested in another epoll set: on a platform that supports only sockets, pipes and eventfds in an
+// epoll set, the loop never saw an event of a client.
 //
 // Memory use is bounded: a connection is not read while too many bytes are pending for the connection that it sends to, and
 // a peer that stops reading is disconnected.
--- a/internal/reactor/read.go
+++ b/internal/reactor/read.go
@@ -61,7 +61,7 @@
 		c.in = nil
 		return
 	}
-	c.in = append(c.in[:0], b[consumed:]...) // append copies correctly where b and c.in overlap
+	c.in = append(c.in[:0], b[consumed:]...) // append copies correctly even if b and c.in overlap
 }
 
 // isReadable reports whether the handler may be called with further bytes.
@@ -80,8 +80,8 @@
 	c.Abort(errors.Is(err, ErrStalled))
 }
 
-// closeIfEnded closes the connection without notifying the handler if this side was closing it already, and reports whether
-// this side was.
+// closeIfEnded reports whether this side was already closing the connection or had closed it. In that case it closes the
+// connection completely, without notifying the handler.
 func (c *Conn) closeIfEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/reactor/write.go
+++ b/internal/reactor/write.go
@@ -149,8 +149,8 @@
 	return resumable
 }
 
-// trimOut frees the written part of c.out once it is all or more than half of it. After the last byte it lingers if this
-// side is closing the connection, or stops waiting for the socket to become writable. The caller holds mu.
+// trimOut frees the written part of c.out if it is more than half of c.out. If all bytes are written, trimOut starts lingering
+// if this side is closing the connection, and otherwise stops waiting for the socket to become writable. The caller holds mu.
 func (c *Conn) trimOut() {
 	switch {
 	case c.pending() == 0:
--- a/internal/settings/balancer.go
+++ b/internal/settings/balancer.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// tenants reads the list of tenants, with their connection quotas from a list of its own.
+// tenants reads the list of tenants, and the list that holds their connection quotas.
 func (d *decoder) tenants() (tenants []balancer.Tenant) {
 	quotas := d.numbers("family_info.tenant_quota_connections")
 	for i := range d.listLen("tenants") {
@@ -95,7 +95,7 @@
 }
 
 // ListRefresh reads the settings of the endpoint list's refresh. If the settings don't say how the list is obtained, it is
-// polled, as a gateway always has the address of its discovery. An error is a *ValueError.
+// polled, because a gateway always has the address of its discovery service. An error is a *ValueError.
 func (p Pairs) ListRefresh() (refresh.Settings, error) {
 	d := &decoder{pairs: p}
 	s := refresh.Settings{
--- a/internal/settings/decoder.go
+++ b/internal/settings/decoder.go
@@ -46,7 +46,7 @@
 // parseNumber parses a number from 0 to maxNumber.
 func parseNumber(s string) (x float64, ok bool) {
 	x, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(x >= 0 && x <= maxNumber) { // false for NaN too
+	if err != nil || !(x >= 0 && x <= maxNumber) { // NaN passes neither comparison
 		return 0, false
 	}
 	return x, true
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -108,8 +108,8 @@
 // RestartResponseTimer records that the oldest request without a response counts as sent now.
 func (a *Attempt) RestartResponseTimer() { a.sentAt.Store(a.now()) }
 
-// ResponseReceived records that every request has its response. It returns how long the oldest one had none, at least 1 ns,
-// or zero if there was no request.
+// ResponseReceived records that every request has its response. It returns how long the oldest request waited, at
+// least 1 ns, or zero if no request was waiting.
 func (a *Attempt) ResponseReceived() time.Duration {
 	sent := a.sentAt.Swap(0)
 	if sent == 0 {
@@ -131,5 +131,5 @@
 // now returns the current time in the form of sentAt.
 func (a *Attempt) now() int64 { return int64(a.Age()) + 1 }
 
-// since returns the time since sent, a value of sentAt. The plus one in sentAt makes the result up to 1 ns too short.
+// since returns the time since sent, a value of sentAt. The plus one in sentAt makes the result 1 ns too short.
 func (a *Attempt) since(sent int64) time.Duration { return a.Age() - time.Duration(sent) }
