--- a/cmd/milletvane/mixed_versions_test.go
+++ b/cmd/milletvane/mixed_versions_test.go
@@ -22,8 +22,8 @@
 )
 
 // These tests run processes of two builds together: as peers, on one disk, and on one socket that is passed on.
-// scripts/mixed-versions.sh sets the builds; without it both are the current one. The tests check only what clients and
-// operators see, because names and log lines may differ between builds.
+// scripts/mixed-versions.sh sets the builds. Without the script, both are the current build. The tests check only what
+// clients and operators see, because names and log lines may differ between builds.
 
 const (
 	oldBuildEnv = "MILLETVANE_TEST_OLD" // path of a program
--- a/config/config.go
+++ b/config/config.go
@@ -31,14 +31,14 @@
 	Discovery       string // host:port of the discovery service
 	Admin           string // host:port for operators' requests; empty means that there is no such listener
 	InheritedSocket int    // the descriptor of a listening socket that the platform passes on; 0 means none
-	StateDir        string // for state that the next process reads; empty means none
+	StateDir        string // directory for state that the next process reads; empty means none
 	Limits          Limits
 	CachedList      *discovery.EndpointList // the last endpoint list that the platform knew; nil means none
 	Balancer        balancer.Settings
 	ListRefresh     refresh.Settings
 	Gateway         settings.Gateway
-	AnswerTimeout   time.Duration // from the start of a graceful shutdown until all pending requests are answered
-	DrainTimeout    time.Duration // from the start of a graceful shutdown until the process ends
+	AnswerTimeout   time.Duration // time from the start of a graceful shutdown until all pending requests are answered
+	DrainTimeout    time.Duration // time from the start of a graceful shutdown until the process ends
 }
 
 // KeyError says what is wrong with the value of a key in the JSON or the environment.
--- a/config/operator/cluster.go
+++ b/config/operator/cluster.go
@@ -18,7 +18,7 @@
 	Members     map[string]string // IP:port of each other member, by name
 	KeyFile     string            // the path as it stands in the operator file
 	Key         []byte            // 16, 24 or 32 bytes that all members share; Parse leaves it nil, because it reads no other file
-	Dir         string            // on a persistent disk
+	Dir         string            // directory on a persistent disk for what the instance stores
 	PeerTimeout time.Duration     // how long a start waits for the other members' answers
 	// Tiers holds the classes of each tier, the highest tier first. Under overload the lowest tier is shed first. Classes that
 	// are in no tier rank below all tiers.
--- a/config/operator/entry.go
+++ b/config/operator/entry.go
@@ -36,8 +36,8 @@
 	e.failed = true
 }
 
-// next returns the next value and true. If there is none, it adds an error and returns false. Here and in the
-// methods below, the error text names the value by description.
+// next returns the next value and true. If there is none, it adds an error and returns false. Here and in the methods
+// below, the error text names the value by description.
 func (e *entry) next(description string) (expr, bool) {
 	if !e.hasMore() {
 		e.fail(e.form.line, "%s is missing", description)
--- a/config/operator/nats.go
+++ b/config/operator/nats.go
@@ -19,8 +19,8 @@
 	MaxSubscriptions   int           // per session
 	MaxRequests        int           // in flight at once, per session
 	MaxPending         int           // bytes queued for one peer; above this limit, the connection that sends them is paused
-	PingInterval       time.Duration // between pings to a node
-	ClientPingInterval time.Duration // between pings to a client, which is disconnected if it answers neither of two pings
+	PingInterval       time.Duration // time between pings to a node
+	ClientPingInterval time.Duration // time between pings to a client, which is disconnected if it answers neither of two pings
 	MigrationTimeout   time.Duration // a session that takes longer to get another node is closed
 	FlushTimeout       time.Duration // how long a session waits for its former node to send what that node has queued
 	MaxShared          int           // per event loop: connections for requests that go to another node than their session's
@@ -33,7 +33,7 @@
 	Class   string
 	Key     KeySource
 	Group   KeySource
-	Timeout time.Duration // until a node has accepted the session
+	Timeout time.Duration // maximum time until a node has accepted the session
 }
 
 // RequestClass is a rule that assigns a class to requests. A request is a PUB with a reply subject. It matches the rule if the
@@ -43,7 +43,7 @@
 	Class   string
 	Timeout time.Duration
 	Key     KeySource
-	Line    int // in the operator file
+	Line    int // line of the rule in the operator file
 }
 
 // KeySource says what a key is taken from.
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -25,7 +25,7 @@
 // PlanSettings lets a gateway follow a plan file.
 type PlanSettings struct {
 	File string // the path as it stands in the operator file
-	Zone string // of this gateway
+	Zone string // zone of this gateway
 	Plan *Plan  // the content of the file; Parse leaves it nil, because it reads no other file
 }
 
--- a/config/operator/plan.go
+++ b/config/operator/plan.go
@@ -15,8 +15,8 @@
 // PlanFormat is the version of the plan file format that this program writes, and the newest that it reads.
 const PlanFormat = 1
 
-// Plan is the content of a plan file: the load that each node shall carry, now and after losses, and the hashes of the
-// input from which the plan was computed.
+// Plan is the content of a plan file: the load that each node shall carry, now and after losses, and the hashes of the input
+// from which the plan was computed.
 type Plan struct {
 	Version       int64
 	ListHash      uint64 // hash of the list of nodes that the plan is for
@@ -33,7 +33,7 @@
 	Name  string
 	Lost  []string         // the lost nodes
 	Short int64            // units of load that are not carried after the loss
-	Load  map[string]int64 // load after the loss of each node whose load then differs from Plan.Load
+	Load  map[string]int64 // load after the loss, in units of load, of each node whose load then differs from Plan.Load
 	Flows []placement.Flow // all flows after the loss; empty if there is no plan for the loss
 }
 
--- a/config/operator/planparse.go
+++ b/config/operator/planparse.go
@@ -12,7 +12,7 @@
 
 const (
 	maxPlanVersion = 1 << 53 // a float64 holds each integer up to here exactly
-	maxGoalValue   = 1 << 62 // of a goal's value, and of the load that is not carried
+	maxGoalValue   = 1 << 62 // the largest value of a goal, and the largest load that is not carried
 )
 
 // ParsePlan reads a plan file. The error is a FileError, also for a file that is truncated, altered, or of a newer format.
--- a/internal/lineproto/backend/serverconn.go
+++ b/internal/lineproto/backend/serverconn.go
@@ -168,8 +168,8 @@
 	return len(b)
 }
 
-// establish marks the attempt as established and connects the client to the server. The lines that
-// follow do not pass through the engine.
+// establish marks the attempt as established and connects the client to the server. The lines that follow
+// do not pass through the engine.
 func (s *ServerConn) establish(firstLine []byte) {
 	if !s.Transition(upstream.Pending, upstream.Established) {
 		return
--- a/internal/lineproto/codec/request.go
+++ b/internal/lineproto/codec/request.go
@@ -101,8 +101,8 @@
 	return fields, true
 }
 
-// parseFields parses the list of fields, which starts at offset in the line. It ignores unknown fields, and
-// returns false if a field is malformed.
+// parseFields parses the list of fields, which starts at offset in the line. It ignores unknown fields, and returns
+// false if a field is malformed.
 func (o *Open) parseFields(fields []byte, offset int) bool {
 	for len(fields) > 0 {
 		pair, name, value, rest, ok := cutField(fields)
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -153,8 +153,8 @@
 	c.endServer(false)
 }
 
-// rejectWaiting rejects a client that has no server yet. It is for clients that the engine can no longer
-// answer because it has ended.
+// rejectWaiting rejects a client that has no server yet. It is for clients that the engine can no longer answer,
+// because it has ended.
 func (c *Conn) rejectWaiting() {
 	if c.currentPhase() < phaseRelaying {
 		c.Reject(0)
--- a/internal/lineproto/frontend/relay.go
+++ b/internal/lineproto/frontend/relay.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Migrate implements engine.Client. It lets the connection's loop send MOVE, because an event is posted to the engine with it.
-// Posting may block until the engine takes the event. The loop may wait for that, but the engine's goroutine may not.
+// Migrate implements engine.Client. The connection's loop sends MOVE, because sendMove also posts an event to the engine, which
+// may block. The loop may wait for the engine, but the engine's goroutine may not wait for itself.
 func (c *Conn) Migrate() time.Duration {
 	c.conn.Post(c.sendMoveAtLineEnd)
 	return 0
--- a/internal/nats/backend/backend.go
+++ b/internal/nats/backend/backend.go
@@ -27,10 +27,10 @@
 type Options struct {
 	ConnectTimeout    time.Duration // maximum duration of a dial; zero means that only the other timeouts apply
 	NodePort          int           // port at which nodes accept NATS clients; zero means the port in the endpoint list
-	Limits            codec.Limits  // of the frames that nodes send
-	PingInterval      time.Duration // between health checks of a connection
+	Limits            codec.Limits  // limits of the frames that nodes send
+	PingInterval      time.Duration // time between health checks of a connection
 	MaxSharedConns    int           // maximum number of shared connections on each loop
-	Name              string        // of the gateway; part of the inbox subjects of requests
+	Name              string        // name of the gateway; part of the inbox subjects of requests
 	ForwardedAttempts *atomic.Int64 // counts attempts whose request was sent or queued for the node; nil means not counted
 }
 
@@ -79,8 +79,8 @@
 	return b.dial(a, a.Client.(SessionClient))
 }
 
-// connectTimeout returns the shortest of timeout, attemptConnectTimeout and the option ConnectTimeout. If attemptConnectTimeout
-// or the option is zero, it is not a limit.
+// connectTimeout returns the shortest of timeout, attemptConnectTimeout and the option ConnectTimeout. A zero
+// attemptConnectTimeout or a zero option means no such limit.
 func (b *Backend) connectTimeout(timeout, attemptConnectTimeout time.Duration) time.Duration {
 	for _, t := range []time.Duration{b.options().ConnectTimeout, attemptConnectTimeout} {
 		if t > 0 {
--- a/internal/nats/backend/request.go
+++ b/internal/nats/backend/request.go
@@ -43,7 +43,7 @@
 	mu    sync.Mutex
 	ended bool
 
-	// Used by the loop only. They are set when the attempt is sent.
+	// The fields below are used by the loop only. They are set when the attempt is sent.
 	conn *NodeConn
 	sid  string
 }
--- a/internal/nats/frontend/node_session.go
+++ b/internal/nats/frontend/node_session.go
@@ -15,7 +15,7 @@
 	handle   engine.ClientHandle
 	session  *Session
 	nodeConn *backend.NodeConn // of the current attempt; nil until its node has sent INFO
-	released bool              // the engine no longer holds state for it
+	released bool              // the engine no longer holds state for this nodeSession
 	draining bool              // the node is draining
 	flushing bool              // its subscriptions were ended; the node gets nothing new and delivers what it has queued
 	flushed  bool              // the node has delivered everything, was lost, or did not finish within FlushTimeout
@@ -101,7 +101,7 @@
 }
 
 // InfoReceived implements backend.SessionClient. The client receives another INFO if the maximum payload is lower than in the
-// last one.
+// last INFO that was sent to the client.
 func (n *nodeSession) InfoReceived(c *backend.NodeConn, info codec.ServerInfo) {
 	s := n.session
 	n.nodeConn = c
--- a/internal/reactor/group.go
+++ b/internal/reactor/group.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// Quiesce waits until the loops have run all posted calls and no connection is being closed, that is, lingers or has bytes
-// to write first. No check of the loops starts after the timeout; a check waits at most lingerTimeout for each loop. A
-// handler must not call Quiesce.
+// Quiesce waits until the loops have run all posted calls and no connection is being closed. A connection that is being
+// closed lingers, or still has bytes to write. No check of the loops starts after the timeout; a check waits at most
+// lingerTimeout for each loop. A handler must not call Quiesce.
 func (g *Group) Quiesce(timeout time.Duration) {
 	end := time.Now().Add(timeout)
 	for time.Now().Before(end) && !g.isQuiescent() {
--- a/internal/reactor/listener.go
+++ b/internal/reactor/listener.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxAccepts  = 64 // per event, so that a burst of connections doesn't delay the established ones
+	maxAccepts  = 64 // connections accepted per event, so that a burst of connections doesn't delay the established ones
 	acceptPause = 10 * time.Millisecond
 
 	// drainTimeout limits the time that Drain takes for accepting. The platform kills the program no earlier than 0.2 s
--- a/internal/reactor/loop.go
+++ b/internal/reactor/loop.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxEvents = 256      // per epoll wait
+	maxEvents = 256      // events taken per epoll wait
 	readSize  = 64 << 10 // size of a loop's read buffer in bytes
 )
 
--- a/internal/settings/decoder.go
+++ b/internal/settings/decoder.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxItems  = 10_000 // in a list of objects
-	maxNumber = 1e18   // for a number that may have a fraction
+	maxItems  = 10_000 // maximum length of a list of objects
+	maxNumber = 1e18   // maximum of a number that may have a fraction
 )
 
 // decoder reads values by their paths and keeps the first error. Absent values and those with an error are read as zero.
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -8,7 +8,7 @@
 
 // Gateway holds the settings of the gateway that serves real connections. The balancer's decisions don't depend on them.
 type Gateway struct {
-	ConnectTimeout            time.Duration // for a connection to a server to be established; zero means that no bound is stated
+	ConnectTimeout            time.Duration // limit on establishing a connection to a server; zero means that none is stated
 	ConnectionsOutliveGateway bool          // whether their packets reach another gateway when this one is gone
 	ReportsMessageDelay       bool          // whether the balancer is notified of slow messages
 	ReportsConnectionLoad     bool          // whether the balancer is notified of the connections' loads
