--- a/config/operator/cluster.go
+++ b/config/operator/cluster.go
@@ -17,7 +17,7 @@
 	Listen      string            // IP:port that the other members call, over UDP and TCP
 	Members     map[string]string // IP:port of each other member, by name
 	KeyFile     string            // the path as it stands in the operator file
-	Key         []byte            // 16, 24 or 32 bytes that all members share; Parse leaves it nil, because it reads no other file
+	Key         []byte            // 16, 24 or 32 bytes that all members share; nil after Parse, which reads no other file
 	Dir         string            // directory on a persistent disk for what the instance stores
 	PeerTimeout time.Duration     // how long a start waits for the other members' answers
 	// Tiers holds the classes of each tier, the highest tier first. Under overload the lowest tier is shed first. Classes that
--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -26,7 +26,7 @@
 type PlanSettings struct {
 	File string // the path as it stands in the operator file
 	Zone string // zone of this gateway
-	Plan *Plan  // the content of the file; Parse leaves it nil, because it reads no other file
+	Plan *Plan  // the content of the file; nil after Parse, which reads no other file
 }
 
 // Load reads an operator file and the files that it names. The classes are those of the platform's settings; if there are
