--- a/config/operator/operator.go
+++ b/config/operator/operator.go
@@ -25,8 +25,8 @@
 // PlanSettings lets a gateway follow a plan file.
 type PlanSettings struct {
 	File string // the path as it stands in the operator file
-	Zone string // of this gateway
-	Plan *Plan  // the content of the file; Parse leaves it nil, as it reads no other file
+	Zone string // zone of this gateway
+	Plan *Plan  // the content of the file; nil after Parse, which reads no other file
 }
 
 // Load reads an operator file and the files that it names. The classes are those of the platform's settings; if there are
--- a/internal/reactor/group.go
+++ b/internal/reactor/group.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// Quiesce waits until the loops have run all posted calls and no connection is being closed, that is, lingers or has bytes
-// to write first. No check of the loops starts after the timeout; a check waits at most lingerTimeout for each loop. A
-// handler must not call Quiesce.
+// Quiesce waits until the loops have run all posted calls and no connection is being closed. A connection that is being
+// closed lingers, or still has bytes to write. No check of the loops starts after the timeout; a check waits at most
+// lingerTimeout for each loop. A handler must not call Quiesce.
 func (g *Group) Quiesce(timeout time.Duration) {
 	end := time.Now().Add(timeout)
 	for time.Now().Before(end) && !g.isQuiescent() {
@@ -81,8 +81,8 @@
 	}
 }
 
-// isQuiescent reports whether no connection is being closed. It checks each loop after the calls that were posted to it
-// before.
+// isQuiescent reports whether no connection is being closed. It checks the connections of a loop after the loop has run the
+// calls that were posted to it earlier. It returns false if a loop takes longer than lingerTimeout for these calls.
 func (g *Group) isQuiescent() bool {
 	for _, l := range g.loops {
 		done := make(chan struct{})
--- a/internal/settings/decoder.go
+++ b/internal/settings/decoder.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxItems  = 10_000 // in a list of objects
-	maxNumber = 1e18   // for a number that may have a fraction
+	maxItems  = 10_000 // maximum length of a list of objects
+	maxNumber = 1e18   // maximum of a number that may have a fraction
 )
 
 // decoder reads values by their paths and keeps the first error. Absent values and those with an error are read as zero.
@@ -46,7 +46,7 @@
 // parseNumber parses a number from 0 to maxNumber.
 func parseNumber(s string) (x float64, ok bool) {
 	x, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(x >= 0 && x <= maxNumber) { // false for NaN too
+	if err != nil || !(x >= 0 && x <= maxNumber) { // NaN passes neither comparison
 		return 0, false
 	}
 	return x, true
