--- a/config/config.go
+++ b/config/config.go
@@ -27,18 +27,18 @@
 // Config is a configuration whose values have been checked.
 type Config struct {
 	Name            string
-	Listen          string // host:port that clients connect to
-	Discovery       string // host:port of the discovery service
-	Admin           string // host:port for operators' requests; empty means that there is no such listener
+	ListenAddr      string // host:port that clients connect to
+	DiscoveryAddr   string // host:port of the discovery service
+	AdminAddr       string // host:port for operators' requests; empty means that there is no such listener
 	InheritedSocket int    // the descriptor of a listening socket that the platform passes on; 0 means none
-	StateDir        string // for state that the next process reads; empty means none
+	StateDir        string // directory for state that the next process reads; empty means none
 	Limits          Limits
 	CachedList      *discovery.EndpointList // the last endpoint list that the platform knew; nil means none
 	Balancer        balancer.Settings
 	ListRefresh     refresh.Settings
 	Gateway         settings.Gateway
-	AnswerTimeout   time.Duration // from the start of a graceful shutdown until all pending requests are answered
-	DrainTimeout    time.Duration // from the start of a graceful shutdown until the process ends
+	AnswerTimeout   time.Duration // time from the start of a graceful shutdown until all pending requests are answered
+	DrainTimeout    time.Duration // time from the start of a graceful shutdown until the process ends
 }
 
 // KeyError says what is wrong with the value of a key in the JSON or the environment.
@@ -54,8 +54,9 @@
 }
 
 // Load reads the configuration from the environment and from the file that EnvFile names, if it names one. Values in the
-// environment take precedence over those in the file, except for the discovery address: the file may be given another one
-// while the program runs, and the environment can't change then. An error names the faulty key. A reload calls Load again.
+// environment take precedence over those in the file. Only the discovery address of the file takes precedence over that in the
+// environment, because the file can be changed while the program runs and the environment can't. An error names the faulty
+// key. A reload calls Load again.
 func Load(getenv func(string) string) (*Config, error) {
 	var text []byte
 	if path := getenv(EnvFile); path != "" {
--- a/config/operator/nats.go
+++ b/config/operator/nats.go
@@ -13,17 +13,17 @@
 type NATS struct {
 	Listen             string        // IP:port that clients connect to
 	NodePort           int           // on which nodes speak NATS; zero means the port of their listed address
-	Cluster            bool          // whether the nodes forward messages to each other
+	NodesForward       bool          // whether the nodes forward messages to each other
 	MaxPayload         int           // bytes
 	ControlLine        int           // bytes
 	MaxSubscriptions   int           // per session
 	MaxRequests        int           // in flight at once, per session
-	MaxPending         int           // bytes queued for one peer above which their source is no longer read
-	PingInterval       time.Duration // between pings to a node
-	ClientPingInterval time.Duration // between pings to a client; one that answers neither of two is closed
-	MigrationTimeout   time.Duration // until a session has another node; else it is closed
-	FlushTimeout       time.Duration // for the former node to send what it has queued
-	MaxShared          int           // connections to nodes for requests that go to another node than their session's
+	MaxPending         int           // bytes queued for one peer; above this limit, the connection that sends them is paused
+	PingInterval       time.Duration // time between pings to a node
+	ClientPingInterval time.Duration // time between pings to a client, which is disconnected if it answers neither of two pings
+	MigrationTimeout   time.Duration // a session that takes longer to get another node is closed
+	FlushTimeout       time.Duration // how long a session waits for its former node to send what that node has queued
+	MaxSharedConns     int           // per event loop: connections for requests that go to another node than their session's
 	Session            Session
 	Requests           []RequestClass
 }
@@ -33,7 +33,7 @@
 	Class   string
 	Key     KeySource
 	Group   KeySource
-	Timeout time.Duration // until a node has accepted the session
+	Timeout time.Duration // maximum time until a node has accepted the session
 }
 
 // RequestClass is a rule that assigns a class to requests. A request is a PUB with a reply subject. It matches the rule if the
@@ -43,7 +43,7 @@
 	Class   string
 	Timeout time.Duration
 	Key     KeySource
-	Line    int // in the operator file
+	Line    int // line of the rule in the operator file
 }
 
 // KeySource says what a key is taken from.
@@ -61,15 +61,15 @@
 	sourceSession = "session"
 	sourceToken   = "token"
 
-	maxSubjectTokens = 64 // the index of a token is below it
+	maxSubjectTokens = 64 // the index of a token must be below this number
 )
 
-// readNATS reads the section nats. Its classes must be among those given, unless none are.
+// readNATS reads the section nats. Its classes must be among those given, unless none are given.
 func readNATS(s *section, classes []string) *NATS {
 	n := &NATS{
 		Listen:             s.text("listen"),
 		NodePort:           s.integer("node-port", 0, 1, 65535),
-		Cluster:            s.boolean("cluster"),
+		NodesForward:       s.boolean("cluster"),
 		MaxPayload:         s.integer("max-payload", 1<<20, 1, 64<<20),
 		ControlLine:        s.integer("control-line", 4096, 512, 1<<20),
 		MaxSubscriptions:   s.integer("max-subscriptions", 1000, 1, 1_000_000),
@@ -79,7 +79,7 @@
 		ClientPingInterval: s.duration("ping-clients", 30*time.Second, 50*time.Millisecond, time.Hour),
 		MigrationTimeout:   s.duration("move-within", 5*time.Second, 100*time.Millisecond, time.Minute),
 		FlushTimeout:       s.duration("flush-within", 2*time.Second, 10*time.Millisecond, time.Minute),
-		MaxShared:          s.integer("max-shared", 64, 0, 10_000),
+		MaxSharedConns:     s.integer("max-shared", 64, 0, 10_000),
 	}
 	if n.Listen == "" {
 		s.fail(s.line, "listen", "is missing")
--- a/config/operator/planparse.go
+++ b/config/operator/planparse.go
@@ -12,7 +12,7 @@
 
 const (
 	maxPlanVersion = 1 << 53 // a float64 holds each integer up to here exactly
-	maxGoalValue   = 1 << 62 // of a goal's value, and of the load that is not carried
+	maxGoalValue   = 1 << 62 // the largest value of a goal, and the largest load that is not carried
 )
 
 // ParsePlan reads a plan file. The error is a FileError, also for a file that is truncated, altered, or of a newer format.
@@ -82,14 +82,15 @@
 	return p
 }
 
-// hash reads a hash in hexadecimal digits. A text that is not a hash gives a value that matches no list and no settings, as 0
-// does.
+// hash reads a hash of 64 bits, which is written in hexadecimal digits. It returns 0 if the key is absent or its text is not a
+// hexadecimal number, and the largest uint64 if the number is too large. No list and no settings are expected to have either
+// value as their hash.
 func (s *section) hash(key string) (hash uint64) {
 	s.entries(key, func(e *entry) { hash, _ = strconv.ParseUint(e.text("a hash"), 16, 64) })
 	return hash
 }
 
-// readGoalValues reads what the plan reaches for each goal.
+// readGoalValues reads the value that the plan reaches for each goal.
 func readGoalValues(s *section) (g placement.Goals) {
 	figure := func(e *entry) int64 { return e.number("a figure", 0, maxGoalValue) }
 	s.entries("uncarried", func(e *entry) { g.Uncarried = figure(e) })
@@ -122,7 +123,7 @@
 	sub := openSection(e.section.errs, "contingency", e.form.line, e.values, "node", "flow")
 	e.values = nil
 	sub.entries("lost", func(e *entry) { c.Lost = e.texts("a node") })
-	sub.entries("short", func(e *entry) { c.Short = e.number("units of load", 0, maxGoalValue) })
+	sub.entries("short", func(e *entry) { c.Shortfall = e.number("units of load", 0, maxGoalValue) })
 	c.Load = readLoads(sub)
 	c.Flows = readFlows(sub)
 	sub.close()
--- a/config/settings.go
+++ b/config/settings.go
@@ -23,7 +23,8 @@
 	return nil
 }
 
-// readSettings reads the platform's settings, and the seed, which takes precedence over the seed among the settings.
+// readSettings reads the platform's settings. If the file has a seed of its own, outside the settings, that seed replaces the
+// one in the settings.
 func (c *Config) readSettings(f *configFile) error {
 	pairs := settings.Pairs{}
 	if isGiven(f.Settings) {
@@ -76,8 +77,8 @@
 		unchanged bool
 	}{
 		{"name", c.Name == updated.Name},
-		{"listen", c.Listen == updated.Listen},
-		{"admin_addr", c.Admin == updated.Admin},
+		{"listen", c.ListenAddr == updated.ListenAddr},
+		{"admin_addr", c.AdminAddr == updated.AdminAddr},
 		{"limits", c.Limits == updated.Limits},
 		{"settings", c.hasSameSettings(updated)},
 	} {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,11 +94,11 @@
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	g.maintenance = maintenance.New(c.StateDir, g.logger)
-	g.maintenance.OnChange(func(id string, out bool, done func()) {
+	g.maintenance.SetApplyFunc(func(id string, out bool, done func()) {
 		g.engine.Post(engine.MaintenanceChanged{Name: id, InMaintenance: out, Done: done})
 	})
 	g.loadPredecessor()
-	g.watcher = discovery.New(c.Discovery, c.ListRefresh, g.clock, g.logger)
+	g.watcher = discovery.New(c.DiscoveryAddr, c.ListRefresh, g.clock, g.logger)
 	classes := classNames(c.Balancer.Classes)
 	g.registry = metrics.New(classes)
 	g.lineBackend = backend.New(g.lineOptions())
@@ -133,13 +133,13 @@
 
 func (g *Gateway) natsOptions(settings *operator.NATS) natsbackend.Options {
 	return natsbackend.Options{
-		ConnectTimeout: g.config.Gateway.ConnectTimeout,
-		NodePort:       settings.NodePort,
-		PingInterval:   settings.PingInterval,
-		MaxSharedConns: settings.MaxShared,
-		Name:           g.config.Name,
-		Forwards:       &g.registry.Forwards,
-		Limits:         codec.Limits{MaxPayload: max(settings.MaxPayload, minServerPayload)},
+		ConnectTimeout:    g.config.Gateway.ConnectTimeout,
+		NodePort:          settings.NodePort,
+		PingInterval:      settings.PingInterval,
+		MaxSharedConns:    settings.MaxSharedConns,
+		Name:              g.config.Name,
+		ForwardedAttempts: &g.registry.Forwards,
+		Limits:            codec.Limits{MaxPayload: max(settings.MaxPayload, minServerPayload)},
 	}
 }
 
--- a/internal/lineproto/backend/loadpoll.go
+++ b/internal/lineproto/backend/loadpoll.go
@@ -14,7 +14,7 @@
 // date.
 const pollTimeout = 500 * time.Millisecond
 
-// errNoReport means that the server answered a load poll with something else than a load report.
+// errNoReport means that the server answered a load poll with something other than a load report.
 var errNoReport = errors.New("answer to STATS is not a load report")
 
 // loadPoller polls one server. The engine's goroutine closes requests to end the poller's goroutine, run, and doesn't wait
@@ -32,7 +32,7 @@
 func (b *Backend) PollLoad(id balancer.ServerID, addr string) {
 	p := b.pollers[id]
 	if p != nil && p.addr != addr {
-		b.Forget(id)
+		b.StopPolling(id)
 		p = nil
 	}
 	if p == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Forget implements engine.LoadPoller: it ends the polls of a server.
-func (b *Backend) Forget(id balancer.ServerID) {
+// StopPolling implements engine.LoadPoller: it ends the polls of a server.
+func (b *Backend) StopPolling(id balancer.ServerID) {
 	if p := b.pollers[id]; p != nil {
 		close(p.requests)
 		delete(b.pollers, id)
--- a/internal/lineproto/backend/serverconn.go
+++ b/internal/lineproto/backend/serverconn.go
@@ -14,8 +14,8 @@
 const maxOpenParts = 3
 
 // ServerConn is an attempt and, once it is established, the server's side of a client's connection. Its response time runs
-// from a line of the client to the next line of the server. The connection's loop calls OnOpen, OnData and OnEnd. The loop
-// of the client's connection, which is the same one, calls Forward. Any goroutine may call End.
+// from a line of the client to the next line of the server that is not a command. The connection's loop calls OnOpen, OnData,
+// OnEnd and Forward; the loop of the client's connection is the same one. Any goroutine may call End.
 type ServerConn struct {
 	upstream.Attempt
 	backend *Backend
@@ -51,13 +51,14 @@
 // countForwarded counts the attempt once the kernel has accepted the last byte of its opening line. It is called at each
 // event of the attempt until it has counted the attempt.
 func (s *ServerConn) countForwarded() {
-	if !s.forwarded && s.Conn().Buffered() == 0 {
+	if !s.forwarded && s.Conn().PendingBytes() == 0 {
 		s.forwarded = true
 		s.backend.options.Forwarded.Add(1)
 	}
 }
 
-// fail ends an attempt that is not established, and posts its result. It has no effect on any other attempt.
+// fail ends an attempt that is not established, and posts its result. It has no effect if the attempt is established or has
+// ended.
 func (s *ServerConn) fail(result balancer.Result) {
 	if s.Cancel() {
 		s.postEnded(result)
@@ -96,13 +97,13 @@
 	case upstream.Pending:
 		s.countForwarded()
 		// If the last byte of the opening line was not written, the request never ran. Otherwise it may have run.
-		if c.Buffered() > 0 {
+		if c.PendingBytes() > 0 {
 			s.fail(balancer.ConnectFailed)
 		} else {
 			s.fail(balancer.Reset)
 		}
 	case upstream.Established:
-		s.handleServerEnd(s.result(), reactor.WasReset(err))
+		s.handleServerEnd(s.result(), reactor.IsFailure(err))
 	}
 }
 
@@ -167,8 +168,8 @@
 	return len(b)
 }
 
-// establish marks the attempt as established and connects the client to the server. The engine takes no part in the lines
-// that follow.
+// establish marks the attempt as established and connects the client to the server. The lines that follow
+// do not pass through the engine.
 func (s *ServerConn) establish(firstLine []byte) {
 	if !s.Transition(upstream.Pending, upstream.Established) {
 		return
@@ -199,7 +200,7 @@
 	switch reply.Kind {
 	case codec.ReplyLoad:
 		if s.backend.options.ReportsLoad {
-			s.backend.events.TryPost(engine.ConnectionLoad{RequestID: s.attempt.RequestID, Load: reply.Load})
+			s.backend.events.TryPost(engine.ConnectionLoadChanged{RequestID: s.attempt.RequestID, Load: reply.Load})
 		}
 	case codec.ReplyOther:
 		if delay := s.ResponseReceived(); delay > 0 {
--- a/internal/lineproto/frontend/conn.go
+++ b/internal/lineproto/frontend/conn.go
@@ -73,7 +73,7 @@
 	if !c.markEnded() {
 		return
 	}
-	c.endServer(reactor.WasReset(err))
+	c.endServer(reactor.IsFailure(err))
 	c.listener.engine.Post(engine.ClientDisconnected{Client: c})
 }
 
@@ -133,15 +133,16 @@
 	c.listener.engine.Post(engine.ProtocolViolated{Client: c})
 }
 
-// Close implements engine.Client. While the connection waits for an opening line or a server, an opening line may be in
-// flight, to this process or to the engine. BUSY answers that line; a client that has sent no request ignores BUSY. An
-// established client is disconnected without MOVE, which was to follow an incomplete line whose rest has not arrived.
+// Close implements engine.Client. While no server has accepted a request of the client, an opening line may be on its way to
+// this process or to the engine. Close sends BUSY, which answers that line; a client that has sent no request ignores BUSY.
+// An established client is disconnected without MOVE: an earlier Migrate could not send MOVE, because the last relayed line
+// is incomplete and its rest has not arrived.
 func (c *Conn) Close() {
 	switch c.currentPhase() {
 	case phaseOpening, phaseWaiting:
 		c.Reject(0)
 	case phaseRelaying:
-		c.conn.Do(c.closeRelaying) // runs after the call that an earlier Migrate has posted
+		c.conn.Post(c.closeRelaying) // runs after the call that an earlier Migrate has posted
 	}
 }
 
@@ -152,9 +153,9 @@
 	c.endServer(false)
 }
 
-// RejectWaiting rejects a client that has no server yet. It is for clients that the engine will not answer since it has
-// ended.
-func (c *Conn) RejectWaiting() {
+// rejectWaiting rejects a client that has no server yet. It is for clients that the engine can no longer answer,
+// because it has ended.
+func (c *Conn) rejectWaiting() {
 	if c.currentPhase() < phaseRelaying {
 		c.Reject(0)
 	}
--- a/internal/nats/backend/node_conn.go
+++ b/internal/nats/backend/node_conn.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// CancelHandshake ends a connection that is not established for a reason that is no fault of the node. It does nothing if the
+// CancelHandshake ends a connection that is not established, without reporting a fault of the node. It does nothing if the
 // connection is established or has ended.
 func (n *NodeConn) CancelHandshake() { n.failHandshake(balancer.Cancelled) }
 
@@ -154,7 +154,7 @@
 	switch {
 	case n.IsEstablished():
 		n.disconnect()
-	case !n.infoReceived || c.Buffered() > 0: // the handshake was not sent, or not completely
+	case !n.infoReceived || c.PendingBytes() > 0: // the handshake was not sent, or not completely
 		n.failHandshake(balancer.ConnectFailed)
 	default:
 		n.failHandshake(balancer.Reset)
--- a/internal/nats/frontend/node_session.go
+++ b/internal/nats/frontend/node_session.go
@@ -15,7 +15,7 @@
 	handle   engine.ClientHandle
 	session  *Session
 	nodeConn *backend.NodeConn // of the current attempt; nil until its node has sent INFO
-	released bool              // the engine no longer holds state for it
+	released bool              // the engine no longer holds state for this nodeSession
 	draining bool              // the node is draining
 	flushing bool              // its subscriptions were ended; the node gets nothing new and delivers what it has queued
 	flushed  bool              // the node has delivered everything, was lost, or did not finish within FlushTimeout
@@ -34,15 +34,15 @@
 
 // Reject implements engine.Client.
 func (n *nodeSession) Reject(retryAfter time.Duration) {
-	n.Conn().Do(func() { n.session.nodeRejected(n, retryAfter) })
+	n.Conn().Post(func() { n.session.nodeRejected(n, retryAfter) })
 }
 
 // Fail implements engine.Client.
-func (n *nodeSession) Fail() { n.Conn().Do(func() { n.session.nodeRejected(n, 0) }) }
+func (n *nodeSession) Fail() { n.Conn().Post(func() { n.session.nodeRejected(n, 0) }) }
 
 // Close implements engine.Client. It is called if the client sent no CONNECT in time or the session did not migrate in time.
 func (n *nodeSession) Close() {
-	n.Conn().Do(func() {
+	n.Conn().Post(func() {
 		s := n.session
 		n.released = true
 		if n == s.current || n == s.next && s.phase != established {
@@ -57,7 +57,7 @@
 // Migrate implements engine.Client. It starts a migration, or the shutdown of the session if the Frontend is shutting
 // down, and returns the maximum duration of a migration.
 func (n *nodeSession) Migrate() time.Duration {
-	n.Conn().Do(func() {
+	n.Conn().Post(func() {
 		if s := n.session; s.frontend.shuttingDown.Load() {
 			s.shutdown()
 		} else {
@@ -69,12 +69,12 @@
 }
 
 // ServerDraining implements engine.DrainObserver.
-func (n *nodeSession) ServerDraining() { n.Conn().Do(func() { n.session.nodeDraining(n) }) }
+func (n *nodeSession) ServerDraining() { n.Conn().Post(func() { n.session.nodeDraining(n) }) }
 
 // isEstablished reports whether the node has confirmed the handshake.
 func (n *nodeSession) isEstablished() bool { return n.nodeConn != nil && n.nodeConn.IsEstablished() }
 
-// close closes the connection to the node and has the engine release its state.
+// close closes the connection to the node and tells the engine to release its state for the nodeSession.
 func (n *nodeSession) close() {
 	if n.nodeConn != nil {
 		n.nodeConn.Close()
@@ -93,7 +93,7 @@
 	if s.current != nil {
 		// A SUB that is read after this point would reach only the old node.
 		s.conn.Pause()
-		if s.frontend.settings().Cluster {
+		if s.frontend.settings().NodesForward {
 			s.dedup.Start()
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // InfoReceived implements backend.SessionClient. The client receives another INFO if the maximum payload is lower than in the
-// last one.
+// last INFO that was sent to the client.
 func (n *nodeSession) InfoReceived(c *backend.NodeConn, info codec.ServerInfo) {
 	s := n.session
 	n.nodeConn = c
