--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -14,7 +14,7 @@
 	Send struct {
 		ID      RequestID
 		Server  ServerID
-		Timeout time.Duration // of the attempt; zero means until the client gives up
+		Timeout time.Duration // timeout of the attempt; zero means until the client gives up
 		// ConnectTimeout bounds the time until the connection is established. Nothing may be sent over a
 		// connection that is established later, because the server may be draining by then, or the dedup
 		// window may have passed. Zero means no bound.
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -27,9 +27,9 @@
 	minPriorityPerLoad = 1e-12
 )
 
-// isShedByFleet reports whether the shed level of the fleet rejects a request. At the priority where the
-// level falls, every gateway selects the same clients, so a client that reconnects through another gateway
-// gets the same answer. Mid-flow requests are never shed, because a server already holds their connections.
+// isShedByFleet reports whether the shed level of the fleet rejects a request. Of a priority that is shed in
+// part, every gateway sheds the same clients, so a client that reconnects through another gateway gets the
+// same answer. Mid-flow requests are never shed, because a server already holds their connections.
 func (b *Balancer) isShedByFleet(r *request) bool {
 	return !r.MidFlow && r.clientFraction(fleetShedPurpose) < b.fleetShedLevel-float64(r.Priority)
 }
@@ -37,11 +37,11 @@
 // failureShedRatio returns the fraction of requests to shed because too few attempts are established, counted
 // over all servers. Zero or a negative value sheds none.
 //
-// It protects from an overload of something that all set-ups share, such as a database: under more load than
-// it can serve it answers nothing in time, and reconnecting clients keep the load up. While the value is
-// positive, nothing migrates, because each migration is a set-up, and a timeout or an error lowers no
-// server's load limit. This works for any failure of set-ups that ejections do not end. Its cost is that a
-// gateway that reaches few servers sheds requests until the failing servers are ejected.
+// Shedding protects from an overload of a resource that all set-ups share, such as a database. Under more
+// load than it can serve, such a resource answers nothing in time, and reconnecting clients keep the load up.
+// While the result is positive, nothing migrates, because each migration is a set-up, and a timeout or an
+// error lowers no server's load limit. Shedding works for any failure of set-ups that ejections do not end.
+// The cost is that a gateway that reaches few servers sheds requests until the failing servers are ejected.
 func (b *Balancer) failureShedRatio() float64 {
 	if b.recentFailures.sum == 0 {
 		return 0
@@ -130,11 +130,13 @@
 }
 
 // hasCapacity reports whether a server can take another connection of the given load within the fraction
-// limitRatio of its load limit. If servers can be polled, one with a fresh load report is judged by its
-// utilization instead. Once limitGrowthDelay has passed since the limit was lowered, a server that is not
-// paused and has no connections from this gateway can always take one: otherwise the gateway would observe
-// nothing more of it, and where connections are few, a limit too low for any new group would keep the server
-// out of use for minutes.
+// limitRatio of its load limit. If servers can be polled, a server with a fresh load report is judged by its
+// utilization instead.
+//
+// Once limitGrowthDelay has passed since the limit was lowered, a server that is not paused and has no
+// connections from this gateway can always take one. Otherwise the gateway would observe nothing more of the
+// server. If connections are few, a limit that is too low for any new group would then keep the server out of
+// use for minutes.
 func (b *Balancer) hasCapacity(s *server, load, limitRatio float64) bool {
 	if b.settings.CanPollLoad && b.hasFreshReport(s) {
 		return b.projectedUtilization(s) <= maxUtilization
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -13,7 +13,8 @@
 	// limit bounds the memory in a fleet whose machines get new IDs.
 	removedServerRetention = 10 * time.Minute
 
-	// evictionInterval is the minimum time between two evictions, as each one iterates over all servers.
+	// evictionInterval is the minimum time between two evictions, because each eviction iterates over all
+	// servers.
 	evictionInterval = removedServerRetention / 10
 )
 
@@ -22,8 +23,8 @@
 type server struct {
 	Server
 	unavailableSince   time.Duration // when it became known as draining or removed
-	hasDrained         bool          // it was listed as draining since its process started
-	removalSuspectedAt time.Duration // since when its removal is suspected; zero means that it is not
+	hasDrained         bool          // it has been listed as draining since its process started
+	removalSuspectedAt time.Duration // when its removal became suspected; zero means that it is not
 	confirmedAlive     bool          // it had an established connection when suspected or later
 
 	inFlight         []*request // connections, including attempts that are not established yet
@@ -35,7 +36,7 @@
 	ejections    int           // number of ejections since its process started
 	ejectedUntil time.Duration // zero means not ejected
 	onProbation  bool          // its ejection is over and no attempt was established since
-	trialDueAt   time.Duration // reinstated: from when on it is sent one trial; zero means no trial is due
+	trialDueAt   time.Duration // earliest time of the one trial after a reinstatement; zero means none is due
 
 	messageDelay   time.Duration // as last reported
 	messageDelayAt time.Duration
@@ -79,7 +80,8 @@
 	b.dispatchWaiting()
 }
 
-// removeUnlisted treats the servers that a complete list leaves out as listed as removed.
+// removeUnlisted handles the servers that a complete or cached list leaves out as if it listed them as
+// removed.
 func (b *Balancer) removeUnlisted(list []Server) {
 	listed := make(map[ServerID]bool, len(list))
 	for _, entry := range list {
@@ -129,7 +131,8 @@
 	return s
 }
 
-// resetHealth discards what was observed of a server's process, as after its restart.
+// resetHealth discards the drain, the failures and the load limit that were observed of a server's process.
+// It is called after a restart of the process and after a reinstatement by an operator.
 func (s *server) resetHealth() {
 	s.hasDrained, s.onProbation = false, false
 	s.failureScore, s.ejectedUntil, s.ejections = decayingCounter{}, 0, 0
@@ -141,10 +144,11 @@
 // If removal is advisory, a ready server that is listed as removed, or left out, is only suspected to be
 // removed, unless it is ejected. A suspected server keeps its slots in the table, because its connections and
 // the results of its attempts are better evidence than the list. Once it has an established connection, it
-// serves as before. Until then only one attempt at a time is sent to it. The first failure confirms the
-// removal, and so does an ejection. This guards against lists that are wrong, empty or stale, and avoids a
-// second change of the table when the correct list arrives. It costs one attempt if the server is gone and no
-// connection has shown that.
+// serves as before. Until then, other servers are preferred while an attempt at it is pending, and its first
+// failure other than a rejection confirms the removal. After that, the removal is confirmed by failures that
+// would eject another server. No failure confirms it while hasSharedFault reports a shared fault. This guards
+// against lists that are wrong, empty or stale, and avoids a second change of the table when the correct list
+// arrives. It costs one attempt if the server is gone and no connection has shown that.
 //
 // Draining is final until the server's process restarts, whatever a stale list says later.
 func (b *Balancer) setState(s *server, state ServerState) {
@@ -195,9 +199,9 @@
 // hasEstablishedConnection reports whether this gateway has an established connection to the server.
 func (s *server) hasEstablishedConnection() bool { return len(s.inFlight) > s.pendingAttempts }
 
-// evictRemovedServers deletes the records of servers that were removed long ago and have no connections. The
-// removal of a server that has been suspected for longer than removedServerRetention, and that has no
-// connections, is confirmed.
+// evictRemovedServers deletes the records of servers that were removed long ago and have no connections. If a
+// removal has been suspected for longer than removedServerRetention and the server has no connections, the
+// removal is confirmed.
 func (b *Balancer) evictRemovedServers() {
 	if b.now-b.lastEvictionAt < evictionInterval {
 		return
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -102,8 +102,9 @@
 		Connections float64 // connections from all gateways; zero means not reported
 	}
 
-	// FleetShedLevel sets which requests the fleet sheds: all requests whose priority is below the integer
-	// part of Level, and of the priority equal to it the share of clients that the fractional part states.
+	// FleetShedLevel sets which requests the fleet sheds. It sheds all requests whose priority is below the
+	// integer part of Level. Of the requests whose priority equals the integer part, it sheds those of a
+	// share of the clients; the fractional part of Level is this share. Mid-flow requests are never shed.
 	// Zero sheds nothing.
 	FleetShedLevel struct{ Level float64 }
 
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -93,8 +93,8 @@
 	return 1
 }
 
-// classLoad returns the estimated load of a connection of a class whose load is unknown: the mean of the
-// class, or of all classes if none of the class is known.
+// classLoad returns the estimate for a connection of unknown load: the mean load of its class, or the mean
+// load of all classes if no load of the class is known.
 func (b *Balancer) classLoad(class int) float64 {
 	if b.classMeanLoads[class].isKnown() {
 		return b.classMeanLoads[class].value
--- a/balancer/loadlimit.go
+++ b/balancer/loadlimit.go
@@ -26,12 +26,12 @@
 	limitGrowthDelay = 1500 * time.Millisecond
 	limitGrowthRatio = 0.1
 
-	// limitDropFactor is the multiple of a server's fair share of the load above which its limit has no
-	// effect and is removed.
+	// limitDropFactor decides when a limit has no effect any more and is removed: once it exceeds
+	// limitDropFactor times the server's fair share of the load, plus twice loadBoundSlack mean connections.
 	limitDropFactor = 4.0
 
-	// objectiveMetDivisor is the divisor of the message latency objective that gives the delay up to which a
-	// server is no longer slow.
+	// objectiveMetDivisor decides when a server is no longer slow: once its message delay is at most the
+	// message latency objective divided by objectiveMetDivisor.
 	objectiveMetDivisor = 3
 )
 
@@ -60,8 +60,10 @@
 	}
 }
 
-// adjustLimitToReport sets a server's limit from its load report to the load from this gateway at which the
-// server would have targetUtilization if all gateways did the same.
+// adjustLimitToReport adjusts a server's limit to its load report. The target is the load from this gateway
+// at which the server would have targetUtilization, provided that all gateways change their loads by the same
+// ratio. Above highUtilization, the limit is lowered to the target. Below lowUtilization, a limit that the
+// server has is raised to the target.
 //
 // This stops placements on a server before its messages become slow. It also corrects a limit that was cut at
 // a bad moment, since limits grow slowly by themselves: a server that used a sixth of its capacity was once
--- a/balancer/lookup.go
+++ b/balancer/lookup.go
@@ -9,8 +9,8 @@
 	// maxPastTables is the maximum number of past tables, which are kept for mid-flow requests.
 	maxPastTables = 2
 
-	// minTotalWeight is used as the sum of weights while the table has no servers, as before the first
-	// placement. It avoids a division by zero.
+	// minTotalWeight is used as the sum of weights while the table has no servers, for example before the
+	// first placement. It avoids a division by zero.
 	minTotalWeight = 1e-9
 
 	// groupPriorRatio is the prior estimate of the fraction of all connections that belong to one group.
@@ -34,8 +34,8 @@
 }
 
 // refreshTable rebuilds the table if the list has changed since it was built, and keeps the previous table
-// for mid-flow requests. It is called by the next placement and not when a list arrives, since lists mostly
-// change several times in a row, and one of many gateways places few connections in between.
+// for mid-flow requests. The next placement calls it, not the arrival of a list. Lists mostly change several
+// times in a row, and a gateway that is one of many places few connections in between.
 func (b *Balancer) refreshTable() {
 	if !b.tableIsStale {
 		return
@@ -75,7 +75,7 @@
 }
 
 // lookup returns the server that a request's n-th lookup in the table gives. Lookup 0 gives the table entry
-// of the request's placement hash, further lookups give alternates.
+// of the request's placement hash; further lookups give alternates.
 func (b *Balancer) lookup(r *request, n int) *server {
 	return b.tableServers[b.table.at(r.placementHash, n)]
 }
--- a/balancer/maglev.go
+++ b/balancer/maglev.go
@@ -9,10 +9,10 @@
 const (
 	// tableSize is the number of slots, a prime: about 20 for each of 100 servers. It is no larger because a
 	// gateway that places few connections must build a table cheaply. It does not depend on the number of
-	// servers, as another size would move every key.
+	// servers, because another size would move every key.
 	tableSize = 2039
 
-	// All gateways use the same seeds, as their tables would differ otherwise.
+	// All gateways use the same seeds, because their tables would differ otherwise.
 	offsetSeed uint64 = 0x6d617374687562a1
 	skipSeed   uint64 = 0x6d617374687562b2
 	keySeed    uint64 = 0x6d617374687562c3
@@ -89,7 +89,7 @@
 }
 
 // at returns the server index that the n-th lookup of a hashed key gives. Lookup 0 gives the entry of the
-// hash itself, further lookups give alternates.
+// hash itself; further lookups give alternates.
 func (t table) at(key uint64, n int) int {
 	if n > 0 {
 		key = mix(key, uint64(n))
--- a/balancer/migration.go
+++ b/balancer/migration.go
@@ -35,8 +35,8 @@
 // with the lowest priority per load go first, and the rate falls with the free capacity of the other servers.
 //
 // This protects clients from servers that hang or become slow, and lets an overloaded server recover. The
-// rate depends on the capacity because a migration without capacity elsewhere is a useless reconnect; that is
-// the cost if all servers are overloaded.
+// rate depends on the capacity, because a migration without capacity elsewhere is a useless reconnect.
+// Useless reconnects are the cost of migrating if all servers are overloaded.
 func (b *Balancer) migrateFromSlow(s *server) {
 	b.sampleCapacity()
 	migratable := max(float64(len(s.inFlight)+1), minMigratable)
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -14,8 +14,9 @@
 	// the server of the first is not known to be healthy.
 	reconnectLookups = 4
 
-	// loadBoundRatio and loadBoundSlack are the load bound, above which requests overflow to alternates: the
-	// load of a server may exceed its fair share by loadBoundRatio, plus loadBoundSlack mean connections.
+	// loadBoundRatio and loadBoundSlack define the load bound: the load of a server may exceed its fair share
+	// by loadBoundRatio, plus loadBoundSlack mean connections. Above the bound, requests overflow to
+	// alternates.
 	loadBoundRatio = 0.5
 	loadBoundSlack = 4.0
 
@@ -51,9 +52,9 @@
 
 // midFlowServer returns the server that is known to own a mid-flow request's connection. If the owner is
 // unknown, it returns the server at which a past table placed the request, if that table is still valid and
-// the server is ready or within its drain grace. Otherwise it returns nil. This keeps connections from being
-// reset when gateways and servers change at the same time. The guess is wrong for a connection at an
-// alternate.
+// the server is warm, and either ready or in the usable part of its drain grace. Otherwise it returns nil.
+// This keeps connections from being reset when gateways and servers change at the same time. The guess is
+// wrong for a connection at an alternate.
 func (b *Balancer) midFlowServer(r *request) *server {
 	if !r.isFirstMidFlowAttempt() {
 		return nil
@@ -79,8 +80,8 @@
 }
 
 // unpolledMidFlowServer returns the ordinary placement of a mid-flow request if that server's load is unknown
-// and it is eligible; otherwise it returns nil. The server is not polled first, as the connection is part of
-// its owner's load already, and no load report shows which server the owner is.
+// and it is eligible; otherwise it returns nil. The server is not polled first, because the connection is
+// part of its owner's load already, and no load report shows which server the owner is.
 func (b *Balancer) unpolledMidFlowServer(r *request) *server {
 	if !r.isFirstMidFlowAttempt() {
 		return nil
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -46,7 +46,7 @@
 )
 
 // clientFraction returns a number in [0, 1) that depends only on the client and the purpose, so that all
-// gateways compute the same one. The purpose is one of the constants above or a server's ID. Where a decision
+// gateways compute the same one. The purpose is one of the constants above or a server's ID. If a decision
 // applies to a fraction of the clients, it applies to those whose number is below that fraction.
 func (r *request) clientFraction(purpose uint64) float64 { return fraction(mix(r.clientHash, purpose)) }
 
@@ -124,8 +124,8 @@
 }
 
 // waitOrAnswer handles a request for which no server is available: the request waits for the first endpoint
-// list, or gets its final answer. It does not wait for anything else here, as any other obstacle lasts longer
-// than a client should wait.
+// list, or gets its final answer. It does not wait for anything else here, because any other obstacle lasts
+// longer than a client should wait.
 func (b *Balancer) waitOrAnswer(r *request) {
 	if b.hasList || r.waitUntil > 0 && b.now >= r.waitUntil {
 		b.answer(r)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -135,7 +135,8 @@
 	return timeout
 }
 
-// usableDrainGrace returns how long after a server starts to drain sends to it may still start.
+// usableDrainGrace returns the time after the start of a server's drain during which sends to the server may
+// still start.
 func (b *Balancer) usableDrainGrace() time.Duration {
 	return b.settings.DrainGrace * usableDrainGraceTenths / 10
 }
@@ -160,10 +161,10 @@
 	return retryBudget{defaultRetryBudgetWindow, defaultRetryBudgetMin, maxRetryBudgetRatio}
 }
 
-// hasRetryBudget reports whether the retry budget allows one more retry. It protects from faults that affect
-// many requests, whose retries would multiply the load. A budget from the settings holds for every window
-// that ends with a retry, not only on average. Its cost is that requests stay unretried if many servers are
-// down and most first attempts fail.
+// hasRetryBudget reports whether the retry budget allows one more retry. The budget protects from faults that
+// affect many requests, whose retries would multiply the load. A budget from the settings holds for every
+// window that ends with a retry, not only on average. The cost is that requests stay unretried if many
+// servers are down and most first attempts fail.
 func (b *Balancer) hasRetryBudget() bool {
 	budget := b.retryBudget()
 	return float64(b.retryWindow.count(b.now)+1) <=
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleetStart is when those servers of a warmingFleet start that are warming up.
+// fleetStart is the start time of the servers that are warming up in a warmingFleet.
 const fleetStart = 100 * sec
 
 // warmingFleet holds gateways that send to the same servers, some of which are warming up.
@@ -22,7 +22,7 @@
 	listedAt     []time.Duration // when each gateway receives the list; zero means that it has the list
 	firstWarming ServerID        // servers with this ID or a higher one are warming up
 	age          time.Duration   // how long the gateways have been running at fleetStart
-	rejectRatio  float64         // fraction of the attempts that their server rejects, which are retried
+	rejectRatio  float64         // fraction of the attempts that a server rejects; these are retried
 	budget       float64         // sends to one server that the settings allow in ColdOverloadDuration
 	lastID       RequestID
 	sends        map[ServerID][]time.Duration // times of the sends to servers that are warming up
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// restore adopts a snapshot of the same server process. Nothing that it restores lasts longer than if it
-// started now.
+// restore adopts a snapshot of the same server process. A pause or an ejection that it restores ends no later
+// than one that starts now.
 func (s *server) restore(now time.Duration, saved ServerSnapshot) {
 	if saved.LoadLimit >= 0 && saved.LoadLimit < maxLoadLimit {
 		s.loadLimit = saved.LoadLimit
--- a/balancer/stream_faults_test.go
+++ b/balancer/stream_faults_test.go
@@ -92,8 +92,8 @@
 	s.feedList(balancer.ListDelta, []balancer.Server{server.Server})
 }
 
-// scheduleMidFlow sends mid-flow requests for a server that has just left the table, around the times until
-// which requests may still be sent to it.
+// scheduleMidFlow sends mid-flow requests for a server that has just left the table, around the latest times
+// at which requests may be sent to it.
 func (s *stream) scheduleMidFlow(server *fakeServer) {
 	s.sendRequest(s.drawRequest()) // its placement builds the new table
 	delays := []time.Duration{s.settings.FlowRetention}
--- a/balancer/stream_test.go
+++ b/balancer/stream_test.go
@@ -29,7 +29,7 @@
 type fakeServer struct {
 	balancer.Server
 	condition          condition
-	otherUtilization   float64 // by the load of other gateways, as a fraction of its capacity
+	otherUtilization   float64 // fraction of its capacity that the load of other gateways uses
 	connectionCapacity float64 // connections from this gateway that use its whole capacity
 	delay              time.Duration
 }
@@ -74,7 +74,7 @@
 	commonFault   condition // the condition that half of these changes bring
 	rejectsHalf   bool      // half of the attempts are rejected
 	meanStep      time.Duration
-	timeUnit      time.Duration // steps are multiples of it, for equal times in some streams; 0: any
+	timeUnit      time.Duration // steps are multiples of it, so that times coincide; zero allows any step
 
 	hash     hash.Hash
 	buffer   []byte
--- a/internal/engine/adopted.go
+++ b/internal/engine/adopted.go
@@ -148,7 +148,7 @@
 }
 
 // expireAdopted releases the adopted connections whose packets never arrived, once the predecessor process has not
-// reported for as long as servers keep them.
+// reported for as long as servers keep a connection, and at least for minAdoptedLifetime.
 func (e *Engine) expireAdopted() {
 	lifetime := max(e.options.FlowRetention, minAdoptedLifetime)
 	if e.adopted.isEmpty() || e.now-e.adopted.reportedAt < lifetime {
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -19,8 +19,9 @@
 	Addr      string
 	Client    Client
 	Timeout   time.Duration // time from the start of the attempt until it is cancelled
-	// ConnectTimeout is the time by which the connection must be established. Nothing may be sent on a connection that
-	// is established later, so that the attempt had no effect. Zero means no such limit.
+	// ConnectTimeout is the time from the start of the attempt within which the connection must be established. Nothing
+	// may be sent on a connection that is established later, so that a late attempt has no effect. Zero means no such
+	// limit.
 	ConnectTimeout time.Duration
 }
 
@@ -124,7 +125,7 @@
 }
 
 // endAttempt ends the current attempt of a request. The request ends with it if its connection was established or the
-// server answered it. A pinned request fails, as it can't be retried. Otherwise the balancer decides what follows.
+// server answered it. A pinned request fails, because it can't be retried. Otherwise the balancer decides what follows.
 func (e *Engine) endAttempt(r *request, result balancer.Result) {
 	e.timers.Remove(r.attemptTimer)
 	r.attempt = nil
@@ -144,8 +145,9 @@
 	e.notify(ended)
 }
 
-// countAnswer counts an answered request that has no connection. It notifies the balancer as of an established
-// connection, because the balancer uses the number of these to tell the fault of one server from a fault of all.
+// countAnswer counts an answered request that has no connection. It notifies the balancer of an established connection,
+// although there is none: the balancer uses the number of established connections to tell the fault of one server from a
+// fault of all.
 func (e *Engine) countAnswer(r *request, ended balancer.AttemptEnded) {
 	e.notify(balancer.AttemptEstablished{
 		ID:      ended.ID,
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -20,7 +20,8 @@
 type Client interface {
 	// Handle returns the handle of the client, always the same one.
 	Handle() *ClientHandle
-	// Reject answers that the request had no effect and may be retried after a delay. Zero means that no delay is given.
+	// Reject answers that the request had no effect, and that the client may retry it once the time in after has passed.
+	// Zero means that the answer states no time.
 	Reject(after time.Duration)
 	// Fail answers that the request failed: it may have had an effect, or can never be served.
 	Fail()
@@ -28,8 +29,8 @@
 	// the frontend answers it as if it was rejected.
 	Close()
 	// Migrate starts to move an established connection away from its server: the client is asked to reconnect, or the
-	// frontend moves it to another server. ClientDisconnected reports that this is done. Migrate returns the time within
-	// which it has to be done; after that the client is closed. Zero means one second.
+	// frontend moves it to another server. ClientDisconnected reports that this is done. Migrate returns the time limit
+	// of the move: once it has passed, the engine closes the client. Zero means one second.
 	Migrate() time.Duration
 }
 
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -78,7 +78,7 @@
 	h.handle(ClientDisconnected{c})
 	h.handle(ClientDisconnected{c})
 	h.expectCalls("send a1/0", "cancel a1/0")
-	h.establish(cancelled) // ignored, as the attempt was cancelled
+	h.establish(cancelled) // ignored, because the attempt was cancelled
 	h.expectRequests(0)
 	h.connectAndRequest(h.newClient("y"), Request{Key: "k"}) // reuses the slot with another handle
 	h.endAttempt(cancelled, balancer.Reset)
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -29,8 +29,8 @@
 	hasAnnouncedDrain      bool
 	inMaintenance          bool
 	startBeforeMaintenance time.Duration // listed start time when the endpoint was added or its maintenance began
-	// assumedStart is used as the start time until one other than startBeforeMaintenance is listed. Zero means that the
-	// listed start time is used.
+	// assumedStart is used as the start time until the list has a start time other than startBeforeMaintenance. Zero
+	// means that the listed start time is used.
 	assumedStart time.Duration
 }
 
@@ -62,7 +62,7 @@
 	byID         map[balancer.ServerID]*endpoint
 	idByName     map[string]balancer.ServerID
 	listReceived bool  // whether an endpoint list has been received
-	version      int64 // of the endpoint list
+	version      int64 // version of the endpoint list
 }
 
 func newEndpointTable() endpointTable {
@@ -156,8 +156,8 @@
 }
 
 // onServerDraining handles a server's announcement that it is draining. The balancer treats the announcement like an
-// entry of the endpoint list. It also counts after its attempt has ended, but not once the request has started its next
-// attempt, because r.server is the server of that attempt then.
+// entry of the endpoint list. An announcement also counts after its attempt has ended, but not once the request has
+// started another attempt, because r.server is then the server of the other attempt.
 func (e *Engine) onServerDraining(ev ServerDraining) {
 	r := e.requests.get(ev.RequestID)
 	if r == nil || r.attemptNumber() != ev.Number {
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -128,7 +128,8 @@
 func (PredecessorState) event()      {}
 func (Shutdown) event()              {}
 
-// Handle processes one event at a time on the engine's clock. A time before that of an earlier call counts as the latter.
+// Handle processes one event. now is the time on the engine's clock. If now is before the time of an earlier call, the
+// event is processed at that earlier call's time.
 func (e *Engine) Handle(now time.Duration, ev Event) {
 	e.now = max(e.now, now)
 	switch ev := ev.(type) {
--- a/internal/engine/latency.go
+++ b/internal/engine/latency.go
@@ -11,7 +11,7 @@
 	// messageSampleLifetime is how long the delay of a timed message stays valid. Clients send a message every 2 s; half
 	// a second is added for the answer.
 	messageSampleLifetime = 2500 * time.Millisecond
-	// loadReportLifetime is how long a load report stays valid: the longer of the two poll intervals, and half a second
+	// loadReportLifetime is how long a load report stays valid: the longer of the two poll intervals, plus half a second
 	// for the answer.
 	loadReportLifetime = 2500 * time.Millisecond
 	// messageDelayInterval is the minimum interval between two reports of a server's message delay to the balancer. The
@@ -37,7 +37,7 @@
 // samples alone do not show overload: unless it hangs, a server answers messages at once, ahead of its backlog of work.
 // If load reports can be polled, the delay is estimated from them too.
 type latencyEstimator struct {
-	answerDelay          time.Duration // of the last message that was answered
+	answerDelay          time.Duration // delay of the last message that was answered
 	answeredAt           time.Duration
 	answeredConnection   slotmap.Handle // connection of that message
 	unansweredAge        time.Duration  // age of the oldest unanswered message at the last sweep
--- a/internal/engine/maintenance_test.go
+++ b/internal/engine/maintenance_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// After its maintenance, a server gets the next connection as a trial, whatever the key and though the server is assumed
-// to be warming up.
+// After its maintenance, a server gets the next connection as a trial. This holds for any key, although the server is
+// assumed to be warming up.
 func TestServerGetsATrialSoonAfterMaintenance(t *testing.T) {
 	h := newHarness(t, 8, nil)
 	h.setMaintenance("s5", true)
--- a/internal/engine/polls.go
+++ b/internal/engine/polls.go
@@ -22,7 +22,7 @@
 	Utilization    float64 // ratio of requested work to capacity: 1 is full capacity, overload is above 1
 	HasUtilization bool
 	Connections    float64       // connections to the server from all gateways; zero means not reported
-	Backlog        time.Duration // waiting work, as the time that it takes
+	Backlog        time.Duration // time that the waiting work takes
 	HasBacklog     bool
 }
 
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -30,7 +30,7 @@
 	pending                  // the request waits for its final answer
 	established              // the request has a connection to a server
 	migrating                // the client was asked to leave; the balancer considers the request ended
-	adoptable                // the predecessor process holds the connection; its server and load alone are known
+	adoptable                // the predecessor process holds the connection; it is counted here, but has no client here
 )
 
 // request holds the state of a client and its request, or of a connection that the predecessor process holds.
@@ -147,7 +147,7 @@
 	return event
 }
 
-// reject answers that a request was not served and may be retried after a delay.
+// reject answers that a request was not served, and that the client may retry it once the time in after has passed.
 func (e *Engine) reject(r *request, after time.Duration) {
 	e.statistics.rejected++
 	r.counters.Declined.Add(1)
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("the retry was sent to %s, want another server than that of the first attempt", second.sent.Addr)
 	}
 	h.calls = nil
-	h.endAttempt(first, balancer.OK) // ignored, as the attempt has ended
+	h.endAttempt(first, balancer.OK) // ignored, because the attempt has ended
 	h.expectRequests(1)
 	h.endAttempt(second, balancer.OK)
 	h.advance(10 * time.Second)
@@ -56,7 +56,8 @@
 	h.expectRequests(1)
 }
 
-// Guards against invalid requests that are sent to a server: its rejection would count as a failure of the server.
+// Guards against invalid requests that are sent to a server: the server would reject them, and each rejection would
+// count as a failure of the server.
 func TestInvalidRequestsReachNoServer(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	x := h.newClient("x")
--- a/internal/engine/shutdown_test.go
+++ b/internal/engine/shutdown_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against clients that are left when a gateway ends with its connections. After AnswerTimeout idle clients are
-// closed, new ones are rejected and newly established ones are migrated. A client that can't leave, because half a message
-// has to be forwarded first, is closed after DrainTimeout.
+// Guards against clients that are still connected when a gateway ends, if connections end with the gateway. After
+// AnswerTimeout, idle clients are closed, new ones are rejected and newly established ones are migrated. A client that
+// can't leave, because half a message has to be forwarded first, is closed after DrainTimeout.
 func TestClosingEndsAllClients(t *testing.T) {
 	h := newHarness(t, 1, func(o *Options) {
 		o.ConnectionsOutliveGateway, o.AnswerTimeout, o.MaxSockets = false, 3300*time.Millisecond, 20
--- a/internal/engine/statistics.go
+++ b/internal/engine/statistics.go
@@ -14,7 +14,7 @@
 type statistics struct {
 	admitted       int // requests
 	established    int // connections
-	rejected       int // clients and requests that may be retried
+	rejected       int // rejected clients and requests; the client may retry after a rejection
 	failed         int // requests whose answer leaves open whether they had an effect
 	invalid        int // requests that can't be served, and clients that violated their protocol
 	idleClosed     int // clients closed without a request
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -27,7 +27,7 @@
 // timer is an entry of the timer queue.
 type timer struct {
 	kind    timerKind
-	request slotmap.Handle // of the request, for kinds that concern one
+	request slotmap.Handle // handle of the request that the timer concerns; zero means none
 	ref     int64          // reference of the balancer, for balancerTimer
 }
 
@@ -37,7 +37,8 @@
 // Next returns the time at which the next timer is due. The ok result is false if no timer is set.
 func (e *Engine) Next() (at time.Duration, ok bool) { return e.timers.Next() }
 
-// Expire fires the timers that are due at a time, in order of their times. Once the engine has ended it does nothing.
+// Expire fires the timers that are due at a time, in order of their times. Once the engine has ended, Expire does
+// nothing.
 func (e *Engine) Expire(now time.Duration) {
 	e.now = max(e.now, now)
 	for !e.Ended() {
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -99,7 +99,7 @@
 		for range QueueCapacity {
 			l.Post(engine.ClientActive{})
 		}
-		l.TryPost(engine.ClientActive{}) // dropped, as the queue is full
+		l.TryPost(engine.ClientActive{}) // dropped, because the queue is full
 		posted := make(chan struct{})
 		go func() {
 			defer close(posted)
--- a/internal/planapply/applier.go
+++ b/internal/planapply/applier.go
@@ -1,5 +1,5 @@
 // Package planapply applies a placement plan to the endpoint lists of a gateway. It gives servers their weights in the plan,
-// or their weights in a contingency while its nodes are lost. Where no part of the plan fits, servers keep the weights of the
+// or their weights in a contingency while its nodes are lost. If no part of the plan fits, servers keep the weights of the
 // list.
 //
 // An Applier holds the plan and the servers as last listed. It does no I/O, reads no clock and starts no goroutine. Callers
@@ -24,8 +24,8 @@
 // of SetPlan and Tick is a delta without servers.
 type Applier struct {
 	// WarmupDuration is the time after its start during which a node counts as lost. A plan gives a node its full load at
-	// once, and if all nodes that the plan allows for the gateways of a zone were cold, no other node could take the clients
-	// of the zone. Until the nodes are warm, the contingency for their loss applies.
+	// once. If all nodes that the plan allows for the gateways of a zone were cold, no other node could take the clients of
+	// the zone. Until the nodes are warm, the contingency for their loss applies.
 	WarmupDuration time.Duration
 
 	now         time.Duration // time of the last call, since the same epoch as Started of engine.Server
--- a/internal/simproto/format_test.go
+++ b/internal/simproto/format_test.go
@@ -359,8 +359,8 @@
 	golden.CheckLines(t, "events.txt", lines)
 }
 
-// Guards against changes in how the rows of an endpoint list are decoded, with the announced number of rows and with one
-// more than follow.
+// Guards against changes in how the rows of an endpoint list are decoded. The announced number of rows equals the number of
+// rows that follow, or exceeds it by one.
 func TestDecodedRows(t *testing.T) {
 	var lines []string
 	for _, rows := range [][]string{
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -15,8 +15,9 @@
 	maxViolations = 20        // violations that are reported; further ones are dropped
 )
 
-// Fleet simulates a site. It checks that each request has one answer in time and one attempt at once, that the number of
-// attempts is limited, that draining nodes get no requests after the drain grace, and that cold nodes are not overloaded.
+// Fleet simulates a site. It checks that each request has one answer in time and at most one attempt at a time, that the
+// number of attempts is limited, that draining nodes get no requests after the drain grace, and that cold nodes are not
+// overloaded.
 type Fleet struct {
 	Stats
 	scheduler     *Scheduler
--- a/placement/bruteforce_test.go
+++ b/placement/bruteforce_test.go
@@ -102,7 +102,7 @@
 	return s.problem.DefaultCost
 }
 
-// unitRatio is the ratio of load to capacity that a node reaches with one unit of its load, where the units of a node are
+// unitRatio is the ratio of load to capacity that a node reaches with one of its units of load. The units of a node are
 // numbered from 1.
 type unitRatio struct {
 	unit, capacity int64
--- a/placement/candidate.go
+++ b/placement/candidate.go
@@ -66,7 +66,7 @@
 	return -1
 }
 
-// isTogether reports whether a single zone carries everything that is carried of a constraint's Classes.
+// isTogether reports whether at most one zone carries load of a constraint's Classes.
 func (c *candidate) isTogether(constraint Constraint) bool {
 	used := -1
 	for class, name := range c.index.classes {
@@ -86,7 +86,8 @@
 	return true
 }
 
-// isSpread reports whether enough zones carry enough load of a constraint's Class.
+// isSpread reports whether at least Count zones carry at least Least units of a constraint's Class each. A Least of zero
+// counts as 1.
 func (c *candidate) isSpread(constraint Constraint) bool {
 	zones := 0
 	if class := slices.Index(c.index.classes, constraint.Class); class >= 0 {
--- a/placement/conflict.go
+++ b/placement/conflict.go
@@ -16,8 +16,9 @@
 	Text       string // the change, for operators
 }
 
-// findConflict returns a minimal set of constraints that conflict. It removes one constraint after another and leaves it out
-// if the rest still conflicts. MaxSteps does not apply here, but a new search limit applies to all the work of findConflict.
+// findConflict returns a minimal set of constraints that conflict. It tries each constraint in turn, and leaves out a
+// constraint if the rest still conflicts without it. MaxSteps does not apply here, but a new search limit applies to all the
+// work of findConflict.
 func (s *planner) findConflict() *InfeasibleError {
 	s.setSearchLimit()
 	s.maxSteps = 0
--- a/placement/contingency.go
+++ b/placement/contingency.go
@@ -23,9 +23,9 @@
 }
 
 // Contingencies computes the contingency for the loss of each node, each zone and each batch. Moves are counted from the given
-// plan, and Moves constraints do not apply after a loss. The options apply to each solution on its own. After each contingency
-// Contingencies calls progress, if it is not nil, with the number of finished contingencies and their total. It returns the
-// error of Problem.Check, or a *StepLimitError if a search reached its step limit.
+// plan, and Moves constraints do not apply after a loss. The options apply to each solution on its own. After each
+// contingency, Contingencies calls progress, if it is not nil, with the number of finished contingencies and their total. It
+// returns the error of Problem.Check, or a *StepLimitError if a search reached its step limit.
 func Contingencies(p *Problem, plan *Plan, batches []Batch, o Options, progress func(done, all int)) ([]Contingency, error) {
 	list := p.enumerateLosses(batches)
 	for i := range list {
@@ -94,7 +94,8 @@
 	if !errors.As(err, &c.Conflict) {
 		return err
 	}
-	// The shortfall is the minimum load that is left over when no load has to be carried.
+	// Without Carry and Spread, no constraint requires load to be carried, so there is a placement. The shortfall is the load
+	// that the best such placement does not carry. It stays 0 if the search for that placement reaches its step limit.
 	problem.Constraints = slices.DeleteFunc(problem.Constraints, func(k Constraint) bool {
 		return k.Kind == Carry || k.Kind == Spread
 	})
--- a/placement/distribute.go
+++ b/placement/distribute.go
@@ -2,11 +2,13 @@
 
 import "container/heap"
 
-// distribute returns the load of each node of a zone for a total load. No load exceeds the capacity of its node. As little
-// load as possible moves away from the nodes that carry it in the current plan. Subject to that, the highest ratio of load to
-// capacity is minimal, then the second highest, and so on. More exactly, each unit of load on a node has a marginal fullness,
-// which is the ratio of load to capacity that the node reaches with this unit, and the highest marginal fullness is minimized.
-// Of two nodes with equal ratios the one that comes first by name counts as less full.
+// distribute divides the load of a zone among its nodes, and returns the load of each node. No load exceeds the node's entry
+// in capacities. As little load as possible moves away from the nodes that carry it in the current plan. Subject to that, the
+// highest ratio of load to capacity is minimal, then the second highest, and so on.
+//
+// The ratios are compared for each unit of load. The marginal fullness of the k-th unit on a node is k divided by the node's
+// Capacity. distribute minimizes the highest marginal fullness of all units, then the second highest, and so on. If two units
+// have equal marginal fullness, the unit on the node that comes first in nodes counts as less full.
 func distribute(nodes []Node, capacities []int64, load int64) []int64 {
 	loads := make([]int64, len(nodes))
 	keptLoad := int64(0)
@@ -23,8 +25,9 @@
 	return loads
 }
 
-// waterFiller implements water-filling: it adds load to the node that it fills least, or removes load from the fullest node.
-// It implements heap.Interface over the nodes that are not at their limits, and the first of them changes next.
+// waterFiller implements water-filling: it adds each unit to the node that is least full with this unit, or removes each unit
+// from the fullest node. It implements heap.Interface over the nodes that are not at their limits. The node at the front of
+// the heap changes next.
 type waterFiller struct {
 	nodes      []Node
 	loads      []int64
@@ -34,7 +37,8 @@
 }
 
 // adjust changes the loads by an amount in total, or until all are at their limits. It first brings all nodes to a common
-// level. What is left are units with equal marginal fullness, at most one for each node, which it changes one by one.
+// level. The units that could still change before the next level have equal marginal fullness, and there is at most one for
+// each node. adjust changes as many of them as are left of the amount, one by one.
 func (w *waterFiller) adjust(amount int64) {
 	amount -= w.adjustToLevel(amount)
 	for i := range w.nodes {
@@ -56,8 +60,8 @@
 }
 
 // adjustToLevel brings all nodes to the furthest level that changes the loads by no more than an amount, and returns the sum
-// of the changes. A level is a ratio of load to capacity, as a multiple of 1/fullnessScale, which is smaller than the
-// difference between any two values of marginal fullness.
+// of the changes. A level is a ratio of load to capacity, as a multiple of 1/fullnessScale. This step is smaller than the
+// difference between any two different values of marginal fullness.
 func (w *waterFiller) adjustToLevel(amount int64) (changed int64) {
 	// Binary search: the number of units to a level grows with its distance.
 	low, high := uint64(0), uint64(fullnessScale)
--- a/placement/flownetwork.go
+++ b/placement/flownetwork.go
@@ -163,7 +163,7 @@
 	return minLoads
 }
 
-// allowsFlow reports whether a zone may carry load of a class that originates in another.
+// allowsFlow reports whether zone to may carry load of a class that originates in zone from.
 func (b branch) allowsFlow(x *index, class string, from, to int) bool {
 	for i, c := range b.constraints {
 		switch {
--- a/placement/relax.go
+++ b/placement/relax.go
@@ -6,8 +6,8 @@
 // between any two different ratios of two nodes.
 const fullnessScale = 1 << 61
 
-// loadAtFullness returns the load of a node, rounded down, whose ratio of load to capacity is fullness divided by
-// fullnessScale.
+// loadAtFullness returns the load at which the ratio of load to capacity is fullness divided by fullnessScale. The load is
+// rounded down.
 func loadAtFullness(fullness uint64, capacity int64) int64 {
 	high, low := bits.Mul64(fullness, uint64(capacity))
 	quotient, _ := bits.Div64(high, low, fullnessScale)
@@ -24,8 +24,8 @@
 }
 
 // solveRelaxationBeforeFullest returns a placement that is optimal in the goals before Fullest, with its cost in these goals.
-// The placement meets all constraints of a branch except those that the branch has no decision on. It is nil if there is no
-// such placement.
+// The placement meets all constraints of a branch except those that the branch has no decision on. The returned placement is
+// nil if there is none.
 func (s *planner) solveRelaxationBeforeFullest(b branch) (*candidate, cost) {
 	capacities := s.effectiveCapacities(b.constraints)
 	network := s.buildNetwork(b, capacities, s.goalsBeforeFullest())
