--- a/balancer/balancer_events_test.go
+++ b/balancer/balancer_events_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// checkIdempotency fails the test if a request that may have run already must not be sent to a server.
+// checkIdempotency fails the test if a request may already have run and must not be retried at a server.
 func (d *driver) checkIdempotency(r *requestModel, s Server) {
 	d.t.Helper()
 	if len(r.ranOn) == 0 {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -48,7 +48,7 @@
 
 	utilization              float64       // as last reported
 	reportedAt               time.Duration // zero means never
-	utilizationPerConnection float64       // utilization by one connection; zero means unknown
+	utilizationPerConnection float64       // utilization that one connection causes; zero means unknown
 	polledAt                 time.Duration // zero means never
 	attemptsSinceReport      int           // attempts sent to it since the last report
 
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -25,11 +25,12 @@
 	newGroupCost = 4.0
 )
 
-// place returns the server for a request's next attempt, or nil if there is none now. It returns the first
-// server in the order of the lookups that has the best possible rank, or else the server with the best rank.
-// The search never returns a server without capacity, nor a server that is warming up and has no budget left.
-// If place returns nil and the request's polledServers is not empty, the request waits for load reports. If
-// place returns nil otherwise, the request has to wait for the first list or be answered.
+// place returns the server for a request's next attempt, or nil if there is none now. The server of a
+// mid-flow request, and a reinstated server whose trial is due, are chosen without a search. The search
+// returns the first server in the order of the lookups that has the best possible rank, or else the server
+// with the best rank. It never returns a server without capacity, nor a server that is warming up and has no
+// budget left. If place returns nil and the request's polledServers is not empty, the request waits for load
+// reports. If place returns nil otherwise, the request has to wait for the first list or be answered.
 func (b *Balancer) place(r *request) *server {
 	b.refreshTable()
 	if s := b.midFlowServer(r); s != nil {
--- a/internal/engine/latency.go
+++ b/internal/engine/latency.go
@@ -22,8 +22,8 @@
 	// unloadedDelayDivisor defines the message delay of an unloaded server: about the shortest latency objective divided
 	// by it.
 	unloadedDelayDivisor = 12
-	// maxUtilization is the utilization above which the estimated delay stays constant: the server works at its capacity
-	// there, and differences between reports are noise.
+	// maxUtilization is the utilization above which the estimated delay grows only with the backlog: the server works at
+	// its capacity there, and differences between reports are noise.
 	maxUtilization = 0.93
 	// maxEstimatedBacklog limits the backlog that is estimated from load reports. Reports are wrong by up to a sixth in
 	// either direction. Without a limit the excess accumulates and keeps a server out for seconds after it has capacity
@@ -34,8 +34,8 @@
 // latencyEstimator estimates the current message delay at a server.
 //
 // The line protocol doesn't report the delay, so the engine times each message from its sending to its answer. These
-// samples alone do not show overload: unless it hangs, a server answers messages at once, ahead of its backlog of work.
-// If load reports can be polled, the delay is estimated from them too.
+// samples alone do not show overload: a server that does not hang answers messages at once, ahead of its backlog of
+// work. If load reports can be polled, the delay is estimated from them too.
 type latencyEstimator struct {
 	answerDelay          time.Duration // delay of the last message that was answered
 	answeredAt           time.Duration
--- a/placement/bruteconstraints_test.go
+++ b/placement/bruteconstraints_test.go
@@ -105,7 +105,7 @@
 	return moved
 }
 
-// meetsPair reports whether only paired nodes carry load, among the nodes of the Model of a Pair constraint.
+// meetsPair reports whether each node of a Pair constraint's Model that carries load is paired.
 func (s *bruteSearch) meetsPair(c Constraint, loads []int64) bool {
 	for _, z := range s.zones {
 		partners := 0
--- a/placement/exhaustive_test.go
+++ b/placement/exhaustive_test.go
@@ -106,7 +106,8 @@
 	return p
 }
 
-// forEachSequence calls f with every sequence of n digits below base; if nonDecreasing is set, only with sorted ones.
+// forEachSequence calls f with every sequence of n digits below base. If nonDecreasing is set, it leaves out sequences that
+// are not sorted.
 func forEachSequence(base, n int, nonDecreasing bool, f func([]int)) {
 	digits := make([]int, n)
 	var setDigit func(i int)
--- a/placement/relax.go
+++ b/placement/relax.go
@@ -89,7 +89,7 @@
 }
 
 // fullestRatio returns the exact ratio for a fullness from minFullness: the largest ratio of load to capacity among the nodes
-// at that limit.
+// whose load this limit bounds.
 func (s *planner) fullestRatio(fullness uint64, capacities []int64) Ratio {
 	var fullest Ratio
 	if fullness == 0 {
--- a/placement/search.go
+++ b/placement/search.go
@@ -28,8 +28,8 @@
 	return branch{b.constraints, decisions}
 }
 
-// split returns the child branches of a branch, one for each possible decision on a constraint. The last child should be
-// searched first.
+// split returns the child branches of a branch, one for each possible decision on a constraint. The searches take the last
+// child first.
 func (s *planner) split(b branch, constraint int) []branch {
 	if b.constraints[constraint].Kind == Together {
 		return s.splitByZone(b, constraint)
