--- a/internal/engine/latency.go
+++ b/internal/engine/latency.go
@@ -11,7 +11,7 @@
 	// messageSampleLifetime is how long the delay of a timed message stays valid. Clients send a message every 2 s; half
 	// a second is added for the answer.
 	messageSampleLifetime = 2500 * time.Millisecond
-	// loadReportLifetime is how long a load report stays valid: the longer of the two poll intervals, and half a second
+	// loadReportLifetime is how long a load report stays valid: the longer of the two poll intervals, plus half a second
 	// for the answer.
 	loadReportLifetime = 2500 * time.Millisecond
 	// messageDelayInterval is the minimum interval between two reports of a server's message delay to the balancer. The
@@ -22,8 +22,8 @@
 	// unloadedDelayDivisor defines the message delay of an unloaded server: about the shortest latency objective divided
 	// by it.
 	unloadedDelayDivisor = 12
-	// maxUtilization is the utilization above which the estimated delay stays constant: the server works at its capacity
-	// there, and differences between reports are noise.
+	// maxUtilization is the utilization above which the estimated delay grows only with the backlog: the server works at
+	// its capacity there, and differences between reports are noise.
 	maxUtilization = 0.93
 	// maxEstimatedBacklog limits the backlog that is estimated from load reports. Reports are wrong by up to a sixth in
 	// either direction. Without a limit the excess accumulates and keeps a server out for seconds after it has capacity
@@ -34,10 +34,10 @@
 // latencyEstimator estimates the current message delay at a server.
 //
 // The line protocol doesn't report the delay, so the engine times each message from its sending to its answer. These
-// samples alone do not show overload: unless it hangs, a server answers messages at once, ahead of its backlog of work.
-// If load reports can be polled, the delay is estimated from them too.
+// samples alone do not show overload: a server that does not hang answers messages at once, ahead of its backlog of
+// work. If load reports can be polled, the delay is estimated from them too.
 type latencyEstimator struct {
-	answerDelay          time.Duration // of the last message that was answered
+	answerDelay          time.Duration // delay of the last message that was answered
 	answeredAt           time.Duration
 	answeredConnection   slotmap.Handle // connection of that message
 	unansweredAge        time.Duration  // age of the oldest unanswered message at the last sweep
