--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -34,15 +34,15 @@
 
 // Options configures a Cluster.
 type Options struct {
-	Name             string            // of this instance
+	Name             string            // name of this instance
 	Listen           string            // host:port on which the peers reach this instance
 	Peers            map[string]string // addresses of the other instances, by name
 	Key              []byte            // secret shared by all instances
 	Dir              string            // directory for the stored state, on a disk that survives a loss of power
-	PeerTimeout      time.Duration     // for which a start waits for the peers' states
+	PeerTimeout      time.Duration     // how long a start waits for the peers' states
 	Priorities       int               // number of priorities of load shedding; 0 means that nothing is shed
 	MinAdmittedRatio float64           // as in loadshed.Settings
-	WarmupDuration   time.Duration     // for which a server is warming up after its start
+	WarmupDuration   time.Duration     // how long a server is warming up after its start
 	FS               wal.FS            // defaults to the operating system's file system
 	// Connect returns the transport to the peers. Defaults to gossip over sockets, with Listen, Peers and Key.
 	Connect func(membership.Options) (membership.Transport, error)
@@ -146,14 +146,14 @@
 	return gossip, nil
 }
 
-// bumpIncarnation begins and stores an incarnation later than one that peers have seen of this instance.
+// bumpIncarnation begins, stores and returns an incarnation later than above, which peers have seen of this instance.
 func (c *Cluster) bumpIncarnation(above uint64) (uint64, error) {
 	c.opts.Logger.Warn("peers have seen a later incarnation than the disk holds", "incarnation", above)
 	return c.incarnations.Next(above, c.opts.Clock())
 }
 
-// UpdateEndpoints applies an endpoint list from discovery, so that it is stored and sent to peers. It ends the recovery and
-// ignores cached lists. The caller must call it before it passes the list to the engine.
+// UpdateEndpoints applies an endpoint list from discovery, so that the list is stored and sent to peers, and ends the recovery.
+// It ignores cached lists. The caller must call it before passing the list to the engine.
 func (c *Cluster) UpdateEndpoints(update engine.EndpointList) {
 	if update.Mode != balancer.ListComplete && update.Mode != balancer.ListDelta {
 		return
@@ -186,6 +186,6 @@
 	return decision.Level
 }
 
-// Close closes the transport, without notifying the peers, and the log. Run must have returned before, because it can't store
-// anything afterwards.
+// Close closes the transport, without notifying the peers, and the log. The caller must wait for Run to return first, because
+// Run can't store anything after Close.
 func (c *Cluster) Close() error { return errors.Join(c.transport.Close(), c.closeLog()) }
--- a/internal/cluster/exchange_test.go
+++ b/internal/cluster/exchange_test.go
@@ -51,8 +51,8 @@
 type exchange struct {
 	t         *testing.T
 	now       time.Duration
-	name      string    // of the instance that was started last
-	transport *recorder // of the instance that was started last
+	name      string    // name of the instance that was started last
+	transport *recorder // transport of the instance that was started last
 	lines     []string
 }
 
--- a/internal/cluster/format_test.go
+++ b/internal/cluster/format_test.go
@@ -90,14 +90,14 @@
 	}
 }
 
-// values holds the values of a JSON object by key, as in its text. Its methods compare decoded values with them, and remove
-// them. A missing key counts as the zero value.
+// values holds the values of a JSON object by key, as in its text. Each method compares one of these values with a decoded
+// value, and removes its key. A missing key counts as the zero value.
 type values struct {
 	t         *testing.T
 	remaining map[string]json.RawMessage
 }
 
-// parseObject returns the values of the JSON parseObject in a text.
+// parseObject returns the values of the JSON object in a text.
 func parseObject(t *testing.T, text string) *values {
 	t.Helper()
 	v := &values{t: t}
--- a/internal/cluster/loadshed/digest_test.go
+++ b/internal/cluster/loadshed/digest_test.go
@@ -24,7 +24,7 @@
 const (
 	fleetSeeds = 240 // each with one to seven instances for less than half a minute
 	longSeeds  = 20  // each with one to three instances for five minutes, which covers readmission in growing steps
-	shortTicks = 120 // of ReportInterval
+	shortTicks = 120 // number of ReportIntervals
 	longTicks  = 1500
 
 	epoch = 1_700_000_000 * time.Second
--- a/internal/cluster/loadshed/level.go
+++ b/internal/cluster/loadshed/level.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// level converts a ratio of all requests, 0 to 1, into a level as in Decision, using the request rates of the reports.
+// level returns the level, as defined at Decision.Level, that sheds the given ratio of all requests, 0 to 1. It uses the request
+// rates of the reports.
 func (s Settings) level(ratio float64, reports []Report) float64 {
 	rates, sum := s.meanRates(reports)
 	excess, level := ratio*sum, 0.0
--- a/internal/cluster/loadshed/loadshed.go
+++ b/internal/cluster/loadshed/loadshed.go
@@ -1,9 +1,9 @@
 // Package loadshed decides which requests a fleet sheds under overload. Requests of the lowest priority are shed first, and
 // all instances shed the same.
 //
-// Each instance reports the ratio of all requests that should be shed by its own measurements, and its request rates by
-// priority. Every instance derives what it sheds from the median of the ratios and the trimmed means of the rates, so that a
-// single instance that reports wrong figures has little influence.
+// Each instance measures which ratio of all requests should be shed. It reports this ratio and its request rates by priority.
+// Every instance derives what it sheds from the median of the ratios and the trimmed means of the rates. Therefore a single
+// instance that reports wrong figures has little influence.
 //
 // A [Shedder] is a pure state machine: it turns counts and reports into a report and a level, does no I/O and reads no clock.
 // It is not safe for concurrent use: it belongs to one goroutine, or to callers that hold a lock.
@@ -20,7 +20,7 @@
 // Settings configures a Shedder. Priorities are numbered from 0, the lowest.
 type Settings struct {
 	Priorities       int     // number of priorities, at least 1
-	MinAdmittedRatio float64 // of the lowest priority's requests, 0 to 1, admitted as long as no higher priority is shed
+	MinAdmittedRatio float64 // fraction of priority 0's requests, 0 to 1, admitted until a higher priority is shed too
 }
 
 // LocalCounts holds the numbers of requests at this instance since the last Update. Each slice has one entry for each
@@ -34,9 +34,9 @@
 // Decision is the result of an Update.
 type Decision struct {
 	Report Report // to be sent to all peers
-	// Level determines what is shed: all requests of the priorities below its integer part, and of the priority that equals
-	// its integer part the ratio that its fractional part gives. At 1.3, for example, all requests of priority 0 and 0.3 of
-	// those of priority 1 are shed. Zero means that nothing is shed.
+	// Level determines what is shed. Its integer part n is the number of priorities whose requests are all shed, which are
+	// the priorities below n. Its fractional part is the fraction of priority n's requests that is shed. For example, a
+	// level of 1.3 sheds all requests of priority 0 and 0.3 of the requests of priority 1. Zero means that nothing is shed.
 	Level float64
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-// Receive processes the report of a peer that arrived at now. It ignores reports that are invalid, of an earlier incarnation
-// or out of order. One report is kept for each peer name, so the caller must pass only reports of known peers.
+// Receive processes the report of a peer that arrived at now. It ignores reports that are invalid, from an earlier incarnation,
+// or no newer than the latest one. One report is kept for each peer name, so the caller must pass only reports of known peers.
 func (s *Shedder) Receive(now time.Duration, report PeerReport) {
 	latest := s.peers[report.Peer]
 	if report.isNewerThan(latest.PeerReport) && report.Report.isValid(s.settings.Priorities) {
--- a/internal/cluster/loadshed/loadshed_test.go
+++ b/internal/cluster/loadshed/loadshed_test.go
@@ -38,8 +38,8 @@
 // overload is a demand at each instance of three times the capacity that the tests have for each instance.
 var overload = demand{80, 70, 30}
 
-// simulation is a fleet in front of servers with a common capacity. Requests that are admitted beyond it are rejected,
-// whatever their priority.
+// simulation is a fleet in front of servers with a common capacity. Admitted requests that exceed this capacity are
+// rejected, whatever their priority.
 type simulation struct {
 	rnd          *rand.Rand
 	now          time.Duration
@@ -48,13 +48,13 @@
 	incarnations []uint64
 	partitioned  map[int]bool   // instances that neither send nor receive reports
 	faulty       map[int]Report // reports that faulty instances send in place of their own
-	delay        time.Duration  // of reports
+	delay        time.Duration  // time that a report needs to arrive
 	inFlight     []delivery
 	sequence     uint64
 
 	// These count since the last reset.
 	served, requested demand
-	inverted          time.Duration // for which a higher priority was rejected while a lower one was admitted
+	inverted          time.Duration // how long a higher priority was rejected while a lower one was admitted
 	levelChanges      int           // changes of the integer part of any instance's level
 }
 
@@ -181,13 +181,13 @@
 }
 
 // Under a load of three times the capacity, nearly all requests of the highest priority and almost none of the lowest are
-// served. The test begins to count after six seconds of overload; from then on a higher priority is rejected while a lower one
-// is admitted for at most two seconds. The same holds if one instance fails.
+// served. The test begins to count after six seconds of overload. From then on, a higher priority is rejected while a lower one
+// is admitted for at most one second in total, or two seconds in some cases. The same holds if one instance fails.
 func TestLowestPrioritiesAreShedFirst(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		fail           func(s *simulation)
-		inversionSlack time.Duration // by which priorities may be inverted for longer than one second
+		inversionSlack time.Duration // added to the one second for which priorities may be inverted
 	}{
 		{"no failure", func(*simulation) {}, 0},
 		{"instance partitioned", func(s *simulation) { s.partitioned[0] = true }, 0},
--- a/internal/cluster/loadshed/ratio.go
+++ b/internal/cluster/loadshed/ratio.go
@@ -4,8 +4,8 @@
 
 const (
 	// maxRejectedRatio is the ratio of admitted requests, 0 to 1, that may be rejected for lack of capacity before more is
-	// shed. Real gateways reject some requests that servers could still take: with a ratio of 0.01, all priorities but the
-	// highest were shed although there was capacity.
+	// shed. Real gateways reject some requests that servers could still take. With a value of 0.01, all priorities but the
+	// highest were shed although servers had capacity.
 	maxRejectedRatio = 0.05
 	// minRejectedRate is the rate of rejections, in requests per second, up to which nothing more is shed.
 	minRejectedRate = 0.5
@@ -13,7 +13,7 @@
 	// rejections of higher priorities again.
 	shedMargin = 0.015
 	// maxRatioStep is the largest increase of the shed ratio in one update. When an overload begins, servers reject
-	// everything for a moment and their capacity is not known yet: without this bound, ratios of 0.9 were seen where 0.3 was
+	// everything for a moment, and their capacity is not known yet. Without this bound, ratios of 0.9 were seen when 0.3 was
 	// right.
 	maxRatioStep = 0.08
 	// maxShedRatio is the bound up to which the shed ratio grows.
@@ -25,9 +25,9 @@
 	// readmitRate is the decrease of the shed ratio per second when it begins to shrink. The decrease per second itself grows
 	// by readmitRate each second.
 	readmitRate = 0.01
-	// peakDecayRate is the fraction of the peak rate by which it decays per second. The rate that is served at present does
-	// not measure the servers' capacity, because gateways send less to servers that reject: with it, gateways were seen to
-	// shed all requests of the highest priority.
+	// peakDecayRate is the fraction of the peak rate by which the peak rate decays per second. The peak rate stands for the
+	// servers' capacity. The present rate of served requests can't, because gateways send less to servers that reject: when
+	// it was used instead, gateways shed all requests of the highest priority.
 	peakDecayRate = 0.05
 	// smoothingFactor is the weight of the latest counts in the smoothed rates, 0 to 1.
 	smoothingFactor = 0.5
@@ -63,8 +63,8 @@
 	return r.rejected > minRejectedRate && r.rejected/max(r.admitted, minRate) > maxRejectedRatio
 }
 
-// excessRatio returns the ratio of all requests by which their rate exceeds the peak rate of served requests. It is negative
-// if their rate is below the peak.
+// excessRatio returns the fraction of all requests that exceeds the peak rate of served requests. The result is negative if the
+// rate of all requests is below the peak.
 func (r *localRates) excessRatio() float64 {
 	sum := 0.0
 	for _, rate := range r.requests {
@@ -73,9 +73,9 @@
 	return 1 - r.peakServed/max(sum, minRate)
 }
 
-// ratioController determines the ratio of all requests that should be shed by this instance's measurements. It starts at the
-// peers' ratio and then changes only its own value: if it followed the peers, a peer that reports a slightly higher ratio each
-// time would raise the ratio of all instances.
+// ratioController determines, from this instance's measurements, the ratio of all requests that should be shed. It starts at
+// the peers' ratio and ignores that ratio afterwards. If it followed the peers, a peer that reports a slightly higher ratio
+// each time would raise the ratio of all instances.
 type ratioController struct {
 	shedRatio     float64 // ratio of all requests, 0 to 1
 	isStarted     bool
@@ -84,9 +84,9 @@
 	isReadmitting bool          // the ratio has shrunk since lastOverload
 }
 
-// update adjusts the ratio to the rates at now; the first call starts at peerRatio. Under overload the ratio grows towards
-// the excess over the peak rate. The present rejections are no measure for it, because the effect of an increase shows only
-// some updates later.
+// update adjusts the ratio to the rates at now; the first call starts at peerRatio. Under overload, the ratio grows towards
+// the excess over the peak rate. The size of the increase does not depend on the present rejections, because they show the
+// effect of an increase only some updates later.
 func (c *ratioController) update(now time.Duration, rates *localRates, peerRatio float64) {
 	if !c.isStarted {
 		*c = ratioController{shedRatio: peerRatio, isStarted: true, lastOverload: now, readmitDelay: minReadmitDelay}
--- a/internal/cluster/loadshed/report.go
+++ b/internal/cluster/loadshed/report.go
@@ -11,14 +11,14 @@
 
 // Report holds the load figures that an instance sends to its peers.
 type Report struct {
-	ShedRatio    float64   // ratio of all requests, 0 to 1, that should be shed by the instance's measurements
+	ShedRatio    float64   // ratio of all requests, 0 to 1, that should be shed according to the instance's measurements
 	RequestRates []float64 // requests per second at the instance, by priority
 }
 
 // PeerReport is a report received from a peer.
 type PeerReport struct {
 	Peer        string
-	Incarnation uint64 // of the peer when it sent the report
+	Incarnation uint64 // incarnation of the peer when it sent the report
 	Sequence    uint64 // number of the report, which grows within an incarnation
 	Report      Report
 }
@@ -37,7 +37,8 @@
 	return r.Sequence > other.Sequence
 }
 
-// isValid reports whether there is one request rate for each priority and all figures are within their ranges. NaN is not.
+// isValid reports whether there is one request rate for each priority and all figures are within their ranges. NaN is
+// outside every range.
 func (r Report) isValid(priorities int) bool {
 	if len(r.RequestRates) != priorities || !(r.ShedRatio >= 0 && r.ShedRatio <= 1) {
 		return false
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -25,19 +25,19 @@
 // statePart is the state of the sender with a part of its endpoint list. A part that is lost is sent again in answer to a
 // later request.
 type statePart struct {
-	Version   int64                `json:"v,omitempty"`   // of the list
-	Hash      uint64               `json:"h,omitempty"`   // of the whole list
-	Index     int                  `json:"i,omitempty"`   // of this part, from 0
+	Version   int64                `json:"v,omitempty"`   // version of the list
+	Hash      uint64               `json:"h,omitempty"`   // hash of the whole list
+	Index     int                  `json:"i,omitempty"`   // index of this part, from 0
 	Parts     int                  `json:"n,omitempty"`   // number of parts
 	UpdatedMS int64                `json:"at,omitempty"`  // time at which the list was stored or received, in Unix milliseconds
-	UptimeMS  int64                `json:"up,omitempty"`  // for which the sender has served; 0 while it is recovering
+	UptimeMS  int64                `json:"up,omitempty"`  // how long the sender has served; 0 while it is recovering
 	ClockMS   int64                `json:"now,omitempty"` // time of the sender's clock, in Unix milliseconds
 	Endpoints []discovery.Endpoint `json:"s,omitempty"`
 }
 
 // loadReport is the encoded form of a loadshed.Report.
 type loadReport struct {
-	Sequence     uint64    `json:"no,omitempty"` // within the sender's incarnation
+	Sequence     uint64    `json:"no,omitempty"` // number of the report within the sender's incarnation
 	ShedRatio    float64   `json:"share,omitempty"`
 	RequestRates []float64 `json:"asked,omitempty"`
 }
@@ -90,8 +90,8 @@
 	parts    map[int][]discovery.Endpoint // entries by the index of their part
 }
 
-// add adds a part and reports whether the state is complete. It ignores an invalid part. A part of another state than the
-// earlier parts discards these.
+// add adds a part and reports whether the state is complete. It ignores an invalid part. If the part belongs to
+// another state than the parts collected so far, add discards the collected parts first.
 func (a *assembly) add(part statePart) (isComplete bool) {
 	if part.Parts <= 0 || part.Parts > maxParts || part.Index < 0 || part.Index >= part.Parts {
 		return false
--- a/internal/cluster/recover.go
+++ b/internal/cluster/recover.go
@@ -14,7 +14,7 @@
 
 // Recover requests the peers' states and calls use with the provisional endpoint list to start with, after at most
 // Options.PeerTimeout; the list is nil if there is none. Until discovery answers, Recover continues to request the missing
-// states, and calls use again each time that they change the choice. It returns when discovery has answered or ctx is done.
+// states, and calls use again each time that a state changes the choice. It returns when discovery has answered or ctx is done.
 func (c *Cluster) Recover(ctx context.Context, use func(*discovery.EndpointList)) {
 	ticker := time.NewTicker(stateRequestInterval)
 	defer ticker.Stop()
--- a/internal/cluster/recovery/decision.go
+++ b/internal/cluster/recovery/decision.go
@@ -38,22 +38,23 @@
 type Decision struct {
 	Source  Source
 	Peers   []string // if Source is FromPeers: the peers that hold the list; the caller uses the entries of any one of them
-	Version int64    // of the provisional list
-	Hash    uint64   // of the provisional list, as in PeerState
+	Version int64    // version of the provisional list
+	Hash    uint64   // hash of the provisional list, as in PeerState
 	// Excluded holds the IDs of servers that the disk's list contains and a peer's newer list lacks. It is empty if two
 	// instances agree on a list. Excluded servers must not receive requests. At most half of the list is excluded, so that
 	// one faulty peer can't exclude all servers.
 	Excluded []string
-	// StartTimes holds the latest start time of each server by ID, in Unix time, as at least two peers or this instance's
-	// disk observed it. A start time in it replaces an earlier one in the list.
+	// StartTimes holds start times by server ID, in Unix time. A server's start time is the one on this instance's disk or,
+	// if later, the second-latest one that peers report. It replaces an earlier start time in the list.
 	StartTimes map[string]time.Duration
 	// ColdStart reports whether, as far as is known, all instances have lost power. Servers of a provisional list may then
 	// have started since it was stored, so the caller treats each as started now until discovery answers.
 	ColdStart bool
 	// Isolated reports whether no peer has answered.
 	Isolated bool
-	// Warnings holds the inconsistencies found so far: for each peer whose clock differs the largest offset, and the latest
-	// maxConflictWarnings versions with conflicting lists. Later decisions share the slice: it must not be changed.
+	// Warnings holds the inconsistencies found so far. PeerClockSkew appears once for each peer, with the largest offset;
+	// ConflictingLists appears for the maxConflictWarnings versions found last. Later decisions share the slice, so it must
+	// not be changed.
 	Warnings []Warning
 }
 
@@ -70,13 +71,13 @@
 // ClockBehindDisk warns that the time of the last write to the disk is ahead of the local clock by more than
 // Settings.MaxClockSkew: the clock has jumped back, or was ahead when the disk was written.
 type ClockBehindDisk struct {
-	Offset time.Duration // of the time on the disk from the local clock
+	Offset time.Duration // time on the disk minus the local time
 }
 
 // PeerClockSkew warns that the clock of a peer differs from the local clock by more than Settings.MaxClockSkew.
 type PeerClockSkew struct {
 	Peer   string
-	Offset time.Duration // of the peer's clock from the local one; negative if the peer's clock is behind
+	Offset time.Duration // peer's time minus the local time; negative if the peer's clock is behind
 }
 
 // ConflictingLists warns that instances hold different lists of the same version.
--- a/internal/cluster/recovery/digest_test.go
+++ b/internal/cluster/recovery/digest_test.go
@@ -295,7 +295,7 @@
 type instance struct {
 	name               string
 	stateMachine       *recovery.Recovery // nil before the first start
-	clockOffset        time.Duration      // of its clock
+	clockOffset        time.Duration      // time of its clock minus the simulated time
 	firstStart         time.Duration      // time of its first start
 	discoveryAnswersAt time.Duration      // time from which discovery answers it
 	held               recovery.PeerState
--- a/internal/cluster/recovery/event.go
+++ b/internal/cluster/recovery/event.go
@@ -10,11 +10,11 @@
 
 // PeerState is the state of one instance: the content of this instance's disk, or the state that a peer reports.
 type PeerState struct {
-	Version   int64  // of the endpoint list; 0 or less means that the instance holds none
-	Hash      uint64 // of the list's entries without start times: equal for two instances that hold the same list
+	Version   int64  // version of the endpoint list; 0 or less means that the instance holds no list
+	Hash      uint64 // hash of the list's entries without start times; two instances that hold the same list have the same hash
 	Servers   []Server
 	UpdatedAt time.Duration // Unix time at which the list was stored or received, by the clock of its holder
-	Uptime    time.Duration // for which the peer has served; 0 for the disk and for a peer that is recovering itself
+	Uptime    time.Duration // how long the peer has served; 0 for the disk and for a peer that is recovering itself
 }
 
 // Event is an input of Recovery.Handle. Its concrete types are Startup, PeerReport, DiscoveryUpdate and Tick.
--- a/internal/cluster/recovery/recovery.go
+++ b/internal/cluster/recovery/recovery.go
@@ -24,11 +24,11 @@
 
 // Settings configures a Recovery.
 type Settings struct {
-	Name           string        // of this instance
+	Name           string        // name of this instance
 	Peers          []string      // names of the other configured instances
-	PeerTimeout    time.Duration // for which a start waits for the peers' reports
-	WarmupDuration time.Duration // for which a server is warming up after its start
-	MaxClockSkew   time.Duration // by which the clocks of two instances may differ
+	PeerTimeout    time.Duration // how long a start waits for the peers' reports
+	WarmupDuration time.Duration // how long a server is warming up after its start
+	MaxClockSkew   time.Duration // largest accepted difference between the clocks of two instances
 }
 
 // Recovery decides which endpoint list one instance uses during one start.
@@ -49,8 +49,8 @@
 }
 
 // Handle processes an event that occurred at now, in Unix time. It returns a decision and true if the event leads to the
-// first decision, or to one that differs from the last in the list or its use, and false otherwise. It ignores reports from
-// instances that are not configured, and every event after a DiscoveryUpdate.
+// first decision, or to a decision that selects another list than the last one or uses the list differently. Otherwise it
+// returns false. It ignores reports from instances that are not configured, and every event after a DiscoveryUpdate.
 func (r *Recovery) Handle(now time.Duration, event Event) (Decision, bool) {
 	if r.discoveryAnswered {
 		return Decision{}, false
@@ -116,7 +116,7 @@
 	}
 }
 
-// warn adds a warning to those of all further decisions, unless they have it already.
+// warn adds a warning to all further decisions, unless the same warning has been added before.
 func (r *Recovery) warn(w Warning) {
 	if !slices.Contains(r.warnings, w) {
 		r.warnings = append(r.warnings, w)
@@ -140,7 +140,7 @@
 	}
 }
 
-// warnOfConflict adds a warning and keeps those of the latest maxConflictWarnings versions.
+// warnOfConflict adds a warning and keeps only the maxConflictWarnings warnings of this type that were added last.
 func (r *Recovery) warnOfConflict(w ConflictingLists) {
 	if slices.Contains(r.warnings, Warning(w)) {
 		return
--- a/internal/cluster/recovery/recovery_test.go
+++ b/internal/cluster/recovery/recovery_test.go
@@ -290,8 +290,8 @@
 	}
 }
 
-// Discovery's update ends the wait for peers at once. A report under the instance's own name or under a name that is not
-// configured does not.
+// Discovery's update ends the wait for peers at once. A report under the instance's own name, or under a name that is not
+// configured, does not end it.
 func TestDiscoveryUpdateEndsPeerTimeout(t *testing.T) {
 	r := New(testSettings(2))
 	r.Handle(now, Startup{stateWithList(41)})
--- a/internal/cluster/recovery/selection.go
+++ b/internal/cluster/recovery/selection.go
@@ -102,7 +102,7 @@
 }
 
 // excludedServers returns the IDs of the servers that the disk's list contains and a peer's newer list lacks, sorted. It
-// ignores a peer whose list would raise their number to more than half of the disk's list.
+// ignores a peer whose list would raise the number of excluded servers above half of the disk's list.
 func (r *Recovery) excludedServers() []string {
 	var excluded []string
 	for _, name := range r.reporters() {
@@ -119,7 +119,7 @@
 	return excluded
 }
 
-// missingServers returns the IDs of the servers that the disk's list contains and the state lacks, without those in excluded.
+// missingServers returns the IDs of the servers that the disk's list contains and the state lacks, except the IDs in excluded.
 func (r *Recovery) missingServers(state PeerState, excluded []string) []string {
 	heldIDs := map[string]bool{}
 	for _, s := range state.Servers {
--- a/internal/cluster/recovery/starttimes.go
+++ b/internal/cluster/recovery/starttimes.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// startTimes returns the latest start time of each server that at least two peers or this instance's disk have observed. The
-// report of a single peer can't change whether a server is warming up.
+// startTimes returns the start times of servers by ID. A server's start time is the later of two: the one on this instance's
+// disk, and the second-latest one that peers report. The latest reported one is not used, so that the report of a single peer
+// can't change whether a server is warming up.
 func (r *Recovery) startTimes(now time.Duration) map[string]time.Duration {
 	latest := map[string]time.Duration{}
 	for _, s := range r.disk.Servers {
@@ -39,14 +40,15 @@
 }
 
 // isPlausible reports whether the server's start time is known and is not ahead of the local clock by more than
-// Settings.MaxClockSkew: such a start can't have been observed.
+// Settings.MaxClockSkew. A start that is further ahead can't have been observed.
 func (r *Recovery) isPlausible(s Server, now time.Duration) bool {
 	return s.StartedAt > 0 && s.StartedAt <= now+r.settings.MaxClockSkew
 }
 
-// isColdStart reports whether, as far as is known, all instances lost power rather than this one alone. The result is false
-// only if at least half of the peers that answered, and at least two of them if more than one answered, have served for
-// longer than Settings.WarmupDuration. With three or more answers a single faulty peer does not change the result.
+// isColdStart reports whether, as far as is known, all instances lost power rather than this one alone. A peer counts as
+// serving if it has served for longer than Settings.WarmupDuration. The result is true if no peer has answered, if fewer than
+// half of the peers that answered are serving, or if more than one has answered and fewer than two are serving. With three or
+// more answers, a single faulty peer does not change the result while all other peers agree.
 func (r *Recovery) isColdStart() bool {
 	serving := 0
 	for _, report := range r.reports {
--- a/internal/cluster/soak_test.go
+++ b/internal/cluster/soak_test.go
@@ -31,9 +31,9 @@
 	network   *simnet.Network
 	names     []string
 	disks     map[string]*faultfs.FS
-	instances map[string]*Cluster                // those that are running
-	lists     map[string]*discovery.EndpointList // the list that each uses
-	decisions map[string]recovery.Decision       // the latest of each
+	instances map[string]*Cluster                // the running instances, by name
+	lists     map[string]*discovery.EndpointList // the list that each instance uses
+	decisions map[string]recovery.Decision       // the latest decision of each instance
 	servers   int                                // number of servers in the old list; the new list has one less
 	trace     []string
 
--- a/internal/cluster/storage.go
+++ b/internal/cluster/storage.go
@@ -15,7 +15,7 @@
 
 const (
 	logDir           = "lists"                // subdirectory of Options.Dir
-	saveInterval     = 200 * time.Millisecond // shortest interval, so that lists in quick succession are stored once
+	saveInterval     = 200 * time.Millisecond // shortest time between saves, so that lists in quick succession are stored once
 	snapshotInterval = 64                     // number of records from one snapshot to the next
 )
 
@@ -91,8 +91,8 @@
 	}
 }
 
-// save stores the current list and logs an error. It reports whether the log can still be used, as after an error because of a
-// full disk, which may have free space again for the next list.
+// save stores the current list, and logs the error if that fails. It reports whether the log can still be used. That is also the
+// case after a retryable error such as a full disk, because there may be free space again for the next list.
 func (c *Cluster) save() bool {
 	err := c.appendList()
 	if err == nil {
@@ -103,8 +103,8 @@
 	return operrError != nil && operrError.Retryable()
 }
 
-// appendList appends the list to the log, and replaces the log by a snapshot every snapshotInterval records. These include the
-// records of earlier processes.
+// appendList appends the list to the log, and replaces the log by a snapshot every snapshotInterval records. Records of
+// earlier processes count too.
 func (c *Cluster) appendList() error {
 	content := encode(c.currentRecord())
 	number, err := c.log.Append(content)
@@ -116,7 +116,7 @@
 		return nil
 	}
 	if err := c.log.Snapshot(number, content); err != nil {
-		return err // the next list is written as a snapshot in its place
+		return err // the next list is appended and then written as a snapshot
 	}
 	c.recordCount = 0
 	return nil
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// ServerID returns the numeric ID of the server with the given id. It is the same on every gateway and after every restart and
-// depends on no earlier lists: if the id is 8 hex digits or ends in them after a hyphen, as in s-5be2a07c, they are the
-// numeric ID, and any other id is hashed.
+// ServerID returns the numeric ID of the server with the given id. It depends on the id alone, so it is the same on every
+// gateway, after every restart and for every list. If the id consists of 8 hex digits, or ends in a hyphen and 8 hex digits, as
+// in s-5be2a07c, the digits are the numeric ID. Any other id is hashed.
 func ServerID(id string) balancer.ServerID {
 	suffix := id[strings.LastIndexByte(id, '-')+1:]
 	if len(suffix) == 8 {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -66,8 +66,8 @@
 		`"s-00000002","state":"in_service"`, `"s-00000002","state":"terminating"`, 1)
 }
 
-// check reads the applied lists up to the one with the draining server. It reports a test error if that one arrived too late
-// or if a list of a former version was applied.
+// check reads the applied lists up to the one with the draining server. It reports a test error if the last of them
+// arrived too late, or if a list of a former version was applied.
 func (o *failingWatchService) check(t *testing.T) {
 	t.Helper()
 	for list := range o.lists {
@@ -84,9 +84,9 @@
 	}
 }
 
-// A server that begins to drain shortly after a watch has failed is known to drain before that counts as notified, which is
-// 6 s after discovery has it and is reachable. This holds for each way in which a watch fails, and if the service is down
-// afterwards, answers with a stale or empty list, or gets another address.
+// If a server begins to drain shortly after a watch has failed, the watcher learns of it before the change counts as notified.
+// That is 6 s after discovery has the change and is reachable. This holds for each way in which a watch fails. It also holds if
+// the service is down afterwards, answers with a stale or empty list, or gets another address.
 func TestDrainAfterWatchEnds(t *testing.T) {
 	ends := maps.Clone(stalls)
 	maps.Copy(ends, endingFailures)
@@ -107,7 +107,7 @@
 						t.Helper()
 						o := &failingWatchService{fakeService: service, afterWatch: then, watchFailure: end}
 						service.answer = o.handle
-						time.Sleep(time.Millisecond) // endedAt must not be 0 once the watch has failed
+						time.Sleep(time.Millisecond) // watchEndedAt must not be 0 once the watch has failed
 						service.start(nil)
 						o.check(t)
 					})
--- a/internal/discovery/refresh/poll.go
+++ b/internal/discovery/refresh/poll.go
@@ -4,13 +4,13 @@
 
 // Poll is one request for the endpoint list.
 type Poll struct {
-	Delay        time.Duration // before the request is sent
+	Delay        time.Duration // time to wait before the request is sent
 	Complete     bool          // requests the complete list instead of changes
 	AfterVersion int64         // requests the changes after this version; ignored if Complete is set
-	Wait         time.Duration // for which the service may delay its answer until there are changes; 0 means no delay
+	Wait         time.Duration // how long the service may delay its answer until there are changes; 0 means no delay
 	Timeout      time.Duration // from sending the request to the end of the answer; if it passes, the outcome is TimedOut
-	// StaleAt is the time from which changes since the last received list count as notified if no poll brings them. Zero
-	// means that no changes are known to be missed.
+	// StaleAt is the time at which the list that is held becomes stale. From then on, changes that the list lacks count
+	// as notified even though no poll has brought them. Zero means that no changes are known to be missed.
 	StaleAt time.Duration
 }
 
--- a/internal/discovery/refresh/scheduler.go
+++ b/internal/discovery/refresh/scheduler.go
@@ -16,9 +16,9 @@
 type Settings struct {
 	LocalAgent      bool          // poll an agent on this machine, to which the list is pushed: polls put no load on discovery
 	Gateways        int           // number of gateways that share discovery; less than 1 means 1
-	MaxPollInterval time.Duration // changes count as notified after maxMissedIntervals of it without a poll; 0 means no limit
-	DrainGrace      time.Duration // for which a server accepts requests after its drain was notified; 0 means 250 ms
-	Seed            uint64        // of the jitter
+	MaxPollInterval time.Duration // changes count as notified after maxMissedIntervals times this without a list; 0: no limit
+	DrainGrace      time.Duration // how long a server accepts requests after its drain was notified; 0 means 250 ms
+	Seed            uint64        // seed of the jitter
 }
 
 // Scheduler decides when one gateway polls for the endpoint list.
@@ -27,14 +27,14 @@
 	jitter   jitter
 
 	hasList bool
-	version int64 // of the list that is held
+	version int64 // version of the list that is held
 
 	lastPoll    Poll          // the last one returned
 	lastPollDue time.Duration // time at which it was to be sent
 
 	timeouts    int           // number of consecutive polls that timed out
 	backoff     time.Duration // base delay of the next retry; 0 means that the last poll did not fail
-	confirmedAt time.Duration // time up to which all changes are known: that of the last list, or of the start
+	confirmedAt time.Duration // time of the last list, or of the start; all changes up to then are known
 	staleAt     time.Duration // time from which changes after confirmedAt count as notified; 0 means that none are missed
 }
 
@@ -53,9 +53,9 @@
 // Age returns the time since the list that is held was last confirmed to be up to date.
 func (s *Scheduler) Age(now time.Duration) time.Duration { return now - s.confirmedAt }
 
-// Accepts reports whether a received list, complete or a delta, may be applied. It rejects a list that is older than the one
-// held, because its sender lags, was rolled back or is another one, and a delta if no list is held to apply it to. After a
-// rejected list Handle polls for the complete list, which is accepted whatever its version.
+// Accepts reports whether a received list, complete or a delta, may be applied. A list that is older than the one held is
+// rejected: its sender lags, was rolled back or is another service. A delta is rejected if no list is held to apply it to. After
+// a rejected list, Handle polls for the complete list, which is accepted whatever its version.
 func (s *Scheduler) Accepts(version int64, complete bool) bool {
 	if !s.hasList {
 		return complete
@@ -110,9 +110,9 @@
 	s.confirmedAt, s.staleAt = now, 0
 }
 
-// handleTimedOut returns an immediate poll. The list that an agent holds counts as notified from the moment at which the agent
-// answers again, so the agent is polled at intervals within the drain grace until then. Discovery is polled once after jitter
-// alone, which spreads the gateways whose polls timed out together, and then with backoff as after any other failure.
+// handleTimedOut returns an immediate poll. An agent's list counts as notified as soon as the agent answers again, so the agent
+// is polled at intervals shorter than the drain grace until it answers. Discovery is polled once after jitter alone, which
+// spreads the polls of gateways whose polls timed out together. Further timeouts lead to backoff, like any other failure.
 func (s *Scheduler) handleTimedOut(now time.Duration) Poll {
 	s.staleAt = s.confirmedAt + MaxNotificationDelay
 	s.timeouts++
@@ -139,8 +139,8 @@
 }
 
 // retryWithBackoff returns an immediate poll whose delay doubles with each failure and has jitter, so that gateways that lost
-// discovery at the same time don't poll it again at the same time. The delay is bounded: however many polls have failed, the
-// next one fetches the list of a discovery that is reachable again before the changes in it count as notified.
+// discovery at the same time don't poll it again at the same time. The delay is bounded. Therefore, however many polls have
+// failed, the first poll after discovery is reachable again brings the list before the changes in it count as notified.
 func (s *Scheduler) retryWithBackoff(now time.Duration) Poll {
 	if s.backoff == 0 {
 		s.backoff = initialBackoff
--- a/internal/discovery/refresh/timing.go
+++ b/internal/discovery/refresh/timing.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// MaxNotificationDelay is a limit of the platform's protocol: a change counts as notified this long after discovery has it and
-// is reachable, even if the poll that should have brought it fails.
+// MaxNotificationDelay is a limit of the platform's protocol. Once discovery has a change and is reachable, the change counts as
+// notified after this time, even if the poll that should have brought it fails.
 const MaxNotificationDelay = 6 * time.Second
 
 // Further limits of the platform's protocol, for which there is no setting.
 const (
-	// maxMissedIntervals is the number of MaxPollInterval after the last successful poll of discovery at which changes count
-	// as notified.
+	// maxMissedIntervals limits the time without a successful poll of discovery. Changes count as notified once
+	// maxMissedIntervals times Settings.MaxPollInterval has passed since the last successful poll.
 	maxMissedIntervals = 4
 	// watchContinuation is the time after an answer within which the next poll continues a watch.
 	watchContinuation = 200 * time.Millisecond
 )
 
-// Waits and timeouts of polls. Shorter waits put more polls on discovery. A wait and its slack together leave time for one
-// more poll before the changes that a timed-out poll should have brought count as notified.
+// Waits and timeouts of polls. Shorter waits put more polls on discovery. After a poll has used up its wait and its slack, there
+// is time for one more poll before the changes that the first poll missed count as notified.
 const (
 	discoveryWait        = MaxNotificationDelay / 2
 	discoveryAnswerSlack = MaxNotificationDelay / 8
--- a/internal/discovery/service_test.go
+++ b/internal/discovery/service_test.go
@@ -91,7 +91,7 @@
 		if err := server.Close(); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // until the handlers that still wait for changes have returned
+		time.Sleep(time.Minute) // lets the handlers that still wait for changes return
 	})
 }
 
--- a/internal/discovery/session_test.go
+++ b/internal/discovery/session_test.go
@@ -199,8 +199,8 @@
 	return got
 }
 
-// The requests of a watcher, the lists that it passes to its handler and the sequence of both are those of the golden file,
-// for each kind of answer. The names of the cases are part of the golden file.
+// For each kind of answer, the requests of a watcher, the lists that it passes to its handler and the order of both are those
+// in the golden file. The names of the cases are part of the golden file.
 func TestRequestsGolden(t *testing.T) {
 	const complete = `{"version":41,"full":true,"servers":[{"id":"s-00000001","addr":"10.0.0.1:1","state":"in_service"}]}`
 	const delta = `{"version":42,"full":false,"servers":[{"id":"s-00000002","state":"terminating"}]}`
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -28,12 +28,12 @@
 	now       func() time.Duration
 
 	mu     sync.Mutex         // guards addr and cancel, which SetAddr uses while Run runs
-	addr   string             // of the service
+	addr   string             // address of the service
 	cancel context.CancelFunc // cancels the current poll and the delay before it; nil before the first poll
 
 	// Only Run's goroutine uses these fields.
 	polledAddr  string // address of the current poll
-	staleLogged bool   // it has been logged that the list that is held is stale
+	staleLogged bool   // set once it is logged that the held list is stale, until the next list arrives
 }
 
 // New returns a Watcher of the service at addr, which has the form host:port. The function now is a monotonic clock.
@@ -62,7 +62,7 @@
 	w.addr = addr
 }
 
-// Run polls until ctx is done. The list known is the one that is held already, or nil if there is none.
+// Run polls until ctx is done. The parameter known is the list that is held already, or nil if there is none.
 func (w *Watcher) Run(ctx context.Context, known *EndpointList) {
 	defer w.client.closeIdleConnections()
 	poll := w.firstPoll(known)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// An answer that is not a list, too long or incomplete is rejected, and another poll follows. A list that arrives in pieces is
-// accepted.
+// An answer that is not a list, is too long or is incomplete is rejected, and another poll follows. A list that arrives in
+// pieces is accepted.
 func TestAnswers(t *testing.T) {
 	list := listOf(7, "s-00000001")
 	for name, c := range map[string]struct {
