--- a/gateway/crossing_retry_test.go
+++ b/gateway/crossing_retry_test.go
@@ -115,8 +115,8 @@
 }
 
 // Guards against a retry that the request's class forbids. The server resets the connection of an attempt. A request of
-// effect at_most_once must not be retried, and a deduplicated one only within its dedup window, though attempts and time are
-// left. An idempotent request is retried.
+// effect at_most_once must not be retried, and a deduplicated one only within its dedup window, even if attempts and time
+// are left. An idempotent request is retried.
 func TestRetryCrossesAResetUnderTheRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		programConfig
@@ -147,8 +147,8 @@
 	}
 }
 
-// Guards against new attempts at a server that has begun to drain. It may answer the attempts that it already has; one that
-// fails there must not be retried there.
+// Guards against new attempts at a server that has begun to drain. The server may answer the attempts that it already has. An
+// attempt that fails there must not be retried there.
 func TestRetryCrossesADrain(t *testing.T) {
 	p := startProgram(t, programConfig{mode: "proxy", deadline: testTimeout})
 	client, server := p.request()
--- a/gateway/crossing_stop_test.go
+++ b/gateway/crossing_stop_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// In pass mode, connections outlive the gateway. At a shutdown, pending requests must still be answered in time, as must a
-// client that completes its opening line after the shutdown has started.
+// In pass mode, connections outlive the gateway. At a shutdown, pending requests must still be answered in time. The same
+// holds for a client that completes its opening line after the shutdown has started.
 func TestStopCrossesClientsWherePacketsPass(t *testing.T) {
 	p := startProgram(t, programConfig{mode: "pass"})
 	open, _ := p.open()
@@ -177,7 +177,7 @@
 	}
 }
 
-// SIGHUP with another discovery address and SIGTERM right after it must both take effect, also if discovery is unavailable.
+// SIGHUP with another discovery address and SIGTERM right after it must both take effect, even if discovery is unavailable.
 func TestStopRightAfterAReload(t *testing.T) {
 	for _, withoutList := range []bool{false, true} {
 		t.Run(fmt.Sprint("without a list: ", withoutList), func(t *testing.T) {
--- a/gateway/descriptors_test.go
+++ b/gateway/descriptors_test.go
@@ -140,8 +140,8 @@
 	p.signal(syscall.SIGCONT)
 }
 
-// Guards against more open descriptors than the limit, at which neither servers nor discovery can be dialed. Bursts of
-// hundreds of clients connect while the program does not run, as happens on a busy machine, also during its shutdown.
+// Guards against more open descriptors than the limit. At the limit, neither servers nor discovery can be dialed. Bursts of
+// hundreds of clients connect while the program is suspended, as on a busy machine. This happens during its shutdown too.
 func TestBurstsKeepTheDescriptorLimit(t *testing.T) {
 	const sockets, clients, bursts = 128, 300, 4
 	for _, mode := range []string{"pass", "proxy"} {
--- a/gateway/hotrestart.go
+++ b/gateway/hotrestart.go
@@ -23,7 +23,7 @@
 )
 
 // loadPredecessor reads the snapshot of the process that this one replaces, if the clients' listening socket is inherited.
-// The predecessor's endpoint list, unless it is empty, replaces the configuration's if that is missing or older.
+// If the predecessor's endpoint list is not empty, it replaces a missing or older list of the configuration.
 func (g *Gateway) loadPredecessor() {
 	if g.config.InheritedSocket == 0 {
 		g.stateDir = hotrestart.NewStateDir("", hotrestart.Process{}, g.logger)
--- a/gateway/hotrestart_test.go
+++ b/gateway/hotrestart_test.go
@@ -318,11 +318,11 @@
 		client.close()
 		return next.succeededCount() >= 5
 	})
-	open.close() // the old process waits for it before it ends
+	open.close() // the old process ends only after this connection is closed
 }
 
-// Guards against a successor that uses the older endpoint list of its configuration, though its predecessor has written a
-// newer one: while discovery is unavailable, it would send new requests to a server that has drained.
+// Guards against a successor that uses the older endpoint list of its configuration although its predecessor has written a
+// newer one. While discovery is unavailable, such a successor would send new requests to a server that has drained.
 func TestSuccessorGoesByThePredecessorsNewerList(t *testing.T) {
 	p := newPlatform(t)
 	older, err := json.Marshal(discovery.EndpointList{Version: 1, Complete: true, Endpoints: []discovery.Endpoint{
--- a/gateway/loadshed.go
+++ b/gateway/loadshed.go
@@ -10,8 +10,8 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// runLoadShedding reports this gateway's counts of requests, rejected and shed requests to the cluster, and passes the
-// cluster's shed level to the engine, until ctx is done.
+// runLoadShedding reports this gateway's counts of all, rejected and shed requests to the cluster, and passes the cluster's
+// shed level to the engine, until ctx is done.
 func (g *Gateway) runLoadShedding(ctx context.Context, c *cluster.Cluster) {
 	ticker := time.NewTicker(loadshed.ReportInterval)
 	defer ticker.Stop()
--- a/gateway/nats_test.go
+++ b/gateway/nats_test.go
@@ -216,7 +216,7 @@
 	}
 }
 
-// A client that answers no PING must be closed, and so must its session at the node.
+// A client that answers no PING must be disconnected, and its session at the node must be closed.
 func TestNATSUnresponsiveClientIsClosed(t *testing.T) {
 	f := newFleet(t, 1, false, `(ping-clients "50ms")`)
 	f.connect().Close()
--- a/gateway/process_test.go
+++ b/gateway/process_test.go
@@ -48,11 +48,11 @@
 type programConfig struct {
 	mode        string // pass or proxy
 	sockets     int
-	addrs       []string // of the servers; nil: that of the scripted server
+	addrs       []string // addresses of the servers; nil: only the scripted server
 	withoutList bool     // discovery has no endpoint list
 	deadline    time.Duration
 
-	effect    string        // of the class; empty: idempotent
+	effect    string        // effect of the class; empty: idempotent
 	window    time.Duration // the dedup window
 	objective time.Duration // the latency objective, which is the timeout of each attempt but the last
 }
--- a/gateway/recovery.go
+++ b/gateway/recovery.go
@@ -11,8 +11,8 @@
 	"example.org/milletvane/internal/engine"
 )
 
-// startCluster joins the cluster, if the operator file has one. It returns a function that leaves the cluster, and does
-// nothing if none is configured.
+// startCluster joins the cluster, if the operator file configures one. It returns a function that leaves the cluster. If no
+// cluster is configured, startCluster and the returned function do nothing.
 func (g *Gateway) startCluster() (stop func(), err error) {
 	if g.clusterSettings == nil {
 		return func() {}, nil
@@ -63,8 +63,8 @@
 }
 
 // recoverFromCluster posts the endpoint list that the disk and the peers hold, unless discovery sends an event first. It
-// also starts the task that polls discovery. It returns once the cluster has made its first decision, which may be to use
-// no list, discovery has answered or the tasks are stopped.
+// also starts the task that polls discovery. It returns once one of these has happened: the cluster has made its first
+// decision, which may be to use no list; discovery has answered; or the tasks have been stopped.
 func (g *Gateway) recoverFromCluster(tasks *taskGroup, c *cluster.Cluster) {
 	initial := initialList{gateway: g}
 	g.watcher.SetHandler(initial.postDiscovered)
--- a/gateway/weights.go
+++ b/gateway/weights.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// postLocked posts a list, unless it changes nothing, and sets the timer for the next refresh. A source that is not empty
-// is where the weights come from now; it is logged. The caller holds mu.
+// postLocked posts a list, unless it changes nothing, and sets the timer for the next refresh. If source is not
+// empty, it says where the weights come from now, and is logged. The caller holds mu.
 func (w *planWeights) postLocked(l engine.EndpointList, source string) {
 	if source != "" {
 		w.logger.Info("endpoint weights changed", "source", source)
--- a/internal/admin/connlimit.go
+++ b/internal/admin/connlimit.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Accept implements net.Listener. It returns a connection only once that is admitted.
+// Accept implements net.Listener. It returns a connection only after the connection has been admitted.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -90,7 +90,7 @@
 	{"GET /-/servers/" + strings.Repeat("x", 64<<10), " HTTP/1.1\r\nHost: x\r\n\r\n"},
 }
 
-// Every response must stay the same byte for byte, as must the calls of SetMaintenance.
+// Every response and every call of SetMaintenance must stay the same, byte for byte.
 func TestAnswersGolden(t *testing.T) {
 	r := &transcript{server: startServer(t), deadline: time.Now().Add(testTimeout)}
 	for _, path := range goldenPaths {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Guards against connections that never complete a request and so block other operators: they must be evicted, and a complete
-// request must be answered within a second.
+// Guards against connections that never complete a request and so block other operators. Such connections must be evicted, and
+// a complete request must be answered within a second.
 func TestConnectionsWithoutARequestAreEvicted(t *testing.T) {
 	s := startServer(t)
 	var first net.Conn
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -28,8 +28,8 @@
 func (e *ListenerError) Unwrap() error { return e.Err }
 
 // PrepareListener checks that a descriptor is a TCP socket that listens at an address, given as IP:port, and prepares it for
-// a reactor. The open file description is shared with other processes, so only the non-blocking mode is set on it, which all
-// of them need; close-on-exec is set on the descriptor, which is not shared. All errors are of type *ListenerError.
+// a reactor. Other processes share the open file description, so PrepareListener sets only non-blocking mode on it, which all
+// of them need. It sets close-on-exec on the descriptor, which is not shared. All errors are of type *ListenerError.
 func PrepareListener(fd int, address string) error {
 	if err := checkListens(fd); err != nil {
 		return err
--- a/internal/hotrestart/statedir.go
+++ b/internal/hotrestart/statedir.go
@@ -167,8 +167,8 @@
 	return Snapshot{}, false
 }
 
-// readRecent returns the snapshot of a file; ok is false if the file cannot be read, which quarantines it, or if the
-// snapshot's time differs from now by more than maxSnapshotAge.
+// readRecent returns the snapshot of a file. The result ok is false if the file cannot be read, or if the snapshot's time
+// differs from now by more than maxSnapshotAge. A file that cannot be read is quarantined.
 func (d *StateDir) readRecent(name string, now time.Time) (s Snapshot, ok bool) {
 	s, err := d.readFile(name)
 	if err != nil {
@@ -216,7 +216,7 @@
 	return false
 }
 
-// isAlive reports whether a process is running, also if it belongs to another user.
+// isAlive reports whether a process is running, even if it belongs to another user.
 func isAlive(pid int) bool {
 	if pid <= 0 {
 		return false
--- a/internal/hotrestart/statedir_test.go
+++ b/internal/hotrestart/statedir_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// Guards against a start that fails because of an unusable file. A file that cannot be read must be quarantined, and one
-// whose time is too far from now must be left in place and ignored.
+// Guards against a start that fails because of an unusable file. A file that cannot be read must be quarantined. A file
+// whose snapshot time is too far from now must be left in place and ignored.
 func TestUnusableSnapshots(t *testing.T) {
 	now := time.Now()
 	dir := t.TempDir()
--- a/internal/maintenance/directory.go
+++ b/internal/maintenance/directory.go
@@ -20,7 +20,7 @@
 	fileMode   = 0o600
 )
 
-// errForeignFile is returned for a file whose content is not the id that its name is the hash of.
+// errForeignFile is returned for a file whose name is not derived from the hash of its content, or whose content is too long.
 var errForeignFile = errors.New("not a file of a server in maintenance mode")
 
 // directory is the path of the directory that has one file for each server in maintenance mode; the content of a file is the
--- a/internal/maintenance/format_test.go
+++ b/internal/maintenance/format_test.go
@@ -18,8 +18,8 @@
 
 const wantMaxIDBytes = 8192 // length of the longest id that is stored
 
-// quoteID returns an id in quotes, or the beginning and the length of a long one. Files in testdata hold this text, so it
-// stays as it is, as do the other texts that the tests below print.
+// quoteID returns an id in quotes, or the beginning and the length of a long id. Files in testdata hold this text and the other
+// texts that the tests below print, so these texts stay as they are.
 func quoteID(id string) string {
 	if len(id) > 80 {
 		return fmt.Sprintf("%q (%d bytes)", id[:8], len(id))
--- a/internal/maintenance/store.go
+++ b/internal/maintenance/store.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// syncOthers puts the servers of files into maintenance mode that are not in it here.
+// syncOthers puts each server that has one of the files, but is not in maintenance mode here, into maintenance mode.
 func (s *Store) syncOthers(files map[string]bool) {
 	for name := range files {
 		id, err := s.dir.read(name)
--- a/internal/membership/contract_test.go
+++ b/internal/membership/contract_test.go
@@ -199,7 +199,7 @@
 }
 
 // Checks that messages from an earlier incarnation are ignored, and that an instance with a lower incarnation than its peers
-// know is told the known one and raises its own above it.
+// know receives the known incarnation and raises its own above that.
 func testIncarnations(t *testing.T, fixture networkFixture) {
 	t.Helper()
 	transports, inboxes := startInstances(t, fixture, 3)
--- a/internal/membership/endpoint.go
+++ b/internal/membership/endpoint.go
@@ -68,8 +68,8 @@
 	e.countsOf(to).Dropped++
 }
 
-// ObserveIncarnation records the incarnation of a peer that a message or the peer's metadata contains. It reports whether no
-// later incarnation of the peer is known.
+// ObserveIncarnation records the incarnation of a peer from a message or the peer's metadata, and returns true. If a later
+// incarnation of the peer is known, it records nothing and returns false.
 func (e *Endpoint) ObserveIncarnation(peer string, incarnation uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,9 +118,9 @@
 	return "", nil
 }
 
-// rejectStale counts a message from an earlier incarnation of a peer. It returns a reply with the latest known incarnation, of
-// which the peer may not know. If the peer already has that incarnation, the message was an old one, and the peer ignores
-// the reply.
+// rejectStale counts a message from an earlier incarnation of a peer. It returns a reply with the latest known incarnation of the
+// peer, because the peer may not know it. If the peer already has that incarnation, the message was an old one, and the peer
+// ignores the reply.
 func (e *Endpoint) rejectStale(peer string) (reply []byte) {
 	e.mu.Lock()
 	e.countsOf(peer).Stale++
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -20,7 +20,7 @@
 
 const (
 	kindMessage          packetKind = 1
-	kindKnownIncarnation packetKind = 2 // its incarnation is the latest one of the receiver that the sender knows
+	kindKnownIncarnation packetKind = 2 // carries the latest incarnation of the receiver that the sender has seen
 )
 
 type packet struct {
--- a/internal/membership/process_test.go
+++ b/internal/membership/process_test.go
@@ -57,7 +57,7 @@
 }
 
 // runChild sends a message to all members every 10 ms, and prints its received counts ten times per second. Each line on
-// standard input names a peer to which it sends nothing from then on.
+// standard input names a peer; runChild sends nothing to that peer from then on.
 func runChild(text string) error {
 	c := &child{links: &links{cut: map[[2]string]bool{}}, received: map[string]*received{}}
 	if err := json.Unmarshal([]byte(text), &c.config); err != nil {
@@ -120,8 +120,8 @@
 	r.Incarnation, r.Count = max(r.Incarnation, m.Incarnation), r.Count+1
 }
 
-// cutLinks cuts the links to the peers that standard input names. At the end of the input the test has ended, so it exits the
-// process.
+// cutLinks cuts the links to the peers that standard input names. The end of the input means that the test has ended, so cutLinks
+// exits the process.
 func (c *child) cutLinks() {
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		c.links.mu.Lock()
--- a/internal/membership/simnet/network.go
+++ b/internal/membership/simnet/network.go
@@ -30,7 +30,8 @@
 type Network struct {
 	Now    time.Duration // simulated time since the network was created
 	Faults Faults
-	// SuspectAfter and DeadAfter are the times without a packet from a member after which its state becomes Suspect and Dead.
+	// A member becomes Suspect if no packet from it arrives for longer than SuspectAfter, and Dead if none arrives for longer
+	// than DeadAfter.
 	SuspectAfter, DeadAfter time.Duration
 
 	rng          *rand.Rand
--- a/internal/membership/simnet/node.go
+++ b/internal/membership/simnet/node.go
@@ -25,8 +25,8 @@
 	node.transmit(to, node.EncodeMessage(payload))
 }
 
-// transmit sends a packet within the limits of the link. It drops a packet whose waiting time would be longer than the
-// sending of a full queue of packets of its size.
+// transmit sends a packet within the limits of the link. It drops a packet that would wait longer than it takes
+// to send MaxQueuedMessages packets of its size.
 func (node *Node) transmit(to string, packet []byte) {
 	o := node.Options()
 	duration := o.SendDuration(len(packet))
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -26,12 +26,12 @@
 	Forwards    atomic.Int64 // attempts completely written to servers since the start
 	Outstanding atomic.Int64 // admitted requests and established connections that have not ended
 	Discovered  atomic.Int64 // servers in the endpoint list
-	Ejected     atomic.Int64 // of the discovered ones, servers in maintenance mode or ejected as outliers
-	Unreachable atomic.Int64 // of the discovered ones, ready servers without an entry in the lookup table
+	Ejected     atomic.Int64 // servers in the endpoint list that are in maintenance mode or ejected as outliers
+	Unreachable atomic.Int64 // ready servers in the endpoint list without an entry in the lookup table
 
 	Descriptors           atomic.Int64 // open descriptors of the process
-	ConnectionDescriptors atomic.Int64 // of these, descriptors of connections to clients and servers, including load polls
-	ClosingDescriptors    atomic.Int64 // of these, descriptors of connections that this side has closed
+	ConnectionDescriptors atomic.Int64 // of Descriptors, those of connections to clients and servers, including load polls
+	ClosingDescriptors    atomic.Int64 // of ConnectionDescriptors, those of connections that this side has closed
 }
 
 type classMetrics struct {
--- a/internal/operr/operr.go
+++ b/internal/operr/operr.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// Log logs an error. If there is an Error in its chain, Log logs the parts of that and its cause; otherwise it logs err
-// itself.
+// Log logs an error. If the chain of err contains an Error, Log logs the parts of that Error and its cause. Otherwise it logs
+// err itself.
 func Log(l *slog.Logger, err error) {
 	e := Of(err)
 	if e == nil {
--- a/internal/wal/faultfs/faults.go
+++ b/internal/wal/faultfs/faults.go
@@ -32,8 +32,8 @@
 	return f.changes
 }
 
-// LosePowerAfter lets the next calls that change something succeed, up to the given number. After them all such calls fail
-// with ErrPowerLost until Crash is called.
+// LosePowerAfter simulates a loss of power after the given number of further calls that change something. All such calls after
+// them fail with ErrPowerLost until Crash is called.
 func (f *FS) LosePowerAfter(changes int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,8 +47,8 @@
 	return f.totalBytes()
 }
 
-// FailNextSyncs makes the next n syncs fail with ErrIO. The data that they should have made durable may be lost in a crash,
-// as kernels drop pages that could not be written.
+// FailNextSyncs makes the next n syncs fail with ErrIO. The data that these syncs should have made durable may be lost in
+// a crash, because a kernel drops pages that it could not write.
 func (f *FS) FailNextSyncs(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,8 +76,9 @@
 	})
 }
 
-// FlipBit flips one bit of the byte at offset in the file whose name contains part; if several names do, in the last of them
-// in lexical order. A negative offset counts from the end of the file. FlipBit reports whether there is such a byte.
+// FlipBit flips one bit of the byte at offset in the file whose name contains part. If several names contain part, the last
+// of them in lexical order is used. A negative offset counts from the end of the file. FlipBit returns false if there is no
+// such byte.
 func (f *FS) FlipBit(part string, offset int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,8 +106,8 @@
 	return true
 }
 
-// Crash simulates a loss of power. Unsynced data survives in part, with some sectors that were never written, or not at all.
-// After Crash calls no longer fail with ErrPowerLost.
+// Crash simulates a loss of power and the restart after it. Unsynced data is lost entirely or in part; in the part that
+// survives, some sectors may be zeros. Crash ends the effect of LosePowerAfter, so later calls do not fail with ErrPowerLost.
 func (f *FS) Crash() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/wal/filelog.go
+++ b/internal/wal/filelog.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// writeBatch writes the records of a batch and syncs the segment. After an error no record of the batch is acknowledged. The
+// writeBatch writes the records of a batch and syncs the segment. After an error, no record of the batch is acknowledged. The
 // error is a NoSpaceError if the segment is unchanged, and a WriteFailedError if its content is unknown.
 func (l *FileLog) writeBatch(batch []*appendRequest) error {
 	if l.active.file == nil || l.active.size > l.opts.SegmentBytes {
--- a/internal/wal/format.go
+++ b/internal/wal/format.go
@@ -69,7 +69,7 @@
 }
 
 // frameMask returns the smallest mask with which no sector of a record at a file offset is all zeros. It returns 0 if there
-// is no such mask, as for a record that has a uniform sector of every byte value.
+// is no such mask, which requires a record with a uniform sector for each of the 256 byte values.
 func frameMask(record []byte, offset int) byte {
 	var excluded [256]bool // indexed by mask: whether some sector would be all zeros
 	for piece := range sectors(record, offset) {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -24,7 +24,7 @@
 	// record is durable when Append returns without an error.
 	Append(record []byte) (uint64, error)
 	// Snapshot replaces all records with numbers up to and including upTo by a state that covers them. The state is durable
-	// when Snapshot returns without an error. After a retryable error every record is still stored or covered by the
+	// when Snapshot returns without an error. After a retryable error, every record is still stored or covered by the
 	// snapshot, and the same snapshot may be taken again. If the previous snapshot covers upTo already, state is ignored.
 	Snapshot(upTo uint64, state []byte) error
 	// Close waits for appends in progress and closes the log. Further calls have no effect and return nil.
--- a/internal/wal/masks_test.go
+++ b/internal/wal/masks_test.go
@@ -35,8 +35,8 @@
 	return records
 }
 
-// Guards against dropping an acknowledged record as a torn write because one of its bytes was changed. If the record has
-// sectors of zeros on the disk, it could be mistaken for one that was not written completely. The test changes bytes of the
+// Guards against dropping an acknowledged record as a torn write because one of its bytes was changed. A record that
+// has sectors of zeros on the disk could be mistaken for one that was not written completely. The test changes bytes of the
 // last frame in turn, with the frame at each offset around the end of a sector.
 func TestChangedByteOfTheLastRecordIsCorruption(t *testing.T) {
 	for name, record := range zeroSectorRecords() {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -98,8 +98,8 @@
 }
 
 // removeObsolete removes the segments that the snapshot covers, except the active one, and the snapshots before it. A failed
-// removal is harmless: it is retried when the log is opened and when the next snapshot is taken, even if that covers the
-// same records.
+// removal is harmless: it is retried when the log is opened and when the next snapshot is taken, even if the next snapshot
+// covers the same records.
 func (l *FileLog) removeObsolete() {
 	names, err := l.fs.List(l.dir)
 	l.removalPending = err != nil
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -61,7 +61,7 @@
 }
 
 // removeCovered removes the files that the snapshot covers. If the snapshot covers every record, the log continues in a new
-// segment, so that the active segment can be removed too: once it exceeds its size limit, it accepts no more records.
+// segment, and the old active segment is removed too, because a segment over its size limit accepts no more records.
 func (l *FileLog) removeCovered() error {
 	if l.isActiveCovered() {
 		err := l.rollSegment()
