--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -3,7 +3,8 @@
 import "slices"
 
 const (
-	// maxLookups bounds the lookups of one search. More lookups were not worth their cost.
+	// maxLookups bounds the lookups of one search. Further lookups cost more than the better
+	// servers that they find are worth.
 	maxLookups = 160
 
 	// shortSearchLookups bounds the lookups for a member of a group, so that the group stays on few servers,
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -104,8 +104,8 @@
 
 // attemptTimeout returns the timeout of the current attempt: the set-up latency objective or, for the last
 // attempt, all the time that is left. It never exceeds the time that is left. A shorter timeout wastes work:
-// measurements showed that servers busy with other set-ups lose the work on attempts that are abandoned
-// earlier.
+// a server that is busy with other set-ups has already spent work on an attempt that is abandoned earlier,
+// and that work is lost.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	remaining := r.deadline - b.now
 	if r.attempts >= b.settings.MaxAttempts {
--- a/internal/engine/latency.go
+++ b/internal/engine/latency.go
@@ -66,8 +66,8 @@
 
 // recordLoadReport updates the estimator from a load report. Without a reported backlog, it estimates the backlog: work
 // beyond a server's capacity adds to it, and spare capacity reduces it. Reports are noisy, but a mean of the last few
-// reacts too late for the balancer to keep the server out of overload: that was tried, and lost more than false reports
-// cost.
+// reacts too late for the balancer to keep the server out of overload, and the late
+// reaction costs more than false reports do.
 func (l *latencyEstimator) recordLoadReport(now time.Duration, r LoadReport) {
 	switch {
 	case r.HasBacklog:
